--- /dev/null
+++ b/crates/bond/tests/golden.rs
@@ -0,0 +1,430 @@
+//! What goes over the wire between processes, byte by byte. Processes of two versions talk to each other during an
+//! upgrade, so no line of the golden files may ever change; new messages and fields get lines of their own.
+
+use bytes::Bytes;
+use kitepass_bond::cast::{Cast, NEXT, NOW};
+use kitepass_bond::frame::{Assembler, Error, Outbox, Packed, MOST_FRAME, MOST_WORD};
+use kitepass_bond::register::{key, Ballot, Call, CallWord};
+use kitepass_bond::words::{
+    batches, pack, pack_items, Decided, Denied, Forget, Hello, ItemWord, Items, Parcel, Word,
+};
+use kitepass_tenet::{Entry, Item, Kind, Version};
+use prost::Message;
+use rstest::rstest;
+use samples::Sample;
+use std::fmt::Write;
+
+#[path = "golden/samples.rs"]
+mod samples;
+
+const MESSAGES: &str = include_str!("golden/messages.txt");
+const NESTED: &str = include_str!("golden/nested.txt");
+const FRAMES: &str = include_str!("golden/frames.txt");
+const BALLOTS: &str = include_str!("golden/ballots.txt");
+const PROPOSALS: &str = include_str!("golden/proposals.txt");
+
+/// How the golden files write no bytes at all: a line must not end with a space.
+const NO_BYTES: &str = "-";
+
+fn to_hex(bytes: &[u8]) -> String {
+    if bytes.is_empty() {
+        return NO_BYTES.to_owned();
+    }
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn from_hex(hex: &str) -> Vec<u8> {
+    if hex == NO_BYTES {
+        return Vec::new();
+    }
+    let digits = hex.as_bytes().chunks(2);
+    digits.map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap()).collect()
+}
+
+/// One line a value: its name, and its bytes in hex.
+fn lines<'a>(values: impl IntoIterator<Item = (&'a str, Vec<u8>)>) -> String {
+    let mut text = String::new();
+    for (name, bytes) in values {
+        writeln!(text, "{name} {}", to_hex(&bytes)).unwrap();
+    }
+    text
+}
+
+/// The bytes of one line of a golden file.
+fn golden(file: &str, name: &str) -> Vec<u8> {
+    let line = file.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    from_hex(line.unwrap_or_else(|| panic!("no line for {name}")))
+}
+
+fn envelope(message: &Word) -> Parcel {
+    Parcel { word: Some(message.clone()) }
+}
+
+fn all_samples() -> Vec<Sample> {
+    [samples::complete(), samples::empty(), samples::booleans(), samples::nested_defaults()].concat()
+}
+
+#[test]
+fn messages_are_encoded_to_the_golden_bytes() {
+    let samples = all_samples();
+    let encoded = samples.iter().map(|(name, message)| (*name, envelope(message).encode_to_vec()));
+    assert_eq!(lines(encoded), MESSAGES);
+}
+
+#[test]
+fn golden_bytes_are_decoded_to_the_messages() {
+    for (name, message) in all_samples() {
+        let bytes = golden(MESSAGES, name);
+        let decoded = Parcel::decode(&bytes[..]).unwrap();
+        assert!(decoded == envelope(&message), "{name}");
+        assert_eq!(to_hex(&decoded.encode_to_vec()), to_hex(&bytes), "{name}");
+    }
+}
+
+/// The first byte of an envelope holds the variant's tag; from 16 on it takes two.
+#[test]
+fn the_variants_have_tags_1_to_16() {
+    for ((name, message), tag) in samples::complete().into_iter().zip(1_u64..) {
+        let mut key = Vec::new();
+        prost::encoding::encode_varint(tag << 3 | 2, &mut key);
+        assert!(envelope(&message).encode_to_vec().starts_with(&key), "{name}");
+    }
+    assert_eq!(samples::complete().len(), 16);
+}
+
+#[test]
+fn nested_messages_have_the_golden_bytes() {
+    assert_eq!(lines(samples::nested()), NESTED);
+    assert!(Ballot::decode(&golden(NESTED, "ballot")[..]).unwrap() == samples::ballot(1));
+    assert!(Denied::decode(&golden(NESTED, "rejection")[..]).unwrap() == samples::rejection());
+    let proposal = CallWord::decode(&golden(NESTED, "accepted-proposal")[..]).unwrap();
+    assert!(proposal == samples::accepted_proposal());
+}
+
+/// Sets of replicas travel as items like any other, so that their names and values are part of the protocol.
+#[test]
+fn replica_sets_are_items() {
+    let set = Cast { seats: samples::replicas(), edition: 81 };
+    for (name, expected) in [(NOW, "now"), (NEXT, "next")] {
+        let item = set.item(name);
+        assert_eq!((item.kind as u8, &*item.name, item.edition), (7, expected, 81));
+        assert_eq!(to_hex(&item.value.clone().unwrap()), to_hex(&golden(NESTED, "replica-set")));
+        assert!(Cast::from_item(&item) == Some(set.clone()));
+    }
+    // Votes and copies are counted by these names.
+    let names: Vec<String> = set.seats.iter().map(|replica| replica.name()).collect();
+    assert_eq!(names, ["node-1#2122232425262728", "node-2"]);
+}
+
+fn item(kind: Kind, name: &str, edition: u64, value: Option<&'static [u8]>) -> Item {
+    Item { kind, name: name.into(), edition, value: value.map(Bytes::from_static) }
+}
+
+/// An item of each kind, one of them removed.
+fn items() -> Vec<Item> {
+    vec![
+        item(Kind::Route, "route-1", 1, Some(b"{\"a\":1}")),
+        item(Kind::Tenant, "tenant-1", 2, None),
+        item(Kind::Line, "service-1", 0x0102_0304_0506_0708, Some(b"{}")),
+        item(Kind::Limits, "", 4, Some(b"{\"idle-ms\":1}")),
+        item(Kind::Evacuation, "zone-a", 5, Some(b"1")),
+        item(Kind::Backend, "backend-1", 6, Some(b"\x00\xff")),
+        item(Kind::Cast, "now", 7, Some(b"")),
+    ]
+}
+
+#[test]
+fn items_survive_a_round_trip() {
+    for (item, number) in items().iter().zip(1..) {
+        let message = ItemWord::from(item);
+        assert_eq!(message.kind, number);
+        assert!(message.item().as_ref() == Some(item), "{}", item.name);
+    }
+    let due = vec![(Kind::Tenant, "tenant-1".into(), 5)];
+    let purge = Word::Forget(Forget::of(&due));
+    assert_eq!(to_hex(&envelope(&purge).encode_to_vec()), to_hex(&golden(MESSAGES, "purge-tombstones")));
+    let Word::Forget(purge) = purge else { unreachable!() };
+    assert!(purge.due() == due);
+}
+
+/// A content's hash of 128 bits travels in two halves.
+#[test]
+fn older_versions_of_items_survive_a_round_trip() {
+    let item = item(Kind::Route, "route-1", 1_000_000_000_001, Some(b"{\"a\":1}"));
+    let history = [
+        Version { edition: 301, mark: 0x7172_7374_7576_7701_8182_8384_8586_8701 },
+        Version { edition: 302, mark: 0x7172_7374_7576_7702_8182_8384_8586_8702 },
+    ];
+    let message = ItemWord::from(Entry { item: &item, past: &history });
+    assert_eq!(to_hex(&message.encode_to_vec()), to_hex(&golden(NESTED, "item")));
+    assert!(message.entry() == Some((item, history.to_vec())));
+}
+
+/// They must not be taken for items of the kind that the lowest byte of the number would name.
+#[rstest]
+fn items_of_unknown_kinds_are_skipped(#[values(0, 8, 255, 256 + 1, u32::MAX)] kind: u32) {
+    let message = ItemWord { kind, name: "name".into(), edition: 1, ..ItemWord::default() };
+    assert!(message.clone().item().is_none());
+    assert!(message.clone().entry().is_none());
+    // A proposal that cannot be kept complete is not kept at all.
+    assert!(Call::of_words(vec![message, ItemWord::from(&items()[0])]).is_none());
+}
+
+/// Field 99 of each wire type: varint, 64 bits, bytes, 32 bits.
+const UNKNOWN_FIELDS: [&str; 4] = ["980601", "99060102030405060708", "9a0603616263", "9d0601020304"];
+
+#[test]
+fn unknown_fields_are_ignored_and_not_forwarded() {
+    let known = samples::hello().encode_to_vec();
+    for unknown in UNKNOWN_FIELDS.map(from_hex) {
+        for bytes in [[&unknown[..], &known].concat(), [&known[..], &unknown].concat()] {
+            let decoded = Hello::decode(&bytes[..]).unwrap();
+            assert!(decoded == samples::hello());
+            assert_eq!(to_hex(&decoded.encode_to_vec()), to_hex(&known));
+        }
+    }
+}
+
+/// An envelope with a variant 17, which there is not.
+const UNKNOWN_VARIANT: &str = "8a0103616263";
+
+#[test]
+fn unknown_variants_are_skipped() {
+    let unknown = from_hex(UNKNOWN_VARIANT);
+    assert!(Parcel::decode(&unknown[..]).unwrap().word.is_none());
+    let heartbeat = Word::Beat(samples::heartbeat());
+    let known = envelope(&heartbeat).encode_to_vec();
+    // In one envelope with a known one, the known one counts.
+    for bytes in [[&unknown[..], &known].concat(), [&known[..], &unknown].concat()] {
+        assert!(Parcel::decode(&bytes[..]).unwrap() == envelope(&heartbeat));
+    }
+    let mut stream = [&(unknown.len() as u32).to_be_bytes()[..], &unknown].concat();
+    pack(heartbeat.clone(), &mut stream);
+    assert!(read_all(&stream) == [heartbeat]);
+}
+
+/// Of two variants in one envelope the last one counts; two of the same are merged, field by field.
+#[test]
+fn several_variants_in_one_envelope() {
+    let bytes = |name| golden(MESSAGES, name);
+    let both = [bytes("commit"), bytes("heartbeat")].concat();
+    assert!(Parcel::decode(&both[..]).unwrap() == envelope(&Word::Beat(samples::heartbeat())));
+    let halves = [bytes("hello.is-current"), bytes("hello.is-complete")].concat();
+    let merged = Hello { current: true, full: true, ..Hello::default() };
+    assert!(Parcel::decode(&halves[..]).unwrap() == envelope(&Word::Hello(merged)));
+}
+
+/// Numbers in a list are packed when they are sent, and read one by one as well.
+#[test]
+fn lists_of_numbers_are_read_unpacked_too() {
+    // Bucket digests 1 and 2, each with a key of its own.
+    let unpacked = from_hex("2212090100000000000000090200000000000000");
+    let Some(Word::Buckets(digests)) = Parcel::decode(&unpacked[..]).unwrap().word else {
+        panic!("not bucket digests")
+    };
+    assert_eq!(digests.hashes, [1, 2]);
+    let packed = "22120a1001000000000000000200000000000000";
+    assert_eq!(to_hex(&envelope(&Word::Buckets(digests)).encode_to_vec()), packed);
+}
+
+#[rstest]
+#[case::field_of_another_type("0a020801")]
+#[case::text_that_is_not_utf8("0a040a02fffe")]
+#[case::truncated("0a050a03")]
+#[case::field_number_0("0201")]
+fn malformed_messages_are_rejected(#[case] hex: &str) {
+    assert!(Parcel::decode(&from_hex(hex)[..]).is_err());
+    let bytes = from_hex(hex);
+    let frame = [&(bytes.len() as u32).to_be_bytes()[..], &bytes].concat();
+    assert!(matches!(Assembler::default().next(&frame, &mut 0), Err(Error::Garbled { .. })));
+}
+
+/// All messages of a stream that is complete.
+fn read_all(stream: &[u8]) -> Vec<Word> {
+    let (mut assembler, mut position) = (Assembler::default(), 0);
+    let messages = std::iter::from_fn(|| assembler.next(stream, &mut position).unwrap()).collect();
+    assert_eq!((position, assembler.kept()), (stream.len(), 0));
+    messages
+}
+
+/// A commit whose envelope has so many bytes. The period of its content does not divide a frame's
+/// length, so that chunks out of order show.
+fn commit_of(length: usize) -> Word {
+    // Two tags, and two lengths of three bytes each.
+    let content = (0..length - 8).map(|at| (at % 251) as u8).collect::<Vec<u8>>();
+    let message = Word::Decided(Decided { mark: content.into() });
+    assert_eq!(envelope(&message).encoded_len(), length);
+    message
+}
+
+#[test]
+fn limits_of_frames() {
+    assert_eq!((MOST_FRAME, MOST_WORD), (262_144, 25_165_824));
+}
+
+#[test]
+fn a_short_message_and_a_stream_of_several() {
+    let mut stream = Vec::new();
+    pack(Word::Hello(samples::hello()), &mut stream);
+    assert_eq!(to_hex(&stream), to_hex(&golden(FRAMES, "hello")));
+    assert!(read_all(&stream) == [Word::Hello(samples::hello())]);
+    let mut stream = Vec::new();
+    let messages: Vec<Word> = samples::complete().into_iter().map(|(_, message)| message).collect();
+    messages.iter().for_each(|message| pack(message.clone(), &mut stream));
+    assert_eq!(to_hex(&stream), to_hex(&golden(FRAMES, "stream")));
+    assert!(read_all(&stream) == messages);
+}
+
+/// The golden line of a length holds the headers, one after another; between them stand the message's own bytes.
+#[rstest]
+#[case::the_longest_in_one_frame("one-frame", MOST_FRAME)]
+#[case::one_byte_more("two-frames", MOST_FRAME + 1)]
+#[case::two_frames_that_are_full("two-full-frames", 2 * MOST_FRAME)]
+#[case::three_frames("three-frames", 2 * MOST_FRAME + 75_712)]
+fn a_long_message_goes_in_several_frames(#[case] name: &str, #[case] length: usize) {
+    let message = commit_of(length);
+    let encoded = envelope(&message).encode_to_vec();
+    let headers = golden(FRAMES, name);
+    let payloads = encoded.chunks(MOST_FRAME);
+    assert_eq!(headers.len(), payloads.len() * 4);
+    let frames = headers.chunks(4).zip(payloads);
+    let expected: Vec<u8> = frames.flat_map(|(header, payload)| [header, payload].concat()).collect();
+    let mut stream = Vec::new();
+    pack(message.clone(), &mut stream);
+    assert!(stream == expected, "{name}");
+    assert!(read_all(&stream) == [message]);
+}
+
+#[test]
+fn a_heartbeat_may_stand_between_frames_of_a_long_message() {
+    let (long, heartbeat) = (commit_of(2 * MOST_FRAME), Word::Beat(samples::heartbeat()));
+    let (mut outbox, mut stream) = (Outbox::default(), Vec::new());
+    outbox.say(Packed::new(long.clone()), false, &mut stream);
+    outbox.feed(&mut stream, 0);
+    outbox.say(Packed::new(heartbeat.clone()), true, &mut stream);
+    outbox.feed(&mut stream, 0);
+    let mut between = Vec::new();
+    pack(heartbeat.clone(), &mut between);
+    let mut expected = Vec::new();
+    pack(long.clone(), &mut expected);
+    expected.splice(4 + MOST_FRAME..4 + MOST_FRAME, between);
+    assert!(stream == expected);
+    assert!(read_all(&stream) == [heartbeat, long]);
+}
+
+/// A message ends once the estimated size of its items exceeds the limit; the estimate is not the encoded size.
+#[test]
+fn items_go_in_messages_of_256_kibibytes() {
+    let large = |number: u64, length: usize| Item {
+        kind: Kind::Tenant,
+        name: format!("tenant-{number}").into(),
+        edition: number,
+        value: Some(vec![b'v'; length].into()),
+    };
+    // The estimate of an item is its name, its value and 32 bytes more.
+    let exactly = 256 * 1024 - 32 - "tenant-1".len();
+    let items = [large(1, exactly), large(2, 0), large(3, 100_000), large(4, 400_000), large(5, 1)];
+    let mut stream = Vec::new();
+    pack_items(items.iter(), &mut stream);
+    let counts: Vec<usize> = read_all(&stream)
+        .into_iter()
+        .map(|message| match message {
+            Word::Items(Items { items }) => items.len(),
+            _ => panic!("no items"),
+        })
+        .collect();
+    assert_eq!(counts, [2, 2, 1]);
+    assert_eq!(batches(items.iter()).len(), 3);
+}
+
+/// In ascending order: by epoch, then by round, then by proposer.
+fn ballots() -> Vec<(&'static str, Ballot)> {
+    let ballot = |era, round, who| Ballot { era, round, who };
+    vec![
+        ("zero", ballot(0, 0, 0)),
+        ("proposer-1", ballot(0, 0, 1)),
+        ("round-1", ballot(0, 1, 0)),
+        ("round-1-highest-proposer", ballot(0, 1, u64::MAX)),
+        ("round-2", ballot(0, 2, 7)),
+        ("highest-round", ballot(0, u64::MAX, u64::MAX)),
+        ("epoch-1", ballot(1, 0, 0)),
+        ("epoch-1-mixed", ballot(1, 0x1122_3344_5566_7788, 0x99aa_bbcc_ddee_ff00)),
+        ("epoch-2", ballot(2, 0, 3)),
+        ("highest-epoch", ballot(u64::MAX, 0, 0)),
+    ]
+}
+
+#[test]
+fn ballots_have_the_golden_order_and_bytes() {
+    let ballots = ballots();
+    assert_eq!(lines(ballots.iter().map(|(name, ballot)| (*name, ballot.encode_to_vec()))), BALLOTS);
+    for (at, (name, ballot)) in ballots.iter().enumerate() {
+        for (other_at, (other_name, other)) in ballots.iter().enumerate() {
+            assert!(ballot.cmp(other) == at.cmp(&other_at), "{name} {other_name}");
+        }
+        assert!(Ballot::decode(&golden(BALLOTS, name)[..]).unwrap() == *ballot, "{name}");
+    }
+}
+
+/// The ballot that a proposer chooses after it has met another one; each as epoch, round and proposer.
+#[rstest]
+#[case::the_same_epoch((3, 8, 9), 3, (3, 9, 5))]
+#[case::a_later_epoch((3, 8, 9), 4, (4, 1, 5))]
+#[case::an_earlier_epoch((3, 8, 9), 2, (3, 9, 5))]
+#[case::the_last_round((3, u64::MAX, 9), 3, (3, u64::MAX, 5))]
+fn the_next_ballot(#[case] met: (u64, u64, u64), #[case] era: u64, #[case] expected: (u64, u64, u64)) {
+    let ballot = |(era, round, who)| Ballot { era, round, who };
+    assert!(Ballot::above(ballot(met), era, 5) == ballot(expected));
+}
+
+/// Proposals by name, each with its items in some order.
+fn proposals() -> Vec<(&'static str, Vec<Item>)> {
+    let mut reversed = items();
+    reversed.reverse();
+    let route = |edition, value| item(Kind::Route, "route-1", edition, value);
+    vec![
+        ("empty", vec![]),
+        ("one-item", vec![route(1, Some(b"{\"a\":1}"))]),
+        ("other-value", vec![route(1, Some(b"{\"a\":2}"))]),
+        ("other-version", vec![route(2, Some(b"{\"a\":1}"))]),
+        ("other-kind", vec![item(Kind::Tenant, "route-1", 1, Some(b"{\"a\":1}"))]),
+        ("empty-value", vec![route(1, Some(b""))]),
+        ("removed", vec![route(1, None)]),
+        ("all-kinds", items()),
+        ("all-kinds-reversed", reversed),
+        ("first-of-one-version", vec![route(1, Some(b"{\"a\":1}")), route(1, Some(b"{\"a\":2}"))]),
+        ("names-not-ascii", vec![item(Kind::Line, "sérvice", 9, Some(b"{}"))]),
+    ]
+}
+
+/// One line a proposal: its name, its id, and the key of each item in the items' order.
+#[test]
+fn proposals_have_the_golden_ids_and_keys() {
+    let mut text = String::new();
+    for (name, items) in proposals() {
+        let proposal = Call::new(items);
+        write!(text, "{name} {}", to_hex(&proposal.mark().0)).unwrap();
+        for (item, of_item) in proposal.items().iter().zip(proposal.keys()) {
+            assert_eq!(key(item), *of_item);
+            write!(text, " {of_item:016x}").unwrap();
+        }
+        text.push('\n');
+    }
+    assert_eq!(text, PROPOSALS);
+}
+
+/// The receiver of a proposal finds the same id, as it calculates the hash itself.
+#[test]
+fn proposals_travel_under_a_ballot() {
+    let ballot = samples::ballot(1);
+    for (name, items) in proposals() {
+        let proposal = Call::new(items);
+        let bytes = CallWord::new(ballot, &proposal).encode_to_vec();
+        let received = CallWord::decode(&bytes[..]).unwrap().call().unwrap();
+        assert!(received == (ballot, proposal), "{name}");
+    }
+    // A ballot of nothing but zeros is sent all the same.
+    assert_eq!(to_hex(&CallWord::default().encode_to_vec()), "0a00");
+    // Without a ballot it is one of zeros.
+    assert!(CallWord::decode(&[][..]).unwrap().ballot == Ballot::default());
+}
