--- /dev/null
+++ b/crates/tenet/tests/golden.rs
@@ -0,0 +1,203 @@
+//! The operators' calls and what is read back, byte by byte, and the hashes by which processes compare what they hold.
+//! Operators' tools and processes of other versions rely on these: no line of the golden files may ever change.
+
+use bytes::Bytes;
+use kitepass_tenet::{
+    judge, piece_digest, read_back, read_back_as_call, read_call, Checker, Item, Kind, Ledger, BUCKETS,
+    REMEMBERED,
+};
+use std::fmt::Write;
+use std::sync::OnceLock;
+
+const CHANGE: &str = include_str!("golden/change.json");
+const CHANGE_ITEMS: &str = include_str!("golden/change-items.txt");
+const READ_BACK: &str = include_str!("golden/read-back.json");
+const READ_BACK_AS_CALL: &str = include_str!("golden/read-back-as-call.json");
+const READ_BACK_EMPTY: &str = include_str!("golden/read-back-empty.json");
+const REJECTED: &str = include_str!("golden/rejected-calls.txt");
+const HASHES: &str = include_str!("golden/hashes.txt");
+
+fn checker() -> &'static Checker {
+    static CHECKER: OnceLock<Checker> = OnceLock::new();
+    CHECKER.get_or_init(Checker::new)
+}
+
+/// A line an item: the number of its kind, its name, its version, and its value's bytes as text.
+fn describe(items: &[Item]) -> String {
+    let mut text = String::new();
+    for item in items {
+        let value = item.value.as_ref().map(|value| std::str::from_utf8(value).unwrap());
+        let (kind, name, version) = (item.kind as u8, &item.name, item.edition);
+        writeln!(text, "{kind} \"{name}\" {version} {}", value.unwrap_or("removed")).unwrap();
+    }
+    text
+}
+
+/// Takes a call as the control plane does; the text of the error if it is rejected.
+fn apply(store: &mut Ledger, call: &[u8]) -> Result<(), String> {
+    let items = read_call(checker(), call).map_err(|error| error.to_string())?;
+    judge(store, &items).map_err(|error| error.to_string())?;
+    items.into_iter().for_each(|item| _ = store.take(item));
+    Ok(())
+}
+
+fn store_after_change() -> Ledger {
+    let mut store = Ledger::new();
+    apply(&mut store, CHANGE.as_bytes()).unwrap();
+    store
+}
+
+/// Golden files end with a line break, what is read back does not.
+fn assert_is_golden(bytes: Vec<u8>, golden: &str) {
+    assert_eq!(String::from_utf8(bytes).unwrap() + "\n", golden);
+}
+
+#[test]
+fn a_change_gives_these_items() {
+    let items = read_call(checker(), CHANGE.as_bytes()).unwrap();
+    assert_eq!(describe(&items), CHANGE_ITEMS);
+}
+
+#[test]
+fn what_is_read_back() {
+    let store = store_after_change();
+    assert_is_golden(read_back(&store), READ_BACK);
+    assert_is_golden(read_back_as_call(&store), READ_BACK_AS_CALL);
+    assert_is_golden(read_back(&Ledger::new()), READ_BACK_EMPTY);
+}
+
+/// What was read back and is sent as a call is read back as the same bytes.
+#[test]
+fn what_is_read_back_as_a_call_can_be_sent() {
+    let mut store = Ledger::new();
+    apply(&mut store, READ_BACK_AS_CALL.as_bytes()).unwrap();
+    assert_is_golden(read_back(&store), READ_BACK);
+    assert_is_golden(read_back_as_call(&store), READ_BACK_AS_CALL);
+}
+
+/// Two lines a call: the call, and the whole text of the error.
+#[test]
+fn texts_of_errors() {
+    let lines: Vec<&str> = REJECTED.lines().collect();
+    let mut text = String::new();
+    for call in lines.iter().step_by(2) {
+        let mut store = store_after_change();
+        let before = store.digest();
+        let error = apply(&mut store, call.as_bytes()).expect_err(call);
+        assert_eq!(store.digest(), before, "{call}");
+        writeln!(text, "{call}\n{error}").unwrap();
+    }
+    assert_eq!(text, REJECTED);
+}
+
+#[test]
+fn numbers_of_kinds() {
+    let kinds =
+        [Kind::Route, Kind::Tenant, Kind::Line, Kind::Limits, Kind::Evacuation, Kind::Backend, Kind::Cast];
+    assert!(kinds == Kind::ALL);
+    for (kind, number) in kinds.into_iter().zip(1..) {
+        assert_eq!(kind as u8, number);
+        assert!(Kind::from_u8(number) == Some(kind));
+    }
+    assert!(Kind::from_u8(0).is_none() && Kind::from_u8(8).is_none());
+}
+
+fn item(kind: Kind, name: &str, edition: u64, value: Option<&'static str>) -> Item {
+    Item { kind, name: name.into(), edition, value: value.map(Bytes::from) }
+}
+
+/// Items of all kinds, set and removed.
+fn items() -> Vec<Item> {
+    vec![
+        item(Kind::Route, "route-1", 7, Some("{\"a\":1}")),
+        item(Kind::Tenant, "tenant-1", 8, None),
+        item(Kind::Tenant, "route-1", 7, Some("{\"a\":1}")),
+        item(Kind::Line, "sérvice", 0x0102_0304_0506_0708, Some("{}")),
+        item(Kind::Limits, "", 4, Some("{\"idle-ms\":1}")),
+        item(Kind::Evacuation, "zone-a", 5, Some("")),
+        item(Kind::Backend, "backend-1", 6, Some("10.0.0.1:80")),
+        item(Kind::Backend, "backend-2", 6, None),
+        item(Kind::Cast, "now", 7, Some("\u{0}\u{1}")),
+    ]
+}
+
+/// Items, and for some of them older versions, one of which was a removal.
+fn store_with_history() -> Ledger {
+    let mut store = Ledger::new();
+    store.merge(item(Kind::Route, "route-1", 3, Some("{\"a\":0}")));
+    store.merge(item(Kind::Route, "route-1", 5, None));
+    store.merge(item(Kind::Tenant, "tenant-1", 2, Some("{}")));
+    store.merge(item(Kind::Backend, "backend-1", 1, Some("10.0.0.2:80")));
+    items().into_iter().for_each(|item| _ = store.merge(item));
+    store
+}
+
+/// A line a bucket that holds something: its number and its hash.
+fn describe_buckets(text: &mut String, name: &str, buckets: &[u64; BUCKETS]) {
+    for (number, hash) in buckets.iter().enumerate().filter(|(_, hash)| **hash != 0) {
+        writeln!(text, "{name} {number} {hash:016x}").unwrap();
+    }
+}
+
+fn hashes_of(text: &mut String, name: &str, store: &Ledger) {
+    writeln!(text, "{name}.digest {:016x}", store.digest()).unwrap();
+    writeln!(text, "{name}.digest-with-history {:016x}", store.whole_digest()).unwrap();
+    describe_buckets(text, &format!("{name}.bucket"), store.buckets());
+    describe_buckets(text, &format!("{name}.bucket-with-history"), store.whole_buckets());
+}
+
+fn hex(bytes: &[u8]) -> String {
+    if bytes.is_empty() {
+        return "none".to_owned();
+    }
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// A chunk of what a store holds, against the bucket hashes of another one.
+fn describe_chunk(text: &mut String, store: &Ledger, theirs: &[u64], from: usize, max_bytes: usize) -> usize {
+    let chunk = store.piece(theirs, from, max_bytes);
+    let (next, digest, count) = (chunk.next, chunk.digest, chunk.items.len());
+    writeln!(text, "chunk {from} to {next}: {count} items, {digest:016x}, {}", hex(&chunk.differs)).unwrap();
+    let with_history = store.whole_piece(theirs, from, max_bytes);
+    let (next, digest, count) = (with_history.next, with_history.digest, with_history.items.len());
+    let differs = hex(&with_history.differs);
+    writeln!(text, "chunk-with-history {from} to {next}: {count} items, {digest:016x}, {differs}").unwrap();
+    // The receiver's own calculation gives the same digest.
+    let mut received = Ledger::new();
+    chunk.items.iter().for_each(|item| _ = received.merge((*item).clone()));
+    let calculated = piece_digest(received.buckets(), theirs, from, chunk.next, &chunk.differs);
+    assert_eq!(calculated, chunk.digest);
+    chunk.next
+}
+
+#[test]
+fn hashes_are_the_same_in_all_processes() {
+    let mut text = String::new();
+    for item in items() {
+        let version = item.version();
+        writeln!(text, "content {} {:032x}", version.edition, version.mark).unwrap();
+    }
+    hashes_of(&mut text, "empty", &Ledger::new());
+    for item in items() {
+        let mut store = Ledger::new();
+        let name = format!("{}-{}", item.kind as u8, item.name);
+        store.merge(item);
+        hashes_of(&mut text, &name, &store);
+    }
+    let (store, with_history) = (store_after_change(), store_with_history());
+    hashes_of(&mut text, "change", &store);
+    hashes_of(&mut text, "history", &with_history);
+    let mut from = 0;
+    while from < BUCKETS {
+        from = describe_chunk(&mut text, &with_history, store.buckets(), from, 100);
+    }
+    describe_chunk(&mut text, &with_history, &[], 0, usize::MAX);
+    describe_chunk(&mut text, &with_history, with_history.buckets(), 0, usize::MAX);
+    assert_eq!(text, HASHES);
+}
+
+/// Constants that both ends of a connection go by.
+#[test]
+fn numbers_of_buckets_and_remembered_versions() {
+    assert_eq!((BUCKETS, REMEMBERED), (256, 64));
+}
