--- /dev/null
+++ b/crates/course/tests/golden.rs
@@ -0,0 +1,279 @@
+//! What the program prints, and the messages that go to clients and backends, byte by byte as they were when the golden
+//! files were made. Log lines are not part of it.
+
+#[path = "../../accord/tests/support/golden.rs"]
+mod golden_files;
+#[path = "sockets/stand.rs"]
+#[allow(dead_code)] // the tests of sockets use the rest
+mod stand;
+
+use golden_files::{mask_after, GoldenFiles};
+use rstest::rstest;
+use rustix::process::Signal;
+use stand::*;
+use std::path::Path;
+use std::process::Command;
+
+const GOLDEN: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_course");
+/// An answer with a longer body passes through as it comes.
+const LONGEST_KEPT_ANSWER: usize = 256 * 1024;
+/// A request with a longer body passes through as it comes.
+const LONG_BODY: usize = 600 * 1024;
+
+#[track_caller]
+fn assert_golden(name: &str, text: &str) {
+    GoldenFiles::new(GOLDEN).assert_matches(name, text);
+}
+
+fn text(message: &Message) -> String {
+    format!("{}{}", message.head, String::from_utf8_lossy(&message.body))
+}
+
+/// A request as the backend gets it, but for the time that is left.
+fn forwarded(message: &Message) -> String {
+    mask_after(&text(message), "X-Time-Left-Ms: ", &['\r'], "{TIME_LEFT_MS}")
+}
+
+#[rstest]
+#[case::help("help.txt", &["--help"])]
+#[case::help_short("help.txt", &["-h"])]
+#[case::version("version.txt", &["--version"])]
+#[case::unknown_option("usage-unknown-option.txt", &["--bogus"])]
+#[case::unknown_command("usage-unknown-command.txt", &["fetch"])]
+#[case::option_without_value("usage-option-without-value.txt", &["--settings"])]
+#[case::unexpected_argument("usage-unexpected-argument.txt", &["serve", "more"])]
+#[case::no_settings("serve-no-settings.txt", &["serve"])]
+#[case::settings_absent("serve-settings-absent.txt", &["--settings", "nonexistent.toml"])]
+fn what_the_program_prints(#[case] name: &str, #[case] args: &[&str]) {
+    let mut command = Command::new(PROGRAM);
+    command.args(args).env_remove("KITEPASS_NODE_FILE").env("KITEPASS_LOG", "error");
+    let output = command.output().expect("the program starts");
+    let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
+    let (code, out, error) = (output.status.code(), text(&output.stdout), text(&output.stderr));
+    let code = code.expect("it ended by itself");
+    let program = Path::new(PROGRAM).file_name().and_then(|name| name.to_str()).expect("a name");
+    GoldenFiles::new(GOLDEN)
+        .replace(format!("{program} {}", env!("CARGO_PKG_VERSION")), "{PROGRAM} {VERSION}")
+        .replace(format!("{program} "), "{PROGRAM} ")
+        .replace(format!("{program}: "), "{PROGRAM}: ")
+        .assert_matches(
+            name,
+            &format!("exit code {code}\n--- standard output\n{out}--- standard error\n{error}"),
+        );
+}
+
+/// The connection stays open after some of them and ends after others, as the head says.
+#[test]
+fn answers_to_requests_that_go_to_no_backend() {
+    let (gateway, _control, stand) = serving(1);
+    let requests = [
+        ("error-400-no-attempt-id.txt", get("/once/", "t").replace("X-Try-Id", "X-Other")),
+        ("error-400-not-a-request.txt", "GET /once/\r\n\r\n".to_owned()),
+        ("error-400-http-1-0.txt", get("/once/", "t").replace("X-Try-Id", "X-Other").replace("/1.1", "/1.0")),
+        ("error-401-unknown-key.txt", get("/once/", "t").replace("key-of-town", "key-of-king")),
+        ("error-401-no-key.txt", get("/once/", "t").replace("Authorization", "X-Other")),
+        (
+            "error-401-close.txt",
+            request("GET", "/once/", "t").replace("town", "king") + "Connection: close\r\n\r\n",
+        ),
+        ("error-404-no-route.txt", get("/none/", "t")),
+        ("error-404-no-host.txt", get("/once/", "t").replace("h.example", "i.example")),
+        ("error-404-body-to-come.txt", request("POST", "/none/", "t") + "Content-Length: 4\r\n\r\n"),
+        ("error-413-length.txt", request("POST", "/once/", "t") + "Content-Length: 67108865\r\n\r\n"),
+        ("error-431-head.txt", request("GET", "/once/", "t") + "X-Long: " + &"a".repeat(4096) + "\r\n\r\n"),
+    ];
+    for (name, request) in requests {
+        let mut client = gateway.line();
+        let answer = client.say(request).hear();
+        assert_golden(name, &text(&answer));
+        if answer.field("Connection") == Some("close") {
+            assert!(client.ends(), "{name}");
+        }
+    }
+    let answer = gateway.line().say(get("/void/", "t")).hear();
+    let answer = mask_after(&text(&answer), "Retry-After: ", &['\r'], "{SECONDS}");
+    assert_golden("error-503-no-backend.txt", &answer);
+    assert!(stand.is_untouched());
+}
+
+#[test]
+fn answers_beyond_configured_limits() {
+    let (gateway, control, stand) = serving(1);
+    let limits = r#"{"deliver":{"weight-limits":
+        {"envelope-bytes":4096,"body-bytes":8,"envelope-ms":1000,"idle-ms":5000,"edition":"r6"}}}"#;
+    control.tell(&call(limits));
+    control.agrees();
+    let chunked = request("POST", "/once/", "t") + "Transfer-Encoding: chunked\r\n\r\n9\r\n123456789\r\n";
+    assert_golden("error-413-chunked.txt", &text(&gateway.line().say(chunked).hear()));
+    let mut client = gateway.line();
+    assert_golden("error-408-head.txt", &text(&client.say("GET /once/ HTTP/1.1\r\nHost").hear()));
+    assert!(client.ends() && stand.is_untouched());
+}
+
+#[test]
+fn answer_beyond_the_quota() {
+    let (gateway, control, stand) = serving(1);
+    control.counts();
+    control.grant(1);
+    let tiny = |id| get("/once/", id).replace("key-of-town", "key-of-tiny");
+    let mut client = gateway.line();
+    client.say(tiny("t1"));
+    let mut backend = stand.line();
+    assert_golden("forwarded-get-limited-customer.txt", &forwarded(&backend.hear()));
+    backend.say(ok("t1", ""));
+    assert_eq!(client.hear().status(), 200);
+    assert_golden("error-429.txt", &text(&client.say(tiny("t2")).hear()));
+}
+
+#[test]
+fn answers_in_place_of_a_backends() {
+    let (gateway, _control, stand) = serving(1);
+    let mut client = gateway.line();
+    client.say(get("/once/", "t1"));
+    let mut backend = stand.line();
+    backend.hear();
+    backend.end();
+    assert_golden("error-502.txt", &text(&client.hear()));
+
+    client.say(get("/once/", "t2").replace("Left-Ms: 20000", "Left-Ms: 1000"));
+    let mut backend = stand.line();
+    backend.hear();
+    assert_golden("error-504.txt", &text(&client.hear()));
+}
+
+#[test]
+fn answers_before_it_is_ready_and_during_shutdown() {
+    let (gateway, control, stand) = waiting();
+    let ready = "GET /v1/ready HTTP/1.1\r\nHost: g\r\n\r\n";
+    assert_golden("readiness-not-ready.txt", &text(&gateway.readiness_line().say(ready).hear()));
+    assert_golden("error-503-not-ready.txt", &text(&gateway.line().say(get("/once/", "t1")).hear()));
+    tell_all(&control, &stand.addresses);
+    control.agrees();
+    assert_golden("readiness-ready.txt", &text(&gateway.readiness_line().say(ready).hear()));
+
+    let mut client = gateway.line();
+    client.say(get("/once/", "t2"));
+    let mut backend = stand.line();
+    backend.hear();
+    gateway.signal(Signal::TERM);
+    gateway.logs("event=leaving");
+    assert_golden("readiness-shutting-down.txt", &text(&gateway.readiness_line().say(ready).hear()));
+    let refused = gateway.line().say(get("/none/", "t3")).hear();
+    assert_golden("error-404-shutting-down.txt", &text(&refused));
+    backend.say(ok("t2", "body"));
+    assert_golden("answer-shutting-down.txt", &text(&client.hear()));
+}
+
+#[test]
+fn requests_as_a_backend_gets_them() {
+    let (gateway, _control, stand) = serving(1);
+    let fields =
+        "X-Sender: king\r\nX-Deliver-To: b9\r\nX-Own: 1\r\nX-Own: 2\r\nConnection: X-Hop\r\nX-Hop: 1\r\n\
+                  Keep-Alive: timeout=9\r\nTE: trailers\r\nProxy-Authorization: a\r\nUser-Agent: client\r\n";
+    let with = |method: &str, path: &str, more: &str| request(method, path, "t1") + fields + more;
+    let chunked =
+        "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;extension=1\r\nde\r\n0\r\nX-Trailer: 1\r\n\r\n";
+    let requests = [
+        ("forwarded-get.txt", with("GET", "/once/a%20b?c=d&e", "\r\n")),
+        ("forwarded-head.txt", with("HEAD", "/once/", "\r\n")),
+        ("forwarded-delete.txt", with("DELETE", "/once/", "\r\n")),
+        ("forwarded-post-empty.txt", with("POST", "/once/", "Content-Length: 0\r\n\r\n")),
+        ("forwarded-post-length.txt", with("POST", "/once/", "Content-Length: 5\r\n\r\nabcde")),
+        ("forwarded-post-chunked.txt", with("POST", "/once/", chunked)),
+        ("forwarded-put-repeatable.txt", with("PUT", "/safe/", "Content-Length: 5\r\n\r\nabcde")),
+        ("forwarded-without-key.txt", with("GET", "/free/", "\r\n")),
+    ];
+    for (name, request) in requests {
+        let mut client = gateway.line();
+        client.say(request);
+        let mut backend = stand.line();
+        assert_golden(name, &forwarded(&backend.hear()));
+        backend.say(answer("200 OK", "t1", "X-Postmark: p\r\nConnection: close\r\n", ""));
+        assert_eq!(client.hear().status(), 200, "{name}");
+    }
+
+    let mut client = gateway.line();
+    client.say(with("POST", "/once/", "Expect: 100-continue\r\nContent-Length: 5\r\n\r\n"));
+    assert_golden("answer-100-continue.txt", &text(&client.hear()));
+    client.say("abcde");
+    let mut backend = stand.line();
+    assert_golden("forwarded-post-expect-continue.txt", &forwarded(&backend.hear()));
+    backend.say(answer("200 OK", "t1", "X-Postmark: p\r\nConnection: close\r\n", ""));
+    assert_eq!(client.hear().status(), 200);
+
+    let (mut client, body) = (gateway.line(), "b".repeat(LONG_BODY));
+    let mut hand = client.hand();
+    std::thread::scope(|scope| {
+        let head = with("POST", "/once/", "Transfer-Encoding: chunked\r\n\r\n");
+        scope.spawn(move || hand.say(format!("{head}{LONG_BODY:x}\r\n{body}\r\n0\r\n\r\n")).backend);
+        let mut backend = stand.line();
+        let request = backend.hear();
+        assert_eq!(request.body.len(), LONG_BODY);
+        // Where its chunks end depends on when they come.
+        let head = Message { head: request.head, body: Vec::new() };
+        assert_golden("forwarded-post-long-chunked-head.txt", &forwarded(&head));
+        backend.say(ok("t1", ""));
+        assert_eq!(client.hear().status(), 200);
+    });
+}
+
+#[test]
+fn answers_as_a_client_gets_them() {
+    let (gateway, _control, stand) = serving(1);
+    let head = "X-Try-Id: t1\r\nX-Postmark: 3e1b.07\r\nX-More: y\r\nX-More: z\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\n\
+                Keep-Alive: timeout=9\r\nServer: backend\r\nContent-Type: text/plain\r\n";
+    let ok = format!("HTTP/1.1 200 OK\r\n{head}");
+    let chunked = "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\nX-Trailer: 1\r\n\r\n";
+    let failed = "HTTP/1.1 500 Internal Server Error\r\nX-Try-Id: t1\r\nConnection: close\r\nContent-Length: 4\r\n\r\n";
+    let answers = [
+        ("answer-length.txt", "GET", format!("{ok}Content-Length: 5\r\n\r\nabcde")),
+        ("answer-empty.txt", "GET", format!("{ok}Content-Length: 0\r\n\r\n")),
+        ("answer-chunked.txt", "GET", format!("{ok}{chunked}")),
+        ("answer-without-length.txt", "GET", format!("{ok}\r\nabcde")),
+        ("answer-to-head.txt", "HEAD", format!("{ok}Content-Length: 5\r\n\r\n")),
+        ("answer-204.txt", "GET", format!("HTTP/1.1 204 No Content\r\n{head}\r\n")),
+        ("answer-304.txt", "GET", format!("HTTP/1.1 304 Not Modified\r\n{head}\r\n")),
+        (
+            "answer-418.txt",
+            "GET",
+            format!("HTTP/1.1 418 I'm a teapot\r\n{head}Content-Length: 5\r\n\r\nabcde"),
+        ),
+        ("answer-500.txt", "GET", format!("{failed}fail")),
+        ("answer-http-1-0.txt", "GET", format!("HTTP/1.0 200 OK\r\n{head}\r\nabcde")),
+    ];
+    for (name, method, answer) in answers {
+        let mut client = gateway.line();
+        client.say(request(method, "/once/", "t1") + "\r\n");
+        let mut backend = stand.line();
+        backend.hear();
+        backend.say(answer);
+        backend.end();
+        assert_golden(name, &text(&client.hear()));
+    }
+
+    let body = "b".repeat(2 * LONGEST_KEPT_ANSWER);
+    for (name, framing) in [
+        ("answer-long-length-head.txt", format!("Content-Length: {}\r\n\r\n{body}", body.len())),
+        (
+            "answer-long-chunked-head.txt",
+            format!("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n", body.len()),
+        ),
+    ] {
+        let mut client = gateway.line();
+        client.say(get("/once/", "t1"));
+        let mut backend = stand.line();
+        backend.hear();
+        let answer = std::thread::scope(|scope| {
+            let ok = &ok;
+            scope.spawn(move || {
+                backend.say(format!("{ok}{framing}"));
+                backend.end();
+            });
+            client.hear()
+        });
+        assert!(answer.body == body.as_bytes(), "{name}");
+        // Where its chunks end depends on when they come.
+        assert_golden(name, &answer.head);
+    }
+}
--- a/crates/course/tests/sockets/stand.rs
+++ b/crates/course/tests/sockets/stand.rs
@@ -532,9 +532,14 @@
         Line::to(self.front)
     }
 
+    /// A connection to the address where its readiness is asked for.
+    pub fn readiness_line(&self) -> Line {
+        Line::to(self.readiness)
+    }
+
     /// What the readiness check says.
     pub fn readiness(&self) -> u16 {
-        Line::to(self.readiness).say("GET /v1/ready HTTP/1.1\r\nHost: g\r\n\r\n").hear().status()
+        self.readiness_line().say("GET /v1/ready HTTP/1.1\r\nHost: g\r\n\r\n").hear().status()
     }
 }
 
