--- a/crates/ordeal/src/main.rs
+++ b/crates/ordeal/src/main.rs
@@ -16,6 +16,8 @@
 ordeal replay --seed K [--plan NAME]                         plays one, with its events
 ordeal shorten --seed K [--plan NAME]                        leaves out what a failing one does not need
 
+With --digests a run also prints a line `plan=NAME seed=K digest=HEX` for each seed, in the seeds' order.
+
 With --logs a replay prints what the processes log, too, and a shortening replays what is left.
 With --no-rivals no two callers use one version of an item.
 Plans: calm, cuts, races, losses, away, disks, all (the default).
@@ -41,6 +43,7 @@
     seed: u64,
     no_rivals: bool,
     logs: bool,
+    digests: bool,
 }
 
 impl Asked {
@@ -76,6 +79,7 @@
                 asked.plan = Some(Plan::named(&name).ok_or(Error::NoPlan { name })?);
             }
             Long("logs") => asked.logs = true,
+            Long("digests") => asked.digests = true,
             Long("no-rivals") => asked.no_rivals = true,
             Short('h') | Long("help") => return NoVerbSnafu.fail(),
             other => return Err(other.unexpected()).context(ArgumentsSnafu),
@@ -90,12 +94,34 @@
     }
 }
 
+/// The outcomes of all seeds of a run.
+#[derive(Default)]
+struct Sum {
+    tally: Tally,
+    /// Seeds that broke each rule.
+    rules: BTreeMap<String, u64>,
+    failed: u64,
+    /// By seed, so that they come in order whatever the number of jobs.
+    digests: BTreeMap<u64, u64>,
+}
+
+impl Sum {
+    fn add(&mut self, seed: u64, outcome: &Outcome) {
+        self.tally.join(&outcome.tally);
+        self.failed += u64::from(!outcome.faults.is_empty());
+        self.digests.insert(seed, outcome.digest);
+        for rule in outcome.rules() {
+            *self.rules.entry(format!("{rule:?}")).or_default() += 1;
+        }
+    }
+}
+
 /// True if no seed broke a rule.
 fn run(asked: &Asked, plan: Plan) -> bool {
     let seeds = asked.seeds.unwrap_or(100);
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let next = AtomicU64::new(asked.from);
-    let sum = Mutex::new((Tally::default(), BTreeMap::<String, u64>::new(), 0u64));
+    let sum = Mutex::new(Sum::default());
     std::thread::scope(|scope| {
         for _ in 0..asked.jobs.unwrap_or(cores).max(1) {
             scope.spawn(|| loop {
@@ -106,15 +132,17 @@
                 let outcome = play(&asked.script(plan, seed), false);
                 let mut sum = sum.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
                 tell(seed, plan, &outcome);
-                sum.0.join(&outcome.tally);
-                sum.2 += u64::from(!outcome.faults.is_empty());
-                for rule in outcome.rules() {
-                    *sum.1.entry(format!("{rule:?}")).or_default() += 1;
-                }
+                sum.add(seed, &outcome);
             });
         }
     });
-    let (tally, rules, failed) = sum.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let Sum { tally, rules, failed, digests } =
+        sum.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
+    if asked.digests {
+        for (seed, digest) in digests {
+            println!("plan={} seed={seed} digest={digest:016x}", plan.name());
+        }
+    }
     print!("{tally}");
     for (rule, times) in rules {
         println!("broken={rule} seeds={times}");
--- a/crates/ordeal/src/trial.rs
+++ b/crates/ordeal/src/trial.rs
@@ -1,5 +1,6 @@
 //! A seed played whole, judged, and, if it fails, shortened.
 
+use crate::digest::digest;
 use crate::history::{judge, Fault, Rule};
 use crate::plan::{Script, Trouble, MILLI, SECOND};
 use crate::tally::Tally;
@@ -19,6 +20,8 @@
     pub tally: Tally,
     /// Microseconds from the end of all troubles until all was whole.
     pub whole: Option<i64>,
+    /// Of the history and the traffic; 0 for a run that ended by a panic.
+    pub digest: u64,
 }
 
 impl Outcome {
@@ -41,7 +44,7 @@
 pub fn play(script: &Script, tells: bool) -> Outcome {
     std::panic::catch_unwind(|| play_out(script, tells)).unwrap_or_else(|_| {
         let fault = Fault { rule: Rule::Panicked, at: 0, what: PANICKED.take() };
-        Outcome { faults: vec![fault], tally: Tally::default(), whole: None }
+        Outcome { faults: vec![fault], tally: Tally::default(), whole: None, digest: 0 }
     })
 }
 
@@ -77,7 +80,8 @@
     if let Some(whole) = whole {
         tally.most("ms-until-whole", whole as u64 / 1000);
     }
-    Outcome { faults: judge(&world.history), tally, whole }
+    let digest = digest(&world.history, &world.traffic);
+    Outcome { faults: judge(&world.history), tally, whole, digest }
 }
 
 /// Leaves out troubles one by one, as long as it breaks one of the same rules.
--- a/crates/ordeal/src/world.rs
+++ b/crates/ordeal/src/world.rs
@@ -1,6 +1,7 @@
 //! The world: machines, their processes, disks and links, gateways and operators, moved from event to event by seed.
 
 use crate::chance::Chance;
+use crate::digest::{Fnv1a, Traffic};
 use crate::disk::Disk;
 use crate::drive::{Answer, Birth, Deed, Place, Process, Records};
 use crate::gate::Gate;
@@ -138,6 +139,7 @@
     list: Vec<Entry>,
     pub history: Vec<Seen>,
     pub tally: Tally,
+    pub traffic: Traffic,
     /// Events are told as they come, if wanted.
     pub tells: bool,
     pub answers: BTreeMap<u64, (usize, Answer)>,
@@ -145,9 +147,9 @@
 }
 
 fn mark(bytes: &[u8]) -> u64 {
-    bytes
-        .iter()
-        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3))
+    let mut hash = Fnv1a::default();
+    hash.bytes(bytes);
+    hash.value()
 }
 
 impl World {
@@ -177,6 +179,7 @@
             list: (0..layout.provinces.len() * 2).map(|n| entry(n, &districts)).collect(),
             history: Vec::new(),
             tally: Tally::default(),
+            traffic: Traffic::default(),
             tells: false,
             answers: BTreeMap::new(),
             ended: BTreeSet::new(),
@@ -606,8 +609,11 @@
         let channel = self.net.channels.get_mut(&id).expect("found above");
         channel.last = channel.last.max(due);
         let due = channel.last;
+        let bytes = word.encoded_len() as u64;
+        self.traffic.messages += 1;
+        self.traffic.message_bytes += bytes;
         self.tally.count("word");
-        self.tally.add("word-bytes", word.encoded_len() as u64);
+        self.tally.add("word-bytes", bytes);
         self.at(due, Event::Word(id, word));
     }
 
@@ -792,6 +798,9 @@
             Deed::Close(session) => self.close_session(session, false),
             Deed::Keep(ticket, records) => {
                 let (now, life) = (self.now, self.nodes[number].life);
+                let bytes: usize = records.iter().map(|(key, value)| key.len() + value.len()).sum();
+                self.traffic.records += records.len() as u64;
+                self.traffic.record_bytes += bytes as u64;
                 if let Some(at) = self.nodes[number].disk.put(now, ticket, records, &mut self.chance) {
                     self.at(at, Event::Synced(number, life));
                 }
