--- /dev/null
+++ b/crates/charter/tests/golden.rs
@@ -0,0 +1,152 @@
+//! What is read of a gateway's settings, and what is said of bad ones, stays as it is: in plain text, under the names that
+//! the settings themselves have, beside the text in `golden/`.
+
+use kitepass::{Charter, Group, Plan, Repeats, Span, Workload};
+use kitepass_charter::{from_text, Carriage};
+use std::fmt::Write;
+use std::path::Path;
+
+/// Settings that hold every field, and some that are not known.
+const FULL: &str = include_str!("golden/full.json");
+
+const SETTINGS: &[(&str, &str)] = &[
+    ("every field", FULL),
+    ("nothing", "{}"),
+    (
+        "nulls",
+        r#"{"ReplicasOfMe":null,"Me":null,"Classes":null,"Plans":null,"Caps":null,"FamilyInfo":null,"Safety":null}"#,
+    ),
+    ("empty parts", r#"{"Classes":[],"Plans":[],"Caps":{},"FamilyInfo":{},"Safety":{}}"#),
+    (
+        "no replicas, no attempts, no units",
+        r#"{"ReplicasOfMe":0,"Caps":{"TryLimit":0},"FamilyInfo":{"MaxUnits":0}}"#,
+    ),
+    ("fractions", r#"{"ReplicasOfMe":2.9,"Me":1.9,"Caps":{"TryLimit":2.9,"ConnIdle":0.0000014}}"#),
+    ("a counter with its default", r#"{"FamilyInfo":{"SharedCounter":true}}"#),
+    ("a time-out without a counter", r#"{"FamilyInfo":{"SharedCounter":false,"CounterTimeout":3}}"#),
+    ("advice with its default", r#"{"Caps":{"RetryAfter":true}}"#),
+    ("the longest advice without advice", r#"{"Caps":{"RetryAfter":false,"MaxRetryAfter":3}}"#),
+    ("messages without leave", r#"{"Caps":{"PeerMessages":false},"FamilyInfo":{"MailPerS":40}}"#),
+    ("messages without a number", r#"{"Caps":{"PeerMessages":true}}"#),
+    ("parts of another kind", r#"{"Caps":7,"FamilyInfo":"text","Safety":[1]}"#),
+    ("a name twice", r#"{"Me":1,"Me":2,"ReplicasOfMe":3}"#),
+    // What cannot be taken.
+    ("empty text", ""),
+    ("no JSON", "{"),
+    ("more than one value", "{} {}"),
+    ("an array", "[1]"),
+    ("null", "null"),
+    ("a number of another kind", r#"{"ReplicasOfMe":"3"}"#),
+    ("a number below 0", r#"{"Me":-1}"#),
+    ("a number too large", r#"{"Me":1000000000}"#),
+    ("classes of another kind", r#"{"Classes":{}}"#),
+    ("a class of another kind", r#"{"Classes":[7]}"#),
+    ("a class's name", r#"{"Classes":[{},{"Name":7}]}"#),
+    ("a class's effect", r#"{"Classes":[{"Effect":true}]}"#),
+    ("a class's group", r#"{"Classes":[{"Group":1}]}"#),
+    ("a class's window", r#"{"Classes":[{"Effect":"dedup","Window":"8"}]}"#),
+    ("a class's window that is not used", r#"{"Classes":[{"Effect":"retryable","Window":"8"}]}"#),
+    ("a class's objective", r#"{"Classes":[{"Objective":-1}]}"#),
+    ("a class's value when late", r#"{"Classes":[{"LateWorth":[]}]}"#),
+    ("a class's value", r#"{"Classes":[{"Gain":{}}]}"#),
+    ("plans of another kind", r#"{"Plans":"basic"}"#),
+    ("a plan's name", r#"{"Plans":[{"Name":[]}]}"#),
+    ("a plan's rate", r#"{"Plans":[{},{"Refill":"x"}]}"#),
+    ("a plan's store", r#"{"Plans":[{"StoreSize":-0.5}]}"#),
+    ("a plan's open requests", r#"{"Plans":[{"Open":false}]}"#),
+    ("a plan's rate limit", r#"{"Plans":[{"CeilingRate":1e9}]}"#),
+    ("a plan's depth", r#"{"Plans":[{"NeverOverDepth":"0"}]}"#),
+    ("a limit of attempts", r#"{"Caps":{"TryLimit":"4"}}"#),
+    ("whether there is advice", r#"{"Caps":{"RetryAfter":1}}"#),
+    ("the longest advice", r#"{"Caps":{"RetryAfter":true,"MaxRetryAfter":-1}}"#),
+    ("whether there are messages", r#"{"Caps":{"PeerMessages":"yes"}}"#),
+    ("a time to connect", r#"{"Caps":{"ConnectTimeout":"0.25"}}"#),
+    ("a time of idleness", r#"{"Caps":{"ConnIdle":-1}}"#),
+    ("whether there is a counter", r#"{"FamilyInfo":{"SharedCounter":"true"}}"#),
+    ("a counter's time-out", r#"{"FamilyInfo":{"SharedCounter":true,"CounterTimeout":true}}"#),
+    ("the most units", r#"{"FamilyInfo":{"MaxUnits":"6"}}"#),
+    ("a rate of messages", r#"{"Caps":{"PeerMessages":true},"FamilyInfo":{"MailPerS":-4}}"#),
+    ("an answer's slack", r#"{"Safety":{"AnswerSlack":"0"}}"#),
+    ("where a start begins", r#"{"Safety":{"ColdFrom":"0.3"}}"#),
+    ("when a start is over", r#"{"Safety":{"WarmWithin":-10}}"#),
+    ("a window of overload", r#"{"Safety":{"Fall":[1]}}"#),
+    ("a multiple of overload", r#"{"Safety":{"FallMultiple":"3"}}"#),
+];
+
+fn micros(span: Span) -> String {
+    format!("{} us", span.micros())
+}
+
+fn or_none<T>(value: Option<T>, text: impl Fn(T) -> String) -> String {
+    value.map_or("none".to_owned(), text)
+}
+
+fn effect_of(workload: &Workload) -> String {
+    match workload.repeats {
+        Repeats::Repeatable => "retryable".to_owned(),
+        Repeats::OnceOnly => "fragile".to_owned(),
+        Repeats::Tagged { group, memory } => {
+            let group = match group {
+                Group::All => "all",
+                Group::Zone => "zone",
+                Group::Cell => "cell",
+            };
+            format!("dedup Group={group} Window={}", micros(memory))
+        }
+    }
+}
+
+fn class_line(workload: &Workload) -> String {
+    format!(
+        "Name={:?} Effect={} Objective={} LateWorth={} Gain={}",
+        workload.name,
+        effect_of(workload),
+        micros(workload.contract),
+        workload.late_share,
+        workload.value
+    )
+}
+
+fn plan_line(plan: &Plan) -> String {
+    format!(
+        "Name={:?} Refill={} StoreSize={} Open={} CeilingRate={} NeverOverDepth={}",
+        plan.name, plan.rate, plan.store, plan.legs_out, plan.ceiling_rate, plan.ceiling_depth
+    )
+}
+
+fn describe(charter: &Charter, carriage: &Carriage) -> String {
+    let cold = &charter.cold_start;
+    let mut lines = vec![
+        format!("ReplicasOfMe={} Me={}", charter.gateways, charter.me),
+        format!("TryLimit={}", charter.most_legs),
+        format!("MaxRetryAfter={}", or_none(charter.longest_advice, micros)),
+        format!("ConnectTimeout={}", micros(carriage.connect_within)),
+        format!("ConnIdle={}", micros(carriage.idle)),
+        format!("CounterTimeout={}", or_none(charter.counter, micros)),
+        format!("MaxUnits={}", charter.largest),
+        format!("MailPerS={}", charter.peer_messages),
+        format!("AnswerSlack={}", micros(carriage.answer_slack)),
+        format!("ColdFrom={} WarmWithin={}", cold.least, micros(cold.warm_within)),
+        format!("Fall={} FallMultiple={}", micros(cold.window), cold.multiple),
+    ];
+    lines.extend(charter.workloads.iter().map(|workload| format!("Classes: {}", class_line(workload))));
+    lines.extend(charter.plans.iter().map(|plan| format!("Plans: {}", plan_line(plan))));
+    lines.iter().map(|line| format!("  {line}\n")).collect()
+}
+
+#[test]
+fn settings_are_read_as_ever() {
+    let mut found = String::new();
+    for (name, text) in SETTINGS {
+        let outcome = match from_text("settings", text) {
+            Ok((charter, carriage)) => describe(&charter, &carriage),
+            Err(error) => format!("  error: {error}\n"),
+        };
+        let shown = if *text == FULL { "full.json" } else { text };
+        let _ = write!(found, "{name}: {shown}\n{outcome}");
+    }
+    let golden = include_str!("golden/settings.txt");
+    let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join("settings.txt");
+    std::fs::write(&left, &found).expect("a file in the build's folder");
+    assert!(found == golden, "it differs from golden/settings.txt; what was found is in {}", left.display());
+}
