--- a/crates/config/src/call.rs
+++ b/crates/config/src/change_request.rs
@@ -1,9 +1,9 @@
 //! The operator's calls as JSON: read and checked, each item by itself, and the standing items read back.
 
+use crate::error::{LayoutSnafu, Refusal, RowSnafu, UnreadableSnafu};
 use crate::item::{Item, Kind};
-use crate::ledger::Ledger;
-use crate::reading::{read, Limits, Line, RouteText, Tenant};
-use crate::refusal::{LayoutSnafu, Refusal, RowSnafu, UnreadableSnafu};
+use crate::item_store::Ledger;
+use crate::model::{read, Limits, Line, RouteText, Tenant};
 use bytes::Bytes;
 use jsonschema::{ValidationError, Validator};
 use serde::Serialize;
--- a/crates/config/src/ledger/pieces.rs
+++ b/crates/config/src/item_store/chunks.rs
@@ -4,7 +4,7 @@
 
 use super::{Kept, Ledger, BUCKETS};
 use crate::item::Item;
-use crate::past::Entry;
+use crate::version_history::Entry;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// One piece: what differs in the buckets from the one that was asked for up to `next`.
--- a/crates/config/src/ledger.rs
+++ b/crates/config/src/item_store/mod.rs
@@ -1,15 +1,15 @@
 //! All items known, with hashes that tell where two copies of a ledger differ.
 
-mod pieces;
+mod chunks;
 
 use crate::item::{Item, Kind};
-use crate::past::{unite, Entry, Merged, Verdict, Version, REMEMBERED};
+use crate::version_history::{unite, Entry, Merged, Verdict, Version, REMEMBERED};
 use std::collections::btree_map;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
-pub use pieces::{piece_digest, Piece};
+pub use chunks::{piece_digest, Piece};
 
 /// How many buckets the items are spread over for comparing copies.
 pub const BUCKETS: usize = 256;
--- a/crates/config/src/view.rs
+++ b/crates/config/src/routing_table.rs
@@ -1,8 +1,8 @@
 //! What the data plane routes by: the ledger's standing items, read and indexed.
 
 use crate::item::{Item, Kind};
-use crate::ledger::Ledger;
-use crate::reading::{host_key, Limits, Line, Route, Tenant};
+use crate::item_store::Ledger;
+use crate::model::{host_key, Limits, Line, Route, Tenant};
 use std::collections::hash_map::Entry;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
--- a/crates/config/src/judge.rs
+++ b/crates/config/src/validation.rs
@@ -1,9 +1,9 @@
 //! What makes a call invalid together with what stands.
 
+use crate::error::{LineInUseSnafu, Refusal, SamePlaceSnafu, SharedKeySnafu, UnknownLineSnafu};
 use crate::item::{Item, Kind};
-use crate::ledger::Ledger;
-use crate::reading::{host_key, read, HostKey, PermitsText, RouteText, Text};
-use crate::refusal::{LineInUseSnafu, Refusal, SamePlaceSnafu, SharedKeySnafu, UnknownLineSnafu};
+use crate::item_store::Ledger;
+use crate::model::{host_key, read, HostKey, PermitsText, RouteText, Text};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// The items of a call that have an effect, by kind and name, over the whole that they come to.
--- a/crates/control-plane/examples/sizes.rs
+++ b/crates/control-plane/examples/sizes.rs
@@ -4,7 +4,7 @@
 
 use kitepass_config::{read_call, Checker, Ledger, BUCKETS};
 use kitepass_control_plane::server::Server;
-use kitepass_coordination::words::{pack, Held, ItemWord, Word};
+use kitepass_coordination::protocol::{pack, Held, ItemWord, Word};
 use kitepass_storage::Store;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
--- a/crates/control-plane/examples/slopes.rs
+++ b/crates/control-plane/examples/slopes.rs
@@ -6,12 +6,12 @@
 
 use bytes::Bytes;
 use kitepass_config::{Item, Kind, Ledger};
-use kitepass_control_plane::core::{Act, Core, Standing, Start};
-use kitepass_control_plane::order::{Order, Reply};
-use kitepass_control_plane::roster;
-use kitepass_coordination::cast::Seat;
-use kitepass_coordination::count::Slack;
-use kitepass_coordination::words::*;
+use kitepass_control_plane::endpoints;
+use kitepass_control_plane::request::{Order, Reply};
+use kitepass_control_plane::state_machine::{Act, Core, Standing, Start};
+use kitepass_coordination::membership::Seat;
+use kitepass_coordination::protocol::*;
+use kitepass_coordination::usage::Slack;
 use kitepass_time::Moment;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -427,7 +427,7 @@
         }
         self.list_bytes = bodies.iter().map(|body| body.len() as f64).sum();
         let begun = Instant::now();
-        bodies.iter().for_each(|body| entries.extend(roster::page(body.as_bytes()).expect("made here").0));
+        bodies.iter().for_each(|body| entries.extend(endpoints::page(body.as_bytes()).expect("made here").0));
         self.nodes[n].tally.busy += begun.elapsed();
         self.run_core(n, |core, now| core.list_read(now, entries));
     }
--- a/crates/control-plane/src/ask.rs
+++ b/crates/control-plane/src/cli/client.rs
@@ -1,7 +1,7 @@
 //! An operator's calls of the control processes: one after another is asked until one of them has an answer that
 //! counts. Blocking, as a command has nothing else to do.
 
-use kitepass_net::flow::{Body, HeadReader};
+use kitepass_net::http::body::{Body, HeadReader};
 use kitepass_net::http::{Fault, Kind};
 use snafu::{OptionExt, ResultExt, Snafu};
 use std::io::{Read, Write};
--- a/crates/control-plane/src/command.rs
+++ b/crates/control-plane/src/cli/mod.rs
@@ -1,7 +1,6 @@
 //! The command line: the control process itself, and what an operator asks of a running system.
 
-#[path = "ask.rs"]
-mod ask;
+mod client;
 
 use crate::server::Server;
 use kitepass_config::{judge, read_call, Checker, Item, Kind, Ledger};
@@ -165,7 +164,7 @@
     #[snafu(display("{}: {why}", path.display()))]
     Invalid { path: PathBuf, why: String },
     #[snafu(display("{source}"))]
-    Ask { source: ask::Error },
+    Ask { source: client::Error },
     #[snafu(display("an answer that this program cannot read: {why}"))]
     Strange { why: String },
     #[snafu(display("no settings file: name one with --settings or {}", kitepass_node::VARIABLE))]
@@ -178,8 +177,8 @@
     fn code(&self) -> u8 {
         match self {
             Error::Usage { .. } | Error::File { .. } | Error::Output { .. } => 2,
-            Error::Ask { source: ask::Error::Nobody { .. } } => 3,
-            Error::Ask { source: ask::Error::Refused { .. } } => 1,
+            Error::Ask { source: client::Error::Nobody { .. } } => 3,
+            Error::Ask { source: client::Error::Refused { .. } } => 1,
             Error::Invalid { .. } | Error::Strange { .. } => 1,
             Error::NoSettings | Error::Serve { .. } => 1,
         }
@@ -313,7 +312,7 @@
 }
 
 fn get(args: &Args) -> Result<(), Error> {
-    let body = ask::ask(&desks(args)?, "GET", "/v1/Timetable.Get", b"").context(AskSnafu)?;
+    let body = client::ask(&desks(args)?, "GET", "/v1/Timetable.Get", b"").context(AskSnafu)?;
     let whole: Json = serde_json::from_slice(&body).map_err(strange)?;
     let text = laid_out(&whole);
     let Some(path) = &args.out else { return say(&text) };
@@ -370,7 +369,7 @@
 fn apply(args: &Args) -> Result<(), Error> {
     let desks = desks(args)?;
     let path = Path::new(&args.words[0]);
-    ask::ask(&desks, "POST", "/v1/Timetable.Patch", &call_of(path)?).context(AskSnafu)?;
+    client::ask(&desks, "POST", "/v1/Timetable.Patch", &call_of(path)?).context(AskSnafu)?;
     say(&format!("{}: taken\n", path.display()))
 }
 
@@ -437,7 +436,7 @@
     let desks = desks(args)?;
     let checker = Checker::new();
     let items = items_of(&checker, Path::new(&args.words[0]))?;
-    let body = ask::ask(&desks, "GET", "/v1/Timetable.Get", b"").context(AskSnafu)?;
+    let body = client::ask(&desks, "GET", "/v1/Timetable.Get", b"").context(AskSnafu)?;
     let body = [b"{\"deliver\":", body.as_slice(), b"}"].concat();
     let mut whole = Ledger::new();
     for item in read_call(&checker, &body).map_err(strange)? {
@@ -511,7 +510,7 @@
 }
 
 fn shown(text: &str) -> String {
-    let text = ask::shown(text.as_bytes());
+    let text = client::shown(text.as_bytes());
     match text.char_indices().nth(MOST_SHOWN) {
         Some((cut, _)) => format!("{}..", &text[..cut]),
         None => text,
@@ -530,12 +529,12 @@
     if !zone.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-._~".contains(&byte)) || zone.is_empty() {
         return UsageSnafu { why: format!("evacuate: {zone:?} is no zone's name") }.fail();
     }
-    ask::ask(&desks, "POST", &format!("/v1/Evacuate.{verb}/{zone}"), b"").context(AskSnafu)?;
+    client::ask(&desks, "POST", &format!("/v1/Evacuate.{verb}/{zone}"), b"").context(AskSnafu)?;
     say(&format!("{zone}: evacuation {}\n", if verb == "Start" { "started" } else { "ended" }))
 }
 
 fn members(args: &Args) -> Result<(), Error> {
-    let body = ask::ask(&desks(args)?, "GET", "/v1/members", b"").context(AskSnafu)?;
+    let body = client::ask(&desks(args)?, "GET", "/v1/members", b"").context(AskSnafu)?;
     let told: Json = serde_json::from_slice(&body).map_err(strange)?;
     if args.json {
         return say(&format!("{told:#}\n"));
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    kitepass_control_plane::command::main()
+    kitepass_control_plane::cli::main()
 }
--- a/crates/control-plane/src/order.rs
+++ b/crates/control-plane/src/request.rs
@@ -1,8 +1,8 @@
 //! What callers ask of a control process, as values; decoded from their calls, run by the core.
 
 use kitepass_config::Item;
-use kitepass_coordination::cast::Cast;
-use kitepass_coordination::register::Call as Proposal;
+use kitepass_coordination::consensus::Call as Proposal;
+use kitepass_coordination::membership::Cast;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -1,20 +1,20 @@
 //! Sockets, disk and clock around the [`Core`]: one thread, one loop.
 
-use crate::core::{millis, Act, Core, SeatContact, Start, DUTY};
-use crate::order::{place, Call, Order, Reply};
-use crate::roster::{self, Entry};
+use crate::endpoints::{self, Entry};
+use crate::request::{place, Call, Order, Reply};
+use crate::state_machine::{millis, Act, Core, SeatContact, Start, DUTY};
 use kitepass_config::Item;
-use kitepass_coordination::cast::Seat;
-use kitepass_coordination::contact::CONTACT;
-use kitepass_coordination::count::Slack;
-use kitepass_coordination::frame::{Assembler, Outbox, Packed, MOST_FRAME};
-use kitepass_coordination::words::{self, Word};
-use kitepass_net::flow::{Body, Framing, HeadReader};
+use kitepass_coordination::membership::Seat;
+use kitepass_coordination::protocol::framing::{Assembler, Outbox, Packed, MOST_FRAME};
+use kitepass_coordination::protocol::{self, Word};
+use kitepass_coordination::quorum_contact::CONTACT;
+use kitepass_coordination::usage::Slack;
+use kitepass_net::connection::{cause, Wire};
+use kitepass_net::http::body::{Body, Framing, HeadReader};
 use kitepass_net::http::Kind as Which;
-use kitepass_net::poll::{self, Clock, Poll, Ready};
-use kitepass_net::process::{life, Signals};
-use kitepass_net::wire::{cause, Wire};
+use kitepass_net::poller::{self, Clock, Poll, Ready};
 use kitepass_net::{Errno, OwnedFd};
+use kitepass_node::process::{life, Signals};
 use kitepass_node::{Settings, Watch};
 use kitepass_storage::Store;
 use kitepass_time::{Moment, Span};
@@ -193,7 +193,7 @@
         ];
         for (token, address) in asked {
             let Some(address) = address else { continue };
-            let socket = poll::listen(&address).context(ListenSnafu { address })?;
+            let socket = poller::listen(&address).context(ListenSnafu { address })?;
             poll.add(&socket, token).context(SystemSnafu { what: "epoll" })?;
             listeners.push((token, socket));
         }
@@ -312,12 +312,12 @@
     fn accept(&mut self, token: u64) {
         loop {
             let Some((_, listener)) = self.listeners.iter().find(|(t, _)| *t == token) else { return };
-            match poll::accept(listener) {
+            match poller::accept(listener) {
                 Ok(Some(socket)) => {
                     let id = self.next;
                     self.next += 1;
                     let role = if token == SIDING { Role::Stranger } else { Role::Caller(Box::default()) };
-                    let tuned = if token == SIDING { poll::tune(&socket, PATIENCE) } else { Ok(()) };
+                    let tuned = if token == SIDING { poller::tune(&socket, PATIENCE) } else { Ok(()) };
                     if tuned.and_then(|()| self.poll.add(&socket, id)).is_err() {
                         continue;
                     }
@@ -703,7 +703,7 @@
             self.next += 1;
             match Wire::open(&self.poll, &to, id, PATIENCE) {
                 Ok(mut wire) => {
-                    words::pack(Word::Hello(self.core.hello()), &mut wire.output);
+                    protocol::pack(Word::Hello(self.core.hello()), &mut wire.output);
                     self.conns.insert(id, Conn::new(wire, Role::Out { ip: ip.clone() }, now));
                     self.out.insert(ip, id);
                 }
@@ -792,7 +792,7 @@
         }
         let (status, bytes) = (*status, std::mem::take(bytes));
         *stage = None;
-        let page = roster::page(&bytes).filter(|_| status == 200);
+        let page = endpoints::page(&bytes).filter(|_| status == 200);
         let Some((entries, next)) = page else {
             warn!("event=list-unread status={status} bytes={}", bytes.len());
             self.reading = None; // a reading that is not whole tells nothing
@@ -894,7 +894,7 @@
         if let Some((_, packed)) = self.0.as_ref().filter(|(last, _)| Arc::ptr_eq(last, items)) {
             return packed.clone();
         }
-        let packed: Vec<Packed> = words::batches(items.iter()).into_iter().map(Packed::new).collect();
+        let packed: Vec<Packed> = protocol::batches(items.iter()).into_iter().map(Packed::new).collect();
         self.0 = Some((items.clone(), packed.clone()));
         packed
     }
--- a/crates/control-plane/src/core/duty.rs
+++ b/crates/control-plane/src/state_machine/coordinator.rs
@@ -116,7 +116,7 @@
     }
 
     /// A whole reading of the platform's list.
-    pub fn list_read(&mut self, now: Moment, entries: Vec<crate::roster::Entry>) {
+    pub fn list_read(&mut self, now: Moment, entries: Vec<crate::endpoints::Entry>) {
         if self.acts(now).is_none() {
             return;
         }
--- a/crates/control-plane/src/core/mod.rs
+++ b/crates/control-plane/src/state_machine/mod.rs
@@ -1,35 +1,35 @@
 //! All that a control process decides, without input or output: it is told what happens, with the time, and leaves
 //! what is to be done as [`Act`]s.
 
-mod catching;
-mod contact;
-mod duty;
-mod orders;
-mod record;
+mod catch_up;
+mod coordinator;
+mod proposals;
+mod quorum;
+mod records;
 mod sessions;
-mod tombs;
+mod tombstones;
 
-use crate::order::{Order, Reply};
-use crate::roster::Roster;
+use crate::endpoints::Roster;
+use crate::request::{Order, Reply};
 use bytes::Bytes;
-use catching::Reader;
-pub use contact::{millis, SeatContact};
+use catch_up::Reader;
 use kitepass_config::{piece_digest, Checker, Item, Kind, Ledger, Tenant, BUCKETS};
-use kitepass_coordination::cast::{Cast, Era, Seat, Sight, NEXT, NOW};
-use kitepass_coordination::contact::{Contact, State as ContactState};
-use kitepass_coordination::count::{Counts, Slack, Terms};
-use kitepass_coordination::feed::Feeds;
-use kitepass_coordination::lease::{Claimant, Voter};
-use kitepass_coordination::register::{
+use kitepass_coordination::catch_up_queue::Feeds;
+use kitepass_coordination::consensus::{
     Acceptor, Ballot, Bid, Call as Proposal, CallWord, Mark, Reserve, Restored, Seen,
 };
-use kitepass_coordination::session::Table;
-use kitepass_coordination::tomb::Tombs;
-use kitepass_coordination::words::*;
+use kitepass_coordination::lease::{Claimant, Voter};
+use kitepass_coordination::membership::{Cast, Era, Seat, Sight, NEXT, NOW};
+use kitepass_coordination::protocol::*;
+use kitepass_coordination::quorum_contact::{Contact, State as ContactState};
+use kitepass_coordination::sessions::Table;
+use kitepass_coordination::tombstones::Tombs;
+use kitepass_coordination::usage::{Counts, Slack, Terms};
 use kitepass_time::{Moment, Span};
 use log::{debug, error, info, warn};
-use orders::{Watched, Work};
-use record::{learn, record_vote, unrecord_vote};
+use proposals::{Watched, Work};
+pub use quorum::{millis, SeatContact};
+use records::{learn, record_vote, unrecord_vote};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/control-plane/src/core/orders.rs
+++ b/crates/control-plane/src/state_machine/proposals.rs
@@ -5,7 +5,7 @@
 //! then it is decided, and only what is decided is in the ledger, is read back, and goes to gateways.
 
 use super::*;
-use kitepass_coordination::register::{hear, is_done, live, standing, taken, Refused, Standing as Found};
+use kitepass_coordination::consensus::{hear, is_done, live, standing, taken, Refused, Standing as Found};
 
 /// So long a call that was accepted and not heard of again is left to whoever proposed it; then whoever does the duty
 /// settles it, and others between a half and the whole of such a span later, or within a drawn one that widens where nobody
--- a/crates/control-plane/src/core/tombs.rs
+++ b/crates/control-plane/src/state_machine/tombstones.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use kitepass_config::record_key;
-use kitepass_coordination::tomb::Due;
+use kitepass_coordination::tombstones::Due;
 
 /// Drops are looked through no more often.
 const LOOK: Span = Span::from_micros(2_000_000);
--- a/crates/control-plane/tests/stream.rs
+++ b/crates/control-plane/tests/catch_up.rs
@@ -1,14 +1,14 @@
 //! Catching up with much, in the world in memory: away for 1,000 changes, killed in the middle of it, with an empty disk, two
 //! at once, with changes that go on; many gateways at once; and drops that are forgotten, which nothing brings back.
 
-mod world;
+mod cluster;
 
+use cluster::{at, World};
 use kitepass_config::{Item, Kind, Ledger};
-use kitepass_control_plane::core::Standing;
-use kitepass_control_plane::order::{Order, Reply};
-use kitepass_coordination::words::{ItemWord, Items, Word};
+use kitepass_control_plane::request::{Order, Reply};
+use kitepass_control_plane::state_machine::Standing;
+use kitepass_coordination::protocol::{ItemWord, Items, Word};
 use std::collections::{BTreeMap, BTreeSet};
-use world::{at, World};
 
 const LINE: &str = r#"{"checkpoint":"/c"}"#;
 /// A process that comes back, to 2 MB more than it holds, is caught up within this, milliseconds.
--- a/crates/control-plane/tests/world/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -3,12 +3,12 @@
 #![allow(dead_code)] // each test file uses its part
 
 use kitepass_config::{Item, Kind};
-use kitepass_control_plane::core::{Act, Core, Standing, Start};
-use kitepass_control_plane::order::{Order, Reply};
-use kitepass_coordination::cast::Seat;
-use kitepass_coordination::count::Slack;
-use kitepass_coordination::words::{pack, Hello, ItemWord, Items, Word};
-use kitepass_data_plane::link::{Brought, Link};
+use kitepass_control_plane::request::{Order, Reply};
+use kitepass_control_plane::state_machine::{Act, Core, Standing, Start};
+use kitepass_coordination::membership::Seat;
+use kitepass_coordination::protocol::{pack, Hello, ItemWord, Items, Word};
+use kitepass_coordination::usage::Slack;
+use kitepass_data_plane::control_session::{Brought, Link};
 use kitepass_time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/control-plane/tests/fleet.rs
+++ b/crates/control-plane/tests/gateways.rs
@@ -1,12 +1,12 @@
 //! Gateways' true links and six control processes, by seed: what is acknowledged is in force everywhere in time, also
 //! where the one that acknowledged it is lost at once; nobody goes back; sessions come and go without loss or ghosts.
 
-mod world;
+mod cluster;
 
+use cluster::World;
 use kitepass_config::Kind;
-use kitepass_control_plane::order::Reply;
+use kitepass_control_plane::request::Reply;
 use std::collections::BTreeMap;
-use world::World;
 
 const LINE: &str = r#"{"checkpoint":"/c"}"#;
 /// Within this an acknowledged change is in force on every gateway in touch, milliseconds.
--- a/crates/control-plane/tests/golden_commands.rs
+++ b/crates/control-plane/tests/golden_commands.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use kitepass_coordination::words::{Beat, Hello, Word};
+use kitepass_coordination::protocol::{Beat, Hello, Word};
 use rstest::rstest;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value as Json;
--- a/crates/control-plane/tests/golden_store.rs
+++ b/crates/control-plane/tests/golden_store.rs
@@ -7,12 +7,12 @@
 //! in these runs.
 
 use kitepass_config::{record, unrecord, Item, Kind, Ledger, REMEMBERED};
-use kitepass_control_plane::core::{Act, Core, Standing, Start, DUTY};
-use kitepass_control_plane::order::{Order, Reply};
-use kitepass_coordination::cast::{Cast, Seat, NEXT, NOW};
-use kitepass_coordination::count::Slack;
-use kitepass_coordination::register::{key, Ballot, Call as Proposal};
-use kitepass_coordination::words::{Claim, Held, Hello, Inquire, Word};
+use kitepass_control_plane::request::{Order, Reply};
+use kitepass_control_plane::state_machine::{Act, Core, Standing, Start, DUTY};
+use kitepass_coordination::consensus::{key, Ballot, Call as Proposal};
+use kitepass_coordination::membership::{Cast, Seat, NEXT, NOW};
+use kitepass_coordination::protocol::{Claim, Held, Hello, Inquire, Word};
+use kitepass_coordination::usage::Slack;
 use kitepass_time::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
--- a/crates/control-plane/tests/lives.rs
+++ b/crates/control-plane/tests/incarnations.rs
@@ -1,11 +1,11 @@
 //! A process has several lives. Whatever an earlier one asked for, its answers count for nothing in the next.
 
-mod world;
+mod cluster;
 
-use kitepass_control_plane::order::Reply;
-use kitepass_coordination::cast::{Cast, NOW};
+use cluster::World;
+use kitepass_control_plane::request::Reply;
+use kitepass_coordination::membership::{Cast, NOW};
 use std::collections::BTreeSet;
-use world::World;
 
 const LINE: &str = r#"{"checkpoint":"/c"}"#;
 
@@ -37,7 +37,7 @@
                 }
                 confirmed += 1;
                 let key = [&[3], name.as_bytes()].concat();
-                let holds = |n: &&world::Node| n.disk.contains_key(&key);
+                let holds = |n: &&cluster::Node| n.disk.contains_key(&key);
                 let copies: BTreeSet<String> =
                     world.nodes.iter().filter(holds).map(|n| n.seat.station.clone()).collect();
                 let ledger = world.nodes[(one + 1) % 6].core.as_ref().unwrap().ledger();
--- a/crates/control-plane/tests/cast.rs
+++ b/crates/control-plane/tests/membership.rs
@@ -2,16 +2,16 @@
 //! right after the repair, members that leave and are replaced, stewards that are cut off with a change half-way, and a
 //! seat that comes back after it was taken out. What was confirmed is read back, and of each cast there is one content.
 
-mod world;
+mod cluster;
 
+use cluster::{at, World};
 use kitepass_config::Kind;
-use kitepass_control_plane::core::{Act, Core, Standing};
-use kitepass_control_plane::order::{Order, Reply};
-use kitepass_coordination::cast::{Cast, Seat, NEXT, NOW};
-use kitepass_coordination::register::Ballot;
-use kitepass_coordination::words::{ItemWord, Store, Word};
+use kitepass_control_plane::request::{Order, Reply};
+use kitepass_control_plane::state_machine::{Act, Core, Standing};
+use kitepass_coordination::consensus::Ballot;
+use kitepass_coordination::membership::{Cast, Seat, NEXT, NOW};
+use kitepass_coordination::protocol::{ItemWord, Store, Word};
 use std::collections::{BTreeMap, BTreeSet};
-use world::{at, World};
 
 const LINE: &str = r#"{"checkpoint":"/c"}"#;
 /// A process that leaves ends within this, milliseconds, and its seat is gone within the other: links here take up to 240
--- a/crates/control-plane/tests/desk.rs
+++ b/crates/control-plane/tests/operator_api.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use kitepass_coordination::words::{Adds, Assembler, Beat, Hello, Totals, Word};
+use kitepass_coordination::protocol::{Adds, Assembler, Beat, Hello, Totals, Word};
 use std::io::Write;
 use std::net::Shutdown;
 use std::time::Instant;
--- a/crates/control-plane/tests/contact.rs
+++ b/crates/control-plane/tests/quorum_contact.rs
@@ -2,15 +2,15 @@
 //! sends its callers on at once, and comes back with all that was confirmed; gateways go over to who is in contact.
 //! Figures are milliseconds, and hold on every seed.
 
-mod world;
+mod cluster;
 
+use cluster::{at, World};
 use kitepass_config::Kind;
-use kitepass_control_plane::core::Standing;
-use kitepass_control_plane::order::{Order, Reply};
-use kitepass_coordination::words::{Beat, Hello, Word};
+use kitepass_control_plane::request::{Order, Reply};
+use kitepass_control_plane::state_machine::Standing;
+use kitepass_coordination::protocol::{Beat, Hello, Word};
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
-use world::{at, World};
 
 const LINE: &str = r#"{"checkpoint":"/c"}"#;
 /// Seeds of each case; `KITEPASS_SEEDS` sets more for a long run.
--- a/crates/control-plane/tests/cluster.rs
+++ b/crates/control-plane/tests/replication.rs
@@ -2,13 +2,13 @@
 //! processes are killed, power goes with what was not synced, disks are lost within what is to be borne. Whatever
 //! was acknowledged must be read back from whoever answers, and no two may do the duty at once.
 
-mod world;
+mod cluster;
 
+use cluster::{at, World};
 use kitepass_config::Kind;
-use kitepass_control_plane::core::Standing;
-use kitepass_control_plane::order::{Order, Reply};
+use kitepass_control_plane::request::{Order, Reply};
+use kitepass_control_plane::state_machine::Standing;
 use std::collections::{BTreeMap, BTreeSet};
-use world::{at, World};
 
 const LINE: &str = r#"{"checkpoint":"/c"}"#;
 
--- a/crates/control-plane/tests/support/cluster.rs
+++ b/crates/control-plane/tests/support/cluster.rs
@@ -1,8 +1,8 @@
 //! Control processes on addresses of this machine's own, and connections to them.
 
 use super::command::PROGRAM;
-use kitepass_coordination::frame::pack;
-use kitepass_coordination::words::Word;
+use kitepass_coordination::protocol::framing::pack;
+use kitepass_coordination::protocol::Word;
 use rustix::net::sockopt;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
--- a/crates/control-plane/tests/number.rs
+++ b/crates/control-plane/tests/version_conflicts.rs
@@ -1,11 +1,11 @@
 //! One number, one content: of calls that set one item's version to different contents one is confirmed at the most, the
 //! other is refused for good and whole; what was confirmed is confirmed again when it comes again.
 
-mod world;
+mod cluster;
 
+use cluster::World;
 use kitepass_config::{Item, Kind};
-use kitepass_control_plane::order::{Order, Reply};
-use world::World;
+use kitepass_control_plane::request::{Order, Reply};
 
 fn line(name: &str, edition: u64, value: &str) -> Item {
     let value = Some(bytes::Bytes::copy_from_slice(value.as_bytes()));
@@ -89,7 +89,7 @@
         world.wire.retain(|word| word.1 != n);
         world.kill(n, true, false, 6_000);
         world.run(4_000);
-        let there = |gate: &world::Gate| gate.link.ledger.get(Kind::Line, "l").is_some();
+        let there = |gate: &cluster::Gate| gate.link.ledger.get(Kind::Line, "l").is_some();
         let late = world.gates.iter().filter(|gate| !there(gate)).count();
         assert_eq!(late, 0, "seed {seed}: not in force after 4 s");
         let again = world.patch((n + 1) % 6, "l", 7, Some(ONE));
@@ -119,7 +119,7 @@
         let until = world.now + 1_000;
         let is_call = |key: &[u8]| key.starts_with(b"call:");
         let holders = |world: &World| -> Vec<usize> {
-            let has = |node: &world::Node| {
+            let has = |node: &cluster::Node| {
                 let syncing = node.syncing.iter().flat_map(|(_, _, records)| records).map(|(key, _)| key);
                 node.disk.keys().chain(syncing).any(|key| is_call(key))
             };
--- a/crates/coordination/examples/register.rs
+++ b/crates/coordination/examples/explore_consensus.rs
@@ -1,11 +1,11 @@
 //! The long form of the register's models: `register [STEPS] [SEEDS]`, the most steps of a model and the walks through
 //! each system. It prints what was explored and how rivals fared, and ends with 1 if anything was found.
 
-use ballots::{explore, walk_all, Race, Raced, Setup, CONFIRMED, SYSTEMS};
+use consensus_model::{explore, walk_all, Race, Raced, Setup, CONFIRMED, SYSTEMS};
 use std::process::ExitCode;
 
-#[path = "../tests/ballots/mod.rs"]
-mod ballots;
+#[path = "../tests/consensus_model/mod.rs"]
+mod consensus_model;
 
 /// Attempts, restarts and lost answers.
 const MODELS: [(&str, (u8, u8, u8)); 18] = [
--- a/crates/coordination/src/register.rs
+++ b/crates/coordination/src/consensus/mod.rs
@@ -13,7 +13,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::words::ItemWord;
+use crate::protocol::ItemWord;
 use kitepass_config::{Item, Kind, Ledger, Verdict};
 use prost::Message;
 use snafu::Snafu;
@@ -372,7 +372,7 @@
         let Some(mark) = key.strip_prefix(CALL) else { return Restored::Other };
         let read = || {
             let (ballot, rest) = Ballot::from_bytes(value)?;
-            let call = Call::of_words(crate::words::Items::decode(rest).ok()?.items)?;
+            let call = Call::of_words(crate::protocol::Items::decode(rest).ok()?.items)?;
             (call.mark.0[..] == *mark).then_some((ballot, call))
         };
         let Some((ballot, call)) = read() else { return Restored::Garbled };
@@ -473,7 +473,7 @@
         let mut records: Vec<Record> = reserve.into_iter().map(Reserve::record).collect();
         if !is_done {
             let mut value = ballot.to_bytes().to_vec();
-            crate::words::Items { items: call.words() }.encode_raw(&mut value);
+            crate::protocol::Items { items: call.words() }.encode_raw(&mut value);
             records.push((record_key(call.mark), value));
             records.extend(self.remove_denial(call.mark));
             self.insert(ballot, call);
--- a/crates/coordination/src/register/tests/faults.rs
+++ b/crates/coordination/src/consensus/tests/faults.rs
@@ -1,11 +1,11 @@
 //! Deliberate faults: each defence is taken out once, and the models and walks of `crates/bond/tests` must miss it.
 
 use super::super::{weigh, Acceptor, Defence};
-use ballots::{explore, walk_all, Handover, Setup, CONFIRMED};
+use consensus_model::{explore, walk_all, Handover, Setup, CONFIRMED};
 use rstest::rstest;
 
-#[path = "../../../tests/ballots/mod.rs"]
-mod ballots;
+#[path = "../../../tests/consensus_model/mod.rs"]
+mod consensus_model;
 
 fn without(defence: Defence, setup: Setup) -> Setup {
     macro_rules! by {
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease/mod.rs
@@ -3,14 +3,14 @@
 //! Steady time alone is used: a clock that is set must neither end a lease nor prolong one. A holder reckons from
 //! the moment at which it asked, a voter from the moment at which it granted, which is later.
 //!
-//! Votes are told apart by seat names, and counted within an era (see [`Era`](crate::cast::Era)): in an odd era a majority
+//! Votes are told apart by seat names, and counted within an era (see [`Era`](crate::membership::Era)): in an odd era a majority
 //! of both casts is needed. Two holders at once would need votes of one seat for both, or of two eras. A voter that knows
 //! of a later era refuses a claim of an earlier one, so that a lease of an earlier era was asked for before the next cast
 //! was decided; and where majorities of the two casts need not have a seat in common, each voter, for a span after it hears
 //! that the next one is decided, grants nothing but renewals, by the end of which such a lease has run out.
 
-use crate::cast::Cast;
-use crate::words::{Claim, Grant};
+use crate::membership::Cast;
+use crate::protocol::{Claim, Grant};
 use kitepass_time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -3,27 +3,26 @@
 //!
 //! | module | what it holds |
 //! | --- | --- |
-//! | [`words`] | the messages |
-//! | [`frame`] | how they go over a connection, long ones in pieces |
-//! | [`cast`] | who the core is, and how many copies make a write safe and a reading whole |
-//! | [`contact`] | whom of the core a process hears, and who of it heard this process, as of when |
-//! | [`feed`] | who of many that came is told what it lacks next, in bounds |
+//! | [`protocol`] | the messages |
+//! | [`protocol::framing`] | how they go over a connection, long ones in pieces |
+//! | [`membership`] | who the core is, and how many copies make a write safe and a reading whole |
+//! | [`quorum_contact`] | whom of the core a process hears, and who of it heard this process, as of when |
+//! | [`catch_up_queue`] | who of many that came is told what it lacks next, in bounds |
 //! | [`lease`] | single duties: claimed of a majority, left before they end |
-//! | [`register`] | one number, one content: the ballots by which a change is decided |
-//! | [`session`] | who is a member: the sessions of each control process, and how long a lost one counts |
-//! | [`tomb`] | when a drop may be forgotten |
-//! | [`count`] | what tenants asked of all gateways, period by period, and how a quota is shared out |
+//! | [`consensus`] | one number, one content: the ballots by which a change is decided |
+//! | [`sessions`] | who is a member: the sessions of each control process, and how long a lost one counts |
+//! | [`tombstones`] | when a drop may be forgotten |
+//! | [`usage`] | what tenants asked of all gateways, period by period, and how a quota is shared out |
 
 #[cfg(test)]
 extern crate self as kitepass_coordination;
 
-pub mod cast;
-pub mod contact;
-pub mod count;
-pub mod feed;
-pub mod frame;
+pub mod catch_up_queue;
+pub mod consensus;
 pub mod lease;
-pub mod register;
-pub mod session;
-pub mod tomb;
-pub mod words;
+pub mod membership;
+pub mod protocol;
+pub mod quorum_contact;
+pub mod sessions;
+pub mod tombstones;
+pub mod usage;
--- a/crates/coordination/src/cast.rs
+++ b/crates/coordination/src/membership/mod.rs
@@ -5,7 +5,7 @@
 //! another by joint consensus: while `next` is being brought in, copies must be safe, readings whole and votes enough
 //! by both.
 
-use crate::words::Hello;
+use crate::protocol::Hello;
 use kitepass_config::{Item, Kind, Ledger};
 use prost::Message;
 use std::collections::BTreeSet;
--- a/crates/coordination/src/frame.rs
+++ b/crates/coordination/src/protocol/framing.rs
@@ -4,7 +4,7 @@
 //!
 //! No frame tells how long its word will be: what a receiver keeps grows with what has come, never with a claim.
 
-use crate::words::{Parcel, Word};
+use crate::protocol::{Parcel, Word};
 use bytes::Bytes;
 use prost::Message;
 use snafu::Snafu;
--- a/crates/coordination/src/words.rs
+++ b/crates/coordination/src/protocol/messages.rs
@@ -1,14 +1,13 @@
-//! The messages between the system's own processes; [`frame`](crate::frame) carries them.
+//! The messages between the system's own processes; [`frame`](crate::protocol::framing) carries them.
 
-use crate::register::{Ballot, CallWord};
-use crate::tomb::Due;
+use super::framing::pack;
+use crate::consensus::{Ballot, CallWord};
+use crate::tombstones::Due;
 use bytes::Bytes;
 use kitepass_config::{Entry, Item, Kind, Version};
 use prost::Message;
 use std::sync::Arc;
 
-pub use crate::frame::{pack, Assembler};
-
 /// Items go in messages of about so many bytes, so that no one message holds a connection for long.
 const BATCH: usize = 256 * 1024;
 
@@ -104,7 +103,7 @@
     #[prost(uint64, tag = "5")]
     pub duty: u64,
     /// Between control processes: a number that the sender gave to no other beat of its life, and the last one that it
-    /// heard of the other, or 0; see [`crate::contact`].
+    /// heard of the other, or 0; see [`crate::quorum_contact`].
     #[prost(fixed32, tag = "6")]
     pub number: u32,
     #[prost(fixed32, tag = "7")]
--- a/crates/coordination/src/contact.rs
+++ b/crates/coordination/src/quorum_contact.rs
@@ -5,7 +5,7 @@
 //! sent; the proof is dated by the moment at which this process sent it, by its own steady time. Clocks of two machines
 //! are never compared, and a proof that comes late is no newer for that.
 
-use crate::cast::Cast;
+use crate::membership::Cast;
 use kitepass_time::{Moment, Span};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/coordination/src/session.rs
+++ b/crates/coordination/src/sessions.rs
@@ -1,7 +1,7 @@
 //! Who is a member: a gateway is one while its session with a control process stands, and control processes tell
 //! each other their sessions, each its whole list under a growing number.
 
-use crate::words::{Member, Sessions};
+use crate::protocol::{Member, Sessions};
 use kitepass_time::{Moment, Span};
 use std::collections::BTreeMap;
 
--- a/crates/coordination/src/count.rs
+++ b/crates/coordination/src/usage.rs
@@ -10,7 +10,7 @@
 //! being in the store. A gateway that hears nothing of the holder goes by its part: half by what it was offered of the
 //! tenant lately, half alike; and the holder leaves that part to whom it does not hear.
 
-use crate::words::{Add, Adds, Total, Totals};
+use crate::protocol::{Add, Adds, Total, Totals};
 use kitepass_time::{Moment, Span};
 use std::collections::BTreeMap;
 
--- a/crates/coordination/tests/feeds.rs
+++ b/crates/coordination/tests/catch_up_queue.rs
@@ -1,6 +1,6 @@
 //! Many that come at once are told all of it, in turns, and what is on its way to them stays bounded.
 
-use kitepass_coordination::feed::Feeds;
+use kitepass_coordination::catch_up_queue::Feeds;
 use kitepass_time::Moment;
 
 const PIECE: usize = 100;
--- a/crates/coordination/tests/register.rs
+++ b/crates/coordination/tests/consensus.rs
@@ -2,10 +2,10 @@
 //! `cargo run --release -p kitepass-bond --example register`; the tests that take a defence out are in
 //! `src/register/tests/faults.rs`.
 
-use ballots::{explore, walk_all, Race, Setup, CONFIRMED, SYSTEMS};
+use consensus_model::{explore, walk_all, Race, Setup, CONFIRMED, SYSTEMS};
 use rstest::rstest;
 
-mod ballots;
+mod consensus_model;
 
 /// Whole, but where it says so: all schedules within the bounds, of so many attempts, restarts and lost answers.
 #[rstest]
--- a/crates/coordination/tests/ballots/mod.rs
+++ b/crates/coordination/tests/consensus_model/mod.rs
@@ -8,8 +8,8 @@
 #![allow(dead_code)]
 
 use kitepass_config::{Item, Kind, Ledger, Verdict};
-use kitepass_coordination::cast::{Cast, Seat};
-use kitepass_coordination::register::*;
+use kitepass_coordination::consensus::*;
+use kitepass_coordination::membership::{Cast, Seat};
 use stateright::{Checker, Model, Property};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/coordination/tests/frames.rs
+++ b/crates/coordination/tests/framing.rs
@@ -1,7 +1,7 @@
 //! Words as they go over a connection: whole and in pieces, wherever they are cut, and lies about them.
 
-use kitepass_coordination::frame::{pack, Assembler, Error, MOST_FRAME, MOST_WORD};
-use kitepass_coordination::words::{Add, Adds, Beat, Hello, ItemWord, Store, Word};
+use kitepass_coordination::protocol::framing::{pack, Assembler, Error, MOST_FRAME, MOST_WORD};
+use kitepass_coordination::protocol::{Add, Adds, Beat, Hello, ItemWord, Store, Word};
 use rstest::rstest;
 
 fn long(bytes: usize) -> Word {
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -3,10 +3,10 @@
 
 use bytes::Bytes;
 use kitepass_config::{Entry, Item, Kind, Version};
-use kitepass_coordination::cast::{Cast, NEXT, NOW};
-use kitepass_coordination::frame::{Assembler, Error, Outbox, Packed, MOST_FRAME, MOST_WORD};
-use kitepass_coordination::register::{key, Ballot, Call, CallWord};
-use kitepass_coordination::words::{
+use kitepass_coordination::consensus::{key, Ballot, Call, CallWord};
+use kitepass_coordination::membership::{Cast, NEXT, NOW};
+use kitepass_coordination::protocol::framing::{Assembler, Error, Outbox, Packed, MOST_FRAME, MOST_WORD};
+use kitepass_coordination::protocol::{
     batches, pack, pack_items, Decided, Denied, Forget, Hello, ItemWord, Items, Parcel, Word,
 };
 use prost::Message;
--- a/crates/coordination/tests/golden/samples.rs
+++ b/crates/coordination/tests/golden/samples.rs
@@ -3,9 +3,9 @@
 //! look alike: each of them stands alone in a message besides.
 
 use bytes::Bytes;
-use kitepass_coordination::cast::{Cast, Seat};
-use kitepass_coordination::register::{Ballot, CallWord};
-use kitepass_coordination::words::{
+use kitepass_coordination::consensus::{Ballot, CallWord};
+use kitepass_coordination::membership::{Cast, Seat};
+use kitepass_coordination::protocol::{
     Add, Adds, Beat, Buckets, Claim, Decided, Denied, Forget, Grant, Held, Hello, Inquire, ItemWord, Items,
     Live, Member, Sessions, Store, Stored, Total, Totals, VersionWord, Word,
 };
--- a/crates/coordination/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -2,9 +2,9 @@
 //! a drawn schedule of late, lost and repeated words, cuts, pauses, restarts and lost disks: at no moment do two hold the
 //! duty. And a core cut in two while its cast changes, with each defence taken out, which has to show.
 
-use kitepass_coordination::cast::{Cast, Era, Seat};
 use kitepass_coordination::lease::{Claimant, Voter};
-use kitepass_coordination::words::{Claim, Grant};
+use kitepass_coordination::membership::{Cast, Era, Seat};
+use kitepass_coordination::protocol::{Claim, Grant};
 use kitepass_time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/coordination/tests/casts.rs
+++ b/crates/coordination/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Every cast of 3 to 9 seats over 1 to 3 regions and 2 to 6 zones, every step from it to the next one, and at every
 //! phase of that step every loss of a machine, a zone or a region with its disks; then the repair, and a second loss.
 
-use kitepass_coordination::cast::{Cast, Era, Seat, Sight};
+use kitepass_coordination::membership::{Cast, Era, Seat, Sight};
 use std::collections::{BTreeMap, BTreeSet};
 
 type Names = BTreeSet<String>;
--- a/crates/coordination/tests/contact.rs
+++ b/crates/coordination/tests/quorum_contact.rs
@@ -1,7 +1,7 @@
 //! Contact by what peers give back: one that hears nothing, one that nobody hears, late words, earlier lives, lies.
 
-use kitepass_coordination::cast::{Cast, Seat};
-use kitepass_coordination::contact::{Contact, State, CONTACT};
+use kitepass_coordination::membership::{Cast, Seat};
+use kitepass_coordination::quorum_contact::{Contact, State, CONTACT};
 use kitepass_time::{Moment, Span};
 use rstest::rstest;
 
--- a/crates/data-plane/examples/tables.rs
+++ b/crates/data-plane/examples/tables.rs
@@ -4,10 +4,10 @@
 //! told apart: microseconds a call, and resident memory. docs/CAPACITY.md uses what it prints.
 
 use kitepass_config::{Item, Kind, View};
-use kitepass_coordination::count::{Slack, Terms};
-use kitepass_coordination::words::*;
-use kitepass_data_plane::link::{Brought, Link};
-use kitepass_data_plane::pick::{End, Need, Pick};
+use kitepass_coordination::protocol::*;
+use kitepass_coordination::usage::{Slack, Terms};
+use kitepass_data_plane::control_session::{Brought, Link};
+use kitepass_data_plane::load_balancer::{End, Need, Pick};
 use kitepass_data_plane::quota::{Quota, Verdict};
 use kitepass_time::{Moment, Span};
 use serde_json::json;
--- a/crates/data-plane/src/leg.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -2,8 +2,8 @@
 //! told what happens and says what follows, [`Answer`] reads what a backend says. The sockets around them are the
 //! server's. docs/control-answers.md has the table of states, and why it holds.
 
-use crate::pick::End;
-use kitepass_net::flow::{Body, Head, HeadReader};
+use crate::load_balancer::End;
+use kitepass_net::http::body::{Body, Head, HeadReader};
 use kitepass_net::http::Kind;
 
 /// Heads of answers are taken up to this length.
--- a/crates/data-plane/src/link.rs
+++ b/crates/data-plane/src/control_session.rs
@@ -1,8 +1,8 @@
 //! The session with a control process: what is known of the system comes over it.
 
 use kitepass_config::{Item, Kind, Ledger};
-use kitepass_coordination::cast::{Cast, NOW};
-use kitepass_coordination::words::*;
+use kitepass_coordination::membership::{Cast, NOW};
+use kitepass_coordination::protocol::*;
 use kitepass_time::{Moment, Span};
 use log::{debug, info, warn};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/data-plane/src/main.rs
+++ b/crates/data-plane/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    kitepass_data_plane::command::main()
+    kitepass_data_plane::cli::main()
 }
--- a/crates/data-plane/src/quota.rs
+++ b/crates/data-plane/src/quota.rs
@@ -10,8 +10,8 @@
 //! While the count is silent the last ratio lives for a while, and behind it stands this gateway's part of the limit,
 //! as the holder told it last, which the holder leaves to it; without one, rate over gateways.
 
-use kitepass_coordination::count::{Slack, Terms, ALONE};
-use kitepass_coordination::words::{Add, Totals};
+use kitepass_coordination::protocol::{Add, Totals};
+use kitepass_coordination::usage::{Slack, Terms, ALONE};
 use kitepass_gateway_policy::excess;
 use kitepass_time::{Moment, Span};
 use std::collections::{BTreeMap, VecDeque};
@@ -325,8 +325,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use kitepass_coordination::count::Counts;
-    use kitepass_coordination::words::{Adds, Total};
+    use kitepass_coordination::protocol::{Adds, Total};
+    use kitepass_coordination::usage::Counts;
     use rstest::rstest;
 
     const SLACK: Slack = Slack { window: 5.0, excess: 0.1, margin: 20.0 };
@@ -355,7 +355,7 @@
         quotas.iter_mut().for_each(|quota| quota.live(gateways as usize));
         let (mut counts, mut gone) = (Counts::new(SLACK), 0);
         let (mut passed, mut offered, mut request) = (Vec::new(), 0.0, 0);
-        let mut wire: VecDeque<(i64, usize, i64, kitepass_coordination::words::Totals)> = VecDeque::new();
+        let mut wire: VecDeque<(i64, usize, i64, kitepass_coordination::protocol::Totals)> = VecDeque::new();
         for now in 0..60_000i64 {
             if (fleet.lost)(now) {
                 (counts, gone) = (Counts::new(SLACK), now + 3_000);
--- a/crates/data-plane/src/job.rs
+++ b/crates/data-plane/src/request.rs
@@ -1,8 +1,8 @@
 //! A request, from its intake to its final answer.
 
-use crate::leg::Way;
+use crate::attempt::Way;
 use kitepass_config::{Mail, Route, Tenant, View};
-use kitepass_net::flow::Head;
+use kitepass_net::http::body::Head;
 use kitepass_time::Moment;
 use smallvec::SmallVec;
 use std::sync::Arc;
--- a/crates/data-plane/src/server.rs
+++ b/crates/data-plane/src/server/mod.rs
@@ -1,22 +1,22 @@
 //! Sockets and clock around the decisions: one thread, one loop.
 
-use crate::further::{Budget, Further};
-use crate::job::{Job, WINDOW};
-use crate::leg::{self, Answer, Asked, Came, Next, State, Tail, Verdict};
-use crate::link::{Brought, Link};
-use crate::pick::{End, Need, Pick};
+use crate::attempt::{self, Answer, Asked, Came, Next, State, Tail, Verdict};
+use crate::control_session::{Brought, Link};
+use crate::load_balancer::{End, Need, Pick};
 use crate::quota::{Quota, Verdict as Draw, PERIOD};
+use crate::request::{Job, WINDOW};
+use crate::retry_budget::{Budget, Further};
 use kitepass_config::{Kind, Mail, View};
-use kitepass_coordination::count::{Slack, Terms};
-use kitepass_coordination::frame::{Assembler, MOST_FRAME};
-use kitepass_coordination::words::{self, Add, Adds, Hello, Word};
-use kitepass_net::flow::{Body, Framing, Head, HeadReader};
+use kitepass_coordination::protocol::framing::{Assembler, MOST_FRAME};
+use kitepass_coordination::protocol::{self, Add, Adds, Hello, Word};
+use kitepass_coordination::usage::{Slack, Terms};
+use kitepass_net::connection::{cause, Wire};
+use kitepass_net::http::body::{Body, Framing, Head, HeadReader};
 use kitepass_net::http::{digits, Kind as Which};
-use kitepass_net::poll::{self, Clock, Poll, Ready};
-use kitepass_net::process::{life, Signals};
-use kitepass_net::timers::{TimerKey, Timers};
-use kitepass_net::wire::{cause, Wire};
+use kitepass_net::poller::{self, Clock, Poll, Ready};
+use kitepass_net::timer_wheel::{TimerKey, Timers};
 use kitepass_net::{Errno, OwnedFd};
+use kitepass_node::process::{life, Signals};
 use kitepass_node::{Settings, Watch};
 use kitepass_time::{Moment, Span};
 use log::{debug, error, info, warn};
@@ -176,7 +176,7 @@
         let mut listeners = Vec::new();
         for (token, address) in [(FRONT, Some(front)), (READINESS, settings.counters.readiness)] {
             let Some(address) = address else { continue };
-            let socket = poll::listen(&address).context(ListenSnafu { address })?;
+            let socket = poller::listen(&address).context(ListenSnafu { address })?;
             poll.add(&socket, token).context(SystemSnafu { what: "epoll" })?;
             listeners.push((token, socket));
         }
@@ -463,10 +463,10 @@
     fn speak(&mut self) {
         let Some(session) = &mut self.session else { return };
         for word in self.link.out.drain(..) {
-            words::pack(word, &mut session.wire.output);
+            protocol::pack(word, &mut session.wire.output);
         }
         let items = std::mem::take(&mut self.link.out_items);
-        words::pack_items(items.iter(), &mut session.wire.output);
+        protocol::pack_items(items.iter(), &mut session.wire.output);
         if let Err(error) = session.wire.flush() {
             self.session = None;
             self.link.lost(cause(error));
@@ -531,7 +531,7 @@
     fn accept(&mut self, token: u64) {
         loop {
             let Some((_, listener)) = self.listeners.iter().find(|(t, _)| *t == token) else { return };
-            let socket = match poll::accept(listener) {
+            let socket = match poller::accept(listener) {
                 Ok(Some(socket)) => socket,
                 Ok(None) => return,
                 Err(error) => return warn!("event=accept-failed why={}", cause(error)),
@@ -1085,7 +1085,7 @@
             return;
         };
         let Some(job) = self.jobs.get(&leg.job) else { return };
-        let asked = Asked { id: job.id(), to_head: job.is_to_head(), headed: *headed, long: leg::LONG };
+        let asked = Asked { id: job.id(), to_head: job.is_to_head(), headed: *headed, long: attempt::LONG };
         match leg.answer.read(asked, &mut wire.input, tail) {
             Came::Part => {}
             Came::Whole => return self.answered(now, id, tail),
@@ -1124,7 +1124,7 @@
         if head.ends_here(b"close") {
             self.pick.closes(now, &line.call_sign);
         }
-        let clean = leg::may_rest(verdict, tail, line.wire.input.len(), line.wire.unsent(), leg.finished);
+        let clean = attempt::may_rest(verdict, tail, line.wire.input.len(), line.wire.unsent(), leg.finished);
         let rest = head.keep_alive_secs().map_or(REST, |secs| {
             REST.min(Span::from_micros(secs as i64 * 1_000_000) - Span::from_micros(1_000_000))
         });
--- a/crates/data-plane/tests/leg/calls.rs
+++ b/crates/data-plane/tests/attempt/calls.rs
@@ -1,7 +1,7 @@
 //! All orders of calls to a way, also such as no server makes: each of its answers holds by itself, whoever asks.
 
-use kitepass_data_plane::leg::{may_rest, Next, State, Tail, Verdict, Way};
-use kitepass_data_plane::pick::End;
+use kitepass_data_plane::attempt::{may_rest, Next, State, Tail, Verdict, Way};
+use kitepass_data_plane::load_balancer::End;
 use rstest::rstest;
 use std::collections::BTreeSet;
 
--- a/crates/data-plane/tests/leg/model.rs
+++ b/crates/data-plane/tests/attempt/model.rs
@@ -2,7 +2,7 @@
 //! [`Way`] and the real [`Answer`]; around them stands what the server does with sockets, in a few lines each. Backends
 //! count what they run, also on connections that the gateway has dropped; clients count what they are told.
 
-use kitepass_data_plane::leg::{may_rest, Answer, Asked, Came, Next, State, Tail, Verdict, Way};
+use kitepass_data_plane::attempt::{may_rest, Answer, Asked, Came, Next, State, Tail, Verdict, Way};
 use rstest::rstest;
 use stateright::{Checker, Model, Property};
 
@@ -328,7 +328,7 @@
     }
 
     /// A whole answer has gone to a client.
-    fn check(&mut self, request: usize, head: &kitepass_net::flow::Head, said: &str, of: usize) {
+    fn check(&mut self, request: usize, head: &kitepass_net::http::body::Head, said: &str, of: usize) {
         let own = head.field("x-try-id") == Some(of.to_string().as_bytes());
         self.expect(own, "another request's answer");
         let status = head.status();
--- a/crates/data-plane/tests/leg/reading.rs
+++ b/crates/data-plane/tests/attempt/reading.rs
@@ -1,6 +1,6 @@
 //! What a backend says, cut anywhere, with the connection open, ended or broken behind each cut.
 
-use kitepass_data_plane::leg::{Answer, Asked, Came, Tail};
+use kitepass_data_plane::attempt::{Answer, Asked, Came, Tail};
 use rstest::rstest;
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nX-Try-Id: t1\r\nX-Postmark: p\r\n";
--- a/crates/data-plane/tests/link.rs
+++ b/crates/data-plane/tests/control_session.rs
@@ -1,8 +1,8 @@
 //! The link's own defences against a control process that is out of contact with the core, told what it would hear.
 
 use kitepass_config::{Item, Kind, Ledger};
-use kitepass_coordination::words::{Beat, Buckets, Hello, ItemWord, Items, Live, Word};
-use kitepass_data_plane::link::{Brought, Link, State};
+use kitepass_coordination::protocol::{Beat, Buckets, Hello, ItemWord, Items, Live, Word};
+use kitepass_data_plane::control_session::{Brought, Link, State};
 use kitepass_time::Moment;
 use std::collections::BTreeMap;
 
--- a/crates/data-plane/tests/leg/main.rs
+++ /dev/null
@@ -1,5 +0,0 @@
-//! A request's way, [`kitepass_data_plane::leg`], tried in all orders of what may happen to it.
-
-mod calls;
-mod model;
-mod reading;
--- a/crates/data-plane/tests/sockets/main.rs
+++ b/crates/data-plane/tests/sockets/main.rs
@@ -1,8 +1,8 @@
 //! The program as it is started, spoken to over sockets.
 
 mod bodies;
+mod incarnation;
 mod legs;
-mod life;
 mod stand;
 mod worst;
 
--- a/crates/data-plane/tests/sockets/stand.rs
+++ b/crates/data-plane/tests/sockets/stand.rs
@@ -2,7 +2,7 @@
 //! the test has it say. The control process answers by itself. Nothing waits for longer than `PATIENCE`.
 
 use kitepass_config::{read_call, Checker, Item, Kind, Ledger};
-use kitepass_coordination::words::*;
+use kitepass_coordination::protocol::*;
 use rustix::net::{self, AddressFamily, SocketFlags, SocketType};
 use rustix::process::{kill_process, waitpid, Pid, Signal, WaitOptions};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
--- a/crates/gateway-policy/src/pick.rs
+++ b/crates/gateway-policy/src/backend_selection.rs
@@ -1,9 +1,9 @@
 //! Which backend a leg goes to: the list, the room and the trust that each is thought to have, the credit of a cold
 //! one, and what is learnt from the ends of legs.
 
-use crate::choice::{Gateway, NEWEST, OVERDUE, PERIOD};
+use crate::dispatch::{Gateway, NEWEST, OVERDUE, PERIOD};
 use crate::interface::*;
-use crate::record::Backend;
+use crate::state::Backend;
 use kitepass_time::{Moment, Span};
 
 const COLD_SHARE: f64 = 0.5; // share of what tips a cold backend over that is used at most
--- a/crates/gateway-policy/src/count.rs
+++ b/crates/gateway-policy/src/count.rs
@@ -1,10 +1,10 @@
 //! The count that gateways share: which command waits for it, when what was offered here is added, and what a
 //! total tells of the other gateways.
 
-use crate::choice::{Gateway, PERIOD};
+use crate::dispatch::{Gateway, PERIOD};
 use crate::interface::*;
 use crate::quota::{CALM, LATELY, NEAR};
-use crate::record::{Customer, State};
+use crate::state::{Customer, State};
 use kitepass_time::Moment;
 use std::mem::take;
 
--- a/crates/gateway-policy/src/choice.rs
+++ b/crates/gateway-policy/src/dispatch.rs
@@ -4,11 +4,11 @@
 //! which parts are the article's mechanism and which depart from it. The other decisions stand beside this file:
 //! `quota.rs`, `count.rs`, `peers.rs`, `pressure.rs` and `pick.rs`.
 
+use crate::counters::{hash, Tally};
 use crate::interface::*;
 use crate::latency::Pace;
-use crate::peers::FEW;
-use crate::record::{Backend, Command, Customer, Peers, State};
-use crate::tally::{hash, Tally};
+use crate::peer_exchange::FEW;
+use crate::state::{Backend, Command, Customer, Peers, State};
 use kitepass_time::{Moment, Span};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, HashMap};
--- a/crates/gateway-policy/src/lib.rs
+++ b/crates/gateway-policy/src/lib.rs
@@ -1,16 +1,16 @@
 //! kitepass: quotas for a shared API, kept by gateways that share nothing but a counter.
 
-mod choice;
+mod backend_selection;
 mod count;
+mod counters;
+mod dispatch;
 mod interface;
 mod latency;
-mod peers;
-mod pick;
-mod pressure;
+mod overload;
+mod peer_exchange;
 mod quota;
-mod record;
-mod tally;
+mod state;
 
-pub use choice::Gateway;
+pub use dispatch::Gateway;
 pub use interface::*;
 pub use quota::excess;
--- a/crates/gateway-policy/src/pressure.rs
+++ b/crates/gateway-policy/src/overload.rs
@@ -1,7 +1,7 @@
 //! Overload: how far the legs asked for are past what the fleet settles and has room for, and which commands are
 //! refused for it.
 
-use crate::choice::{Gateway, NEWEST, OVERDUE, PERIOD};
+use crate::dispatch::{Gateway, NEWEST, OVERDUE, PERIOD};
 use crate::interface::Orders;
 use crate::quota::excess;
 use kitepass_time::Moment;
--- a/crates/gateway-policy/src/peers.rs
+++ b/crates/gateway-policy/src/peer_exchange.rs
@@ -1,11 +1,11 @@
 //! What gateways tell and ask one another: news of units to all peers where they are few, else questions to a
 //! customer's controller. Also what waits for an answer, from a peer or the counter, and whether one more may.
 
-use crate::choice::{Gateway, NEWEST, PERIOD};
+use crate::counters::hash;
+use crate::dispatch::{Gateway, NEWEST, PERIOD};
 use crate::interface::*;
 use crate::quota::LATELY;
-use crate::record::{Command, State};
-use crate::tally::hash;
+use crate::state::{Command, State};
 use kitepass_time::{Moment, Span};
 use std::collections::VecDeque;
 use std::mem::take;
--- a/crates/gateway-policy/src/quota.rs
+++ b/crates/gateway-policy/src/quota.rs
@@ -2,10 +2,10 @@
 //! against the ratio that follows from them. What is known of the other gateways comes from `count.rs` and
 //! `peers.rs`.
 
-use crate::choice::{Gateway, PERIOD};
+use crate::counters::hash;
+use crate::dispatch::{Gateway, PERIOD};
 use crate::interface::*;
-use crate::record::Customer;
-use crate::tally::hash;
+use crate::state::Customer;
 use kitepass_time::{Moment, Span};
 use std::mem::replace;
 
--- a/crates/gateway-policy/src/record.rs
+++ b/crates/gateway-policy/src/state.rs
@@ -1,7 +1,7 @@
 //! What the decisions keep of each command, customer and backend. Nothing is decided here.
 
+use crate::counters::{Sums, Tally};
 use crate::interface::{Listed, Offer, Plan, Units};
-use crate::tally::{Sums, Tally};
 use kitepass_time::{Moment, Span};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -2,10 +2,10 @@
 //! at a time, and a leg is written at most once.
 
 use crate::command::{CommandKey, State};
-use crate::floor::{Event, Floor, LegEnded, Timer};
 use crate::http::{Fault, Kind, Message, Reader, MOST_BODY, MOST_HEAD};
 use crate::poll::{self, empty, Came, LineKey, Ready, Source};
-use crate::timers::TimerKey;
+use crate::runtime::{Event, Floor, LegEnded, Timer};
+use crate::timer_wheel::TimerKey;
 use kitepass_gateway_policy::{Ending, Standing};
 use kitepass_time::{Moment, Span};
 use log::{debug, warn};
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,10 +1,10 @@
 //! Client connections: commands in, one at a time on each, and answers out.
 
 use crate::command::{Command, CommandKey, State};
-use crate::floor::{Event, Floor, Phase, Timer};
 use crate::http::{Kind, Message, Reader, MOST_BODY, MOST_HEAD};
-use crate::intake::Intake;
 use crate::poll::{self, empty, Came, ClientKey, Ready, Source};
+use crate::request_head::Intake;
+use crate::runtime::{Event, Floor, Phase, Timer};
 use kitepass_gateway_policy::Ending;
 use kitepass_time::{Moment, Span};
 use log::{debug, warn};
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -1,7 +1,7 @@
 //! The commands that a gateway has taken, each from its intake to its final answer.
 
-use crate::intake::Intake;
 use crate::poll::ClientKey;
+use crate::request_head::Intake;
 use kitepass_gateway_policy::Ending;
 use kitepass_time::Moment;
 use slotmap::{Key, KeyData, SlotMap};
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -1,10 +1,10 @@
 //! The counter: calls written one behind another on one connection, answers in their order. A call that gets
 //! no answer in its time is reported so; its late answer is told from the others' by its place, and told as late.
 
-use crate::floor::{Event, Floor, Timer};
 use crate::http::{Kind, Message, Reader, MOST_BODY};
 use crate::poll::{self, Came, Ready, Source};
-use crate::timers::TimerKey;
+use crate::runtime::{Event, Floor, Timer};
+use crate::timer_wheel::TimerKey;
 use kitepass_gateway_policy::Total;
 use kitepass_time::{Moment, Span};
 use log::{debug, warn};
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,9 +1,9 @@
 //! Discovery: a watch on the list of backends, taken up again from the last version after every break.
 //! Silence takes no backend away.
 
-use crate::floor::{Floor, Phase, Timer};
 use crate::http::Reader;
 use crate::poll::{self, Came, Ready, Source};
+use crate::runtime::{Floor, Phase, Timer};
 use kitepass_gateway_policy::{Gateway, Listed, Standing};
 use kitepass_time::{Moment, Span};
 use log::{debug, info, warn};
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -9,15 +9,15 @@
 mod control;
 mod counter;
 mod discovery;
-mod floor;
-mod intake;
 mod poll;
 mod reload;
+mod request_head;
+mod runtime;
 mod server;
 mod shutdown;
 mod startup;
 
-use kitepass_net::{http, timers};
+use kitepass_net::{http, timer_wheel};
 
 pub use control::Control;
 pub use reload::Addresses;
--- a/crates/gateway/src/poll.rs
+++ b/crates/gateway/src/poll.rs
@@ -1,7 +1,7 @@
 //! What waits for which socket: the shared epoll, with a source in each token.
 
-pub use kitepass_net::poll::{accept, empty, has_ended, is_quiet, listen, made, read, write, Came, Clock};
-use kitepass_net::{poll, Errno};
+pub use kitepass_net::poller::{accept, empty, has_ended, is_quiet, listen, made, read, write, Came, Clock};
+use kitepass_net::{poller, Errno};
 use kitepass_time::Span;
 use rustix::fd::{AsFd, OwnedFd};
 use slotmap::{Key, KeyData};
@@ -70,14 +70,14 @@
 }
 
 pub struct Poll {
-    poll: poll::Poll,
+    poll: poller::Poll,
     /// What was ready last, with its tokens.
-    raw: Vec<poll::Ready>,
+    raw: Vec<poller::Ready>,
 }
 
 impl Poll {
     pub fn new() -> Result<Poll> {
-        Ok(Poll { poll: poll::Poll::new()?, raw: Vec::new() })
+        Ok(Poll { poll: poller::Poll::new()?, raw: Vec::new() })
     }
 
     /// Watches a socket, once and for all: it tells each time that it has become ready again.
@@ -93,7 +93,7 @@
     /// Waits until a socket is ready or the time is over, and leaves what is ready in `ready`.
     pub fn wait(&mut self, time: Option<Span>, ready: &mut Vec<Ready>) -> Result<()> {
         self.poll.wait(time, &mut self.raw)?;
-        ready.extend(self.raw.drain(..).filter_map(|poll::Ready { token, read, write, ended }| {
+        ready.extend(self.raw.drain(..).filter_map(|poller::Ready { token, read, write, ended }| {
             Some(Ready { source: Source::unpack(token)?, read, write, ended })
         }));
         Ok(())
--- a/crates/gateway/src/floor.rs
+++ b/crates/gateway/src/runtime.rs
@@ -6,7 +6,7 @@
 use crate::command::{self, CommandKey, Commands, State};
 use crate::counter::Counter;
 use crate::poll::{ClientKey, Clock, LineKey, Poll};
-use crate::timers::Timers;
+use crate::timer_wheel::Timers;
 use kitepass_gateway_config::Carriage;
 use kitepass_gateway_policy::{Charter, Ending, News, Offer, Orders, Total, Verdict};
 use kitepass_time::{Moment, Span};
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -1,7 +1,7 @@
 //! The end: told to, a gateway serves on for those who have not heard of it, answers what it has taken, closes
 //! what is idle, and is done.
 
-use crate::floor::{Floor, Phase, Timer};
+use crate::runtime::{Floor, Phase, Timer};
 use kitepass_time::Span;
 use log::info;
 
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -1,7 +1,7 @@
 //! What a gateway is told at its start, read from its configuration.
 
-use crate::floor::{Floor, Phase};
 use crate::reload::Addresses;
+use crate::runtime::{Floor, Phase};
 use kitepass_gateway_config::Carriage;
 use kitepass_gateway_policy::Charter;
 use kitepass_time::Span;
--- a/crates/net/src/wire.rs
+++ b/crates/net/src/connection.rs
@@ -1,6 +1,6 @@
 //! One connection: its socket, and the bytes that have come and that are to go.
 
-use crate::poll::{self, Came, Poll, Ready};
+use crate::poller::{self, Came, Poll, Ready};
 use kitepass_time::Span;
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
 use rustix::io::{Errno, Result};
@@ -34,7 +34,7 @@
     /// The system's, for want of descriptors or ports.
     pub fn open(poll: &Poll, to: &SocketAddr, token: u64, patience: Span) -> Result<Wire> {
         let socket = poll.connect(to, token)?;
-        poll::tune(&socket, patience)?;
+        poller::tune(&socket, patience)?;
         Ok(Wire { made: false, readable: false, ..Wire::accepted(socket) })
     }
 
@@ -51,7 +51,7 @@
         self.readable |= ready.read;
         self.ended |= ready.ended;
         if !self.made && ready.write {
-            poll::made(&self.socket)?;
+            poller::made(&self.socket)?;
             self.made = true;
         }
         Ok(())
@@ -65,7 +65,7 @@
     /// The system's: the connection is lost.
     pub fn fill(&mut self, piece: &mut [u8], most: usize) -> Result<bool> {
         while self.made && self.readable && self.input.len() < most {
-            match poll::read(&self.socket, piece, &mut self.input, self.ended)? {
+            match poller::read(&self.socket, piece, &mut self.input, self.ended)? {
                 Came::Bytes => {}
                 Came::Nothing => self.readable = false,
                 Came::End => return Ok(true),
@@ -83,12 +83,12 @@
         if !self.made || self.output.is_empty() {
             return Ok(self.output.is_empty());
         }
-        let whole = poll::write(&self.socket, &self.output, &mut self.written).inspect_err(|_| {
+        let whole = poller::write(&self.socket, &self.output, &mut self.written).inspect_err(|_| {
             // What came before it broke is still to be read, and no edge may have told of it yet.
             (self.readable, self.ended) = (true, true);
         })?;
         if whole {
-            poll::empty(&mut self.output);
+            poller::empty(&mut self.output);
             self.written = 0;
         } else if self.written > 256 * 1024 {
             self.output.drain(..self.written);
@@ -118,7 +118,7 @@
 
     /// Whether the other side has sent nothing unread and has not ended.
     pub fn is_quiet(&self) -> bool {
-        self.made && self.input.is_empty() && !self.ended && poll::is_quiet(&self.socket)
+        self.made && self.input.is_empty() && !self.ended && poller::is_quiet(&self.socket)
     }
 }
 
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http/mod.rs
@@ -1,5 +1,7 @@
 //! HTTP/1.1, read as its bytes come in, cut anywhere. No input or output here.
 
+pub mod body;
+
 use memchr::memchr;
 use std::ops::Range;
 
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,22 +1,20 @@
 //! Sockets, timers and HTTP/1.1 that the programs share. Each program runs its own loop on one thread:
 //!
-//! - [`poll`] watches sockets with epoll, edge by edge, under tokens of the program's own, and reads and writes
+//! - [`poller`] watches sockets with epoll, edge by edge, under tokens of the program's own, and reads and writes
 //!   without blocking. Its errors are the system's own ([`Errno`]).
-//! - [`timers`] is a wheel of milliseconds: [`timers::Timers::next`] says how long to wait,
-//!   [`timers::Timers::due`] what to do then.
+//! - [`timer_wheel`] is a wheel of milliseconds: [`timer_wheel::Timers::next`] says how long to wait,
+//!   [`timer_wheel::Timers::due`] what to do then.
 //! - [`http`] reads whole messages, head and body, of bounded size ([`http::Reader`]).
-//! - [`flow`] reads a head ([`flow::HeadReader`]) and then its body piece by piece ([`flow::Body`]), however long
+//! - [`http::body`] reads a head ([`body::HeadReader`]) and then its body piece by piece ([`body::Body`]), however long
 //!   it is. Both read heads by the same rules, and strictly: what two readers could understand in two ways is a
 //!   [`http::Fault`].
 //!
 //! A connection whose input had a fault is of no more use: where its next message would begin is not known.
 
-pub mod flow;
+pub mod connection;
 pub mod http;
-pub mod poll;
-pub mod process;
-pub mod timers;
-pub mod wire;
+pub mod poller;
+pub mod timer_wheel;
 
 pub use rustix::fd::OwnedFd;
 pub use rustix::io::Errno;
--- a/crates/net/tests/golden.rs
+++ b/crates/net/tests/golden.rs
@@ -1,7 +1,7 @@
 //! What is parsed of HTTP/1.1 messages stays as it is: for each input the outcome of both readers, in plain text, beside
 //! the text in `golden/`.
 
-use kitepass_net::flow::{Body, Framing, Head, HeadReader};
+use kitepass_net::http::body::{Body, Framing, Head, HeadReader};
 use kitepass_net::http::{Fault, Kind, Reader, MOST_BODY, MOST_HEAD};
 use std::fmt::Write;
 use std::path::Path;
--- a/crates/node/examples/cost.rs
+++ b/crates/node/examples/cost.rs
@@ -2,7 +2,7 @@
 use std::time::Instant;
 
 fn main() {
-    let text = include_str!("../tests/full.toml");
+    let text = include_str!("../tests/every_field.toml");
     let read = || kitepass_node::Settings::from_text(text).map(|s| s.sidings);
     let start = Instant::now();
     let first = read();
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -6,6 +6,7 @@
 #![deny(missing_docs)]
 
 mod logging;
+pub mod process;
 mod settings;
 mod watch;
 
--- a/crates/node/tests/intent.rs
+++ b/crates/node/tests/settings.rs
@@ -9,7 +9,7 @@
 const NEEDED: &str =
     "station = \"a\"\nip = \"10.1.0.35\"\ndistrict = \"d\"\nprovince = \"p\"\nsidings = [7740, 7755]\n";
 
-const FULL: &str = include_str!("full.toml");
+const FULL: &str = include_str!("every_field.toml");
 
 #[test]
 fn a_full_file_is_read() {
--- a/crates/simulation/examples/confirm.rs
+++ b/crates/simulation/examples/confirm.rs
@@ -3,9 +3,9 @@
 
 use kitepass_config::Kind;
 use kitepass_simulation::history::Verdict;
-use kitepass_simulation::plan::{Layout, MILLI, SECOND};
-use kitepass_simulation::trial::script;
-use kitepass_simulation::world::World;
+use kitepass_simulation::run::script;
+use kitepass_simulation::scenario::{Layout, MILLI, SECOND};
+use kitepass_simulation::simulation::World;
 
 const CHANGES: usize = 400;
 
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -2,8 +2,8 @@
 //! synced together, and of what was not synced a part from the front may be there after a kill or a loss of power:
 //! a log is cut off before its first entry that is missing or torn.
 
-use crate::chance::Chance;
-use crate::drive::Records;
+use crate::process::Records;
+use crate::rng::Chance;
 use std::collections::BTreeMap;
 
 /// What a disk does to what it is given.
--- a/crates/simulation/src/gate.rs
+++ b/crates/simulation/src/gateway.rs
@@ -1,10 +1,10 @@
 //! A gateway: its true link, and what it has in force.
 
-use crate::drive::{part_of, words_of};
 use crate::history::Part;
+use crate::process::{part_of, words_of};
 use kitepass_config::{Kind, Ledger};
-use kitepass_coordination::words::{Hello, Word};
-use kitepass_data_plane::link::{Brought, Link};
+use kitepass_coordination::protocol::{Hello, Word};
+use kitepass_data_plane::control_session::{Brought, Link};
 use kitepass_time::Moment;
 use std::collections::BTreeMap;
 
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,24 +1,24 @@
-//! The emulator of kitepass' control side: true cores ([`kitepass_control_plane::core::Core`]) and true gateways' links
-//! ([`kitepass_data_plane::link::Link`]) on machines, disks and links in memory, all by seed.
+//! The emulator of kitepass' control side: true cores ([`kitepass_control_plane::state_machine::Core`]) and true gateways' links
+//! ([`kitepass_data_plane::control_session::Link`]) on machines, disks and links in memory, all by seed.
 //!
-//! [`plan`] draws what a seed brings: the layout, the troubles with their moments, how operators behave. [`world`]
-//! plays it and records a [`history`], which judges without looking at the world. [`drive`] is the one place that
-//! touches the core's interface. [`trial`] plays a seed whole, and shortens one that fails. [`digest`] sums a run up
+//! [`scenario`] draws what a seed brings: the layout, the troubles with their moments, how operators behave. [`simulation`]
+//! plays it and records a [`history`], which judges without looking at the world. [`process`] is the one place that
+//! touches the core's interface. [`run`] plays a seed whole, and shortens one that fails. [`digest`] sums a run up
 //! in one number.
 //!
 //! What a process is told is what its sockets, disk and steady clock would tell it: there is no time of day in the
 //! core's interface, so a step of that has nothing to act on; each machine's steady clock begins where it will and
 //! runs a little fast or slow.
 
-pub mod chance;
+pub mod coverage;
 pub mod digest;
 pub mod disk;
-pub mod drive;
-pub mod gate;
+pub mod gateway;
 pub mod history;
+pub mod network;
 pub mod operator;
-pub mod plan;
-pub mod tally;
-pub mod trial;
-pub mod wire;
-pub mod world;
+pub mod process;
+pub mod rng;
+pub mod run;
+pub mod scenario;
+pub mod simulation;
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,9 +1,9 @@
 //! `kitepass-simulation`: plays the control side's emulator by seeds.
 
-use kitepass_simulation::plan::{Plan, Script};
-use kitepass_simulation::tally::Tally;
-use kitepass_simulation::trial::{note_panics, play, shorten, Outcome};
-use kitepass_simulation::world::Logs;
+use kitepass_simulation::coverage::Tally;
+use kitepass_simulation::run::{note_panics, play, shorten, Outcome};
+use kitepass_simulation::scenario::{Plan, Script};
+use kitepass_simulation::simulation::Logs;
 use lexopt::prelude::*;
 use snafu::{ResultExt, Snafu};
 use std::collections::BTreeMap;
--- a/crates/simulation/src/wire.rs
+++ b/crates/simulation/src/network.rs
@@ -2,8 +2,8 @@
 //! order between them. A direction that is cut holds what is said; a connection that gets nothing through for long is
 //! reset by whoever speaks, unless the cut is one that no end can tell from silence.
 
-use crate::chance::Chance;
-use kitepass_coordination::words::Word;
+use crate::rng::Chance;
+use kitepass_coordination::protocol::Word;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Bytes that are not taken end a connection after so long.
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -1,9 +1,9 @@
 //! Operators: what they want next, and what they do with an answer or without one.
 
-use crate::chance::Chance;
-use crate::drive::{items_of, Wish};
 use crate::history::{Content, Name, Part};
-use crate::plan::Ways;
+use crate::process::{items_of, Wish};
+use crate::rng::Chance;
+use crate::scenario::Ways;
 use kitepass_config::Kind;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/simulation/src/drive.rs
+++ b/crates/simulation/src/process.rs
@@ -3,12 +3,12 @@
 use crate::history::{Content, Name, Part, Verdict};
 use bytes::Bytes;
 use kitepass_config::{Item, Kind, Ledger};
-use kitepass_control_plane::core::{Act, Core, Standing, Start};
-use kitepass_control_plane::order::{Order, Reply};
-use kitepass_control_plane::roster::Entry;
-use kitepass_coordination::cast::{Cast, Seat, NEXT, NOW};
-use kitepass_coordination::count::Slack;
-use kitepass_coordination::words::{Hello, ItemWord, Items, Word};
+use kitepass_control_plane::endpoints::Entry;
+use kitepass_control_plane::request::{Order, Reply};
+use kitepass_control_plane::state_machine::{Act, Core, Standing, Start};
+use kitepass_coordination::membership::{Cast, Seat, NEXT, NOW};
+use kitepass_coordination::protocol::{Hello, ItemWord, Items, Word};
+use kitepass_coordination::usage::Slack;
 use kitepass_time::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/simulation/src/trial.rs
+++ b/crates/simulation/src/run.rs
@@ -1,10 +1,10 @@
 //! A seed played whole, judged, and, if it fails, shortened.
 
+use crate::coverage::Tally;
 use crate::digest::digest;
 use crate::history::{judge, Fault, Rule};
-use crate::plan::{Script, Trouble, MILLI, SECOND};
-use crate::tally::Tally;
-use crate::world::World;
+use crate::scenario::{Script, Trouble, MILLI, SECOND};
+use crate::simulation::World;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 
@@ -112,7 +112,7 @@
 }
 
 /// A script of no troubles but these, on a layout.
-pub fn script(seed: u64, layout: crate::plan::Layout, troubles: Vec<(i64, Trouble)>) -> Script {
-    let ways = crate::plan::Ways { callers: 0, ..crate::plan::Ways::calm() };
+pub fn script(seed: u64, layout: crate::scenario::Layout, troubles: Vec<(i64, Trouble)>) -> Script {
+    let ways = crate::scenario::Ways { callers: 0, ..crate::scenario::Ways::calm() };
     Script { seed, layout, ways, troubles, until: i64::MAX / 4 }
 }
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,6 +1,6 @@
 //! What a seed brings, drawn before anything runs: the layout, the troubles with their moments, the operators' ways.
 
-use crate::chance::Chance;
+use crate::rng::Chance;
 use std::fmt::{self, Display};
 
 pub const MILLI: i64 = 1_000;
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/simulation/mod.rs
@@ -1,17 +1,17 @@
 //! The world: machines, their processes, disks and links, gateways and operators, moved from event to event by seed.
 
-use crate::chance::Chance;
+use crate::coverage::Tally;
 use crate::digest::{Fnv1a, Traffic};
 use crate::disk::Disk;
-use crate::drive::{Answer, Birth, Deed, Place, Process, Records};
-use crate::gate::Gate;
+use crate::gateway::Gate;
 use crate::history::{Part, Seen, Verdict};
+use crate::network::{Channel, Cut, Net, PATIENCE, QUIET};
 use crate::operator::{Book, Caller, Task, SILENCE};
-use crate::plan::{Breadth, Layout, Script, Trouble, Way, Ways, MILLI, SECOND};
-use crate::tally::Tally;
-use crate::wire::{Channel, Cut, Net, PATIENCE, QUIET};
-use kitepass_control_plane::roster::Entry;
-use kitepass_coordination::words::{Hello, Word};
+use crate::process::{Answer, Birth, Deed, Place, Process, Records};
+use crate::rng::Chance;
+use crate::scenario::{Breadth, Layout, Script, Trouble, Way, Ways, MILLI, SECOND};
+use kitepass_control_plane::endpoints::Entry;
+use kitepass_coordination::protocol::{Hello, Word};
 use kitepass_time::Moment;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -209,7 +209,7 @@
         }
         (0..world.troubles.len()).for_each(|n| world.at(world.troubles[n].0, Event::Trouble(n)));
         for caller in 0..world.callers.len() {
-            let at = crate::plan::FOUNDED - SECOND + world.asks.among(0, SECOND);
+            let at = crate::scenario::FOUNDED - SECOND + world.asks.among(0, SECOND);
             world.at(at, Event::Caller(caller));
         }
         world.at(SECOND, Event::List);
--- a/crates/simulation/tests/golden.rs
+++ b/crates/simulation/tests/golden.rs
@@ -1,7 +1,7 @@
 //! What a seed does stays as it is: a few seeds of each plan, by the digests of their runs.
 
-use kitepass_simulation::plan::Plan;
-use kitepass_simulation::trial::play;
+use kitepass_simulation::run::play;
+use kitepass_simulation::scenario::Plan;
 
 /// One line for each seed, as `kitepass-simulation run --digests` prints it.
 const DIGESTS: &str = include_str!("golden/digests.txt");
--- a/crates/simulation/tests/owed.rs
+++ b/crates/simulation/tests/requirements.rs
@@ -3,9 +3,9 @@
 use kitepass_config::Kind;
 use kitepass_simulation::history::{judge, Verdict};
 use kitepass_simulation::operator::Task;
-use kitepass_simulation::plan::{Layout, Plan, Script, Trouble, MILLI, SECOND};
-use kitepass_simulation::trial::{play, script};
-use kitepass_simulation::world::World;
+use kitepass_simulation::run::{play, script};
+use kitepass_simulation::scenario::{Layout, Plan, Script, Trouble, MILLI, SECOND};
+use kitepass_simulation::simulation::World;
 use rstest::rstest;
 
 /// Two calls with one item, one version and other contents, sent together to two processes: at most one is confirmed,
--- a/crates/simulation/tests/plans.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -1,8 +1,8 @@
 //! A short form of each plan. The long one is the program: `kitepass-simulation run --seeds 10000`.
 
-use kitepass_simulation::plan::{Plan, Script};
-use kitepass_simulation::tally::Tally;
-use kitepass_simulation::trial::play;
+use kitepass_simulation::coverage::Tally;
+use kitepass_simulation::run::play;
+use kitepass_simulation::scenario::{Plan, Script};
 use rstest::rstest;
 
 fn without_rivals(plan: Plan, seed: u64) -> Script {
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/in_memory.rs
@@ -3,8 +3,8 @@
 use std::os::fd::BorrowedFd;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
+use crate::event_fd::Wake;
 use crate::format::Map;
-use crate::wake::Wake;
 use crate::{Error, Record, Shelf, ThreadSnafu};
 
 /// What outlives a [`Memory`], as the disk outlives a store. Clones are the same.
@@ -37,7 +37,7 @@
 
 impl Shelf for Memory {
     fn put(&self, ticket: u64, records: Vec<Record>) {
-        crate::journal::take(&mut lock(&self.kept.0), records);
+        crate::record_log::take(&mut lock(&self.kept.0), records);
         lock(&self.done).push(ticket);
         self.wake.set();
     }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -54,20 +54,20 @@
 #![deny(missing_docs)]
 
 mod disk;
+mod event_fd;
 mod format;
-mod journal;
-mod memory;
+mod in_memory;
+mod record_log;
 mod store;
 #[cfg(test)]
 mod tests;
-mod wake;
 
 use std::os::fd::BorrowedFd;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-pub use memory::{Kept, Memory};
+pub use in_memory::{Kept, Memory};
 pub use store::{Store, MOST_TICKETS};
 
 /// A record: its key and its value.
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -8,9 +8,9 @@
 use std::time::{Duration, Instant};
 
 use crate::disk::{Disk, Folder};
+use crate::event_fd::Wake;
 use crate::format::Map;
-use crate::journal::Journal;
-use crate::wake::Wake;
+use crate::record_log::Journal;
 use crate::{DiskSnafu, Error, Record, Shelf, ThreadSnafu};
 
 /// How many tickets may wait for the disk. Beyond it the oldest are dropped and never come back; their records
--- a/crates/storage/src/tests.rs
+++ b/crates/storage/src/tests.rs
@@ -12,7 +12,7 @@
 
 use crate::disk::{Disk, Folder};
 use crate::format::Map;
-use crate::journal::Journal;
+use crate::record_log::Journal;
 use crate::{Error, Kept, Memory, Record, Shelf, Store, MOST_TICKETS};
 
 /// A store that tries again at once.
