--- a/crates/config/src/change_request.rs
+++ b/crates/config/src/change_request.rs
@@ -1,11 +1,11 @@
 //! The operator's calls as JSON: read and checked, each item by itself, and the standing items read back.
 
-use crate::error::{LayoutSnafu, Refusal, RowSnafu, UnreadableSnafu};
+use crate::error::{LayoutSnafu, RowSnafu, UnreadableSnafu, ValidationError};
 use crate::item::{Item, Kind};
-use crate::item_store::Ledger;
-use crate::model::{read, Limits, Line, RouteText, Tenant};
+use crate::item_store::ItemStore;
+use crate::model::{read, Limits, RouteText, Service, Tenant};
 use bytes::Bytes;
-use jsonschema::{ValidationError, Validator};
+use jsonschema::{ValidationError as SchemaError, Validator};
 use serde::Serialize;
 use serde_json::{json, Map, Value};
 use snafu::ResultExt;
@@ -58,7 +58,7 @@
 };
 
 static CARRIER_LINES: List = List {
-    kind: Kind::Line,
+    kind: Kind::Service,
     name: "carrier-lines",
     headings: &["name", "checkpoint", "berth-cap", "gauge", "seal", "cold-s", "cold-rate-s", "edition"],
 };
@@ -67,7 +67,7 @@
 
 /// The compiled schema. Compiling takes a few milliseconds: make one, and keep it.
 #[derive(Debug)]
-pub struct Checker {
+pub struct SchemaValidator {
     call: Validator,
     withdrawal: Validator,
     itinerary: Validator,
@@ -76,21 +76,21 @@
     weight_limits: Validator,
 }
 
-impl Default for Checker {
-    fn default() -> Checker {
-        Checker::new()
+impl Default for SchemaValidator {
+    fn default() -> SchemaValidator {
+        SchemaValidator::new()
     }
 }
 
-impl Checker {
-    pub fn new() -> Checker {
+impl SchemaValidator {
+    pub fn new() -> SchemaValidator {
         let whole: Value = serde_json::from_str(SCHEMA).expect("the schema is JSON");
         let part = |name: &str| {
             let mut schema = whole.clone();
             schema["$ref"] = json!(format!("#/$defs/{name}"));
             jsonschema::validator_for(&schema).expect("the schema compiles")
         };
-        Checker {
+        SchemaValidator {
             call: part("call"),
             withdrawal: part("withdrawal"),
             itinerary: part("itinerary"),
@@ -104,7 +104,7 @@
         match kind {
             Kind::Route => &self.itinerary,
             Kind::Tenant => &self.customer,
-            Kind::Line => &self.carrier_line,
+            Kind::Service => &self.carrier_line,
             _ => &self.weight_limits,
         }
     }
@@ -115,12 +115,17 @@
 }
 
 /// A dotted path and what is wrong there. The value itself stays out: it may be a customer's key.
-fn wrong(error: &ValidationError) -> (String, String) {
+fn wrong(error: &SchemaError) -> (String, String) {
     let path = error.instance_path().to_string().trim_start_matches('/').replace('/', ".");
     (cut(&path), cut(&error.masked().to_string()))
 }
 
-fn row<T>(list: &'static str, name: &str, field: &str, reason: impl Into<String>) -> Result<T, Refusal> {
+fn row<T>(
+    list: &'static str,
+    name: &str,
+    field: &str,
+    reason: impl Into<String>,
+) -> Result<T, ValidationError> {
     RowSnafu { list, name: cut(name), field, reason }.fail()
 }
 
@@ -134,7 +139,7 @@
 
 impl Intake {
     /// The same item twice is once; two that differ leave open which is meant.
-    fn add(&mut self, list: &'static str, item: Item) -> Result<(), Refusal> {
+    fn add(&mut self, list: &'static str, item: Item) -> Result<(), ValidationError> {
         match self.places.entry(item.name.clone()) {
             Entry::Vacant(vacant) => {
                 vacant.insert(self.items.len());
@@ -152,7 +157,7 @@
 ///
 /// # Errors
 /// Where the call cannot be read whole, or an item is wrong by itself.
-pub fn read_call(checker: &Checker, body: &[u8]) -> Result<Vec<Item>, Refusal> {
+pub fn read_call(checker: &SchemaValidator, body: &[u8]) -> Result<Vec<Item>, ValidationError> {
     let mut call: Value = serde_json::from_slice(body).context(UnreadableSnafu)?;
     // A list of an unknown name is refused, as its items would be acknowledged and lost.
     if let Err(error) = checker.call.validate(&call) {
@@ -185,11 +190,11 @@
 }
 
 fn read_table(
-    checker: &Checker,
+    checker: &SchemaValidator,
     list: &'static List,
     table: &mut Value,
     intake: &mut Intake,
-) -> Result<(), Refusal> {
+) -> Result<(), ValidationError> {
     let texts = |value: &Value| value.as_str().unwrap_or_default().to_owned();
     let headings: Vec<String> = table["headings"].as_array().into_iter().flatten().map(texts).collect();
     let mut seen = BTreeSet::new();
@@ -210,7 +215,7 @@
     Ok(())
 }
 
-fn check(validator: &Validator, list: &'static str, object: &Value) -> Result<(), Refusal> {
+fn check(validator: &Validator, list: &'static str, object: &Value) -> Result<(), ValidationError> {
     // `is_valid` is several times faster than `validate`, which is only for the message.
     if validator.is_valid(object) {
         return Ok(());
@@ -226,7 +231,7 @@
 }
 
 /// "r" and a number.
-fn read_edition(list: &'static str, name: &str, edition: &Value) -> Result<u64, Refusal> {
+fn read_edition(list: &'static str, name: &str, edition: &Value) -> Result<u64, ValidationError> {
     let digits = edition.as_str().and_then(|text| text.strip_prefix('r'));
     match digits.filter(|digits| digits.bytes().all(|byte| byte.is_ascii_digit())).map(str::parse) {
         Some(Ok(number)) => Ok(number),
@@ -236,11 +241,11 @@
 
 /// Checks and reads an item that is set, its fields with nulls left out.
 fn read_item(
-    checker: &Checker,
+    checker: &SchemaValidator,
     kind: Kind,
     list: &'static str,
     object: Map<String, Value>,
-) -> Result<Item, Refusal> {
+) -> Result<Item, ValidationError> {
     let object = Value::Object(object);
     check(checker.of(kind), list, &object)?;
     let name = if kind == Kind::Limits { "" } else { object["name"].as_str().unwrap_or_default() };
@@ -255,7 +260,7 @@
     let readable = match kind {
         Kind::Route => read(&item, kind).map(|route| check_route(name, &route)).transpose()?.is_some(),
         Kind::Tenant => Tenant::of(&item).is_some(),
-        Kind::Line => Line::of(&item).is_some(),
+        Kind::Service => Service::of(&item).is_some(),
         _ => Limits::of(&item).is_some(),
     };
     if !readable {
@@ -265,7 +270,7 @@
 }
 
 /// What the schema cannot say of a route.
-fn check_route(name: &str, route: &RouteText) -> Result<(), Refusal> {
+fn check_route(name: &str, route: &RouteText) -> Result<(), ValidationError> {
     let list = ITINERARIES.name;
     if !route.lane_prefix.starts_with('/') || !route.lane_prefix.ends_with('/') {
         return row(list, name, "lane-prefix", "does not begin and end with a slash");
@@ -316,7 +321,7 @@
     Some(object)
 }
 
-fn table(whole: &Ledger, list: &List) -> Table {
+fn table(whole: &ItemStore, list: &List) -> Table {
     let mut rows: Vec<Map<String, Value>> = Vec::new();
     for item in whole.each(list.kind) {
         let Some(mut object) = fields(item) else { continue };
@@ -334,7 +339,7 @@
     Table { headings, entries }
 }
 
-fn timetable(whole: &Ledger) -> Timetable {
+fn timetable(whole: &ItemStore) -> Timetable {
     Timetable {
         itineraries: table(whole, &ITINERARIES),
         customers: table(whole, &CUSTOMERS),
@@ -344,11 +349,11 @@
 }
 
 /// All items that stand, as JSON: the three tables, rows by name, and the limits if there are any.
-pub fn read_back(whole: &Ledger) -> Vec<u8> {
+pub fn read_back(whole: &ItemStore) -> Vec<u8> {
     serde_json::to_vec(&timetable(whole)).expect("keys are text")
 }
 
 /// As [`read_back`], laid out as a call that delivers all that stands.
-pub fn read_back_as_call(whole: &Ledger) -> Vec<u8> {
+pub fn read_back_as_call(whole: &ItemStore) -> Vec<u8> {
     serde_json::to_vec(&Call { deliver: timetable(whole) }).expect("keys are text")
 }
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -6,7 +6,7 @@
 /// Why a call is invalid. Nothing of such a call may be taken.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum Refusal {
+pub enum ValidationError {
     #[snafu(display("the call is not whole JSON: {source}"))]
     Unreadable { source: serde_json::Error },
 
--- a/crates/config/src/item.rs
+++ b/crates/config/src/item.rs
@@ -9,17 +9,24 @@
 pub enum Kind {
     Route = 1,
     Tenant = 2,
-    Line = 3,
+    Service = 3,
     Limits = 4,
     Evacuation = 5,
     Backend = 6,
-    Cast = 7,
+    ReplicaSet = 7,
 }
 
 impl Kind {
     /// All kinds, in the order of their numbers.
-    pub const ALL: [Kind; 7] =
-        [Kind::Route, Kind::Tenant, Kind::Line, Kind::Limits, Kind::Evacuation, Kind::Backend, Kind::Cast];
+    pub const ALL: [Kind; 7] = [
+        Kind::Route,
+        Kind::Tenant,
+        Kind::Service,
+        Kind::Limits,
+        Kind::Evacuation,
+        Kind::Backend,
+        Kind::ReplicaSet,
+    ];
 
     /// The kind of this number, if there is one.
     pub fn from_u8(number: u8) -> Option<Kind> {
@@ -42,7 +49,7 @@
     /// Of two versions of a name the higher one prevails.
     pub edition: u64,
     /// A JSON object's text, without name and edition, its keys sorted, null fields left out; `None` for a
-    /// dropped item. Opaque for `Evacuation`, `Backend` and `Cast`.
+    /// dropped item. Opaque for `Evacuation`, `Backend` and `ReplicaSet`.
     pub value: Option<Bytes>,
 }
 
--- a/crates/config/src/item_store/chunks.rs
+++ b/crates/config/src/item_store/chunks.rs
@@ -2,14 +2,14 @@
 //! that whoever has merged it holds all that the other held of these buckets then; buckets that came before a break are
 //! equal after it and not sent again.
 
-use super::{Kept, Ledger, BUCKETS};
+use super::{ItemStore, Kept, BUCKETS};
 use crate::item::Item;
 use crate::version_history::Entry;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// One piece: what differs in the buckets from the one that was asked for up to `next`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Piece<T> {
+pub struct Chunk<T> {
     pub items: Vec<T>,
     /// The first bucket that is not covered; [`BUCKETS`] when all are.
     pub next: usize,
@@ -27,9 +27,9 @@
     xxh3_64(&hashes.flat_map(u64::to_le_bytes).collect::<Vec<u8>>())
 }
 
-/// What [`Piece::digest`] must be if a piece has come whole: `given` are the hashes of a ledger that holds the piece's
+/// What [`Chunk::digest`] must be if a piece has come whole: `given` are the hashes of a ledger that holds the piece's
 /// items and nothing else, `sent` those that the piece was worked out against.
-pub fn piece_digest(given: &[u64; BUCKETS], sent: &[u64], from: usize, next: usize, differs: &[u8]) -> u64 {
+pub fn chunk_digest(given: &[u64; BUCKETS], sent: &[u64], from: usize, next: usize, differs: &[u8]) -> u64 {
     let covered = from.min(BUCKETS)..next.min(BUCKETS);
     let hash = |bucket: usize| match bit(differs, bucket) {
         true => given[bucket],
@@ -38,15 +38,15 @@
     over(covered.map(hash))
 }
 
-impl Ledger {
+impl ItemStore {
     /// The items of buckets that differ from another copy's, from a bucket on: whole buckets of at most `most` bytes in
     /// all, but one that differs at least. A bucket that `theirs` is too short for differs.
-    pub fn piece(&self, theirs: &[u64], from: usize, most: usize) -> Piece<&Item> {
+    pub fn piece(&self, theirs: &[u64], from: usize, most: usize) -> Chunk<&Item> {
         self.cut(&self.buckets, theirs, from, most, |kept| &kept.item)
     }
 
-    /// As [`Ledger::piece`], by [`Ledger::whole_buckets`] and with the older versions.
-    pub fn whole_piece(&self, theirs: &[u64], from: usize, most: usize) -> Piece<Entry<'_>> {
+    /// As [`ItemStore::piece`], by [`ItemStore::whole_buckets`] and with the older versions.
+    pub fn whole_piece(&self, theirs: &[u64], from: usize, most: usize) -> Chunk<Entry<'_>> {
         self.cut(&self.whole, theirs, from, most, Kept::entry)
     }
 
@@ -57,7 +57,7 @@
         from: usize,
         most: usize,
         of: impl Fn(&'a Kept) -> T,
-    ) -> Piece<T> {
+    ) -> Chunk<T> {
         let from = from.min(BUCKETS);
         let mut sizes = [0; BUCKETS];
         for kept in self.kept() {
@@ -79,6 +79,6 @@
         if size == 0 && differs.iter().all(|byte| *byte == 0) {
             differs = Vec::new(); // mostly so, and then it takes no room
         }
-        Piece { items, next, differs, digest }
+        Chunk { items, next, differs, digest }
     }
 }
--- a/crates/config/src/item_store/mod.rs
+++ b/crates/config/src/item_store/mod.rs
@@ -3,30 +3,30 @@
 mod chunks;
 
 use crate::item::{Item, Kind};
-use crate::version_history::{unite, Entry, Merged, Verdict, Version, REMEMBERED};
+use crate::version_history::{unite, Entry, MergeOutcome, VersionDigest, VersionStatus, MAX_OLDER_VERSIONS};
 use std::collections::btree_map;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
-pub use chunks::{piece_digest, Piece};
+pub use chunks::{chunk_digest, Chunk};
 
 /// How many buckets the items are spread over for comparing copies.
 pub const BUCKETS: usize = 256;
 
 /// All items known, dropped ones as tombstones. Danger: without its tombstone a late copy of an old version would bring a
-/// dropped item back. So one of the configuration is taken out only by [`Ledger::forget`], when no such copy is left;
+/// dropped item back. So one of the configuration is taken out only by [`ItemStore::forget`], when no such copy is left;
 /// of backends that are gone the oldest are: whoever reads the platform's list puts that right.
 ///
 /// Merge is by item: the higher edition prevails; of equal editions that differ, the greater by (is set,
 /// bytes), so that all copies come to agree in whatever order they hear of them. For durable kinds the register
 /// lets one content alone be decided for an edition, so that only backends ever need the second rule.
 ///
-/// Of durable kinds up to [`REMEMBERED`] older decided versions are remembered by their marks: a call that comes
-/// again is known by them. Gateways compare copies by the newest versions alone ([`Ledger::buckets`]), control
-/// processes by the older ones too ([`Ledger::whole_buckets`]).
+/// Of durable kinds up to [`MAX_OLDER_VERSIONS`] older decided versions are remembered by their marks: a call that comes
+/// again is known by them. Gateways compare copies by the newest versions alone ([`ItemStore::buckets`]), control
+/// processes by the older ones too ([`ItemStore::whole_buckets`]).
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct ItemStore {
     /// By kind, at `place(kind)`.
     items: [BTreeMap<Arc<str>, Kept>; Kind::ALL.len()],
     highest: [u64; Kind::ALL.len()],
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 struct Kept {
     item: Item,
-    past: Vec<Version>,
+    past: Vec<VersionDigest>,
     hash: u64,
     whole: u64,
     bucket: usize,
@@ -71,7 +71,7 @@
 }
 
 /// `hash` with the older versions.
-fn whole(hash: u64, past: &[Version]) -> u64 {
+fn whole(hash: u64, past: &[VersionDigest]) -> u64 {
     if past.is_empty() {
         return hash;
     }
@@ -101,16 +101,16 @@
     hasher.digest() as usize % BUCKETS
 }
 
-impl Default for Ledger {
-    fn default() -> Ledger {
-        Ledger::new()
+impl Default for ItemStore {
+    fn default() -> ItemStore {
+        ItemStore::new()
     }
 }
 
-impl Ledger {
-    pub fn new() -> Ledger {
+impl ItemStore {
+    pub fn new() -> ItemStore {
         let buckets = || Box::new([0; BUCKETS]);
-        Ledger {
+        ItemStore {
             items: Default::default(),
             highest: [0; Kind::ALL.len()],
             buckets: buckets(),
@@ -120,11 +120,11 @@
 
     /// Takes what another copy knows of an item; whether that changed its newest version. An older one is remembered.
     pub fn merge(&mut self, item: Item) -> bool {
-        self.merge_with(item, &[]) == Merged::News
+        self.merge_with(item, &[]) == MergeOutcome::News
     }
 
     /// Takes what another copy knows of an item and of its older versions.
-    pub fn merge_with(&mut self, item: Item, past: &[Version]) -> Merged {
+    pub fn merge_with(&mut self, item: Item, past: &[VersionDigest]) -> MergeOutcome {
         let place = place(item.kind);
         self.highest[place] = self.highest[place].max(item.edition);
         let keeps_past = item.kind.is_durable();
@@ -139,12 +139,12 @@
             self.whole[bucket] ^= whole;
             let name = item.name.clone();
             self.items[place].insert(name, Kept { item, past: older, hash, whole, bucket });
-            return Merged::News;
+            return MergeOutcome::News;
         };
         let kept = occupied.get_mut();
         let is_news = (item.edition, &item.value) > (kept.item.edition, &kept.item.value);
         if !is_news && item.edition == kept.item.edition && past.is_empty() {
-            return Merged::Nothing;
+            return MergeOutcome::Nothing;
         }
         let (mut version, was) = (item.version(), kept.hash);
         if is_news {
@@ -156,38 +156,40 @@
         let remembers =
             keeps_past && (unite(&mut kept.past, below, past) | unite(&mut kept.past, below, &[version]));
         if !is_news && !remembers {
-            return Merged::Nothing;
+            return MergeOutcome::Nothing;
         }
         self.whole[kept.bucket] ^= kept.whole;
         kept.whole = whole(kept.hash, &kept.past);
         self.whole[kept.bucket] ^= kept.whole;
         if is_news {
-            Merged::News
+            MergeOutcome::News
         } else {
-            Merged::Past
+            MergeOutcome::Past
         }
     }
 
     /// How an item of a call stands to what is decided. Not for backends, of which the last word is always taken.
-    pub fn verdict(&self, item: &Item) -> Verdict {
-        let Some(kept) = self.items[place(item.kind)].get(&item.name) else { return Verdict::Open };
+    pub fn verdict(&self, item: &Item) -> VersionStatus {
+        let Some(kept) = self.items[place(item.kind)].get(&item.name) else { return VersionStatus::Open };
         if kept.item.edition < item.edition {
-            return Verdict::Open;
+            return VersionStatus::Open;
         }
         if kept.item.edition == item.edition {
-            return if kept.item.value == item.value { Verdict::Alike } else { Verdict::Other };
+            return if kept.item.value == item.value { VersionStatus::Alike } else { VersionStatus::Other };
         }
         match kept.past.iter().find(|version| version.edition == item.edition) {
-            Some(version) if *version == item.version() => Verdict::Alike,
-            Some(_) => Verdict::Other,
+            Some(version) if *version == item.version() => VersionStatus::Alike,
+            Some(_) => VersionStatus::Other,
             // Whether it was decided once is forgotten.
-            None if kept.past.len() == REMEMBERED && item.edition < kept.past[0].edition => Verdict::Past,
-            None => Verdict::Open,
+            None if kept.past.len() == MAX_OLDER_VERSIONS && item.edition < kept.past[0].edition => {
+                VersionStatus::Past
+            }
+            None => VersionStatus::Open,
         }
     }
 
     /// The older versions that are remembered of an item, the lowest first.
-    pub fn past(&self, kind: Kind, name: &str) -> &[Version] {
+    pub fn past(&self, kind: Kind, name: &str) -> &[VersionDigest] {
         self.items[place(kind)].get(name).map_or(&[], |kept| &kept.past)
     }
 
@@ -255,7 +257,7 @@
         &self.buckets
     }
 
-    /// As [`Ledger::buckets`], with the older versions.
+    /// As [`ItemStore::buckets`], with the older versions.
     pub fn whole_buckets(&self) -> &[u64; BUCKETS] {
         &self.whole
     }
@@ -268,7 +270,7 @@
             .map(|kept| &kept.item)
     }
 
-    /// As [`Ledger::differing`], with the older versions.
+    /// As [`ItemStore::differing`], with the older versions.
     pub fn whole_differing<'a>(&'a self, theirs: &'a [u64]) -> impl Iterator<Item = Entry<'a>> {
         self.kept()
             .filter(move |kept| theirs.get(kept.bucket) != Some(&self.whole[kept.bucket]))
@@ -331,7 +333,7 @@
             edition: n + 1,
             value: value.map(bytes::Bytes::from),
         };
-        let (mut one, mut two) = (Ledger::new(), Ledger::new());
+        let (mut one, mut two) = (ItemStore::new(), ItemStore::new());
         for n in 0..100 {
             one.merge(item(n, Some("{}")));
             one.merge(Item { edition: 1_000 + n, ..item(n, None) });
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,6 +1,6 @@
-//! The configuration of the load balancer, without any I/O: its items and their merge ([`Ledger`]), the
+//! The configuration of the load balancer, without any I/O: its items and their merge ([`ItemStore`]), the
 //! operator's calls and what makes them invalid ([`read_call`], [`validation`]), their JSON form ([`read_back`]),
-//! typed readings ([`Route`], [`Tenant`], [`Line`], [`Limits`]) and what the data plane routes by ([`View`]).
+//! typed readings ([`Route`], [`Tenant`], [`Service`], [`Limits`]) and what the data plane routes by ([`RoutingTable`]).
 
 mod change_request;
 mod error;
@@ -11,11 +11,13 @@
 mod validation;
 mod version_history;
 
-pub use change_request::{read_back, read_back_as_call, read_call, Checker};
-pub use error::Refusal;
+pub use change_request::{read_back, read_back_as_call, read_call, SchemaValidator};
+pub use error::ValidationError;
 pub use item::{Item, Kind};
-pub use item_store::{piece_digest, Ledger, Piece, BUCKETS};
-pub use model::{Limits, Line, Mail, Route, Tenant};
-pub use routing_table::View;
+pub use item_store::{chunk_digest, Chunk, ItemStore, BUCKETS};
+pub use model::{Limits, RequestSafety, Route, Service, Tenant};
+pub use routing_table::RoutingTable;
 pub use validation::judge;
-pub use version_history::{record, record_key, unrecord, Entry, Merged, Verdict, Version, REMEMBERED};
+pub use version_history::{
+    decode_record, encode_key, record, Entry, MergeOutcome, VersionDigest, VersionStatus, MAX_OLDER_VERSIONS,
+};
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -9,7 +9,7 @@
 
 /// How a route's requests may be treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mail {
+pub enum RequestSafety {
     Safe,
     Unsafe,
     Posting,
@@ -24,7 +24,7 @@
     pub host: Arc<str>,
     /// Begins and ends with a slash.
     pub prefix: Arc<str>,
-    pub mail: Mail,
+    pub mail: RequestSafety,
     /// Milliseconds.
     pub deadline_ms: u32,
     /// Milliseconds; the deadline if the item has none.
@@ -59,7 +59,7 @@
 
 /// A service.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct Service {
     pub name: Arc<str>,
     pub edition: u64,
     /// The path that tells whether a backend is well; "" if the item has none.
@@ -200,9 +200,9 @@
             host: Arc::from(&*text.depot),
             prefix: Arc::from(&*text.lane_prefix),
             mail: match text.mail_kind {
-                Kinds::Safe => Mail::Safe,
-                Kinds::Unsafe => Mail::Unsafe,
-                Kinds::Posting => Mail::Posting,
+                Kinds::Safe => RequestSafety::Safe,
+                Kinds::Unsafe => RequestSafety::Unsafe,
+                Kinds::Posting => RequestSafety::Posting,
             },
             deadline_ms,
             target_ms: text.target_ms.map_or(deadline_ms, |target| target as u32),
@@ -231,11 +231,11 @@
     }
 }
 
-impl Line {
+impl Service {
     /// The service of an item; `None` for another kind, a dropped item, or one that cannot be read.
-    pub fn of(item: &Item) -> Option<Line> {
-        let text: LineText = read(item, Kind::Line)?;
-        Some(Line {
+    pub fn of(item: &Item) -> Option<Service> {
+        let text: LineText = read(item, Kind::Service)?;
+        Some(Service {
             name: item.name.clone(),
             edition: item.edition,
             checkpoint: text.checkpoint.unwrap_or_default(),
--- a/crates/config/src/routing_table.rs
+++ b/crates/config/src/routing_table.rs
@@ -1,8 +1,8 @@
 //! What the data plane routes by: the ledger's standing items, read and indexed.
 
 use crate::item::{Item, Kind};
-use crate::item_store::Ledger;
-use crate::model::{host_key, Limits, Line, Route, Tenant};
+use crate::item_store::ItemStore;
+use crate::model::{host_key, Limits, Route, Service, Tenant};
 use std::collections::hash_map::Entry;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -16,10 +16,10 @@
 /// of two holders of a key or a place the one of the higher edition has it, then the one of the smaller name.
 /// A route is kept though its service is unknown; its requests find no backend.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct RoutingTable {
     /// By name.
     pub tenants: Vec<Arc<Tenant>>,
-    pub lines: BTreeMap<Arc<str>, Arc<Line>>,
+    pub lines: BTreeMap<Arc<str>, Arc<Service>>,
     pub limits: Limits,
     /// The zones that are evacuated.
     pub evacuated: BTreeSet<Arc<str>>,
@@ -44,21 +44,21 @@
     longest: usize,
 }
 
-impl View {
+impl RoutingTable {
     /// The view of what stands.
-    pub fn of(ledger: &Ledger) -> View {
-        View::rebuild(&View::default(), ledger)
+    pub fn of(ledger: &ItemStore) -> RoutingTable {
+        RoutingTable::rebuild(&RoutingTable::default(), ledger)
     }
 
-    /// As [`View::of`], but takes over what the previous view read out of items that have not changed.
-    pub fn rebuild(previous: &View, ledger: &Ledger) -> View {
-        let mut view = View {
+    /// As [`RoutingTable::of`], but takes over what the previous view read out of items that have not changed.
+    pub fn rebuild(previous: &RoutingTable, ledger: &ItemStore) -> RoutingTable {
+        let mut view = RoutingTable {
             limits: ledger.get(Kind::Limits, "").and_then(Limits::of).unwrap_or_default(),
             routes_read: read_all(&previous.routes_read, ledger, Kind::Route, Route::of),
             tenants_read: read_all(&previous.tenants_read, ledger, Kind::Tenant, Tenant::of),
-            ..View::default()
+            ..RoutingTable::default()
         };
-        for line in ledger.each(Kind::Line).filter_map(Line::of) {
+        for line in ledger.each(Kind::Service).filter_map(Service::of) {
             view.lines.insert(line.name.clone(), Arc::new(line));
         }
         for item in ledger.each(Kind::Evacuation) {
@@ -142,7 +142,7 @@
 /// Reads the standing items of a kind. Both the previous readings and the items are in the order of names.
 fn read_all<T>(
     previous: &[Reading<T>],
-    ledger: &Ledger,
+    ledger: &ItemStore,
     kind: Kind,
     read: fn(&Item) -> Option<T>,
 ) -> Vec<Reading<T>> {
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -1,28 +1,28 @@
 //! What makes a call invalid together with what stands.
 
-use crate::error::{LineInUseSnafu, Refusal, SamePlaceSnafu, SharedKeySnafu, UnknownLineSnafu};
+use crate::error::{LineInUseSnafu, SamePlaceSnafu, SharedKeySnafu, UnknownLineSnafu, ValidationError};
 use crate::item::{Item, Kind};
-use crate::item_store::Ledger;
+use crate::item_store::ItemStore;
 use crate::model::{host_key, read, HostKey, PermitsText, RouteText, Text};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// The items of a call that have an effect, by kind and name, over the whole that they come to.
-struct Merged<'a> {
-    whole: &'a Ledger,
+struct MergeOutcome<'a> {
+    whole: &'a ItemStore,
     news: BTreeMap<(Kind, &'a str), &'a Item>,
 }
 
-impl<'a> Merged<'a> {
-    fn new(whole: &'a Ledger, call: &'a [Item]) -> Merged<'a> {
+impl<'a> MergeOutcome<'a> {
+    fn new(whole: &'a ItemStore, call: &'a [Item]) -> MergeOutcome<'a> {
         let mut news: BTreeMap<(Kind, &str), &Item> = BTreeMap::new();
         for item in call.iter().filter(|item| whole.is_news(item)) {
             let prevailing = news.entry((item.kind, &*item.name)).or_insert(item);
-            // As `Ledger::take` does with one after the other.
+            // As `ItemStore::take` does with one after the other.
             if prevailing.edition < item.edition {
                 *prevailing = item;
             }
         }
-        Merged { whole, news }
+        MergeOutcome { whole, news }
     }
 
     /// What the call newly sets.
@@ -43,8 +43,8 @@
 
     /// Services that stood, and that the call drops.
     fn dropped_lines(&self) -> BTreeSet<&'a str> {
-        let dropped = self.news.values().filter(|item| item.kind == Kind::Line && !item.stands());
-        let stood = |name: &&str| self.whole.get(Kind::Line, name).is_some_and(Item::stands);
+        let dropped = self.news.values().filter(|item| item.kind == Kind::Service && !item.stands());
+        let stood = |name: &&str| self.whole.get(Kind::Service, name).is_some_and(Item::stands);
         dropped.map(|item| &*item.name).filter(stood).collect()
     }
 }
@@ -56,8 +56,8 @@
 /// # Errors
 /// Where two customers would share a key, two itineraries a place, or an itinerary would name a service that
 /// there is not.
-pub fn judge(whole: &Ledger, call: &[Item]) -> Result<(), Refusal> {
-    let merged = Merged::new(whole, call);
+pub fn judge(whole: &ItemStore, call: &[Item]) -> Result<(), ValidationError> {
+    let merged = MergeOutcome::new(whole, call);
     judge_routes(&merged)?;
     judge_dropped_lines(&merged)?;
     judge_permits(&merged)
@@ -68,11 +68,11 @@
     shares.chain(route.line.as_deref())
 }
 
-fn judge_routes(merged: &Merged) -> Result<(), Refusal> {
+fn judge_routes(merged: &MergeOutcome) -> Result<(), ValidationError> {
     let mut places: HashMap<(HostKey, Text), &Item> = HashMap::new();
     for item in merged.set(Kind::Route) {
         let Some(route) = read::<RouteText>(item, Kind::Route) else { continue };
-        if let Some(line) = lines(&route).find(|line| !merged.stands(Kind::Line, line)) {
+        if let Some(line) = lines(&route).find(|line| !merged.stands(Kind::Service, line)) {
             return UnknownLineSnafu { name: item.name.clone(), line }.fail();
         }
         if let Some(other) = places.insert((host_key(route.depot.as_bytes()), route.lane_prefix), item) {
@@ -91,7 +91,7 @@
     Ok(())
 }
 
-fn judge_dropped_lines(merged: &Merged) -> Result<(), Refusal> {
+fn judge_dropped_lines(merged: &MergeOutcome) -> Result<(), ValidationError> {
     let dropped = merged.dropped_lines();
     if dropped.is_empty() {
         return Ok(());
@@ -106,7 +106,7 @@
     Ok(())
 }
 
-fn judge_permits(merged: &Merged) -> Result<(), Refusal> {
+fn judge_permits(merged: &MergeOutcome) -> Result<(), ValidationError> {
     let mut keys: HashMap<Text, &Item> = HashMap::new();
     for item in merged.set(Kind::Tenant) {
         for key in read::<PermitsText>(item, Kind::Tenant).into_iter().flat_map(|text| text.permits) {
--- a/crates/config/src/version_history.rs
+++ b/crates/config/src/version_history.rs
@@ -6,22 +6,22 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// So many older versions of an item are remembered.
-pub const REMEMBERED: usize = 64;
+pub const MAX_OLDER_VERSIONS: usize = 64;
 
 /// One decided version of an item: its number, and by what its content is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Version {
+pub struct VersionDigest {
     pub edition: u64,
     /// The hash of the content, the same on every machine.
     pub mark: u128,
 }
 
 impl Item {
-    pub fn version(&self) -> Version {
+    pub fn version(&self) -> VersionDigest {
         let mut hasher = Xxh3::new();
         hasher.update(&[u8::from(self.stands())]);
         hasher.update(self.value.as_deref().unwrap_or_default());
-        Version { edition: self.edition, mark: hasher.digest128() }
+        VersionDigest { edition: self.edition, mark: hasher.digest128() }
     }
 }
 
@@ -29,12 +29,12 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry<'a> {
     pub item: &'a Item,
-    pub past: &'a [Version],
+    pub past: &'a [VersionDigest],
 }
 
 /// How an item of a call stands to what is decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum VersionStatus {
     /// Nothing is decided for this version.
     Open,
     /// It is decided with this content.
@@ -47,7 +47,7 @@
 
 /// What a merge changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merged {
+pub enum MergeOutcome {
     Nothing,
     /// Older versions alone: the record on disk changes, what is in force does not.
     Past,
@@ -57,13 +57,13 @@
 
 /// Puts `more` among the older versions and keeps the highest; whether that changed them. A union, so copies come
 /// to agree in whatever order they hear of versions.
-pub(crate) fn unite(past: &mut Vec<Version>, below: u64, more: &[Version]) -> bool {
+pub(crate) fn unite(past: &mut Vec<VersionDigest>, below: u64, more: &[VersionDigest]) -> bool {
     let was = past.clone();
     past.extend(more.iter().filter(|version| version.edition < below));
     past.sort_unstable_by(|a, b| b.cmp(a));
     // Of one number two contents never are decided; should they be, all copies keep the same.
     past.dedup_by_key(|version| version.edition);
-    past.truncate(REMEMBERED);
+    past.truncate(MAX_OLDER_VERSIONS);
     past.reverse();
     *past != was
 }
@@ -73,7 +73,7 @@
 const WITH_PAST: u8 = 2;
 
 /// The key under which an item is kept on disk.
-pub fn record_key(kind: Kind, name: &str) -> Vec<u8> {
+pub fn encode_key(kind: Kind, name: &str) -> Vec<u8> {
     let mut key = vec![kind as u8];
     key.extend_from_slice(name.as_bytes());
     key
@@ -82,7 +82,7 @@
 /// The record of an item with its older versions. An empty value takes a record away.
 pub fn record(entry: Entry) -> (Vec<u8>, Vec<u8>) {
     let Entry { item, past } = entry;
-    let key = record_key(item.kind, &item.name);
+    let key = encode_key(item.kind, &item.name);
     // Of a backend that is gone nothing is kept.
     if item.kind == Kind::Backend && !item.stands() {
         return (key, Vec::new());
@@ -101,7 +101,7 @@
 }
 
 /// Reads a record back, also one that was written before older versions were remembered; None for one that is no item.
-pub fn unrecord(key: &[u8], value: &[u8]) -> Option<(Item, Vec<Version>)> {
+pub fn decode_record(key: &[u8], value: &[u8]) -> Option<(Item, Vec<VersionDigest>)> {
     let (kind, name) = key.split_first()?;
     let kind = Kind::from_u8(*kind)?;
     let (edition, rest) = value.split_first_chunk::<8>()?;
@@ -113,7 +113,10 @@
         for _ in 0..*count {
             let (edition, after) = rest.split_first_chunk::<8>()?;
             let (mark, after) = after.split_first_chunk::<16>()?;
-            past.push(Version { edition: u64::from_be_bytes(*edition), mark: u128::from_be_bytes(*mark) });
+            past.push(VersionDigest {
+                edition: u64::from_be_bytes(*edition),
+                mark: u128::from_be_bytes(*mark),
+            });
             rest = after;
         }
     }
--- a/crates/config/tests/change_request.rs
+++ b/crates/config/tests/change_request.rs
@@ -1,17 +1,19 @@
 //! Calls: what is taken and read back, and what is refused.
 
-use kitepass_config::{judge, read_back, read_back_as_call, read_call, Checker, Ledger, Refusal};
+use kitepass_config::{
+    judge, read_back, read_back_as_call, read_call, ItemStore, SchemaValidator, ValidationError,
+};
 use rstest::{fixture, rstest};
 use serde_json::{json, Value};
 use std::sync::OnceLock;
 
-fn checker() -> &'static Checker {
-    static CHECKER: OnceLock<Checker> = OnceLock::new();
-    CHECKER.get_or_init(Checker::new)
+fn checker() -> &'static SchemaValidator {
+    static CHECKER: OnceLock<SchemaValidator> = OnceLock::new();
+    CHECKER.get_or_init(SchemaValidator::new)
 }
 
 /// Takes a call as a control plane does.
-fn call(ledger: &mut Ledger, body: &[u8]) -> Result<(), Refusal> {
+fn call(ledger: &mut ItemStore, body: &[u8]) -> Result<(), ValidationError> {
     let items = read_call(checker(), body)?;
     judge(ledger, &items)?;
     for item in items {
@@ -44,27 +46,27 @@
 
 /// The first call, taken.
 #[fixture]
-fn standing() -> Ledger {
-    let mut ledger = Ledger::new();
+fn standing() -> ItemStore {
+    let mut ledger = ItemStore::new();
     call(&mut ledger, json!({ "deliver": first_call() }).to_string().as_bytes()).unwrap();
     ledger
 }
 
-fn back(ledger: &Ledger) -> Value {
+fn back(ledger: &ItemStore) -> Value {
     serde_json::from_slice(&read_back(ledger)).unwrap()
 }
 
 #[rstest]
-fn what_is_sent_is_read_back(standing: Ledger) {
+fn what_is_sent_is_read_back(standing: ItemStore) {
     assert_eq!(back(&standing), first_call());
-    let mut copy = Ledger::new();
+    let mut copy = ItemStore::new();
     call(&mut copy, &read_back_as_call(&standing)).unwrap();
     assert_eq!(copy.digest(), standing.digest());
 }
 
 /// Headings in another order, one unknown; the unknown one is kept for those rows that have it.
 #[rstest]
-fn unknown_headings_are_kept(mut standing: Ledger) {
+fn unknown_headings_are_kept(mut standing: ItemStore) {
     let body = json!({"deliver": {"carrier-lines": {
         "headings": ["edition", "colour", "name"], "entries": [["r8", {"x": [1, null]}, "a"]]}}});
     call(&mut standing, body.to_string().as_bytes()).unwrap();
@@ -75,7 +77,7 @@
 }
 
 #[rstest]
-fn only_a_higher_edition_has_an_effect(mut standing: Ledger) {
+fn only_a_higher_edition_has_an_effect(mut standing: ItemStore) {
     let digest = standing.digest();
     // Were they to have an effect, the first would be refused, as its key is another's.
     for stale in [
@@ -96,7 +98,7 @@
 /// Two valid calls from two places met: both customers have the key. A call on something else is taken, and
 /// so is one that puts it right.
 #[rstest]
-fn a_fault_that_stands_is_not_blamed_on_others(mut standing: Ledger) {
+fn a_fault_that_stands_is_not_blamed_on_others(mut standing: ItemStore) {
     let customer = |name: &str, edition: &str| {
         json!({"deliver": {"customers": {"headings": ["name", "permits", "edition"],
             "entries": [[name, ["key3"], edition]]}}})
@@ -176,7 +178,7 @@
     "\"b\": withdrawn, but itinerary \"i1\""
 )]
 fn an_invalid_call_is_refused_by_field_and_item(
-    mut standing: Ledger,
+    mut standing: ItemStore,
     #[case] body: impl AsRef<str>,
     #[case] message: &str,
 ) {
@@ -191,6 +193,6 @@
 #[case(route(json!({"deadline-ms": 600_000})))]
 #[case(customers(r#"[["c9","r1",["x","x"]],["c9","r1",["x","x"]]]"#))]
 #[case("{}")]
-fn a_valid_call_is_taken(mut standing: Ledger, #[case] body: impl AsRef<str>) {
+fn a_valid_call_is_taken(mut standing: ItemStore, #[case] body: impl AsRef<str>) {
     call(&mut standing, body.as_ref().as_bytes()).unwrap();
 }
--- a/crates/config/tests/chunks.rs
+++ b/crates/config/tests/chunks.rs
@@ -2,10 +2,10 @@
 //! passes for one.
 
 use bytes::Bytes;
-use kitepass_config::{piece_digest, Item, Kind, Ledger, BUCKETS};
+use kitepass_config::{chunk_digest, Item, ItemStore, Kind, BUCKETS};
 
-fn ledger(chance: &mut oorandom::Rand64, most: u64) -> Ledger {
-    let mut ledger = Ledger::new();
+fn ledger(chance: &mut oorandom::Rand64, most: u64) -> ItemStore {
+    let mut ledger = ItemStore::new();
     for _ in 0..chance.rand_range(0..most) {
         let kind = Kind::ALL[chance.rand_range(0..7) as usize];
         let name = format!("n{}", chance.rand_range(0..most));
@@ -34,16 +34,16 @@
             let sizes = || piece.items.iter().map(|item| item.bytes());
             let beside = sizes().sum::<usize>() - sizes().max().unwrap_or(0);
             assert!(beside <= MOST, "seed {seed}: {beside} bytes beside the largest item");
-            let mut given = Ledger::new();
+            let mut given = ItemStore::new();
             piece.items.iter().for_each(|item| _ = given.merge((*item).clone()));
-            assert_eq!(piece_digest(given.buckets(), &sent, from, piece.next, &piece.differs), piece.digest);
+            assert_eq!(chunk_digest(given.buckets(), &sent, from, piece.next, &piece.differs), piece.digest);
             // With any one item missing, or old, it does not pass.
             if let Some(doubted) = piece.items.iter().find(|item| item.kind != Kind::Backend) {
-                let mut short = Ledger::new();
+                let mut short = ItemStore::new();
                 let others = piece.items.iter().filter(|item| *item != doubted);
                 others.for_each(|item| _ = short.merge((*item).clone()));
                 assert_ne!(
-                    piece_digest(short.buckets(), &sent, from, piece.next, &piece.differs),
+                    chunk_digest(short.buckets(), &sent, from, piece.next, &piece.differs),
                     piece.digest
                 );
             }
@@ -77,12 +77,12 @@
 /// What came before a break is not sent again.
 #[test]
 fn a_break_is_resumed_where_it_was() {
-    let mut told = Ledger::new();
+    let mut told = ItemStore::new();
     for n in 0..3_000 {
         let value = Some(Bytes::from(vec![b'v'; 100]));
         told.merge(Item { kind: Kind::Tenant, name: format!("n{n}").into(), edition: 1, value });
     }
-    let (mut asker, mut sent_in_all) = (Ledger::new(), 0);
+    let (mut asker, mut sent_in_all) = (ItemStore::new(), 0);
     while asker.digest() != told.digest() {
         // Each connection carries one piece, and ends.
         let piece = told.piece(asker.buckets(), 0, 32_000);
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -3,8 +3,8 @@
 
 use bytes::Bytes;
 use kitepass_config::{
-    judge, piece_digest, read_back, read_back_as_call, read_call, Checker, Item, Kind, Ledger, BUCKETS,
-    REMEMBERED,
+    chunk_digest, judge, read_back, read_back_as_call, read_call, Item, ItemStore, Kind, SchemaValidator,
+    BUCKETS, MAX_OLDER_VERSIONS,
 };
 use std::fmt::Write;
 use std::sync::OnceLock;
@@ -17,9 +17,9 @@
 const REJECTED: &str = include_str!("golden/rejected-calls.txt");
 const HASHES: &str = include_str!("golden/hashes.txt");
 
-fn checker() -> &'static Checker {
-    static CHECKER: OnceLock<Checker> = OnceLock::new();
-    CHECKER.get_or_init(Checker::new)
+fn checker() -> &'static SchemaValidator {
+    static CHECKER: OnceLock<SchemaValidator> = OnceLock::new();
+    CHECKER.get_or_init(SchemaValidator::new)
 }
 
 /// A line an item: the number of its kind, its name, its version, and its value's bytes as text.
@@ -34,15 +34,15 @@
 }
 
 /// Takes a call as the control plane does; the text of the error if it is rejected.
-fn apply(store: &mut Ledger, call: &[u8]) -> Result<(), String> {
+fn apply(store: &mut ItemStore, call: &[u8]) -> Result<(), String> {
     let items = read_call(checker(), call).map_err(|error| error.to_string())?;
     judge(store, &items).map_err(|error| error.to_string())?;
     items.into_iter().for_each(|item| _ = store.take(item));
     Ok(())
 }
 
-fn store_after_change() -> Ledger {
-    let mut store = Ledger::new();
+fn store_after_change() -> ItemStore {
+    let mut store = ItemStore::new();
     apply(&mut store, CHANGE.as_bytes()).unwrap();
     store
 }
@@ -63,13 +63,13 @@
     let store = store_after_change();
     assert_is_golden(read_back(&store), READ_BACK);
     assert_is_golden(read_back_as_call(&store), READ_BACK_AS_CALL);
-    assert_is_golden(read_back(&Ledger::new()), READ_BACK_EMPTY);
+    assert_is_golden(read_back(&ItemStore::new()), READ_BACK_EMPTY);
 }
 
 /// What was read back and is sent as a call is read back as the same bytes.
 #[test]
 fn what_is_read_back_as_a_call_can_be_sent() {
-    let mut store = Ledger::new();
+    let mut store = ItemStore::new();
     apply(&mut store, READ_BACK_AS_CALL.as_bytes()).unwrap();
     assert_is_golden(read_back(&store), READ_BACK);
     assert_is_golden(read_back_as_call(&store), READ_BACK_AS_CALL);
@@ -92,8 +92,15 @@
 
 #[test]
 fn numbers_of_kinds() {
-    let kinds =
-        [Kind::Route, Kind::Tenant, Kind::Line, Kind::Limits, Kind::Evacuation, Kind::Backend, Kind::Cast];
+    let kinds = [
+        Kind::Route,
+        Kind::Tenant,
+        Kind::Service,
+        Kind::Limits,
+        Kind::Evacuation,
+        Kind::Backend,
+        Kind::ReplicaSet,
+    ];
     assert!(kinds == Kind::ALL);
     for (kind, number) in kinds.into_iter().zip(1..) {
         assert_eq!(kind as u8, number);
@@ -112,18 +119,18 @@
         item(Kind::Route, "route-1", 7, Some("{\"a\":1}")),
         item(Kind::Tenant, "tenant-1", 8, None),
         item(Kind::Tenant, "route-1", 7, Some("{\"a\":1}")),
-        item(Kind::Line, "sérvice", 0x0102_0304_0506_0708, Some("{}")),
+        item(Kind::Service, "sérvice", 0x0102_0304_0506_0708, Some("{}")),
         item(Kind::Limits, "", 4, Some("{\"idle-ms\":1}")),
         item(Kind::Evacuation, "zone-a", 5, Some("")),
         item(Kind::Backend, "backend-1", 6, Some("10.0.0.1:80")),
         item(Kind::Backend, "backend-2", 6, None),
-        item(Kind::Cast, "now", 7, Some("\u{0}\u{1}")),
+        item(Kind::ReplicaSet, "now", 7, Some("\u{0}\u{1}")),
     ]
 }
 
 /// Items, and for some of them older versions, one of which was a removal.
-fn store_with_history() -> Ledger {
-    let mut store = Ledger::new();
+fn store_with_history() -> ItemStore {
+    let mut store = ItemStore::new();
     store.merge(item(Kind::Route, "route-1", 3, Some("{\"a\":0}")));
     store.merge(item(Kind::Route, "route-1", 5, None));
     store.merge(item(Kind::Tenant, "tenant-1", 2, Some("{}")));
@@ -139,7 +146,7 @@
     }
 }
 
-fn hashes_of(text: &mut String, name: &str, store: &Ledger) {
+fn hashes_of(text: &mut String, name: &str, store: &ItemStore) {
     writeln!(text, "{name}.digest {:016x}", store.digest()).unwrap();
     writeln!(text, "{name}.digest-with-history {:016x}", store.whole_digest()).unwrap();
     describe_buckets(text, &format!("{name}.bucket"), store.buckets());
@@ -154,7 +161,13 @@
 }
 
 /// A chunk of what a store holds, against the bucket hashes of another one.
-fn describe_chunk(text: &mut String, store: &Ledger, theirs: &[u64], from: usize, max_bytes: usize) -> usize {
+fn describe_chunk(
+    text: &mut String,
+    store: &ItemStore,
+    theirs: &[u64],
+    from: usize,
+    max_bytes: usize,
+) -> usize {
     let chunk = store.piece(theirs, from, max_bytes);
     let (next, digest, count) = (chunk.next, chunk.digest, chunk.items.len());
     writeln!(text, "chunk {from} to {next}: {count} items, {digest:016x}, {}", hex(&chunk.differs)).unwrap();
@@ -163,9 +176,9 @@
     let differs = hex(&with_history.differs);
     writeln!(text, "chunk-with-history {from} to {next}: {count} items, {digest:016x}, {differs}").unwrap();
     // The receiver's own calculation gives the same digest.
-    let mut received = Ledger::new();
+    let mut received = ItemStore::new();
     chunk.items.iter().for_each(|item| _ = received.merge((*item).clone()));
-    let calculated = piece_digest(received.buckets(), theirs, from, chunk.next, &chunk.differs);
+    let calculated = chunk_digest(received.buckets(), theirs, from, chunk.next, &chunk.differs);
     assert_eq!(calculated, chunk.digest);
     chunk.next
 }
@@ -177,9 +190,9 @@
         let version = item.version();
         writeln!(text, "content {} {:032x}", version.edition, version.mark).unwrap();
     }
-    hashes_of(&mut text, "empty", &Ledger::new());
+    hashes_of(&mut text, "empty", &ItemStore::new());
     for item in items() {
-        let mut store = Ledger::new();
+        let mut store = ItemStore::new();
         let name = format!("{}-{}", item.kind as u8, item.name);
         store.merge(item);
         hashes_of(&mut text, &name, &store);
@@ -199,5 +212,5 @@
 /// Constants that both ends of a connection go by.
 #[test]
 fn numbers_of_buckets_and_remembered_versions() {
-    assert_eq!((BUCKETS, REMEMBERED), (256, 64));
+    assert_eq!((BUCKETS, MAX_OLDER_VERSIONS), (256, 64));
 }
--- a/crates/config/tests/merge.rs
+++ b/crates/config/tests/merge.rs
@@ -1,7 +1,10 @@
 //! Copies of a ledger agree, in whatever order they hear of things.
 
 use bytes::Bytes;
-use kitepass_config::{record, unrecord, Item, Kind, Ledger, Merged, Verdict, Version, REMEMBERED};
+use kitepass_config::{
+    decode_record, record, Item, ItemStore, Kind, MergeOutcome, VersionDigest, VersionStatus,
+    MAX_OLDER_VERSIONS,
+};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,21 +16,21 @@
     })
 }
 
-fn ledger<'a>(items: impl IntoIterator<Item = &'a Item>) -> Ledger {
-    let mut ledger = Ledger::new();
+fn ledger<'a>(items: impl IntoIterator<Item = &'a Item>) -> ItemStore {
+    let mut ledger = ItemStore::new();
     for item in items {
         ledger.merge(item.clone());
     }
     ledger
 }
 
-fn content(ledger: &Ledger) -> Vec<&Item> {
+fn content(ledger: &ItemStore) -> Vec<&Item> {
     ledger.all().collect()
 }
 
 /// What copies have to agree on: all but backends that are gone, which each forgets in its own time. One that is
 /// gone in one copy and stands in another differs like anything else.
-fn shown(ledger: &Ledger) -> Vec<&Item> {
+fn shown(ledger: &ItemStore) -> Vec<&Item> {
     ledger.all().filter(|item| item.kind != Kind::Backend || item.stands()).collect()
 }
 
@@ -72,11 +75,11 @@
 
 /// A durable item's version, of which there is one content for each number, as the register sees to.
 fn decided(edition: u64) -> Item {
-    Item { kind: Kind::Line, name: "a".into(), edition, value: Some(format!("{edition}").into()) }
+    Item { kind: Kind::Service, name: "a".into(), edition, value: Some(format!("{edition}").into()) }
 }
 
 /// Merges one ledger's items with their older versions into another.
-fn pour(from: &Ledger, into: &mut Ledger) {
+fn pour(from: &ItemStore, into: &mut ItemStore) {
     let theirs = into.whole_buckets().to_vec();
     for entry in from.whole_differing(&theirs) {
         into.merge_with(entry.item.clone(), entry.past);
@@ -98,7 +101,7 @@
         pour(&right, &mut left);
         pour(&left, &mut right);
         for copy in [&left, &right] {
-            prop_assert_eq!(copy.past(Kind::Line, "a"), whole.past(Kind::Line, "a"));
+            prop_assert_eq!(copy.past(Kind::Service, "a"), whole.past(Kind::Service, "a"));
             prop_assert_eq!(copy.whole_buckets(), whole.whole_buckets());
             prop_assert_eq!(copy.digest(), whole.digest());
         }
@@ -106,43 +109,52 @@
         sorted.sort_unstable();
         sorted.dedup();
         sorted.pop();
-        let expected: Vec<Version> = sorted.iter().rev().take(REMEMBERED).rev().map(|n| decided(*n).version()).collect();
-        prop_assert_eq!(whole.past(Kind::Line, "a"), &expected[..]);
-        let entry = whole.entry(Kind::Line, "a").unwrap();
+        let expected: Vec<VersionDigest> = sorted.iter().rev().take(MAX_OLDER_VERSIONS).rev().map(|n| decided(*n).version()).collect();
+        prop_assert_eq!(whole.past(Kind::Service, "a"), &expected[..]);
+        let entry = whole.entry(Kind::Service, "a").unwrap();
         let (key, value) = record(entry);
-        prop_assert_eq!(unrecord(&key, &value), Some((entry.item.clone(), entry.past.to_vec())));
+        prop_assert_eq!(decode_record(&key, &value), Some((entry.item.clone(), entry.past.to_vec())));
     }
 }
 
 #[test]
 fn a_call_that_comes_again_is_known_after_newer_versions() {
-    let mut ledger = Ledger::new();
+    let mut ledger = ItemStore::new();
     let other = |edition| Item { value: None, ..decided(edition) };
-    assert_eq!(ledger.verdict(&decided(2)), Verdict::Open);
-    for edition in (2..=2 * REMEMBERED as u64).step_by(2) {
-        assert_eq!(ledger.merge_with(decided(edition), &[]), Merged::News);
+    assert_eq!(ledger.verdict(&decided(2)), VersionStatus::Open);
+    for edition in (2..=2 * MAX_OLDER_VERSIONS as u64).step_by(2) {
+        assert_eq!(ledger.merge_with(decided(edition), &[]), MergeOutcome::News);
     }
-    let newest = 2 * REMEMBERED as u64;
+    let newest = 2 * MAX_OLDER_VERSIONS as u64;
     assert_eq!(
         (ledger.verdict(&decided(newest)), ledger.verdict(&other(newest))),
-        (Verdict::Alike, Verdict::Other)
+        (VersionStatus::Alike, VersionStatus::Other)
+    );
+    assert_eq!(
+        (ledger.verdict(&decided(2)), ledger.verdict(&other(2))),
+        (VersionStatus::Alike, VersionStatus::Other)
     );
-    assert_eq!((ledger.verdict(&decided(2)), ledger.verdict(&other(2))), (Verdict::Alike, Verdict::Other));
     assert_eq!(
         (ledger.verdict(&decided(3)), ledger.verdict(&decided(newest + 1))),
-        (Verdict::Open, Verdict::Open)
+        (VersionStatus::Open, VersionStatus::Open)
     );
     // Decided late, an older version has no effect and is remembered; what falls out below is past.
-    assert_eq!(ledger.verdict(&decided(1)), Verdict::Open, "there is room to remember it");
-    assert_eq!(ledger.merge_with(decided(3), &[]), Merged::Past);
-    assert_eq!(ledger.merge_with(decided(3), &[]), Merged::Nothing);
-    assert_eq!((ledger.verdict(&decided(3)), ledger.verdict(&other(3))), (Verdict::Alike, Verdict::Other));
-    assert_eq!(ledger.past(Kind::Line, "a").len(), REMEMBERED);
-    assert_eq!((ledger.verdict(&decided(1)), ledger.verdict(&other(1))), (Verdict::Past, Verdict::Past));
-    assert_eq!(ledger.get(Kind::Line, "a"), Some(&decided(newest)));
+    assert_eq!(ledger.verdict(&decided(1)), VersionStatus::Open, "there is room to remember it");
+    assert_eq!(ledger.merge_with(decided(3), &[]), MergeOutcome::Past);
+    assert_eq!(ledger.merge_with(decided(3), &[]), MergeOutcome::Nothing);
+    assert_eq!(
+        (ledger.verdict(&decided(3)), ledger.verdict(&other(3))),
+        (VersionStatus::Alike, VersionStatus::Other)
+    );
+    assert_eq!(ledger.past(Kind::Service, "a").len(), MAX_OLDER_VERSIONS);
+    assert_eq!(
+        (ledger.verdict(&decided(1)), ledger.verdict(&other(1))),
+        (VersionStatus::Past, VersionStatus::Past)
+    );
+    assert_eq!(ledger.get(Kind::Service, "a"), Some(&decided(newest)));
     // A record of before, without older versions, is read as it was.
     let old = [&7u64.to_be_bytes()[..], &[1], b"x"].concat();
-    let (item, past) = unrecord(&[Kind::Line as u8, b'a'], &old).unwrap();
+    let (item, past) = decode_record(&[Kind::Service as u8, b'a'], &old).unwrap();
     assert_eq!((item.edition, item.value.as_deref(), past.len()), (7, Some(&b"x"[..]), 0));
     // Backends have no past.
     let backend = |edition| Item { kind: Kind::Backend, ..decided(edition) };
--- a/crates/config/tests/routing_table.rs
+++ b/crates/config/tests/routing_table.rs
@@ -1,7 +1,7 @@
 //! What a view finds, be the whole valid or not.
 
 use bytes::Bytes;
-use kitepass_config::{Item, Kind, Ledger, Mail, View};
+use kitepass_config::{Item, ItemStore, Kind, RequestSafety, RoutingTable};
 use rstest::rstest;
 use serde_json::{json, Value};
 use std::sync::Arc;
@@ -16,8 +16,8 @@
     item(Kind::Route, name, edition, value)
 }
 
-fn ledger() -> Ledger {
-    let mut ledger = Ledger::new();
+fn ledger() -> ItemStore {
+    let mut ledger = ItemStore::new();
     for item in [
         route("a", 1, "/a/"),
         route("ab", 1, "/a/b/"),
@@ -46,10 +46,10 @@
 #[case("other.example", "/a/", None)]
 #[case("hulo84.example", "/c/d", Some("newer"))]
 fn the_longest_prefix_has_a_path(#[case] host: &str, #[case] path: &str, #[case] name: Option<&str>) {
-    let view = View::of(&ledger());
+    let view = RoutingTable::of(&ledger());
     let route = view.route(host.as_bytes(), path.as_bytes());
     assert_eq!(route.map(|route| &*route.name), name);
-    assert!(route.is_none_or(|route| route.mail == Mail::Posting && route.tries == 1));
+    assert!(route.is_none_or(|route| route.mail == RequestSafety::Posting && route.tries == 1));
 }
 
 #[rstest]
@@ -58,7 +58,7 @@
 #[case("k3", Some("t2"))]
 #[case("k4", None)]
 fn a_key_has_one_tenant(#[case] key: &str, #[case] name: Option<&str>) {
-    let view = View::of(&ledger());
+    let view = RoutingTable::of(&ledger());
     let tenant = view.tenant_of(key.as_bytes()).map(|at| &view.tenants[at]);
     assert_eq!(tenant.map(|tenant| &*tenant.name), name);
 }
@@ -66,12 +66,12 @@
 #[rstest]
 fn a_rebuilt_view_takes_over_only_what_has_not_changed() {
     let mut ledger = ledger();
-    let first = View::of(&ledger);
+    let first = RoutingTable::of(&ledger);
     assert_eq!(first.evacuated.iter().map(|zone| &**zone).collect::<Vec<_>>(), ["zone1"]);
     ledger.merge(route("a", 2, "/z/"));
     ledger.merge(Item { value: None, ..route("newer", 11, "/c/") });
-    let second = View::rebuild(&first, &ledger);
-    let found = |view: &View, path: &[u8]| view.route(b"hulo84.example", path).cloned();
+    let second = RoutingTable::rebuild(&first, &ledger);
+    let found = |view: &RoutingTable, path: &[u8]| view.route(b"hulo84.example", path).cloned();
     assert!(Arc::ptr_eq(&found(&first, b"/a/b/").unwrap(), &found(&second, b"/a/b/").unwrap()));
     assert_eq!(found(&second, b"/a/"), None);
     assert_eq!(&*found(&second, b"/z/").unwrap().name, "a");
--- a/crates/control-plane/examples/sizes.rs
+++ b/crates/control-plane/examples/sizes.rs
@@ -2,9 +2,9 @@
 //! sizes [TENANTS ROUTES]`. Time, bytes and memory to found it, to take the whole configuration, to start again with it and
 //! with an empty folder, and to open its store. docs/CAPACITY.md uses what it prints.
 
-use kitepass_config::{read_call, Checker, Ledger, BUCKETS};
+use kitepass_config::{read_call, ItemStore, SchemaValidator, BUCKETS};
 use kitepass_control_plane::server::Server;
-use kitepass_coordination::protocol::{pack, Held, ItemWord, Word};
+use kitepass_coordination::protocol::{pack, ItemMessage, Message, PrepareResponse};
 use kitepass_storage::Store;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
@@ -151,17 +151,18 @@
 }
 
 /// Words and bytes of the answers that bring an empty copy to hold all.
-fn pieces(ledger: &Ledger) -> (usize, usize, usize) {
+fn pieces(ledger: &ItemStore) -> (usize, usize, usize) {
     let (mut from, mut words, mut bytes, mut most) = (0, 0, 0, 0);
-    let sent = Ledger::new().whole_buckets().to_vec();
+    let sent = ItemStore::new().whole_buckets().to_vec();
     while from < BUCKETS {
         let piece = ledger.whole_piece(&sent, from, PIECE);
-        let items = piece.items.into_iter().map(ItemWord::from).collect();
+        let items = piece.items.into_iter().map(ItemMessage::from).collect();
         let next = piece.next as u32;
         let (differs, digest) = (piece.differs, piece.digest);
-        let held = Held { items, from: from as u32, next, differs, digest, ..Held::default() };
+        let held =
+            PrepareResponse { items, from: from as u32, next, differs, digest, ..PrepareResponse::default() };
         let mut frames = Vec::new();
-        pack(Word::Held(held), &mut frames);
+        pack(Message::PrepareResponse(held), &mut frames);
         (words, bytes, most) = (words + 1, bytes + frames.len(), most.max(frames.len()));
         from = piece.next;
     }
@@ -185,9 +186,9 @@
     let call = configuration(tenants, routes);
     tell("the call", format!("{} tenants, {} routes, {} bytes", tenants, routes, call.len()));
     let begun = Instant::now();
-    let items = read_call(&Checker::new(), &call).expect("valid");
+    let items = read_call(&SchemaValidator::new(), &call).expect("valid");
     tell("to read it, alone", ms(begun.elapsed()));
-    let mut ledger = Ledger::new();
+    let mut ledger = ItemStore::new();
     items.iter().for_each(|item| _ = ledger.merge(item.clone()));
     tell("as items", format!("{} bytes", items.iter().map(|item| item.bytes()).sum::<usize>()));
     let (words, bytes, most) = pieces(&ledger);
--- a/crates/control-plane/examples/slopes.rs
+++ b/crates/control-plane/examples/slopes.rs
@@ -1,18 +1,18 @@
 //! What the control plane's work costs as the system grows: `cargo run --release -p kitepass-accord --example slopes`.
 //!
-//! Six [`Core`]s on a wire and disks in memory, with hollow gateways that answer as a gateway's link does, at three
+//! Six [`StateMachine`]s on a wire and disks in memory, with hollow gateways that answer as a gateway's link does, at three
 //! sizes, each in a process of its own so that memory is told apart. All time is simulated but the processor's: that
 //! is measured around the modules' calls, with packing and unpacking of words. docs/CAPACITY.md uses what it prints.
 
 use bytes::Bytes;
-use kitepass_config::{Item, Kind, Ledger};
+use kitepass_config::{Item, ItemStore, Kind};
 use kitepass_control_plane::endpoints;
-use kitepass_control_plane::request::{Order, Reply};
-use kitepass_control_plane::state_machine::{Act, Core, Standing, Start};
-use kitepass_coordination::membership::Seat;
+use kitepass_control_plane::request::{Request, Response};
+use kitepass_control_plane::state_machine::{Action, ReplicaState, Start, StateMachine};
+use kitepass_coordination::membership::Replica;
 use kitepass_coordination::protocol::*;
-use kitepass_coordination::usage::Slack;
-use kitepass_time::Moment;
+use kitepass_coordination::usage::QuotaTolerance;
+use kitepass_time::Timestamp;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -37,15 +37,15 @@
 const SEEN: usize = 83;
 /// Periods after its last use in which a gateway still reads a tenant's count, as the course's quota does.
 const AFTERWARDS: usize = 3;
-const SLACK: Slack = Slack { window: 5.0, excess: 0.1, margin: 20.0 };
+const SLACK: QuotaTolerance = QuotaTolerance { window: 5.0, excess: 0.1, margin: 20.0 };
 /// Entries on a page of the platform's list.
 const PAGE: usize = 50;
 const READING: i64 = 700_000;
 /// Changes measured one by one.
 const CHANGES: usize = 20;
 
-fn at(micros: i64) -> Moment {
-    Moment::from_micros(micros)
+fn at(micros: i64) -> Timestamp {
+    Timestamp::from_micros(micros)
 }
 
 /// Words and bytes in and out, and the processor's time.
@@ -77,8 +77,8 @@
 }
 
 struct Node {
-    seat: Seat,
-    core: Core,
+    seat: Replica,
+    core: StateMachine,
     tally: Tally,
 }
 
@@ -87,7 +87,7 @@
     hello: Hello,
     node: usize,
     session: u64,
-    ledger: Rc<Ledger>,
+    ledger: Rc<ItemStore>,
     caught: bool,
     lived: bool,
     ready: bool,
@@ -99,12 +99,12 @@
 enum Due {
     Peer { from: usize, to: usize, frame: Vec<u8> },
     Up { gate: usize, session: u64, frame: Vec<u8> },
-    Down { gate: usize, session: u64, word: Word },
+    Down { gate: usize, session: u64, word: Message },
     Items { gate: usize, session: u64, items: Arc<[Item]> },
     Kept(usize, u64),
     Tick(usize),
     Come(usize),
-    Beat(usize),
+    Heartbeat(usize),
     Period(usize),
     Ask(usize),
     List,
@@ -146,7 +146,7 @@
     news: [(f64, f64); 2],
     watched: Watched,
     /// What a ledger becomes by items: gateways that hold the same share it.
-    shared: HashMap<(u64, u64), Rc<Ledger>>,
+    shared: HashMap<(u64, u64), Rc<ItemStore>>,
     chance: oorandom::Rand64,
 }
 
@@ -154,7 +154,7 @@
     fn new(size: [usize; 4]) -> World {
         let nodes = PLACES.iter().enumerate().map(|(n, (district, province))| {
             let (district, province) = (district.to_string(), province.to_string());
-            let seat = Seat {
+            let seat = Replica {
                 station: format!("sorting-{district}-{n}"),
                 ip: format!("10.0.0.{n}"),
                 district,
@@ -169,7 +169,7 @@
                 records: vec![],
                 slack: SLACK,
             };
-            Node { core: Core::new(at(0), start), seat, tally: Tally::default() }
+            Node { core: StateMachine::new(at(0), start), seat, tally: Tally::default() }
         });
         let mut world = World {
             now: 0,
@@ -214,7 +214,7 @@
     }
 
     /// Calls a core, with its time measured, and carries out what it wants done.
-    fn run_core<T>(&mut self, n: usize, call: impl FnOnce(&mut Core, Moment) -> T) -> T {
+    fn run_core<T>(&mut self, n: usize, call: impl FnOnce(&mut StateMachine, Timestamp) -> T) -> T {
         let (now, node) = (at(self.now), &mut self.nodes[n]);
         let begun = Instant::now();
         let result = call(&mut node.core, now);
@@ -224,13 +224,17 @@
         result
     }
 
-    fn act(&mut self, n: usize, act: Act) {
+    fn act(&mut self, n: usize, act: Action) {
         match act {
-            Act::Peer(station, word) => {
+            Action::Peer(station, word) => {
                 let to = self.nodes.iter().position(|node| node.seat.station == station).expect("one of six");
                 let news = matches!(
                     word,
-                    Word::Store(_) | Word::Stored(_) | Word::Inquire(_) | Word::Held(_) | Word::Items(_)
+                    Message::AcceptRequest(_)
+                        | Message::AcceptResponse(_)
+                        | Message::PrepareRequest(_)
+                        | Message::PrepareResponse(_)
+                        | Message::Items(_)
                 );
                 let frame = self.pack(n, word);
                 if news {
@@ -240,13 +244,13 @@
                 let near = PLACES[n].1 == PLACES[to].1;
                 self.set(if near { NEAR } else { FAR }, Due::Peer { from: n, to, frame });
             }
-            Act::Session(session, word) => {
+            Action::Session(session, word) => {
                 let Some(gate) = self.gate(session) else { return };
                 let length = self.pack(n, word.clone()).len();
                 self.edge.got(length);
                 self.set(NEAR, Due::Down { gate, session, word });
             }
-            Act::Items(session, items) => {
+            Action::Items(session, items) => {
                 let Some(gate) = self.gate(session) else { return };
                 let (mut frame, begun) = (Vec::new(), Instant::now());
                 pack_items(items.iter(), &mut frame);
@@ -259,12 +263,12 @@
                     self.set(NEAR, Due::Items { gate, session, items });
                 }
             }
-            Act::Keep(ticket, _) => self.set(SYNC, Due::Kept(n, ticket)),
-            Act::Answer(_, reply) => {
-                assert_eq!(reply, Reply::Done, "the core takes what it is given here");
+            Action::Keep(ticket, _) => self.set(SYNC, Due::Kept(n, ticket)),
+            Action::Answer(_, reply) => {
+                assert_eq!(reply, Response::Done, "the core takes what it is given here");
                 self.watched.answered = Some(self.now);
             }
-            Act::Close(session) => panic!("session {session} was closed"),
+            Action::Close(session) => panic!("session {session} was closed"),
         }
     }
 
@@ -273,7 +277,7 @@
         (self.gates[gate].session == session).then_some(gate)
     }
 
-    fn pack(&mut self, n: usize, word: Word) -> Vec<u8> {
+    fn pack(&mut self, n: usize, word: Message) -> Vec<u8> {
         let (mut frame, begun) = (Vec::new(), Instant::now());
         pack(word, &mut frame);
         self.nodes[n].tally.busy += begun.elapsed();
@@ -281,7 +285,7 @@
         frame
     }
 
-    fn unpack(&mut self, n: usize, frame: &[u8]) -> Word {
+    fn unpack(&mut self, n: usize, frame: &[u8]) -> Message {
         let begun = Instant::now();
         let word = Assembler::default().next(frame, &mut 0);
         self.nodes[n].tally.busy += begun.elapsed();
@@ -290,7 +294,7 @@
     }
 
     /// A gateway says something.
-    fn say(&mut self, gate: usize, word: Word) {
+    fn say(&mut self, gate: usize, word: Message) {
         let mut frame = Vec::new();
         pack(word, &mut frame);
         self.edge.sent(1, frame.len());
@@ -300,8 +304,8 @@
 
     fn beat(&mut self, gate: usize) {
         let Gate { ledger, ready, .. } = &self.gates[gate];
-        let beat = Beat { digest: ledger.digest(), ready: *ready, ..Beat::default() };
-        self.say(gate, Word::Beat(beat));
+        let beat = Heartbeat { digest: ledger.digest(), ready: *ready, ..Heartbeat::default() };
+        self.say(gate, Message::Heartbeat(beat));
     }
 
     fn come(&mut self, gate: usize) {
@@ -310,33 +314,34 @@
         (it.ledger, it.caught, it.lived, it.ready) = (Rc::default(), false, false, false);
         let (node, session, hello) = (it.node, it.session, it.hello.clone());
         let mut frame = Vec::new();
-        pack(Word::Hello(hello.clone()), &mut frame);
+        pack(Message::Hello(hello.clone()), &mut frame);
         self.edge.sent(1, frame.len());
         self.unpack(node, &frame);
         self.run_core(node, |core, now| core.session_came(now, session, hello));
         let hashes = self.gates[gate].ledger.buckets().to_vec();
-        self.say(gate, Word::Buckets(Buckets { hashes, back: false }));
+        self.say(gate, Message::BucketDigests(BucketDigests { hashes, back: false }));
         self.beat(gate);
     }
 
     /// As `Link::said` of the course.
-    fn heard(&mut self, gate: usize, word: Word) {
+    fn heard(&mut self, gate: usize, word: Message) {
         match word {
-            Word::Buckets(buckets) => {
+            Message::BucketDigests(buckets) => {
                 let ledger = self.gates[gate].ledger.clone();
-                let items: Vec<ItemWord> = ledger.differing(&buckets.hashes).map(ItemWord::from).collect();
+                let items: Vec<ItemMessage> =
+                    ledger.differing(&buckets.hashes).map(ItemMessage::from).collect();
                 if !items.is_empty() {
-                    self.say(gate, Word::Items(Items { items }));
+                    self.say(gate, Message::Items(Items { items }));
                 }
                 if buckets.back {
                     self.gates[gate].caught = true;
                 } else {
                     let hashes = ledger.buckets().to_vec();
-                    self.say(gate, Word::Buckets(Buckets { hashes, back: false }));
+                    self.say(gate, Message::BucketDigests(BucketDigests { hashes, back: false }));
                 }
             }
-            Word::Live(_) => self.gates[gate].lived = true,
-            Word::Totals(totals) if totals.asks => {
+            Message::MembershipUpdate(_) => self.gates[gate].lived = true,
+            Message::UsageTotals(totals) if totals.asks => {
                 let sent = self.asked.remove(&(gate, totals.ticket)).expect("asked for");
                 return self.waited.push(self.now - sent);
             }
@@ -358,7 +363,7 @@
             self.shared.clear();
         }
         let merged = self.shared.entry(key).or_insert_with(|| {
-            let mut ledger = Ledger::clone(ledger);
+            let mut ledger = ItemStore::clone(ledger);
             items.iter().for_each(|item| {
                 ledger.merge(item.clone());
             });
@@ -385,8 +390,12 @@
         for tenant in it.seen.back().into_iter().flatten() {
             *offered.entry(*tenant).or_default() += 1;
         }
-        let add =
-            |(tenant, offered)| Add { tenant: tenant_name(tenant), offered, sent: offered, ..Add::default() };
+        let add = |(tenant, offered)| TenantUsage {
+            tenant: tenant_name(tenant),
+            offered,
+            sent: offered,
+            ..TenantUsage::default()
+        };
         let adds = offered.into_iter().map(add).collect();
         self.add(gate, adds, false);
     }
@@ -394,16 +403,16 @@
     /// A gateway asks for one request of a tenant: it holds none in advance, as it sees each tenant rarely.
     fn ask(&mut self, gate: usize) {
         let tenant = self.chance.rand_range(0..self.size[2] as u64) as u32;
-        let adds = vec![Add { tenant: tenant_name(tenant), wants: 1, ..Add::default() }];
+        let adds = vec![TenantUsage { tenant: tenant_name(tenant), wants: 1, ..TenantUsage::default() }];
         let ticket = self.add(gate, adds, true);
         self.asked.insert((gate, ticket), self.now);
     }
 
-    fn add(&mut self, gate: usize, adds: Vec<Add>, asks: bool) -> u64 {
+    fn add(&mut self, gate: usize, adds: Vec<TenantUsage>, asks: bool) -> u64 {
         let it = &mut self.gates[gate];
         it.ticket += 1;
         let (ticket, station, life) = (it.ticket, it.hello.station.clone(), it.hello.life);
-        self.say(gate, Word::Adds(Adds { ticket, station, adds, life, asks }));
+        self.say(gate, Message::UsageReport(UsageReport { ticket, station, adds, life, asks }));
         ticket
     }
 
@@ -462,11 +471,11 @@
                 self.set(100_000, Due::Tick(n));
             }
             Due::Come(gate) => self.come(gate),
-            Due::Beat(gate) => {
+            Due::Heartbeat(gate) => {
                 if self.gates[gate].session >= 10_000 {
                     self.beat(gate);
                 }
-                self.set(SECOND / 2, Due::Beat(gate));
+                self.set(SECOND / 2, Due::Heartbeat(gate));
             }
             Due::Period(gate) => {
                 if self.counting && self.gates[gate].ready {
@@ -498,7 +507,8 @@
     fn patch(&mut self, n: usize, body: &Value) {
         self.watched.answered = None;
         let body = body.to_string();
-        let order: Order = self.run_core(n, |core, _| core.read_call(body.as_bytes())).expect("a valid call");
+        let order: Request =
+            self.run_core(n, |core, _| core.read_call(body.as_bytes())).expect("a valid call");
         self.run_core(n, |core, now| core.order(now, 1, order));
     }
 
@@ -538,7 +548,7 @@
             self.gates.push(Gate { hello, node, session, ledger, caught, lived, ready, seen, ticket });
             let phases: Vec<i64> = (0..3).map(|_| self.chance.rand_range(0..SECOND as u64) as i64).collect();
             self.set(5 * phases[0], Due::Come(gate));
-            self.set(phases[1] / 2, Due::Beat(gate));
+            self.set(phases[1] / 2, Due::Heartbeat(gate));
             self.set(phases[2], Due::Period(gate));
         }
         self.run(12 * SECOND);
@@ -669,7 +679,7 @@
     let before = resident();
     let mut world = World::new(size);
     world.run(5 * SECOND);
-    assert!(world.nodes.iter().all(|node| node.core.standing() == Standing::Current), "not founded");
+    assert!(world.nodes.iter().all(|node| node.core.standing() == ReplicaState::Current), "not founded");
     let empty = resident();
     world.patch(0, &configuration(size));
     world.set(0, Due::List);
--- a/crates/control-plane/src/cli/client.rs
+++ b/crates/control-plane/src/cli/client.rs
@@ -2,7 +2,7 @@
 //! counts. Blocking, as a command has nothing else to do.
 
 use kitepass_net::http::body::{Body, HeadReader};
-use kitepass_net::http::{Fault, Kind};
+use kitepass_net::http::{MessageKind, ParseError};
 use snafu::{OptionExt, ResultExt, Snafu};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -13,7 +13,7 @@
 const TRY_MIB: Duration = Duration::from_secs(1);
 /// How often a `307` is followed.
 const MOST_TURNS: usize = 2;
-const MOST_HEAD: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Bytes of an answer. Danger: one that never ends.
 const MOST_ANSWER: usize = 64 * 1024 * 1024;
 /// Characters of a refusal that are shown.
@@ -39,7 +39,7 @@
     #[snafu(display("no answer in time"))]
     Late,
     #[snafu(display("an answer that is none, {source}"))]
-    Garbled { source: Fault },
+    Garbled { source: ParseError },
     #[snafu(display("closed without a whole answer"))]
     Short,
     #[snafu(display("an answer of too many bytes"))]
@@ -182,8 +182,10 @@
     let mut begun: Option<(Answer, Body)> = None;
     loop {
         if begun.is_none() {
-            let kind = Kind::Answer { to_head: false };
-            if let Some((head, framing)) = reader.next(kind, &mut input, MOST_HEAD).context(GarbledSnafu)? {
+            let kind = MessageKind::Answer { to_head: false };
+            if let Some((head, framing)) =
+                reader.next(kind, &mut input, MAX_HEAD_BYTES).context(GarbledSnafu)?
+            {
                 let location = head.field("location").map(|to| String::from_utf8_lossy(to).into_owned());
                 let answer = Answer { status: head.status(), location, body: Vec::new() };
                 begun = Some((answer, Body::new(framing)));
--- a/crates/control-plane/src/cli/mod.rs
+++ b/crates/control-plane/src/cli/mod.rs
@@ -3,7 +3,7 @@
 mod client;
 
 use crate::server::Server;
-use kitepass_config::{judge, read_call, Checker, Item, Kind, Ledger};
+use kitepass_config::{judge, read_call, Item, ItemStore, Kind, SchemaValidator};
 use lexopt::prelude::*;
 use serde_json::{Map, Value as Json};
 use snafu::{OptionExt, ResultExt, Snafu};
@@ -358,8 +358,8 @@
     Ok(text)
 }
 
-fn items_of(checker: &Checker, path: &Path) -> Result<Vec<Item>, Error> {
-    let invalid = |refusal: kitepass_config::Refusal| Error::Invalid {
+fn items_of(checker: &SchemaValidator, path: &Path) -> Result<Vec<Item>, Error> {
+    let invalid = |refusal: kitepass_config::ValidationError| Error::Invalid {
         path: path.to_owned(),
         why: refusal.to_string(),
     };
@@ -375,7 +375,7 @@
 
 fn check(args: &Args) -> Result<(), Error> {
     let path = Path::new(&args.words[0]);
-    let (checker, mut whole) = (Checker::new(), Ledger::new());
+    let (checker, mut whole) = (SchemaValidator::new(), ItemStore::new());
     if let Some(against) = &args.against {
         for item in items_of(&checker, against)? {
             whole.take(item);
@@ -427,25 +427,25 @@
     match kind {
         Kind::Route => "itineraries",
         Kind::Tenant => "customers",
-        Kind::Line => "carrier-lines",
+        Kind::Service => "carrier-lines",
         _ => "weight-limits",
     }
 }
 
 fn diff(args: &Args) -> Result<(), Error> {
     let desks = desks(args)?;
-    let checker = Checker::new();
+    let checker = SchemaValidator::new();
     let items = items_of(&checker, Path::new(&args.words[0]))?;
     let body = client::ask(&desks, "GET", "/v1/Timetable.Get", b"").context(AskSnafu)?;
     let body = [b"{\"deliver\":", body.as_slice(), b"}"].concat();
-    let mut whole = Ledger::new();
+    let mut whole = ItemStore::new();
     for item in read_call(&checker, &body).map_err(strange)? {
         whole.take(item);
     }
     say(&compared(&items, &whole))
 }
 
-fn compared(items: &[Item], whole: &Ledger) -> String {
+fn compared(items: &[Item], whole: &ItemStore) -> String {
     let mut sums = [0; Against::ALL.len()];
     let mut rows = Vec::new();
     for item in items {
--- a/crates/control-plane/src/endpoints.rs
+++ b/crates/control-plane/src/endpoints.rs
@@ -4,13 +4,13 @@
 //! cold from when the item came. Only what changed becomes news: a cold time that merely runs down does not.
 
 use bytes::Bytes;
-use kitepass_config::{Item, Kind, Ledger};
-use kitepass_time::{Moment, Span};
+use kitepass_config::{Item, ItemStore, Kind};
+use kitepass_time::{Duration, Timestamp};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A cold time that differs by no more from what was told is the same one.
-const SLACK: Span = Span::from_micros(700_000);
+const SLACK: Duration = Duration::from_micros(700_000);
 /// Backends taken at most. Danger: a list that never ends.
 const MOST: usize = 50_000;
 
@@ -58,19 +58,19 @@
 
 /// What the holder of the duty keeps of its readings.
 #[derive(Default)]
-pub struct Roster {
+pub struct EndpointList {
     number: u64,
-    cold: BTreeMap<String, Moment>,
+    cold: BTreeMap<String, Timestamp>,
     missing: BTreeSet<String>,
 }
 
-impl Roster {
+impl EndpointList {
     pub fn begin(&mut self, term: u64) {
-        *self = Roster { number: term << 32, ..Roster::default() };
+        *self = EndpointList { number: term << 32, ..EndpointList::default() };
     }
 
     /// The news of a whole reading, as items of editions above all that are known.
-    pub fn read(&mut self, now: Moment, entries: Vec<Entry>, ledger: &Ledger) -> Vec<Item> {
+    pub fn read(&mut self, now: Timestamp, entries: Vec<Entry>, ledger: &ItemStore) -> Vec<Item> {
         // Danger: terms begin anew when the whole core restarts, while backends are kept on disk: what an earlier
         // term wrote would stay for ever. Editions go on above whatever is known.
         self.number = self.number.max(ledger.highest(Kind::Backend));
@@ -83,7 +83,7 @@
         let mut seen = BTreeSet::new();
         for entry in &entries {
             seen.insert(entry.call_sign.as_str());
-            let until = now + Span::from_micros(entry.cold_ms as i64 * 1000);
+            let until = now + Duration::from_micros(entry.cold_ms as i64 * 1000);
             let told = self.cold.get(&entry.call_sign).copied().unwrap_or(now);
             // What was told and is over is as warm as what is not cold.
             let (was, is) = (told.max(now), until);
@@ -146,9 +146,9 @@
 
     #[test]
     fn only_what_changed_is_news_and_what_is_missing_twice_is_gone() {
-        let at = |millis: i64| Moment::from_micros(millis * 1000);
-        let (mut roster, mut ledger) = (Roster::default(), Ledger::new());
-        let mut read = |now, entries: &[Entry], ledger: &mut Ledger| {
+        let at = |millis: i64| Timestamp::from_micros(millis * 1000);
+        let (mut roster, mut ledger) = (EndpointList::default(), ItemStore::new());
+        let mut read = |now, entries: &[Entry], ledger: &mut ItemStore| {
             let news = roster.read(at(now), entries.to_vec(), ledger);
             for item in &news {
                 assert!(ledger.merge(item.clone()));
--- a/crates/control-plane/src/request.rs
+++ b/crates/control-plane/src/request.rs
@@ -1,11 +1,11 @@
 //! What callers ask of a control process, as values; decoded from their calls, run by the core.
 
 use kitepass_config::Item;
-use kitepass_coordination::consensus::Call as Proposal;
-use kitepass_coordination::membership::Cast;
+use kitepass_coordination::consensus::Proposal;
+use kitepass_coordination::membership::ReplicaSet;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum Request {
     /// The newest configuration in full.
     Get,
     Patch(Vec<Item>),
@@ -18,38 +18,38 @@
     /// The one that does the duty reads what a majority holds.
     Survey,
     /// A cast is brought in, all that was decided before is read, and it is put in force.
-    Next(Cast),
-    Fill(Cast),
-    Now(Cast),
+    Next(ReplicaSet),
+    Fill(ReplicaSet),
+    Now(ReplicaSet),
 }
 
-impl Order {
+impl Request {
     /// Bytes that are to be moved for it, its own alone.
     pub fn bytes(&self) -> usize {
         match self {
-            Order::Patch(items) => items.iter().map(Item::bytes).sum(),
-            Order::Settle(call) => call.bytes(),
+            Request::Patch(items) => items.iter().map(Item::bytes).sum(),
+            Request::Settle(call) => call.bytes(),
             _ => 0,
         }
     }
 
     pub fn name(&self) -> &'static str {
         match self {
-            Order::Get => "get",
-            Order::Patch(_) => "patch",
-            Order::Evacuate { on: true, .. } => "evacuate-start",
-            Order::Evacuate { on: false, .. } => "evacuate-end",
-            Order::Settle(_) => "settle",
-            Order::Survey => "survey",
-            Order::Next(_) => "cast-next",
-            Order::Fill(_) => "cast-fill",
-            Order::Now(_) => "cast-now",
+            Request::Get => "get",
+            Request::Patch(_) => "patch",
+            Request::Evacuate { on: true, .. } => "evacuate-start",
+            Request::Evacuate { on: false, .. } => "evacuate-end",
+            Request::Settle(_) => "settle",
+            Request::Survey => "survey",
+            Request::Next(_) => "cast-next",
+            Request::Fill(_) => "cast-fill",
+            Request::Now(_) => "cast-now",
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Reply {
+pub enum Response {
     Done,
     Body(Vec<u8>),
     /// Nothing of it was taken, and why.
@@ -64,8 +64,8 @@
 
 /// A call as its first line and body tell it, before anything is run.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Call {
-    Order(Order),
+pub enum ApiCall {
+    Request(Request),
     /// A body that is still to be read as a change of items.
     Patch,
     Lookup {
@@ -77,8 +77,8 @@
     WrongMethod,
 }
 
-impl Call {
-    pub fn decode(method: &[u8], target: &[u8]) -> Call {
+impl ApiCall {
+    pub fn decode(method: &[u8], target: &[u8]) -> ApiCall {
         let target = String::from_utf8_lossy(target);
         let (path, query) = target.split_once('?').unwrap_or((&target, ""));
         let of = |name: &str| {
@@ -87,22 +87,23 @@
         };
         let (wanted, call) = match path {
             "/v1/route-lookup" => {
-                ("GET", Call::Lookup { province: of("province"), district: of("district") })
+                ("GET", ApiCall::Lookup { province: of("province"), district: of("district") })
             }
-            "/v1/Timetable.Get" => ("GET", Call::Order(Order::Get)),
-            "/v1/Timetable.Patch" => ("POST", Call::Patch),
-            "/v1/members" => ("GET", Call::Members),
+            "/v1/Timetable.Get" => ("GET", ApiCall::Request(Request::Get)),
+            "/v1/Timetable.Patch" => ("POST", ApiCall::Patch),
+            "/v1/members" => ("GET", ApiCall::Members),
             _ => match path.strip_prefix("/v1/Evacuate.").and_then(|rest| rest.split_once('/')) {
-                Some((verb @ ("Start" | "End"), zone)) if !zone.is_empty() && !zone.contains('/') => {
-                    ("POST", Call::Order(Order::Evacuate { zone: zone.to_owned(), on: verb == "Start" }))
-                }
-                _ => return Call::Unknown,
+                Some((verb @ ("Start" | "End"), zone)) if !zone.is_empty() && !zone.contains('/') => (
+                    "POST",
+                    ApiCall::Request(Request::Evacuate { zone: zone.to_owned(), on: verb == "Start" }),
+                ),
+                _ => return ApiCall::Unknown,
             },
         };
         if method == wanted.as_bytes() {
             call
         } else {
-            Call::WrongMethod
+            ApiCall::WrongMethod
         }
     }
 }
@@ -130,15 +131,15 @@
     }
 
     #[rstest]
-    #[case("GET", "/v1/Timetable.Get", Call::Order(Order::Get))]
-    #[case("POST", "/v1/Timetable.Patch", Call::Patch)]
-    #[case("GET", "/v1/Timetable.Patch", Call::WrongMethod)]
-    #[case("GET", "/v1/route-lookup?name=a&province=p&district=d", Call::Lookup { province: "p".into(), district: "d".into() })]
-    #[case("POST", "/v1/Evacuate.Start/z-1", Call::Order(Order::Evacuate { zone: "z-1".into(), on: true }))]
-    #[case("POST", "/v1/Evacuate.End/z-1", Call::Order(Order::Evacuate { zone: "z-1".into(), on: false }))]
-    #[case("POST", "/v1/Evacuate.Pause/z-1", Call::Unknown)]
-    #[case("POST", "/v1/Evacuate.Start/", Call::Unknown)]
-    fn calls_are_decoded(#[case] method: &str, #[case] target: &str, #[case] call: Call) {
-        assert_eq!(Call::decode(method.as_bytes(), target.as_bytes()), call);
+    #[case("GET", "/v1/Timetable.Get", ApiCall::Request(Request::Get))]
+    #[case("POST", "/v1/Timetable.Patch", ApiCall::Patch)]
+    #[case("GET", "/v1/Timetable.Patch", ApiCall::WrongMethod)]
+    #[case("GET", "/v1/route-lookup?name=a&province=p&district=d", ApiCall::Lookup { province: "p".into(), district: "d".into() })]
+    #[case("POST", "/v1/Evacuate.Start/z-1", ApiCall::Request(Request::Evacuate { zone: "z-1".into(), on: true }))]
+    #[case("POST", "/v1/Evacuate.End/z-1", ApiCall::Request(Request::Evacuate { zone: "z-1".into(), on: false }))]
+    #[case("POST", "/v1/Evacuate.Pause/z-1", ApiCall::Unknown)]
+    #[case("POST", "/v1/Evacuate.Start/", ApiCall::Unknown)]
+    fn calls_are_decoded(#[case] method: &str, #[case] target: &str, #[case] call: ApiCall) {
+        assert_eq!(ApiCall::decode(method.as_bytes(), target.as_bytes()), call);
     }
 }
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -1,23 +1,23 @@
-//! Sockets, disk and clock around the [`Core`]: one thread, one loop.
+//! Sockets, disk and clock around the [`StateMachine`]: one thread, one loop.
 
 use crate::endpoints::{self, Entry};
-use crate::request::{place, Call, Order, Reply};
-use crate::state_machine::{millis, Act, Core, SeatContact, Start, DUTY};
+use crate::request::{place, ApiCall, Request, Response};
+use crate::state_machine::{millis, Action, SeatContact, Start, StateMachine, COORDINATOR_ROLE};
 use kitepass_config::Item;
-use kitepass_coordination::membership::Seat;
+use kitepass_coordination::membership::Replica;
 use kitepass_coordination::protocol::framing::{Assembler, Outbox, Packed, MOST_FRAME};
-use kitepass_coordination::protocol::{self, Word};
+use kitepass_coordination::protocol::{self, Message};
 use kitepass_coordination::quorum_contact::CONTACT;
-use kitepass_coordination::usage::Slack;
-use kitepass_net::connection::{cause, Wire};
+use kitepass_coordination::usage::QuotaTolerance;
+use kitepass_net::connection::{cause, Connection};
 use kitepass_net::http::body::{Body, Framing, HeadReader};
-use kitepass_net::http::Kind as Which;
-use kitepass_net::poller::{self, Clock, Poll, Ready};
+use kitepass_net::http::MessageKind;
+use kitepass_net::poller::{self, Clock, Poller, ReadyEvent};
 use kitepass_net::{Errno, OwnedFd};
 use kitepass_node::process::{life, Signals};
 use kitepass_node::{Settings, Watch};
 use kitepass_storage::Store;
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use log::{debug, error, info, warn};
 use serde_json::json;
 use snafu::{ResultExt, Snafu};
@@ -28,13 +28,13 @@
 
 /// Bytes of an operator's call. Danger: a caller that never ends.
 const MOST_CALL: usize = 16 * 1024 * 1024;
-const MOST_HEAD: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Unused bytes that one connection's input may hold; the rest waits in the socket.
 const MOST_INPUT: usize = MOST_FRAME + 4;
 /// Fills in one turn of a connection.
 const MOST_TURNS: usize = 16;
 /// So long after a refusal that did not wait for the call's end its rest is read off and dropped.
-const DRAIN: Span = Span::from_micros(10_000_000);
+const DRAIN: Duration = Duration::from_micros(10_000_000);
 /// Bytes of all calls that are still being read.
 const MOST_CALLS: usize = 3 * MOST_CALL;
 /// Bytes of a call as items: short entries grow, as each item names its fields. It must fit in one word.
@@ -49,20 +49,20 @@
 /// line what is asked for again would pile up.
 const BUSY: usize = 1024 * 1024;
 /// A caller that is idle for so long is closed.
-const IDLE: Span = Span::from_micros(30_000_000);
-const TICK: Span = Span::from_micros(100_000);
+const IDLE: Duration = Duration::from_micros(30_000_000);
+const TICK: Duration = Duration::from_micros(100_000);
 /// Unanswered bytes end a connection of our own after so long: a machine without power says nothing.
-const PATIENCE: Span = Span::from_micros(1_500_000);
+const PATIENCE: Duration = Duration::from_micros(1_500_000);
 /// Time between two readings of the platform's list, and the longest that one page may take.
-const READING: Span = Span::from_micros(700_000);
-const PAGE: Span = Span::from_micros(1_000_000);
+const READING: Duration = Duration::from_micros(700_000);
+const PAGE: Duration = Duration::from_micros(1_000_000);
 /// Seconds for which an answer on where to go holds, if that is not past the bound. A look-up is cheap, and clients meet
 /// a lost gateway until it is over; at 5 s a grown deployment took twice as long to come back from a whole loss.
 const VALID: f64 = 1.0;
 /// The log on disk is compacted past so many bytes.
 const LOG: u64 = 4 * 1024 * 1024;
 /// After SIGTERM orders under way, and the core that takes the seat out, have so long.
-const GRACE: Span = Span::from_micros(2_000_000);
+const GRACE: Duration = Duration::from_micros(2_000_000);
 
 #[derive(Debug, Snafu)]
 pub enum Error {
@@ -103,7 +103,7 @@
 #[derive(Default)]
 struct Caller {
     reader: HeadReader,
-    call: Option<Call>,
+    call: Option<ApiCall>,
     /// Path and query, as they were asked.
     target: Vec<u8>,
     body: Option<Body>,
@@ -113,20 +113,20 @@
     /// It was refused before its call had ended, and what still comes is dropped until then. Danger: a socket that
     /// is closed with bytes unread is reset, and the answer with it.
     drains: bool,
-    refused: Moment,
+    refused: Timestamp,
 }
 
 struct Conn {
-    wire: Wire,
+    wire: Connection,
     assembler: Assembler,
     outbox: Outbox,
     role: Role,
-    at: Moment,
+    at: Timestamp,
     ends: bool,
 }
 
 impl Conn {
-    fn new(wire: Wire, role: Role, at: Moment) -> Conn {
+    fn new(wire: Connection, role: Role, at: Timestamp) -> Conn {
         let (assembler, outbox) = (Assembler::default(), Outbox::default());
         Conn { wire, assembler, outbox, role, at, ends: false }
     }
@@ -146,27 +146,27 @@
 /// A reading of the platform's list under way.
 struct Reading {
     entries: Vec<Entry>,
-    since: Moment,
+    since: Timestamp,
 }
 
 pub struct Server {
     settings: Settings,
-    poll: Poll,
+    poll: Poller,
     clock: Clock,
     listeners: Vec<(u64, OwnedFd)>,
     conns: BTreeMap<u64, Conn>,
     next: u64,
-    core: Core,
+    core: StateMachine,
     store: Store,
     /// Outgoing connections by address of the other.
     out: BTreeMap<String, u64>,
     /// Addresses by station, as its hello told.
     ips: BTreeMap<String, String>,
-    tried: BTreeMap<String, Moment>,
-    stops: BTreeMap<String, Moment>,
+    tried: BTreeMap<String, Timestamp>,
+    stops: BTreeMap<String, Timestamp>,
     carrier: Option<u64>,
     reading: Option<Reading>,
-    read: Moment,
+    read: Timestamp,
     piece: Vec<u8>,
     /// Connections with more to read than one turn took.
     again: Vec<u64>,
@@ -179,7 +179,7 @@
 impl Server {
     pub fn open(path: PathBuf) -> Result<Server, Error> {
         let settings = Settings::load(&path).context(SettingsSnafu)?;
-        let poll = Poll::new().context(SystemSnafu { what: "epoll" })?;
+        let poll = Poller::new().context(SystemSnafu { what: "epoll" })?;
         let clock = Clock::new();
         let mut listeners = Vec::new();
         if settings.counters.control_desk.is_none() {
@@ -202,7 +202,7 @@
         };
         let (store, records) = Store::open(&folder, LOG).context(DiskSnafu)?;
         poll.add(store.wakes(), DISK).context(SystemSnafu { what: "epoll" })?;
-        let me = Seat {
+        let me = Replica {
             station: settings.station.clone(),
             ip: settings.ip.to_string(),
             district: settings.district.clone(),
@@ -213,7 +213,7 @@
         let life = life(&settings.station);
         let now = clock.now();
         let bounds = &settings.bounds;
-        let slack = Slack {
+        let slack = QuotaTolerance {
             window: bounds.quota_window.as_secs_f64(),
             excess: bounds.quota_excess,
             margin: bounds.quota_margin,
@@ -221,7 +221,7 @@
         let start = Start { me, life, maiden: settings.maiden_run, founder, records, slack };
         let watch = Watch::new(path);
         Ok(Server {
-            core: Core::new(now, start),
+            core: StateMachine::new(now, start),
             settings,
             poll,
             clock,
@@ -235,7 +235,7 @@
             stops: BTreeMap::new(),
             carrier: None,
             reading: None,
-            read: Moment::default(),
+            read: Timestamp::default(),
             piece: vec![0; 64 * 1024],
             again: Vec::new(),
             left: Vec::new(),
@@ -247,11 +247,11 @@
     pub fn run(mut self) -> Result<(), Error> {
         self.signals.heed().context(SignalsSnafu)?;
         info!("event=serving station={} ip={}", self.settings.station, self.settings.ip);
-        let (mut ready, mut ticked, mut watched) = (Vec::new(), Moment::default(), self.clock.now());
-        let mut leaves: Option<Moment> = None;
+        let (mut ready, mut ticked, mut watched) = (Vec::new(), Timestamp::default(), self.clock.now());
+        let mut leaves: Option<Timestamp> = None;
         loop {
             let wait = TICK - (self.clock.now() - ticked).min(TICK);
-            let wait = if self.again.is_empty() && self.left.is_empty() { wait } else { Span::ZERO };
+            let wait = if self.again.is_empty() && self.left.is_empty() { wait } else { Duration::ZERO };
             self.poll.wait(Some(wait), &mut ready).context(SystemSnafu { what: "waiting" })?;
             for ready in ready.drain(..) {
                 self.ready(&ready)?;
@@ -295,7 +295,7 @@
         }
     }
 
-    fn ready(&mut self, ready: &Ready) -> Result<(), Error> {
+    fn ready(&mut self, ready: &ReadyEvent) -> Result<(), Error> {
         match ready.token {
             DESK | DIRECTORY | SIDING => self.accept(ready.token),
             DISK => {
@@ -322,7 +322,7 @@
                         continue;
                     }
                     let at = self.clock.now();
-                    self.conns.insert(id, Conn::new(Wire::accepted(socket), role, at));
+                    self.conns.insert(id, Conn::new(Connection::accepted(socket), role, at));
                     self.serve(id, None);
                 }
                 Ok(None) => return,
@@ -332,7 +332,7 @@
     }
 
     /// Reads, runs and writes what a connection is ready for.
-    fn serve(&mut self, id: u64, ready: Option<&Ready>) {
+    fn serve(&mut self, id: u64, ready: Option<&ReadyEvent>) {
         let now = self.clock.now();
         let Some(conn) = self.conns.get_mut(&id) else { return };
         if let Some(ready) = ready {
@@ -427,7 +427,7 @@
 
     // Callers.
 
-    fn call(&mut self, now: Moment, id: u64) -> Result<(), &'static str> {
+    fn call(&mut self, now: Timestamp, id: u64) -> Result<(), &'static str> {
         loop {
             let Some(Conn { wire, role: Role::Caller(caller), ends, .. }) = self.conns.get_mut(&id) else {
                 return Ok(());
@@ -446,7 +446,7 @@
                 }
             }
             if caller.call.is_none() {
-                match caller.reader.next(Which::Request, &mut wire.input, MOST_HEAD) {
+                match caller.reader.next(MessageKind::Request, &mut wire.input, MAX_HEAD_BYTES) {
                     Ok(None) => return Ok(()),
                     Err(fault) => {
                         caller.closes = true;
@@ -462,7 +462,7 @@
                         if head.expects_a_word() {
                             wire.output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
                         }
-                        caller.call = Some(Call::decode(head.start(0), head.start(1)));
+                        caller.call = Some(ApiCall::decode(head.start(0), head.start(1)));
                         caller.target = head.start(1).to_vec();
                         caller.body = Some(Body::new(framing));
                         caller.bytes.clear();
@@ -511,10 +511,10 @@
         self.answer(id, 413, "text/plain", b"a call of more than 16 MiB, or 20 MiB as items", None);
     }
 
-    fn run_call(&mut self, now: Moment, id: u64, call: Call, body: &[u8]) {
+    fn run_call(&mut self, now: Timestamp, id: u64, call: ApiCall, body: &[u8]) {
         let order = match call {
-            Call::Order(order) => order,
-            Call::Patch => match self.core.read_call(body) {
+            ApiCall::Request(order) => order,
+            ApiCall::Patch => match self.core.read_call(body) {
                 Ok(order) if order.bytes() > MOST_ITEMS => return self.too_long(id),
                 Ok(order) => order,
                 Err(why) => {
@@ -522,12 +522,12 @@
                     return self.answer(id, 400, "text/plain", why.as_bytes(), None);
                 }
             },
-            Call::Lookup { province, district } => return self.lookup(id, &province, &district),
-            Call::Members => return self.members(id),
-            Call::Unknown => return self.answer(id, 404, "text/plain", b"no such call", None),
-            Call::WrongMethod => return self.answer(id, 405, "text/plain", b"not by this method", None),
+            ApiCall::Lookup { province, district } => return self.lookup(id, &province, &district),
+            ApiCall::Members => return self.members(id),
+            ApiCall::Unknown => return self.answer(id, 404, "text/plain", b"no such call", None),
+            ApiCall::WrongMethod => return self.answer(id, 405, "text/plain", b"not by this method", None),
         };
-        if let Order::Evacuate { zone, .. } = &order {
+        if let Request::Evacuate { zone, .. } = &order {
             // Out of contact not even that is known for certain: others may have newer settings.
             if self.core.takes_orders(now)
                 && !self.settings.districts.is_empty()
@@ -578,7 +578,7 @@
         let standing = format!("{:?}", self.core.standing()).to_lowercase();
         let body = json!({"asked": self.settings.station, "standing": standing,
             "contact": self.core.is_in_contact(now), "contact-age-ms": self.core.contact_age(now).map(millis),
-            "duty": {DUTY: self.core.holds(now).is_some()}, "core": seats, "gateways": gateways,
+            "duty": {COORDINATOR_ROLE: self.core.holds(now).is_some()}, "core": seats, "gateways": gateways,
             "evacuated": self.core.evacuated()});
         self.answer(id, 200, "application/json", body.to_string().as_bytes(), None);
     }
@@ -630,7 +630,7 @@
 
     // Other processes of the system.
 
-    fn said(&mut self, now: Moment, id: u64) -> Result<(), &'static str> {
+    fn said(&mut self, now: Timestamp, id: u64) -> Result<(), &'static str> {
         let Some(conn) = self.conns.get_mut(&id) else { return Ok(()) };
         let (input, mut at) = (std::mem::take(&mut conn.wire.input), 0);
         // Danger: over a slow line a word of many MiB takes longer than a silence is borne.
@@ -656,16 +656,16 @@
         }
     }
 
-    fn word(&mut self, now: Moment, id: u64, word: Word) {
+    fn word(&mut self, now: Timestamp, id: u64, word: Message) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         match (&conn.role, word) {
-            (Role::Stranger, Word::Hello(hello)) if hello.control => {
+            (Role::Stranger, Message::Hello(hello)) if hello.control => {
                 conn.role = Role::Peer { station: hello.station.clone(), life: hello.life };
                 self.ips.insert(hello.station.clone(), hello.ip.clone());
                 self.stops.insert(hello.ip.clone(), now);
                 self.core.peer_came(now, &hello);
             }
-            (Role::Stranger, Word::Hello(hello)) => {
+            (Role::Stranger, Message::Hello(hello)) => {
                 conn.role = Role::Session;
                 self.core.session_came(now, id, hello);
             }
@@ -686,7 +686,7 @@
     }
 
     /// Opens what connections are missing to control processes that are known.
-    fn connect(&mut self, now: Moment) {
+    fn connect(&mut self, now: Timestamp) {
         let own = self.settings.ip.to_string();
         let first = self.settings.first_stops.iter().map(|stop| stop.ip().to_string());
         let mut ips: Vec<String> = first.chain(self.core.stops()).chain(self.stops.keys().cloned()).collect();
@@ -701,9 +701,9 @@
             let Ok(address) = ip.parse::<IpAddr>() else { continue };
             let (id, to) = (self.next, SocketAddr::new(address, self.settings.sidings.0));
             self.next += 1;
-            match Wire::open(&self.poll, &to, id, PATIENCE) {
+            match Connection::open(&self.poll, &to, id, PATIENCE) {
                 Ok(mut wire) => {
-                    protocol::pack(Word::Hello(self.core.hello()), &mut wire.output);
+                    protocol::pack(Message::Hello(self.core.hello()), &mut wire.output);
                     self.conns.insert(id, Conn::new(wire, Role::Out { ip: ip.clone() }, now));
                     self.out.insert(ip, id);
                 }
@@ -712,7 +712,7 @@
         }
     }
 
-    fn sweep(&mut self, now: Moment) {
+    fn sweep(&mut self, now: Timestamp) {
         let old = |conn: &Conn| match &conn.role {
             Role::Caller(caller) if caller.drains => now - conn.at > PATIENCE || now - caller.refused > DRAIN,
             Role::Caller(caller) => !caller.waits && now - conn.at > IDLE,
@@ -730,7 +730,7 @@
 
     // The platform's list.
 
-    fn fetch(&mut self, now: Moment) {
+    fn fetch(&mut self, now: Timestamp) {
         if self.core.acts(now).is_none() || self.reading.is_some() || now - self.read < READING {
             return;
         }
@@ -740,7 +740,7 @@
         if self.carrier.is_none() {
             let id = self.next;
             self.next += 1;
-            match Wire::open(&self.poll, &carrier, id, PATIENCE) {
+            match Connection::open(&self.poll, &carrier, id, PATIENCE) {
                 Ok(wire) => {
                     let role = Role::Carrier(HeadReader::default(), None, Vec::new());
                     self.conns.insert(id, Conn::new(wire, role, now));
@@ -764,7 +764,7 @@
         self.flush(id);
     }
 
-    fn carried(&mut self, now: Moment, id: u64, ended: bool) -> Result<(), &'static str> {
+    fn carried(&mut self, now: Timestamp, id: u64, ended: bool) -> Result<(), &'static str> {
         let Some(Conn { wire, role: Role::Carrier(reader, stage, bytes), .. }) = self.conns.get_mut(&id)
         else {
             return Ok(());
@@ -774,9 +774,9 @@
             return Err("unasked");
         }
         if stage.is_none() {
-            let kind = Which::Answer { to_head: false };
+            let kind = MessageKind::Answer { to_head: false };
             let Some((head, framing)) =
-                reader.next(kind, &mut wire.input, MOST_HEAD).map_err(|_| "garbled")?
+                reader.next(kind, &mut wire.input, MAX_HEAD_BYTES).map_err(|_| "garbled")?
             else {
                 return Ok(());
             };
@@ -817,10 +817,11 @@
         while !self.core.acts.is_empty() {
             for act in std::mem::take(&mut self.core.acts) {
                 match act {
-                    Act::Peer(station, word) => {
+                    Action::Peer(station, word) => {
                         let id = self.ips.get(&station).and_then(|ip| self.out.get(ip)).copied();
                         if let Some((id, conn)) = id.and_then(|id| Some((id, self.conns.get_mut(&id)?))) {
-                            let piece = matches!(&word, Word::Held(held) if !held.items.is_empty());
+                            let piece =
+                                matches!(&word, Message::PrepareResponse(held) if !held.items.is_empty());
                             if piece && conn.unsent() > BUSY {
                                 debug!("event=held-back station={station} unsent={}", conn.unsent());
                                 continue;
@@ -831,13 +832,13 @@
                             touched.insert(id);
                         }
                     }
-                    Act::Session(id, word) => {
+                    Action::Session(id, word) => {
                         if let Some(conn) = self.conns.get_mut(&id) {
                             conn.say(Packed::new(word.clone()), is_urgent(&word));
                             touched.insert(id);
                         }
                     }
-                    Act::Items(id, items) => {
+                    Action::Items(id, items) => {
                         if let Some(conn) = self.conns.get_mut(&id) {
                             for packed in batches.of(&items) {
                                 conn.say(packed, false);
@@ -845,7 +846,7 @@
                             touched.insert(id);
                         }
                     }
-                    Act::Answer(id, reply) => {
+                    Action::Answer(id, reply) => {
                         let waits = |conn: &Conn| matches!(&conn.role, Role::Caller(caller) if caller.waits);
                         if !self.conns.get(&id).is_some_and(waits) {
                             // Danger: an answer to a caller that is gone, or has had one, in another's place.
@@ -853,12 +854,16 @@
                             continue;
                         }
                         match reply {
-                            Reply::Done => self.answer(id, 200, "application/json", b"{}", None),
-                            Reply::Body(body) => self.answer(id, 200, "application/json", &body, None),
-                            Reply::Conflict(why) => self.answer(id, 409, "text/plain", why.as_bytes(), None),
-                            Reply::Invalid(why) => self.answer(id, 400, "text/plain", why.as_bytes(), None),
-                            Reply::Redirect(ip) => self.redirect(id, &ip),
-                            Reply::Elsewhere(why) => {
+                            Response::Done => self.answer(id, 200, "application/json", b"{}", None),
+                            Response::Body(body) => self.answer(id, 200, "application/json", &body, None),
+                            Response::Conflict(why) => {
+                                self.answer(id, 409, "text/plain", why.as_bytes(), None)
+                            }
+                            Response::Invalid(why) => {
+                                self.answer(id, 400, "text/plain", why.as_bytes(), None)
+                            }
+                            Response::Redirect(ip) => self.redirect(id, &ip),
+                            Response::Elsewhere(why) => {
                                 self.answer(id, 503, "text/plain", why.as_bytes(), Some(1));
                             }
                         }
@@ -866,8 +871,8 @@
                         // The next call may stand in its input already, and more of it in the socket.
                         self.serve(id, None);
                     }
-                    Act::Keep(ticket, records) => self.store.put(ticket, records),
-                    Act::Close(id) => {
+                    Action::Keep(ticket, records) => self.store.put(ticket, records),
+                    Action::Close(id) => {
                         if let Some(conn) = self.conns.get_mut(&id) {
                             conn.ends = true;
                             touched.insert(id);
@@ -881,8 +886,15 @@
 }
 
 /// Words that must not wait behind a long one.
-fn is_urgent(word: &Word) -> bool {
-    matches!(word, Word::Beat(_) | Word::Claim(_) | Word::Grant(_) | Word::Adds(_) | Word::Totals(_))
+fn is_urgent(word: &Message) -> bool {
+    matches!(
+        word,
+        Message::Heartbeat(_)
+            | Message::LeaseRequest(_)
+            | Message::LeaseVote(_)
+            | Message::UsageReport(_)
+            | Message::UsageTotals(_)
+    )
 }
 
 /// The items that were packed last: what goes to many sessions is packed, and kept, once.
@@ -902,10 +914,10 @@
 
 /// The last long word that was packed: what goes to many is packed, and kept, once.
 #[derive(Default)]
-struct Long(Option<(Word, Packed)>);
+struct Long(Option<(Message, Packed)>);
 
 impl Long {
-    fn of(&mut self, word: Word) -> Packed {
+    fn of(&mut self, word: Message) -> Packed {
         if let Some((_, packed)) = self.0.as_ref().filter(|(last, _)| *last == word) {
             return packed.clone();
         }
--- a/crates/control-plane/src/state_machine/mod.rs
+++ b/crates/control-plane/src/state_machine/mod.rs
@@ -1,5 +1,5 @@
 //! All that a control process decides, without input or output: it is told what happens, with the time, and leaves
-//! what is to be done as [`Act`]s.
+//! what is to be done as [`Action`]s.
 
 mod catch_up;
 mod coordinator;
@@ -9,52 +9,55 @@
 mod sessions;
 mod tombstones;
 
-use crate::endpoints::Roster;
-use crate::request::{Order, Reply};
+use crate::endpoints::EndpointList;
+use crate::request::{Request, Response};
 use bytes::Bytes;
 use catch_up::Reader;
-use kitepass_config::{piece_digest, Checker, Item, Kind, Ledger, Tenant, BUCKETS};
-use kitepass_coordination::catch_up_queue::Feeds;
+use kitepass_config::{chunk_digest, Item, ItemStore, Kind, SchemaValidator, Tenant, BUCKETS};
+use kitepass_coordination::catch_up_queue::CatchUpQueue;
 use kitepass_coordination::consensus::{
-    Acceptor, Ballot, Bid, Call as Proposal, CallWord, Mark, Reserve, Restored, Seen,
+    AcceptReason, Acceptor, Ballot, BallotReservation, ObservedProposals, Proposal, ProposalId,
+    ProposalMessage, Restored,
+};
+use kitepass_coordination::lease::{LeaseCandidate, LeaseVoter};
+use kitepass_coordination::membership::{
+    JointReplicaSets, Replica, ReplicaObservations, ReplicaSet, CURRENT, INCOMING,
 };
-use kitepass_coordination::lease::{Claimant, Voter};
-use kitepass_coordination::membership::{Cast, Era, Seat, Sight, NEXT, NOW};
 use kitepass_coordination::protocol::*;
-use kitepass_coordination::quorum_contact::{Contact, State as ContactState};
+use kitepass_coordination::quorum_contact::{QuorumContact, State as ContactState};
 use kitepass_coordination::sessions::Table;
-use kitepass_coordination::tombstones::Tombs;
-use kitepass_coordination::usage::{Counts, Slack, Terms};
-use kitepass_time::{Moment, Span};
+use kitepass_coordination::tombstones::TombstoneCollector;
+use kitepass_coordination::usage::{QuotaTolerance, RateLimit, UsageCounts};
+use kitepass_time::{Duration, Timestamp};
 use log::{debug, error, info, warn};
-use proposals::{Watched, Work};
+use proposals::{PendingRequest, Watched};
 pub use quorum::{millis, SeatContact};
 use records::{learn, record_vote, unrecord_vote};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// Time between two signs of life to each other control process and each session.
-const BEAT: Span = Span::from_micros(500_000);
+const BEAT: Duration = Duration::from_micros(500_000);
 /// A peer or session that has said nothing for so long is given up.
-const SILENT: Span = Span::from_micros(1_500_000);
+const SILENT: Duration = Duration::from_micros(1_500_000);
 /// An order that the core has not borne out by then is answered 503: its caller goes elsewhere. Callers wait longer for
 /// large bodies, and so much more is borne for each MiB.
-const PATIENCE: Span = Span::from_micros(2_500_000);
-const PATIENCE_MIB: Span = Span::from_micros(1_000_000);
+const PATIENCE: Duration = Duration::from_micros(2_500_000);
+const PATIENCE_MIB: Duration = Duration::from_micros(1_000_000);
 /// After the last contact a look-up is answered for so long: what this process knows of the gateways is that old.
-const LOOKUP: Span = Span::from_micros(4_000_000);
+const LOOKUP: Duration = Duration::from_micros(4_000_000);
 /// A seat that was given up for its silence so long ago may go, if another stands in its district. Danger: until its
 /// successor has its place a second loss may leave no majority.
-const GONE: Span = Span::from_micros(1_000_000);
+const GONE: Duration = Duration::from_micros(1_000_000);
 /// So long a change of the cast is left to whoever does the duty, and a drawn time more. Microseconds.
 const HALF_WAY: i64 = 1_500_000;
 /// For so long the founder waits for others after the last that came, and at the most.
-const GATHER: Span = Span::from_micros(900_000);
-const GATHER_MOST: Span = Span::from_micros(4_000_000);
+const GATHER: Duration = Duration::from_micros(900_000);
+const GATHER_MOST: Duration = Duration::from_micros(4_000_000);
 /// Backends that are gone and still remembered. An older copy that brings one back is put right by the next reading.
 const MOST_DROPPED: usize = 4_096;
 /// The one duty: reading the platform's list, holding the counts, changing the cast.
-pub const DUTY: &str = "steward";
+pub const COORDINATOR_ROLE: &str = "steward";
 /// The record that says that this folder holds all that was acknowledged here.
 const FULL: &[u8] = b"full";
 /// The record of this folder's number, with which its seat is named.
@@ -66,31 +69,31 @@
 const LIVE: &[u8] = b"live";
 
 /// A drop is forgotten once all of the core has held it on disk for so long.
-const AGE: Span = Span::from_micros(3_600_000_000);
+const AGE: Duration = Duration::from_micros(3_600_000_000);
 /// Bytes on their way to gateways that are told what they lack, all together, and of one piece.
 const MOST_FED: usize = 8 * 1024 * 1024;
 const FED: usize = 256 * 1024;
 
 /// What a control process wants done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// To a control process, by its station.
-    Peer(String, Word),
+    Peer(String, Message),
     /// To a gateway, by its session's number.
-    Session(u64, Word),
+    Session(u64, Message),
     /// Items to a gateway's session, in as many words as they need. Sessions that are told the same share them.
     Items(u64, Arc<[Item]>),
     /// To a caller, by the number that it asked under.
-    Answer(u64, Reply),
-    /// To be kept on disk, and told as [`Core::kept`] with the ticket.
+    Answer(u64, Response),
+    /// To be kept on disk, and told as [`StateMachine::kept`] with the ticket.
     Keep(u64, Vec<(Vec<u8>, Vec<u8>)>),
     /// A session is to be closed.
     Close(u64),
 }
 
-/// How far a process may be relied on. [`Core::shift`] alone changes it.
+/// How far a process may be relied on. [`StateMachine::shift`] alone changes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ReplicaState {
     /// It knows of no core.
     Blank,
     /// It knows of a core, and has yet to hear what was acknowledged while it was away.
@@ -108,7 +111,7 @@
     hello: Hello,
     /// Its seat's name.
     name: String,
-    heard: Moment,
+    heard: Timestamp,
     digest: u64,
     differs: u32,
     duty: u64,
@@ -118,13 +121,13 @@
 struct Session {
     hello: Hello,
     ready: bool,
-    heard: Moment,
+    heard: Timestamp,
     differs: u32,
 }
 
-/// How far one has come with the duty. [`Core::serve`] alone changes it.
+/// How far one has come with the duty. [`StateMachine::serve`] alone changes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Service {
+enum CoordinatorState {
     /// Another's, or nobody's.
     Idle,
     /// Won under a term. Danger: whoever acts on what it knew before would bring an older list, count or cast back.
@@ -137,20 +140,20 @@
     /// What was accepted for an order of a station, and what it is told then.
     Copy {
         station: String,
-        stored: Stored,
-        reserve: Option<Reserve>,
+        stored: AcceptResponse,
+        reserve: Option<BallotReservation>,
     },
     /// A floor that covers what was promised to a station.
     Promise {
         station: String,
-        held: Held,
-        reserve: Reserve,
+        held: PrepareResponse,
+        reserve: BallotReservation,
     },
     /// A vote that may be told.
     Vote {
         station: String,
         vote: Vote,
-        grant: Grant,
+        grant: LeaseVote,
     },
     /// The record that makes this folder full.
     Full,
@@ -160,19 +163,19 @@
 /// Whom a voter granted the duty, by seat, and the newest cast that it knew.
 type Vote = (String, u64);
 
-pub struct Core {
-    me: Seat,
+pub struct StateMachine {
+    me: Replica,
     /// This process' own seat.
     name: String,
     life: u64,
     maiden: bool,
     founder: bool,
-    ledger: Ledger,
-    checker: Checker,
-    standing: Standing,
+    ledger: ItemStore,
+    checker: SchemaValidator,
+    standing: ReplicaState,
     full: bool,
-    begun: Moment,
-    newest: Moment,
+    begun: Timestamp,
+    newest: Timestamp,
     caught: BTreeSet<String>,
     /// The highest cast that one of these has accepted to be in force.
     caught_whole: u64,
@@ -180,66 +183,66 @@
     inquiry: u64,
     /// Readings of others under way, by ticket and station.
     readers: BTreeMap<(u64, String), Reader>,
-    asked: Moment,
-    contact: Contact,
+    asked: Timestamp,
+    contact: QuorumContact,
     peers: BTreeMap<String, Peer>,
     /// Seats that are not heard, by name, and since when.
-    lost: BTreeMap<String, Moment>,
+    lost: BTreeMap<String, Timestamp>,
     /// Seats that said that they leave, by name.
     leaving: BTreeSet<String>,
     sessions: BTreeMap<u64, Session>,
     /// Sessions that are told what they lack.
-    feeds: Feeds,
+    feeds: CatchUpQueue,
     table: Table,
-    told: (u64, Moment, Vec<Member>),
+    told: (u64, Timestamp, Vec<Member>),
     /// Gateways that count as live, reckoned once a beat.
     live: Vec<String>,
-    voter: Voter,
+    voter: LeaseVoter,
     /// Whom the record on disk names.
     recorded: Vote,
-    service: Service,
+    service: CoordinatorState,
     /// The coming cast that is decided and not in force, by its edition, and when this process ends that change itself.
-    odd: Option<(u64, Moment)>,
-    claimant: Claimant,
-    counts: Option<(u64, Counts)>,
+    odd: Option<(u64, Timestamp)>,
+    claimant: LeaseCandidate,
+    counts: Option<(u64, UsageCounts)>,
     /// Limits of the tenants that stand.
-    terms: BTreeMap<String, Terms>,
-    slack: Slack,
-    roster: Roster,
+    terms: BTreeMap<String, RateLimit>,
+    slack: QuotaTolerance,
+    roster: EndpointList,
     /// What this seat has promised and accepted.
     acceptor: Acceptor,
     /// The highest ballot heard of.
     highest: Ballot,
-    work: BTreeMap<u64, Work>,
+    work: BTreeMap<u64, PendingRequest>,
     /// Calls that are accepted somewhere and not known to be settled.
-    watch: BTreeMap<Mark, Watched>,
+    watch: BTreeMap<ProposalId, Watched>,
     /// Calls that are denied, and under which ballot.
-    denied: BTreeMap<Mark, Ballot>,
+    denied: BTreeMap<ProposalId, Ballot>,
     /// By station, copies that wait for what this process lacks, asked for under a ticket.
-    pulls: BTreeMap<String, (u64, Store)>,
+    pulls: BTreeMap<String, (u64, AcceptRequest)>,
     /// Drops that may be forgotten one day, for whoever does the duty; how long that takes, and when they were looked
     /// through last.
-    tombs: Tombs,
-    age: Span,
-    looked: Moment,
+    tombs: TombstoneCollector,
+    age: Duration,
+    looked: Timestamp,
     /// When this process was in touch with the core last.
-    touched: Moment,
+    touched: Timestamp,
     /// It holds what it held before it was away for long, and has yet to be found in the cast.
     unproven: bool,
     keeping: BTreeMap<u64, Kept>,
     /// Records that go to disk with the next ones, or at the next tick.
     later: Vec<(Vec<u8>, Vec<u8>)>,
     ticket: u64,
-    beat: Moment,
-    inquired: Moment,
+    beat: Timestamp,
+    inquired: Timestamp,
     chance: oorandom::Rand64,
-    pub acts: Vec<Act>,
+    pub acts: Vec<Action>,
 }
 
 /// What a process is at its start.
 pub struct Start {
     /// Its folder's number is taken from the records, or drawn if there are none.
-    pub me: Seat,
+    pub me: Replica,
     /// Drawn anew each time.
     pub life: u64,
     /// The first start of the whole system, with an empty folder.
@@ -248,12 +251,12 @@
     pub founder: bool,
     pub records: Vec<(Vec<u8>, Vec<u8>)>,
     /// What is borne beyond a quota.
-    pub slack: Slack,
+    pub slack: QuotaTolerance,
 }
 
-impl Core {
-    pub fn new(now: Moment, start: Start) -> Core {
-        let (mut ledger, mut full, mut table) = (Ledger::new(), false, Table::default());
+impl StateMachine {
+    pub fn new(now: Timestamp, start: Start) -> StateMachine {
+        let (mut ledger, mut full, mut table) = (ItemStore::new(), false, Table::default());
         let (mut recorded, mut me, mut empty) = (Vote::default(), start.me, true);
         let (mut acceptor, mut garbled) = (Acceptor::new(), Vec::new());
         me.folder = 0;
@@ -268,7 +271,7 @@
             } else if key == LIVE {
                 let stations = String::from_utf8_lossy(value);
                 stations.split(',').filter(|s| !s.is_empty()).for_each(|s| table.recall(now, s));
-            } else if let Some((item, past)) = kitepass_config::unrecord(key, value) {
+            } else if let Some((item, past)) = kitepass_config::decode_record(key, value) {
                 ledger.merge_with(item, &past);
             } else if acceptor.restore(key, value) == Restored::Garbled {
                 // Danger: what it accepted may have been chosen by it. It is as good as lost, and comes anew.
@@ -284,20 +287,24 @@
         me.folder = drawn.unwrap_or(me.folder);
         let mut terms = BTreeMap::new();
         ledger.each(Kind::Tenant).for_each(|item| learn(&mut terms, item));
-        let standing = if Cast::of(&ledger, NOW).is_some() { Standing::Behind } else { Standing::Blank };
+        let standing = if ReplicaSet::of(&ledger, CURRENT).is_some() {
+            ReplicaState::Behind
+        } else {
+            ReplicaState::Blank
+        };
         let name = me.name();
-        let newest = Era::of(&ledger).map(|era| era.newest().clone());
+        let newest = JointReplicaSets::of(&ledger).map(|era| era.newest().clone());
         // Danger: a vote given before this cast was known says nothing of what a majority of it may have granted since.
         let stood = newest.as_ref().is_some_and(|cast| cast.edition == recorded.1);
-        let recalled = stood.then(|| (DUTY.to_owned(), recorded.0.clone())).into_iter().collect();
+        let recalled = stood.then(|| (COORDINATOR_ROLE.to_owned(), recorded.0.clone())).into_iter().collect();
         info!("event=start seat={name} standing={standing:?} full={full} items={}", ledger.len());
         let mut chance = oorandom::Rand64::new(u128::from(start.life));
         let is_held = !ledger.is_empty();
-        let mut core = Core {
-            contact: Contact::new(&name, chance.rand_u64() as u32),
-            voter: Voter::new(now, start.maiden && empty, recalled, newest),
+        let mut core = StateMachine {
+            contact: QuorumContact::new(&name, chance.rand_u64() as u32),
+            voter: LeaseVoter::new(now, start.maiden && empty, recalled, newest),
             recorded,
-            service: Service::Idle,
+            service: CoordinatorState::Idle,
             odd: None,
             chance,
             maiden: start.maiden && empty,
@@ -306,7 +313,7 @@
             name,
             life: start.life,
             ledger,
-            checker: Checker::new(),
+            checker: SchemaValidator::new(),
             standing,
             full,
             begun: now,
@@ -320,22 +327,22 @@
             lost: BTreeMap::new(),
             leaving: BTreeSet::new(),
             sessions: BTreeMap::new(),
-            feeds: Feeds::new(MOST_FED),
+            feeds: CatchUpQueue::new(MOST_FED),
             table,
-            told: (0, Moment::default(), Vec::new()),
+            told: (0, Timestamp::default(), Vec::new()),
             live: Vec::new(),
-            claimant: Claimant::new(DUTY, start.life),
+            claimant: LeaseCandidate::new(COORDINATOR_ROLE, start.life),
             counts: None,
             terms,
             slack: start.slack,
-            roster: Roster::default(),
+            roster: EndpointList::default(),
             acceptor,
             highest: Ballot::default(),
             work: BTreeMap::new(),
             watch: BTreeMap::new(),
             denied: BTreeMap::new(),
             pulls: BTreeMap::new(),
-            tombs: Tombs::new(AGE),
+            tombs: TombstoneCollector::new(AGE),
             age: AGE,
             looked: now,
             touched: now,
@@ -344,7 +351,7 @@
             later: Vec::new(),
             ticket: 0,
             beat: now,
-            inquired: Moment::default(),
+            inquired: Timestamp::default(),
             acts: Vec::new(),
         };
         if let Some(folder) = drawn {
@@ -367,21 +374,21 @@
             life: self.life,
             control: true,
             front: String::new(),
-            current: self.standing == Standing::Current,
+            current: self.standing == ReplicaState::Current,
             full: self.full,
             folder: self.me.folder,
         }
     }
 
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> ReplicaState {
         self.standing
     }
 
-    pub fn ledger(&self) -> &Ledger {
+    pub fn ledger(&self) -> &ItemStore {
         &self.ledger
     }
 
-    fn shift(&mut self, to: Standing) {
+    fn shift(&mut self, to: ReplicaState) {
         if self.standing != to {
             info!(
                 "event=standing from={:?} to={to:?} items={} full={}",
@@ -406,37 +413,37 @@
             false => std::mem::take(&mut self.later).into_iter().chain(records).collect(),
         };
         self.keeping.insert(ticket, why);
-        self.acts.push(Act::Keep(ticket, records));
+        self.acts.push(Action::Keep(ticket, records));
     }
 
-    fn send(&mut self, station: &str, word: Word) {
-        self.acts.push(Act::Peer(station.to_owned(), word));
+    fn send(&mut self, station: &str, word: Message) {
+        self.acts.push(Action::Peer(station.to_owned(), word));
     }
 
-    fn send_all(&mut self, word: &Word) {
+    fn send_all(&mut self, word: &Message) {
         for station in self.peers.keys() {
-            self.acts.push(Act::Peer(station.clone(), word.clone()));
+            self.acts.push(Action::Peer(station.clone(), word.clone()));
         }
     }
 
     /// What another control process says. Addresses that it tells of come back.
-    pub fn peer_said(&mut self, now: Moment, station: &str, word: Word) -> Vec<String> {
+    pub fn peer_said(&mut self, now: Timestamp, station: &str, word: Message) -> Vec<String> {
         let Some(peer) = self.peers.get_mut(station) else { return Vec::new() };
         peer.heard = now;
         let (life, name) = (peer.hello.life, peer.name.clone());
         match &word {
-            Word::Beat(beat) => self.contact.heard(now, &name, beat.number, beat.yours),
-            Word::Held(held) if (held.life, held.ticket) == (self.life, self.inquiry) => {
+            Message::Heartbeat(beat) => self.contact.heard(now, &name, beat.number, beat.yours),
+            Message::PrepareResponse(held) if (held.life, held.ticket) == (self.life, self.inquiry) => {
                 self.contact.answered(now, &name, self.asked);
             }
             _ => {}
         }
-        if matches!(word, Word::Beat(_) | Word::Held(_)) {
+        if matches!(word, Message::Heartbeat(_) | Message::PrepareResponse(_)) {
             self.judge_contact(now);
         }
         let Some(peer) = self.peers.get_mut(station) else { return Vec::new() };
         match word {
-            Word::Beat(beat) => {
+            Message::Heartbeat(beat) => {
                 (peer.hello.current, peer.hello.full, peer.digest) = (beat.current, beat.full, beat.digest);
                 (peer.duty, peer.leaving) = (beat.duty, beat.leaving);
                 peer.differs = if beat.digest == self.ledger.whole_digest() { 0 } else { peer.differs + 1 };
@@ -448,31 +455,33 @@
                     self.repair(now, station, &name);
                 }
             }
-            Word::Live(live) => return live.controls,
+            Message::MembershipUpdate(live) => return live.controls,
             // Backends as whoever does the duty reads them, and the first cast. Danger: whatever else is told unasked could
             // be what was dropped and forgotten.
-            Word::Items(items) => {
-                let items = items.items.into_iter().filter_map(ItemWord::entry);
-                self.take(items.filter(|(i, _)| matches!(i.kind, Kind::Backend | Kind::Cast)).collect());
+            Message::Items(items) => {
+                let items = items.items.into_iter().filter_map(ItemMessage::entry);
+                self.take(
+                    items.filter(|(i, _)| matches!(i.kind, Kind::Backend | Kind::ReplicaSet)).collect(),
+                );
             }
-            Word::Store(store) => self.copy(now, station, store),
-            Word::Decided(decided) => self.decided(&decided),
-            Word::Forget(forget) if self.trusts(&name) => self.forget(forget.due()),
+            Message::AcceptRequest(store) => self.copy(now, station, store),
+            Message::Commit(decided) => self.decided(&decided),
+            Message::PurgeTombstones(forget) if self.trusts(&name) => self.forget(forget.due()),
             // Danger: an answer to an earlier life of this process would pass for a copy of what this life asked to store.
-            Word::Stored(stored) if stored.life == self.life => self.stored(now, &name, stored),
-            Word::Inquire(inquire) => self.inquired(now, station, &inquire),
-            Word::Held(held) => self.held(now, station, &name, held),
-            Word::Claim(claim) => self.vote(now, station, &name, &claim),
-            Word::Grant(grant) => self.granted(now, &name, &grant),
-            Word::Sessions(sessions) => {
+            Message::AcceptResponse(stored) if stored.life == self.life => self.stored(now, &name, stored),
+            Message::PrepareRequest(inquire) => self.inquired(now, station, &inquire),
+            Message::PrepareResponse(held) => self.held(now, station, &name, held),
+            Message::LeaseRequest(claim) => self.vote(now, station, &name, &claim),
+            Message::LeaseVote(grant) => self.granted(now, &name, &grant),
+            Message::SessionList(sessions) => {
                 self.table.hear(now, station, life, &sessions);
             }
-            Word::Adds(adds) => {
+            Message::UsageReport(adds) => {
                 if let Some(totals) = self.add(now, &adds) {
-                    self.send(station, Word::Totals(totals));
+                    self.send(station, Message::UsageTotals(totals));
                 }
             }
-            Word::Totals(totals) => self.totals(totals),
+            Message::UsageTotals(totals) => self.totals(totals),
             _ => {}
         }
         self.pursue(now);
@@ -480,14 +489,16 @@
     }
 
     /// To be called about ten times a second.
-    pub fn tick(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Timestamp) {
         if now - self.beat >= BEAT {
             self.beat = now;
             self.beat(now);
         }
         self.judge_contact(now);
         match self.standing {
-            Standing::Blank | Standing::Behind | Standing::Apart if now - self.inquired > BEAT => {
+            ReplicaState::Blank | ReplicaState::Behind | ReplicaState::Apart
+                if now - self.inquired > BEAT =>
+            {
                 self.ask_core(now);
                 self.found(now);
             }
@@ -502,15 +513,15 @@
         if !self.later.is_empty() {
             self.keep_records(Vec::new(), Kept::Nothing);
         }
-        let patience = |order: &Order| match order {
-            Order::Fill(_) | Order::Survey => PATIENCE * 2, // no caller waits, and all that they met has to be settled
+        let patience = |order: &Request| match order {
+            Request::Fill(_) | Request::Survey => PATIENCE * 2, // no caller waits, and all that they met has to be settled
             order => PATIENCE + PATIENCE_MIB * (order.bytes() >> 20) as i64,
         };
-        let is_late = |work: &Work| now - work.since > patience(&work.order);
+        let is_late = |work: &PendingRequest| now - work.since > patience(&work.order);
         let late: Vec<u64> = self.work.iter().filter(|(_, w)| is_late(w)).map(|(id, _)| *id).collect();
         for id in late {
             warn!("event=order-late order={}", self.work[&id].order.name());
-            self.end(id, Reply::Elsewhere("the core did not bear it out in time"));
+            self.end(id, Response::Elsewhere("the core did not bear it out in time"));
         }
     }
 }
--- a/crates/control-plane/src/state_machine/proposals.rs
+++ b/crates/control-plane/src/state_machine/proposals.rs
@@ -5,12 +5,12 @@
 //! then it is decided, and only what is decided is in the ledger, is read back, and goes to gateways.
 
 use super::*;
-use kitepass_coordination::consensus::{hear, is_done, live, standing, taken, Refused, Standing as Found};
+use kitepass_coordination::consensus::{hear, is_done, live, standing, taken, AcceptError, ProposalStatus};
 
 /// So long a call that was accepted and not heard of again is left to whoever proposed it; then whoever does the duty
 /// settles it, and others between a half and the whole of such a span later, or within a drawn one that widens where nobody
 /// does the duty. Danger: those that push one call together take each other's promises away.
-const LEFT: Span = Span::from_micros(250_000);
+const LEFT: Duration = Duration::from_micros(250_000);
 const OTHERS: u64 = 1_000_000;
 /// A drawn pause before an order's next reading is up to so long after the first refusal, and doubles as often as that.
 /// Danger: those that outbid each other at once never end; pauses that go on doubling keep callers waiting beyond their
@@ -24,41 +24,41 @@
 /// Calls of others that are begun to be settled at one tick.
 const MOST_SETTLED: usize = 8;
 
-/// How far an order has come, by names of seats. [`Core::step`] alone changes it.
+/// How far an order has come, by names of seats. [`StateMachine::step`] alone changes it.
 #[derive(Debug)]
-pub(super) enum Step {
+pub(super) enum Phase {
     /// Hearing what the others hold, and having them promise.
     Reading(BTreeSet<String>),
     /// Another reading begins then.
-    Paused(Moment),
+    Paused(Timestamp),
     /// Calls that may be decided already have to be settled first.
-    Behind(BTreeSet<Mark>),
+    Behind(BTreeSet<ProposalId>),
     /// Waiting for copies on disk.
     Storing(BTreeSet<String>),
     /// The denial is on its way to enough disks; then this is answered.
-    Denying(BTreeSet<String>, Reply),
+    Denying(BTreeSet<String>, Response),
 }
 
-pub(super) struct Work {
+pub(super) struct PendingRequest {
     /// Who waits for the answer, if anybody.
     pub(super) caller: Option<u64>,
-    pub(super) order: Order,
+    pub(super) order: Request,
     /// What is proposed; none for a reading alone.
     call: Option<Proposal>,
     /// The ballot of this attempt, and the ticket that its answers repeat.
     ballot: Ballot,
     attempt: u64,
     /// Accepted calls that readings told of.
-    seen: Seen,
-    /// The highest that was told in this reading: see [`Held`].
+    seen: ObservedProposals,
+    /// The highest that was told in this reading: see [`PrepareResponse`].
     whole: u64,
     /// How often it was refused by somebody who had promised more.
     refused: u32,
-    step: Step,
-    pub(super) since: Moment,
+    step: Phase,
+    pub(super) since: Timestamp,
 }
 
-impl Work {
+impl PendingRequest {
     /// Whether answers under this ticket are for it.
     pub(super) fn waits_for(&self, ticket: u64) -> bool {
         self.attempt == ticket
@@ -71,61 +71,72 @@
     /// The highest ballot that it was heard with.
     ballot: Ballot,
     /// From then on this process settles it.
-    due: Moment,
+    due: Timestamp,
     tries: u32,
 }
 
-impl Core {
+impl StateMachine {
     /// A call of an operator; it is answered under its number.
-    pub fn order(&mut self, now: Moment, caller: u64, order: Order) {
+    pub fn order(&mut self, now: Timestamp, caller: u64, order: Request) {
         if let Some(reply) = self.not_now(now) {
-            return self.acts.push(Act::Answer(caller, reply));
+            return self.acts.push(Action::Answer(caller, reply));
         }
         self.begin(now, Some(caller), order);
     }
 
     /// A body of `Timetable.Patch`, by its shape alone.
-    pub fn read_call(&self, body: &[u8]) -> Result<Order, String> {
+    pub fn read_call(&self, body: &[u8]) -> Result<Request, String> {
         kitepass_config::read_call(&self.checker, body)
-            .map(Order::Patch)
+            .map(Request::Patch)
             .map_err(|refusal| refusal.to_string())
     }
 
-    pub(super) fn begin(&mut self, now: Moment, caller: Option<u64>, order: Order) {
+    pub(super) fn begin(&mut self, now: Timestamp, caller: Option<u64>, order: Request) {
         let id = self.ticket();
         let call = match &order {
-            Order::Patch(items) => Some(Proposal::new(items.clone())),
-            Order::Settle(call) => Some(call.clone()),
-            Order::Next(cast) => Some(Proposal::new(vec![cast.item(NEXT)])),
-            Order::Now(cast) => Some(Proposal::new(vec![cast.item(NOW)])),
+            Request::Patch(items) => Some(Proposal::new(items.clone())),
+            Request::Settle(call) => Some(call.clone()),
+            Request::Next(cast) => Some(Proposal::new(vec![cast.item(INCOMING)])),
+            Request::Now(cast) => Some(Proposal::new(vec![cast.item(CURRENT)])),
             // It is worked out anew for each reading.
-            Order::Evacuate { .. } => None,
-            Order::Get | Order::Survey | Order::Fill(_) => None,
+            Request::Evacuate { .. } => None,
+            Request::Get | Request::Survey | Request::Fill(_) => None,
         };
-        let step = Step::Paused(now);
-        let (ballot, mut seen) = (Ballot::default(), Seen::new());
+        let step = Phase::Paused(now);
+        let (ballot, mut seen) = (Ballot::default(), ObservedProposals::new());
         // Danger: a reading that misses the one seat which has it would leave it for ever to whoever waits behind it.
-        if let Order::Settle(call) = &order {
+        if let Request::Settle(call) = &order {
             let watched = self.watch.get(&call.mark());
             hear(&mut seen, watched.map(|watched| (watched.ballot, call.clone())));
         }
         self.work.insert(
             id,
-            Work { caller, order, call, ballot, attempt: 0, seen, whole: 0, refused: 0, step, since: now },
+            PendingRequest {
+                caller,
+                order,
+                call,
+                ballot,
+                attempt: 0,
+                seen,
+                whole: 0,
+                refused: 0,
+                step,
+                since: now,
+            },
         );
         self.read(now, id);
     }
 
-    fn step(&mut self, id: u64, to: Step) {
+    fn step(&mut self, id: u64, to: Phase) {
         if let Some(work) = self.work.get_mut(&id) {
             work.step = to;
         }
     }
 
-    pub(super) fn end(&mut self, id: u64, reply: Reply) {
+    pub(super) fn end(&mut self, id: u64, reply: Response) {
         let Some(work) = self.work.remove(&id) else { return };
         if let Some(caller) = work.caller {
-            self.acts.push(Act::Answer(caller, reply));
+            self.acts.push(Action::Answer(caller, reply));
         }
     }
 
@@ -137,7 +148,9 @@
     /// A coming cast that was accepted here, may be decided, and is not known to be.
     pub(super) fn undecided_cast(&self) -> Option<(Ballot, Proposal)> {
         let now = self.cast()?;
-        let next = |item: &Item| item.kind == Kind::Cast && &*item.name == NEXT && item.edition > now.edition;
+        let next = |item: &Item| {
+            item.kind == Kind::ReplicaSet && &*item.name == INCOMING && item.edition > now.edition
+        };
         let mut open = self.acceptor.pending().filter(|(_, call)| call.items().iter().any(next));
         open.find(|(_, call)| !self.is_settled(call)).map(|(ballot, call)| (ballot, call.clone()))
     }
@@ -163,17 +176,17 @@
     }
 
     /// Begins a reading, or a further one.
-    fn read(&mut self, now: Moment, id: u64) {
+    fn read(&mut self, now: Timestamp, id: u64) {
         let Some(work) = self.work.get(&id) else { return };
         let keys = work.call.as_ref().map(|call| call.keys().to_vec()).unwrap_or_default();
         // What may be the coming cast is settled first: nothing else counts before.
         let fence = self.undecided_cast().filter(|(_, cast)| !cast.keys().iter().any(|k| keys.contains(k)));
         if let Some((ballot, cast)) = fence {
             self.watch(now, ballot, &cast);
-            return self.step(id, Step::Behind([cast.mark()].into()));
+            return self.step(id, Phase::Behind([cast.mark()].into()));
         }
         let evacuation = match &work.order {
-            Order::Evacuate { zone, on } => Some(Proposal::new(vec![self.evacuation(zone, *on)])),
+            Request::Evacuate { zone, on } => Some(Proposal::new(vec![self.evacuation(zone, *on)])),
             _ => None,
         };
         let era = self.era_number();
@@ -183,9 +196,9 @@
         let Some(work) = self.work.get_mut(&id) else { return };
         work.call = evacuation.or(work.call.take());
         (work.attempt, work.ballot) = (attempt, ballot);
-        (work.step, work.whole) = (Step::Reading(BTreeSet::new()), 0);
+        (work.step, work.whole) = (Phase::Reading(BTreeSet::new()), 0);
         let keys = work.call.as_ref().map(|call| call.keys().to_vec()).unwrap_or_default();
-        let inquire = Inquire {
+        let inquire = PrepareRequest {
             ticket: attempt,
             hashes: self.ledger.whole_buckets().to_vec(),
             life: self.life,
@@ -209,15 +222,15 @@
     }
 
     /// Somebody, this process too, asks what is held here, and maybe for a promise.
-    pub(super) fn inquired(&mut self, now: Moment, station: &str, inquire: &Inquire) {
+    pub(super) fn inquired(&mut self, now: Timestamp, station: &str, inquire: &PrepareRequest) {
         let own = station == self.me.station;
-        let mut held = Held {
+        let mut held = PrepareResponse {
             ticket: inquire.ticket,
             life: inquire.life,
             full: self.full,
             founded: self.cast().is_some(),
             whole: self.whole(),
-            ..Held::default()
+            ..PrepareResponse::default()
         };
         if !own {
             self.piece(inquire, &mut held);
@@ -237,8 +250,9 @@
                 Err(higher) => (held.refused, held.ballot) = (true, Some(higher)),
             }
             let denials = self.acceptor.denials(&inquire.keys);
-            held.denied =
-                denials.map(|(m, ballot)| Denied { ballot, mark: Bytes::copy_from_slice(&m.0) }).collect();
+            held.denied = denials
+                .map(|(m, ballot)| RejectedProposal { ballot, mark: Bytes::copy_from_slice(&m.0) })
+                .collect();
         } else if inquire.all {
             calls = self.acceptor.pending().map(|(ballot, call)| (ballot, call.clone())).collect();
             // Danger: what is accepted here under an earlier era after this answer would be decided and not read.
@@ -252,7 +266,7 @@
             bytes += call.bytes();
             first || bytes <= MOST_TOLD
         });
-        held.calls = fits.map(|(ballot, call)| CallWord::new(*ballot, call)).collect();
+        held.calls = fits.map(|(ballot, call)| ProposalMessage::new(*ballot, call)).collect();
         held.refused |= held.calls.len() < calls.len();
         match reserve {
             // Danger: a promise that a restart forgets: it is told once the floor that covers it is on disk.
@@ -264,25 +278,26 @@
         }
     }
 
-    pub(super) fn tell_held(&mut self, now: Moment, station: &str, held: Held) {
+    pub(super) fn tell_held(&mut self, now: Timestamp, station: &str, held: PrepareResponse) {
         if station == self.me.station {
             let name = self.name.clone();
             self.held(now, station, &name, held);
         } else {
-            self.send(station, Word::Held(held));
+            self.send(station, Message::PrepareResponse(held));
         }
     }
 
     /// What a seat, this one too, told for an order's reading.
-    pub(super) fn read_of(&mut self, now: Moment, name: &str, held: Held) {
+    pub(super) fn read_of(&mut self, now: Timestamp, name: &str, held: PrepareResponse) {
         let Some((&id, _)) = self.work.iter().find(|(_, work)| work.attempt == held.ticket) else { return };
-        let calls: Vec<(Ballot, Proposal)> = held.calls.into_iter().filter_map(CallWord::call).collect();
+        let calls: Vec<(Ballot, Proposal)> =
+            held.calls.into_iter().filter_map(ProposalMessage::call).collect();
         for (ballot, call) in &calls {
             self.highest = self.highest.max(*ballot);
             self.watch(now, *ballot, call);
         }
-        for Denied { ballot, mark } in held.denied {
-            if let Some(mark) = Mark::from_bytes(&mark) {
+        for RejectedProposal { ballot, mark } in held.denied {
+            if let Some(mark) = ProposalId::from_bytes(&mark) {
                 let known = self.denied.entry(mark).or_insert(ballot);
                 *known = ballot.max(*known);
             }
@@ -294,31 +309,31 @@
             return self.again(now, id);
         }
         work.whole = work.whole.max(held.whole);
-        if let Step::Reading(heard) = &mut work.step {
+        if let Phase::Reading(heard) = &mut work.step {
             heard.insert(name.to_owned());
             self.proceed(now, id);
         }
     }
 
     /// After a drawn pause there is another reading.
-    fn again(&mut self, now: Moment, id: u64) {
+    fn again(&mut self, now: Timestamp, id: u64) {
         let Some(work) = self.work.get_mut(&id) else { return };
-        if matches!(work.step, Step::Paused(_) | Step::Behind(_)) {
+        if matches!(work.step, Phase::Paused(_) | Phase::Behind(_)) {
             return;
         }
-        if matches!(work.order, Order::Settle(_)) {
-            return self.end(id, Reply::Done); // another is at it; if it comes to nothing, this one's turn comes again
+        if matches!(work.order, Request::Settle(_)) {
+            return self.end(id, Response::Done); // another is at it; if it comes to nothing, this one's turn comes again
         }
         // Danger: where a call was sent again to many, all of them push the same call, and take each other's promises away.
         // Once it is accepted anywhere they come again at moments further apart.
         let is_seen = work.call.as_ref().is_some_and(|call| work.seen.contains_key(&call.mark()));
         let most = PAUSE << work.refused.min(if is_seen { MOST_WIDENED + 1 } else { MOST_WIDENED });
         work.refused += 1;
-        let pause = Span::from_micros(self.chance.rand_range(0..most) as i64);
-        self.step(id, Step::Paused(now + pause));
+        let pause = Duration::from_micros(self.chance.rand_range(0..most) as i64);
+        self.step(id, Phase::Paused(now + pause));
     }
 
-    pub(super) fn proceed(&mut self, now: Moment, id: u64) {
+    pub(super) fn proceed(&mut self, now: Timestamp, id: u64) {
         // Danger: a process that stood still would answer by what it heard before.
         if !self.is_in_contact(now) {
             return;
@@ -326,13 +341,14 @@
         let Some(work) = self.work.get(&id) else { return };
         // Danger: copies under a ballot of an earlier era, counted by a later cast, are not met by readings of the earlier
         // one: two could be chosen for one number.
-        if matches!(work.step, Step::Storing(_) | Step::Denying(..)) && work.ballot.era < self.era_number() {
+        if matches!(work.step, Phase::Storing(_) | Phase::Denying(..)) && work.ballot.era < self.era_number()
+        {
             return self.read(now, id);
         }
         match &work.step {
-            Step::Reading(heard) if self.is_read(heard, work.whole) => self.decide(now, id),
-            Step::Storing(copies) if self.is_chosen(work, copies) => self.chosen(now, id),
-            Step::Denying(copies, reply) if self.is_safe(copies) => {
+            Phase::Reading(heard) if self.is_read(heard, work.whole) => self.decide(now, id),
+            Phase::Storing(copies) if self.is_chosen(work, copies) => self.chosen(now, id),
+            Phase::Denying(copies, reply) if self.is_safe(copies) => {
                 let reply = reply.clone();
                 self.end(id, reply);
             }
@@ -344,19 +360,19 @@
     /// work would be brought in. What puts it in force needs to be safe by it alone: its content is that of the next cast,
     /// which is decided, and each of its copies has all that was decided before, so that whoever reads by both casts or by
     /// it alone meets all of that. Danger: where the cast before has lost its majority by then, nothing would end the change.
-    fn is_chosen(&self, work: &Work, copies: &BTreeSet<String>) -> bool {
+    fn is_chosen(&self, work: &PendingRequest, copies: &BTreeSet<String>) -> bool {
         if let Some(cast) = work.call.as_ref().and_then(puts_in_force) {
             return cast.is_safe(copies);
         }
         let items = work.call.iter().flat_map(|call| call.items().iter());
-        let mut casts = items.filter(|item| item.kind == Kind::Cast).filter_map(Cast::from_item);
+        let mut casts = items.filter(|item| item.kind == Kind::ReplicaSet).filter_map(ReplicaSet::from_item);
         let Some(era) = self.era() else { return false };
         let with = casts.next().map_or(era.clone(), |next| era.fenced(Some(next)));
         with.is_safe(copies)
     }
 
     /// All that was decided anywhere before this reading is known here by now, or was told as accepted.
-    fn decide(&mut self, now: Moment, id: u64) {
+    fn decide(&mut self, now: Timestamp, id: u64) {
         let era = self.era_number();
         let Some(work) = self.work.get(&id) else { return };
         if work.ballot.era < era {
@@ -369,57 +385,57 @@
             // of the cast before are left nothing can be settled until the next one alone decides.
             let whole = self.era().and_then(|era| era.next).is_some_and(|next| next.edition == work.whole);
             let awaits = |call: &Proposal| {
-                matches!(work.order, Order::Fill(_)) && (whole || puts_in_force(call).is_some())
+                matches!(work.order, Request::Fill(_)) && (whole || puts_in_force(call).is_some())
             };
             let open = seen.values().filter(|(_, call)| !self.is_settled(call) && !awaits(call));
-            let open: BTreeSet<Mark> = open.map(|(_, call)| call.mark()).collect();
+            let open: BTreeSet<ProposalId> = open.map(|(_, call)| call.mark()).collect();
             if open.is_empty() {
                 return self.read_out(now, id);
             }
-            return self.step(id, Step::Behind(open));
+            return self.step(id, Phase::Behind(open));
         };
         let mut stands = false;
-        if let Order::Evacuate { zone, on } = &work.order {
+        if let Request::Evacuate { zone, on } = &work.order {
             if call.items()[0].edition != self.evacuation(zone, *on).edition {
                 return self.read(now, id);
             }
             stands = self.ledger.get(Kind::Evacuation, zone).is_some_and(Item::stands) == *on;
         }
         match standing(&call, &seen, &self.ledger) {
-            Found::Done => self.finished(now, id),
+            ProposalStatus::Done => self.finished(now, id),
             // Two that evacuate one zone draw the same version: the later one takes the next.
-            Found::Taken(_) if matches!(work.order, Order::Evacuate { .. }) => self.read(now, id),
-            Found::Taken(item) => {
+            ProposalStatus::Taken(_) if matches!(work.order, Request::Evacuate { .. }) => self.read(now, id),
+            ProposalStatus::Taken(item) => {
                 let order = work.order.name();
                 info!(
                     "event=conflict order={order} kind={:?} name={:?} version=r{}",
                     item.kind, item.name, item.edition
                 );
                 self.watch.remove(&call.mark());
-                self.end(id, Reply::Conflict(conflict(&item)));
+                self.end(id, Response::Conflict(conflict(&item)));
             }
-            Found::Behind(mark) => self.step(id, Step::Behind([mark].into())),
-            Found::Again => self.propose(now, id, call),
-            Found::Free => match &work.order {
+            ProposalStatus::Behind(mark) => self.step(id, Phase::Behind([mark].into())),
+            ProposalStatus::Again => self.propose(now, id, call),
+            ProposalStatus::Free => match &work.order {
                 // Danger: answered before what others accepted for the zone is settled, it would be undone by what came before.
-                Order::Evacuate { .. } if stands => self.end(id, Reply::Done),
-                Order::Patch(items) => match kitepass_config::judge(&self.ledger, items) {
+                Request::Evacuate { .. } if stands => self.end(id, Response::Done),
+                Request::Patch(items) => match kitepass_config::judge(&self.ledger, items) {
                     Ok(()) => self.propose(now, id, call),
                     Err(refusal) => self.deny(now, id, &call, refusal.to_string()),
                 },
                 // Danger: a seat that has it and has not heard of its denial would bring it up for as long as that is remembered,
                 // and in force after that.
-                Order::Settle(_) if self.denied.contains_key(&call.mark()) => {
+                Request::Settle(_) if self.denied.contains_key(&call.mark()) => {
                     self.watch.remove(&call.mark());
                     self.deny(now, id, &call, "denied before".into());
                 }
                 // It is not decided, and whoever wants it will see to it.
-                Order::Settle(_) => {
+                Request::Settle(_) => {
                     self.watch.remove(&call.mark());
-                    self.end(id, Reply::Done);
+                    self.end(id, Response::Done);
                 }
-                Order::Next(cast) if self.cast().is_none_or(|now| now.edition + 1 != cast.edition) => {
-                    self.end(id, Reply::Done);
+                Request::Next(cast) if self.cast().is_none_or(|now| now.edition + 1 != cast.edition) => {
+                    self.end(id, Response::Done);
                 }
                 _ => self.propose(now, id, call),
             },
@@ -427,42 +443,42 @@
     }
 
     /// Asks all for copies of a call, or of its denial, under the ballot that was promised.
-    fn store(&mut self, now: Moment, id: u64, step: Step, store: Store) {
+    fn store(&mut self, now: Timestamp, id: u64, step: Phase, store: AcceptRequest) {
         let Some(work) = self.work.get_mut(&id) else { return };
         work.step = step;
         let (ticket, ballot) = (work.attempt, Some(work.ballot));
-        let store = Store { ticket, life: self.life, era: work.ballot.era, ballot, ..store };
-        self.send_all(&Word::Store(store.clone()));
+        let store = AcceptRequest { ticket, life: self.life, era: work.ballot.era, ballot, ..store };
+        self.send_all(&Message::AcceptRequest(store.clone()));
         let station = self.me.station.clone();
         self.copy(now, &station, store);
     }
 
-    fn propose(&mut self, now: Moment, id: u64, call: Proposal) {
+    fn propose(&mut self, now: Timestamp, id: u64, call: Proposal) {
         let Some(work) = self.work.get(&id) else { return };
         info!("event=write order={} items={}", work.order.name(), call.items().len());
         let whole = match puts_in_force(&call) {
             Some(_) => self.ledger.whole_buckets().to_vec(),
             None => Vec::new(),
         };
-        let again = matches!(work.order, Order::Settle(_));
-        let store = Store { items: call.words(), whole, again, ..Store::default() };
-        self.store(now, id, Step::Storing(BTreeSet::new()), store);
+        let again = matches!(work.order, Request::Settle(_));
+        let store = AcceptRequest { items: call.words(), whole, again, ..AcceptRequest::default() };
+        self.store(now, id, Phase::Storing(BTreeSet::new()), store);
     }
 
-    fn deny(&mut self, now: Moment, id: u64, call: &Proposal, why: String) {
+    fn deny(&mut self, now: Timestamp, id: u64, call: &Proposal, why: String) {
         info!("event=refused-call why={why:?}");
         let denies = Bytes::copy_from_slice(&call.mark().0);
-        let store = Store { denies, keys: call.keys().to_vec(), ..Store::default() };
-        self.store(now, id, Step::Denying(BTreeSet::new(), Reply::Invalid(why)), store);
+        let store = AcceptRequest { denies, keys: call.keys().to_vec(), ..AcceptRequest::default() };
+        self.store(now, id, Phase::Denying(BTreeSet::new(), Response::Invalid(why)), store);
     }
 
     /// Accepts a call, or its denial, if nothing forbids it. It counts as a copy only once it is on disk, and only if this
     /// folder is full.
-    pub(super) fn copy(&mut self, now: Moment, station: &str, store: Store) {
+    pub(super) fn copy(&mut self, now: Timestamp, station: &str, store: AcceptRequest) {
         let Some(ballot) = store.ballot else { return };
         self.highest = self.highest.max(ballot);
         let (ticket, life) = (store.ticket, store.life);
-        let mut stored = Stored { ticket, life, under: Some(ballot), ..Stored::default() };
+        let mut stored = AcceptResponse { ticket, life, under: Some(ballot), ..AcceptResponse::default() };
         let call = if store.denies.is_empty() { Proposal::of_words(store.items.clone()) } else { None };
         let keys = call.as_ref().map_or(&store.keys[..], |call| call.keys());
         if self.is_fenced(store.era, keys) {
@@ -477,10 +493,10 @@
         let accepted = match call {
             Some(call) => {
                 self.watch(now, ballot, &call);
-                let bid = if store.again { Bid::Again } else { Bid::First };
+                let bid = if store.again { AcceptReason::Again } else { AcceptReason::First };
                 self.acceptor.accept(ballot, call, bid, &self.ledger)
             }
-            None => match Mark::from_bytes(&store.denies) {
+            None => match ProposalId::from_bytes(&store.denies) {
                 Some(mark) => self.acceptor.deny(ballot, mark, &store.keys),
                 None => return, // of a kind that this version does not know
             },
@@ -493,25 +509,26 @@
             Err(refused) => {
                 stored.refused = true;
                 stored.ballot = match refused {
-                    Refused::Promised { to } => Some(to),
-                    Refused::Taken { .. } | Refused::Full => None,
+                    AcceptError::Promised { to } => Some(to),
+                    AcceptError::Taken { .. } | AcceptError::Full => None,
                 };
                 self.tell_stored(now, station, stored);
             }
         }
     }
 
-    fn tell_stored(&mut self, now: Moment, station: &str, stored: Stored) {
+    fn tell_stored(&mut self, now: Timestamp, station: &str, stored: AcceptResponse) {
         if station == self.me.station {
             let name = self.name.clone();
             self.stored(now, &name, stored);
         } else {
-            self.send(station, Word::Stored(stored));
+            self.send(station, Message::AcceptResponse(stored));
         }
     }
 
-    pub(super) fn stored(&mut self, now: Moment, name: &str, stored: Stored) {
-        let asked = |work: &Work| work.attempt == stored.ticket && Some(work.ballot) == stored.under;
+    pub(super) fn stored(&mut self, now: Timestamp, name: &str, stored: AcceptResponse) {
+        let asked =
+            |work: &PendingRequest| work.attempt == stored.ticket && Some(work.ballot) == stored.under;
         let Some((&id, _)) = self.work.iter().find(|(_, work)| asked(work)) else { return };
         if stored.refused {
             self.highest = self.highest.max(stored.ballot.unwrap_or_default());
@@ -522,58 +539,58 @@
             return;
         }
         let work = self.work.get_mut(&id).map(|work| &mut work.step);
-        if let Some(Step::Storing(copies) | Step::Denying(copies, _)) = work {
+        if let Some(Phase::Storing(copies) | Phase::Denying(copies, _)) = work {
             copies.insert(name.to_owned());
             self.proceed(now, id);
         }
     }
 
     /// Enough seats have it on disk under one ballot: it is decided.
-    fn chosen(&mut self, now: Moment, id: u64) {
+    fn chosen(&mut self, now: Timestamp, id: u64) {
         let Some(call) = self.work.get(&id).and_then(|work| work.call.clone()) else { return };
-        self.send_all(&Word::Decided(Decided { mark: Bytes::copy_from_slice(&call.mark().0) }));
+        self.send_all(&Message::Commit(Commit { mark: Bytes::copy_from_slice(&call.mark().0) }));
         self.take(call.items().iter().map(|item| (item.clone(), Vec::new())).collect());
         self.finished(now, id);
     }
 
     /// All of an order's items are decided.
-    fn finished(&mut self, now: Moment, id: u64) {
+    fn finished(&mut self, now: Timestamp, id: u64) {
         let Some(work) = self.work.get(&id) else { return };
         let order = work.order.clone();
-        self.end(id, Reply::Done);
+        self.end(id, Response::Done);
         match order {
             // Both casts have it. All that was decided before is read under it, then it is put in force.
-            Order::Next(cast) => self.begin(now, None, Order::Fill(cast)),
-            Order::Now(cast) => info!("event=cast edition={} seats={}", cast.edition, cast.seats.len()),
+            Request::Next(cast) => self.begin(now, None, Request::Fill(cast)),
+            Request::Now(cast) => info!("event=cast edition={} seats={}", cast.edition, cast.seats.len()),
             _ => {}
         }
     }
 
     /// A reading is whole, and all calls that it told of are settled.
-    fn read_out(&mut self, now: Moment, id: u64) {
+    fn read_out(&mut self, now: Timestamp, id: u64) {
         if !self.is_in_contact(now) {
             return;
         }
         match self.work.get(&id).map(|work| work.order.clone()) {
-            Some(Order::Get) => {
+            Some(Request::Get) => {
                 let body = kitepass_config::read_back(&self.ledger);
-                self.end(id, Reply::Body(body));
+                self.end(id, Response::Body(body));
             }
-            Some(Order::Survey) => {
-                self.end(id, Reply::Done);
+            Some(Request::Survey) => {
+                self.end(id, Response::Done);
                 self.surveyed(now);
             }
-            Some(Order::Fill(cast)) => {
-                self.end(id, Reply::Done);
-                self.begin(now, None, Order::Now(cast));
+            Some(Request::Fill(cast)) => {
+                self.end(id, Response::Done);
+                self.begin(now, None, Request::Now(cast));
             }
             _ => {}
         }
     }
 
     /// Word that a call is decided, from whoever proposed it.
-    pub(super) fn decided(&mut self, decided: &Decided) {
-        let mark = Mark::from_bytes(&decided.mark);
+    pub(super) fn decided(&mut self, decided: &Commit) {
+        let mark = ProposalId::from_bytes(&decided.mark);
         let Some((_, call)) = mark.and_then(|mark| self.acceptor.get(mark)) else { return };
         let items = call.items().iter().map(|item| (item.clone(), Vec::new())).collect();
         self.take(items);
@@ -581,7 +598,7 @@
 
     /// A call that was accepted somewhere is watched until it is settled. Danger: who proposed it may have died after it
     /// was decided and confirmed, and nobody would bring it in force.
-    fn watch(&mut self, now: Moment, ballot: Ballot, call: &Proposal) {
+    fn watch(&mut self, now: Timestamp, ballot: Ballot, call: &Proposal) {
         if self.is_settled(call) || self.watch.len() >= MOST_WATCHED {
             return;
         }
@@ -592,7 +609,7 @@
     }
 
     /// When this process settles a call that was heard of now, or tried so often. Whoever does the duty goes first.
-    fn due(&mut self, now: Moment, call: &Proposal, tries: u32) -> Moment {
+    fn due(&mut self, now: Timestamp, call: &Proposal, tries: u32) -> Timestamp {
         let drawn = if self.acts(now).is_some() {
             self.chance.rand_range(0..PAUSE)
         } else if self.holder().is_some() {
@@ -601,26 +618,26 @@
             self.chance.rand_range(0..OTHERS << tries.min(MOST_WIDENED))
         };
         // A large one is longer on its way.
-        now + LEFT + on_its_way(call.bytes()) + Span::from_micros(drawn as i64)
+        now + LEFT + on_its_way(call.bytes()) + Duration::from_micros(drawn as i64)
     }
 
     /// What an earlier life accepted is watched, too.
-    pub(super) fn watch_all(&mut self, now: Moment) {
+    pub(super) fn watch_all(&mut self, now: Timestamp) {
         let calls: Vec<(Ballot, Proposal)> =
             self.acceptor.pending().map(|(ballot, call)| (ballot, call.clone())).collect();
         calls.iter().for_each(|(ballot, call)| self.watch(now, *ballot, call));
     }
 
     /// Takes up what waited. To be called after whatever may have changed that.
-    pub(super) fn pursue(&mut self, now: Moment) {
+    pub(super) fn pursue(&mut self, now: Timestamp) {
         let ledger = &self.ledger;
         self.watch.retain(|_, w| !is_done(&w.call, ledger) && taken(&w.call, ledger).is_none());
         if self.denied.len() > MOST_WATCHED {
             self.denied.clear(); // readings tell them again
         }
-        let ready = |work: &Work| match &work.step {
-            Step::Paused(until) => *until <= now,
-            Step::Behind(marks) => !marks.iter().any(|mark| self.watch.contains_key(mark)),
+        let ready = |work: &PendingRequest| match &work.step {
+            Phase::Paused(until) => *until <= now,
+            Phase::Behind(marks) => !marks.iter().any(|mark| self.watch.contains_key(mark)),
             _ => false,
         };
         let ready: Vec<u64> = self.work.iter().filter(|(_, w)| ready(w)).map(|(id, _)| *id).collect();
@@ -628,8 +645,8 @@
         for id in ready {
             let Some(work) = self.work.get(&id) else { continue };
             // A reading alone, all of whose calls are settled, is whole: others that came meanwhile came after it.
-            let reads = work.call.is_none() && !matches!(work.order, Order::Evacuate { .. });
-            if reads && matches!(work.step, Step::Behind(_)) && work.ballot.era == era {
+            let reads = work.call.is_none() && !matches!(work.order, Request::Evacuate { .. });
+            if reads && matches!(work.step, Phase::Behind(_)) && work.ballot.era == era {
                 self.read_out(now, id);
             } else {
                 self.read(now, id);
@@ -638,20 +655,21 @@
     }
 
     /// Begins to settle what is due; to be called at each tick.
-    pub(super) fn settle(&mut self, now: Moment) {
+    pub(super) fn settle(&mut self, now: Timestamp) {
         // Danger: where all lost power while a cast was brought in, each would refuse the others what they need to catch up,
         // for its sake, and none would settle it. So that alone is settled by one that has yet to catch up.
         let fence = self.undecided_cast();
-        let catches_up = matches!(self.standing, Standing::Behind | Standing::Apart);
+        let catches_up = matches!(self.standing, ReplicaState::Behind | ReplicaState::Apart);
         let only = match (self.standing, &fence) {
-            (Standing::Current, _) => None,
+            (ReplicaState::Current, _) => None,
             (_, Some((_, cast))) if catches_up && self.full && self.is_in_contact(now) => Some(cast.mark()),
             _ => return,
         };
         if let Some((ballot, cast)) = &fence {
             self.watch(now, *ballot, cast);
         }
-        let busy: BTreeSet<Mark> = self.work.values().filter_map(|w| Some(w.call.as_ref()?.mark())).collect();
+        let busy: BTreeSet<ProposalId> =
+            self.work.values().filter_map(|w| Some(w.call.as_ref()?.mark())).collect();
         let mut calls = Vec::new();
         for (mark, watched) in &self.watch {
             let may = only.is_none_or(|only| only == *mark) && !busy.contains(mark);
@@ -671,22 +689,22 @@
             match puts_in_force(&call) {
                 // Danger: proposed again as it is, by one that has not read all that was decided under the cast before, it
                 // would be in force on seats that lack some of that.
-                Some(cast) if !self.recasts() => self.begin(now, None, Order::Fill(cast)),
+                Some(cast) if !self.recasts() => self.begin(now, None, Request::Fill(cast)),
                 Some(_) => {}
-                None => self.begin(now, None, Order::Settle(call)),
+                None => self.begin(now, None, Request::Settle(call)),
             }
         }
     }
 
     /// Records are on disk.
-    pub fn kept(&mut self, now: Moment, ticket: u64) {
+    pub fn kept(&mut self, now: Timestamp, ticket: u64) {
         // A disk in trouble may drop old tickets; what they were for is over.
         let kept = self.keeping.remove(&ticket);
         self.keeping = self.keeping.split_off(&ticket);
         match kept {
             Some(Kept::Copy { station, stored, reserve }) => {
                 reserve.into_iter().for_each(|reserve| self.acceptor.on_disk(reserve));
-                self.tell_stored(now, &station, Stored { full: self.full, ..stored });
+                self.tell_stored(now, &station, AcceptResponse { full: self.full, ..stored });
             }
             Some(Kept::Promise { station, held, reserve }) => {
                 self.acceptor.on_disk(reserve);
@@ -708,14 +726,14 @@
 }
 
 /// The cast that a call puts in force, if it does that.
-fn puts_in_force(call: &Proposal) -> Option<Cast> {
-    let item = call.items().iter().find(|item| item.kind == Kind::Cast && &*item.name == NOW)?;
-    Cast::from_item(item)
+fn puts_in_force(call: &Proposal) -> Option<ReplicaSet> {
+    let item = call.items().iter().find(|item| item.kind == Kind::ReplicaSet && &*item.name == CURRENT)?;
+    ReplicaSet::from_item(item)
 }
 
 /// How much longer so many bytes may be on their way.
-fn on_its_way(bytes: usize) -> Span {
-    Span::from_micros(PATIENCE_MIB.micros() * (bytes >> 20) as i64)
+fn on_its_way(bytes: usize) -> Duration {
+    Duration::from_micros(PATIENCE_MIB.micros() * (bytes >> 20) as i64)
 }
 
 /// What a caller reads whose number another call has taken.
@@ -723,11 +741,11 @@
     let list = match item.kind {
         Kind::Route => "itineraries",
         Kind::Tenant => "customers",
-        Kind::Line => "carrier-lines",
+        Kind::Service => "carrier-lines",
         Kind::Limits => "weight-limits",
         Kind::Evacuation => "evacuation",
         Kind::Backend => "backend",
-        Kind::Cast => "cast",
+        Kind::ReplicaSet => "cast",
     };
     format!("{list} {:?}: version r{} is taken by another content", item.name, item.edition)
 }
--- a/crates/control-plane/src/state_machine/quorum.rs
+++ b/crates/control-plane/src/state_machine/quorum.rs
@@ -5,32 +5,32 @@
 
 /// What operators are shown of a seat's contact.
 pub struct SeatContact {
-    pub seat: Seat,
+    pub seat: Replica,
     /// It said something lately.
     pub heard: bool,
     /// How long ago it is known to have heard this process.
-    pub age: Option<Span>,
+    pub age: Option<Duration>,
 }
 
-impl Core {
+impl StateMachine {
     /// Reckons the contact anew, and parts from the core where it is lost.
-    pub(super) fn judge_contact(&mut self, now: Moment) {
+    pub(super) fn judge_contact(&mut self, now: Timestamp) {
         // Once the next cast is decided nothing is decided without a majority of it; where the one before has lost its own by
         // disks, contact with the next one is what ends the change.
-        let casts: Vec<Cast> = self.era().map(|era| era.next.unwrap_or(era.now)).into_iter().collect();
+        let casts: Vec<ReplicaSet> = self.era().map(|era| era.next.unwrap_or(era.now)).into_iter().collect();
         if let Some(state) = self.contact.judge(now, &casts) {
             let age = self.contact.age(now).map_or("none".to_owned(), |age| millis(age).to_string());
             info!("event=contact state={state:?} age-ms={age}");
         }
-        if self.contact.state() == ContactState::Out && self.standing == Standing::Current {
+        if self.contact.state() == ContactState::Out && self.standing == ReplicaState::Current {
             self.part(now);
         }
     }
 
     /// Contact is lost. Danger: cut off from the rest of the core, it would hold its gateways on an old configuration, and
     /// let its callers wait for an answer that cannot come.
-    fn part(&mut self, now: Moment) {
-        self.shift(Standing::Apart);
+    fn part(&mut self, now: Timestamp) {
+        self.shift(ReplicaState::Apart);
         let ids: Vec<u64> = self.work.keys().copied().collect();
         let reply = self.elsewhere(now);
         ids.into_iter().for_each(|id| self.end(id, reply.clone()));
@@ -38,7 +38,7 @@
         let news: Vec<u64> =
             self.sessions.iter().filter(|(_, s)| !s.hello.current).map(|(id, _)| *id).collect();
         for id in news {
-            self.acts.push(Act::Close(id));
+            self.acts.push(Action::Close(id));
             self.session_lost(now, id, "apart");
         }
         self.beat(now);
@@ -47,7 +47,7 @@
 
     /// Asks all of the core for what they hold. Danger: what was heard before contact was lost, or by one that is cut off
     /// alike, may be old by now; without contact each asking begins anew.
-    pub(super) fn ask_core(&mut self, now: Moment) {
+    pub(super) fn ask_core(&mut self, now: Timestamp) {
         if self.contact.state() == ContactState::Out {
             self.caught.clear();
             self.caught_whole = 0;
@@ -58,50 +58,50 @@
     }
 
     /// Whether an order may be taken, gone on with and answered now.
-    pub fn is_in_contact(&self, now: Moment) -> bool {
+    pub fn is_in_contact(&self, now: Timestamp) -> bool {
         self.contact.is_in(now)
     }
 
     /// Whether a look-up may be answered: what is known of the gateways is no older than a stated time.
-    pub fn may_look_up(&self, now: Moment) -> bool {
-        matches!(self.standing, Standing::Current | Standing::Apart)
+    pub fn may_look_up(&self, now: Timestamp) -> bool {
+        matches!(self.standing, ReplicaState::Current | ReplicaState::Apart)
             && self.contact.age(now).is_some_and(|age| age <= LOOKUP)
     }
 
     /// How long ago a majority is known to have heard this process.
-    pub fn contact_age(&self, now: Moment) -> Option<Span> {
+    pub fn contact_age(&self, now: Timestamp) -> Option<Duration> {
         self.contact.age(now)
     }
 
     /// What a caller is told whose order is not for this process now: another one that is heard and says that it is in
     /// contact, if there is any. Danger: one that was in contact long ago may be as cut off as this one.
-    pub(super) fn elsewhere(&self, now: Moment) -> Reply {
+    pub(super) fn elsewhere(&self, now: Timestamp) -> Response {
         let may = |peer: &&Peer| peer.hello.current && now - peer.heard <= SILENT;
         match self.peers.values().filter(may).max_by_key(|peer| peer.heard) {
-            Some(peer) => Reply::Redirect(peer.hello.ip.clone()),
-            None => Reply::Elsewhere("out of contact with the core"),
+            Some(peer) => Response::Redirect(peer.hello.ip.clone()),
+            None => Response::Elsewhere("out of contact with the core"),
         }
     }
 
     /// Why an order cannot be taken at this moment, if so.
-    pub(super) fn not_now(&self, now: Moment) -> Option<Reply> {
+    pub(super) fn not_now(&self, now: Timestamp) -> Option<Response> {
         match self.standing {
-            Standing::Current if self.is_in_contact(now) => None,
-            Standing::Blank | Standing::Behind if self.is_in_contact(now) => {
-                Some(Reply::Elsewhere("not caught up with the core"))
+            ReplicaState::Current if self.is_in_contact(now) => None,
+            ReplicaState::Blank | ReplicaState::Behind if self.is_in_contact(now) => {
+                Some(Response::Elsewhere("not caught up with the core"))
             }
             _ => Some(self.elsewhere(now)),
         }
     }
 
     /// Whether an order may be judged by what is known here.
-    pub fn takes_orders(&self, now: Moment) -> bool {
+    pub fn takes_orders(&self, now: Timestamp) -> bool {
         self.not_now(now).is_none()
     }
 
     /// Seats of the cast, and the contact with each.
-    pub fn seats(&self, now: Moment) -> Vec<SeatContact> {
-        let of = |seat: Seat| {
+    pub fn seats(&self, now: Timestamp) -> Vec<SeatContact> {
+        let of = |seat: Replica| {
             let name = seat.name();
             let own = name == self.name;
             let said = |peer: &Peer| peer.name == name && now - peer.heard <= SILENT;
@@ -114,7 +114,7 @@
 
     /// Addresses of control processes that this one knows of, its own left out.
     pub fn stops(&self) -> BTreeSet<String> {
-        let seats = [NOW, NEXT].into_iter().filter_map(|name| Cast::of(&self.ledger, name));
+        let seats = [CURRENT, INCOMING].into_iter().filter_map(|name| ReplicaSet::of(&self.ledger, name));
         let seats = seats.flat_map(|cast| cast.seats).map(|seat| seat.ip);
         let mut stops: BTreeSet<String> =
             seats.chain(self.peers.values().map(|p| p.hello.ip.clone())).collect();
@@ -122,14 +122,14 @@
         stops
     }
 
-    pub fn peer_came(&mut self, now: Moment, hello: &Hello) {
+    pub fn peer_came(&mut self, now: Timestamp, hello: &Hello) {
         let station = hello.station.clone();
         if !self.peers.contains_key(&station) {
             self.newest = now;
             info!("event=peer station={station} ip={} life={:x}", hello.ip, hello.life);
         }
         self.unread(&station);
-        let name = Seat::from(hello).name();
+        let name = Replica::from(hello).name();
         self.lost.remove(&name);
         self.leaving.remove(&name);
         self.contact.came(now, &name, hello.life);
@@ -140,10 +140,13 @@
                 self.lost.insert(before.name, now);
             }
         }
-        self.told.1 = Moment::default(); // it is to be told of the sessions here
-        self.inquired = Moment::default();
+        self.told.1 = Timestamp::default(); // it is to be told of the sessions here
+        self.inquired = Timestamp::default();
         let controls = self.stops().into_iter().collect();
-        self.send(&station, Word::Live(Live { controls, ..Live::default() }));
+        self.send(
+            &station,
+            Message::MembershipUpdate(MembershipUpdate { controls, ..MembershipUpdate::default() }),
+        );
     }
 
     /// One that was given up for its silence has to say again who it is.
@@ -157,13 +160,13 @@
     }
 
     /// Bytes have come of a peer that are no whole word yet.
-    pub fn peer_alive(&mut self, now: Moment, station: &str) {
+    pub fn peer_alive(&mut self, now: Timestamp, station: &str) {
         if let Some(peer) = self.peers.get_mut(station) {
             peer.heard = now;
         }
     }
 
-    pub(super) fn peer_lost(&mut self, now: Moment, station: &str, why: &str) {
+    pub(super) fn peer_lost(&mut self, now: Timestamp, station: &str, why: &str) {
         self.unread(station);
         if let Some(peer) = self.peers.remove(station) {
             info!("event=peer-lost station={station} why={why}");
@@ -171,12 +174,12 @@
         }
     }
 
-    pub(super) fn buckets(&self, back: bool) -> Buckets {
-        Buckets { hashes: self.ledger.buckets().to_vec(), back }
+    pub(super) fn buckets(&self, back: bool) -> BucketDigests {
+        BucketDigests { hashes: self.ledger.buckets().to_vec(), back }
     }
 
     /// Tells the others the sessions here, if they are not what was told last or that was long ago.
-    pub(super) fn tell(&mut self, now: Moment) {
+    pub(super) fn tell(&mut self, now: Timestamp) {
         let members: Vec<Member> = self
             .sessions
             .values()
@@ -194,20 +197,25 @@
         }
         let number = self.told.0 + u64::from(changed);
         self.told = (number, now, members.clone());
-        let sessions = Sessions { number, members };
+        let sessions = SessionList { number, members };
         let me = (self.me.station.clone(), self.life);
         self.table.hear(now, &me.0, me.1, &sessions);
-        self.send_all(&Word::Sessions(sessions));
+        self.send_all(&Message::SessionList(sessions));
     }
 
     /// What gateways are told of the others: at a session's start, and when it changes.
-    pub(super) fn live_word(&self) -> Live {
+    pub(super) fn live_word(&self) -> MembershipUpdate {
         let mut controls: Vec<(&str, &str)> =
             self.peers.values().map(|p| (p.hello.ip.as_str(), p.hello.district.as_str())).collect();
         controls.push((&self.me.ip, &self.me.district));
         let (controls, control_districts) =
             controls.into_iter().map(|(ip, d)| (ip.to_owned(), d.to_owned())).unzip();
-        Live { gateways: self.live.len() as u32, stations: self.live.clone(), controls, control_districts }
+        MembershipUpdate {
+            gateways: self.live.len() as u32,
+            stations: self.live.clone(),
+            controls,
+            control_districts,
+        }
     }
 
     /// Whether the seat of this name is heard; its own always is.
@@ -215,27 +223,33 @@
         name == self.name || self.peers.values().any(|peer| peer.name == name)
     }
 
-    pub(super) fn beat(&mut self, now: Moment) {
-        let current = self.standing == Standing::Current;
+    pub(super) fn beat(&mut self, now: Timestamp) {
+        let current = self.standing == ReplicaState::Current;
         let duty = self.acts(now).unwrap_or(0);
-        let beat = Beat { digest: self.ledger.digest(), current, full: self.full, duty, ..Beat::default() };
-        let leaving = self.standing == Standing::Leaving;
+        let beat = Heartbeat {
+            digest: self.ledger.digest(),
+            current,
+            full: self.full,
+            duty,
+            ..Heartbeat::default()
+        };
+        let leaving = self.standing == ReplicaState::Leaving;
         let (digest, kept) = (self.ledger.whole_digest(), self.is_kept());
         for (station, peer) in &self.peers {
             let (number, yours) = self.contact.next(now, &peer.name);
-            let word = Word::Beat(Beat { digest, leaving, number, yours, kept, ..beat.clone() });
-            self.acts.push(Act::Peer(station.clone(), word));
+            let word = Message::Heartbeat(Heartbeat { digest, leaving, number, yours, kept, ..beat.clone() });
+            self.acts.push(Action::Peer(station.clone(), word));
         }
         self.contact.sweep(now);
         self.bury(now);
-        let silent = |heard: Moment| now - heard > SILENT;
+        let silent = |heard: Timestamp| now - heard > SILENT;
         let lost: Vec<String> =
             self.peers.iter().filter(|(_, p)| silent(p.heard)).map(|(s, _)| s.clone()).collect();
         lost.iter().for_each(|station| self.peer_lost(now, station, "silent"));
         let lost: Vec<u64> =
             self.sessions.iter().filter(|(_, s)| silent(s.heard)).map(|(id, _)| *id).collect();
         for id in lost {
-            self.acts.push(Act::Close(id));
+            self.acts.push(Action::Close(id));
             self.session_lost(now, id, "silent");
         }
         self.tell(now);
@@ -248,17 +262,17 @@
         if live != self.live {
             self.keep_records(vec![(LIVE.to_vec(), live.join(",").into_bytes())], Kept::Nothing);
             self.live = live;
-            let word = Word::Live(self.live_word());
+            let word = Message::MembershipUpdate(self.live_word());
             let ids: Vec<u64> = self.sessions.keys().copied().collect();
-            ids.into_iter().for_each(|id| self.acts.push(Act::Session(id, word.clone())));
+            ids.into_iter().for_each(|id| self.acts.push(Action::Session(id, word.clone())));
         }
         for id in self.sessions.keys() {
             let digest = self.ledger.digest();
-            self.acts.push(Act::Session(*id, Word::Beat(Beat { digest, ..beat.clone() })));
+            self.acts.push(Action::Session(*id, Message::Heartbeat(Heartbeat { digest, ..beat.clone() })));
         }
     }
 }
 
-pub fn millis(span: Span) -> i64 {
+pub fn millis(span: Duration) -> i64 {
     span.micros() / 1000
 }
--- a/crates/control-plane/src/state_machine/records.rs
+++ b/crates/control-plane/src/state_machine/records.rs
@@ -3,13 +3,13 @@
 use super::*;
 
 /// Takes a tenant's limit up.
-pub(super) fn learn(terms: &mut BTreeMap<String, Terms>, item: &Item) {
+pub(super) fn learn(terms: &mut BTreeMap<String, RateLimit>, item: &Item) {
     if item.kind != Kind::Tenant {
         return;
     }
     match Tenant::of(item) {
         Some(tenant) => {
-            terms.insert(item.name.to_string(), Terms { rate: tenant.rate, surge: tenant.surge });
+            terms.insert(item.name.to_string(), RateLimit { rate: tenant.rate, surge: tenant.surge });
         }
         None => _ = terms.remove(&*item.name),
     }
