--- a/crates/coordination/tests/consensus_model/mod.rs
+++ b/crates/coordination/tests/consensus_model/mod.rs
@@ -7,9 +7,9 @@
 // Each that plays this plays a part of it.
 #![allow(dead_code)]
 
-use kitepass_config::{Item, Kind, Ledger, Verdict};
+use kitepass_config::{Item, ItemStore, Kind, VersionStatus};
 use kitepass_coordination::consensus::*;
-use kitepass_coordination::membership::{Cast, Seat};
+use kitepass_coordination::membership::{Replica, ReplicaSet};
 use stateright::{Checker, Model, Property};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,7 +19,7 @@
 /// Sets of seats and of calls, by bits.
 type Set = u32;
 
-pub type Weigh = fn(&Call, &Seen, &Ledger) -> Standing;
+pub type Weigh = fn(&Proposal, &ObservedProposals, &ItemStore) -> ProposalStatus;
 
 /// The defences of a change of the cast that are not the register's own, for tests that take one out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,11 +34,11 @@
 
 /// What is played, and its bounds.
 pub struct Setup {
-    calls: Vec<Call>,
+    calls: Vec<Proposal>,
     /// The calls whose content clashes with each one's.
     clashes: Vec<Set>,
     /// By the set of decided calls.
-    ledgers: Vec<Ledger>,
+    ledgers: Vec<ItemStore>,
     /// Which sets of seats read, and keep, by era.
     reads: Vec<Vec<bool>>,
     keeps: Vec<Vec<bool>>,
@@ -51,7 +51,7 @@
     spoils: Vec<Set>,
     attempts: u8,
     restarts: u8,
-    /// Answers to `Store` that may be lost.
+    /// Answers to `AcceptRequest` that may be lost.
     lost: u8,
     /// Seats that are in the same casts are alike.
     alike: Vec<Set>,
@@ -63,42 +63,42 @@
 }
 
 fn item(name: &str, edition: u64, value: &str) -> Item {
-    Item { kind: Kind::Line, name: name.into(), edition, value: Some(value.to_owned().into()) }
+    Item { kind: Kind::Service, name: name.into(), edition, value: Some(value.to_owned().into()) }
 }
 
 /// `a1 b2` says `1` of version 1 of `a`, and `2` of `b`; `a1.3` says `1` of version 3.
-fn call(text: &str) -> Call {
+fn call(text: &str) -> Proposal {
     let items = text
         .split(' ')
         .map(|word| item(&word[..1], word.get(3..).and_then(|n| n.parse().ok()).unwrap_or(1), &word[1..2]));
-    Call::new(items.collect())
+    Proposal::new(items.collect())
 }
 
-fn cast(seats: &[usize]) -> Cast {
-    let seat = |n: &usize| Seat { station: format!("s{n}"), district: "d".into(), ..Seat::default() };
-    Cast { seats: seats.iter().map(seat).collect(), edition: 1 }
+fn cast(seats: &[usize]) -> ReplicaSet {
+    let seat = |n: &usize| Replica { station: format!("s{n}"), district: "d".into(), ..Replica::default() };
+    ReplicaSet { seats: seats.iter().map(seat).collect(), edition: 1 }
 }
 
 impl Setup {
     /// Each proposer wants one of the calls, by its place. With two casts, one more brings the second in.
     fn new(calls: &[&str], goals: &[usize], casts: &[&[usize]]) -> Setup {
-        let mut calls: Vec<Call> = calls.iter().map(|text| call(text)).collect();
+        let mut calls: Vec<Proposal> = calls.iter().map(|text| call(text)).collect();
         let mut goals = goals.to_vec();
         let (mut next, mut now) = (None, None);
         if casts.len() > 1 {
-            let of = |name: &str| Item { kind: Kind::Cast, ..item(name, 2, "cast") };
+            let of = |name: &str| Item { kind: Kind::ReplicaSet, ..item(name, 2, "cast") };
             (next, now) = (Some(calls.len()), Some(calls.len() + 1));
-            calls.extend([Call::new(vec![of("next")]), Call::new(vec![of("now")])]);
+            calls.extend([Proposal::new(vec![of("next")]), Proposal::new(vec![of("now")])]);
             goals.push(calls.len() - 1);
         }
-        let clash = |a: &Call, b: &Call| {
+        let clash = |a: &Proposal, b: &Proposal| {
             a.items().iter().any(|i| b.items().iter().any(|j| key(i) == key(j) && i != j))
         };
         let clashes = calls
             .iter()
             .map(|a| (0..calls.len()).filter(|n| clash(a, &calls[*n])).fold(0, |set, n| set | 1 << n));
         let ledgers = (0..1u32 << calls.len()).map(|set| {
-            let mut ledger = Ledger::new();
+            let mut ledger = ItemStore::new();
             for (_, call) in calls.iter().enumerate().filter(|(n, _)| set >> n & 1 == 1) {
                 call.items().iter().for_each(|item| _ = ledger.merge(item.clone()));
             }
@@ -114,14 +114,14 @@
                 .fold(0, |set, (n, _)| set | 1 << n)
         });
         let alike = alike.collect();
-        let casts: Vec<Cast> = casts.iter().map(|seats| cast(seats)).collect();
+        let casts: Vec<ReplicaSet> = casts.iter().map(|seats| cast(seats)).collect();
         // In the odd era between two casts, both.
-        let eras: Vec<&[Cast]> = match &casts[..] {
+        let eras: Vec<&[ReplicaSet]> = match &casts[..] {
             [only] => vec![std::slice::from_ref(only)],
             both => vec![&both[..1], both, &both[1..]],
         };
-        let table = |is: &dyn Fn(&Cast, &BTreeSet<String>) -> bool| {
-            let row = |casts: &&[Cast]| {
+        let table = |is: &dyn Fn(&ReplicaSet, &BTreeSet<String>) -> bool| {
+            let row = |casts: &&[ReplicaSet]| {
                 let names =
                     |set: u32| (0..seats).filter(|n| set >> n & 1 == 1).map(|n| format!("s{n}")).collect();
                 (0..1u32 << seats).map(|set| casts.iter().all(|cast| is(cast, &names(set)))).collect()
@@ -129,8 +129,8 @@
             eras.iter().map(row).collect()
         };
         Setup {
-            reads: table(&Cast::is_read),
-            keeps: table(&Cast::is_safe),
+            reads: table(&ReplicaSet::is_read),
+            keeps: table(&ReplicaSet::is_safe),
             clashes: clashes.collect(),
             ledgers: ledgers.collect(),
             calls,
@@ -172,11 +172,11 @@
         Setup { out: Some(out), ..self }
     }
 
-    fn place(&self, mark: Mark) -> usize {
+    fn place(&self, mark: ProposalId) -> usize {
         self.calls.iter().position(|call| call.mark() == mark).expect("a call of the setup")
     }
 
-    fn ledger(&self, known: Set) -> &Ledger {
+    fn ledger(&self, known: Set) -> &ItemStore {
         &self.ledgers[known as usize]
     }
 
@@ -252,9 +252,9 @@
     }
 }
 
-/// A `Store` under way to a seat. It counts only where the seat holds `need` as well.
+/// A `AcceptRequest` under way to a seat. It counts only where the seat holds `need` as well.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Store {
+pub struct AcceptRequest {
     seat: usize,
     ballot: Ballot,
     call: usize,
@@ -268,7 +268,7 @@
 pub struct State {
     stations: Vec<Station>,
     proposers: Vec<Proposer>,
-    network: BTreeSet<Store>,
+    network: BTreeSet<AcceptRequest>,
     /// Who ever accepted what; nobody in the system knows this.
     accepted: BTreeMap<(Ballot, usize), Set>,
     chosen: Set,
@@ -281,8 +281,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// A proposer's inquiry is heard by a seat; so is the answer, or it is lost.
-    Inquire(usize, usize, bool),
-    Store(Store, bool),
+    PrepareRequest(usize, usize, bool),
+    AcceptRequest(AcceptRequest, bool),
     /// A seat hears of a decided call.
     Tell(usize, usize),
     Restart(usize),
@@ -304,7 +304,7 @@
         proposer.step = Step::Reading { ballot, heard: 0 };
     }
 
-    fn weigh(&self, proposer: &Proposer) -> Standing {
+    fn weigh(&self, proposer: &Proposer) -> ProposalStatus {
         let (ledger, target) = (self.ledger(proposer.known), &self.calls[proposer.target]);
         let seen = proposer.seen.iter().map(|(n, b)| (self.calls[*n].mark(), (*b, self.calls[*n].clone())));
         let denied = proposer.denied.iter().map(|(n, ballot)| (self.calls[*n].mark(), *ballot)).collect();
@@ -318,11 +318,11 @@
         // A change of the cast comes first of all; and the next cast is in force only once nothing is left open.
         let change = self.next.filter(|n| proposer.seen.contains_key(n) && is_open(n));
         match (self.weigh)(target, &seen, ledger) {
-            end @ (Standing::Done | Standing::Taken(_)) => end,
+            end @ (ProposalStatus::Done | ProposalStatus::Taken(_)) => end,
             weighed => match (change, pending) {
-                (Some(next), _) => Standing::Behind(self.calls[next].mark()),
+                (Some(next), _) => ProposalStatus::Behind(self.calls[next].mark()),
                 (None, Some((n, _))) if Some(proposer.target) == self.now => {
-                    Standing::Behind(self.calls[*n].mark())
+                    ProposalStatus::Behind(self.calls[*n].mark())
                 }
                 _ => weighed,
             },
@@ -330,28 +330,28 @@
     }
 
     /// The reading is whole.
-    fn decide(&self, proposer: &mut Proposer, network: &mut BTreeSet<Store>) {
+    fn decide(&self, proposer: &mut Proposer, network: &mut BTreeSet<AcceptRequest>) {
         let Step::Reading { ballot, .. } = proposer.step else { return };
         let own = proposer.target == proposer.goal;
         let (goal, call) = (proposer.goal, proposer.target);
         match self.weigh(proposer) {
-            Standing::Done if own => proposer.step = Step::Done,
-            Standing::Taken(_) if own => proposer.step = Step::Taken,
-            Standing::Done | Standing::Taken(_) => self.begin(proposer, goal),
-            Standing::Behind(mark) => self.begin(proposer, self.place(mark)),
-            Standing::Free if self.spoils[call] & proposer.known != 0 => {
+            ProposalStatus::Done if own => proposer.step = Step::Done,
+            ProposalStatus::Taken(_) if own => proposer.step = Step::Taken,
+            ProposalStatus::Done | ProposalStatus::Taken(_) => self.begin(proposer, goal),
+            ProposalStatus::Behind(mark) => self.begin(proposer, self.place(mark)),
+            ProposalStatus::Free if self.spoils[call] & proposer.known != 0 => {
                 if !own {
                     return self.begin(proposer, goal);
                 }
-                let store = |seat| Store { seat, ballot, call, bid: false, denies: true, need: 0 };
+                let store = |seat| AcceptRequest { seat, ballot, call, bid: false, denies: true, need: 0 };
                 network.extend((0..self.seats).map(store));
                 proposer.step = Step::Denying { ballot, stored: 0 };
             }
-            weighed @ (Standing::Again | Standing::Free) => {
+            weighed @ (ProposalStatus::Again | ProposalStatus::Free) => {
                 let holds_all = Some(call) == self.now && self.out != Some(Handover::Holding);
                 let need = if holds_all { proposer.known } else { 0 };
-                let bid = weighed == Standing::Again;
-                network.extend((0..self.seats).map(|seat| Store {
+                let bid = weighed == ProposalStatus::Again;
+                network.extend((0..self.seats).map(|seat| AcceptRequest {
                     seat,
                     ballot,
                     call,
@@ -381,8 +381,8 @@
         }
     }
 
-    fn write(&self, station: &mut Station, reserve: Option<Reserve>, records: Vec<Record>) {
-        station.disk.extend(reserve.map(Reserve::record).into_iter().chain(records));
+    fn write(&self, station: &mut Station, reserve: Option<BallotReservation>, records: Vec<Record>) {
+        station.disk.extend(reserve.map(BallotReservation::record).into_iter().chain(records));
         station.disk.retain(|_, value| !value.is_empty());
         if let Some(reserve) = reserve {
             station.acceptor.on_disk(reserve);
@@ -436,13 +436,13 @@
 
     fn play(&self, state: &mut State, action: Action) {
         match action {
-            Action::Inquire(n, seat, hears) => {
+            Action::PrepareRequest(n, seat, hears) => {
                 let (proposer, station) = (&mut state.proposers[n], &mut state.stations[seat]);
                 if self.inquire(proposer, station, seat, hears) {
                     self.decide(proposer, &mut state.network);
                 }
             }
-            Action::Store(store, hears) => self.store(state, store, hears),
+            Action::AcceptRequest(store, hears) => self.store(state, store, hears),
             Action::Tell(seat, call) => {
                 state.stations[seat].known |= 1 << call;
                 self.settle(&mut state.stations[seat]);
@@ -459,10 +459,10 @@
         }
     }
 
-    fn store(&self, state: &mut State, store: Store, hears: bool) {
+    fn store(&self, state: &mut State, store: AcceptRequest, hears: bool) {
         let station = &mut state.stations[store.seat];
         let call = self.calls[store.call].clone();
-        let bid = if store.bid { Bid::Again } else { Bid::First };
+        let bid = if store.bid { AcceptReason::Again } else { AcceptReason::First };
         let done = match store.denies {
             true => station.acceptor.deny(store.ballot, call.mark(), call.keys()),
             false => station.acceptor.accept(store.ballot, call, bid, self.ledger(station.known)),
@@ -480,7 +480,7 @@
                     }
                 }
             }
-            Err(Refused::Promised { to }) => refused = Some(to),
+            Err(AcceptError::Promised { to }) => refused = Some(to),
             Err(_) => refused = Some(store.ballot),
         }
         state.network.remove(&store);
@@ -539,12 +539,12 @@
                 let stores =
                     state.network.iter().filter(|store| store.seat == seat).cloned().collect::<Vec<_>>();
                 for store in stores {
-                    self.play(&mut state, Action::Store(store, true));
+                    self.play(&mut state, Action::AcceptRequest(store, true));
                 }
                 let proposer = &state.proposers[0];
                 match proposer.step {
                     Step::Reading { heard, .. } if heard >> seat & 1 == 0 => {
-                        self.play(&mut state, Action::Inquire(0, seat, true));
+                        self.play(&mut state, Action::PrepareRequest(0, seat, true));
                     }
                     Step::Done | Step::Taken | Step::Denied | Step::Over => break,
                     _ => {}
@@ -571,13 +571,13 @@
             || least.into_iter().all(|set| {
                 let stations = || (0..self.seats).filter(|n| set >> n & 1 == 1).map(|n| &state.stations[n]);
                 let known = stations().fold(0, |known, station| known | station.known);
-                let mut seen = Seen::new();
+                let mut seen = ObservedProposals::new();
                 for station in stations() {
                     hear(&mut seen, station.acceptor.pending().map(|(ballot, call)| (ballot, call.clone())));
                 }
                 rivals.iter().all(|n| {
                     let standing = (self.weigh)(&self.calls[*n], &seen, self.ledger(known));
-                    matches!(standing, Standing::Behind(_) | Standing::Taken(_))
+                    matches!(standing, ProposalStatus::Behind(_) | ProposalStatus::Taken(_))
                 })
             })
     }
@@ -624,7 +624,7 @@
         }
         next.accepted.values_mut().for_each(|set| *set = moved(*set));
         next.network =
-            state.network.into_iter().map(|store| Store { seat: to[store.seat], ..store }).collect();
+            state.network.into_iter().map(|store| AcceptRequest { seat: to[store.seat], ..store }).collect();
         next
     }
 
@@ -636,9 +636,10 @@
         let ledger = self.ledger(state.chosen);
         state.decided & !state.chosen == 0
             && state.proposers.iter().all(|proposer| match proposer.step {
-                Step::Done => {
-                    self.calls[proposer.goal].items().iter().all(|i| ledger.verdict(i) == Verdict::Alike)
-                }
+                Step::Done => self.calls[proposer.goal]
+                    .items()
+                    .iter()
+                    .all(|i| ledger.verdict(i) == VersionStatus::Alike),
                 // Nobody else asks for what may be denied.
                 Step::Taken | Step::Denied => state.chosen >> proposer.goal & 1 == 0,
                 _ => true,
@@ -669,7 +670,9 @@
         for (n, proposer) in state.proposers.iter().enumerate() {
             if let Step::Reading { heard, .. } = proposer.step {
                 actions.extend(
-                    (0..self.seats).filter(|s| heard >> s & 1 == 0).map(|s| Action::Inquire(n, s, true)),
+                    (0..self.seats)
+                        .filter(|s| heard >> s & 1 == 0)
+                        .map(|s| Action::PrepareRequest(n, s, true)),
                 );
             }
         }
@@ -679,10 +682,10 @@
             }
             let is_awaited = state.proposers.iter().any(|p| p.awaits(store.ballot));
             if is_awaited {
-                actions.push(Action::Store(store.clone(), true));
+                actions.push(Action::AcceptRequest(store.clone(), true));
             }
             if !is_awaited || state.lost < self.lost {
-                actions.push(Action::Store(store.clone(), false));
+                actions.push(Action::AcceptRequest(store.clone(), false));
             }
         }
         for seat in 0..self.seats {
@@ -831,8 +834,8 @@
             self.actions(&state, &mut actions);
             let whose = state.proposers[focus].who;
             let is_near = |action: &Action| match action {
-                Action::Inquire(n, ..) => *n == focus,
-                Action::Store(store, hears) => store.ballot.who == whose && *hears,
+                Action::PrepareRequest(n, ..) => *n == focus,
+                Action::AcceptRequest(store, hears) => store.ballot.who == whose && *hears,
                 Action::Tell(..) => told,
                 Action::Restart(_) => false,
             };
@@ -844,7 +847,9 @@
             }
             let drawn = chance.rand_range(0..actions.len() as u64) as usize;
             let action = match actions.swap_remove(drawn) {
-                Action::Inquire(n, seat, _) => Action::Inquire(n, seat, chance.rand_range(0..8) > 0),
+                Action::PrepareRequest(n, seat, _) => {
+                    Action::PrepareRequest(n, seat, chance.rand_range(0..8) > 0)
+                }
                 action => action,
             };
             self.play(&mut state, action);
@@ -917,14 +922,16 @@
             let ballot = ballot_of(&state.proposers[n]).expect("it has begun");
             let at = self.round_trip * 0.5 + self.spread * chance.rand_float();
             for seat in 0..setup.seats {
-                send(&mut events, &mut chance, at, (Action::Inquire(n, seat, true), ballot));
+                send(&mut events, &mut chance, at, (Action::PrepareRequest(n, seat, true), ballot));
             }
         }
         while let Some(((micros, _), (action, ballot))) = events.pop_first() {
             let now = micros as f64 / 1_000.0;
             let n = match &action {
-                Action::Inquire(n, ..) => *n,
-                Action::Store(store, _) => state.proposers.iter().position(|p| p.who == store.ballot.who)?,
+                Action::PrepareRequest(n, ..) => *n,
+                Action::AcceptRequest(store, _) => {
+                    state.proposers.iter().position(|p| p.who == store.ballot.who)?
+                }
                 tell => {
                     setup.play(&mut state, tell.clone());
                     continue;
@@ -933,9 +940,9 @@
             let (before, decided) = (state.proposers[n].clone(), state.decided);
             let waits = ballot_of(&before) == Some(ballot);
             let is_reading = matches!(before.step, Step::Reading { heard, .. }
-                if matches!(action, Action::Inquire(_, seat, _) if heard >> seat & 1 == 0));
+                if matches!(action, Action::PrepareRequest(_, seat, _) if heard >> seat & 1 == 0));
             match action {
-                Action::Inquire(..) if !(waits && is_reading) => continue,
+                Action::PrepareRequest(..) if !(waits && is_reading) => continue,
                 action => setup.play(&mut state, action),
             }
             let after = &state.proposers[n];
@@ -967,16 +974,16 @@
                         pause = least + (most - least) * chance.rand_float();
                     }
                     for seat in 0..setup.seats {
-                        let what = (Action::Inquire(n, seat, true), *ballot);
+                        let what = (Action::PrepareRequest(n, seat, true), *ballot);
                         send(&mut events, &mut chance, now + self.round_trip + pause, what);
                     }
                 }
                 Step::Storing { ballot, stored: 0 } => {
-                    let stores: Vec<Store> =
+                    let stores: Vec<AcceptRequest> =
                         state.network.iter().filter(|store| store.ballot == *ballot).cloned().collect();
                     for store in stores {
                         let at = now + self.round_trip + self.sync * (0.5 + chance.rand_float());
-                        send(&mut events, &mut chance, at, (Action::Store(store, true), *ballot));
+                        send(&mut events, &mut chance, at, (Action::AcceptRequest(store, true), *ballot));
                     }
                 }
                 _ => {}
--- a/crates/coordination/tests/framing.rs
+++ b/crates/coordination/tests/framing.rs
@@ -1,32 +1,40 @@
 //! Words as they go over a connection: whole and in pieces, wherever they are cut, and lies about them.
 
 use kitepass_coordination::protocol::framing::{pack, Assembler, Error, MOST_FRAME, MOST_WORD};
-use kitepass_coordination::protocol::{Add, Adds, Beat, Hello, ItemWord, Store, Word};
+use kitepass_coordination::protocol::{
+    AcceptRequest, Heartbeat, Hello, ItemMessage, Message, TenantUsage, UsageReport,
+};
 use rstest::rstest;
 
-fn long(bytes: usize) -> Word {
+fn long(bytes: usize) -> Message {
     let value = Some(vec![7; bytes].into());
-    let item = ItemWord { kind: 1, name: "n".into(), edition: 1, value, ..ItemWord::default() };
-    Word::Store(Store { ticket: 3, items: vec![item], ..Store::default() })
+    let item = ItemMessage { kind: 1, name: "n".into(), edition: 1, value, ..ItemMessage::default() };
+    Message::AcceptRequest(AcceptRequest { ticket: 3, items: vec![item], ..AcceptRequest::default() })
 }
 
-fn packed(words: &[Word]) -> Vec<u8> {
+fn packed(words: &[Message]) -> Vec<u8> {
     let mut bytes = Vec::new();
     words.iter().for_each(|word| pack(word.clone(), &mut bytes));
     bytes
 }
 
-fn read(assembler: &mut Assembler, input: &[u8], at: &mut usize) -> Vec<Word> {
+fn read(assembler: &mut Assembler, input: &[u8], at: &mut usize) -> Vec<Message> {
     std::iter::from_fn(|| assembler.next(input, at).unwrap()).collect()
 }
 
 #[test]
 fn words_are_the_same_wherever_they_are_cut() {
-    let add = Add { tenant: "a".into(), offered: 7, sent: 3, ..Add::default() };
+    let add = TenantUsage { tenant: "a".into(), offered: 7, sent: 3, ..TenantUsage::default() };
     let words = [
-        Word::Hello(Hello { station: "one".into(), life: 7, ..Hello::default() }),
-        Word::Adds(Adds { ticket: 3, station: "one".into(), adds: vec![add], life: 9, asks: false }),
-        Word::Beat(Beat { digest: 5, ready: true, ..Beat::default() }),
+        Message::Hello(Hello { station: "one".into(), life: 7, ..Hello::default() }),
+        Message::UsageReport(UsageReport {
+            ticket: 3,
+            station: "one".into(),
+            adds: vec![add],
+            life: 9,
+            asks: false,
+        }),
+        Message::Heartbeat(Heartbeat { digest: 5, ready: true, ..Heartbeat::default() }),
     ];
     let bytes = packed(&words);
     for cut in 0..=bytes.len() {
@@ -53,7 +61,7 @@
     }
     assert!(seen == words && assembler.kept() == 0 && most > 15 << 20);
     // A beat between two pieces comes first.
-    let beat = Word::Beat(Beat { digest: 5, ..Beat::default() });
+    let beat = Message::Heartbeat(Heartbeat { digest: 5, ..Heartbeat::default() });
     let mut mixed = packed(&words[1..2]);
     mixed.splice(MOST_FRAME + 4..MOST_FRAME + 4, packed(std::slice::from_ref(&beat)));
     let seen = read(&mut Assembler::default(), &mixed, &mut 0);
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -2,14 +2,15 @@
 //! upgrade, so no line of the golden files may ever change; new messages and fields get lines of their own.
 
 use bytes::Bytes;
-use kitepass_config::{Entry, Item, Kind, Version};
-use kitepass_coordination::consensus::{key, Ballot, Call, CallWord};
-use kitepass_coordination::membership::{Cast, NEXT, NOW};
+use kitepass_config::{Entry, Item, Kind, VersionDigest};
+use kitepass_coordination::consensus::{key, Ballot, Proposal, ProposalMessage};
+use kitepass_coordination::membership::{ReplicaSet, CURRENT, INCOMING};
 use kitepass_coordination::protocol::framing::{Assembler, Error, Outbox, Packed, MOST_FRAME, MOST_WORD};
 use kitepass_coordination::protocol::{
-    batches, pack, pack_items, Decided, Denied, Forget, Hello, ItemWord, Items, Parcel, Word,
+    batches, pack, pack_items, Commit, Envelope, Hello, ItemMessage, Items, Message, PurgeTombstones,
+    RejectedProposal,
 };
-use prost::Message;
+use prost::Message as _;
 use rstest::rstest;
 use samples::Sample;
 use std::fmt::Write;
@@ -56,8 +57,8 @@
     from_hex(line.unwrap_or_else(|| panic!("no line for {name}")))
 }
 
-fn envelope(message: &Word) -> Parcel {
-    Parcel { word: Some(message.clone()) }
+fn envelope(message: &Message) -> Envelope {
+    Envelope { word: Some(message.clone()) }
 }
 
 fn all_samples() -> Vec<Sample> {
@@ -75,7 +76,7 @@
 fn golden_bytes_are_decoded_to_the_messages() {
     for (name, message) in all_samples() {
         let bytes = golden(MESSAGES, name);
-        let decoded = Parcel::decode(&bytes[..]).unwrap();
+        let decoded = Envelope::decode(&bytes[..]).unwrap();
         assert!(decoded == envelope(&message), "{name}");
         assert_eq!(to_hex(&decoded.encode_to_vec()), to_hex(&bytes), "{name}");
     }
@@ -96,20 +97,20 @@
 fn nested_messages_have_the_golden_bytes() {
     assert_eq!(lines(samples::nested()), NESTED);
     assert!(Ballot::decode(&golden(NESTED, "ballot")[..]).unwrap() == samples::ballot(1));
-    assert!(Denied::decode(&golden(NESTED, "rejection")[..]).unwrap() == samples::rejection());
-    let proposal = CallWord::decode(&golden(NESTED, "accepted-proposal")[..]).unwrap();
+    assert!(RejectedProposal::decode(&golden(NESTED, "rejection")[..]).unwrap() == samples::rejection());
+    let proposal = ProposalMessage::decode(&golden(NESTED, "accepted-proposal")[..]).unwrap();
     assert!(proposal == samples::accepted_proposal());
 }
 
 /// Sets of replicas travel as items like any other, so that their names and values are part of the protocol.
 #[test]
 fn replica_sets_are_items() {
-    let set = Cast { seats: samples::replicas(), edition: 81 };
-    for (name, expected) in [(NOW, "now"), (NEXT, "next")] {
+    let set = ReplicaSet { seats: samples::replicas(), edition: 81 };
+    for (name, expected) in [(CURRENT, "now"), (INCOMING, "next")] {
         let item = set.item(name);
         assert_eq!((item.kind as u8, &*item.name, item.edition), (7, expected, 81));
         assert_eq!(to_hex(&item.value.clone().unwrap()), to_hex(&golden(NESTED, "replica-set")));
-        assert!(Cast::from_item(&item) == Some(set.clone()));
+        assert!(ReplicaSet::from_item(&item) == Some(set.clone()));
     }
     // Votes and copies are counted by these names.
     let names: Vec<String> = set.seats.iter().map(|replica| replica.name()).collect();
@@ -125,25 +126,25 @@
     vec![
         item(Kind::Route, "route-1", 1, Some(b"{\"a\":1}")),
         item(Kind::Tenant, "tenant-1", 2, None),
-        item(Kind::Line, "service-1", 0x0102_0304_0506_0708, Some(b"{}")),
+        item(Kind::Service, "service-1", 0x0102_0304_0506_0708, Some(b"{}")),
         item(Kind::Limits, "", 4, Some(b"{\"idle-ms\":1}")),
         item(Kind::Evacuation, "zone-a", 5, Some(b"1")),
         item(Kind::Backend, "backend-1", 6, Some(b"\x00\xff")),
-        item(Kind::Cast, "now", 7, Some(b"")),
+        item(Kind::ReplicaSet, "now", 7, Some(b"")),
     ]
 }
 
 #[test]
 fn items_survive_a_round_trip() {
     for (item, number) in items().iter().zip(1..) {
-        let message = ItemWord::from(item);
+        let message = ItemMessage::from(item);
         assert_eq!(message.kind, number);
         assert!(message.item().as_ref() == Some(item), "{}", item.name);
     }
     let due = vec![(Kind::Tenant, "tenant-1".into(), 5)];
-    let purge = Word::Forget(Forget::of(&due));
+    let purge = Message::PurgeTombstones(PurgeTombstones::of(&due));
     assert_eq!(to_hex(&envelope(&purge).encode_to_vec()), to_hex(&golden(MESSAGES, "purge-tombstones")));
-    let Word::Forget(purge) = purge else { unreachable!() };
+    let Message::PurgeTombstones(purge) = purge else { unreachable!() };
     assert!(purge.due() == due);
 }
 
@@ -152,10 +153,10 @@
 fn older_versions_of_items_survive_a_round_trip() {
     let item = item(Kind::Route, "route-1", 1_000_000_000_001, Some(b"{\"a\":1}"));
     let history = [
-        Version { edition: 301, mark: 0x7172_7374_7576_7701_8182_8384_8586_8701 },
-        Version { edition: 302, mark: 0x7172_7374_7576_7702_8182_8384_8586_8702 },
+        VersionDigest { edition: 301, mark: 0x7172_7374_7576_7701_8182_8384_8586_8701 },
+        VersionDigest { edition: 302, mark: 0x7172_7374_7576_7702_8182_8384_8586_8702 },
     ];
-    let message = ItemWord::from(Entry { item: &item, past: &history });
+    let message = ItemMessage::from(Entry { item: &item, past: &history });
     assert_eq!(to_hex(&message.encode_to_vec()), to_hex(&golden(NESTED, "item")));
     assert!(message.entry() == Some((item, history.to_vec())));
 }
@@ -163,11 +164,11 @@
 /// They must not be taken for items of the kind that the lowest byte of the number would name.
 #[rstest]
 fn items_of_unknown_kinds_are_skipped(#[values(0, 8, 255, 256 + 1, u32::MAX)] kind: u32) {
-    let message = ItemWord { kind, name: "name".into(), edition: 1, ..ItemWord::default() };
+    let message = ItemMessage { kind, name: "name".into(), edition: 1, ..ItemMessage::default() };
     assert!(message.clone().item().is_none());
     assert!(message.clone().entry().is_none());
     // A proposal that cannot be kept complete is not kept at all.
-    assert!(Call::of_words(vec![message, ItemWord::from(&items()[0])]).is_none());
+    assert!(Proposal::of_words(vec![message, ItemMessage::from(&items()[0])]).is_none());
 }
 
 /// Field 99 of each wire type: varint, 64 bits, bytes, 32 bits.
@@ -191,12 +192,12 @@
 #[test]
 fn unknown_variants_are_skipped() {
     let unknown = from_hex(UNKNOWN_VARIANT);
-    assert!(Parcel::decode(&unknown[..]).unwrap().word.is_none());
-    let heartbeat = Word::Beat(samples::heartbeat());
+    assert!(Envelope::decode(&unknown[..]).unwrap().word.is_none());
+    let heartbeat = Message::Heartbeat(samples::heartbeat());
     let known = envelope(&heartbeat).encode_to_vec();
     // In one envelope with a known one, the known one counts.
     for bytes in [[&unknown[..], &known].concat(), [&known[..], &unknown].concat()] {
-        assert!(Parcel::decode(&bytes[..]).unwrap() == envelope(&heartbeat));
+        assert!(Envelope::decode(&bytes[..]).unwrap() == envelope(&heartbeat));
     }
     let mut stream = [&(unknown.len() as u32).to_be_bytes()[..], &unknown].concat();
     pack(heartbeat.clone(), &mut stream);
@@ -208,10 +209,10 @@
 fn several_variants_in_one_envelope() {
     let bytes = |name| golden(MESSAGES, name);
     let both = [bytes("commit"), bytes("heartbeat")].concat();
-    assert!(Parcel::decode(&both[..]).unwrap() == envelope(&Word::Beat(samples::heartbeat())));
+    assert!(Envelope::decode(&both[..]).unwrap() == envelope(&Message::Heartbeat(samples::heartbeat())));
     let halves = [bytes("hello.is-current"), bytes("hello.is-complete")].concat();
     let merged = Hello { current: true, full: true, ..Hello::default() };
-    assert!(Parcel::decode(&halves[..]).unwrap() == envelope(&Word::Hello(merged)));
+    assert!(Envelope::decode(&halves[..]).unwrap() == envelope(&Message::Hello(merged)));
 }
 
 /// Numbers in a list are packed when they are sent, and read one by one as well.
@@ -219,12 +220,12 @@
 fn lists_of_numbers_are_read_unpacked_too() {
     // Bucket digests 1 and 2, each with a key of its own.
     let unpacked = from_hex("2212090100000000000000090200000000000000");
-    let Some(Word::Buckets(digests)) = Parcel::decode(&unpacked[..]).unwrap().word else {
+    let Some(Message::BucketDigests(digests)) = Envelope::decode(&unpacked[..]).unwrap().word else {
         panic!("not bucket digests")
     };
     assert_eq!(digests.hashes, [1, 2]);
     let packed = "22120a1001000000000000000200000000000000";
-    assert_eq!(to_hex(&envelope(&Word::Buckets(digests)).encode_to_vec()), packed);
+    assert_eq!(to_hex(&envelope(&Message::BucketDigests(digests)).encode_to_vec()), packed);
 }
 
 #[rstest]
@@ -233,14 +234,14 @@
 #[case::truncated("0a050a03")]
 #[case::field_number_0("0201")]
 fn malformed_messages_are_rejected(#[case] hex: &str) {
-    assert!(Parcel::decode(&from_hex(hex)[..]).is_err());
+    assert!(Envelope::decode(&from_hex(hex)[..]).is_err());
     let bytes = from_hex(hex);
     let frame = [&(bytes.len() as u32).to_be_bytes()[..], &bytes].concat();
     assert!(matches!(Assembler::default().next(&frame, &mut 0), Err(Error::Garbled { .. })));
 }
 
 /// All messages of a stream that is complete.
-fn read_all(stream: &[u8]) -> Vec<Word> {
+fn read_all(stream: &[u8]) -> Vec<Message> {
     let (mut assembler, mut position) = (Assembler::default(), 0);
     let messages = std::iter::from_fn(|| assembler.next(stream, &mut position).unwrap()).collect();
     assert_eq!((position, assembler.kept()), (stream.len(), 0));
@@ -249,10 +250,10 @@
 
 /// A commit whose envelope has so many bytes. The period of its content does not divide a frame's
 /// length, so that chunks out of order show.
-fn commit_of(length: usize) -> Word {
+fn commit_of(length: usize) -> Message {
     // Two tags, and two lengths of three bytes each.
     let content = (0..length - 8).map(|at| (at % 251) as u8).collect::<Vec<u8>>();
-    let message = Word::Decided(Decided { mark: content.into() });
+    let message = Message::Commit(Commit { mark: content.into() });
     assert_eq!(envelope(&message).encoded_len(), length);
     message
 }
@@ -265,11 +266,11 @@
 #[test]
 fn a_short_message_and_a_stream_of_several() {
     let mut stream = Vec::new();
-    pack(Word::Hello(samples::hello()), &mut stream);
+    pack(Message::Hello(samples::hello()), &mut stream);
     assert_eq!(to_hex(&stream), to_hex(&golden(FRAMES, "hello")));
-    assert!(read_all(&stream) == [Word::Hello(samples::hello())]);
+    assert!(read_all(&stream) == [Message::Hello(samples::hello())]);
     let mut stream = Vec::new();
-    let messages: Vec<Word> = samples::complete().into_iter().map(|(_, message)| message).collect();
+    let messages: Vec<Message> = samples::complete().into_iter().map(|(_, message)| message).collect();
     messages.iter().for_each(|message| pack(message.clone(), &mut stream));
     assert_eq!(to_hex(&stream), to_hex(&golden(FRAMES, "stream")));
     assert!(read_all(&stream) == messages);
@@ -297,7 +298,7 @@
 
 #[test]
 fn a_heartbeat_may_stand_between_frames_of_a_long_message() {
-    let (long, heartbeat) = (commit_of(2 * MOST_FRAME), Word::Beat(samples::heartbeat()));
+    let (long, heartbeat) = (commit_of(2 * MOST_FRAME), Message::Heartbeat(samples::heartbeat()));
     let (mut outbox, mut stream) = (Outbox::default(), Vec::new());
     outbox.say(Packed::new(long.clone()), false, &mut stream);
     outbox.feed(&mut stream, 0);
@@ -329,7 +330,7 @@
     let counts: Vec<usize> = read_all(&stream)
         .into_iter()
         .map(|message| match message {
-            Word::Items(Items { items }) => items.len(),
+            Message::Items(Items { items }) => items.len(),
             _ => panic!("no items"),
         })
         .collect();
@@ -393,7 +394,7 @@
         ("all-kinds", items()),
         ("all-kinds-reversed", reversed),
         ("first-of-one-version", vec![route(1, Some(b"{\"a\":1}")), route(1, Some(b"{\"a\":2}"))]),
-        ("names-not-ascii", vec![item(Kind::Line, "sérvice", 9, Some(b"{}"))]),
+        ("names-not-ascii", vec![item(Kind::Service, "sérvice", 9, Some(b"{}"))]),
     ]
 }
 
@@ -402,7 +403,7 @@
 fn proposals_have_the_golden_ids_and_keys() {
     let mut text = String::new();
     for (name, items) in proposals() {
-        let proposal = Call::new(items);
+        let proposal = Proposal::new(items);
         write!(text, "{name} {}", to_hex(&proposal.mark().0)).unwrap();
         for (item, of_item) in proposal.items().iter().zip(proposal.keys()) {
             assert_eq!(key(item), *of_item);
@@ -418,13 +419,13 @@
 fn proposals_travel_under_a_ballot() {
     let ballot = samples::ballot(1);
     for (name, items) in proposals() {
-        let proposal = Call::new(items);
-        let bytes = CallWord::new(ballot, &proposal).encode_to_vec();
-        let received = CallWord::decode(&bytes[..]).unwrap().call().unwrap();
+        let proposal = Proposal::new(items);
+        let bytes = ProposalMessage::new(ballot, &proposal).encode_to_vec();
+        let received = ProposalMessage::decode(&bytes[..]).unwrap().call().unwrap();
         assert!(received == (ballot, proposal), "{name}");
     }
     // A ballot of nothing but zeros is sent all the same.
-    assert_eq!(to_hex(&CallWord::default().encode_to_vec()), "0a00");
+    assert_eq!(to_hex(&ProposalMessage::default().encode_to_vec()), "0a00");
     // Without a ballot it is one of zeros.
-    assert!(CallWord::decode(&[][..]).unwrap().ballot == Ballot::default());
+    assert!(ProposalMessage::decode(&[][..]).unwrap().ballot == Ballot::default());
 }
--- a/crates/coordination/tests/golden/samples.rs
+++ b/crates/coordination/tests/golden/samples.rs
@@ -3,16 +3,17 @@
 //! look alike: each of them stands alone in a message besides.
 
 use bytes::Bytes;
-use kitepass_coordination::consensus::{Ballot, CallWord};
-use kitepass_coordination::membership::{Cast, Seat};
+use kitepass_coordination::consensus::{Ballot, ProposalMessage};
+use kitepass_coordination::membership::{Replica, ReplicaSet};
 use kitepass_coordination::protocol::{
-    Add, Adds, Beat, Buckets, Claim, Decided, Denied, Forget, Grant, Held, Hello, Inquire, ItemWord, Items,
-    Live, Member, Sessions, Store, Stored, Total, Totals, VersionWord, Word,
+    AcceptRequest, AcceptResponse, BucketDigests, Commit, Heartbeat, Hello, ItemMessage, Items, LeaseRequest,
+    LeaseVote, Member, MembershipUpdate, Message, PrepareRequest, PrepareResponse, PurgeTombstones,
+    RejectedProposal, SessionList, TenantTotal, TenantUsage, UsageReport, UsageTotals, VersionMessage,
 };
-use prost::Message;
+use prost::Message as _;
 
 /// A name in the golden file, and the message.
-pub type Sample = (&'static str, Word);
+pub type Sample = (&'static str, Message);
 
 pub fn hello() -> Hello {
     Hello {
@@ -29,8 +30,8 @@
     }
 }
 
-pub fn heartbeat() -> Beat {
-    Beat {
+pub fn heartbeat() -> Heartbeat {
+    Heartbeat {
         digest: 0x3132_3334_3536_3738,
         ready: true,
         current: true,
@@ -47,8 +48,8 @@
     Ballot { era: 100 + number, round: (1 << 40) + number, who: 0x6162_6364_6566_6700 + number }
 }
 
-fn version(number: u64) -> VersionWord {
-    VersionWord {
+fn version(number: u64) -> VersionMessage {
+    VersionMessage {
         edition: 300 + number,
         high: 0x7172_7374_7576_7700 + number,
         low: 0x8182_8384_8586_8700 + number,
@@ -56,8 +57,8 @@
 }
 
 /// An item with older versions.
-fn item_with_history() -> ItemWord {
-    ItemWord {
+fn item_with_history() -> ItemMessage {
+    ItemMessage {
         kind: 1,
         name: "route-1".into(),
         edition: 1_000_000_000_001,
@@ -66,17 +67,17 @@
     }
 }
 
-fn removed_item() -> ItemWord {
-    ItemWord { kind: 2, name: "tenant-1".into(), edition: 5, value: None, past: vec![] }
+fn removed_item() -> ItemMessage {
+    ItemMessage { kind: 2, name: "tenant-1".into(), edition: 5, value: None, past: vec![] }
 }
 
 /// Set, to nothing: not the same as removed.
-fn empty_item() -> ItemWord {
-    ItemWord { kind: 5, name: "zone-a".into(), edition: 6, value: Some(Bytes::new()), past: vec![] }
+fn empty_item() -> ItemMessage {
+    ItemMessage { kind: 5, name: "zone-a".into(), edition: 6, value: Some(Bytes::new()), past: vec![] }
 }
 
-pub fn accept_request() -> Store {
-    Store {
+pub fn accept_request() -> AcceptRequest {
+    AcceptRequest {
         ticket: 0x0102_0304_0506,
         items: vec![item_with_history(), removed_item()],
         life: 0x9192_9394_9596_9798,
@@ -89,8 +90,8 @@
     }
 }
 
-fn accept_response() -> Stored {
-    Stored {
+fn accept_response() -> AcceptResponse {
+    AcceptResponse {
         ticket: 0x0202_0304_0506,
         full: true,
         life: 0xc1c2_c3c4_c5c6_c7c8,
@@ -100,8 +101,8 @@
     }
 }
 
-fn prepare_request() -> Inquire {
-    Inquire {
+fn prepare_request() -> PrepareRequest {
+    PrepareRequest {
         ticket: 0x0302_0304_0506,
         hashes: vec![0xd1d2_d3d4_d5d6_d7d8, 0],
         life: 0xe1e2_e3e4_e5e6_e7e8,
@@ -113,16 +114,16 @@
     }
 }
 
-pub fn rejection() -> Denied {
-    Denied { ballot: ballot(5), mark: Bytes::from_static(b"fedcba9876543210") }
+pub fn rejection() -> RejectedProposal {
+    RejectedProposal { ballot: ballot(5), mark: Bytes::from_static(b"fedcba9876543210") }
 }
 
-pub fn accepted_proposal() -> CallWord {
-    CallWord { ballot: ballot(6), items: vec![empty_item(), removed_item()] }
+pub fn accepted_proposal() -> ProposalMessage {
+    ProposalMessage { ballot: ballot(6), items: vec![empty_item(), removed_item()] }
 }
 
-fn prepare_response() -> Held {
-    Held {
+fn prepare_response() -> PrepareResponse {
+    PrepareResponse {
         ticket: 0x0402_0304_0506,
         items: vec![item_with_history()],
         full: true,
@@ -140,15 +141,22 @@
     }
 }
 
-fn lease_request() -> Claim {
-    Claim { duty: "steward".into(), term: 21, ticket: 22, release: true, holds: true, era: 23 }
+fn lease_request() -> LeaseRequest {
+    LeaseRequest { duty: "steward".into(), term: 21, ticket: 22, release: true, holds: true, era: 23 }
 }
 
-fn lease_vote() -> Grant {
-    Grant { duty: "steward".into(), ticket: 31, granted: true, term: 32, holder: "node-2#1f".into(), era: 33 }
+fn lease_vote() -> LeaseVote {
+    LeaseVote {
+        duty: "steward".into(),
+        ticket: 31,
+        granted: true,
+        term: 32,
+        holder: "node-2#1f".into(),
+        era: 33,
+    }
 }
 
-fn session_list() -> Sessions {
+fn session_list() -> SessionList {
     let member = Member {
         station: "node-3".into(),
         life: 0x2928_2726_2524_2322,
@@ -157,14 +165,21 @@
         ready: true,
     };
     let other = Member { station: "node-4".into(), ..Member::default() };
-    Sessions { number: 41, members: vec![member, other] }
+    SessionList { number: 41, members: vec![member, other] }
 }
 
-fn usage_report() -> Adds {
-    let add =
-        Add { tenant: "tenant-2".into(), offered: 51, sent: 52, held: 53, wants: 54, back: 55, ahead: 56 };
-    let other = Add { tenant: "tenant-3".into(), offered: u32::MAX, ..Add::default() };
-    Adds {
+fn usage_report() -> UsageReport {
+    let add = TenantUsage {
+        tenant: "tenant-2".into(),
+        offered: 51,
+        sent: 52,
+        held: 53,
+        wants: 54,
+        back: 55,
+        ahead: 56,
+    };
+    let other = TenantUsage { tenant: "tenant-3".into(), offered: u32::MAX, ..TenantUsage::default() };
+    UsageReport {
         ticket: 57,
         station: "node-5".into(),
         adds: vec![add, other],
@@ -173,10 +188,15 @@
     }
 }
 
-fn usage_totals() -> Totals {
-    let total =
-        Total { tenant: "tenant-4".into(), offered: 61.5, sent: 0.0625, granted: 62, part: f32::INFINITY };
-    Totals {
+fn usage_totals() -> UsageTotals {
+    let total = TenantTotal {
+        tenant: "tenant-4".into(),
+        offered: 61.5,
+        sent: 0.0625,
+        granted: 62,
+        part: f32::INFINITY,
+    };
+    UsageTotals {
         ticket: 63,
         station: "node-6".into(),
         totals: vec![total],
@@ -185,8 +205,8 @@
     }
 }
 
-fn membership_update() -> Live {
-    Live {
+fn membership_update() -> MembershipUpdate {
+    MembershipUpdate {
         gateways: 71,
         stations: vec!["node-7".into(), "node-8".into()],
         controls: vec!["10.1.2.4:7000".into()],
@@ -194,116 +214,138 @@
     }
 }
 
-pub fn commit() -> Decided {
-    Decided { mark: Bytes::from_static(b"0f1e2d3c4b5a6978") }
+pub fn commit() -> Commit {
+    Commit { mark: Bytes::from_static(b"0f1e2d3c4b5a6978") }
 }
 
-fn purge_tombstones() -> Forget {
-    Forget { drops: vec![removed_item()] }
+fn purge_tombstones() -> PurgeTombstones {
+    PurgeTombstones { drops: vec![removed_item()] }
 }
 
 /// Every variant with every field, in the order of the variants' tags.
 pub fn complete() -> Vec<Sample> {
-    let bucket_digests = Buckets { hashes: vec![0x5958_5756_5554_5352, 0, 9], back: true };
+    let bucket_digests = BucketDigests { hashes: vec![0x5958_5756_5554_5352, 0, 9], back: true };
     vec![
-        ("hello", Word::Hello(hello())),
-        ("heartbeat", Word::Beat(heartbeat())),
-        ("items", Word::Items(Items { items: vec![item_with_history(), removed_item(), empty_item()] })),
-        ("bucket-digests", Word::Buckets(bucket_digests)),
-        ("accept-request", Word::Store(accept_request())),
-        ("accept-response", Word::Stored(accept_response())),
-        ("prepare-request", Word::Inquire(prepare_request())),
-        ("prepare-response", Word::Held(prepare_response())),
-        ("lease-request", Word::Claim(lease_request())),
-        ("lease-vote", Word::Grant(lease_vote())),
-        ("session-list", Word::Sessions(session_list())),
-        ("usage-report", Word::Adds(usage_report())),
-        ("usage-totals", Word::Totals(usage_totals())),
-        ("membership-update", Word::Live(membership_update())),
-        ("commit", Word::Decided(commit())),
-        ("purge-tombstones", Word::Forget(purge_tombstones())),
+        ("hello", Message::Hello(hello())),
+        ("heartbeat", Message::Heartbeat(heartbeat())),
+        ("items", Message::Items(Items { items: vec![item_with_history(), removed_item(), empty_item()] })),
+        ("bucket-digests", Message::BucketDigests(bucket_digests)),
+        ("accept-request", Message::AcceptRequest(accept_request())),
+        ("accept-response", Message::AcceptResponse(accept_response())),
+        ("prepare-request", Message::PrepareRequest(prepare_request())),
+        ("prepare-response", Message::PrepareResponse(prepare_response())),
+        ("lease-request", Message::LeaseRequest(lease_request())),
+        ("lease-vote", Message::LeaseVote(lease_vote())),
+        ("session-list", Message::SessionList(session_list())),
+        ("usage-report", Message::UsageReport(usage_report())),
+        ("usage-totals", Message::UsageTotals(usage_totals())),
+        ("membership-update", Message::MembershipUpdate(membership_update())),
+        ("commit", Message::Commit(commit())),
+        ("purge-tombstones", Message::PurgeTombstones(purge_tombstones())),
     ]
 }
 
 /// Every variant with nothing set.
 pub fn empty() -> Vec<Sample> {
     vec![
-        ("hello.empty", Word::Hello(Hello::default())),
-        ("heartbeat.empty", Word::Beat(Beat::default())),
-        ("items.empty", Word::Items(Items::default())),
-        ("bucket-digests.empty", Word::Buckets(Buckets::default())),
-        ("accept-request.empty", Word::Store(Store::default())),
-        ("accept-response.empty", Word::Stored(Stored::default())),
-        ("prepare-request.empty", Word::Inquire(Inquire::default())),
-        ("prepare-response.empty", Word::Held(Held::default())),
-        ("lease-request.empty", Word::Claim(Claim::default())),
-        ("lease-vote.empty", Word::Grant(Grant::default())),
-        ("session-list.empty", Word::Sessions(Sessions::default())),
-        ("usage-report.empty", Word::Adds(Adds::default())),
-        ("usage-totals.empty", Word::Totals(Totals::default())),
-        ("membership-update.empty", Word::Live(Live::default())),
-        ("commit.empty", Word::Decided(Decided::default())),
-        ("purge-tombstones.empty", Word::Forget(Forget::default())),
+        ("hello.empty", Message::Hello(Hello::default())),
+        ("heartbeat.empty", Message::Heartbeat(Heartbeat::default())),
+        ("items.empty", Message::Items(Items::default())),
+        ("bucket-digests.empty", Message::BucketDigests(BucketDigests::default())),
+        ("accept-request.empty", Message::AcceptRequest(AcceptRequest::default())),
+        ("accept-response.empty", Message::AcceptResponse(AcceptResponse::default())),
+        ("prepare-request.empty", Message::PrepareRequest(PrepareRequest::default())),
+        ("prepare-response.empty", Message::PrepareResponse(PrepareResponse::default())),
+        ("lease-request.empty", Message::LeaseRequest(LeaseRequest::default())),
+        ("lease-vote.empty", Message::LeaseVote(LeaseVote::default())),
+        ("session-list.empty", Message::SessionList(SessionList::default())),
+        ("usage-report.empty", Message::UsageReport(UsageReport::default())),
+        ("usage-totals.empty", Message::UsageTotals(UsageTotals::default())),
+        ("membership-update.empty", Message::MembershipUpdate(MembershipUpdate::default())),
+        ("commit.empty", Message::Commit(Commit::default())),
+        ("purge-tombstones.empty", Message::PurgeTombstones(PurgeTombstones::default())),
     ]
 }
 
 /// Each boolean alone, where a message has more than one.
 pub fn booleans() -> Vec<Sample> {
     vec![
-        ("hello.is-control-plane", Word::Hello(Hello { control: true, ..Hello::default() })),
-        ("hello.is-current", Word::Hello(Hello { current: true, ..Hello::default() })),
-        ("hello.is-complete", Word::Hello(Hello { full: true, ..Hello::default() })),
-        ("heartbeat.is-ready", Word::Beat(Beat { ready: true, ..Beat::default() })),
-        ("heartbeat.is-current", Word::Beat(Beat { current: true, ..Beat::default() })),
-        ("heartbeat.is-complete", Word::Beat(Beat { full: true, ..Beat::default() })),
-        ("heartbeat.is-leaving", Word::Beat(Beat { leaving: true, ..Beat::default() })),
-        ("heartbeat.is-durable", Word::Beat(Beat { kept: true, ..Beat::default() })),
-        ("accept-response.is-complete", Word::Stored(Stored { full: true, ..Stored::default() })),
-        ("accept-response.is-rejected", Word::Stored(Stored { refused: true, ..Stored::default() })),
-        ("prepare-response.is-complete", Word::Held(Held { full: true, ..Held::default() })),
-        ("prepare-response.is-founded", Word::Held(Held { founded: true, ..Held::default() })),
-        ("prepare-response.is-rejected", Word::Held(Held { refused: true, ..Held::default() })),
-        ("lease-request.is-release", Word::Claim(Claim { release: true, ..Claim::default() })),
-        ("lease-request.is-renewal", Word::Claim(Claim { holds: true, ..Claim::default() })),
+        ("hello.is-control-plane", Message::Hello(Hello { control: true, ..Hello::default() })),
+        ("hello.is-current", Message::Hello(Hello { current: true, ..Hello::default() })),
+        ("hello.is-complete", Message::Hello(Hello { full: true, ..Hello::default() })),
+        ("heartbeat.is-ready", Message::Heartbeat(Heartbeat { ready: true, ..Heartbeat::default() })),
+        ("heartbeat.is-current", Message::Heartbeat(Heartbeat { current: true, ..Heartbeat::default() })),
+        ("heartbeat.is-complete", Message::Heartbeat(Heartbeat { full: true, ..Heartbeat::default() })),
+        ("heartbeat.is-leaving", Message::Heartbeat(Heartbeat { leaving: true, ..Heartbeat::default() })),
+        ("heartbeat.is-durable", Message::Heartbeat(Heartbeat { kept: true, ..Heartbeat::default() })),
+        (
+            "accept-response.is-complete",
+            Message::AcceptResponse(AcceptResponse { full: true, ..AcceptResponse::default() }),
+        ),
+        (
+            "accept-response.is-rejected",
+            Message::AcceptResponse(AcceptResponse { refused: true, ..AcceptResponse::default() }),
+        ),
+        (
+            "prepare-response.is-complete",
+            Message::PrepareResponse(PrepareResponse { full: true, ..PrepareResponse::default() }),
+        ),
+        (
+            "prepare-response.is-founded",
+            Message::PrepareResponse(PrepareResponse { founded: true, ..PrepareResponse::default() }),
+        ),
+        (
+            "prepare-response.is-rejected",
+            Message::PrepareResponse(PrepareResponse { refused: true, ..PrepareResponse::default() }),
+        ),
+        (
+            "lease-request.is-release",
+            Message::LeaseRequest(LeaseRequest { release: true, ..LeaseRequest::default() }),
+        ),
+        (
+            "lease-request.is-renewal",
+            Message::LeaseRequest(LeaseRequest { holds: true, ..LeaseRequest::default() }),
+        ),
     ]
 }
 
 /// Nested messages that are set, with nothing in them.
 pub fn nested_defaults() -> Vec<Sample> {
     let nothing = Some(Ballot::default());
-    let accept_request = Store { items: vec![ItemWord::default()], ballot: nothing, ..Store::default() };
-    let accept_response = Stored { ballot: nothing, under: nothing, ..Stored::default() };
-    let prepare_request = Inquire { ballot: nothing, ..Inquire::default() };
-    let prepare_response = Held {
+    let accept_request =
+        AcceptRequest { items: vec![ItemMessage::default()], ballot: nothing, ..AcceptRequest::default() };
+    let accept_response = AcceptResponse { ballot: nothing, under: nothing, ..AcceptResponse::default() };
+    let prepare_request = PrepareRequest { ballot: nothing, ..PrepareRequest::default() };
+    let prepare_response = PrepareResponse {
         ballot: nothing,
-        calls: vec![CallWord::default()],
-        denied: vec![Denied::default()],
-        ..Held::default()
+        calls: vec![ProposalMessage::default()],
+        denied: vec![RejectedProposal::default()],
+        ..PrepareResponse::default()
     };
     vec![
-        ("accept-request.nested-defaults", Word::Store(accept_request)),
-        ("accept-response.nested-defaults", Word::Stored(accept_response)),
-        ("prepare-request.nested-defaults", Word::Inquire(prepare_request)),
-        ("prepare-response.nested-defaults", Word::Held(prepare_response)),
+        ("accept-request.nested-defaults", Message::AcceptRequest(accept_request)),
+        ("accept-response.nested-defaults", Message::AcceptResponse(accept_response)),
+        ("prepare-request.nested-defaults", Message::PrepareRequest(prepare_request)),
+        ("prepare-response.nested-defaults", Message::PrepareResponse(prepare_response)),
     ]
 }
 
 /// Seats of replicas; the second one is of a disk without a number.
-pub fn replicas() -> Vec<Seat> {
-    let first = Seat {
+pub fn replicas() -> Vec<Replica> {
+    let first = Replica {
         station: "node-1".into(),
         ip: "10.1.2.3:7000".into(),
         district: "zone-a".into(),
         province: "region-a".into(),
         folder: 0x2122_2324_2526_2728,
     };
-    let second = Seat { station: "node-2".into(), folder: 0, ..first.clone() };
+    let second = Replica { station: "node-2".into(), folder: 0, ..first.clone() };
     vec![first, second]
 }
 
 /// Messages that are not sent by themselves, but inside of others or as an item's value.
 pub fn nested() -> Vec<(&'static str, Vec<u8>)> {
-    let replica_set = Cast { seats: replicas(), edition: 81 };
+    let replica_set = ReplicaSet { seats: replicas(), edition: 81 };
     vec![
         ("ballot", ballot(1).encode_to_vec()),
         ("rejection", rejection().encode_to_vec()),
--- a/crates/coordination/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -2,24 +2,24 @@
 //! a drawn schedule of late, lost and repeated words, cuts, pauses, restarts and lost disks: at no moment do two hold the
 //! duty. And a core cut in two while its cast changes, with each defence taken out, which has to show.
 
-use kitepass_coordination::lease::{Claimant, Voter};
-use kitepass_coordination::membership::{Cast, Era, Seat};
-use kitepass_coordination::protocol::{Claim, Grant};
-use kitepass_time::{Moment, Span};
+use kitepass_coordination::lease::{LeaseCandidate, LeaseVoter};
+use kitepass_coordination::membership::{JointReplicaSets, Replica, ReplicaSet};
+use kitepass_coordination::protocol::{LeaseRequest, LeaseVote};
+use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 const DUTY: &str = "duty";
 const STATIONS: usize = 6;
 const STEP: i64 = 50;
 
-fn at(millis: i64) -> Moment {
-    Moment::from_micros(millis * 1000)
+fn at(millis: i64) -> Timestamp {
+    Timestamp::from_micros(millis * 1000)
 }
 
 struct Process {
-    seat: Seat,
-    voter: Voter,
-    claimant: Claimant,
+    seat: Replica,
+    voter: LeaseVoter,
+    claimant: LeaseCandidate,
     paused: i64,
     /// It hears of what is decided once in so many steps.
     deaf: u64,
@@ -36,11 +36,11 @@
     chance: oorandom::Rand64,
     time: i64,
     /// Casts by edition; the era that is decided.
-    casts: Vec<Cast>,
+    casts: Vec<ReplicaSet>,
     era: u64,
     all: Vec<Process>,
-    claims: Vec<(i64, String, usize, usize, Claim)>,
-    grants: Vec<(i64, String, usize, Grant)>,
+    claims: Vec<(i64, String, usize, usize, LeaseRequest)>,
+    grants: Vec<(i64, String, usize, LeaseVote)>,
     /// A change of the cast begins once in so many steps, and a seat accepts it once in so many.
     rare: u64,
     slow: u64,
@@ -52,12 +52,13 @@
 impl Model {
     fn new(seed: u64) -> Model {
         let mut chance = oorandom::Rand64::new(u128::from(seed));
-        let seat = |n: usize| Seat { station: format!("s{n}"), folder: n as u64 + 1, ..Seat::default() };
-        let seats: Vec<Seat> = (0..chance.rand_range(3..6) as usize).map(seat).collect();
+        let seat =
+            |n: usize| Replica { station: format!("s{n}"), folder: n as u64 + 1, ..Replica::default() };
+        let seats: Vec<Replica> = (0..chance.rand_range(3..6) as usize).map(seat).collect();
         let all = (0..STATIONS).map(|n| Process {
             seat: seat(n),
-            voter: Voter::new(at(0), n < seats.len(), BTreeMap::new(), None),
-            claimant: Claimant::new(DUTY, chance.rand_u64()),
+            voter: LeaseVoter::new(at(0), n < seats.len(), BTreeMap::new(), None),
+            claimant: LeaseCandidate::new(DUTY, chance.rand_u64()),
             paused: 0,
             deaf: [4, 8, 40, 200][chance.rand_range(0..4) as usize],
             known: 2,
@@ -67,8 +68,8 @@
         });
         let all = all.collect();
         let (rare, slow) = (60 + chance.rand_range(0..240), 2 + chance.rand_range(0..20));
-        let first = Cast { seats, edition: 1 };
-        let casts = vec![Cast::default(), first];
+        let first = ReplicaSet { seats, edition: 1 };
+        let casts = vec![ReplicaSet::default(), first];
         let (claims, grants) = (Vec::new(), Vec::new());
         Model {
             chance,
@@ -93,22 +94,22 @@
         self.chance.rand_range(0..times) == 0
     }
 
-    fn era(&self, number: u64) -> Era {
+    fn era(&self, number: u64) -> JointReplicaSets {
         let next = (number % 2 == 1).then(|| self.casts[number as usize / 2 + 1].clone());
-        Era { now: self.casts[number as usize / 2].clone(), next }
+        JointReplicaSets { now: self.casts[number as usize / 2].clone(), next }
     }
 
     /// Some cast follows the one in force: any seats that there are now. More than the core's own rule does.
     fn change(&mut self) {
         let edition = self.era / 2 + 1;
         if self.era.is_multiple_of(2) && self.casts.len() as u64 == edition && self.one_in(self.rare) {
-            let mut seats: Vec<Seat> = self.all.iter().map(|p| p.seat.clone()).collect();
+            let mut seats: Vec<Replica> = self.all.iter().map(|p| p.seat.clone()).collect();
             let stays = self.chance.rand_range(3..6) as usize;
             while seats.len() > stays {
                 let gone = self.chance.rand_range(0..seats.len() as u64) as usize;
                 seats.remove(gone);
             }
-            self.casts.push(Cast { seats, edition });
+            self.casts.push(ReplicaSet { seats, edition });
         }
         if self.casts.len() as u64 == edition {
             return;
@@ -146,7 +147,7 @@
             }
             12..14 => {
                 // Disks are lost one at a time: the others have been replaced.
-                let standing = |cast: &Cast| {
+                let standing = |cast: &ReplicaSet| {
                     cast.seats.iter().all(|s| {
                         self.all.iter().any(|p| p.seat == *s) || s.station == self.all[n].seat.station
                     })
@@ -173,11 +174,11 @@
         let stood = newest.as_ref().is_some_and(|cast| cast.edition == edition);
         let recalled = stood.then(|| (DUTY.to_owned(), who)).into_iter().collect();
         let process = &mut self.all[n];
-        process.voter = Voter::new(at(self.time), false, recalled, newest);
-        process.claimant = Claimant::new(DUTY, self.chance.rand_u64());
+        process.voter = LeaseVoter::new(at(self.time), false, recalled, newest);
+        process.claimant = LeaseCandidate::new(DUTY, self.chance.rand_u64());
     }
 
-    fn vote(&mut self, n: usize, who: &str, claim: &Claim) -> Grant {
+    fn vote(&mut self, n: usize, who: &str, claim: &LeaseRequest) -> LeaseVote {
         let (known, name) = (self.all[n].known, self.all[n].seat.name());
         let era = (known > 0).then(|| self.era(known));
         let newest = era.as_ref().map(|era| era.newest().clone());
@@ -211,7 +212,7 @@
             return;
         }
         let free = self.all[n].voter.holder(now, DUTY).is_none_or(|holder| holder == name) || self.one_in(6);
-        let wait = Span::from_micros(self.chance.rand_range(0..400_000) as i64);
+        let wait = Duration::from_micros(self.chance.rand_range(0..400_000) as i64);
         let Some(claim) = self.all[n].claimant.tick(now, free, wait, known) else { return };
         for to in 0..STATIONS {
             let times = if self.cuts.contains(&(n, to)) { 0 } else { self.chance.rand_range(0..5).min(2) };
@@ -303,7 +304,7 @@
 enum Without {
     Nothing,
     /// Voters heed the era of claims.
-    Era,
+    JointReplicaSets,
     /// A voter is fenced by the cast that it has accepted, decided or not.
     Fence,
     /// A voter grants nothing but renewals for a span after a cast is decided.
@@ -318,17 +319,18 @@
 /// once, and whether the one on the other side does at the end. `deaf` are the last eras that the claimant 1, and the
 /// voters 1, 2 and 4 hear of.
 fn cut_in_two(without: Without, deaf: (u64, u64), restarts: bool) -> (usize, bool) {
-    let seat = |n: usize| Seat { station: format!("s{n}"), ..Seat::default() };
-    let cast = |seats: &[usize], edition| Cast { seats: seats.iter().copied().map(seat).collect(), edition };
+    let seat = |n: usize| Replica { station: format!("s{n}"), ..Replica::default() };
+    let cast =
+        |seats: &[usize], edition| ReplicaSet { seats: seats.iter().copied().map(seat).collect(), edition };
     let casts = [cast(&[0, 1, 2, 3, 4], 1), cast(&[0, 3, 5], 2)];
     let era = |number: u64| match number {
-        2 => Era { now: casts[0].clone(), next: None },
-        3 => Era { now: casts[0].clone(), next: Some(casts[1].clone()) },
-        _ => Era { now: casts[1].clone(), next: None },
+        2 => JointReplicaSets { now: casts[0].clone(), next: None },
+        3 => JointReplicaSets { now: casts[0].clone(), next: Some(casts[1].clone()) },
+        _ => JointReplicaSets { now: casts[1].clone(), next: None },
     };
-    let mut voters: Vec<Voter> =
-        (0..6).map(|_| Voter::new(at(0), true, BTreeMap::new(), Some(casts[0].clone()))).collect();
-    let mut claimants = [Claimant::new(DUTY, 10), Claimant::new(DUTY, 1_000)];
+    let mut voters: Vec<LeaseVoter> =
+        (0..6).map(|_| LeaseVoter::new(at(0), true, BTreeMap::new(), Some(casts[0].clone()))).collect();
+    let mut claimants = [LeaseCandidate::new(DUTY, 10), LeaseCandidate::new(DUTY, 1_000)];
     let (mut most, mut last) = (0, false);
     for time in (0..8_000).step_by(50) {
         let now = at(time);
@@ -345,18 +347,18 @@
             // They restart; they had granted the claimant 0 before the cast was decided.
             let stood = without == Without::Recall;
             let recalled = stood.then(|| (DUTY.to_owned(), "s0".to_owned())).into_iter().collect();
-            voters[n] = Voter::new(now, false, recalled, Some(casts[1].clone()));
+            voters[n] = LeaseVoter::new(now, false, recalled, Some(casts[1].clone()));
         }
         for (n, claimant) in claimants.iter_mut().enumerate() {
             let known = if n == 1 { decided.min(deaf.0) } else { decided };
-            let Some(claim) = claimant.tick(now, true, Span::ZERO, known) else { continue };
+            let Some(claim) = claimant.tick(now, true, Duration::ZERO, known) else { continue };
             for (voter, grants) in voters.iter_mut().enumerate().filter(|(voter, _)| far(*voter) == far(n)) {
                 let known_here = if far(voter) { decided.min(deaf.1) } else { decided };
                 if without != Without::Renewals {
                     grants.cast(now, era(known_here).newest());
                 }
                 let heeds = match without {
-                    Without::Era => 0,
+                    Without::JointReplicaSets => 0,
                     Without::Fence => known_here,
                     _ if time >= 100 => known_here.max(3),
                     _ => known_here,
@@ -381,7 +383,7 @@
 fn each_defence_of_the_lease_is_missed() {
     use Without::*;
     for (without, deaf, restarts) in [
-        (Era, (2, 3), false),
+        (JointReplicaSets, (2, 3), false),
         (Fence, (2, 2), false),
         (Renewals, (2, 4), false),
         (Joint, (3, 3), false),
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Every cast of 3 to 9 seats over 1 to 3 regions and 2 to 6 zones, every step from it to the next one, and at every
 //! phase of that step every loss of a machine, a zone or a region with its disks; then the repair, and a second loss.
 
-use kitepass_coordination::membership::{Cast, Era, Seat, Sight};
+use kitepass_coordination::membership::{JointReplicaSets, Replica, ReplicaObservations, ReplicaSet};
 use std::collections::{BTreeMap, BTreeSet};
 
 type Names = BTreeSet<String>;
@@ -40,12 +40,12 @@
     all
 }
 
-fn seat(region: usize, zone: usize, n: usize, folder: u64) -> Seat {
+fn seat(region: usize, zone: usize, n: usize, folder: u64) -> Replica {
     let (province, district) = (format!("r{region}"), format!("r{region}z{zone}"));
-    Seat { station: format!("{district}s{n}"), ip: String::new(), district, province, folder }
+    Replica { station: format!("{district}s{n}"), ip: String::new(), district, province, folder }
 }
 
-fn cast(layout: &Layout) -> Cast {
+fn cast(layout: &Layout) -> ReplicaSet {
     let mut seats = Vec::new();
     for (region, zones) in layout.iter().enumerate() {
         for (zone, number) in zones.iter().enumerate() {
@@ -53,11 +53,11 @@
         }
     }
     seats.sort();
-    Cast { seats, edition: 1 }
+    ReplicaSet { seats, edition: 1 }
 }
 
-fn names<'a>(seats: impl IntoIterator<Item = &'a Seat>) -> Names {
-    seats.into_iter().map(Seat::name).collect()
+fn names<'a>(seats: impl IntoIterator<Item = &'a Replica>) -> Names {
+    seats.into_iter().map(Replica::name).collect()
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -68,8 +68,8 @@
 }
 
 /// The sets of stations that may be lost at once.
-fn losses(seats: &[Seat]) -> BTreeSet<(Loss, BTreeSet<String>)> {
-    let of = |place: fn(&Seat) -> &str, what: Loss| {
+fn losses(seats: &[Replica]) -> BTreeSet<(Loss, BTreeSet<String>)> {
+    let of = |place: fn(&Replica) -> &str, what: Loss| {
         let places: BTreeSet<&str> = seats.iter().map(place).collect();
         let stations = move |at: &str| {
             seats.iter().filter(|seat| place(seat) == at).map(|seat| seat.station.clone()).collect()
@@ -82,13 +82,13 @@
 }
 
 /// Steps from a cast: who comes, whose disk was lost, who leaves, who is silent with another in its place.
-fn steps(cast: &Cast) -> Vec<(&'static str, Sight)> {
-    let all: BTreeSet<Seat> = cast.seats.iter().cloned().collect();
+fn steps(cast: &ReplicaSet) -> Vec<(&'static str, ReplicaObservations)> {
+    let all: BTreeSet<Replica> = cast.seats.iter().cloned().collect();
     let mut steps = Vec::new();
-    let sight = |full: BTreeSet<Seat>| Sight { full, ..Sight::default() };
+    let sight = |full: BTreeSet<Replica>| ReplicaObservations { full, ..ReplicaObservations::default() };
     let places: BTreeSet<(String, String)> =
         cast.seats.iter().map(|s| (s.province.clone(), s.district.clone())).collect();
-    let comer = |n: usize, (province, district): &(String, String)| Seat {
+    let comer = |n: usize, (province, district): &(String, String)| Replica {
         station: format!("{district}new{n}"),
         ip: String::new(),
         district: district.clone(),
@@ -98,26 +98,27 @@
     for place in &places {
         steps.push(("joining", sight(and(&all, [comer(0, place)]))));
     }
-    let filled: Vec<Seat> = places.iter().map(|place| comer(0, place)).collect();
+    let filled: Vec<Replica> = places.iter().map(|place| comer(0, place)).collect();
     steps.push(("filling", sight(and(&all, filled))));
     for seat in &cast.seats {
-        let rest: BTreeSet<Seat> = all.iter().filter(|s| *s != seat).cloned().collect();
-        let successor = Seat { folder: 2, ..seat.clone() };
+        let rest: BTreeSet<Replica> = all.iter().filter(|s| *s != seat).cloned().collect();
+        let successor = Replica { folder: 2, ..seat.clone() };
         let other = comer(1, &(seat.province.clone(), seat.district.clone()));
-        let (name, with) = (seat.name(), |s: Seat| and(&rest, [s]));
+        let (name, with) = (seat.name(), |s: Replica| and(&rest, [s]));
         steps.push(("replacing a lost disk", sight(with(successor))));
         steps.push((
             "replacing in silence",
-            Sight { silent: [name.clone()].into(), ..sight(with(other.clone())) },
+            ReplicaObservations { silent: [name.clone()].into(), ..sight(with(other.clone())) },
         ));
-        steps.push(("leaving", Sight { leaving: [name.clone()].into(), ..sight(all.clone()) }));
+        steps.push(("leaving", ReplicaObservations { leaving: [name.clone()].into(), ..sight(all.clone()) }));
         let both = and(&all, [other]);
-        steps.push(("leaving for a successor", Sight { leaving: [name].into(), ..sight(both) }));
+        steps
+            .push(("leaving for a successor", ReplicaObservations { leaving: [name].into(), ..sight(both) }));
     }
     steps
 }
 
-fn and(seats: &BTreeSet<Seat>, more: impl IntoIterator<Item = Seat>) -> BTreeSet<Seat> {
+fn and(seats: &BTreeSet<Replica>, more: impl IntoIterator<Item = Replica>) -> BTreeSet<Replica> {
     seats.iter().cloned().chain(more).collect()
 }
 
@@ -129,7 +130,7 @@
 }
 
 impl Quorums {
-    fn of(cast: &Cast) -> Quorums {
+    fn of(cast: &ReplicaSet) -> Quorums {
         let set = |bits: usize| -> Names {
             (0..cast.seats.len()).filter(|n| bits >> n & 1 == 1).map(|n| cast.seats[n].name()).collect()
         };
@@ -163,11 +164,11 @@
         assert!(Quorums::meet(&quorums.safe, &quorums.read), "{layout:?}: a reading misses a write");
         assert!(Quorums::meet(&quorums.elected, &quorums.elected), "{layout:?}: two elections");
         for (loss, lost) in losses(&cast.seats) {
-            let rest: Vec<&Seat> = cast.seats.iter().filter(|s| !lost.contains(&s.station)).collect();
-            let places = |of: fn(&Seat) -> &String, seats: &[&Seat]| {
+            let rest: Vec<&Replica> = cast.seats.iter().filter(|s| !lost.contains(&s.station)).collect();
+            let places = |of: fn(&Replica) -> &String, seats: &[&Replica]| {
                 seats.iter().map(|seat| of(seat).clone()).collect::<BTreeSet<_>>().len()
             };
-            let all: Vec<&Seat> = cast.seats.iter().collect();
+            let all: Vec<&Replica> = cast.seats.iter().collect();
             let spread = |of| places(of, &rest) > 1 || places(of, &all) == 1;
             let goes_on = cast.is_safe(&names(rest.iter().copied()));
             let expected =
@@ -201,16 +202,16 @@
             *done.entry(what).or_default() += 1;
             assert_eq!(next.edition, 2);
             assert_eq!(
-                next.follow(&Sight { leaving: Names::new(), ..sight.clone() })
+                next.follow(&ReplicaObservations { leaving: Names::new(), ..sight.clone() })
                     .filter(|_| what != "leaving" && what != "leaving for a successor"),
                 None,
                 "{layout:?}: {what} goes on"
             );
-            let gone = |seat: &&Seat| what.starts_with("replacing") && !next.has(&seat.name());
-            let alive: Vec<Seat> =
+            let gone = |seat: &&Replica| what.starts_with("replacing") && !next.has(&seat.name());
+            let alive: Vec<Replica> =
                 now.seats.iter().filter(|s| !gone(s)).chain(next.seats.iter()).cloned().collect();
-            let odd = Era { now: now.clone(), next: Some(next.clone()) };
-            assert_eq!((odd.number(), Era { now: next.clone(), next: None }.number()), (3, 4));
+            let odd = JointReplicaSets { now: now.clone(), next: Some(next.clone()) };
+            assert_eq!((odd.number(), JointReplicaSets { now: next.clone(), next: None }.number()), (3, 4));
             let whole = names(&alive);
             // It ends wherever a majority is left and the next cast itself is safe, whatever places the lost seat had alone.
             if now.is_elected(&names(now.seats.iter().filter(|s| !gone(s)))) {
@@ -223,8 +224,8 @@
                 phases += 1;
                 let left = names(alive.iter().filter(|s| !lost.contains(&s.station)));
                 let (a, b) = (now.is_safe(&left), next.is_safe(&left));
-                let both: Vec<&Seat> = now.seats.iter().chain(&next.seats).collect();
-                let spread = |of: fn(&Seat) -> &String| {
+                let both: Vec<&Replica> = now.seats.iter().chain(&next.seats).collect();
+                let spread = |of: fn(&Replica) -> &String| {
                     let places = |all: bool| {
                         let with = both.iter().filter(|s| all || left.contains(&s.name()));
                         with.map(|s| of(s)).collect::<BTreeSet<_>>().len()
@@ -237,7 +238,8 @@
                 assert!(odd.is_safe(&left) || !(a && b));
                 if a && !b {
                     // Where it is the successor that is lost, the one that leaves would have been missed as much.
-                    let leaves = |s: &&Seat| sight.leaving.contains(&s.name()) || lost.contains(&s.station);
+                    let leaves =
+                        |s: &&Replica| sight.leaving.contains(&s.name()) || lost.contains(&s.station);
                     let as_much = !now.is_safe(&names(now.seats.iter().filter(|s| !leaves(s))));
                     *bears_less.entry(what).or_default() += 1;
                     assert!(
@@ -251,20 +253,21 @@
                 // The step ends, and those that were lost come back with empty folders and are let in.
                 let back = next.seats.iter().map(|seat| {
                     let folder = if lost.contains(&seat.station) { 77 } else { seat.folder };
-                    Seat { folder, ..seat.clone() }
+                    Replica { folder, ..seat.clone() }
                 });
-                let full: BTreeSet<Seat> = back.collect();
-                let repaired = next.follow(&Sight { full: full.clone(), ..Sight::default() });
+                let full: BTreeSet<Replica> = back.collect();
+                let repaired = next
+                    .follow(&ReplicaObservations { full: full.clone(), ..ReplicaObservations::default() });
                 let repaired = repaired.unwrap_or_else(|| next.clone());
                 assert_eq!(repaired.seats.iter().cloned().collect::<BTreeSet<_>>(), full, "{layout:?}");
-                let era = Era { now: next.clone(), next: Some(repaired.clone()) };
+                let era = JointReplicaSets { now: next.clone(), next: Some(repaired.clone()) };
                 assert!(era.is_safe(&[left, names(&full)].into_iter().flatten().collect()));
                 // A second loss asks for places alone: once for each cast of the same places.
                 let places: Vec<String> = next.seats.iter().map(|seat| seat.station.clone()).collect();
                 let new = seen.insert(places);
                 for (_, again) in losses(&repaired.seats).into_iter().filter(|_| new) {
                     second += 1;
-                    let rest = |c: &Cast| names(c.seats.iter().filter(|s| !again.contains(&s.station)));
+                    let rest = |c: &ReplicaSet| names(c.seats.iter().filter(|s| !again.contains(&s.station)));
                     assert_eq!(repaired.is_safe(&rest(&repaired)), next.is_safe(&rest(&next)));
                     assert_eq!(repaired.is_read(&rest(&repaired)), next.is_read(&rest(&next)));
                 }
--- a/crates/coordination/tests/quorum_contact.rs
+++ b/crates/coordination/tests/quorum_contact.rs
@@ -1,31 +1,31 @@
 //! Contact by what peers give back: one that hears nothing, one that nobody hears, late words, earlier lives, lies.
 
-use kitepass_coordination::membership::{Cast, Seat};
-use kitepass_coordination::quorum_contact::{Contact, State, CONTACT};
-use kitepass_time::{Moment, Span};
+use kitepass_coordination::membership::{Replica, ReplicaSet};
+use kitepass_coordination::quorum_contact::{QuorumContact, State, CONTACT};
+use kitepass_time::{Duration, Timestamp};
 use rstest::rstest;
 
-fn at(millis: i64) -> Moment {
-    Moment::from_micros(millis * 1000)
+fn at(millis: i64) -> Timestamp {
+    Timestamp::from_micros(millis * 1000)
 }
 
-fn cast(seats: usize) -> Cast {
-    let seat = |n| Seat { station: format!("s{n}"), ..Seat::default() };
-    Cast { seats: (0..seats).map(seat).collect(), edition: 1 }
+fn cast(seats: usize) -> ReplicaSet {
+    let seat = |n| Replica { station: format!("s{n}"), ..Replica::default() };
+    ReplicaSet { seats: (0..seats).map(seat).collect(), edition: 1 }
 }
 
 /// Seats that beat every 500 ms over ways that take 50 ms; `passes` says which words come through.
 struct Net {
-    cast: Cast,
-    all: Vec<Contact>,
+    cast: ReplicaSet,
+    all: Vec<QuorumContact>,
     wire: Vec<(i64, usize, usize, u32, u32)>,
 }
 
 impl Net {
     fn new(seats: usize) -> Net {
         let names: Vec<String> = (0..seats).map(|n| format!("s{n}")).collect();
-        let mut all: Vec<Contact> =
-            names.iter().enumerate().map(|(n, name)| Contact::new(name, n as u32 * 1000)).collect();
+        let mut all: Vec<QuorumContact> =
+            names.iter().enumerate().map(|(n, name)| QuorumContact::new(name, n as u32 * 1000)).collect();
         for contact in &mut all {
             names.iter().enumerate().for_each(|(n, name)| contact.came(at(0), name, n as u64 + 1));
         }
@@ -86,7 +86,7 @@
     // Three and three: neither half is a majority.
     let out = net.run(3_000, 6_000, |from, to| (from < 3) == (to < 3));
     assert!(out.iter().all(Option::is_some), "{out:?}");
-    let mut alone = Contact::new("s0", 7);
+    let mut alone = QuorumContact::new("s0", 7);
     assert_eq!(alone.judge(at(0), &[cast(1)]), Some(State::In));
     // Both casts count while one is brought in, and no cast at all is no contact.
     assert_eq!(alone.judge(at(0), &[cast(1), cast(3)]), Some(State::Out));
@@ -96,14 +96,14 @@
 
 #[test]
 fn a_proof_is_as_old_as_the_number_that_it_gives_back_however_late_it_comes() {
-    let mut contact = Contact::new("s0", 0);
+    let mut contact = QuorumContact::new("s0", 0);
     let casts = [cast(3)];
     contact.came(at(0), "s1", 1);
     let (early, _) = contact.next(at(0), "s1");
     let (later, _) = contact.next(at(1_000), "s1");
     contact.heard(at(1_100), "s1", 5, later);
     contact.judge(at(1_100), &casts);
-    assert_eq!((contact.state(), contact.age(at(1_100))), (State::In, Some(Span::from_micros(100_000))));
+    assert_eq!((contact.state(), contact.age(at(1_100))), (State::In, Some(Duration::from_micros(100_000))));
     // An older number that comes after takes nothing back, and adds nothing.
     contact.heard(at(2_900), "s1", 6, early);
     contact.judge(at(2_900), &casts);
@@ -123,11 +123,11 @@
 
 #[test]
 fn numbers_of_an_earlier_life_of_another_peer_and_made_up_ones_prove_nothing() {
-    let mut first = Contact::new("s0", 1_000);
+    let mut first = QuorumContact::new("s0", 1_000);
     first.came(at(0), "s1", 1);
     let (old, _) = first.next(at(0), "s1");
 
-    let mut contact = Contact::new("s0", 5_000);
+    let mut contact = QuorumContact::new("s0", 5_000);
     contact.came(at(0), "s1", 1);
     contact.came(at(0), "s2", 1);
     let (one, _) = contact.next(at(100), "s1");
--- a/crates/data-plane/examples/tables.rs
+++ b/crates/data-plane/examples/tables.rs
@@ -1,15 +1,15 @@
 //! What the data plane's tables cost as the system grows: `cargo run --release -p kitepass-course --example tables`.
 //!
-//! The true [`Link`], [`View`], [`Pick`] and [`Quota`] at three sizes, each in a process of its own so that memory is
+//! The true [`Link`], [`RoutingTable`], [`Pick`] and [`Quota`] at three sizes, each in a process of its own so that memory is
 //! told apart: microseconds a call, and resident memory. docs/CAPACITY.md uses what it prints.
 
-use kitepass_config::{Item, Kind, View};
+use kitepass_config::{Item, Kind, RoutingTable};
 use kitepass_coordination::protocol::*;
-use kitepass_coordination::usage::{Slack, Terms};
+use kitepass_coordination::usage::{QuotaTolerance, RateLimit};
 use kitepass_data_plane::control_session::{Brought, Link};
 use kitepass_data_plane::load_balancer::{End, Need, Pick};
 use kitepass_data_plane::quota::{Quota, Verdict};
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::process::{Command, ExitCode};
@@ -25,8 +25,8 @@
 /// Copies of all tables, for their memory.
 const COPIES: usize = 4;
 
-fn at(millis: i64) -> Moment {
-    Moment::from_micros(millis * 1000)
+fn at(millis: i64) -> Timestamp {
+    Timestamp::from_micros(millis * 1000)
 }
 
 fn tenant_name(n: usize) -> String {
@@ -66,18 +66,18 @@
 
 fn items([_, routes, tenants, backends]: [usize; 4]) -> Vec<Item> {
     let line = json!({"checkpoint": "/checkpoint", "berth-cap": 120, "cold-s": 3.0, "cold-rate-s": 20.0});
-    let lines = (0..SERVICES).map(|n| item(Kind::Line, line_name(n).to_string(), 1, &line));
+    let lines = (0..SERVICES).map(|n| item(Kind::Service, line_name(n).to_string(), 1, &line));
     let all = (0..routes).map(|n| route(n, 1)).chain((0..tenants).map(|n| tenant(n, 1)));
     all.chain(lines).chain((0..backends).map(|n| backend(n, 1, 0))).collect()
 }
 
-fn packed(word: Word) -> Vec<u8> {
+fn packed(word: Message) -> Vec<u8> {
     let mut frame = Vec::new();
     pack(word, &mut frame);
     frame
 }
 
-fn hear(link: &mut Link, now: Moment, frame: &[u8]) -> Brought {
+fn hear(link: &mut Link, now: Timestamp, frame: &[u8]) -> Brought {
     let (mut at, mut brought, mut assembler) = (0, Brought::default(), Assembler::default());
     while let Some(word) = assembler.next(frame, &mut at).expect("packed here") {
         link.said(now, word, &mut brought);
@@ -119,7 +119,7 @@
 /// All tables of one gateway.
 struct Tables {
     link: Link,
-    view: View,
+    view: RoutingTable,
     pick: Pick,
     quota: Quota,
 }
@@ -141,16 +141,21 @@
 }
 
 /// A request's draw, and where it has to wait what asking for a grant and the grant itself cost here.
-fn draw(quota: &mut Quota, link: &mut Link, now: Moment, name: &Arc<str>) {
-    if quota.draw(now, name, Terms { rate: 314.0, surge: 314.0 }, 1) != Verdict::Waits {
+fn draw(quota: &mut Quota, link: &mut Link, now: Timestamp, name: &Arc<str>) {
+    if quota.draw(now, name, RateLimit { rate: 314.0, surge: 314.0 }, 1) != Verdict::Waits {
         return;
     }
-    let adds = Adds { ticket: 1, station: "counter-a1-0".into(), adds: quota.asks(), life: 7, asks: true };
-    let total = |add: &Add| Total { tenant: add.tenant.clone(), granted: add.wants, ..Total::default() };
+    let adds =
+        UsageReport { ticket: 1, station: "counter-a1-0".into(), adds: quota.asks(), life: 7, asks: true };
+    let total = |add: &TenantUsage| TenantTotal {
+        tenant: add.tenant.clone(),
+        granted: add.wants,
+        ..TenantTotal::default()
+    };
     let totals = adds.adds.iter().map(total).collect();
-    packed(Word::Adds(adds));
-    let totals = Totals { ticket: 1, station: "counter-a1-0".into(), totals, life: 7, asks: true };
-    let brought = hear(link, now, &packed(Word::Totals(totals)));
+    packed(Message::UsageReport(adds));
+    let totals = UsageTotals { ticket: 1, station: "counter-a1-0".into(), totals, life: 7, asks: true };
+    let brought = hear(link, now, &packed(Message::UsageTotals(totals)));
     brought.totals.iter().for_each(|totals| quota.totals(now, now, totals));
     assert_eq!(quota.decided(), [(1, true)]);
 }
@@ -159,7 +164,7 @@
 fn second(
     quota: &mut Quota,
     link: &mut Link,
-    now: Moment,
+    now: Timestamp,
     names: &[Arc<str>],
     chance: &mut oorandom::Rand64,
 ) {
@@ -169,11 +174,22 @@
 }
 
 /// What answers a period's adds.
-fn answer(adds: &[Add]) -> Word {
-    let total =
-        |add: &Add| Total { tenant: add.tenant.clone(), offered: 4.0, sent: 4.0, granted: 0, part: 0.1 };
+fn answer(adds: &[TenantUsage]) -> Message {
+    let total = |add: &TenantUsage| TenantTotal {
+        tenant: add.tenant.clone(),
+        offered: 4.0,
+        sent: 4.0,
+        granted: 0,
+        part: 0.1,
+    };
     let totals = adds.iter().map(total).collect();
-    Word::Totals(Totals { ticket: 1, station: "counter-a1-0".into(), totals, life: 7, asks: false })
+    Message::UsageTotals(UsageTotals {
+        ticket: 1,
+        station: "counter-a1-0".into(),
+        totals,
+        life: 7,
+        asks: false,
+    })
 }
 
 fn play(size: [usize; 4]) {
@@ -182,14 +198,14 @@
     tell("state\tbytes of all items, packed", frame.len() as f64);
     let names: Vec<Arc<str>> = (0..size[2]).map(|n| tenant_name(n).into()).collect();
     let mut chance = oorandom::Rand64::new(7);
-    let slack = Slack { window: 5.0, excess: 0.1, margin: 20.0 };
-    let live = Live {
+    let slack = QuotaTolerance { window: 5.0, excess: 0.1, margin: 20.0 };
+    let live = MembershipUpdate {
         gateways: size[0] as u32,
         stations: stations(size[0]),
         controls: (0..6).map(|n| format!("10.0.0.{n}")).collect(),
         control_districts: (0..6).map(|n| ZONES[n].to_owned()).collect(),
     };
-    let live = packed(Word::Live(live));
+    let live = packed(Message::MembershipUpdate(live));
     tell("state\tbytes of a word of the living", live.len() as f64);
 
     let mut sums = [0.0; 4];
@@ -203,13 +219,13 @@
         };
         let mut link = link();
         link.next(at(0), 0);
-        hear(&mut link, at(1), &packed(Word::Hello(Hello { current: true, ..Hello::default() })));
+        hear(&mut link, at(1), &packed(Message::Hello(Hello { current: true, ..Hello::default() })));
         let brought = hear(&mut link, at(1), &frame);
         hear(&mut link, at(1), &live);
         let hashes = link.ledger.buckets().to_vec();
-        hear(&mut link, at(1), &packed(Word::Buckets(Buckets { hashes, back: true })));
+        hear(&mut link, at(1), &packed(Message::BucketDigests(BucketDigests { hashes, back: true })));
         mark(0);
-        let view = View::of(&link.ledger);
+        let view = RoutingTable::of(&link.ledger);
         mark(1);
         let mut pick = Pick::new(7, "counter-a1-0", "a1", &provinces());
         brought.items.iter().for_each(|item| pick.learn(at(1), item));
@@ -240,7 +256,12 @@
     tell("state\ttenants with a quota held, after 40 s", quota.len() as f64);
 
     // What the session brings.
-    let beat = packed(Word::Beat(Beat { digest: 7, current: true, full: true, ..Beat::default() }));
+    let beat = packed(Message::Heartbeat(Heartbeat {
+        digest: 7,
+        current: true,
+        full: true,
+        ..Heartbeat::default()
+    }));
     time("Link::said, a beat", 1_000, |_| drop(hear(&mut link, at(2), &beat)));
     time("Link::said, the living, and Pick::live", 100, |_| {
         let brought = hear(&mut link, at(2), &live);
@@ -260,7 +281,7 @@
         hashes[3] ^= 1;
         hashes
     };
-    let buckets = packed(Word::Buckets(Buckets { hashes: differing, back: true }));
+    let buckets = packed(Message::BucketDigests(BucketDigests { hashes: differing, back: true }));
     time("Link::said, bucket hashes of which one differs", 20, |_| {
         hear(&mut link, at(2), &buckets);
         link.out_items.clear();
@@ -273,7 +294,7 @@
             Kind::Tenant => tenant(n % size[2], edition),
             _ => backend(n % size[3], edition, 0),
         };
-        packed(Word::Items(Items { items: vec![(&item).into()] }))
+        packed(Message::Items(Items { items: vec![(&item).into()] }))
     };
     // What the frame costs to make is not the gateway's: they are made before.
     for (what, kind) in [("route", Kind::Route), ("tenant", Kind::Tenant)] {
@@ -284,7 +305,7 @@
         let frames: Vec<Vec<u8>> = (0..7 * 5).map(|n| news(kind, n)).collect();
         time(&format!("the same, and View::rebuild, one {what}"), 5, |n| {
             hear(&mut link, at(2), &frames[n]);
-            view = View::rebuild(&view, &link.ledger);
+            view = RoutingTable::rebuild(&view, &link.ledger);
         });
     }
     let frames: Vec<Vec<u8>> = (0..7 * 20).map(|n| news(Kind::Backend, n)).collect();
@@ -292,7 +313,7 @@
         let brought = hear(&mut link, at(2), &frames[n]);
         brought.items.iter().for_each(|item| pick.learn(at(2), item));
     });
-    time("View::of, all anew", 1, |_| view = View::of(&link.ledger));
+    time("View::of, all anew", 1, |_| view = RoutingTable::of(&link.ledger));
 
     // A request.
     time("View::route and View::tenant_of", 2_000, |n| {
@@ -312,7 +333,7 @@
         time(what, 1_000, |n| {
             let now = at(50_000 + n as i64);
             if let Some(call_sign) = pick.pick(now, &need) {
-                pick.ended(now, &call_sign, End::Settled, Span::from_micros(90_000));
+                pick.ended(now, &call_sign, End::Settled, Duration::from_micros(90_000));
             }
         });
     };
@@ -334,8 +355,8 @@
         let begun = Instant::now();
         let period = quota.period(at(clock));
         let station = "counter-a1-0".into();
-        let word = Adds { ticket: 1, station, adds: period, life: 7, asks: false };
-        let frame = packed(Word::Adds(word.clone()));
+        let word = UsageReport { ticket: 1, station, adds: period, life: 7, asks: false };
+        let frame = packed(Message::UsageReport(word.clone()));
         spent.push(begun.elapsed().as_secs_f64() * 1e6);
         let totals = packed(answer(&word.adds));
         let begun = Instant::now();
--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -4,10 +4,10 @@
 
 use crate::load_balancer::End;
 use kitepass_net::http::body::{Body, Head, HeadReader};
-use kitepass_net::http::Kind;
+use kitepass_net::http::MessageKind;
 
 /// Heads of answers are taken up to this length.
-const MOST_HEAD: usize = 32 * 1024;
+const MAX_HEAD_BYTES: usize = 32 * 1024;
 /// Bytes of an answer that are looked at before any go to the client; a longer one passes through as it comes.
 pub const LONG: usize = 256 * 1024;
 
@@ -354,7 +354,8 @@
     pub fn read(&mut self, asked: Asked, input: &mut Vec<u8>, tail: Tail) -> Came {
         loop {
             if self.head.is_none() {
-                match self.reader.next(Kind::Answer { to_head: asked.to_head }, input, MOST_HEAD) {
+                match self.reader.next(MessageKind::Answer { to_head: asked.to_head }, input, MAX_HEAD_BYTES)
+                {
                     Ok(None) if tail != Tail::Open => return Came::Nothing("closed"),
                     Ok(None) => return Came::Part,
                     Err(_) => return Came::Nothing("garbled"),
--- a/crates/data-plane/src/control_session.rs
+++ b/crates/data-plane/src/control_session.rs
@@ -1,47 +1,47 @@
 //! The session with a control process: what is known of the system comes over it.
 
-use kitepass_config::{Item, Kind, Ledger};
-use kitepass_coordination::membership::{Cast, NOW};
+use kitepass_config::{Item, ItemStore, Kind};
+use kitepass_coordination::membership::{ReplicaSet, CURRENT};
 use kitepass_coordination::protocol::*;
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use log::{debug, info, warn};
 use std::collections::{BTreeMap, BTreeSet};
 
-const BEAT: Span = Span::from_micros(500_000);
+const BEAT: Duration = Duration::from_micros(500_000);
 /// A control process that says nothing for so long is left for another.
-const SILENT: Span = Span::from_micros(1_600_000);
+const SILENT: Duration = Duration::from_micros(1_600_000);
 /// Backends that are gone and still remembered.
 const MOST_DROPPED: usize = 4_096;
 /// A session that is not up by then is given up.
-const COMING: Span = Span::from_micros(1_400_000);
+const COMING: Duration = Duration::from_micros(1_400_000);
 /// One that is up and tells nothing of what is lacked for so long is given up: many may wait for their turn.
-const TELLING: Span = Span::from_micros(10_000_000);
+const TELLING: Duration = Duration::from_micros(10_000_000);
 /// So long without being told all by a control process in touch with the core a gateway keeps what it holds; after that it
 /// begins anew. Danger: what was dropped meanwhile may be forgotten, and then nobody would tell it so. The core forgets
 /// no sooner than twice this after all of it knew.
-const ALONE: Span = Span::from_micros(1_800_000_000);
+const ALONE: Duration = Duration::from_micros(1_800_000_000);
 /// After so many repairs that left a difference it begins anew: something is held here that the core lets go of.
 const MOST_DIFFERING: u32 = 8;
 /// One that was tried in vain is left alone for so long, times how often that was.
-const AGAIN: Span = Span::from_micros(350_000);
+const AGAIN: Duration = Duration::from_micros(350_000);
 /// So long a control process that fell out of contact with the core is stayed with, if another may be better: cuts that
 /// are joined at once move nobody. One that is out of contact when it is come to is left as soon as it is synced.
-const APART: Span = Span::from_micros(1_500_000);
+const APART: Duration = Duration::from_micros(1_500_000);
 /// One that was found out of contact is looked at again no sooner, twice as long each further time, up to the most.
 /// Danger: where all are, gateways would go round among them without end.
-const APART_AGAIN: Span = Span::from_micros(10_000_000);
-const APART_MOST: Span = Span::from_micros(20_000_000);
+const APART_AGAIN: Duration = Duration::from_micros(10_000_000);
+const APART_MOST: Duration = Duration::from_micros(20_000_000);
 /// A better control process is gone over to no sooner.
-const SETTLED: Span = Span::from_micros(3_000_000);
+const SETTLED: Duration = Duration::from_micros(3_000_000);
 
 /// How far the session has come. [`Link::shift`] alone changes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Away,
     /// A connection is on its way, since a moment.
-    Coming(Moment),
+    Coming(Timestamp),
     /// It is up, and tells what is lacked here; since the last of it.
-    Telling(Moment),
+    Telling(Timestamp),
     /// All that the control process holds has come.
     Synced,
 }
@@ -51,7 +51,7 @@
 pub struct Brought {
     pub items: Vec<Item>,
     pub live: Option<(usize, Vec<String>)>,
-    pub totals: Vec<Totals>,
+    pub totals: Vec<UsageTotals>,
     pub ready_changed: bool,
     /// The session is to be closed.
     pub close: bool,
@@ -61,13 +61,13 @@
     hello: Hello,
     state: State,
     /// What is gone by.
-    pub ledger: Ledger,
+    pub ledger: ItemStore,
     /// A new beginning from nothing, in the ledger's place once it is whole; until then the ledger is gone by.
-    anew: Option<(Ledger, Moment)>,
+    anew: Option<(ItemStore, Timestamp)>,
     /// When it last held what a control process in touch with the core held.
-    told: Moment,
+    told: Timestamp,
     /// Longest time without that: [`ALONE`], but for tests.
-    alone: Span,
+    alone: Duration,
     /// The control process is to be asked again for what is lacked.
     asks: bool,
     differing: u32,
@@ -75,23 +75,23 @@
     /// Control processes by address, with district.
     known: BTreeMap<String, String>,
     /// When each was tried last, and how often in vain since.
-    tried: BTreeMap<String, (Moment, u32)>,
+    tried: BTreeMap<String, (Timestamp, u32)>,
     at: String,
-    heard: Moment,
-    since: Moment,
-    beat: Moment,
+    heard: Timestamp,
+    since: Timestamp,
+    beat: Timestamp,
     /// The control process is out of contact with the core: after this moment it is left for another, if there is one
     /// that may be better.
-    apart: Option<Moment>,
+    apart: Option<Timestamp>,
     /// Control processes that were out of contact when they were heard last: when, and how often in a row.
-    found_apart: BTreeMap<String, (Moment, u32)>,
+    found_apart: BTreeMap<String, (Timestamp, u32)>,
     /// It has caught up with the core once: from then on it may serve.
     caught: bool,
     lived: bool,
     provinces: BTreeMap<String, String>,
     pub ready: bool,
     told_ready: bool,
-    pub out: Vec<Word>,
+    pub out: Vec<Message>,
     pub out_items: Vec<Item>,
 }
 
@@ -100,9 +100,9 @@
         Link {
             hello,
             state: State::Away,
-            ledger: Ledger::new(),
+            ledger: ItemStore::new(),
             anew: None,
-            told: Moment::default(),
+            told: Timestamp::default(),
             alone: ALONE,
             asks: false,
             differing: 0,
@@ -110,9 +110,9 @@
             known: BTreeMap::new(),
             tried: BTreeMap::new(),
             at: String::new(),
-            heard: Moment::default(),
-            since: Moment::default(),
-            beat: Moment::default(),
+            heard: Timestamp::default(),
+            since: Timestamp::default(),
+            beat: Timestamp::default(),
             apart: None,
             found_apart: BTreeMap::new(),
             caught: false,
@@ -150,18 +150,18 @@
     }
 
     /// For tests: so long it may be alone.
-    pub fn set_alone(&mut self, alone: Span) {
+    pub fn set_alone(&mut self, alone: Duration) {
         self.alone = alone;
     }
 
     /// What the session is about: a new beginning, or the ledger.
-    fn held(&self) -> &Ledger {
+    fn held(&self) -> &ItemStore {
         self.anew.as_ref().map_or(&self.ledger, |(anew, _)| anew)
     }
 
-    fn begin_anew(&mut self, now: Moment, why: &str) {
+    fn begin_anew(&mut self, now: Timestamp, why: &str) {
         info!("event=anew why={why} items={}", self.ledger.len());
-        self.anew = Some((Ledger::new(), now));
+        self.anew = Some((ItemStore::new(), now));
         self.differing = 0;
     }
 
@@ -195,27 +195,27 @@
     /// All control processes that are known.
     fn controls(&self) -> BTreeSet<String> {
         let mut all: BTreeSet<String> = self.first.iter().chain(self.known.keys()).cloned().collect();
-        if let Some(cast) = Cast::of(&self.ledger, NOW) {
+        if let Some(cast) = ReplicaSet::of(&self.ledger, CURRENT) {
             all.extend(cast.seats.into_iter().map(|seat| seat.ip));
         }
         all
     }
 
     /// Whether it was out of contact when it was heard last, and is not to be looked at again yet.
-    fn is_apart(&self, now: Moment, ip: &str) -> bool {
+    fn is_apart(&self, now: Timestamp, ip: &str) -> bool {
         let again = |times: u32| (APART_AGAIN * i64::from(times.max(1))).min(APART_MOST);
         self.found_apart.get(ip).is_some_and(|(found, times)| now - *found < again(*times))
     }
 
     /// Whether there is another control process that may be in contact with the core.
-    fn may_do_better(&self, now: Moment) -> bool {
+    fn may_do_better(&self, now: Timestamp) -> bool {
         let vain =
             |ip: &str| self.tried.get(ip).is_some_and(|(tried, vain)| *vain > 0 && now - *tried < APART_MOST);
         self.controls().iter().any(|ip| *ip != self.at && !self.is_apart(now, ip) && !vain(ip))
     }
 
     /// What the control process says of itself.
-    fn contact(&mut self, now: Moment, current: bool, patience: Span) {
+    fn contact(&mut self, now: Timestamp, current: bool, patience: Duration) {
         if current {
             self.apart = None;
             self.found_apart.remove(&self.at);
@@ -231,7 +231,7 @@
     }
 
     /// The control process to open a session with now, if any: not tried in vain, in contact, near ones first.
-    pub fn next(&mut self, now: Moment, draw: u64) -> Option<String> {
+    pub fn next(&mut self, now: Timestamp, draw: u64) -> Option<String> {
         if self.state != State::Away {
             return None;
         }
@@ -261,8 +261,8 @@
         self.shift(State::Coming(now));
         (self.heard, self.since, self.apart) = (now, now, None);
         self.out = vec![
-            Word::Hello(Hello { current: self.has_whole(), ..self.hello.clone() }),
-            Word::Buckets(Buckets { hashes: self.held().buckets().to_vec(), back: false }),
+            Message::Hello(Hello { current: self.has_whole(), ..self.hello.clone() }),
+            Message::BucketDigests(BucketDigests { hashes: self.held().buckets().to_vec(), back: false }),
         ];
         self.told_ready = !self.ready;
         Some(ip)
@@ -283,7 +283,7 @@
     }
 
     /// To be called about ten times a second; true if the session is to be closed.
-    pub fn tick(&mut self, now: Moment) -> bool {
+    pub fn tick(&mut self, now: Timestamp) -> bool {
         self.ledger.forget_dropped(Kind::Backend, MOST_DROPPED);
         match self.state {
             State::Away => return false,
@@ -305,36 +305,36 @@
         }
         if std::mem::take(&mut self.asks) {
             let hashes = self.held().buckets().to_vec();
-            self.out.push(Word::Buckets(Buckets { hashes, back: false }));
+            self.out.push(Message::BucketDigests(BucketDigests { hashes, back: false }));
         }
         if now - self.beat >= BEAT || self.ready != self.told_ready {
             (self.beat, self.told_ready) = (now, self.ready);
-            let beat = Beat {
+            let beat = Heartbeat {
                 digest: self.held().digest(),
                 ready: self.ready,
                 current: self.has_whole(),
-                ..Beat::default()
+                ..Heartbeat::default()
             };
-            self.out.push(Word::Beat(beat));
+            self.out.push(Message::Heartbeat(beat));
         }
         false
     }
 
     /// Bytes have come that are no whole word yet. Danger: over a slow line one of many MiB takes longer than a silence
     /// is borne.
-    pub fn alive(&mut self, now: Moment) {
+    pub fn alive(&mut self, now: Timestamp) {
         self.heard = now;
     }
 
-    pub fn said(&mut self, now: Moment, word: Word, brought: &mut Brought) {
+    pub fn said(&mut self, now: Timestamp, word: Message, brought: &mut Brought) {
         self.heard = now;
         match &word {
-            Word::Hello(hello) => {
+            Message::Hello(hello) => {
                 self.known.insert(hello.ip.clone(), hello.district.clone());
-                self.contact(now, hello.current, Span::ZERO);
+                self.contact(now, hello.current, Duration::ZERO);
                 self.shift(State::Telling(now));
             }
-            Word::Beat(beat) => {
+            Message::Heartbeat(beat) => {
                 self.contact(now, beat.current, APART);
                 // What stands here is what stands there: words come in order.
                 if self.apart.is_none() && self.anew.is_none() && beat.digest == self.ledger.digest() {
@@ -349,11 +349,11 @@
             return;
         }
         match word {
-            Word::Items(items) => {
+            Message::Items(items) => {
                 if matches!(self.state, State::Telling(_)) {
                     self.shift(State::Telling(now));
                 }
-                for item in items.items.into_iter().filter_map(ItemWord::item) {
+                for item in items.items.into_iter().filter_map(ItemMessage::item) {
                     match &mut self.anew {
                         Some((anew, _)) => _ = anew.merge(item),
                         None if self.ledger.merge(item.clone()) => brought.items.push(item),
@@ -361,7 +361,7 @@
                     }
                 }
             }
-            Word::Buckets(buckets) => {
+            Message::BucketDigests(buckets) => {
                 // Of backends what one told that is lost; whoever reads the list puts right what is wrong in it. Danger:
                 // of the configuration an old item could come back that way. The core has all of it: it is told here
                 // only once it is decided.
@@ -372,18 +372,18 @@
                     self.told_all(now, buckets.hashes == self.held().buckets(), brought);
                 } else {
                     let hashes = self.held().buckets().to_vec();
-                    self.out.push(Word::Buckets(Buckets { hashes, back: false }));
+                    self.out.push(Message::BucketDigests(BucketDigests { hashes, back: false }));
                 }
                 brought.ready_changed = true;
             }
-            Word::Live(live) => {
+            Message::MembershipUpdate(live) => {
                 self.lived = true;
                 self.known =
                     live.controls.iter().cloned().zip(live.control_districts.iter().cloned()).collect();
                 brought.live = Some((live.gateways as usize, live.stations));
                 brought.ready_changed = true;
             }
-            Word::Forget(forget) => {
+            Message::PurgeTombstones(forget) => {
                 for (kind, name, edition) in forget.due() {
                     self.ledger.forget(kind, &name, edition);
                     if let Some((anew, _)) = &mut self.anew {
@@ -391,13 +391,13 @@
                     }
                 }
             }
-            Word::Totals(totals) => brought.totals.push(totals),
+            Message::UsageTotals(totals) => brought.totals.push(totals),
             _ => {}
         }
     }
 
     /// The control process has told all that it holds; `agrees` if what is held here is that and nothing else.
-    fn told_all(&mut self, now: Moment, agrees: bool, brought: &mut Brought) {
+    fn told_all(&mut self, now: Timestamp, agrees: bool, brought: &mut Brought) {
         self.differing = if agrees { 0 } else { self.differing + 1 };
         let is_first = !self.caught || self.anew.is_some();
         // Danger: whoever serves by what it was told in part serves by less than was acknowledged.
--- a/crates/data-plane/src/load_balancer/mod.rs
+++ b/crates/data-plane/src/load_balancer/mod.rs
@@ -5,7 +5,7 @@
 //! same from all running to one backend.
 
 use kitepass_config::{Item, Kind};
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,20 +15,20 @@
 /// What one more leg out adds to a backend's cost.
 const CROWD: f64 = 0.6;
 /// A service that nothing is known of takes so long.
-const UNKNOWN: Span = Span::from_micros(100_000);
+const UNKNOWN: Duration = Duration::from_micros(100_000);
 /// Time to another region and back, for one that nothing is known of.
-const FAR: Span = Span::from_micros(110_000);
+const FAR: Duration = Duration::from_micros(110_000);
 /// What another zone's bytes are worth in time.
 const NEXT_DOOR: f64 = 1.1;
 /// Backends drawn of the near ones that a connection rests to, of all near ones, and of all.
 const DRAWN: [usize; 3] = [2, 2, 1];
 /// What a new connection is worth in time, beside its way there and back.
-const HANDSHAKE: Span = Span::from_micros(20_000);
+const HANDSHAKE: Duration = Duration::from_micros(20_000);
 /// A backend that failed is left alone for so long at first, and twice as long each time, up to the most.
-const BARRED: Span = Span::from_micros(400_000);
-const BARRED_MOST: Span = Span::from_micros(6_400_000);
+const BARRED: Duration = Duration::from_micros(400_000);
+const BARRED_MOST: Duration = Duration::from_micros(6_400_000);
 /// One that was full is left alone for so long.
-const FULL: Span = Span::from_micros(80_000);
+const FULL: Duration = Duration::from_micros(80_000);
 /// Of the bound on a cold backend the part that is used.
 const COLD_USED: f64 = 0.5;
 
@@ -56,12 +56,12 @@
     pub address: SocketAddr,
     pub district: Arc<str>,
     closing: bool,
-    cold_until: Moment,
-    pace: Option<Span>,
+    cold_until: Timestamp,
+    pace: Option<Duration>,
     out: u32,
     fails: u32,
-    barred: Moment,
-    last_cold: Option<Moment>,
+    barred: Timestamp,
+    last_cold: Option<Timestamp>,
     /// How many gateways go before this one at it while it is cold, and by which list of stations.
     before: (u64, usize),
 }
@@ -80,7 +80,7 @@
 pub struct Pick {
     backends: BTreeMap<Arc<str>, Backend>,
     lines: BTreeMap<Arc<str>, Vec<Arc<str>>>,
-    paces: BTreeMap<Arc<str>, Span>,
+    paces: BTreeMap<Arc<str>, Duration>,
     district: Arc<str>,
     province: Arc<str>,
     station: Arc<str>,
@@ -125,16 +125,16 @@
 
     /// Zones to which nothing may go. Danger: one that comes back may have turned cold shortly before, and the list
     /// tells late: its backends count as cold for a while.
-    pub fn evacuated(&mut self, now: Moment, zones: &BTreeSet<Arc<str>>) {
+    pub fn evacuated(&mut self, now: Timestamp, zones: &BTreeSet<Arc<str>>) {
         let back: BTreeSet<Arc<str>> = self.evacuated.difference(zones).cloned().collect();
         for backend in self.backends.values_mut().filter(|b| back.contains(&b.district)) {
-            backend.cold_until = backend.cold_until.max(now + Span::from_micros(4_000_000));
+            backend.cold_until = backend.cold_until.max(now + Duration::from_micros(4_000_000));
         }
         self.evacuated = zones.clone();
     }
 
     /// Takes in an item of the list of backends.
-    pub fn learn(&mut self, now: Moment, item: &Item) {
+    pub fn learn(&mut self, now: Timestamp, item: &Item) {
         if item.kind != Kind::Backend {
             return;
         }
@@ -152,8 +152,8 @@
         };
         let value = value.unwrap_or_default();
         let closing = value["closing"].as_bool().unwrap_or(false);
-        let cold = Span::from_micros(value["cold-ms"].as_i64().unwrap_or(0).clamp(0, 600_000) * 1000);
-        let cold_until = if cold > Span::ZERO { now + cold } else { Moment::default() };
+        let cold = Duration::from_micros(value["cold-ms"].as_i64().unwrap_or(0).clamp(0, 600_000) * 1000);
+        let cold_until = if cold > Duration::ZERO { now + cold } else { Timestamp::default() };
         if let Some(backend) = self.backends.get_mut(&item.name) {
             if backend.address == address && backend.line == line {
                 (backend.closing, backend.cold_until) = (closing, cold_until);
@@ -173,7 +173,7 @@
             pace: None,
             out: 0,
             fails: 0,
-            barred: Moment::default(),
+            barred: Timestamp::default(),
             last_cold: None,
             before: (0, 0),
         };
@@ -203,7 +203,7 @@
     }
 
     /// A service's usual time.
-    pub fn pace(&self, line: &Arc<str>) -> Span {
+    pub fn pace(&self, line: &Arc<str>) -> Duration {
         self.paces.get(line).copied().unwrap_or(UNKNOWN)
     }
 
@@ -216,19 +216,19 @@
             && need.homes.iter().all(|homes| homes.is_empty() || homes.iter().any(|home| **home == *province))
     }
 
-    fn cost(&self, now: Moment, backend: &Backend, rests: bool) -> f64 {
+    fn cost(&self, now: Timestamp, backend: &Backend, rests: bool) -> f64 {
         let far = *self.province != *self.province_of(&backend.district);
         let usual =
-            backend.pace.unwrap_or_else(|| self.pace(&backend.line) + if far { FAR } else { Span::ZERO });
+            backend.pace.unwrap_or_else(|| self.pace(&backend.line) + if far { FAR } else { Duration::ZERO });
         let door = if backend.district == self.district { 1.0 } else { NEXT_DOOR };
         let barred = if backend.barred > now { 1e6 + (backend.barred - now).secs() * 1e3 } else { 0.0 };
-        let way = HANDSHAKE + if far { FAR } else { Span::ZERO };
-        let opening = if rests { Span::ZERO } else { way };
+        let way = HANDSHAKE + if far { FAR } else { Duration::ZERO };
+        let opening = if rests { Duration::ZERO } else { way };
         usual.secs() * (1.0 + CROWD * f64::from(backend.out)) * door + opening.secs() + barred
     }
 
     /// Draws a backend for a leg, which is out there from now on.
-    pub fn pick(&mut self, now: Moment, need: &Need) -> Option<Arc<str>> {
+    pub fn pick(&mut self, now: Timestamp, need: &Need) -> Option<Arc<str>> {
         self.rank_cold(now, need.line);
         let draws: [u64; 5] = std::array::from_fn(|_| self.chance.rand_u64());
         let mut draws = draws.into_iter();
@@ -272,7 +272,7 @@
 
     /// Whether this gateway may send a request to a cold backend now. Danger: all gateways together, each with a
     /// little, push it over; so only few may, chosen alike by all without talk, each at its part of the rate.
-    fn takes_cold(&self, now: Moment, backend: &Backend) -> bool {
+    fn takes_cold(&self, now: Timestamp, backend: &Backend) -> bool {
         let rate = self.cold_rates.get(&backend.line).copied().unwrap_or(0.0) * COLD_USED;
         let few = (rate.floor() as usize).min(3);
         if few == 0 || self.stations.is_empty() || backend.before.0 != self.listed {
@@ -283,7 +283,7 @@
     }
 
     /// Ranks this gateway among all for the cold backends of a service, once for each list of stations.
-    fn rank_cold(&mut self, now: Moment, line: &Arc<str>) {
+    fn rank_cold(&mut self, now: Timestamp, line: &Arc<str>) {
         let Some(known) = self.lines.get(line) else { return };
         for call_sign in known {
             let Some(backend) = self.backends.get_mut(call_sign) else { continue };
@@ -301,14 +301,14 @@
     }
 
     /// A leg has ended.
-    pub fn ended(&mut self, now: Moment, call_sign: &str, end: End, took: Span) {
+    pub fn ended(&mut self, now: Timestamp, call_sign: &str, end: End, took: Duration) {
         let Some(backend) = self.backends.get_mut(call_sign) else { return };
         backend.out = backend.out.saturating_sub(1);
-        let learn = |pace: &mut Span, took: Span| *pace = *pace + (took - *pace).times(NEWEST);
+        let learn = |pace: &mut Duration, took: Duration| *pace = *pace + (took - *pace).times(NEWEST);
         match end {
             End::Settled => {
                 backend.fails = 0;
-                backend.barred = Moment::default();
+                backend.barred = Timestamp::default();
                 learn(backend.pace.get_or_insert(took), took);
                 if *backend.district == *self.district {
                     learn(self.paces.entry(backend.line.clone()).or_insert(took), took);
@@ -334,9 +334,9 @@
     }
 
     /// A backend says itself that it leaves.
-    pub fn closes(&mut self, now: Moment, call_sign: &str) {
+    pub fn closes(&mut self, now: Timestamp, call_sign: &str) {
         if let Some(backend) = self.backends.get_mut(call_sign) {
-            backend.barred = backend.barred.max(now + Span::from_micros(200_000));
+            backend.barred = backend.barred.max(now + Duration::from_micros(200_000));
         }
     }
 }
@@ -347,7 +347,7 @@
     use bytes::Bytes;
     use rstest::rstest;
 
-    const NOW: Moment = Moment::from_micros(1_000_000_000);
+    const CURRENT: Timestamp = Timestamp::from_micros(1_000_000_000);
 
     fn pick(station: &str) -> Pick {
         let provinces = [("a1", "a"), ("a2", "a"), ("b1", "b")].map(|(d, p)| (d.to_owned(), p.to_owned()));
@@ -362,13 +362,13 @@
             r#"{{"line":"l","address":"10.0.0.1:80","district":"{district}","closing":{closing},"cold-ms":{cold_ms}}}"#
         );
         let value = Some(Bytes::from(value));
-        pick.learn(NOW, &Item { kind: Kind::Backend, name: name.into(), edition: 1, value });
+        pick.learn(CURRENT, &Item { kind: Kind::Backend, name: name.into(), edition: 1, value });
     }
 
     fn go(pick: &mut Pick, homes: &[Arc<str>], had: &[Arc<str>], resting: &str) -> Option<String> {
         let rests = |c: &Arc<str>| **c == *resting;
         let need = Need { line: &"l".into(), homes: [homes, &[]], had, rests: &rests };
-        pick.pick(NOW, &need).map(|call_sign| call_sign.to_string())
+        pick.pick(CURRENT, &need).map(|call_sign| call_sign.to_string())
     }
 
     /// Where nothing may go nothing goes: a closing or cold backend, an evacuated zone, one that had the request,
@@ -391,7 +391,7 @@
         let arcs = |names: &[&str]| names.iter().map(|name| Arc::from(*name)).collect::<Vec<Arc<str>>>();
         let mut pick = pick("g0");
         learn(&mut pick, "x", "a2", closing, cold_ms);
-        pick.evacuated(NOW, &arcs(evacuated).into_iter().collect());
+        pick.evacuated(CURRENT, &arcs(evacuated).into_iter().collect());
         assert_eq!(go(&mut pick, &arcs(homes), &arcs(had), "").is_some(), goes);
     }
 
@@ -404,7 +404,7 @@
             learn(gateway, "x", "a1", false, 60_000);
         }
         for millis in 0..20_000i64 {
-            let now = NOW + Span::from_micros(millis * 1000);
+            let now = CURRENT + Duration::from_micros(millis * 1000);
             let need = Need { line: &line, homes: [&[], &[]], had: &[], rests: &|_| false };
             sent.extend(gateways.iter_mut().filter_map(|g| g.pick(now, &need)).map(|_| millis));
         }
@@ -425,7 +425,7 @@
             let went: Vec<String> = (0..200)
                 .filter_map(|_| {
                     let went = go(pick, &[], &[], resting)?;
-                    pick.ended(NOW, &went, End::Left, Span::ZERO);
+                    pick.ended(CURRENT, &went, End::Left, Duration::ZERO);
                     Some(went)
                 })
                 .collect();
@@ -433,10 +433,10 @@
         };
         assert_eq!(count(&mut pick, "far", ""), 0);
         assert_eq!(count(&mut pick, "y", "y"), 200);
-        pick.ended(NOW, "y", End::Unreached, Span::ZERO);
+        pick.ended(CURRENT, "y", End::Unreached, Duration::ZERO);
         assert_eq!(count(&mut pick, "x", "y"), 200);
         // Of two that are out of reach the far one is better than none.
-        pick.ended(NOW, "x", End::Unreached, Span::ZERO);
+        pick.ended(CURRENT, "x", End::Unreached, Duration::ZERO);
         assert_eq!(count(&mut pick, "far", ""), 200);
     }
 }
--- a/crates/data-plane/src/quota.rs
+++ b/crates/data-plane/src/quota.rs
@@ -10,24 +10,24 @@
 //! While the count is silent the last ratio lives for a while, and behind it stands this gateway's part of the limit,
 //! as the holder told it last, which the holder leaves to it; without one, rate over gateways.
 
-use kitepass_coordination::protocol::{Add, Totals};
-use kitepass_coordination::usage::{Slack, Terms, ALONE};
+use kitepass_coordination::protocol::{TenantUsage, UsageTotals};
+use kitepass_coordination::usage::{QuotaTolerance, RateLimit, ALONE};
 use kitepass_gateway_policy::excess;
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-pub const PERIOD: Span = Span::from_micros(1_000_000);
+pub const PERIOD: Duration = Duration::from_micros(1_000_000);
 /// A ratio that the count has not renewed lives so long; then the part alone decides.
-const RATIO_LIFE: Span = Span::from_micros(3_000_000);
+const RATIO_LIFE: Duration = Duration::from_micros(3_000_000);
 /// A request waits at most so long for a grant.
-const PATIENCE: Span = Span::from_micros(400_000);
+const PATIENCE: Duration = Duration::from_micros(400_000);
 /// After a grant that fell short nothing is asked for so long: what goes beyond the allowance is refused at once.
-const DRY: Span = Span::from_micros(250_000);
+const DRY: Duration = Duration::from_micros(250_000);
 /// The part that was told last is gone by for so long, less than the holder leaves it; then rate over gateways.
-const PART_LIFE: Span = Span::from_micros(8_000_000);
+const PART_LIFE: Duration = Duration::from_micros(8_000_000);
 /// A tenant without use is forgotten after so long.
-const KEPT: Span = Span::from_micros(30_000_000);
+const KEPT: Duration = Duration::from_micros(30_000_000);
 /// Periods in a row, after its last use, in which a tenant's count is still read.
 const AFTERWARDS: u32 = 1;
 /// The piece of a part's store that a gateway begins with: an earlier life may have spent the rest.
@@ -51,25 +51,25 @@
 
 #[derive(Debug)]
 struct Customer {
-    terms: Terms,
+    terms: RateLimit,
     offered: u32,
     sent: u32,
     ratio: f64,
     /// Requests thought to be left in the tenant's allowance, from totals read.
     room: f64,
-    heard: Option<Moment>,
+    heard: Option<Timestamp>,
     /// Requests granted and not used, asked for and not answered.
     held: u32,
-    asked: Option<(Moment, u32)>,
+    asked: Option<(Timestamp, u32)>,
     waiting: VecDeque<u64>,
-    dry: Moment,
+    dry: Timestamp,
     /// Requests a period, lately.
     expected: f64,
     /// This gateway's part, while it hears nothing of the count.
     store: f64,
-    part: Option<(f64, Moment)>,
-    as_of: Moment,
-    used: Moment,
+    part: Option<(f64, Timestamp)>,
+    as_of: Timestamp,
+    used: Timestamp,
     idle: u32,
 }
 
@@ -77,16 +77,16 @@
     customers: BTreeMap<Arc<str>, Customer>,
     chance: oorandom::Rand64,
     gateways: usize,
-    slack: Slack,
-    opened: Moment,
+    slack: QuotaTolerance,
+    opened: Timestamp,
     /// When the newest word to the count that was answered had been sent.
-    answered: Option<Moment>,
-    asks: Vec<Add>,
+    answered: Option<Timestamp>,
+    asks: Vec<TenantUsage>,
     decided: Vec<(u64, bool)>,
 }
 
 impl Quota {
-    pub fn new(now: Moment, seed: u64, slack: Slack) -> Quota {
+    pub fn new(now: Timestamp, seed: u64, slack: QuotaTolerance) -> Quota {
         Quota {
             customers: BTreeMap::new(),
             chance: oorandom::Rand64::new(u128::from(seed)),
@@ -99,7 +99,7 @@
         }
     }
 
-    pub fn slack(&mut self, slack: Slack) {
+    pub fn slack(&mut self, slack: QuotaTolerance) {
         self.slack = slack;
     }
 
@@ -109,13 +109,13 @@
     }
 
     /// Since when nothing has been heard of the count, if that is long ago.
-    fn alone(&self, now: Moment) -> Option<Moment> {
+    fn alone(&self, now: Timestamp) -> Option<Timestamp> {
         let since = self.answered.map_or(self.opened, |answered| answered + ALONE);
         (now >= since).then_some(since)
     }
 
     /// The draw of one request.
-    pub fn draw(&mut self, now: Moment, tenant: &Arc<str>, terms: Terms, request: u64) -> Verdict {
+    pub fn draw(&mut self, now: Timestamp, tenant: &Arc<str>, terms: RateLimit, request: u64) -> Verdict {
         if terms.rate <= 0.0 {
             return Verdict::Passes;
         }
@@ -135,7 +135,7 @@
                 held: 0,
                 asked: None,
                 waiting: VecDeque::new(),
-                dry: Moment::default(),
+                dry: Timestamp::default(),
                 expected: 0.0,
                 // Unseen: it may pass its limit over the gateways.
                 store: (FIRST * depth).max(1.0),
@@ -175,7 +175,7 @@
     }
 
     /// A period's end: what to add to the count.
-    pub fn period(&mut self, now: Moment) -> Vec<Add> {
+    pub fn period(&mut self, now: Timestamp) -> Vec<TenantUsage> {
         self.customers.retain(|_, customer| now - customer.used < KEPT || !customer.waiting.is_empty());
         let mut adds = Vec::new();
         for (tenant, customer) in &mut self.customers {
@@ -195,13 +195,13 @@
             let wants = if customer.asked.is_none() { target.saturating_sub(customer.held) } else { 0 };
             let held = customer.held;
             let ahead = if customer.asked.is_none() { most.saturating_sub(held + wants) } else { 0 };
-            adds.push(Add { tenant: tenant.to_string(), offered, sent, held, wants, back, ahead });
+            adds.push(TenantUsage { tenant: tenant.to_string(), offered, sent, held, wants, back, ahead });
         }
         adds
     }
 
     /// What is to be asked for before the period ends.
-    pub fn asks(&mut self) -> Vec<Add> {
+    pub fn asks(&mut self) -> Vec<TenantUsage> {
         std::mem::take(&mut self.asks)
     }
 
@@ -211,7 +211,7 @@
     }
 
     /// The count has answered a word that was sent at a moment.
-    pub fn totals(&mut self, now: Moment, sent_at: Moment, totals: &Totals) {
+    pub fn totals(&mut self, now: Timestamp, sent_at: Timestamp, totals: &UsageTotals) {
         self.answered = self.answered.max(Some(sent_at));
         for total in &totals.totals {
             let Some((tenant, _)) = self.customers.get_key_value(total.tenant.as_str()) else {
@@ -240,7 +240,7 @@
                 continue;
             }
             customer.serve(&mut self.decided);
-            let Terms { rate, surge } = customer.terms;
+            let RateLimit { rate, surge } = customer.terms;
             let past = customer.heard.map_or(PERIOD, |heard| now - heard).secs().min(3.0);
             // The room fills with what the limit leaves, and is used by what was sent beyond it.
             let sent = f64::from(total.sent) * past;
@@ -252,7 +252,7 @@
     }
 
     /// To be called about ten times a second: nobody waits for long where no answer comes.
-    pub fn tick(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Timestamp) {
         let late = |c: &Customer| c.asked.is_some_and(|(at, _)| now - at > PATIENCE);
         if self.customers.values().any(late) && self.alone(now).is_none() {
             // Nothing comes back: it is alone from now on, not only after the whole time.
@@ -288,7 +288,7 @@
     }
 
     /// Takes one request of this gateway's own part, which fills from when it has been alone.
-    fn take_part(&mut self, now: Moment, since: Moment, gateways: f64, slack: Slack) -> bool {
+    fn take_part(&mut self, now: Timestamp, since: Timestamp, gateways: f64, slack: QuotaTolerance) -> bool {
         let part =
             self.part.filter(|(_, told)| now - *told < PART_LIFE).map_or(1.0 / gateways, |(part, _)| part);
         let depth = ((self.terms.surge + slack.of(self.terms)) * part).max(1.0);
@@ -314,22 +314,22 @@
         }
     }
 
-    fn ask(&mut self, now: Moment, tenant: &str) -> Add {
+    fn ask(&mut self, now: Timestamp, tenant: &str) -> TenantUsage {
         let wants = self.waiting.len() as u32;
         self.asked = Some((now, wants));
         let ahead = 1 + (self.expected / 4.0) as u32;
-        Add { tenant: tenant.to_owned(), held: self.held, wants, ahead, ..Add::default() }
+        TenantUsage { tenant: tenant.to_owned(), held: self.held, wants, ahead, ..TenantUsage::default() }
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use kitepass_coordination::protocol::{Adds, Total};
-    use kitepass_coordination::usage::Counts;
+    use kitepass_coordination::protocol::{TenantTotal, UsageReport};
+    use kitepass_coordination::usage::UsageCounts;
     use rstest::rstest;
 
-    const SLACK: Slack = Slack { window: 5.0, excess: 0.1, margin: 20.0 };
+    const SLACK: QuotaTolerance = QuotaTolerance { window: 5.0, excess: 0.1, margin: 20.0 };
 
     /// Eight gateways around one count, on drawn timers, for a minute: what they pass on, each with its moment.
     struct Fleet {
@@ -347,21 +347,22 @@
 
     fn play(fleet: &Fleet, gateways: u64, seed: u64) -> (Vec<i64>, f64) {
         let mut chance = oorandom::Rand64::new(u128::from(seed));
-        let at = |millis: i64| Moment::from_micros(millis * 1000);
+        let at = |millis: i64| Timestamp::from_micros(millis * 1000);
         let tenant: Arc<str> = "t".into();
         let mut quotas: Vec<Quota> =
             (0..gateways).map(|n| Quota::new(at(-5_000), seed * 8 + n, SLACK)).collect();
         let live: Vec<String> = (0..gateways).map(|n| n.to_string()).collect();
         quotas.iter_mut().for_each(|quota| quota.live(gateways as usize));
-        let (mut counts, mut gone) = (Counts::new(SLACK), 0);
+        let (mut counts, mut gone) = (UsageCounts::new(SLACK), 0);
         let (mut passed, mut offered, mut request) = (Vec::new(), 0.0, 0);
-        let mut wire: VecDeque<(i64, usize, i64, kitepass_coordination::protocol::Totals)> = VecDeque::new();
+        let mut wire: VecDeque<(i64, usize, i64, kitepass_coordination::protocol::UsageTotals)> =
+            VecDeque::new();
         for now in 0..60_000i64 {
             if (fleet.lost)(now) {
-                (counts, gone) = (Counts::new(SLACK), now + 3_000);
+                (counts, gone) = (UsageCounts::new(SLACK), now + 3_000);
             }
             let rate = (fleet.limit)(now);
-            let terms = Terms { rate, surge: rate };
+            let terms = RateLimit { rate, surge: rate };
             for (who, quota) in quotas.iter_mut().enumerate() {
                 let hears = now >= gone && (fleet.hears)(who as u64, now);
                 let adds = (now % 1000 == who as i64 * 960 / gateways as i64).then(|| quota.period(at(now)));
@@ -369,7 +370,8 @@
                 let words = [(adds, false), ((!asks.is_empty()).then_some(asks), true)];
                 for (adds, asks) in words.into_iter().filter_map(|(adds, asks)| Some((adds?, asks))) {
                     if hears {
-                        let word = Adds { station: who.to_string(), adds, asks, ..Adds::default() };
+                        let word =
+                            UsageReport { station: who.to_string(), adds, asks, ..UsageReport::default() };
                         wire.push_back((
                             now + WAY,
                             who,
@@ -450,12 +452,13 @@
     /// count as offered, and an unlimited tenant is not counted at all.
     #[test]
     fn the_draw_follows_the_ratio_of_all_that_was_offered() {
-        let at = |millis: i64| Moment::from_micros(millis * 1000);
+        let at = |millis: i64| Timestamp::from_micros(millis * 1000);
         let mut quota = Quota::new(at(0), 1, SLACK);
-        let (tenant, terms) = ("t".into(), Terms { rate: 100.0, surge: 0.0 });
-        let total = Total { tenant: "t".into(), offered: 400.0, sent: 100.0, granted: 1_000_000, part: 1.0 };
+        let (tenant, terms) = ("t".into(), RateLimit { rate: 100.0, surge: 0.0 });
+        let total =
+            TenantTotal { tenant: "t".into(), offered: 400.0, sent: 100.0, granted: 1_000_000, part: 1.0 };
         quota.draw(at(0), &tenant, terms, 0);
-        quota.totals(at(1), at(0), &Totals { totals: vec![total], ..Totals::default() });
+        quota.totals(at(1), at(0), &UsageTotals { totals: vec![total], ..UsageTotals::default() });
         let customer = &quota.customers["t"];
         assert!((customer.ratio - 0.75).abs() < 1e-6, "{}", customer.ratio);
         let passed =
@@ -465,7 +468,7 @@
             "{passed}: a quarter for the 3 s that the ratio lives, then all"
         );
         assert_eq!(quota.period(at(4_100))[0].offered, 4_001);
-        let free = Terms { rate: 0.0, surge: 0.0 };
+        let free = RateLimit { rate: 0.0, surge: 0.0 };
         assert!(quota.draw(at(1), &"free".into(), free, 0) == Verdict::Passes && quota.len() == 1);
     }
 
@@ -477,16 +480,17 @@
         #[case] granted: u32,
         #[case] decided: Vec<(u64, bool)>,
     ) {
-        let at = |millis: i64| Moment::from_micros(millis * 1000);
+        let at = |millis: i64| Timestamp::from_micros(millis * 1000);
         let mut quota = Quota::new(at(-9_000), 1, SLACK);
-        let (tenant, terms) = ("t".into(), Terms { rate: 10.0, surge: 10.0 });
-        let total = |granted| Total { tenant: "t".into(), granted, ..Total::default() };
-        let answer = |granted| Totals { totals: vec![total(granted)], asks: true, ..Totals::default() };
-        quota.totals(at(0), at(0), &Totals::default());
+        let (tenant, terms) = ("t".into(), RateLimit { rate: 10.0, surge: 10.0 });
+        let total = |granted| TenantTotal { tenant: "t".into(), granted, ..TenantTotal::default() };
+        let answer =
+            |granted| UsageTotals { totals: vec![total(granted)], asks: true, ..UsageTotals::default() };
+        quota.totals(at(0), at(0), &UsageTotals::default());
         assert_eq!((quota.draw(at(10), &tenant, terms, 1), quota.asks().len()), (Verdict::Waits, 1));
         quota.tick(at(500));
         assert_eq!(quota.decided().len(), 1, "given up");
-        quota.totals(at(510), at(505), &Totals::default());
+        quota.totals(at(510), at(505), &UsageTotals::default());
         for request in [2, 3] {
             assert_eq!(quota.draw(at(520), &tenant, terms, request), Verdict::Waits);
         }
@@ -501,14 +505,18 @@
     /// Whoever waits where no answer comes is refused or passed by the gateway's part, and nobody twice.
     #[test]
     fn nobody_waits_for_long_and_what_is_beyond_is_refused_at_once() {
-        let at = |millis: i64| Moment::from_micros(millis * 1000);
+        let at = |millis: i64| Timestamp::from_micros(millis * 1000);
         let mut quota = Quota::new(at(-9_000), 1, SLACK);
-        let (tenant, terms) = ("t".into(), Terms { rate: 10.0, surge: 10.0 });
-        quota.totals(at(0), at(0), &Totals::default());
+        let (tenant, terms) = ("t".into(), RateLimit { rate: 10.0, surge: 10.0 });
+        quota.totals(at(0), at(0), &UsageTotals::default());
         let waits: Vec<Verdict> = (0..3).map(|n| quota.draw(at(10), &tenant, terms, n)).collect();
         assert_eq!((waits, quota.asks().len()), (vec![Verdict::Waits; 3], 1));
-        let total = Total { tenant: "t".into(), granted: 0, ..Total::default() };
-        quota.totals(at(50), at(10), &Totals { totals: vec![total], asks: true, ..Totals::default() });
+        let total = TenantTotal { tenant: "t".into(), granted: 0, ..TenantTotal::default() };
+        quota.totals(
+            at(50),
+            at(10),
+            &UsageTotals { totals: vec![total], asks: true, ..UsageTotals::default() },
+        );
         assert_eq!(quota.decided(), [(0, false), (1, false), (2, false)]);
         assert_eq!(quota.draw(at(60), &tenant, terms, 4), Verdict::Refused);
         assert_eq!(quota.draw(at(400), &tenant, terms, 5), Verdict::Waits);
--- a/crates/data-plane/src/request.rs
+++ b/crates/data-plane/src/request.rs
@@ -1,9 +1,9 @@
 //! A request, from its intake to its final answer.
 
 use crate::attempt::Way;
-use kitepass_config::{Mail, Route, Tenant, View};
+use kitepass_config::{RequestSafety, Route, RoutingTable, Tenant};
 use kitepass_net::http::body::Head;
-use kitepass_time::Moment;
+use kitepass_time::Timestamp;
 use smallvec::SmallVec;
 use std::sync::Arc;
 
@@ -18,14 +18,14 @@
     pub line: Arc<str>,
     pub tenant: Option<Arc<Tenant>>,
     /// The view under which it came: it holds for the request from start to end.
-    pub view: Arc<View>,
+    pub view: Arc<RoutingTable>,
     /// What has come of the body and may still be needed, from byte `base` on.
     pub body: Vec<u8>,
     pub base: u64,
     pub whole: bool,
     pub length: Option<u64>,
-    pub came: Moment,
-    pub until: Moment,
+    pub came: Timestamp,
+    pub until: Timestamp,
     /// Backends that had a leg.
     pub had: SmallVec<[Arc<str>; 2]>,
     /// The connection that its leg is on.
@@ -44,12 +44,12 @@
         route: Arc<Route>,
         line: Arc<str>,
         tenant: Option<Arc<Tenant>>,
-        view: Arc<View>,
-        came: Moment,
-        until: Moment,
+        view: Arc<RoutingTable>,
+        came: Timestamp,
+        until: Timestamp,
         length: Option<u64>,
     ) -> Job {
-        let way = Way::new(route.mail == Mail::Safe, route.tries);
+        let way = Way::new(route.mail == RequestSafety::Safe, route.tries);
         Job {
             client,
             head,
@@ -103,7 +103,7 @@
     }
 
     pub fn is_safe(&self) -> bool {
-        self.route.mail == Mail::Safe
+        self.route.mail == RequestSafety::Safe
     }
 
     /// Whether a leg sends its body in chunks.
--- a/crates/data-plane/src/retry_budget.rs
+++ b/crates/data-plane/src/retry_budget.rs
@@ -1,7 +1,7 @@
 //! The budget of further legs, by service: a part of this gateway's own requests, and its part of the margin. The
 //! sum over gateways holds without talk, as only the margin is divided. No input or output.
 
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
@@ -13,19 +13,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     pub ratio: f64,
-    pub window: Span,
+    pub window: Duration,
     pub margin: f64,
 }
 
 #[derive(Default)]
-struct Line {
+struct Service {
     /// Number of a piece, first legs and further ones in it.
     pieces: VecDeque<(i64, u32, u32)>,
 }
 
 pub struct Further {
     budget: Budget,
-    lines: BTreeMap<Arc<str>, Line>,
+    lines: BTreeMap<Arc<str>, Service>,
 }
 
 impl Further {
@@ -37,7 +37,7 @@
         self.budget = budget;
     }
 
-    fn piece(&mut self, now: Moment, line: &Arc<str>) -> &mut Line {
+    fn piece(&mut self, now: Timestamp, line: &Arc<str>) -> &mut Service {
         let number = now.among(self.budget.window / PIECES).0;
         let line = self.lines.entry(line.clone()).or_default();
         while line.pieces.front().is_some_and(|piece| piece.0 <= number - PIECES) {
@@ -50,13 +50,13 @@
     }
 
     /// A request for a service has come.
-    pub fn first(&mut self, now: Moment, line: &Arc<str>) {
+    pub fn first(&mut self, now: Timestamp, line: &Arc<str>) {
         let line = self.piece(now, line);
         line.pieces.back_mut().expect("piece puts one in").1 += 1;
     }
 
     /// Whether one more further leg fits the budget; it is booked then.
-    pub fn allows(&mut self, now: Moment, line: &Arc<str>, gateways: usize) -> bool {
+    pub fn allows(&mut self, now: Timestamp, line: &Arc<str>, gateways: usize) -> bool {
         let Budget { ratio, margin, .. } = self.budget;
         let line = self.piece(now, line);
         let (first, further) = line
@@ -75,14 +75,14 @@
 
     #[test]
     fn further_legs_of_all_gateways_stay_within_the_rule_in_every_window() {
-        let budget = Budget { ratio: 0.2, window: Span::from_secs(10), margin: 60.0 };
+        let budget = Budget { ratio: 0.2, window: Duration::from_secs(10), margin: 60.0 };
         let line: Arc<str> = "l".into();
         let mut gateways: Vec<Further> = (0..10).map(|_| Further::new(budget)).collect();
         let mut chance = oorandom::Rand64::new(7);
         let (mut first, mut further) = (Vec::new(), Vec::new());
         // Nearly every request fails, and the load comes and goes.
         for millis in 0..60_000i64 {
-            let now = Moment::from_micros(millis * 1000);
+            let now = Timestamp::from_micros(millis * 1000);
             let busy = if millis / 7_000 % 2 == 0 { 2 } else { 20 };
             if chance.rand_range(0..busy) == 0 {
                 let gateway = &mut gateways[chance.rand_range(0..10) as usize];
--- a/crates/data-plane/src/server/mod.rs
+++ b/crates/data-plane/src/server/mod.rs
@@ -6,19 +6,19 @@
 use crate::quota::{Quota, Verdict as Draw, PERIOD};
 use crate::request::{Job, WINDOW};
 use crate::retry_budget::{Budget, Further};
-use kitepass_config::{Kind, Mail, View};
+use kitepass_config::{Kind, RequestSafety, RoutingTable};
 use kitepass_coordination::protocol::framing::{Assembler, MOST_FRAME};
-use kitepass_coordination::protocol::{self, Add, Adds, Hello, Word};
-use kitepass_coordination::usage::{Slack, Terms};
-use kitepass_net::connection::{cause, Wire};
+use kitepass_coordination::protocol::{self, Hello, Message, TenantUsage, UsageReport};
+use kitepass_coordination::usage::{QuotaTolerance, RateLimit};
+use kitepass_net::connection::{cause, Connection};
 use kitepass_net::http::body::{Body, Framing, Head, HeadReader};
-use kitepass_net::http::{digits, Kind as Which};
-use kitepass_net::poller::{self, Clock, Poll, Ready};
-use kitepass_net::timer_wheel::{TimerKey, Timers};
+use kitepass_net::http::{digits, MessageKind};
+use kitepass_net::poller::{self, Clock, Poller, ReadyEvent};
+use kitepass_net::timer_wheel::{TimerKey, TimerWheel};
 use kitepass_net::{Errno, OwnedFd};
 use kitepass_node::process::{life, Signals};
 use kitepass_node::{Settings, Watch};
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use log::{debug, error, info, warn};
 use snafu::{ResultExt, Snafu};
 use std::collections::BTreeMap;
@@ -28,19 +28,19 @@
 
 /// Bytes held for one peer that does not read; beyond that nothing more is read for it.
 const MOST_UNSENT: usize = 256 * 1024;
-const TICK: Span = Span::from_micros(100_000);
-const PATIENCE: Span = Span::from_micros(1_500_000);
+const TICK: Duration = Duration::from_micros(100_000);
+const PATIENCE: Duration = Duration::from_micros(1_500_000);
 /// A connection to a backend that is not made by then is left: near, and in another region.
-const NEAR: Span = Span::from_micros(250_000);
-const FAR: Span = Span::from_micros(600_000);
+const NEAR: Duration = Duration::from_micros(250_000);
+const FAR: Duration = Duration::from_micros(600_000);
 /// Idle connections to backends are closed by us after so long, or before the time that the backend tells.
-const REST: Span = Span::from_micros(8_000_000);
+const REST: Duration = Duration::from_micros(8_000_000);
 /// Idle connections kept to one backend.
 const MOST_IDLE: usize = 8;
 /// What still comes of a body that was answered before it was whole is read off for so long.
-const DRAIN: Span = Span::from_micros(1_000_000);
+const DRAIN: Duration = Duration::from_micros(1_000_000);
 /// After SIGTERM: clients are served for so long, on connections that say they close; then nothing new is taken.
-const PARTING: Span = Span::from_micros(3_000_000);
+const PARTING: Duration = Duration::from_micros(3_000_000);
 /// Memory that bodies may take together.
 const MOST_BODIES: usize = 64 * 1024 * 1024;
 
@@ -63,7 +63,7 @@
 
 /// A client's connection.
 struct Client {
-    wire: Wire,
+    wire: Connection,
     reader: HeadReader,
     body: Option<Body>,
     job: Option<u64>,
@@ -76,26 +76,26 @@
     drains: bool,
     /// The readiness check's.
     checks: bool,
-    at: Moment,
+    at: Timestamp,
     /// When the first byte of a head came that is not whole.
-    begun: Option<Moment>,
+    begun: Option<Timestamp>,
     half: bool,
 }
 
 /// A connection to a backend.
-struct Line {
-    wire: Wire,
+struct Service {
+    wire: Connection,
     call_sign: Arc<str>,
     leg: Option<Leg>,
     /// A HEAD went over it.
     headed: bool,
-    rests_until: Moment,
+    rests_until: Timestamp,
 }
 
 /// A request's way through a connection to a backend.
 struct Leg {
     job: u64,
-    began: Moment,
+    began: Timestamp,
     /// Bytes of the body handed to the connection.
     handed: u64,
     chunked: bool,
@@ -113,25 +113,25 @@
 
 struct Session {
     id: u64,
-    wire: Wire,
+    wire: Connection,
     assembler: Assembler,
 }
 
 pub struct Server {
     settings: Settings,
-    poll: Poll,
+    poll: Poller,
     clock: Clock,
-    timers: Timers<Due>,
+    timers: TimerWheel<Due>,
     listeners: Vec<(u64, OwnedFd)>,
     clients: BTreeMap<u64, Client>,
-    lines: BTreeMap<u64, Line>,
+    lines: BTreeMap<u64, Service>,
     idle: BTreeMap<Arc<str>, Vec<u64>>,
     jobs: BTreeMap<u64, Job>,
     next: u64,
     bodies: usize,
     link: Link,
     session: Option<Session>,
-    view: Arc<View>,
+    view: Arc<RoutingTable>,
     changed: bool,
     quota: Quota,
     pick: Pick,
@@ -140,25 +140,25 @@
     life: u64,
     ticket: u64,
     /// Words to the count, by when they were sent.
-    asked: BTreeMap<u64, Moment>,
+    asked: BTreeMap<u64, Timestamp>,
     chance: oorandom::Rand64,
     piece: Vec<u8>,
     /// Connections to backends with more to read for which there is room.
     again: Vec<u64>,
-    leaves: Option<Moment>,
+    leaves: Option<Timestamp>,
     signals: Signals,
     watch: Watch,
 }
 
 fn budget(settings: &Settings) -> Budget {
     let bounds = &settings.bounds;
-    let window = Span::from_micros(bounds.retry_window.as_micros() as i64);
+    let window = Duration::from_micros(bounds.retry_window.as_micros() as i64);
     Budget { ratio: bounds.retry_ratio, window, margin: bounds.retry_margin }
 }
 
-fn slack(settings: &Settings) -> Slack {
+fn slack(settings: &Settings) -> QuotaTolerance {
     let bounds = &settings.bounds;
-    Slack {
+    QuotaTolerance {
         window: bounds.quota_window.as_secs_f64(),
         excess: bounds.quota_excess,
         margin: bounds.quota_margin,
@@ -168,7 +168,7 @@
 impl Server {
     pub fn open(path: PathBuf) -> Result<Server, Error> {
         let settings = Settings::load(&path).context(SettingsSnafu)?;
-        let poll = Poll::new().context(SystemSnafu { what: "epoll" })?;
+        let poll = Poller::new().context(SystemSnafu { what: "epoll" })?;
         let clock = Clock::new();
         let Some(front) = settings.counters.front_counter else {
             return MissingSnafu { field: "front-counter" }.fail();
@@ -192,7 +192,7 @@
         };
         let first = settings.first_stops.iter().map(|stop| stop.ip().to_string()).collect();
         let link = Link::new(hello, first, settings.districts.clone());
-        let view = Arc::new(View::of(&link.ledger));
+        let view = Arc::new(RoutingTable::of(&link.ledger));
         let watch = Watch::new(path);
         let now = clock.now();
         Ok(Server {
@@ -202,7 +202,7 @@
             settings,
             poll,
             clock,
-            timers: Timers::new(now),
+            timers: TimerWheel::new(now),
             listeners,
             clients: BTreeMap::new(),
             lines: BTreeMap::new(),
@@ -231,14 +231,14 @@
         self.signals.heed().context(SignalsSnafu)?;
         info!("event=serving station={} ip={}", self.settings.station, self.settings.ip);
         let (mut ready, mut due) = (Vec::new(), Vec::new());
-        let mut ticked = Moment::default();
+        let mut ticked = Timestamp::default();
         let begun = self.clock.now();
         let (mut period, mut watched) = (begun, begun);
         loop {
             let now = self.clock.now();
-            let next = self.timers.next().map_or(TICK, |at| (at - now).max(Span::ZERO));
-            let wait = (TICK - (now - ticked)).max(Span::ZERO).min(next);
-            let wait = if self.again.is_empty() { wait } else { Span::ZERO };
+            let next = self.timers.next().map_or(TICK, |at| (at - now).max(Duration::ZERO));
+            let wait = (TICK - (now - ticked)).max(Duration::ZERO).min(next);
+            let wait = if self.again.is_empty() { wait } else { Duration::ZERO };
             self.poll.wait(Some(wait), &mut ready).context(SystemSnafu { what: "waiting" })?;
             for ready in ready.drain(..) {
                 self.ready(&ready);
@@ -288,7 +288,7 @@
     }
 
     /// SIGTERM: clients are told to go, legs at work go on to their end; true once it is over.
-    fn leave(&mut self, now: Moment) -> bool {
+    fn leave(&mut self, now: Timestamp) -> bool {
         if self.leaves.is_none() && self.signals.ends() {
             info!("event=leaving requests={}", self.jobs.len());
             self.leaves = Some(now);
@@ -297,7 +297,7 @@
             self.speak();
         }
         let Some(since) = self.leaves else { return false };
-        let courtesy = Span::from_micros(self.settings.bounds.courtesy.as_micros() as i64);
+        let courtesy = Duration::from_micros(self.settings.bounds.courtesy.as_micros() as i64);
         if now - since > PARTING.min(courtesy / 2) && !self.listeners.is_empty() {
             self.listeners.clear();
             let idle: Vec<u64> = self
@@ -310,7 +310,7 @@
         }
         let flushed = self.clients.values().all(|c| c.wire.unsent() == 0);
         let over = self.listeners.is_empty() && self.jobs.is_empty() && flushed;
-        let late = now - since > courtesy - Span::from_micros(300_000);
+        let late = now - since > courtesy - Duration::from_micros(300_000);
         if late {
             let ids: Vec<u64> = self.jobs.keys().copied().collect();
             for id in ids {
@@ -324,7 +324,7 @@
         over || late
     }
 
-    fn ready(&mut self, ready: &Ready) {
+    fn ready(&mut self, ready: &ReadyEvent) {
         match ready.token {
             FRONT | READINESS => self.accept(ready.token),
             id if self.session.as_ref().is_some_and(|session| session.id == id) => self.hear(Some(ready)),
@@ -333,7 +333,7 @@
         }
     }
 
-    fn due(&mut self, now: Moment, due: Due) {
+    fn due(&mut self, now: Timestamp, due: Due) {
         match due {
             Due::Deadline(job) => self.expire(now, job),
             Due::Connect(line) => {
@@ -345,7 +345,7 @@
         }
     }
 
-    fn tick(&mut self, now: Moment) {
+    fn tick(&mut self, now: Timestamp) {
         if self.link.tick(now) {
             self.session = None;
             self.link.lost("left");
@@ -355,7 +355,7 @@
             let address = ip.parse::<IpAddr>().ok().map(|ip| SocketAddr::new(ip, self.settings.sidings.0));
             let id = self.next;
             self.next += 1;
-            let opened = address.and_then(|to| Wire::open(&self.poll, &to, id, PATIENCE).ok());
+            let opened = address.and_then(|to| Connection::open(&self.poll, &to, id, PATIENCE).ok());
             match opened {
                 Some(wire) => {
                     self.session = Some(Session { id, wire, assembler: Assembler::default() });
@@ -365,8 +365,8 @@
         }
         self.quota.tick(now);
         let limits = &self.view.limits;
-        let head = Span::from_micros(i64::from(limits.envelope_ms) * 1000);
-        let idle = Span::from_micros(i64::from(limits.idle_ms) * 1000);
+        let head = Duration::from_micros(i64::from(limits.envelope_ms) * 1000);
+        let idle = Duration::from_micros(i64::from(limits.idle_ms) * 1000);
         let mut late = Vec::new();
         for (id, client) in &self.clients {
             let slow = client.begun.is_some_and(|begun| now - begun > head);
@@ -400,13 +400,13 @@
     }
 
     /// The design's period: adds to the count, and reads the total.
-    fn close_period(&mut self, now: Moment) {
+    fn close_period(&mut self, now: Timestamp) {
         let adds = self.quota.period(now);
         self.add(now, adds, false);
     }
 
     /// A word to the count. One without adds is a sign of life: the holder leaves no part to this gateway.
-    fn add(&mut self, now: Moment, adds: Vec<Add>, asks: bool) {
+    fn add(&mut self, now: Timestamp, adds: Vec<TenantUsage>, asks: bool) {
         if self.session.is_none() {
             return;
         }
@@ -414,11 +414,17 @@
         self.asked.insert(self.ticket, now);
         self.asked.retain(|_, at| now - *at < PERIOD * 3);
         let station = self.settings.station.clone();
-        self.link.out.push(Word::Adds(Adds { ticket: self.ticket, station, adds, life: self.life, asks }));
+        self.link.out.push(Message::UsageReport(UsageReport {
+            ticket: self.ticket,
+            station,
+            adds,
+            life: self.life,
+            asks,
+        }));
     }
 
     /// Requests that waited for their quota go on, or are refused.
-    fn go_on(&mut self, now: Moment) {
+    fn go_on(&mut self, now: Timestamp) {
         loop {
             let decided = self.quota.decided();
             if decided.is_empty() {
@@ -444,10 +450,10 @@
     }
 
     /// Takes up what the session brought: requests that come from here on see the new view.
-    fn refresh(&mut self, now: Moment) {
+    fn refresh(&mut self, now: Timestamp) {
         if self.changed {
             self.changed = false;
-            let view = View::rebuild(&self.view, &self.link.ledger);
+            let view = RoutingTable::rebuild(&self.view, &self.link.ledger);
             self.pick.evacuated(now, &view.evacuated);
             self.pick.cold_rates(view.lines.values().map(|line| (line.name.clone(), line.cold_rate)));
             self.view = Arc::new(view);
@@ -473,7 +479,7 @@
         }
     }
 
-    fn hear(&mut self, ready: Option<&Ready>) {
+    fn hear(&mut self, ready: Option<&ReadyEvent>) {
         let now = self.clock.now();
         let Some(session) = &mut self.session else { return };
         let mut brought = Brought::default();
@@ -501,7 +507,7 @@
         for item in &brought.items {
             match item.kind {
                 Kind::Backend => self.pick.learn(now, item),
-                Kind::Cast => {}
+                Kind::ReplicaSet => {}
                 _ => self.changed = true,
             }
         }
@@ -542,7 +548,7 @@
                 continue;
             }
             let client = Client {
-                wire: Wire::accepted(socket),
+                wire: Connection::accepted(socket),
                 reader: HeadReader::default(),
                 body: None,
                 job: None,
@@ -560,7 +566,7 @@
         }
     }
 
-    fn serve_client(&mut self, id: u64, ready: Option<&Ready>) {
+    fn serve_client(&mut self, id: u64, ready: Option<&ReadyEvent>) {
         let now = self.clock.now();
         let Some(client) = self.clients.get_mut(&id) else { return };
         if let Some(ready) = ready {
@@ -639,7 +645,7 @@
     }
 
     /// Reads what a client sent: heads while no request is under way, else the body of the one that is.
-    fn read_client(&mut self, now: Moment, id: u64) {
+    fn read_client(&mut self, now: Timestamp, id: u64) {
         loop {
             let Some(client) = self.clients.get_mut(&id) else { return };
             if client.ends {
@@ -662,7 +668,7 @@
                 continue;
             }
             let most = self.view.limits.envelope_bytes;
-            match client.reader.next(Which::Request, &mut client.wire.input, most) {
+            match client.reader.next(MessageKind::Request, &mut client.wire.input, most) {
                 Ok(None) => {
                     let begun = client.reader.begun(&client.wire.input);
                     client.begun = begun.then(|| client.begun.unwrap_or(now));
@@ -683,7 +689,7 @@
     }
 
     /// A request's head has come.
-    fn intake(&mut self, now: Moment, id: u64, head: Head, framing: Framing) {
+    fn intake(&mut self, now: Timestamp, id: u64, head: Head, framing: Framing) {
         let view = self.view.clone();
         let client = self.clients.get_mut(&id).expect("its head was just read");
         client.skips = true; // until a request takes the body
@@ -721,7 +727,7 @@
         let (job, mut waits) = (self.next, false);
         self.next += 1;
         if let Some(tenant) = &tenant {
-            let terms = Terms { rate: tenant.rate, surge: tenant.surge };
+            let terms = RateLimit { rate: tenant.rate, surge: tenant.surge };
             match self.quota.draw(now, &tenant.name, terms, job) {
                 Draw::Passes => {}
                 Draw::Refused => return self.refuse_client(id, 429, Some(1000)),
@@ -735,7 +741,7 @@
             client.wire.output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
         let line = self.line_of(&route);
-        let until = now + Span::from_micros(left * 1000);
+        let until = now + Duration::from_micros(left * 1000);
         self.further.first(now, &line);
         let client = self.clients.get_mut(&id).expect("as above");
         (client.skips, client.job) = (false, Some(job));
@@ -759,7 +765,7 @@
     }
 
     /// Reads on in a request's body; true if the request after it may be looked at.
-    fn read_body(&mut self, now: Moment, id: u64, job: u64) -> bool {
+    fn read_body(&mut self, now: Timestamp, id: u64, job: u64) -> bool {
         let (Some(client), Some(work)) = (self.clients.get_mut(&id), self.jobs.get_mut(&job)) else {
             return false;
         };
@@ -829,14 +835,14 @@
     // Requests.
 
     /// Sends a request's next leg, or gives it up.
-    fn advance(&mut self, now: Moment, id: u64) {
+    fn advance(&mut self, now: Timestamp, id: u64) {
         let next = self.choose(now, id);
         self.go(now, id, next);
     }
 
     /// The backend that a request's next leg goes to, if another leg may go and somebody can take it. The budget of
     /// further legs is booked.
-    fn choose(&mut self, now: Moment, id: u64) -> Option<Arc<str>> {
+    fn choose(&mut self, now: Timestamp, id: u64) -> Option<Arc<str>> {
         let job = self.jobs.get(&id)?;
         if job.until <= now || job.had.len() >= 6 || !job.way.may_follow() {
             return None;
@@ -853,14 +859,14 @@
     }
 
     /// Sends a request's next leg to the backend that was chosen, or gives it up where none was.
-    fn go(&mut self, now: Moment, id: u64, mut next: Option<Arc<str>>) {
+    fn go(&mut self, now: Timestamp, id: u64, mut next: Option<Arc<str>>) {
         while let Some(call_sign) = next {
             let Some(job) = self.jobs.get_mut(&id) else { return };
             job.had.push(call_sign.clone());
             if self.send(now, id, &call_sign) {
                 return;
             }
-            self.pick.ended(now, &call_sign, End::Unreached, Span::ZERO);
+            self.pick.ended(now, &call_sign, End::Unreached, Duration::ZERO);
             next = self.choose(now, id);
         }
         let Some(job) = self.jobs.get(&id) else { return };
@@ -868,14 +874,14 @@
         self.give_up(now, id, status);
     }
 
-    fn give_up(&mut self, now: Moment, id: u64, status: u16) {
+    fn give_up(&mut self, now: Timestamp, id: u64, status: u16) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let next = job.way.refuse(status);
         self.follow(now, id, next);
     }
 
     /// A request ends without a backend's answer.
-    fn follow(&mut self, now: Moment, id: u64, next: Next) {
+    fn follow(&mut self, now: Timestamp, id: u64, next: Next) {
         let Some(job) = self.jobs.get(&id) else { return };
         let client = job.client;
         let status = match next {
@@ -896,7 +902,7 @@
     }
 
     /// A client's request has had its answer: the next one may come.
-    fn free(&mut self, now: Moment, client: u64) {
+    fn free(&mut self, now: Timestamp, client: u64) {
         let Some(c) = self.clients.get_mut(&client) else { return };
         (c.job, c.at) = (None, now);
         c.skips = c.body.is_some();
@@ -928,7 +934,7 @@
         }
     }
 
-    fn expire(&mut self, now: Moment, id: u64) {
+    fn expire(&mut self, now: Timestamp, id: u64) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let next = job.way.deadline();
         self.follow(now, id, next);
@@ -936,7 +942,7 @@
 
     // Backends.
 
-    fn send(&mut self, now: Moment, id: u64, call_sign: &Arc<str>) -> bool {
+    fn send(&mut self, now: Timestamp, id: u64, call_sign: &Arc<str>) -> bool {
         let Some(backend) = self.pick.get(call_sign) else { return false };
         let (address, district) = (backend.address, backend.district.clone());
         let far = self.pick.province_of(&district) != self.settings.province;
@@ -958,8 +964,8 @@
                 let line = self.next;
                 self.next += 1;
                 let patience = PATIENCE;
-                let Ok(wire) = Wire::open(&self.poll, &address, line, patience) else { return false };
-                let fresh = Line {
+                let Ok(wire) = Connection::open(&self.poll, &address, line, patience) else { return false };
+                let fresh = Service {
                     wire,
                     call_sign: call_sign.clone(),
                     leg: None,
@@ -991,9 +997,9 @@
             timer: None,
         });
         // Another leg is worth its while only where there is time and somebody to take it.
-        if job.route.mail == Mail::Safe && job.way.sent() + 1 < job.route.tries {
-            let usual = self.pick.pace(&job.line) + if far { FAR / 4 } else { Span::ZERO };
-            let overdue = (usual * 5).max(Span::from_micros(500_000));
+        if job.route.mail == RequestSafety::Safe && job.way.sent() + 1 < job.route.tries {
+            let usual = self.pick.pace(&job.line) + if far { FAR / 4 } else { Duration::ZERO };
+            let overdue = (usual * 5).max(Duration::from_micros(500_000));
             if job.until - now > overdue + usual {
                 let key = self.timers.set(now + overdue, Due::Overdue(id, line));
                 l.leg.as_mut().expect("set above").timer = Some(key);
@@ -1034,7 +1040,7 @@
         }
     }
 
-    fn serve_line(&mut self, id: u64, ready: Option<&Ready>) {
+    fn serve_line(&mut self, id: u64, ready: Option<&ReadyEvent>) {
         let now = self.clock.now();
         let Some(line) = self.lines.get_mut(&id) else { return };
         let was_made = line.wire.is_made();
@@ -1069,7 +1075,7 @@
     }
 
     /// Reads what a backend says; a connection that is broken gives what came before.
-    fn read_line(&mut self, now: Moment, id: u64, broken: Option<&'static str>) {
+    fn read_line(&mut self, now: Timestamp, id: u64, broken: Option<&'static str>) {
         let Some(line) = self.lines.get_mut(&id) else { return };
         let (tail, why) = match (line.wire.fill(&mut self.piece, MOST_UNSENT), broken) {
             (Ok(_), Some(why)) => (Tail::Broken, why),
@@ -1077,7 +1083,7 @@
             (Ok(false), None) => (Tail::Open, ""),
             (Err(error), _) => (Tail::Broken, cause(error)),
         };
-        let Line { wire, leg: Some(leg), headed, .. } = line else {
+        let Service { wire, leg: Some(leg), headed, .. } = line else {
             // Nothing is due here: whatever came belongs to no request.
             if tail != Tail::Open || !line.wire.input.is_empty() {
                 self.drop_line(id);
@@ -1108,7 +1114,7 @@
     }
 
     /// An answer is whole.
-    fn answered(&mut self, now: Moment, id: u64, tail: Tail) {
+    fn answered(&mut self, now: Timestamp, id: u64, tail: Tail) {
         let Some(line) = self.lines.get_mut(&id) else { return };
         let Some(mut leg) = line.leg.take() else { return };
         if let Some(timer) = leg.timer {
@@ -1126,10 +1132,10 @@
         }
         let clean = attempt::may_rest(verdict, tail, line.wire.input.len(), line.wire.unsent(), leg.finished);
         let rest = head.keep_alive_secs().map_or(REST, |secs| {
-            REST.min(Span::from_micros(secs as i64 * 1_000_000) - Span::from_micros(1_000_000))
+            REST.min(Duration::from_micros(secs as i64 * 1_000_000) - Duration::from_micros(1_000_000))
         });
         let pool = self.idle.entry(line.call_sign.clone()).or_default();
-        if clean && head.keeps_open() && rest > Span::ZERO && pool.len() < MOST_IDLE {
+        if clean && head.keeps_open() && rest > Duration::ZERO && pool.len() < MOST_IDLE {
             line.rests_until = now + rest;
             pool.push(id);
         } else {
@@ -1156,7 +1162,7 @@
     }
 
     /// A whole answer goes to the client as the backend gave it.
-    fn deliver(&mut self, now: Moment, id: u64, head: &Head, body: &[u8]) {
+    fn deliver(&mut self, now: Timestamp, id: u64, head: &Head, body: &[u8]) {
         let Some(job) = self.jobs.get(&id) else { return };
         let client = job.client;
         let to_head = job.is_to_head();
@@ -1188,8 +1194,8 @@
     }
 
     /// The head and what there is of a long answer go on; from here on the answer cannot be taken back.
-    fn pass_through(&mut self, now: Moment, id: u64) {
-        let Some(Line { leg: Some(leg), .. }) = self.lines.get_mut(&id) else { return };
+    fn pass_through(&mut self, now: Timestamp, id: u64) {
+        let Some(Service { leg: Some(leg), .. }) = self.lines.get_mut(&id) else { return };
         let Some(job) = self.jobs.get_mut(&leg.job) else { return };
         let head = leg.answer.head.as_ref().expect("its body has begun");
         let next = job.way.is_long(Verdict::of(head, job.is_safe()));
@@ -1214,7 +1220,7 @@
     }
 
     /// A long answer's end.
-    fn pass_end(&mut self, now: Moment, id: u64, got: &[u8]) {
+    fn pass_end(&mut self, now: Timestamp, id: u64, got: &[u8]) {
         let Some(job) = self.jobs.get(&id) else { return };
         let client = job.client;
         self.end_job(id, End::Left);
@@ -1227,7 +1233,7 @@
     }
 
     /// A safe request's leg takes too long: another goes in its place, if somebody can take it.
-    fn overdue(&mut self, now: Moment, id: u64, line: u64) {
+    fn overdue(&mut self, now: Timestamp, id: u64, line: u64) {
         let Some(leg) = self.lines.get_mut(&line).and_then(|l| l.leg.as_mut()).filter(|leg| leg.job == id)
         else {
             return;
@@ -1239,19 +1245,19 @@
             self.unleg(now, line, End::Broken, "overdue");
             self.go(now, id, Some(other));
         } else {
-            self.pick.ended(now, &other, End::Left, Span::ZERO);
+            self.pick.ended(now, &other, End::Left, Duration::ZERO);
         }
     }
 
     /// A connection to a backend is lost, with the leg on it.
-    fn lose_line(&mut self, now: Moment, id: u64, end: End, why: &'static str) {
+    fn lose_line(&mut self, now: Timestamp, id: u64, end: End, why: &'static str) {
         let Some(job) = self.unleg(now, id, end, why) else { return };
         let Some(next) = self.jobs.get_mut(&job).map(|job| job.way.lost()) else { return };
         self.resume(now, job, next);
     }
 
     /// Drops a connection to a backend; the request whose leg was on it.
-    fn unleg(&mut self, now: Moment, id: u64, end: End, why: &'static str) -> Option<u64> {
+    fn unleg(&mut self, now: Timestamp, id: u64, end: End, why: &'static str) -> Option<u64> {
         let line = self.lines.get_mut(&id)?;
         let made = line.wire.is_made();
         let leg = line.leg.take();
@@ -1272,7 +1278,7 @@
     }
 
     /// A request goes on behind a leg that brought no answer.
-    fn resume(&mut self, now: Moment, id: u64, next: Next) {
+    fn resume(&mut self, now: Timestamp, id: u64, next: Next) {
         match next {
             Next::Again => self.advance(now, id),
             next => self.follow(now, id, next),
@@ -1291,7 +1297,7 @@
 }
 
 /// Hands on to a connection what it has room for of a request's body; how much of the body is kept no longer.
-fn hand_on(leg: &mut Leg, job: &mut Job, wire: &mut Wire) -> usize {
+fn hand_on(leg: &mut Leg, job: &mut Job, wire: &mut Connection) -> usize {
     if leg.finished || wire.unsent() >= MOST_UNSENT {
         return 0;
     }
--- a/crates/data-plane/tests/attempt/model.rs
+++ b/crates/data-plane/tests/attempt/model.rs
@@ -121,7 +121,7 @@
 
 /// A connection between the gateway and a backend.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Line {
+struct Service {
     made: bool,
     /// The request whose leg is on it.
     leg: Option<u8>,
@@ -143,7 +143,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     requests: Vec<Request>,
-    lines: Vec<Line>,
+    lines: Vec<Service>,
     ended: bool,
     wrong: Option<&'static str>,
 }
@@ -381,7 +381,7 @@
                 actions.push(Action::Nobody(r));
                 if request.way.may_follow() {
                     // No backend gets a second leg of a request, whose id a late answer to the first would bear.
-                    let other = |line: &Line| line.leg.is_none() && !line.said.contains(&(r as u8));
+                    let other = |line: &Service| line.leg.is_none() && !line.said.contains(&(r as u8));
                     let resting = world.lines.iter().enumerate().filter(|(_, line)| other(line));
                     actions.extend(resting.map(|(l, _)| Action::Takes(r, Some(l))));
                     actions.push(Action::Takes(r, None));
@@ -459,7 +459,7 @@
                 }
                 match line {
                     Some(line) => (world.lines[line].leg, world.lines[line].written) = (Some(r as u8), 0),
-                    None => world.lines.push(Line {
+                    None => world.lines.push(Service {
                         made: false,
                         leg: Some(r as u8),
                         written: 0,
--- a/crates/data-plane/tests/golden.rs
+++ b/crates/data-plane/tests/golden.rs
@@ -26,12 +26,12 @@
     GoldenFiles::new(GOLDEN).assert_matches(name, text);
 }
 
-fn text(message: &Message) -> String {
+fn text(message: &HttpMessage) -> String {
     format!("{}{}", message.head, String::from_utf8_lossy(&message.body))
 }
 
 /// A request as the backend gets it, but for the time that is left.
-fn forwarded(message: &Message) -> String {
+fn forwarded(message: &HttpMessage) -> String {
     mask_after(&text(message), "X-Time-Left-Ms: ", &['\r'], "{TIME_LEFT_MS}")
 }
 
@@ -211,7 +211,7 @@
         let request = backend.hear();
         assert_eq!(request.body.len(), LONG_BODY);
         // Where its chunks end depends on when they come.
-        let head = Message { head: request.head, body: Vec::new() };
+        let head = HttpMessage { head: request.head, body: Vec::new() };
         assert_golden("forwarded-post-long-chunked-head.txt", &forwarded(&head));
         backend.say(ok("t1", ""));
         assert_eq!(client.hear().status(), 200);
--- a/crates/data-plane/tests/sockets/legs.rs
+++ b/crates/data-plane/tests/sockets/legs.rs
@@ -14,7 +14,7 @@
     Resets,
 }
 
-fn does(mut line: Line, what: Does) {
+fn does(mut line: Service, what: Does) {
     let id = line.hear().field("X-Try-Id").expect("an id").to_owned();
     match what {
         Does::Says(status, fields) => line.try_say(answer(status, &id, fields, "its own")),
--- a/crates/data-plane/tests/sockets/stand.rs
+++ b/crates/data-plane/tests/sockets/stand.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for what a gateway talks to. Clients and backends are led by the test step by step: each says only what
 //! the test has it say. The control process answers by itself. Nothing waits for longer than `PATIENCE`.
 
-use kitepass_config::{read_call, Checker, Item, Kind, Ledger};
+use kitepass_config::{read_call, Item, ItemStore, Kind, SchemaValidator};
 use kitepass_coordination::protocol::*;
 use rustix::net::{self, AddressFamily, SocketFlags, SocketType};
 use rustix::process::{kill_process, waitpid, Pid, Signal, WaitOptions};
@@ -21,9 +21,9 @@
 
 /// An address that nobody else uses: of this process, and of one place in it.
 fn own_address() -> IpAddr {
-    static NEXT: AtomicU8 = AtomicU8::new(2);
+    static INCOMING: AtomicU8 = AtomicU8::new(2);
     let [.., high, low] = std::process::id().to_be_bytes();
-    Ipv4Addr::new(127, high | 128, low, NEXT.fetch_add(1, Ordering::Relaxed)).into()
+    Ipv4Addr::new(127, high | 128, low, INCOMING.fetch_add(1, Ordering::Relaxed)).into()
 }
 
 /// The address that listeners share which take any port that is free.
@@ -49,12 +49,12 @@
 
 /// A message as it came, the head with its empty line, the body without its framing.
 #[derive(Debug)]
-pub struct Message {
+pub struct HttpMessage {
     pub head: String,
     pub body: Vec<u8>,
 }
 
-impl Message {
+impl HttpMessage {
     pub fn status(&self) -> u16 {
         self.head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
     }
@@ -69,10 +69,10 @@
     }
 
     /// Takes a whole message off the input's front, if it is there.
-    fn take(input: &mut Vec<u8>) -> Option<Message> {
+    fn take(input: &mut Vec<u8>) -> Option<HttpMessage> {
         let end = 4 + input.windows(4).position(|bytes| bytes == b"\r\n\r\n")?;
         let head = String::from_utf8(input[..end].to_vec()).expect("a head that is text");
-        let mut message = Message { head, body: Vec::new() };
+        let mut message = HttpMessage { head, body: Vec::new() };
         let mut at = end;
         if message.field("transfer-encoding").is_some() {
             loop {
@@ -99,26 +99,26 @@
 }
 
 /// One side of a connection.
-pub struct Line {
+pub struct Service {
     stream: TcpStream,
     input: Vec<u8>,
     /// The number of the backend at this side.
     pub backend: usize,
 }
 
-impl Line {
-    fn new(stream: TcpStream, backend: usize) -> Line {
+impl Service {
+    fn new(stream: TcpStream, backend: usize) -> Service {
         stream.set_read_timeout(Some(PATIENCE)).expect("an option");
         stream.set_write_timeout(Some(PATIENCE)).expect("an option");
         stream.set_nodelay(true).expect("an option");
-        Line { stream, input: Vec::new(), backend }
+        Service { stream, input: Vec::new(), backend }
     }
 
-    pub fn to(address: SocketAddr) -> Line {
-        Line::new(TcpStream::connect_timeout(&address, PATIENCE).expect("a connection"), 0)
+    pub fn to(address: SocketAddr) -> Service {
+        Service::new(TcpStream::connect_timeout(&address, PATIENCE).expect("a connection"), 0)
     }
 
-    pub fn say(&mut self, text: impl AsRef<[u8]>) -> &mut Line {
+    pub fn say(&mut self, text: impl AsRef<[u8]>) -> &mut Service {
         self.stream.write_all(text.as_ref()).expect("written");
         self
     }
@@ -144,8 +144,8 @@
     }
 
     /// Another hand on the same connection, to say something while this one hears.
-    pub fn hand(&self) -> Line {
-        Line::new(self.stream.try_clone().expect("a descriptor"), self.backend)
+    pub fn hand(&self) -> Service {
+        Service::new(self.stream.try_clone().expect("a descriptor"), self.backend)
     }
 
     /// Danger: a program that another test starts just now holds a copy of every descriptor until it runs; with
@@ -159,14 +159,14 @@
     }
 
     /// The next whole message.
-    pub fn hear(&mut self) -> Message {
+    pub fn hear(&mut self) -> HttpMessage {
         self.hear_or_end().expect("a message")
     }
 
     /// The next whole message, or nothing if the other side has ended the connection without one.
-    pub fn hear_or_end(&mut self) -> Option<Message> {
+    pub fn hear_or_end(&mut self) -> Option<HttpMessage> {
         loop {
-            if let Some(message) = Message::take(&mut self.input) {
+            if let Some(message) = HttpMessage::take(&mut self.input) {
                 return Some(message);
             }
             if !self.more() {
@@ -212,7 +212,7 @@
 /// Backends: each connection that comes in to any of them is handed to the test.
 pub struct Stand {
     pub addresses: Vec<SocketAddr>,
-    lines: Receiver<Line>,
+    lines: Receiver<Service>,
 }
 
 impl Stand {
@@ -223,14 +223,14 @@
             let (address, taken) = (listener.local_addr().expect("bound"), taken.clone());
             std::thread::spawn(move || {
                 let mut streams = listener.incoming().flatten();
-                streams.try_for_each(|stream| taken.send(Line::new(stream, backend)))
+                streams.try_for_each(|stream| taken.send(Service::new(stream, backend)))
             });
             address
         };
         Stand { addresses: (0..backends).map(open).collect(), lines }
     }
 
-    pub fn line(&self) -> Line {
+    pub fn line(&self) -> Service {
         self.lines.recv_timeout(PATIENCE).expect("a connection")
     }
 
@@ -243,7 +243,7 @@
 /// What a control process holds.
 struct Desk {
     address: SocketAddr,
-    ledger: Ledger,
+    ledger: ItemStore,
     /// It tells what it holds.
     open: bool,
     session: Option<TcpStream>,
@@ -252,11 +252,11 @@
     /// Periods that it has answered.
     counted: u32,
     /// Where answers between two periods go, while they are held back.
-    held: Option<Sender<Word>>,
+    held: Option<Sender<Message>>,
 }
 
 impl Desk {
-    fn say(&mut self, words: impl IntoIterator<Item = Word>) {
+    fn say(&mut self, words: impl IntoIterator<Item = Message>) {
         let mut bytes = Vec::new();
         words.into_iter().for_each(|word| pack(word, &mut bytes));
         self.say_bytes(&bytes);
@@ -273,18 +273,21 @@
         pack_items(self.ledger.all(), &mut bytes);
         self.say_bytes(&bytes);
         let hashes = self.ledger.buckets().to_vec();
-        let live = Live {
+        let live = MembershipUpdate {
             gateways: 1,
             stations: vec!["gateway".into()],
             controls: vec![self.address.ip().to_string()],
             control_districts: vec!["near".into()],
         };
-        self.say([Word::Buckets(Buckets { hashes, back: true }), Word::Live(live)]);
+        self.say([
+            Message::BucketDigests(BucketDigests { hashes, back: true }),
+            Message::MembershipUpdate(live),
+        ]);
     }
 
-    fn hear(&mut self, word: Word) {
+    fn hear(&mut self, word: Message) {
         match word {
-            Word::Hello(_) => {
+            Message::Hello(_) => {
                 let hello = Hello {
                     station: "control".into(),
                     ip: self.address.ip().to_string(),
@@ -296,23 +299,27 @@
                     full: true,
                     ..Hello::default()
                 };
-                self.say([Word::Hello(hello)]);
+                self.say([Message::Hello(hello)]);
             }
-            Word::Buckets(_) if self.open => self.say_all(),
-            Word::Beat(_) => {
-                let beat =
-                    Beat { digest: self.ledger.digest(), current: true, full: true, ..Beat::default() };
-                self.say([Word::Beat(beat)]);
+            Message::BucketDigests(_) if self.open => self.say_all(),
+            Message::Heartbeat(_) => {
+                let beat = Heartbeat {
+                    digest: self.ledger.digest(),
+                    current: true,
+                    full: true,
+                    ..Heartbeat::default()
+                };
+                self.say([Message::Heartbeat(beat)]);
             }
-            Word::Adds(Adds { ticket, station, adds, life, asks }) => {
+            Message::UsageReport(UsageReport { ticket, station, adds, life, asks }) => {
                 self.counted += u32::from(!asks);
-                let mut grant = |add: Add| {
+                let mut grant = |add: TenantUsage| {
                     let granted = add.wants.min(self.grants);
                     self.grants -= granted;
-                    Total { tenant: add.tenant, granted, ..Total::default() }
+                    TenantTotal { tenant: add.tenant, granted, ..TenantTotal::default() }
                 };
                 let totals = adds.into_iter().map(&mut grant).collect();
-                let word = Word::Totals(Totals { ticket, station, totals, life, asks });
+                let word = Message::UsageTotals(UsageTotals { ticket, station, totals, life, asks });
                 match &self.held {
                     Some(held) if asks => held.send(word).expect("the test goes on"),
                     _ => self.say([word]),
@@ -326,7 +333,7 @@
 /// A control process, with what a gateway beats to it.
 pub struct Control {
     desk: Arc<Mutex<Desk>>,
-    beats: Receiver<Beat>,
+    beats: Receiver<Heartbeat>,
 }
 
 impl Control {
@@ -335,7 +342,7 @@
         let address = listener.local_addr().expect("bound");
         let desk = Desk {
             address,
-            ledger: Ledger::new(),
+            ledger: ItemStore::new(),
             open: false,
             session: None,
             grants: 0,
@@ -365,13 +372,13 @@
     }
 
     /// From now on it holds back what is granted between two periods.
-    pub fn hold(&self) -> Receiver<Word> {
+    pub fn hold(&self) -> Receiver<Message> {
         let (held, words) = channel();
         self.desk.lock().expect("whole").held = Some(held);
         words
     }
 
-    pub fn say(&self, word: Word) {
+    pub fn say(&self, word: Message) {
         self.desk.lock().expect("whole").say([word]);
     }
 
@@ -385,9 +392,9 @@
         for item in items {
             desk.ledger.merge(item.clone());
         }
-        let items = items.iter().map(ItemWord::from).collect();
+        let items = items.iter().map(ItemMessage::from).collect();
         if desk.open {
-            desk.say([Word::Items(Items { items })]);
+            desk.say([Message::Items(Items { items })]);
         }
     }
 
@@ -411,13 +418,13 @@
     }
 }
 
-fn serve(mut stream: TcpStream, desk: &Mutex<Desk>, beats: &Sender<Beat>) {
+fn serve(mut stream: TcpStream, desk: &Mutex<Desk>, beats: &Sender<Heartbeat>) {
     let (mut input, mut piece, mut assembler) = (Vec::new(), [0; 16 * 1024], Assembler::default());
     while let Ok(length @ 1..) = stream.read(&mut piece) {
         input.extend_from_slice(&piece[..length]);
         let mut at = 0;
         while let Some(word) = assembler.next(&input, &mut at).expect("a gateway's words") {
-            if let Word::Beat(beat) = &word {
+            if let Message::Heartbeat(beat) = &word {
                 let _ = beats.send(beat.clone());
             }
             desk.lock().expect("whole").hear(word);
@@ -428,7 +435,7 @@
 
 /// A call of the operator's, as items.
 pub fn call(text: &str) -> Vec<Item> {
-    read_call(&Checker::new(), text.as_bytes()).expect("a call")
+    read_call(&SchemaValidator::new(), text.as_bytes()).expect("a call")
 }
 
 pub fn backend(name: &str, service: &str, address: SocketAddr, district: &str) -> Item {
@@ -528,13 +535,13 @@
         self.child.wait().expect("ended").code()
     }
 
-    pub fn line(&self) -> Line {
-        Line::to(self.front)
+    pub fn line(&self) -> Service {
+        Service::to(self.front)
     }
 
     /// A connection to the address where its readiness is asked for.
-    pub fn readiness_line(&self) -> Line {
-        Line::to(self.readiness)
+    pub fn readiness_line(&self) -> Service {
+        Service::to(self.readiness)
     }
 
     /// What the readiness check says.
--- a/crates/data-plane/tests/sockets/worst.rs
+++ b/crates/data-plane/tests/sockets/worst.rs
@@ -284,15 +284,16 @@
     let held = control.hold();
     let mut client = gateway.line();
     client.say(get("/once/", "t1").replace("key-of-town", "key-of-tiny"));
-    let kitepass_coordination::protocol::Word::Totals(own) = held.recv_timeout(PATIENCE).expect("a grant")
+    let kitepass_coordination::protocol::Message::UsageTotals(own) =
+        held.recv_timeout(PATIENCE).expect("a grant")
     else {
         panic!("no grant");
     };
     let mut other = own.clone();
     other.life ^= 1;
     other.totals.iter_mut().for_each(|total| total.granted = 0);
-    control.say(kitepass_coordination::protocol::Word::Totals(other));
-    control.say(kitepass_coordination::protocol::Word::Totals(own));
+    control.say(kitepass_coordination::protocol::Message::UsageTotals(other));
+    control.say(kitepass_coordination::protocol::Message::UsageTotals(own));
     let mut line = stand.line();
     line.hear();
     line.say(ok("t1", "granted"));
--- a/crates/gateway-config/src/lib.rs
+++ b/crates/gateway-config/src/lib.rs
@@ -1,7 +1,7 @@
 //! The settings object, read once: what the decision module is told, and what sockets need beside it.
 
 use kitepass_gateway_policy::{Charter, ColdStart, Group, Plan, Repeats, Workload};
-use kitepass_time::Span;
+use kitepass_time::Duration;
 use serde_json::Value;
 use std::rc::Rc;
 
@@ -12,11 +12,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Carriage {
     /// A connection that is not made by then is given up.
-    pub connect_within: Span,
+    pub connect_within: Duration,
     /// Backends close a connection that has stood idle for this long.
-    pub idle: Span,
+    pub idle: Duration,
     /// Time past a client's own in which a final answer still counts.
-    pub answer_slack: Span,
+    pub answer_slack: Duration,
 }
 
 /// Reads the object from its text. `field` is what it is called where it came from.
@@ -118,8 +118,8 @@
         }
     }
 
-    fn span(&self, key: &str, absent: f64) -> Result<Span, Refusal> {
-        self.number(key, absent).map(|seconds| Span::from_micros((seconds * 1e6).round() as i64))
+    fn span(&self, key: &str, absent: f64) -> Result<Duration, Refusal> {
+        self.number(key, absent).map(|seconds| Duration::from_micros((seconds * 1e6).round() as i64))
     }
 
     fn yes(&self, key: &str) -> Result<bool, Refusal> {
@@ -165,6 +165,6 @@
     fn what_is_absent_or_unknown_is_passed_over() {
         let (charter, carriage) = from_text("s", r#"{"Unknown":{},"ReplicasOfMe":3}"#).unwrap();
         assert_eq!((charter.gateways, charter.counter), (3, None));
-        assert_eq!(carriage.idle, Span::from_secs(15));
+        assert_eq!(carriage.idle, Duration::from_secs(15));
     }
 }
--- a/crates/gateway-config/tests/golden.rs
+++ b/crates/gateway-config/tests/golden.rs
@@ -3,7 +3,7 @@
 
 use kitepass_gateway_config::{from_text, Carriage};
 use kitepass_gateway_policy::{Charter, Group, Plan, Repeats, Workload};
-use kitepass_time::Span;
+use kitepass_time::Duration;
 use std::fmt::Write;
 use std::path::Path;
 
@@ -74,7 +74,7 @@
     ("a multiple of overload", r#"{"Safety":{"FallMultiple":"3"}}"#),
 ];
 
-fn micros(span: Span) -> String {
+fn micros(span: Duration) -> String {
     format!("{} us", span.micros())
 }
 
--- a/crates/gateway-policy/src/backend_selection.rs
+++ b/crates/gateway-policy/src/backend_selection.rs
@@ -4,10 +4,10 @@
 use crate::dispatch::{Gateway, NEWEST, OVERDUE, PERIOD};
 use crate::interface::*;
 use crate::state::Backend;
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 
 const COLD_SHARE: f64 = 0.5; // share of what tips a cold backend over that is used at most
-const MEMORY: Span = Span::from_secs(5); // how long a backend's good and bad ends count
+const MEMORY: Duration = Duration::from_secs(5); // how long a backend's good and bad ends count
 
 impl Gateway {
     /// Changes of the list of backends; a whole list also tells what is gone.
@@ -26,7 +26,7 @@
     }
 
     /// Draws one backend, odds in step with the room that each is thought to have.
-    pub(crate) fn pick(&mut self, now: Moment, id: &str) -> Option<String> {
+    pub(crate) fn pick(&mut self, now: Timestamp, id: &str) -> Option<String> {
         let cold_start = self.charter.cold_start;
         let command = &self.commands[id];
         let (usual, overdue) =
@@ -66,11 +66,11 @@
         odds.into_iter().find(|(_, up_to)| drawn <= *up_to).map(|(id, _)| id.clone())
     }
 
-    pub(crate) fn judge(&mut self, now: Moment, end: &LegEnd) {
+    pub(crate) fn judge(&mut self, now: Timestamp, end: &LegEnd) {
         let Some(command) = self.commands.get(end.command) else { return };
         let (cold_start, went_well) = (self.charter.cold_start, end.ending == Ending::Settled);
         let pace = &mut self.paces[command.workload];
-        let usual = pace.mean.max(Span::from_micros(1));
+        let usual = pace.mean.max(Duration::from_micros(1));
         if end.ending == Ending::Silent {
             // Lost answers are no sign of long ones: they move the usual time slowly.
             pace.learn(end.took.min(pace.past(OVERDUE) / 2), NEWEST);
@@ -103,7 +103,7 @@
     }
 
     /// Its chance of success, so many deviations from the posterior's mean; overdue legs weigh like failures.
-    pub fn trust(&mut self, now: Moment, overdue: Span, deviations: f64) -> f64 {
+    pub fn trust(&mut self, now: Timestamp, overdue: Duration, deviations: f64) -> f64 {
         let late = self.out.values().filter(|sent| now - **sent > overdue).count() as f64;
         let good = 1.0 + self.good.at(now, MEMORY) * (-late).exp2();
         let all = good + self.bad.at(now, MEMORY) + late;
--- a/crates/gateway-policy/src/count.rs
+++ b/crates/gateway-policy/src/count.rs
@@ -5,7 +5,7 @@
 use crate::interface::*;
 use crate::quota::{CALM, LATELY, NEAR};
 use crate::state::{Customer, State};
-use kitepass_time::Moment;
+use kitepass_time::Timestamp;
 use std::mem::take;
 
 const SUM: i64 = CALM * LATELY; // periods for which a sum runs on under one name
@@ -13,7 +13,7 @@
 
 impl Gateway {
     /// The draw against the customer's ratio; what is beyond the part here may borrow what others leave.
-    pub(crate) fn decide(&mut self, now: Moment, id: &str, controls: bool, orders: &mut impl Orders) {
+    pub(crate) fn decide(&mut self, now: Timestamp, id: &str, controls: bool, orders: &mut impl Orders) {
         let offer = self.commands[id].offer.clone();
         let verdict = self.draw(now, &offer, controls, orders);
         let Customer { sparse, ref terms, .. } = self.customers[&offer.customer];
@@ -35,7 +35,7 @@
     /// command that goes only if the total allows it, lest several gateways give what all see in the store.
     pub(crate) fn add_up(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         customer: &str,
         waits: Option<(&str, f64)>,
         orders: &mut impl Orders,
@@ -52,7 +52,7 @@
                 self.peers.waiting.entry(last).or_default().push_back(Default::default());
             }
         }
-        customer.due = Moment::default();
+        customer.due = Timestamp::default();
         let (name, added) = (format!("{key}.{number}"), take(&mut customer.period));
         orders.count(&name, added.packed(apart(&customer.terms)), PERIOD * SUM * 2);
         self.wait(id, name, added);
@@ -60,7 +60,7 @@
 
     /// Has what was offered here go to the counter at the period's end. Calls have a price: later if all is
     /// calm, and sooner only where much is sent in a beat or little is left, unless calls are lost.
-    pub(crate) fn time(&mut self, now: Moment, id: &str, orders: &mut impl Orders) {
+    pub(crate) fn time(&mut self, now: Timestamp, id: &str, orders: &mut impl Orders) {
         let (calm, largest) = (self.many || self.hears(now), self.charter.largest);
         let counts = |c: &&mut Customer| !c.sparse && c.width > 1.0 && c.terms.rate > 0.0;
         let Some(c) = self.customers.get_mut(id).filter(counts) else { return };
@@ -76,7 +76,7 @@
         }
     }
 
-    pub fn counted(&mut self, now: Moment, name: &str, total: Total, orders: &mut impl Orders) {
+    pub fn counted(&mut self, now: Timestamp, name: &str, total: Total, orders: &mut impl Orders) {
         let (hears, Some((id, number))) = (self.hears(now), name.rsplit_once('.')) else { return };
         let late = matches!(total, Total::Late(_)); // its command has gone on, others may wait by that name
         if let Some(customer) = id.strip_suffix('/').filter(|_| !late).and_then(|id| self.customers.get(id)) {
@@ -111,7 +111,7 @@
 
 impl Customer {
     /// Takes in what a total tells of the others: its growth since the last one.
-    fn learn(&mut self, now: Moment, number: i64, total: f64, hears: bool) {
+    fn learn(&mut self, now: Timestamp, number: i64, total: f64, hears: bool) {
         let (all, (running, since)) = (Units::unpacked(total, apart(&self.terms)), now.among(PERIOD * SUM));
         let Some(grown) = self.sums.read(number, all) else { return };
         // A counter that has lost its counts shows less than before: it is read on from there.
@@ -148,8 +148,8 @@
         self.sparse && beyond || self.counted && counted
     }
 
-    pub fn is_due(&self, now: Moment) -> bool {
-        self.due != Moment::default() && now >= self.due && self.period.offered > 0.0
+    pub fn is_due(&self, now: Timestamp) -> bool {
+        self.due != Timestamp::default() && now >= self.due && self.period.offered > 0.0
     }
 }
 
--- a/crates/gateway-policy/src/counters.rs
+++ b/crates/gateway-policy/src/counters.rs
@@ -1,23 +1,23 @@
 //! Counts: one that fades with time, and those that run on over all gateways.
 
 use crate::interface::Units;
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 
 /// Stands for what was added within about the last `memory`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     count: f64,
-    at: Moment,
+    at: Timestamp,
 }
 
 impl Tally {
-    pub fn at(&mut self, now: Moment, memory: Span) -> f64 {
+    pub fn at(&mut self, now: Timestamp, memory: Duration) -> f64 {
         self.count *= (-(now - self.at).over(memory)).exp();
         self.at = now;
         self.count
     }
 
-    pub fn add(&mut self, now: Moment, memory: Span, amount: f64) {
+    pub fn add(&mut self, now: Timestamp, memory: Duration, amount: f64) {
         self.count = self.at(now, memory) + amount;
     }
 
--- a/crates/gateway-policy/src/dispatch.rs
+++ b/crates/gateway-policy/src/dispatch.rs
@@ -9,12 +9,12 @@
 use crate::latency::Pace;
 use crate::peer_exchange::FEW;
 use crate::state::{Backend, Command, Customer, Peers, State};
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-pub(crate) const PERIOD: Span = Span::from_secs(1); // the article's, and the stay-away that a bounce advises
+pub(crate) const PERIOD: Duration = Duration::from_secs(1); // the article's, and the stay-away that a bounce advises
 const ADVICE: i64 = 3; // parts of the time left for a retry, one of which a bounce advises to wait
 pub(crate) const OVERDUE: f64 = 6.0; // mean deviations past the mean after which a leg is overdue
 pub(crate) const NEWEST: f64 = 0.0625; // weight of the newest in running means
@@ -22,7 +22,7 @@
 pub struct Gateway {
     pub(crate) charter: Rc<Charter>,
     pub(crate) chance: Rand64,
-    pub(crate) opened: Moment,
+    pub(crate) opened: Timestamp,
     pub(crate) backends: BTreeMap<String, Backend>,
     pub(crate) commands: HashMap<String, Command>,
     pub(crate) customers: HashMap<String, Customer>,
@@ -37,7 +37,7 @@
 }
 
 impl Gateway {
-    pub fn open(charter: Rc<Charter>, seed: u64, now: Moment) -> Self {
+    pub fn open(charter: Rc<Charter>, seed: u64, now: Timestamp) -> Self {
         Gateway {
             chance: Rand64::new(u128::from(seed)),
             opened: now,
@@ -61,7 +61,7 @@
         [self.commands.len(), self.customers.len(), self.backends.len(), self.peers.waiting.len()]
     }
 
-    pub fn command(&mut self, now: Moment, asked: &Asked, orders: &mut impl Orders) {
+    pub fn command(&mut self, now: Timestamp, asked: &Asked, orders: &mut impl Orders) {
         let charter = self.charter.clone();
         let workload = charter.workloads.iter().position(|w| w.name == asked.workload);
         let plan = charter.plans.iter().position(|p| p.name == asked.plan);
@@ -83,7 +83,7 @@
         self.decide(now, asked.id, asks && controls, orders);
     }
 
-    pub fn leg_ended(&mut self, now: Moment, end: &LegEnd, orders: &mut impl Orders) {
+    pub fn leg_ended(&mut self, now: Timestamp, end: &LegEnd, orders: &mut impl Orders) {
         self.judge(now, end);
         let Some(command) = self.commands.get_mut(end.command) else { return };
         if let Some(customer) = self.customers.get_mut(&command.offer.customer) {
@@ -112,7 +112,7 @@
         }
     }
 
-    pub fn woken(&mut self, now: Moment, token: &str, orders: &mut impl Orders) {
+    pub fn woken(&mut self, now: Timestamp, token: &str, orders: &mut impl Orders) {
         match token.split_once('.') {
             Some(("period", id)) if self.customers.get(id).is_some_and(|c| c.is_due(now)) => {
                 self.add_up(now, id, None, orders);
@@ -135,7 +135,8 @@
         let Workload { repeats, contract, .. } = self.charter.workloads[command.workload];
         let anywhere = matches!(repeats, Repeats::Repeatable | Repeats::Tagged { group: Group::All, .. });
         if command.bound_to.is_none() || anywhere {
-            let advice = ((contract - self.paces[command.workload].mean) / ADVICE).max(Span::from_micros(1));
+            let advice =
+                ((contract - self.paces[command.workload].mean) / ADVICE).max(Duration::from_micros(1));
             orders.bounce(id, self.charter.longest_advice.map(|longest| longest.min(advice).min(PERIOD)));
         } else {
             orders.scrap(id);
@@ -144,7 +145,7 @@
     }
 
     /// Sends a held command's next leg, or gives it up.
-    pub(crate) fn advance(&mut self, now: Moment, id: &str, orders: &mut impl Orders) {
+    pub(crate) fn advance(&mut self, now: Timestamp, id: &str, orders: &mut impl Orders) {
         let (charter, workload) = (self.charter.clone(), self.commands[id].workload);
         let (pressure, command) = (self.pressure(now, workload), &self.commands[id]);
         let workload = &charter.workloads[command.workload];
