--- a/crates/gateway-policy/src/interface.rs
+++ b/crates/gateway-policy/src/interface.rs
@@ -1,6 +1,6 @@
 //! What a host tells the decision module, and the trait through which the module gives its orders.
 
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use std::rc::Rc;
 
 /// What a gateway is told once, at its start.
@@ -12,20 +12,20 @@
     pub workloads: Vec<Workload>,
     pub plans: Vec<Rc<Plan>>,
     /// How long a call to the quota counter may take; none where there is no counter.
-    pub counter: Option<Span>,
+    pub counter: Option<Duration>,
     /// Units of the largest command.
     pub largest: f64,
     pub most_legs: u32,
     /// How many messages of its peers a gateway takes in each second; 0 where there are none.
     pub peer_messages: f64,
     /// The longest stay-away that clients heed; none if they are given no advice.
-    pub longest_advice: Option<Span>,
+    pub longest_advice: Option<Duration>,
     pub cold_start: ColdStart,
 }
 
 impl ColdStart {
     /// The share of its capacity that a backend has at least.
-    pub fn warmth(&self, started: Option<Moment>, now: Moment) -> f64 {
+    pub fn warmth(&self, started: Option<Timestamp>, now: Timestamp) -> f64 {
         let Some(started) = started else { return 1.0 };
         let age = (now - started).over(self.warm_within).max(0.0);
         (self.least + (1.0 - self.least) * age).min(1.0)
@@ -37,17 +37,17 @@
 pub struct ColdStart {
     /// The least share of its full capacity that a backend starts with.
     pub least: f64,
-    pub warm_within: Span,
+    pub warm_within: Duration,
     /// Sent more than this multiple of its present capacity for `window`, it falls over.
     pub multiple: f64,
-    pub window: Span,
+    pub window: Duration,
 }
 
 #[derive(Clone, Debug)]
 pub struct Workload {
     pub name: String,
     pub repeats: Repeats,
-    pub contract: Span,
+    pub contract: Duration,
     /// Share of the value that an answer after the contract time still earns.
     pub late_share: f64,
     pub value: f64,
@@ -60,7 +60,7 @@
     /// The group's backends drop repeats for the memory time.
     Tagged {
         group: Group,
-        memory: Span,
+        memory: Duration,
     },
     OnceOnly,
 }
@@ -106,7 +106,7 @@
     /// Its size beside the others'.
     pub size: f64,
     /// Its last start, if that is not long ago.
-    pub started: Option<Moment>,
+    pub started: Option<Timestamp>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -124,7 +124,7 @@
     pub customer: &'a str,
     pub workload: &'a str,
     pub plan: &'a str,
-    pub outer_limit: Moment,
+    pub outer_limit: Timestamp,
     pub units: f64,
     /// Through how many gateways this customer's commands come, 0 if it is not told, and the number of the
     /// first of them; the others follow, counted round.
@@ -160,7 +160,7 @@
     pub ending: Ending,
     /// The command has its final answer already.
     pub over: bool,
-    pub took: Span,
+    pub took: Duration,
     /// The true units of the command, where they are settled by its answer.
     pub true_units: Option<f64>,
 }
@@ -238,14 +238,14 @@
 
 /// How the module gives its orders; they take effect in the order given.
 pub trait Orders {
-    fn leg(&mut self, command: &str, backend: &str, allow: Span);
-    fn bounce(&mut self, command: &str, retry_in: Option<Span>);
+    fn leg(&mut self, command: &str, backend: &str, allow: Duration);
+    fn bounce(&mut self, command: &str, retry_in: Option<Duration>);
     fn scrap(&mut self, command: &str);
-    fn count(&mut self, name: &str, amount: f64, keep: Span);
+    fn count(&mut self, name: &str, amount: f64, keep: Duration);
     /// Tells every peer, in as many messages as it returns; they may be late or lost.
     fn tell(&mut self, news: &[News]) -> usize;
     /// Asks one peer, or answers a peer's question; either may be late or lost.
     fn ask(&mut self, peer: u32, question: u16, offer: &Offer);
     fn answer(&mut self, peer: u32, question: u16, verdict: Verdict);
-    fn wake(&mut self, token: &str, after: Span);
+    fn wake(&mut self, token: &str, after: Duration);
 }
--- a/crates/gateway-policy/src/overload.rs
+++ b/crates/gateway-policy/src/overload.rs
@@ -4,14 +4,14 @@
 use crate::dispatch::{Gateway, NEWEST, OVERDUE, PERIOD};
 use crate::interface::Orders;
 use crate::quota::excess;
-use kitepass_time::Moment;
+use kitepass_time::Timestamp;
 
 const QUEUE: f64 = 0.8; // times of an idle backend that legs may be out for beside those
 const ABREAST: f64 = 3.0; // legs a backend may have from all gateways, more is an overload
 
 impl Gateway {
     /// The draw of a command against the fleet's ratio.
-    pub(crate) fn admit(&mut self, now: Moment, id: &str, beyond: bool, orders: &mut impl Orders) {
+    pub(crate) fn admit(&mut self, now: Timestamp, id: &str, beyond: bool, orders: &mut impl Orders) {
         let workload = self.commands[id].workload;
         // In an overload the commands that are worth most for their time go first.
         let (value, time) = (self.charter.workloads[workload].value, self.paces[workload].mean.secs());
@@ -26,7 +26,7 @@
     }
 
     /// The article's ratio for the fleet, over an idle backend's time: legs wanted against settled and room.
-    pub(crate) fn pressure(&mut self, now: Moment, workload: usize) -> f64 {
+    pub(crate) fn pressure(&mut self, now: Timestamp, workload: usize) -> f64 {
         let time = self.paces.iter().map(|p| p.idle).max().unwrap_or(PERIOD).over(PERIOD);
         let overdue = self.paces[workload].past(OVERDUE);
         let (mut live, mut out) = (0.0, 0.0);
--- a/crates/gateway-policy/src/peer_exchange.rs
+++ b/crates/gateway-policy/src/peer_exchange.rs
@@ -6,7 +6,7 @@
 use crate::interface::*;
 use crate::quota::LATELY;
 use crate::state::{Command, State};
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use std::collections::VecDeque;
 use std::mem::take;
 
@@ -16,12 +16,12 @@
 
 impl Gateway {
     /// Whether a command's controller is asked: there must be time to decide here if no answer comes.
-    pub(crate) fn may_refer(&mut self, left: Span, contract: Span) -> bool {
+    pub(crate) fn may_refer(&mut self, left: Duration, contract: Duration) -> bool {
         self.affords() && left > contract / PATIENCE * 2
     }
 
     /// Puts a command to its customer's controller.
-    pub(crate) fn refer(&mut self, now: Moment, id: &str, controller: u32, orders: &mut impl Orders) {
+    pub(crate) fn refer(&mut self, now: Timestamp, id: &str, controller: u32, orders: &mut impl Orders) {
         let Command { workload, ref offer, .. } = self.commands[id];
         let (contract, offer) = (self.charter.workloads[workload].contract, offer.clone());
         let chance = self.chance.rand_float();
@@ -58,7 +58,7 @@
     /// What a command waited for has been answered; or not, and the part here decides.
     pub(crate) fn resume(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         answer: &str,
         verdict: Option<Verdict>,
         orders: &mut impl Orders,
@@ -78,7 +78,14 @@
     }
 
     /// A peer asks whether a command of a customer that is controlled here may go.
-    pub fn asked(&mut self, now: Moment, peer: u32, question: u16, offer: &Offer, orders: &mut impl Orders) {
+    pub fn asked(
+        &mut self,
+        now: Timestamp,
+        peer: u32,
+        question: u16,
+        offer: &Offer,
+        orders: &mut impl Orders,
+    ) {
         let known = offer.plan < self.charter.plans.len() && offer.width > 0;
         let Some(verdict) = known.then(|| self.draw(now, offer, true, orders)) else { return };
         if let Some(customer) = self.customers.get_mut(&offer.customer).filter(|_| !verdict.beyond) {
@@ -87,7 +94,7 @@
         orders.answer(peer, question, verdict);
     }
 
-    pub fn answered(&mut self, now: Moment, number: u16, verdict: Verdict, orders: &mut impl Orders) {
+    pub fn answered(&mut self, now: Timestamp, number: u16, verdict: Verdict, orders: &mut impl Orders) {
         self.resume(now, &format!("asked.{number}"), Some(verdict), orders);
     }
 
@@ -115,11 +122,11 @@
         };
         let news: Vec<_> = self.peers.untold.drain(..).filter_map(news).collect();
         let messages = orders.tell(&news) as f64 * f64::from(self.charter.gateways);
-        let telling = Span::from_secs(1).times(messages / (FEW * self.charter.peer_messages));
+        let telling = Duration::from_secs(1).times(messages / (FEW * self.charter.peer_messages));
         self.peers.telling = telling.max(PERIOD / 8);
     }
 
-    pub fn told(&mut self, now: Moment, news: &[News]) {
+    pub fn told(&mut self, now: Timestamp, news: &[News]) {
         self.peers.heard = Some(now);
         for item in news {
             let known = self.peers.marks.get(&item.mark).and_then(|id| self.customers.get_mut(id));
@@ -130,7 +137,7 @@
         }
     }
 
-    pub(crate) fn hears(&self, now: Moment) -> bool {
+    pub(crate) fn hears(&self, now: Timestamp) -> bool {
         self.peers.heard.is_some_and(|heard| now - heard < PERIOD)
     }
 }
--- a/crates/gateway-policy/src/quota.rs
+++ b/crates/gateway-policy/src/quota.rs
@@ -6,10 +6,10 @@
 use crate::dispatch::{Gateway, PERIOD};
 use crate::interface::*;
 use crate::state::Customer;
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use std::mem::replace;
 
-const KEPT: Span = Span::from_secs(60); // time without use after which a customer is forgotten
+const KEPT: Duration = Duration::from_secs(60); // time without use after which a customer is forgotten
 pub(crate) const NEAR: f64 = 0.5; // part of the quota up to which a customer is calm
 pub(crate) const CALM: i64 = 4; // periods to one count of a calm customer
 pub(crate) const LATELY: i64 = 2; // periods for which what is known of the others counts
@@ -18,7 +18,7 @@
 const FIRST: f64 = 0.25; // part of its share of a hard ceiling that a gateway starts with, and never fills
 
 impl Gateway {
-    pub(crate) fn know(&mut self, now: Moment, offer: &Offer, orders: &mut impl Orders) -> &mut Customer {
+    pub(crate) fn know(&mut self, now: Timestamp, offer: &Offer, orders: &mut impl Orders) -> &mut Customer {
         let (hears, terms) = (self.hears(now), self.charter.plans[offer.plan].clone());
         if self.customers.is_empty() {
             orders.wake("sweep.", KEPT);
@@ -49,7 +49,7 @@
     }
 
     /// A customer is forgotten only once its share of a ceiling is whole again.
-    pub(crate) fn forget(&mut self, now: Moment, orders: &mut impl Orders) {
+    pub(crate) fn forget(&mut self, now: Timestamp, orders: &mut impl Orders) {
         self.customers.retain(|_, c| {
             let idle = now - c.as_of;
             idle < KEPT || c.out > 0 || c.terms.ceiling_rate * idle.secs() < c.terms.ceiling_depth
@@ -63,7 +63,7 @@
     /// Books offered units and draws against the customer's ratio, by the part here or as its controller.
     pub(crate) fn draw(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         offer: &Offer,
         controls: bool,
         orders: &mut impl Orders,
@@ -105,7 +105,7 @@
 
 impl Customer {
     /// Brings the store, the share of the ceiling and the demand up to now.
-    pub fn reckon(&mut self, now: Moment, hears: bool) {
+    pub fn reckon(&mut self, now: Timestamp, hears: bool) {
         let terms = self.terms.clone();
         let past = now - replace(&mut self.as_of, now);
         let (share, part) = (self.share(hears), self.part());
@@ -123,7 +123,7 @@
     }
 
     /// The article's ratio for one command: (actual - limit) / actual, never below zero.
-    fn ratio(&self, units: f64, telling: Option<Span>) -> f64 {
+    fn ratio(&self, units: f64, telling: Option<Duration>) -> f64 {
         let (terms, share) = (&self.terms, self.share(telling.is_some()));
         let out = 1.0 + f64::from(self.out) / share;
         let legs_ratio = if terms.legs_out > 0 { excess(out, f64::from(terms.legs_out)) } else { 0.0 };
--- a/crates/gateway-policy/tests/scenarios.rs
+++ b/crates/gateway-policy/tests/scenarios.rs
@@ -19,7 +19,7 @@
 //!     > kept COMMANDS CUSTOMERS BACKENDS WAITING    by the gateway, of each so many
 
 use kitepass_gateway_policy::*;
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
@@ -28,28 +28,28 @@
 #[derive(Default)]
 struct Orders {
     log: Vec<String>,
-    legs: HashMap<String, Vec<(String, Moment)>>,
-    timers: BTreeMap<(Moment, usize), String>,
+    legs: HashMap<String, Vec<(String, Timestamp)>>,
+    timers: BTreeMap<(Timestamp, usize), String>,
     calls: Vec<String>,
     questions: Vec<u16>,
     mark: u32,
     counts: HashMap<String, f64>,
-    now: Moment,
+    now: Timestamp,
 }
 
 impl kitepass_gateway_policy::Orders for Orders {
-    fn leg(&mut self, command: &str, backend: &str, allow: Span) {
-        assert!(allow > Span::ZERO, "a leg with no time");
+    fn leg(&mut self, command: &str, backend: &str, allow: Duration) {
+        assert!(allow > Duration::ZERO, "a leg with no time");
         self.legs.entry(command.into()).or_default().push((backend.into(), self.now));
         self.log.push(format!("leg {command} {backend}"));
     }
-    fn bounce(&mut self, command: &str, _: Option<Span>) {
+    fn bounce(&mut self, command: &str, _: Option<Duration>) {
         self.log.push(format!("bounce {command}"));
     }
     fn scrap(&mut self, command: &str) {
         self.log.push(format!("scrap {command}"));
     }
-    fn count(&mut self, name: &str, amount: f64, _: Span) {
+    fn count(&mut self, name: &str, amount: f64, _: Duration) {
         *self.counts.entry(name.into()).or_default() += amount;
         self.calls.push(name.into());
         self.log.push(format!("count {name}"));
@@ -66,7 +66,7 @@
     fn answer(&mut self, _: u32, _: u16, verdict: Verdict) {
         self.log.push(if verdict.beyond { "beyond" } else { "passed" }.into());
     }
-    fn wake(&mut self, token: &str, after: Span) {
+    fn wake(&mut self, token: &str, after: Duration) {
         self.timers.insert((self.now + after, self.timers.len() + self.log.len()), token.into());
     }
 }
@@ -75,12 +75,12 @@
     text.parse().unwrap_or_else(|_| panic!("no number: {text}"))
 }
 
-fn span(text: &str) -> Span {
-    Span::from_micros((number(text) * 1e6).round() as i64)
+fn span(text: &str) -> Duration {
+    Duration::from_micros((number(text) * 1e6).round() as i64)
 }
 
-fn moment(text: &str) -> Moment {
-    Moment::from_micros(span(text).micros())
+fn moment(text: &str) -> Timestamp {
+    Timestamp::from_micros(span(text).micros())
 }
 
 fn words<'a>(parts: impl Iterator<Item = &'a str>) -> Words<'a> {
@@ -111,14 +111,14 @@
 }
 
 impl Play {
-    fn gateway(&mut self) -> (&mut Gateway, &mut Orders, Moment) {
+    fn gateway(&mut self) -> (&mut Gateway, &mut Orders, Timestamp) {
         let now = self.orders.now;
         (self.gateway.as_mut().expect("no `open` yet"), &mut self.orders, now)
     }
 
     fn terms(&mut self, what: &str, w: &Words) {
         let get = |name: &str, absent: f64| w.get(name).map_or(absent, |v| number(v));
-        let secs = |name: &str, absent: f64| Span::from_micros((get(name, absent) * 1e6) as i64);
+        let secs = |name: &str, absent: f64| Duration::from_micros((get(name, absent) * 1e6) as i64);
         let default = if what == "plan" { "p" } else { "w" };
         let name = w.get("name").unwrap_or(&default).to_string();
         match what {
@@ -152,7 +152,7 @@
                 self.charter.largest = get("largest", 1.0);
                 self.charter.most_legs = get("legs", 5.0) as u32;
                 self.charter.peer_messages = get("peers", 0.0);
-                self.charter.longest_advice = Some(Span::from_secs(1));
+                self.charter.longest_advice = Some(Duration::from_secs(1));
                 self.charter.cold_start = ColdStart {
                     least: get("least", 0.2),
                     warm_within: secs("warm", 10.0),
@@ -163,7 +163,7 @@
         }
     }
 
-    fn move_to(&mut self, to: Moment) {
+    fn move_to(&mut self, to: Timestamp) {
         while let Some(((due, _), _)) = self.orders.timers.first_key_value() {
             if *due > to {
                 break;
@@ -184,7 +184,7 @@
             customer: w.get("customer").unwrap_or(&"k"),
             workload: w.get("workload").unwrap_or(&"w"),
             plan: w.get("plan").unwrap_or(&"p"),
-            outer_limit: w.get("limit").map_or(now + Span::from_secs(8), |l| moment(l)),
+            outer_limit: w.get("limit").map_or(now + Duration::from_secs(8), |l| moment(l)),
             units: w.get("units").map_or(1.0, |u| number(u)),
             width: w.get("width").map_or(0, |v| number(v) as u32),
             first: 0,
@@ -219,7 +219,7 @@
     }
 
     fn offer(&mut self, times: usize, mark: usize, w: &Words) {
-        let mut settling: Vec<(Moment, String)> = Vec::new();
+        let mut settling: Vec<(Timestamp, String)> = Vec::new();
         let every = span(w.get("every").unwrap_or(&"0.01"));
         let start = self.orders.now;
         for n in 0..times {
--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -2,12 +2,12 @@
 //! at a time, and a leg is written at most once.
 
 use crate::command::{CommandKey, State};
-use crate::http::{Fault, Kind, Message, Reader, MOST_BODY, MOST_HEAD};
-use crate::poll::{self, empty, Came, LineKey, Ready, Source};
+use crate::http::{Message, MessageKind, MessageReader, ParseError, MAX_BODY_BYTES, MAX_HEAD_BYTES};
+use crate::poll::{self, empty, LineKey, ReadOutcome, ReadyEvent, Source};
 use crate::runtime::{Event, Floor, LegEnded, Timer};
 use crate::timer_wheel::TimerKey;
 use kitepass_gateway_policy::{Ending, Standing};
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use log::{debug, warn};
 use rustix::fd::OwnedFd;
 use rustix::io::Errno;
@@ -32,7 +32,7 @@
     Broke(Errno),
     Closed,
     TimeUp,
-    Fault(Fault),
+    ParseError(ParseError),
     /// Nothing is to be sent any more: the backend drains or is gone, the command needs no answer, or there is
     /// no descriptor to send it by.
     Barred,
@@ -52,7 +52,7 @@
             (Reached::NotConnected, Cause::Barred) => Ending::Unsent, // no blame for the backend
             (Reached::NotConnected | Reached::PartWritten, _) => Ending::Unreachable,
             (_, Cause::TimeUp) => Ending::Silent,
-            (_, Cause::Fault(_)) => Ending::Error,
+            (_, Cause::ParseError(_)) => Ending::Error,
             (..) => Ending::Broken,
         }
     }
@@ -72,9 +72,9 @@
     address: Option<SocketAddr>,
     live: bool,
     /// When something last came from it.
-    heard: Moment,
+    heard: Timestamp,
     /// Connections that carry nothing, and since when, oldest first. Some may have been closed.
-    idle: VecDeque<(Moment, LineKey)>,
+    idle: VecDeque<(Timestamp, LineKey)>,
 }
 
 /// A connection to a backend.
@@ -83,7 +83,7 @@
     backend: Rc<str>,
     connected: bool,
     leg: Option<Leg>,
-    reader: Reader,
+    reader: MessageReader,
     input: Vec<u8>,
     output: Vec<u8>,
     written: usize,
@@ -92,8 +92,8 @@
 struct Leg {
     command: CommandKey,
     timer: TimerKey,
-    sent: Moment,
-    until: Moment,
+    sent: Timestamp,
+    until: Timestamp,
     to_head: bool,
     /// Its answer has begun.
     begun: bool,
@@ -148,7 +148,7 @@
         }
     }
 
-    pub fn begin_leg(&mut self, command: CommandKey, backend: &str, allow: Span) {
+    pub fn begin_leg(&mut self, command: CommandKey, backend: &str, allow: Duration) {
         let now = self.now();
         let Some(taken) = self.commands.get_mut(command).filter(|c| c.state() == State::Held) else { return };
         taken.legs += 1;
@@ -188,12 +188,13 @@
 
     /// A leg of which nothing has been written.
     fn leg_unsent(&mut self, command: CommandKey, backend: Rc<str>, ending: Ending) {
-        let ended = LegEnded { command, backend, ending, over: false, took: Span::ZERO, true_units: None };
+        let ended =
+            LegEnded { command, backend, ending, over: false, took: Duration::ZERO, true_units: None };
         self.end_leg(ended, None);
     }
 
     /// A kept connection that the backend has not closed.
-    fn reuse_line(&mut self, backend: &str, now: Moment) -> Option<LineKey> {
+    fn reuse_line(&mut self, backend: &str, now: Timestamp) -> Option<LineKey> {
         let oldest = now - self.keeps_idle();
         let record = self.backends.records.get_mut(backend)?;
         while let Some((since, key)) = record.idle.pop_back() {
@@ -208,7 +209,7 @@
     }
 
     /// Backends close connections that have been idle for some time; ours are closed before that.
-    fn keeps_idle(&self) -> Span {
+    fn keeps_idle(&self) -> Duration {
         self.carriage.idle / 8 * 7
     }
 
@@ -225,7 +226,7 @@
                 backend: backend.clone(),
                 connected: false,
                 leg: None,
-                reader: Reader::default(),
+                reader: MessageReader::default(),
                 input: Vec::new(),
                 output: Vec::new(),
                 written: 0,
@@ -258,7 +259,7 @@
         self.wake_at(now + self.carriage.idle / 16, Timer::DropIdleLines);
     }
 
-    pub fn line_ready(&mut self, ready: Ready, key: LineKey) {
+    pub fn line_ready(&mut self, ready: ReadyEvent, key: LineKey) {
         if ready.write && !self.connected(key) {
             return;
         }
@@ -320,13 +321,13 @@
             let came = poll::read(&line.socket, &mut self.scratch, &mut line.input, ended);
             let Some(leg) = &mut line.leg else {
                 // Closed by the backend, or saying something that nobody asked for: no use any more.
-                if came != Ok(Came::Nothing) || !line.input.is_empty() {
+                if came != Ok(ReadOutcome::Nothing) || !line.input.is_empty() {
                     self.backends.lines.remove(key);
                 }
                 return;
             };
-            let kind = Kind::Answer { to_head: leg.to_head };
-            let ended = matches!(came, Ok(Came::End));
+            let kind = MessageKind::Answer { to_head: leg.to_head };
+            let ended = matches!(came, Ok(ReadOutcome::End));
             match line.reader.next(kind, &mut line.input, ended) {
                 Ok(Some(answer)) => return self.answered(key, answer, ended),
                 Ok(None) if line.reader.begun(&line.input) && !leg.begun => {
@@ -340,16 +341,16 @@
                 Ok(None) => {}
                 Err(fault) => {
                     warn!("{}: an answer that is none: {fault:?}", line.backend);
-                    return self.fail_line(key, Cause::Fault(fault));
+                    return self.fail_line(key, Cause::ParseError(fault));
                 }
             }
-            if line.input.len() > MOST_HEAD + MOST_BODY {
-                return self.fail_line(key, Cause::Fault(Fault::BodyTooLarge));
+            if line.input.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES {
+                return self.fail_line(key, Cause::ParseError(ParseError::BodyTooLarge));
             }
             match came {
-                Ok(Came::Bytes) => {}
-                Ok(Came::Nothing) => return,
-                Ok(Came::End) => return self.fail_line(key, Cause::Closed),
+                Ok(ReadOutcome::Bytes) => {}
+                Ok(ReadOutcome::Nothing) => return,
+                Ok(ReadOutcome::End) => return self.fail_line(key, Cause::Closed),
                 Err(error) => return self.fail_line(key, Cause::Broke(error)),
             }
         }
@@ -390,7 +391,7 @@
     pub fn leg_due(&mut self, key: LineKey) {
         let begun =
             self.backends.lines.get(key).and_then(|line| line.leg.as_ref()).is_some_and(|leg| leg.begun);
-        let stalled = Cause::Fault(Fault::Malformed("an answer that does not go on"));
+        let stalled = Cause::ParseError(ParseError::Malformed("an answer that does not go on"));
         self.fail_line(key, if begun { stalled } else { Cause::TimeUp });
     }
 
@@ -444,7 +445,7 @@
     fn only_what_cannot_have_run_is_said_never_to_have_run() {
         let refused = Cause::Broke(Errno::CONNREFUSED);
         let reset = Cause::Broke(Errno::CONNRESET);
-        let nonsense = Cause::Fault(Fault::Malformed("nonsense"));
+        let nonsense = Cause::ParseError(ParseError::Malformed("nonsense"));
         for (reached, cause, ending) in [
             (NotConnected, refused, Ending::Unreachable),
             (NotConnected, Cause::TimeUp, Ending::Unreachable),
@@ -475,7 +476,8 @@
             ("204 None", Ending::Error),
         ] {
             let mut input = format!("HTTP/1.1 {text}\r\nContent-Length: 0\r\n\r\n").into_bytes();
-            let answer = Reader::default().next(Kind::Answer { to_head: false }, &mut input, false);
+            let answer =
+                MessageReader::default().next(MessageKind::Answer { to_head: false }, &mut input, false);
             assert_eq!(answered(&answer.unwrap().unwrap()), ending, "{text}");
         }
     }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,12 +1,12 @@
 //! Client connections: commands in, one at a time on each, and answers out.
 
 use crate::command::{Command, CommandKey, State};
-use crate::http::{Kind, Message, Reader, MOST_BODY, MOST_HEAD};
-use crate::poll::{self, empty, Came, ClientKey, Ready, Source};
+use crate::http::{Message, MessageKind, MessageReader, MAX_BODY_BYTES, MAX_HEAD_BYTES};
+use crate::poll::{self, empty, ClientKey, ReadOutcome, ReadyEvent, Source};
 use crate::request_head::Intake;
 use crate::runtime::{Event, Floor, Phase, Timer};
 use kitepass_gateway_policy::Ending;
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use log::{debug, warn};
 use rustix::fd::OwnedFd;
 use rustix::net::Shutdown;
@@ -17,27 +17,27 @@
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 /// How long a connection that is being closed is read on, so that its last answer arrives: closing a socket
 /// with something unread in it resets it.
-const LINGER: Span = Span::from_secs(1);
+const LINGER: Duration = Duration::from_secs(1);
 /// So much of what comes behind a last answer is read; whoever goes on gets a reset, not our time.
 const LINGERS_FOR: usize = 256 * 1024;
 /// A connection's first message is whole in this time, a later one in this time from its first byte, and an
 /// answer is taken in it: whoever sends byte by byte, or nothing, holds a place no longer.
-const WITHIN: Span = Span::from_micros(2_500_000);
+const WITHIN: Duration = Duration::from_micros(2_500_000);
 /// A connection on which nothing comes is kept for so long: some clients ask once, or never, and do not let go.
-const KEPT: Span = Span::from_secs(2);
+const KEPT: Duration = Duration::from_secs(2);
 /// How often connections are looked through for the two above.
-const LOOKS_EVERY: Span = Span::from_micros(250_000);
+const LOOKS_EVERY: Duration = Duration::from_micros(250_000);
 
 pub struct Client {
     socket: OwnedFd,
     input: Vec<u8>,
-    reader: Reader,
+    reader: MessageReader,
     /// When what stands in the input had come.
-    came: Moment,
+    came: Timestamp,
     /// When it was let in or had its last answer,
-    since: Moment,
+    since: Timestamp,
     /// and when the message that is not whole yet began.
-    begun: Option<Moment>,
+    begun: Option<Timestamp>,
     /// It has had an answer.
     served: bool,
     /// What was read since nothing more is said.
@@ -105,7 +105,7 @@
                     // Trying again at once would spin for as long as there are no descriptors.
                     warn!("cannot let a client in: {error}");
                     self.close_an_idle_client(ClientKey::default());
-                    return self.wake_at(self.now() + Span::from_micros(10_000), Timer::LetIn);
+                    return self.wake_at(self.now() + Duration::from_micros(10_000), Timer::LetIn);
                 }
             }
         }
@@ -116,7 +116,7 @@
         let key = self.clients.all.insert(Client {
             socket,
             input: Vec::new(),
-            reader: Reader::default(),
+            reader: MessageReader::default(),
             came,
             since: came,
             begun: None,
@@ -165,7 +165,7 @@
         let keys: Vec<_> = self.clients.all.keys().collect();
         for key in keys {
             self.client_ready(
-                Ready { source: Source::Client(key), read: true, write: false, ended: true },
+                ReadyEvent { source: Source::Client(key), read: true, write: false, ended: true },
                 key,
             );
             if self.clients.all.get(key).is_some_and(Client::is_idle) {
@@ -191,7 +191,7 @@
         }
     }
 
-    pub fn client_ready(&mut self, ready: Ready, key: ClientKey) {
+    pub fn client_ready(&mut self, ready: ReadyEvent, key: ClientKey) {
         if ready.read && !self.read_client(key, ready.ended) {
             return self.client_gone(key);
         }
@@ -215,14 +215,14 @@
                     return true; // left unread, for its time to run out
                 }
             }
-            client.unread = client.input.len() > MOST_HEAD + MOST_BODY;
+            client.unread = client.input.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES;
             if client.unread {
                 return true; // it is read on once there is room: nobody fills the memory
             }
             match poll::read(&client.socket, &mut self.scratch, &mut client.input, ended) {
-                Ok(Came::Bytes) => {}
-                Ok(Came::Nothing) => return true,
-                Ok(Came::End) => return false,
+                Ok(ReadOutcome::Bytes) => {}
+                Ok(ReadOutcome::Nothing) => return true,
+                Ok(ReadOutcome::End) => return false,
                 Err(error) => {
                     debug!("a client's connection broke: {error}");
                     return false;
@@ -250,7 +250,7 @@
             if client.command.is_some() || client.closing != Closing::No || !client.output.is_empty() {
                 return;
             }
-            let message = match client.reader.next(Kind::Request, &mut client.input, false) {
+            let message = match client.reader.next(MessageKind::Request, &mut client.input, false) {
                 Ok(Some(message)) => message,
                 Ok(None) if client.unread => {
                     if !self.read_client(key, true) {
@@ -327,7 +327,7 @@
     }
 
     /// A final answer of our own.
-    pub fn give_up(&mut self, key: CommandKey, bounced: bool, retry_in: Option<Span>) {
+    pub fn give_up(&mut self, key: CommandKey, bounced: bool, retry_in: Option<Duration>) {
         let Some(command) = self.commands.get(key) else { return };
         let status = match (bounced, command.legs, command.last) {
             (true, 0, _) => 429,
@@ -340,7 +340,7 @@
         self.say(client, status, retry_in, "");
     }
 
-    fn say(&mut self, key: ClientKey, status: u16, retry_in: Option<Span>, text: &str) {
+    fn say(&mut self, key: ClientKey, status: u16, retry_in: Option<Duration>, text: &str) {
         let lines = |head: &mut Vec<u8>| {
             if let Some(away) = retry_in {
                 let millis = (away.micros() + 999) / 1000;
@@ -416,7 +416,7 @@
     }
 
     /// Whether it has been waited for long enough: for its message, for its taking an answer, or for a next command.
-    fn is_overdue(&self, now: Moment) -> bool {
+    fn is_overdue(&self, now: Timestamp) -> bool {
         if self.command.is_some() || self.closing == Closing::Lingering {
             return false;
         }
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -3,7 +3,7 @@
 use crate::poll::ClientKey;
 use crate::request_head::Intake;
 use kitepass_gateway_policy::Ending;
-use kitepass_time::Moment;
+use kitepass_time::Timestamp;
 use slotmap::{Key, KeyData, SlotMap};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -38,14 +38,14 @@
 pub struct Command {
     pub client: ClientKey,
     pub intake: Rc<Intake>,
-    pub outer_limit: Moment,
+    pub outer_limit: Timestamp,
     pub legs: u32,
     pub last: Option<Ending>,
     state: State,
 }
 
 impl Command {
-    pub fn new(client: ClientKey, intake: Intake, outer_limit: Moment) -> Command {
+    pub fn new(client: ClientKey, intake: Intake, outer_limit: Timestamp) -> Command {
         Command { client, intake: Rc::new(intake), outer_limit, legs: 0, last: None, state: State::Held }
     }
 
@@ -105,7 +105,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::http::{Kind, Reader};
+    use crate::http::{MessageKind, MessageReader};
 
     #[test]
     fn no_command_and_no_id_is_kept_once_it_is_over() {
@@ -118,9 +118,10 @@
                  X-Expires-In-Ms: 100\r\nX-Weight: units=1\r\n\r\n"
             )
             .into_bytes();
-            let message = Reader::default().next(Kind::Request, &mut text, false).unwrap().unwrap();
+            let message =
+                MessageReader::default().next(MessageKind::Request, &mut text, false).unwrap().unwrap();
             let intake = Intake::read(message, &charter).unwrap();
-            let key = commands.take(Command::new(ClientKey::default(), intake, Moment::from_micros(0)));
+            let key = commands.take(Command::new(ClientKey::default(), intake, Timestamp::from_micros(0)));
             assert!(commands.open_as(format!("t{n}").as_bytes()).is_some());
             commands.shift(key, State::Out);
             commands.shift(key, State::Parted);
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -80,7 +80,7 @@
     }
 
     pub fn heard(&self, scratch: &mut [u8]) -> Vec<Word> {
-        while poll::read(&self.socket, scratch, &mut Vec::new(), true) == Ok(poll::Came::Bytes) {}
+        while poll::read(&self.socket, scratch, &mut Vec::new(), true) == Ok(poll::ReadOutcome::Bytes) {}
         let mut words: Vec<_> = self.words.try_iter().collect();
         words.extend(self.read_again.swap(false, Ordering::Relaxed).then_some(Word::ReadAgain));
         words.extend(self.end.swap(false, Ordering::Relaxed).then_some(Word::End));
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -1,12 +1,12 @@
 //! The counter: calls written one behind another on one connection, answers in their order. A call that gets
 //! no answer in its time is reported so; its late answer is told from the others' by its place, and told as late.
 
-use crate::http::{Kind, Message, Reader, MOST_BODY};
-use crate::poll::{self, Came, Ready, Source};
+use crate::http::{Message, MessageKind, MessageReader, MAX_BODY_BYTES};
+use crate::poll::{self, ReadOutcome, ReadyEvent, Source};
 use crate::runtime::{Event, Floor, Timer};
 use crate::timer_wheel::TimerKey;
 use kitepass_gateway_policy::Total;
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use log::{debug, warn};
 use rustix::fd::OwnedFd;
 use std::collections::VecDeque;
@@ -17,7 +17,7 @@
 const MOST_LINKS: usize = 4;
 
 struct Call {
-    due: Moment,
+    due: Timestamp,
     name: String,
     /// Its amount and the rest of its target.
     rest: String,
@@ -30,11 +30,11 @@
     /// No more calls go to it, as its address was given up or it has fallen silent: it brings what it owes,
     parting: bool,
     /// and what comes late, until then.
-    until: Moment,
-    begun: Moment,
+    until: Timestamp,
+    begun: Timestamp,
     /// When it last brought an answer, or was last written to with nothing to answer.
-    lively: Moment,
-    reader: Reader,
+    lively: Timestamp,
+    reader: MessageReader,
     input: Vec<u8>,
     output: Vec<u8>,
     written: usize,
@@ -51,10 +51,10 @@
     /// Calls that have been put nowhere yet, in the order they were made.
     unsent: VecDeque<Call>,
     /// Set while somebody waits for an answer.
-    timer: Option<(Moment, TimerKey)>,
+    timer: Option<(Timestamp, TimerKey)>,
     begun: u32,
     /// When a connection was last begun, until it is made.
-    tried: Option<Moment>,
+    tried: Option<Timestamp>,
 }
 
 impl Counter {
@@ -62,7 +62,7 @@
         Counter { address, links: Vec::new(), unsent: VecDeque::new(), timer: None, begun: 0, tried: None }
     }
 
-    fn due(&self) -> Option<Moment> {
+    fn due(&self) -> Option<Timestamp> {
         let sent = self.links.iter().flat_map(|link| link.calls.get(link.told));
         let parting = self.links.iter().filter(|link| link.parting).map(|link| link.until);
         sent.chain(self.unsent.front()).map(|call| call.due).chain(parting).min()
@@ -71,7 +71,7 @@
 
 impl Floor {
     /// Adds to a number on the counter.
-    pub fn call(&mut self, name: &str, amount: f64, keep: Span) {
+    pub fn call(&mut self, name: &str, amount: f64, keep: Duration) {
         let (Some(_), Some(patience)) = (self.counter.address, self.charter.counter) else {
             return self.events.push_back(Event::Counted { name: name.to_owned(), total: Total::NotAdded });
         };
@@ -104,7 +104,7 @@
     }
 
     /// Connects if there is no connection; where none comes up, not again within a call's time.
-    fn open_link(&mut self, patience: Span) {
+    fn open_link(&mut self, patience: Duration) {
         let now = self.now();
         let counter = &mut self.counter;
         let Some(address) = counter.address.filter(|_| counter.links.iter().all(|link| link.parting)) else {
@@ -125,7 +125,7 @@
                 until: now,
                 begun: now,
                 lively: now,
-                reader: Reader::default(),
+                reader: MessageReader::default(),
                 input: Vec::new(),
                 output: Vec::new(),
                 written: 0,
@@ -139,7 +139,7 @@
         }
     }
 
-    pub fn counter_ready(&mut self, ready: Ready, number: u32) {
+    pub fn counter_ready(&mut self, ready: ReadyEvent, number: u32) {
         let Some(place) = self.counter.links.iter().position(|link| link.number == number) else { return };
         let link = &mut self.counter.links[place];
         if ready.write && !link.connected {
@@ -197,8 +197,8 @@
             let link = &mut self.counter.links[place];
             let came = poll::read(&link.socket, &mut self.scratch, &mut link.input, ended);
             loop {
-                let kind = Kind::Answer { to_head: false };
-                match link.reader.next(kind, &mut link.input, came == Ok(Came::End)) {
+                let kind = MessageKind::Answer { to_head: false };
+                match link.reader.next(kind, &mut link.input, came == Ok(ReadOutcome::End)) {
                     Ok(Some(answer)) => {
                         link.lively = now;
                         let Some(call) = link.calls.pop_front() else {
@@ -225,7 +225,7 @@
                             return self.drop_link(place, "closed");
                         }
                     }
-                    Ok(None) if link.input.len() > MOST_BODY => {
+                    Ok(None) if link.input.len() > MAX_BODY_BYTES => {
                         return self.drop_link(place, "an answer too large");
                     }
                     Ok(None) => break,
@@ -236,9 +236,9 @@
                 }
             }
             match came {
-                Ok(Came::Bytes) => {}
-                Ok(Came::Nothing) => return self.drop_parted(),
-                Ok(Came::End) => return self.drop_link(place, "closed"),
+                Ok(ReadOutcome::Bytes) => {}
+                Ok(ReadOutcome::Nothing) => return self.drop_parted(),
+                Ok(ReadOutcome::End) => return self.drop_link(place, "closed"),
                 Err(error) => return self.drop_link(place, &format!("broke: {error}")),
             }
         }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,20 +1,20 @@
 //! Discovery: a watch on the list of backends, taken up again from the last version after every break.
 //! Silence takes no backend away.
 
-use crate::http::Reader;
-use crate::poll::{self, Came, Ready, Source};
+use crate::http::MessageReader;
+use crate::poll::{self, ReadOutcome, ReadyEvent, Source};
 use crate::runtime::{Floor, Phase, Timer};
 use kitepass_gateway_policy::{Gateway, Listed, Standing};
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use log::{debug, info, warn};
 use rustix::fd::OwnedFd;
 use serde_json::Value;
 use std::net::SocketAddr;
 
 /// An empty line comes at least this often while nothing changes.
-const BEAT: Span = Span::from_secs(2);
+const BEAT: Duration = Duration::from_secs(2);
 /// While discovery is away the log says so this often.
-const AGAIN: Span = Span::from_secs(30);
+const AGAIN: Duration = Duration::from_secs(30);
 /// The longest line of a watch.
 const MOST_LINE: usize = 16 << 20;
 
@@ -22,8 +22,8 @@
     number: u32,
     socket: OwnedFd,
     connected: bool,
-    heard: Moment,
-    reader: Reader,
+    heard: Timestamp,
+    reader: MessageReader,
     input: Vec<u8>,
     lines: Vec<u8>,
     output: Vec<u8>,
@@ -37,8 +37,8 @@
     links: Vec<Link>,
     begun: u32,
     /// When a watch stood last, and when it was last said in the log that none does.
-    stood: Moment,
-    told: Option<Moment>,
+    stood: Timestamp,
+    told: Option<Timestamp>,
 }
 
 impl Watch {
@@ -78,7 +78,7 @@
             socket,
             connected: false,
             heard: floor.now(),
-            reader: Reader::default(),
+            reader: MessageReader::default(),
             input: Vec::new(),
             lines: Vec::new(),
             output: output.into_bytes(),
@@ -100,7 +100,7 @@
 
     /// Says in the log that discovery is away, now and then, and that it is back. Danger: a gateway that came up
     /// without a list bounces all, and nothing would say why.
-    fn tell(&mut self, now: Moment) {
+    fn tell(&mut self, now: Timestamp) {
         let address = self.address;
         if self.links.iter().any(|link| link.connected) {
             self.stood = now;
@@ -114,7 +114,7 @@
         }
     }
 
-    pub fn ready(&mut self, ready: Ready, number: u32, module: &mut Gateway, floor: &mut Floor) {
+    pub fn ready(&mut self, ready: ReadyEvent, number: u32, module: &mut Gateway, floor: &mut Floor) {
         let Some(place) = self.links.iter().position(|link| link.number == number) else { return };
         let mut link = self.links.remove(place);
         match self.go_on(&mut link, ready, module, floor) {
@@ -128,7 +128,7 @@
     fn go_on(
         &mut self,
         link: &mut Link,
-        ready: Ready,
+        ready: ReadyEvent,
         module: &mut Gateway,
         floor: &mut Floor,
     ) -> Result<bool, String> {
@@ -164,8 +164,8 @@
                 return Err("a line too long".to_owned());
             }
             match came {
-                Ok(Came::Bytes) if whole != Some(true) => {}
-                Ok(Came::Nothing) if whole != Some(true) => return Ok(spoke),
+                Ok(ReadOutcome::Bytes) if whole != Some(true) => {}
+                Ok(ReadOutcome::Nothing) if whole != Some(true) => return Ok(spoke),
                 Ok(_) => return Err("the watch has ended".to_owned()),
                 Err(error) => return Err(error.to_string()),
             }
@@ -227,7 +227,7 @@
         cell: entry["cell"].as_i64().unwrap_or_default(),
         standing,
         size: entry["weight"].as_f64().filter(|size| *size > 0.0 && size.is_finite()).unwrap_or(1.0),
-        started: started.map(|millis| Moment::from_micros((millis * 1000.0) as i64)),
+        started: started.map(|millis| Timestamp::from_micros((millis * 1000.0) as i64)),
     };
     Ok((listed, address))
 }
--- a/crates/gateway/src/poll.rs
+++ b/crates/gateway/src/poll.rs
@@ -1,8 +1,10 @@
 //! What waits for which socket: the shared epoll, with a source in each token.
 
-pub use kitepass_net::poller::{accept, empty, has_ended, is_quiet, listen, made, read, write, Came, Clock};
+pub use kitepass_net::poller::{
+    accept, empty, has_ended, is_quiet, listen, made, read, write, Clock, ReadOutcome,
+};
 use kitepass_net::{poller, Errno};
-use kitepass_time::Span;
+use kitepass_time::Duration;
 use rustix::fd::{AsFd, OwnedFd};
 use slotmap::{Key, KeyData};
 use std::net::SocketAddr;
@@ -60,7 +62,7 @@
 
 /// What a socket is ready for.
 #[derive(Clone, Copy, Debug)]
-pub struct Ready {
+pub struct ReadyEvent {
     pub source: Source,
     pub read: bool,
     pub write: bool,
@@ -69,15 +71,15 @@
     pub ended: bool,
 }
 
-pub struct Poll {
-    poll: poller::Poll,
+pub struct Poller {
+    poll: poller::Poller,
     /// What was ready last, with its tokens.
-    raw: Vec<poller::Ready>,
+    raw: Vec<poller::ReadyEvent>,
 }
 
-impl Poll {
-    pub fn new() -> Result<Poll> {
-        Ok(Poll { poll: poller::Poll::new()?, raw: Vec::new() })
+impl Poller {
+    pub fn new() -> Result<Poller> {
+        Ok(Poller { poll: poller::Poller::new()?, raw: Vec::new() })
     }
 
     /// Watches a socket, once and for all: it tells each time that it has become ready again.
@@ -91,10 +93,10 @@
     }
 
     /// Waits until a socket is ready or the time is over, and leaves what is ready in `ready`.
-    pub fn wait(&mut self, time: Option<Span>, ready: &mut Vec<Ready>) -> Result<()> {
+    pub fn wait(&mut self, time: Option<Duration>, ready: &mut Vec<ReadyEvent>) -> Result<()> {
         self.poll.wait(time, &mut self.raw)?;
-        ready.extend(self.raw.drain(..).filter_map(|poller::Ready { token, read, write, ended }| {
-            Some(Ready { source: Source::unpack(token)?, read, write, ended })
+        ready.extend(self.raw.drain(..).filter_map(|poller::ReadyEvent { token, read, write, ended }| {
+            Some(ReadyEvent { source: Source::unpack(token)?, read, write, ended })
         }));
         Ok(())
     }
--- a/crates/gateway/src/request_head.rs
+++ b/crates/gateway/src/request_head.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{digits, Message};
 use kitepass_gateway_policy::{Charter, Repeats};
-use kitepass_time::Span;
+use kitepass_time::Duration;
 use std::ops::Range;
 
 /// Customers are numbered below this.
@@ -25,7 +25,7 @@
     /// In small letters: one customer must not have a quota for each way to write it.
     pub customer: String,
     pub plan: String,
-    pub expires: Span,
+    pub expires: Duration,
     pub units: f64,
     pub width: u32,
     pub first: u32,
@@ -70,7 +70,7 @@
         let weight = one(&message, WEIGHT)?.and_then(text).ok_or("X-Weight: expected one")?;
         let (units, width, first) = weigh(weight, charter).ok_or("X-Weight: expected units and set")?;
 
-        let (plan, expires) = (plan.to_owned(), Span::from_micros(expires as i64 * 1000));
+        let (plan, expires) = (plan.to_owned(), Duration::from_micros(expires as i64 * 1000));
         let lead = lead(&message);
         Ok(Intake { workload, customer, plan, expires, units, width, first, lead, message })
     }
@@ -89,7 +89,7 @@
     }
 
     /// The message of one leg, which will be waited for so long.
-    pub fn leg(&self, wait: Span, into: &mut Vec<u8>) {
+    pub fn leg(&self, wait: Duration, into: &mut Vec<u8>) {
         into.extend_from_slice(&self.lead);
         into.extend_from_slice(format!("X-Expires-In-Ms: {}\r\n\r\n", wait.micros() / 1000).as_bytes());
         into.extend_from_slice(self.message.body());
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -5,11 +5,11 @@
 use crate::clients::Clients;
 use crate::command::{self, CommandKey, Commands, State};
 use crate::counter::Counter;
-use crate::poll::{ClientKey, Clock, LineKey, Poll};
-use crate::timer_wheel::Timers;
+use crate::poll::{ClientKey, Clock, LineKey, Poller};
+use crate::timer_wheel::TimerWheel;
 use kitepass_gateway_config::Carriage;
 use kitepass_gateway_policy::{Charter, Ending, News, Offer, Orders, Total, Verdict};
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use std::collections::VecDeque;
 use std::rc::Rc;
 
@@ -33,7 +33,7 @@
     pub backend: Rc<str>,
     pub ending: Ending,
     pub over: bool,
-    pub took: Span,
+    pub took: Duration,
     pub true_units: Option<f64>,
 }
 
@@ -47,7 +47,7 @@
     DropIdleLines,
     Watch,
     /// The list that the start came with will do.
-    Ready,
+    ReadyEvent,
     StopLettingIn,
     LookAfterClients,
 }
@@ -66,9 +66,9 @@
     pub clock: Clock,
     /// The time that everything in hand is held to happen at. Read off the clock once for each event and
     /// timer: a command takes microseconds, and reading it at every step was a part of its cost.
-    pub at: Moment,
-    pub poll: Poll,
-    pub timers: Timers<Timer>,
+    pub at: Timestamp,
+    pub poll: Poller,
+    pub timers: TimerWheel<Timer>,
     pub events: VecDeque<Event>,
     pub charter: Rc<Charter>,
     pub carriage: Carriage,
@@ -84,16 +84,16 @@
 }
 
 impl Floor {
-    pub fn now(&self) -> Moment {
+    pub fn now(&self) -> Timestamp {
         self.at
     }
 
-    pub fn read_clock(&mut self) -> Moment {
+    pub fn read_clock(&mut self) -> Timestamp {
         self.at = self.clock.now();
         self.at
     }
 
-    pub fn wake_at(&mut self, due: Moment, timer: Timer) {
+    pub fn wake_at(&mut self, due: Timestamp, timer: Timer) {
         self.timers.set(due, timer);
     }
 
@@ -106,13 +106,13 @@
 }
 
 impl Orders for Floor {
-    fn leg(&mut self, command: &str, backend: &str, allow: Span) {
+    fn leg(&mut self, command: &str, backend: &str, allow: Duration) {
         if let Some(key) = command::key(command) {
             self.begin_leg(key, backend, allow);
         }
     }
 
-    fn bounce(&mut self, command: &str, retry_in: Option<Span>) {
+    fn bounce(&mut self, command: &str, retry_in: Option<Duration>) {
         if let Some(key) = command::key(command) {
             self.give_up(key, true, retry_in);
         }
@@ -124,7 +124,7 @@
         }
     }
 
-    fn count(&mut self, name: &str, amount: f64, keep: Span) {
+    fn count(&mut self, name: &str, amount: f64, keep: Duration) {
         self.call(name, amount, keep);
     }
 
@@ -136,7 +136,7 @@
     fn ask(&mut self, _: u32, _: u16, _: &Offer) {}
     fn answer(&mut self, _: u32, _: u16, _: Verdict) {}
 
-    fn wake(&mut self, token: &str, after: Span) {
+    fn wake(&mut self, token: &str, after: Duration) {
         self.wake_at(self.now() + after, Timer::Module(token.to_owned()));
     }
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -6,10 +6,10 @@
 use crate::control::{Control, Ear, Word};
 use crate::counter::Counter;
 use crate::discovery::Watch;
-use crate::poll::{self, Clock, Poll, Ready, Source};
+use crate::poll::{self, Clock, Poller, ReadyEvent, Source};
 use crate::runtime::{Event, Floor, Phase, Timer};
 use crate::startup::{Launch, SILENCE};
-use crate::timer_wheel::Timers;
+use crate::timer_wheel::TimerWheel;
 use kitepass_gateway_policy::{Asked, Gateway, LegEnd};
 use log::{error, info};
 use std::collections::VecDeque;
@@ -40,7 +40,7 @@
             let what = what.to_owned();
             move |error: rustix::io::Errno| format!("{what}: {error}")
         };
-        let poll = Poll::new().map_err(failed("epoll"))?;
+        let poll = Poller::new().map_err(failed("epoll"))?;
         let listener = poll::listen(&launch.listen).map_err(failed(&format!("listen {}", launch.listen)))?;
         poll.add(&listener, Source::Listener).map_err(failed("listen"))?;
         let ear = Ear::open().map_err(|error| format!("control: {error}"))?;
@@ -54,7 +54,7 @@
             clock,
             at: now,
             poll,
-            timers: Timers::new(now),
+            timers: TimerWheel::new(now),
             events: VecDeque::new(),
             charter,
             carriage: launch.carriage,
@@ -69,7 +69,7 @@
         let watch = Watch::new(launch.addresses.discovery, &launch.known, &mut module, &mut floor);
         floor.drop_idle_lines();
         floor.look_after_clients();
-        floor.wake_at(now + SILENCE, Timer::Ready);
+        floor.wake_at(now + SILENCE, Timer::ReadyEvent);
         info!("{} listens on {}", launch.name, launch.listen);
         Ok(Server { module, floor, watch, ear, origin: launch.origin })
     }
@@ -124,7 +124,7 @@
         }
     }
 
-    fn ready(&mut self, ready: Ready) {
+    fn ready(&mut self, ready: ReadyEvent) {
         match ready.source {
             Source::Listener => self.floor.let_in(),
             Source::Control => self.heard(),
@@ -154,7 +154,7 @@
             Timer::LetIn => self.floor.let_in(),
             Timer::DropIdleLines => self.floor.drop_idle_lines(),
             Timer::Watch => self.watch.look_after(&mut self.floor),
-            Timer::Ready => self.floor.do_with_known(),
+            Timer::ReadyEvent => self.floor.do_with_known(),
             Timer::StopLettingIn => self.floor.close_down(),
             Timer::LookAfterClients => self.floor.look_after_clients(),
         }
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -2,11 +2,11 @@
 //! what is idle, and is done.
 
 use crate::runtime::{Floor, Phase, Timer};
-use kitepass_time::Span;
+use kitepass_time::Duration;
 use log::info;
 
 /// Clients may go on connecting for 0.4 s after the signal; the last of them have their first command to send.
-const SERVES_ON: Span = Span::from_micros(450_000);
+const SERVES_ON: Duration = Duration::from_micros(450_000);
 
 impl Floor {
     pub fn told_to_end(&mut self) {
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -4,7 +4,7 @@
 use crate::runtime::{Floor, Phase};
 use kitepass_gateway_config::Carriage;
 use kitepass_gateway_policy::Charter;
-use kitepass_time::Span;
+use kitepass_time::Duration;
 use rustix::process::{getrlimit, Resource};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
 }
 
 /// A start waits for so long for discovery before the list that it came with has to do.
-pub const SILENCE: Span = Span::from_secs(1);
+pub const SILENCE: Duration = Duration::from_secs(1);
 /// Fewer descriptors than this serve nobody.
 const FEWEST: u64 = 64;
 
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -1,14 +1,14 @@
 //! One connection: its socket, and the bytes that have come and that are to go.
 
-use crate::poller::{self, Came, Poll, Ready};
-use kitepass_time::Span;
+use crate::poller::{self, Poller, ReadOutcome, ReadyEvent};
+use kitepass_time::Duration;
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
 use rustix::io::{Errno, Result};
 use std::net::SocketAddr;
 
 /// Epoll tells of changes alone: what a socket was ready for stays so until a read or write says otherwise.
 #[derive(Debug)]
-pub struct Wire {
+pub struct Connection {
     socket: OwnedFd,
     /// What has come and is not used yet.
     pub input: Vec<u8>,
@@ -20,11 +20,11 @@
     ended: bool,
 }
 
-impl Wire {
+impl Connection {
     /// A connection that a listener accepted, already watched.
-    pub fn accepted(socket: OwnedFd) -> Wire {
+    pub fn accepted(socket: OwnedFd) -> Connection {
         let (input, output) = (Vec::new(), Vec::new());
-        Wire { socket, input, output, written: 0, made: true, readable: true, ended: false }
+        Connection { socket, input, output, written: 0, made: true, readable: true, ended: false }
     }
 
     /// Begins a connection. What is written meanwhile goes once it is made. Unanswered bytes end it after `patience`.
@@ -32,10 +32,10 @@
     /// # Errors
     ///
     /// The system's, for want of descriptors or ports.
-    pub fn open(poll: &Poll, to: &SocketAddr, token: u64, patience: Span) -> Result<Wire> {
+    pub fn open(poll: &Poller, to: &SocketAddr, token: u64, patience: Duration) -> Result<Connection> {
         let socket = poll.connect(to, token)?;
         poller::tune(&socket, patience)?;
-        Ok(Wire { made: false, readable: false, ..Wire::accepted(socket) })
+        Ok(Connection { made: false, readable: false, ..Connection::accepted(socket) })
     }
 
     pub fn is_made(&self) -> bool {
@@ -47,7 +47,7 @@
     /// # Errors
     ///
     /// The connection could not be made.
-    pub fn note(&mut self, ready: &Ready) -> Result<()> {
+    pub fn note(&mut self, ready: &ReadyEvent) -> Result<()> {
         self.readable |= ready.read;
         self.ended |= ready.ended;
         if !self.made && ready.write {
@@ -66,9 +66,9 @@
     pub fn fill(&mut self, piece: &mut [u8], most: usize) -> Result<bool> {
         while self.made && self.readable && self.input.len() < most {
             match poller::read(&self.socket, piece, &mut self.input, self.ended)? {
-                Came::Bytes => {}
-                Came::Nothing => self.readable = false,
-                Came::End => return Ok(true),
+                ReadOutcome::Bytes => {}
+                ReadOutcome::Nothing => self.readable = false,
+                ReadOutcome::End => return Ok(true),
             }
         }
         Ok(false)
@@ -122,7 +122,7 @@
     }
 }
 
-impl AsFd for Wire {
+impl AsFd for Connection {
     fn as_fd(&self) -> BorrowedFd<'_> {
         self.socket.as_fd()
     }
--- a/crates/net/src/http/body.rs
+++ b/crates/net/src/http/body.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1, a head first and its body as it comes. No input or output here.
 
-use crate::http::{Chunks, Fault, Kind, Lines};
+use crate::http::{Chunks, Lines, MessageKind, ParseError};
 pub use crate::http::{Framing, Head};
 
 /// The most bytes of a single chunk. One is passed through in pieces, so this keeps only sums from running over.
@@ -27,10 +27,10 @@
     /// protocol (101). The input is of no more use then.
     pub fn next(
         &mut self,
-        kind: Kind,
+        kind: MessageKind,
         input: &mut Vec<u8>,
         most: usize,
-    ) -> Result<Option<(Head, Framing)>, Fault> {
+    ) -> Result<Option<(Head, Framing)>, ParseError> {
         let Some(framing) = self.lines.read(kind, input, most)? else { return Ok(None) };
         let lines = std::mem::take(&mut self.lines);
         Ok(Some((lines.into_head(input), framing)))
@@ -56,7 +56,7 @@
     /// It ends with the connection.
     ToTheEnd,
     Whole,
-    Broken(Fault),
+    Broken(ParseError),
 }
 
 impl Body {
@@ -81,7 +81,7 @@
     ///
     /// `Malformed` for what is no chunk or trailer, `BodyTooLarge` for a single chunk of more than 2^40 bytes. The
     /// same fault comes of every later call.
-    pub fn read(&mut self, input: &mut Vec<u8>, into: &mut Vec<u8>, room: usize) -> Result<bool, Fault> {
+    pub fn read(&mut self, input: &mut Vec<u8>, into: &mut Vec<u8>, room: usize) -> Result<bool, ParseError> {
         let used = match &mut self.state {
             State::Sized(left) => {
                 let most = usize::try_from(*left).unwrap_or(usize::MAX);
@@ -115,13 +115,13 @@
     ///
     /// `Malformed` if the body is not whole by then. Danger: a sender that broke off would have half a body pass
     /// for a whole one.
-    pub fn ended(&mut self) -> Result<(), Fault> {
+    pub fn ended(&mut self) -> Result<(), ParseError> {
         match self.state {
             State::ToTheEnd => self.complete(),
             State::Whole => {}
             State::Broken(fault) => return Err(fault),
             State::Sized(_) | State::Chunked(_) => {
-                self.break_off(Fault::Malformed("a body that breaks off"))?;
+                self.break_off(ParseError::Malformed("a body that breaks off"))?;
             }
         }
         Ok(())
@@ -138,7 +138,7 @@
 
     /// Danger: read on after a fault, bytes already given would be given again, or a next message be found
     /// where none begins.
-    fn break_off(&mut self, fault: Fault) -> Result<bool, Fault> {
+    fn break_off(&mut self, fault: ParseError) -> Result<bool, ParseError> {
         self.state = State::Broken(fault);
         Err(fault)
     }
@@ -153,7 +153,7 @@
     const MOST: usize = 1024;
 
     /// Reads all messages of a text that comes in two pieces, with so much room at a time.
-    fn read(kind: Kind, text: &str, cut: usize, room: usize) -> Result<Vec<Told>, Fault> {
+    fn read(kind: MessageKind, text: &str, cut: usize, room: usize) -> Result<Vec<Told>, ParseError> {
         let (mut heads, mut input, mut seen) = (HeadReader::default(), Vec::new(), Vec::new());
         let mut body: Option<Body> = None;
         for piece in [&text[..cut], &text[cut..]] {
@@ -196,7 +196,7 @@
     fn what_is_wrong_is_refused_wherever_it_is_cut(#[values(1, usize::MAX)] room: usize) {
         let long = "a".repeat(300);
         let post = |framing: &str, body: &str| {
-            (Kind::Request, format!("POST / HTTP/1.1\r\n{framing}\r\n\r\n{body}"))
+            (MessageKind::Request, format!("POST / HTTP/1.1\r\n{framing}\r\n\r\n{body}"))
         };
         let chunked = |body: &str| post("Transfer-Encoding: chunked", body);
         let broken_off = [
@@ -209,16 +209,16 @@
         for (kind, text) in malformed().into_iter().chain(broken_off).chain(endless).chain([endless_lines]) {
             for cut in 0..=text.len() {
                 let seen = read(kind, &text, cut, room);
-                assert!(matches!(seen, Err(Fault::Malformed(_))), "{text:?} cut at {cut}: {seen:?}");
+                assert!(matches!(seen, Err(ParseError::Malformed(_))), "{text:?} cut at {cut}: {seen:?}");
             }
         }
         let too_large = [
-            (post(&format!("A: {}", long.repeat(4)), "").1, Fault::HeadTooLarge),
-            (chunked("10000000001\r\n").1, Fault::BodyTooLarge),
+            (post(&format!("A: {}", long.repeat(4)), "").1, ParseError::HeadTooLarge),
+            (chunked("10000000001\r\n").1, ParseError::BodyTooLarge),
         ];
         for (text, fault) in too_large {
             for cut in 0..=text.len() {
-                assert_eq!(read(Kind::Request, &text, cut, room), Err(fault));
+                assert_eq!(read(MessageKind::Request, &text, cut, room), Err(fault));
             }
         }
     }
@@ -241,7 +241,7 @@
         #[case] expects: bool,
     ) {
         let mut input = format!("{text}\r\nrest").into_bytes();
-        let (head, _) = HeadReader::default().next(Kind::Request, &mut input, MOST).unwrap().unwrap();
+        let (head, _) = HeadReader::default().next(MessageKind::Request, &mut input, MOST).unwrap().unwrap();
         assert_eq!((head.len(), input.as_slice()), (text.len() + 2, b"rest".as_slice()));
         assert_eq!(
             (head.keeps_open(), head.keep_alive_secs(), head.expects_a_word()),
--- a/crates/net/src/http/mod.rs
+++ b/crates/net/src/http/mod.rs
@@ -5,10 +5,10 @@
 use memchr::memchr;
 use std::ops::Range;
 
-/// The most bytes of a head that [`Reader`] takes.
-pub const MOST_HEAD: usize = 16 * 1024;
-/// The most bytes of a body that [`Reader`] takes.
-pub const MOST_BODY: usize = 64 * 1024;
+/// The most bytes of a head that [`MessageReader`] takes.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The most bytes of a body that [`MessageReader`] takes.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// What each answer begins with.
 const VERSION: &[u8] = b"HTTP/1.";
 /// So much of a first line that is not whole is looked at each time.
@@ -20,38 +20,38 @@
 
 /// Why a message cannot be taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum ParseError {
     Malformed(&'static str),
     HeadTooLarge,
     BodyTooLarge,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for ParseError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            Fault::Malformed(what) => write!(f, "malformed: {what}"),
-            Fault::HeadTooLarge => f.write_str("a head too large"),
-            Fault::BodyTooLarge => f.write_str("a body too large"),
+            ParseError::Malformed(what) => write!(f, "malformed: {what}"),
+            ParseError::HeadTooLarge => f.write_str("a head too large"),
+            ParseError::BodyTooLarge => f.write_str("a body too large"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ParseError {}
 
-impl Fault {
+impl ParseError {
     /// What to say to a client that sent it.
     pub fn status(self) -> u16 {
         match self {
-            Fault::Malformed(_) => 400,
-            Fault::HeadTooLarge => 431,
-            Fault::BodyTooLarge => 413,
+            ParseError::Malformed(_) => 400,
+            ParseError::HeadTooLarge => 431,
+            ParseError::BodyTooLarge => 413,
         }
     }
 }
 
 /// What is read: whose side of a connection its bytes are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum MessageKind {
     Request,
     /// An answer; to `HEAD` one has no body.
     Answer {
@@ -240,14 +240,14 @@
 
 /// Reads one message after the other from a connection's input.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct MessageReader {
     lines: Lines,
     /// Up to where the input has been read, once the head is whole.
     at: usize,
     stage: Stage,
 }
 
-impl Reader {
+impl MessageReader {
     /// Whether a message has begun and is not whole.
     pub fn begun(&self, input: &[u8]) -> bool {
         !input.is_empty() || !matches!(self.stage, Stage::Head)
@@ -264,7 +264,12 @@
     /// # Errors
     ///
     /// What is wrong with it; the input is of no more use then.
-    pub fn next(&mut self, kind: Kind, input: &mut Vec<u8>, ended: bool) -> Result<Option<Message>, Fault> {
+    pub fn next(
+        &mut self,
+        kind: MessageKind,
+        input: &mut Vec<u8>,
+        ended: bool,
+    ) -> Result<Option<Message>, ParseError> {
         if matches!(self.stage, Stage::Head) && !self.read_head(kind, input)? {
             return Ok(None);
         }
@@ -275,8 +280,8 @@
             Stage::Sized(_) => return Ok(None),
             Stage::Chunked(chunks, body) => {
                 self.at += chunks.read(&input[self.at..], body, usize::MAX)?;
-                if body.len() > MOST_BODY {
-                    return Err(Fault::BodyTooLarge);
+                if body.len() > MAX_BODY_BYTES {
+                    return Err(ParseError::BodyTooLarge);
                 }
                 if !chunks.done() {
                     // What is decoded is not kept twice.
@@ -286,7 +291,9 @@
                 }
                 Body::Unchunked(std::mem::take(body))
             }
-            Stage::ToTheEnd if input.len() - head_end > MOST_BODY => return Err(Fault::BodyTooLarge),
+            Stage::ToTheEnd if input.len() - head_end > MAX_BODY_BYTES => {
+                return Err(ParseError::BodyTooLarge)
+            }
             Stage::ToTheEnd if ended => Body::Within(head_end..input.len()),
             Stage::ToTheEnd => return Ok(None),
         };
@@ -302,12 +309,14 @@
     /// # Errors
     ///
     /// What is wrong with it, or that it is not chunked.
-    pub fn stream(&mut self, input: &mut Vec<u8>, into: &mut Vec<u8>) -> Result<Option<bool>, Fault> {
-        if matches!(self.stage, Stage::Head) && !self.read_head(Kind::Answer { to_head: false }, input)? {
+    pub fn stream(&mut self, input: &mut Vec<u8>, into: &mut Vec<u8>) -> Result<Option<bool>, ParseError> {
+        if matches!(self.stage, Stage::Head)
+            && !self.read_head(MessageKind::Answer { to_head: false }, input)?
+        {
             return Ok(None);
         }
         let Stage::Chunked(chunks, _) = &mut self.stage else {
-            return Err(Fault::Malformed("expected a chunked body"));
+            return Err(ParseError::Malformed("expected a chunked body"));
         };
         self.at += chunks.read(&input[self.at..], into, usize::MAX)?;
         input.drain(self.lines.layout.end..self.at);
@@ -315,20 +324,20 @@
         Ok(Some(chunks.done()))
     }
 
-    /// The status of the answer that [`Reader::stream`] reads; 0 before its head is whole.
+    /// The status of the answer that [`MessageReader::stream`] reads; 0 before its head is whole.
     pub fn stream_status(&self, input: &[u8]) -> u16 {
         digits(&input[self.lines.layout.start[1].clone()]).unwrap_or(0) as u16
     }
 
     /// Reads the head as it comes; true once it is whole.
-    fn read_head(&mut self, kind: Kind, input: &mut Vec<u8>) -> Result<bool, Fault> {
-        let Some(framing) = self.lines.read(kind, input, MOST_HEAD)? else { return Ok(false) };
+    fn read_head(&mut self, kind: MessageKind, input: &mut Vec<u8>) -> Result<bool, ParseError> {
+        let Some(framing) = self.lines.read(kind, input, MAX_HEAD_BYTES)? else { return Ok(false) };
         self.at = self.lines.layout.end;
         self.stage = match framing {
             Framing::Empty => Stage::Sized(self.at),
-            Framing::Sized(length) if length > MOST_BODY as u64 => return Err(Fault::BodyTooLarge),
+            Framing::Sized(length) if length > MAX_BODY_BYTES as u64 => return Err(ParseError::BodyTooLarge),
             Framing::Sized(length) => Stage::Sized(self.at + length as usize),
-            Framing::Chunked => Stage::Chunked(Chunks::lenient(MOST_BODY as u64), Vec::new()),
+            Framing::Chunked => Stage::Chunked(Chunks::lenient(MAX_BODY_BYTES as u64), Vec::new()),
             Framing::ToTheEnd => Stage::ToTheEnd,
         };
         Ok(true)
@@ -359,17 +368,17 @@
     /// Reads the head's lines as they become whole, `most` bytes of them; how the body ends once all are there.
     pub(crate) fn read(
         &mut self,
-        kind: Kind,
+        kind: MessageKind,
         input: &mut Vec<u8>,
         most: usize,
-    ) -> Result<Option<Framing>, Fault> {
+    ) -> Result<Option<Framing>, ParseError> {
         while let Some(length) = memchr(b'\n', &input[self.at..]) {
             let line = self.at..self.at + length + 1;
             if line.end > most {
-                return Err(Fault::HeadTooLarge);
+                return Err(ParseError::HeadTooLarge);
             }
             if length == 0 || input[line.end - 2] != b'\r' {
-                return Err(Fault::Malformed("a line that ends without a carriage return"));
+                return Err(ParseError::Malformed("a line that ends without a carriage return"));
             }
             let text = line.start..line.end - 2;
             self.at = line.end;
@@ -380,12 +389,14 @@
                 (false, false) => self.layout.fields.push(field(input, text, line)?),
                 (false, true) => {
                     self.layout.end = self.at;
-                    if matches!(kind, Kind::Answer { .. }) && input[self.layout.start[1].clone()][0] == b'1' {
+                    if matches!(kind, MessageKind::Answer { .. })
+                        && input[self.layout.start[1].clone()][0] == b'1'
+                    {
                         if &input[self.layout.start[1].clone()] == b"101" {
-                            return Err(Fault::Malformed("a change of protocol that nobody asked for"));
+                            return Err(ParseError::Malformed("a change of protocol that nobody asked for"));
                         }
                         if self.interim == MOST_INTERIM {
-                            return Err(Fault::Malformed("no end of answers before the one"));
+                            return Err(ParseError::Malformed("no end of answers before the one"));
                         }
                         input.drain(..self.at);
                         *self = Lines { interim: self.interim + 1, ..Lines::default() };
@@ -396,42 +407,44 @@
             }
         }
         if input.len() > most {
-            return Err(Fault::HeadTooLarge);
+            return Err(ParseError::HeadTooLarge);
         }
         // Noise may never bring the end of a line, and what has begun would be waited for.
         let first = &input[self.at..];
         let good = match kind {
             _ if self.layout.start[2].end > 0 => true,
-            Kind::Answer { .. } => VERSION.iter().zip(first).all(|(a, b)| a == b),
-            Kind::Request => first.iter().take(MOST_CHECKED).all(|b| matches!(b, b'\r' | b' '..=b'~')),
+            MessageKind::Answer { .. } => VERSION.iter().zip(first).all(|(a, b)| a == b),
+            MessageKind::Request => first.iter().take(MOST_CHECKED).all(|b| matches!(b, b'\r' | b' '..=b'~')),
         };
         if good {
             Ok(None)
         } else {
-            Err(Fault::Malformed("a first line that is none"))
+            Err(ParseError::Malformed("a first line that is none"))
         }
     }
 }
 
-fn start_line(kind: Kind, input: &[u8], text: Range<usize>) -> Result<[Range<usize>; 3], Fault> {
+fn start_line(kind: MessageKind, input: &[u8], text: Range<usize>) -> Result<[Range<usize>; 3], ParseError> {
     let line = &input[text.clone()];
-    let (start, wrong) = (text.start, Fault::Malformed("a first line that is none"));
+    let (start, wrong) = (text.start, ParseError::Malformed("a first line that is none"));
     let one = memchr(b' ', line).ok_or(wrong)?;
     let two = memchr(b' ', &line[one + 1..]).map(|two| one + 1 + two);
     // An answer may go without a reason.
     let two = match kind {
-        Kind::Answer { .. } => two.unwrap_or(line.len()),
-        Kind::Request => two.ok_or(wrong)?,
+        MessageKind::Answer { .. } => two.unwrap_or(line.len()),
+        MessageKind::Request => two.ok_or(wrong)?,
     };
     let parts = [start..start + one, start + one + 1..start + two, (start + two + 1).min(text.end)..text.end];
     let [a, b, c] = parts.clone().map(|part| &input[part]);
     let version = |v: &[u8]| v == b"HTTP/1.1" || v == b"HTTP/1.0";
     let good = match kind {
-        Kind::Request => {
+        MessageKind::Request => {
             let target = b.starts_with(b"/") && b.iter().all(u8::is_ascii_graphic);
             !a.is_empty() && a.iter().all(|b| token(*b)) && target && version(c)
         }
-        Kind::Answer { .. } => version(a) && b.len() == 3 && digits(b).is_some_and(|status| status >= 100),
+        MessageKind::Answer { .. } => {
+            version(a) && b.len() == 3 && digits(b).is_some_and(|status| status >= 100)
+        }
     };
     if good {
         Ok(parts)
@@ -440,15 +453,15 @@
     }
 }
 
-fn field(input: &[u8], text: Range<usize>, line: Range<usize>) -> Result<Field, Fault> {
+fn field(input: &[u8], text: Range<usize>, line: Range<usize>) -> Result<Field, ParseError> {
     let bytes = &input[text.clone()];
-    let colon = memchr(b':', bytes).ok_or(Fault::Malformed("a field without a colon"))?;
+    let colon = memchr(b':', bytes).ok_or(ParseError::Malformed("a field without a colon"))?;
     let (name, rest) = (&bytes[..colon], &bytes[colon + 1..]);
     if name.is_empty() || !name.iter().all(|b| token(*b)) {
-        return Err(Fault::Malformed("a field's name"));
+        return Err(ParseError::Malformed("a field's name"));
     }
     if rest.iter().any(|b| *b < b' ' && *b != b'\t' || *b == 127) {
-        return Err(Fault::Malformed("a field's value"));
+        return Err(ParseError::Malformed("a field's value"));
     }
     let blank = |b: &&u8| matches!(b, b' ' | b'\t');
     let start = text.start + colon + 1 + rest.iter().take_while(blank).count();
@@ -457,35 +470,37 @@
 }
 
 /// How the body that follows ends.
-fn framing(kind: Kind, layout: &Layout, input: &[u8]) -> Result<Framing, Fault> {
+fn framing(kind: MessageKind, layout: &Layout, input: &[u8]) -> Result<Framing, ParseError> {
     let (mut length, mut chunked) = (None, false);
     for (name, value) in fields(layout, input) {
         if name.eq_ignore_ascii_case(b"content-length") {
-            let this = digits(value).ok_or(Fault::Malformed("a content length"))?;
+            let this = digits(value).ok_or(ParseError::Malformed("a content length"))?;
             if length.is_some_and(|length| length != this) {
-                return Err(Fault::Malformed("two lengths that differ"));
+                return Err(ParseError::Malformed("two lengths that differ"));
             }
             length = Some(this);
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
             if chunked || !value.eq_ignore_ascii_case(b"chunked") {
-                return Err(Fault::Malformed("a transfer encoding other than chunked"));
+                return Err(ParseError::Malformed("a transfer encoding other than chunked"));
             }
             chunked = true;
         }
     }
     if chunked && length.is_some() {
         // Whoever stands in between may believe the other one: two would see different messages.
-        return Err(Fault::Malformed("a length beside a transfer encoding"));
+        return Err(ParseError::Malformed("a length beside a transfer encoding"));
     }
     let bare = match kind {
-        Kind::Request => false,
-        Kind::Answer { to_head } => to_head || matches!(&input[layout.start[1].clone()], b"204" | b"304"),
+        MessageKind::Request => false,
+        MessageKind::Answer { to_head } => {
+            to_head || matches!(&input[layout.start[1].clone()], b"204" | b"304")
+        }
     };
     Ok(match length {
         _ if bare => Framing::Empty,
         _ if chunked => Framing::Chunked,
         Some(length) => Framing::Sized(length),
-        None if kind == Kind::Request => Framing::Empty,
+        None if kind == MessageKind::Request => Framing::Empty,
         None => Framing::ToTheEnd,
     })
 }
@@ -526,7 +541,12 @@
     }
 
     /// Decodes what has come, at most `room` bytes of it, and returns how much of it has been used up.
-    pub(crate) fn read(&mut self, input: &[u8], into: &mut Vec<u8>, mut room: usize) -> Result<usize, Fault> {
+    pub(crate) fn read(
+        &mut self,
+        input: &[u8],
+        into: &mut Vec<u8>,
+        mut room: usize,
+    ) -> Result<usize, ParseError> {
         let mut at = 0;
         while at < input.len() && !self.done() {
             if let ChunkPart::Data(left) = &mut self.at {
@@ -546,12 +566,13 @@
             }
             let Some(length) = memchr(b'\n', &input[at..]) else {
                 let short = input.len() - at <= self.most_line();
-                return if short { Ok(at) } else { Err(Fault::Malformed("a chunk's length")) };
+                return if short { Ok(at) } else { Err(ParseError::Malformed("a chunk's length")) };
             };
             if self.trailer.is_some() && length > self.most_line() {
-                return Err(Fault::Malformed("a chunk's length"));
+                return Err(ParseError::Malformed("a chunk's length"));
             }
-            let line = input[at..at + length].strip_suffix(b"\r").ok_or(Fault::Malformed("a chunk's end"))?;
+            let line =
+                input[at..at + length].strip_suffix(b"\r").ok_or(ParseError::Malformed("a chunk's end"))?;
             at += length + 1;
             self.at = self.after(line)?;
         }
@@ -567,14 +588,14 @@
     }
 
     /// What comes after a line.
-    fn after(&mut self, line: &[u8]) -> Result<ChunkPart, Fault> {
+    fn after(&mut self, line: &[u8]) -> Result<ChunkPart, ParseError> {
         Ok(match self.at {
             ChunkPart::Size => match chunk_size(line, self.most)? {
                 0 => ChunkPart::Trailer,
                 size => ChunkPart::Data(size),
             },
             ChunkPart::DataEnd if line.is_empty() => ChunkPart::Size,
-            ChunkPart::DataEnd => return Err(Fault::Malformed("a chunk longer than it said")),
+            ChunkPart::DataEnd => return Err(ParseError::Malformed("a chunk longer than it said")),
             _ if line.is_empty() => ChunkPart::Done,
             _ => {
                 self.trailer = self.trailer.map(|left| left.saturating_sub(line.len() + 2));
@@ -584,14 +605,14 @@
     }
 }
 
-fn chunk_size(line: &[u8], most: u64) -> Result<u64, Fault> {
+fn chunk_size(line: &[u8], most: u64) -> Result<u64, ParseError> {
     let size = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii_end();
-    let wrong = Fault::Malformed("a chunk's length");
+    let wrong = ParseError::Malformed("a chunk's length");
     if size.is_empty() || !size.iter().all(u8::is_ascii_hexdigit) {
         return Err(wrong);
     }
     let size = std::str::from_utf8(size).ok().and_then(|size| u64::from_str_radix(size, 16).ok());
-    size.filter(|size| *size <= most).ok_or(Fault::BodyTooLarge)
+    size.filter(|size| *size <= most).ok_or(ParseError::BodyTooLarge)
 }
 
 fn token(b: u8) -> bool {
@@ -611,11 +632,11 @@
     /// A message's head in one line, and its body.
     pub type Told = (String, Vec<u8>);
 
-    const ANSWER: Kind = Kind::Answer { to_head: false };
+    const ANSWER: MessageKind = MessageKind::Answer { to_head: false };
 
     /// Reads all messages of a text that comes in two pieces.
-    fn read(kind: Kind, text: &str, cut: usize) -> Result<Vec<Told>, Fault> {
-        let (mut reader, mut input, mut seen) = (Reader::default(), Vec::new(), Vec::new());
+    fn read(kind: MessageKind, text: &str, cut: usize) -> Result<Vec<Told>, ParseError> {
+        let (mut reader, mut input, mut seen) = (MessageReader::default(), Vec::new(), Vec::new());
         for (piece, ended) in [(&text[..cut], false), (&text[cut..], false), ("", true)] {
             input.extend_from_slice(piece.as_bytes());
             while let Some(message) = reader.next(kind, &mut input, ended)? {
@@ -639,7 +660,7 @@
     }
 
     /// Texts, and the messages in them.
-    pub fn good() -> [(Kind, &'static str, Vec<Told>); 2] {
+    pub fn good() -> [(MessageKind, &'static str, Vec<Told>); 2] {
         let requests = "\r\nGET /a/b?c HTTP/1.1\r\nHost: x\r\nX-A:\t 1 2 \r\nX-B:\r\n\r\n\
             POST /d HTTP/1.0\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\na\r\n\r\n\
             POST /e HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n\
@@ -659,7 +680,7 @@
         let mut requested: Vec<_> =
             expected.into_iter().map(|(head, body)| (head.to_owned(), body.as_bytes().to_vec())).collect();
         let answered = requested.split_off(4);
-        [(Kind::Request, requests, requested), (ANSWER, answers, answered)]
+        [(MessageKind::Request, requests, requested), (ANSWER, answers, answered)]
     }
 
     #[test]
@@ -670,14 +691,14 @@
             }
         }
         let to_head = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n";
-        assert_eq!(read(Kind::Answer { to_head: true }, to_head, 4).unwrap()[0].1, b"");
+        assert_eq!(read(MessageKind::Answer { to_head: true }, to_head, 4).unwrap()[0].1, b"");
     }
 
     /// Texts that are no messages.
-    pub fn malformed() -> Vec<(Kind, String)> {
-        let get = |rest: &str| (Kind::Request, format!("GET / HTTP/1.1\r\n{rest}\r\n\r\n"));
+    pub fn malformed() -> Vec<(MessageKind, String)> {
+        let get = |rest: &str| (MessageKind::Request, format!("GET / HTTP/1.1\r\n{rest}\r\n\r\n"));
         let post = |framing: &str, body: &str| {
-            (Kind::Request, format!("POST / HTTP/1.1\r\n{framing}\r\n\r\n{body}"))
+            (MessageKind::Request, format!("POST / HTTP/1.1\r\n{framing}\r\n\r\n{body}"))
         };
         let chunked = |body: &str| post("Transfer-Encoding: chunked", body);
         let answer = |text: &str| (ANSWER, text.to_owned());
@@ -689,11 +710,11 @@
             get("A: b\r\n c"),
             get("A: \0"),
             get("A: b\nC: d"),
-            (Kind::Request, "GET / HTTP/2.0\r\n\r\n".into()),
-            (Kind::Request, "GET  / HTTP/1.1\r\n\r\n".into()),
-            (Kind::Request, "G@T / HTTP/1.1\r\n\r\n".into()),
-            (Kind::Request, "GET http://x/ HTTP/1.1\r\n\r\n".into()),
-            (Kind::Request, "GET /\r\n\r\n".into()),
+            (MessageKind::Request, "GET / HTTP/2.0\r\n\r\n".into()),
+            (MessageKind::Request, "GET  / HTTP/1.1\r\n\r\n".into()),
+            (MessageKind::Request, "G@T / HTTP/1.1\r\n\r\n".into()),
+            (MessageKind::Request, "GET http://x/ HTTP/1.1\r\n\r\n".into()),
+            (MessageKind::Request, "GET /\r\n\r\n".into()),
             post("Content-Length: 1\r\nContent-Length: 2", "ab"),
             post("Content-Length: 1, 1", "a"),
             post("Content-Length: -1", ""),
@@ -718,41 +739,47 @@
     fn what_is_malformed_is_refused_wherever_it_is_cut() {
         for (kind, text) in malformed() {
             for cut in 0..=text.len() {
-                assert!(matches!(read(kind, &text, cut), Err(Fault::Malformed(_))), "{text:?} cut at {cut}");
+                assert!(
+                    matches!(read(kind, &text, cut), Err(ParseError::Malformed(_))),
+                    "{text:?} cut at {cut}"
+                );
             }
         }
     }
 
     #[test]
     fn what_is_too_large_is_refused_before_it_is_kept() {
-        let large = "a".repeat(MOST_HEAD);
+        let large = "a".repeat(MAX_HEAD_BYTES);
         let chunk = format!("ff00\r\n{}\r\n", "a".repeat(0xff00));
         for (text, fault) in [
-            (format!("GET / HTTP/1.1\r\nA: {large}"), Fault::HeadTooLarge),
-            (format!("GET / HTTP/1.1\r\nA: {large}\r\n\r\n"), Fault::HeadTooLarge),
-            (format!("POST / HTTP/1.1\r\nContent-Length: {}\r\n\r\n", MOST_BODY + 1), Fault::BodyTooLarge),
+            (format!("GET / HTTP/1.1\r\nA: {large}"), ParseError::HeadTooLarge),
+            (format!("GET / HTTP/1.1\r\nA: {large}\r\n\r\n"), ParseError::HeadTooLarge),
+            (
+                format!("POST / HTTP/1.1\r\nContent-Length: {}\r\n\r\n", MAX_BODY_BYTES + 1),
+                ParseError::BodyTooLarge,
+            ),
             (
                 "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n".to_owned(),
-                Fault::BodyTooLarge,
+                ParseError::BodyTooLarge,
             ),
             (
                 format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}{chunk}"),
-                Fault::BodyTooLarge,
+                ParseError::BodyTooLarge,
             ),
         ] {
             for cut in [0, 10, text.len() / 2, text.len()] {
-                assert_eq!(read(Kind::Request, &text, cut), Err(fault));
+                assert_eq!(read(MessageKind::Request, &text, cut), Err(fault));
             }
         }
-        let endless = format!("HTTP/1.1 200 OK\r\n\r\n{}", "a".repeat(MOST_BODY + 1));
-        assert_eq!(read(ANSWER, &endless, 9), Err(Fault::BodyTooLarge));
+        let endless = format!("HTTP/1.1 200 OK\r\n\r\n{}", "a".repeat(MAX_BODY_BYTES + 1));
+        assert_eq!(read(ANSWER, &endless, 9), Err(ParseError::BodyTooLarge));
     }
 
     #[test]
     fn a_stream_gives_what_has_come_of_it() {
         let text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\na\nbc\r\n2\r\nd\n\r\n0\r\n\r\n";
         for cut in 0..=text.len() {
-            let (mut reader, mut input, mut lines) = (Reader::default(), Vec::new(), Vec::new());
+            let (mut reader, mut input, mut lines) = (MessageReader::default(), Vec::new(), Vec::new());
             let mut whole = None;
             for piece in [&text[..cut], &text[cut..]] {
                 input.extend_from_slice(piece.as_bytes());
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -2,12 +2,12 @@
 //!
 //! - [`poller`] watches sockets with epoll, edge by edge, under tokens of the program's own, and reads and writes
 //!   without blocking. Its errors are the system's own ([`Errno`]).
-//! - [`timer_wheel`] is a wheel of milliseconds: [`timer_wheel::Timers::next`] says how long to wait,
-//!   [`timer_wheel::Timers::due`] what to do then.
-//! - [`http`] reads whole messages, head and body, of bounded size ([`http::Reader`]).
+//! - [`timer_wheel`] is a wheel of milliseconds: [`timer_wheel::TimerWheel::next`] says how long to wait,
+//!   [`timer_wheel::TimerWheel::due`] what to do then.
+//! - [`http`] reads whole messages, head and body, of bounded size ([`http::MessageReader`]).
 //! - [`http::body`] reads a head ([`body::HeadReader`]) and then its body piece by piece ([`body::Body`]), however long
 //!   it is. Both read heads by the same rules, and strictly: what two readers could understand in two ways is a
-//!   [`http::Fault`].
+//!   [`http::ParseError`].
 //!
 //! A connection whose input had a fault is of no more use: where its next message would begin is not known.
 
--- a/crates/net/src/poller.rs
+++ b/crates/net/src/poller.rs
@@ -1,6 +1,6 @@
 //! Epoll: what waits for which socket, and reading and writing without blocking.
 
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use rustix::event::epoll;
 use rustix::event::epoll::{EventData, EventFlags};
 use rustix::event::Timespec;
@@ -12,7 +12,7 @@
 
 /// What a socket is ready for.
 #[derive(Clone, Copy, Debug)]
-pub struct Ready {
+pub struct ReadyEvent {
     /// What the socket was added under.
     pub token: u64,
     pub read: bool,
@@ -24,7 +24,7 @@
 
 /// The sockets that are watched. One that is closed is watched no longer; events of it that were taken before may
 /// still be to come, so that a token had better not be used again at once.
-pub struct Poll {
+pub struct Poller {
     epoll: OwnedFd,
     events: Vec<epoll::Event>,
 }
@@ -32,12 +32,12 @@
 /// Events taken in one turn; more stay for the next.
 const TURN: usize = 256;
 
-impl Poll {
+impl Poller {
     /// # Errors
     ///
     /// The system's, for want of descriptors or memory.
-    pub fn new() -> Result<Poll> {
-        Ok(Poll { epoll: epoll::create(epoll::CreateFlags::CLOEXEC)?, events: Vec::with_capacity(TURN) })
+    pub fn new() -> Result<Poller> {
+        Ok(Poller { epoll: epoll::create(epoll::CreateFlags::CLOEXEC)?, events: Vec::with_capacity(TURN) })
     }
 
     /// Watches a socket, once and for all: it tells each time that it has become ready again.
@@ -68,7 +68,7 @@
     /// # Errors
     ///
     /// The system's; none is to be expected.
-    pub fn wait(&mut self, time: Option<Span>, ready: &mut Vec<Ready>) -> Result<()> {
+    pub fn wait(&mut self, time: Option<Duration>, ready: &mut Vec<ReadyEvent>) -> Result<()> {
         let time = time.map(|time| {
             let micros = time.micros().max(0);
             Timespec { tv_sec: micros / 1_000_000, tv_nsec: micros % 1_000_000 * 1_000 }
@@ -84,7 +84,7 @@
             let read = flags.intersects(EventFlags::IN | EventFlags::RDHUP | ended);
             let write = flags.intersects(EventFlags::OUT | ended);
             let ended = flags.intersects(EventFlags::RDHUP | ended);
-            Ready { token: event.data.u64(), read, write, ended }
+            ReadyEvent { token: event.data.u64(), read, write, ended }
         }));
         Ok(())
     }
@@ -112,14 +112,14 @@
     }
 
     /// The time, in steps of a microsecond; it never goes back.
-    pub fn now(&self) -> Moment {
-        Moment::from_micros(self.wall + self.begun.elapsed().as_micros() as i64)
+    pub fn now(&self) -> Timestamp {
+        Timestamp::from_micros(self.wall + self.begun.elapsed().as_micros() as i64)
     }
 }
 
 /// What came of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum ReadOutcome {
     Bytes,
     /// Nothing more for now.
     Nothing,
@@ -132,16 +132,16 @@
 /// # Errors
 ///
 /// The system's: the connection is lost.
-pub fn read(socket: impl AsFd, piece: &mut [u8], into: &mut Vec<u8>, ended: bool) -> Result<Came> {
+pub fn read(socket: impl AsFd, piece: &mut [u8], into: &mut Vec<u8>, ended: bool) -> Result<ReadOutcome> {
     loop {
         return match net::recv(&socket, &mut *piece, RecvFlags::empty()) {
-            Ok((0, _)) => Ok(Came::End),
+            Ok((0, _)) => Ok(ReadOutcome::End),
             Ok((length, _)) => {
                 into.extend_from_slice(&piece[..length]);
                 // A piece that is not full has emptied the socket; the next edge tells of more.
-                Ok(if length < piece.len() && !ended { Came::Nothing } else { Came::Bytes })
+                Ok(if length < piece.len() && !ended { ReadOutcome::Nothing } else { ReadOutcome::Bytes })
             }
-            Err(Errno::AGAIN) => Ok(Came::Nothing),
+            Err(Errno::AGAIN) => Ok(ReadOutcome::Nothing),
             Err(Errno::INTR) => continue,
             Err(error) => Err(error),
         };
@@ -254,7 +254,7 @@
 /// # Errors
 ///
 /// The system's.
-pub fn tune(socket: impl AsFd, unacked: Span) -> Result<()> {
+pub fn tune(socket: impl AsFd, unacked: Duration) -> Result<()> {
     let millis = (unacked.micros() / 1_000).clamp(1, i64::from(i32::MAX));
     net::sockopt::set_tcp_user_timeout(socket, millis as u32)
 }
@@ -267,7 +267,7 @@
     fn no_span_asks_for_the_systems_default() {
         let socket = listen(&SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
         for (micros, millis) in [(1_500_000, 1_500), (999, 1), (-1, 1)] {
-            tune(&socket, Span::from_micros(micros)).unwrap();
+            tune(&socket, Duration::from_micros(micros)).unwrap();
             assert_eq!(net::sockopt::tcp_user_timeout(&socket), Ok(millis));
         }
     }
--- a/crates/net/src/timer_wheel.rs
+++ b/crates/net/src/timer_wheel.rs
@@ -1,7 +1,7 @@
 //! Timers on a wheel of milliseconds: setting one, taking it back and taking a due one cost the same however
 //! many there are.
 
-use kitepass_time::Moment;
+use kitepass_time::Timestamp;
 use slotmap::SlotMap;
 
 const TICK: i64 = 1_000;
@@ -21,7 +21,7 @@
 }
 
 /// Timers that are set, and what each is for.
-pub struct Timers<T> {
+pub struct TimerWheel<T> {
     entries: SlotMap<TimerKey, Entry<T>>,
     /// The newest of each slot.
     slots: Vec<Option<TimerKey>>,
@@ -31,15 +31,15 @@
     next: i64,
 }
 
-impl<T> Timers<T> {
+impl<T> TimerWheel<T> {
     /// None are set, and what was due before `now` is due at once.
-    pub fn new(now: Moment) -> Self {
+    pub fn new(now: Timestamp) -> Self {
         let slots = vec![None; SLOTS];
-        Timers { entries: SlotMap::with_key(), slots, filled: [0; SLOTS / 64], next: now.micros() / TICK }
+        TimerWheel { entries: SlotMap::with_key(), slots, filled: [0; SLOTS / 64], next: now.micros() / TICK }
     }
 
     /// It is due in the first tick at or after `due`.
-    pub fn set(&mut self, due: Moment, what: T) -> TimerKey {
+    pub fn set(&mut self, due: Timestamp, what: T) -> TimerKey {
         let tick = (due.micros() + TICK - 1).div_euclid(TICK).max(self.next);
         let slot = place(tick);
         let behind = self.slots[slot];
@@ -72,12 +72,12 @@
     }
 
     /// When to look again at the latest; timers of later rounds of the wheel can make it early.
-    pub fn next(&self) -> Option<Moment> {
-        self.next_filled(self.next, self.next + SLOTS as i64).map(|tick| Moment::from_micros(tick * TICK))
+    pub fn next(&self) -> Option<Timestamp> {
+        self.next_filled(self.next, self.next + SLOTS as i64).map(|tick| Timestamp::from_micros(tick * TICK))
     }
 
     /// Takes what is due, in order of its ticks, and appends it to `into`.
-    pub fn due(&mut self, now: Moment, into: &mut Vec<T>) {
+    pub fn due(&mut self, now: Timestamp, into: &mut Vec<T>) {
         let last = now.micros().div_euclid(TICK);
         let mut at = self.next.max(last + 1 - SLOTS as i64);
         while let Some(tick) = self.next_filled(at, last + 1) {
@@ -117,18 +117,18 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use kitepass_time::Span;
+    use kitepass_time::Duration;
 
     #[test]
     fn timers_are_due_in_their_tick_and_not_before() {
-        let at = |millis: i64| Moment::from_micros(1_700_000_000_000_000 + millis * TICK);
-        let mut timers = Timers::new(at(0));
+        let at = |millis: i64| Timestamp::from_micros(1_700_000_000_000_000 + millis * TICK);
+        let mut timers = TimerWheel::new(at(0));
         let mut due = Vec::new();
         // Two in one slot, a round of the wheel apart; one between ticks; one already past.
         for millis in [5, 5 + SLOTS as i64, 9_000, -3] {
             timers.set(at(millis), millis);
         }
-        timers.set(at(7) + Span::from_micros(1), 8);
+        timers.set(at(7) + Duration::from_micros(1), 8);
         // One taken back from the middle of a slot, one that was alone in its own.
         for millis in [5, 6] {
             let key = timers.set(at(millis), -1);
@@ -148,14 +148,14 @@
 
     #[test]
     fn a_long_stall_leaves_none_behind() {
-        let mut timers = Timers::new(Moment::from_micros(0));
+        let mut timers = TimerWheel::new(Timestamp::from_micros(0));
         for millis in 1..20_000 {
-            timers.set(Moment::from_micros(millis * TICK), millis);
+            timers.set(Timestamp::from_micros(millis * TICK), millis);
         }
         let mut due = Vec::new();
-        timers.due(Moment::from_micros(15_000 * TICK), &mut due);
+        timers.due(Timestamp::from_micros(15_000 * TICK), &mut due);
         assert_eq!(due.len(), 15_000);
-        timers.due(Moment::from_micros(30_000 * TICK), &mut due);
+        timers.due(Timestamp::from_micros(30_000 * TICK), &mut due);
         assert_eq!(due.len(), 19_999);
     }
 }
--- a/crates/net/tests/golden.rs
+++ b/crates/net/tests/golden.rs
@@ -2,12 +2,12 @@
 //! the text in `golden/`.
 
 use kitepass_net::http::body::{Body, Framing, Head, HeadReader};
-use kitepass_net::http::{Fault, Kind, Reader, MOST_BODY, MOST_HEAD};
+use kitepass_net::http::{MessageKind, MessageReader, ParseError, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use std::fmt::Write;
 use std::path::Path;
 
-const RESPONSE: Kind = Kind::Answer { to_head: false };
-const RESPONSE_TO_HEAD: Kind = Kind::Answer { to_head: true };
+const RESPONSE: MessageKind = MessageKind::Answer { to_head: false };
+const RESPONSE_TO_HEAD: MessageKind = MessageKind::Answer { to_head: true };
 /// Fields that are left out of what is forwarded, beside those of one connection.
 const LEFT_OUT: [&str; 1] = ["x-left-out"];
 /// Longer runs of one byte are written with their length.
@@ -132,7 +132,7 @@
 ];
 
 /// Inputs at and beyond each limit.
-fn limits() -> Vec<(Kind, String, String)> {
+fn limits() -> Vec<(MessageKind, String, String)> {
     let get = |bytes: usize| {
         let frame = "GET / HTTP/1.1\r\nA: \r\n\r\n".len();
         format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "a".repeat(bytes - frame))
@@ -144,16 +144,16 @@
     let interim = |times: usize| {
         format!("{}HTTP/1.1 204 Done\r\n\r\n", "HTTP/1.1 102 Processing\r\n\r\n".repeat(times))
     };
-    let request = |name: &str, input: String| (Kind::Request, name.to_owned(), input);
+    let request = |name: &str, input: String| (MessageKind::Request, name.to_owned(), input);
     vec![
-        request("largest head", get(MOST_HEAD)),
-        request("head of a byte more", get(MOST_HEAD + 1)),
-        request("first line without an end", format!("GET /{}", "a".repeat(MOST_HEAD))),
-        request("largest body", sized(MOST_BODY)),
-        request("body of a byte more", sized(MOST_BODY + 1)),
-        request("largest body in chunks", chunked(&format!("{}0\r\n\r\n", chunk(MOST_BODY)))),
-        request("chunk of a byte more", chunked(&format!("{}0\r\n\r\n", chunk(MOST_BODY + 1)))),
-        request("chunks of a byte more", chunked(&format!("{}{}0\r\n\r\n", chunk(MOST_BODY), chunk(1)))),
+        request("largest head", get(MAX_HEAD_BYTES)),
+        request("head of a byte more", get(MAX_HEAD_BYTES + 1)),
+        request("first line without an end", format!("GET /{}", "a".repeat(MAX_HEAD_BYTES))),
+        request("largest body", sized(MAX_BODY_BYTES)),
+        request("body of a byte more", sized(MAX_BODY_BYTES + 1)),
+        request("largest body in chunks", chunked(&format!("{}0\r\n\r\n", chunk(MAX_BODY_BYTES)))),
+        request("chunk of a byte more", chunked(&format!("{}0\r\n\r\n", chunk(MAX_BODY_BYTES + 1)))),
+        request("chunks of a byte more", chunked(&format!("{}{}0\r\n\r\n", chunk(MAX_BODY_BYTES), chunk(1)))),
         request("largest chunk of a stream", chunked("10000000000\r\nab")),
         request("chunk of a stream of a byte more", chunked("10000000001\r\nab")),
         request("chunk length of 17 digits", chunked("10000000000000000\r\nab")),
@@ -164,12 +164,12 @@
         (
             RESPONSE,
             "largest body to the end".into(),
-            format!("HTTP/1.1 200 OK\r\n\r\n{}", "a".repeat(MOST_BODY)),
+            format!("HTTP/1.1 200 OK\r\n\r\n{}", "a".repeat(MAX_BODY_BYTES)),
         ),
         (
             RESPONSE,
             "body of a byte more to the end".into(),
-            format!("HTTP/1.1 200 OK\r\n\r\n{}", "a".repeat(MOST_BODY + 1)),
+            format!("HTTP/1.1 200 OK\r\n\r\n{}", "a".repeat(MAX_BODY_BYTES + 1)),
         ),
     ]
 }
@@ -215,7 +215,7 @@
     );
 }
 
-fn describe_fault(fault: Fault, into: &mut String) {
+fn describe_fault(fault: ParseError, into: &mut String) {
     let _ = writeln!(into, "  error: {}", fault.status());
 }
 
@@ -229,8 +229,8 @@
 }
 
 /// What the reader of complete messages makes of an input that comes in pieces.
-fn read_messages(kind: Kind, pieces: &[&[u8]]) -> String {
-    let (mut reader, mut input, mut outcome) = (Reader::default(), Vec::new(), String::new());
+fn read_messages(kind: MessageKind, pieces: &[&[u8]]) -> String {
+    let (mut reader, mut input, mut outcome) = (MessageReader::default(), Vec::new(), String::new());
     let ends = std::iter::repeat_n(false, pieces.len()).chain([true]);
     for (piece, ended) in pieces.iter().chain([&b"".as_slice()]).zip(ends) {
         input.extend_from_slice(piece);
@@ -256,7 +256,7 @@
 }
 
 /// What the reader of heads, and that of bodies behind it, make of an input that comes in pieces.
-fn read_streams(kind: Kind, pieces: &[&[u8]]) -> String {
+fn read_streams(kind: MessageKind, pieces: &[&[u8]]) -> String {
     let (mut heads, mut input, mut outcome) = (HeadReader::default(), Vec::new(), String::new());
     let mut body: Option<(Body, Vec<u8>)> = None;
     for piece in pieces {
@@ -277,7 +277,7 @@
                 }
                 continue;
             }
-            match heads.next(kind, &mut input, MOST_HEAD) {
+            match heads.next(kind, &mut input, MAX_HEAD_BYTES) {
                 Ok(None) => break,
                 Ok(Some((head, framing))) => {
                     describe_head(&head, &mut outcome);
@@ -304,16 +304,16 @@
 }
 
 /// Both readers' outcomes of an input. Those of the input byte by byte follow where they are others.
-fn describe(kind: Kind, name: &str, input: &[u8], into: &mut String) {
+fn describe(kind: MessageKind, name: &str, input: &[u8], into: &mut String) {
     let side = match kind {
-        Kind::Request => "request",
-        Kind::Answer { to_head: false } => "response",
-        Kind::Answer { to_head: true } => "response to HEAD",
+        MessageKind::Request => "request",
+        MessageKind::Answer { to_head: false } => "response",
+        MessageKind::Answer { to_head: true } => "response to HEAD",
     };
     let _ = writeln!(into, "{side}, {name}: {}", escaped(input));
     let single: Vec<&[u8]> = input.chunks(1).collect();
     for (what, read) in
-        [(" message", read_messages as fn(Kind, &[&[u8]]) -> String), (" stream", read_streams)]
+        [(" message", read_messages as fn(MessageKind, &[&[u8]]) -> String), (" stream", read_streams)]
     {
         let (at_once, by_byte) = (read(kind, &[input]), read(kind, &single));
         let _ = write!(into, "{what}\n{at_once}");
@@ -332,7 +332,7 @@
     assert!(found == golden, "{file} differs from line {line} on; what was found is in {}", left.display());
 }
 
-fn describe_all(kind: Kind, inputs: &[(&str, &str)]) -> String {
+fn describe_all(kind: MessageKind, inputs: &[(&str, &str)]) -> String {
     let mut text = String::new();
     inputs.iter().for_each(|(name, input)| describe(kind, name, input.as_bytes(), &mut text));
     text
@@ -340,7 +340,11 @@
 
 #[test]
 fn requests_are_parsed_as_ever() {
-    compare("requests.txt", &describe_all(Kind::Request, REQUESTS), include_str!("golden/requests.txt"));
+    compare(
+        "requests.txt",
+        &describe_all(MessageKind::Request, REQUESTS),
+        include_str!("golden/requests.txt"),
+    );
 }
 
 #[test]
@@ -369,7 +373,7 @@
         b"\n\r\n0\r\n",
         b"\r\n",
     ];
-    let (mut reader, mut input, mut found) = (Reader::default(), Vec::new(), String::new());
+    let (mut reader, mut input, mut found) = (MessageReader::default(), Vec::new(), String::new());
     for piece in pieces {
         input.extend_from_slice(piece);
         let mut decoded = Vec::new();
@@ -385,8 +389,8 @@
     for input in
         ["HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 2\r\n"]
     {
-        let outcome = Reader::default().stream(&mut input.as_bytes().to_vec(), &mut Vec::new());
-        let status = outcome.map_or_else(Fault::status, |_| 0);
+        let outcome = MessageReader::default().stream(&mut input.as_bytes().to_vec(), &mut Vec::new());
+        let status = outcome.map_or_else(ParseError::status, |_| 0);
         let _ = writeln!(found, "{}: error: {status}", escaped(input.as_bytes()));
     }
     compare("chunk-stream.txt", &found, include_str!("golden/chunk-stream.txt"));
@@ -398,8 +402,9 @@
     let input = b"PUT / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\nab";
     let mut found = String::new();
     for end in [10, input.len() - 3, input.len() - 2, input.len() - 1, input.len()] {
-        let (mut reader, mut come) = (Reader::default(), input[..end].to_vec());
-        let complete = reader.next(Kind::Request, &mut come, false).is_ok_and(|message| message.is_some());
+        let (mut reader, mut come) = (MessageReader::default(), input[..end].to_vec());
+        let complete =
+            reader.next(MessageKind::Request, &mut come, false).is_ok_and(|message| message.is_some());
         let waits = reader.expects_a_word(&come);
         let _ = writeln!(found, "{end} bytes: complete: {}, waits for 100: {}", yes(complete), yes(waits));
     }
--- a/crates/simulation/examples/confirm.rs
+++ b/crates/simulation/examples/confirm.rs
@@ -35,7 +35,7 @@
             while times.len() < CHANGES && world.now - from < 200 * SECOND {
                 while open.len() < callers && sent < CHANGES {
                     sent += 1;
-                    let item = [((Kind::Line, format!("l{}", sent % 40)), 100 + sent as u64, true)];
+                    let item = [((Kind::Service, format!("l{}", sent % 40)), 100 + sent as u64, true)];
                     let node = world.seat(sent % 6);
                     open.push((world.change(node, &item).1, world.now));
                 }
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -136,7 +136,7 @@
             hash.unsigned(10);
             hash.index(*gate);
         }
-        Seen::Cast { at, node, name, edition, mark } => {
+        Seen::ReplicaSet { at, node, name, edition, mark } => {
             hash.unsigned(11);
             hash.signed(*at);
             hash.index(*node);
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -2,10 +2,10 @@
 
 use crate::history::Part;
 use crate::process::{part_of, words_of};
-use kitepass_config::{Kind, Ledger};
-use kitepass_coordination::protocol::{Hello, Word};
+use kitepass_config::{ItemStore, Kind};
+use kitepass_coordination::protocol::{Hello, Message};
 use kitepass_data_plane::control_session::{Brought, Link};
-use kitepass_time::Moment;
+use kitepass_time::Timestamp;
 use std::collections::BTreeMap;
 
 pub struct Gate {
@@ -36,7 +36,7 @@
         *self = Gate::new(self.hello.clone(), first, provinces);
     }
 
-    pub fn turn(&mut self, now: Moment, draw: u64) -> Turn {
+    pub fn turn(&mut self, now: Timestamp, draw: u64) -> Turn {
         let mut turn = Turn::default();
         if self.link.tick(now) {
             turn.leaves = true;
@@ -53,17 +53,17 @@
     }
 
     /// What its process puts on its connection.
-    pub fn says(&mut self) -> Vec<Word> {
+    pub fn says(&mut self) -> Vec<Message> {
         let mut words = std::mem::take(&mut self.link.out);
         let items = std::mem::take(&mut self.link.out_items);
         if !items.is_empty() {
-            words.push(Word::Items(words_of(&items)));
+            words.push(Message::Items(words_of(&items)));
         }
         words
     }
 
     /// What is in force by this word, and whether the session is to be closed.
-    pub fn said(&mut self, now: Moment, word: Word) -> (Vec<Part>, bool) {
+    pub fn said(&mut self, now: Timestamp, word: Message) -> (Vec<Part>, bool) {
         let mut brought = Brought::default();
         self.link.said(now, word, &mut brought);
         (brought.items.iter().filter_map(part_of).collect(), brought.close)
@@ -73,7 +73,7 @@
         self.link.is_caught_up()
     }
 
-    pub fn ledger(&self) -> &Ledger {
+    pub fn ledger(&self) -> &ItemStore {
         &self.link.ledger
     }
 
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -60,7 +60,7 @@
     /// A gateway's process began anew, with nothing.
     GateBegan { gate: usize },
     /// A process holds a cast under this name and edition.
-    Cast { at: i64, node: usize, name: &'static str, edition: u64, mark: u64 },
+    ReplicaSet { at: i64, node: usize, name: &'static str, edition: u64, mark: u64 },
     /// These processes do the duty at one moment.
     Duty { at: i64, nodes: Vec<usize> },
     /// An order on a zone reached a process.
@@ -358,7 +358,9 @@
             Seen::ReadEnded { at, read, shown } => judge.read(*at, *read, shown),
             Seen::InForce { at, gate, part } => judge.in_force(*at, *gate, part),
             Seen::GateBegan { gate } => _ = judge.gates.remove(gate),
-            Seen::Cast { at, node, name, edition, mark } => judge.cast(*at, *node, name, *edition, *mark),
+            Seen::ReplicaSet { at, node, name, edition, mark } => {
+                judge.cast(*at, *node, name, *edition, *mark)
+            }
             Seen::Duty { at, nodes } if nodes.len() > 1 => {
                 judge.fault(Rule::TwoDoTheDuty, *at, format!("{nodes:?}"));
             }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,4 +1,4 @@
-//! The emulator of kitepass' control side: true cores ([`kitepass_control_plane::state_machine::Core`]) and true gateways' links
+//! The emulator of kitepass' control side: true cores ([`kitepass_control_plane::state_machine::StateMachine`]) and true gateways' links
 //! ([`kitepass_data_plane::control_session::Link`]) on machines, disks and links in memory, all by seed.
 //!
 //! [`scenario`] draws what a seed brings: the layout, the troubles with their moments, how operators behave. [`simulation`]
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -3,7 +3,7 @@
 //! reset by whoever speaks, unless the cut is one that no end can tell from silence.
 
 use crate::rng::Chance;
-use kitepass_coordination::protocol::Word;
+use kitepass_coordination::protocol::Message;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Bytes that are not taken end a connection after so long.
@@ -20,7 +20,7 @@
     /// The life that speaks on it.
     pub from_life: u64,
     /// The words still held back by a cut.
-    pub held: VecDeque<Word>,
+    pub held: VecDeque<Message>,
     pub held_since: i64,
     /// When its last word comes.
     pub last: i64,
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -106,7 +106,7 @@
 
     fn items(&mut self, ways: &Ways, chance: &mut Chance) -> Vec<(Name, u64, bool)> {
         let n = chance.below(5);
-        let line = (Kind::Line, format!("l{n}"));
+        let line = (Kind::Service, format!("l{n}"));
         let route = (Kind::Route, format!("r{}-l{n}", chance.below(2)));
         let tenant = (Kind::Tenant, format!("t{}-k{n}", chance.below(2)));
         let mut edition = self.newest + chance.among(1, 4) as u64;
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -2,19 +2,19 @@
 
 use crate::history::{Content, Name, Part, Verdict};
 use bytes::Bytes;
-use kitepass_config::{Item, Kind, Ledger};
+use kitepass_config::{Item, ItemStore, Kind};
 use kitepass_control_plane::endpoints::Entry;
-use kitepass_control_plane::request::{Order, Reply};
-use kitepass_control_plane::state_machine::{Act, Core, Standing, Start};
-use kitepass_coordination::membership::{Cast, Seat, NEXT, NOW};
-use kitepass_coordination::protocol::{Hello, ItemWord, Items, Word};
-use kitepass_coordination::usage::Slack;
-use kitepass_time::Moment;
+use kitepass_control_plane::request::{Request, Response};
+use kitepass_control_plane::state_machine::{Action, ReplicaState, Start, StateMachine};
+use kitepass_coordination::membership::{Replica, ReplicaSet, CURRENT, INCOMING};
+use kitepass_coordination::protocol::{Hello, ItemMessage, Items, Message};
+use kitepass_coordination::usage::QuotaTolerance;
+use kitepass_time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
 pub type Records = Vec<(Vec<u8>, Vec<u8>)>;
 
-const SLACK: Slack = Slack { window: 5.0, excess: 0.1, margin: 20.0 };
+const SLACK: QuotaTolerance = QuotaTolerance { window: 5.0, excess: 0.1, margin: 20.0 };
 /// Items in one word to a gateway.
 const BATCH: usize = 64;
 
@@ -69,9 +69,9 @@
 /// What a process wants done.
 pub enum Deed {
     /// To a control process, by its station.
-    Peer(String, Word),
+    Peer(String, Message),
     /// To a gateway, by its session.
-    Session(u64, Word),
+    Session(u64, Message),
     Answer(u64, Answer),
     Keep(u64, Records),
     /// A session is to be closed.
@@ -79,18 +79,18 @@
 }
 
 pub struct Process {
-    core: Core,
+    core: StateMachine,
 }
 
 impl Process {
-    pub fn start(now: Moment, birth: Birth) -> Process {
+    pub fn start(now: Timestamp, birth: Birth) -> Process {
         let Place { station, ip, district, province } = birth.place;
-        let me = Seat { station, ip, district, province, ..Seat::default() };
+        let me = Replica { station, ip, district, province, ..Replica::default() };
         let Birth { life, maiden, founder, records, .. } = birth;
-        Process { core: Core::new(now, Start { me, life, maiden, founder, records, slack: SLACK }) }
+        Process { core: StateMachine::new(now, Start { me, life, maiden, founder, records, slack: SLACK }) }
     }
 
-    pub fn tick(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Timestamp) {
         self.core.tick(now);
     }
 
@@ -98,12 +98,12 @@
         self.core.hello()
     }
 
-    pub fn peer_came(&mut self, now: Moment, hello: &Hello) {
+    pub fn peer_came(&mut self, now: Timestamp, hello: &Hello) {
         self.core.peer_came(now, hello);
     }
 
     /// Addresses that it tells of come back.
-    pub fn peer_said(&mut self, now: Moment, station: &str, word: Word) -> Vec<String> {
+    pub fn peer_said(&mut self, now: Timestamp, station: &str, word: Message) -> Vec<String> {
         self.core.peer_said(now, station, word)
     }
 
@@ -116,36 +116,36 @@
         self.core.stops()
     }
 
-    pub fn kept(&mut self, now: Moment, ticket: u64) {
+    pub fn kept(&mut self, now: Timestamp, ticket: u64) {
         self.core.kept(now, ticket);
     }
 
-    pub fn wish(&mut self, now: Moment, caller: u64, wish: &Wish) {
+    pub fn wish(&mut self, now: Timestamp, caller: u64, wish: &Wish) {
         let order = match wish {
-            Wish::Read => Order::Get,
-            Wish::Change(items) => Order::Patch(items.clone()),
-            Wish::Zone { zone, on } => Order::Evacuate { zone: zone.clone(), on: *on },
+            Wish::Read => Request::Get,
+            Wish::Change(items) => Request::Patch(items.clone()),
+            Wish::Zone { zone, on } => Request::Evacuate { zone: zone.clone(), on: *on },
         };
         self.core.order(now, caller, order);
     }
 
-    pub fn session_came(&mut self, now: Moment, id: u64, hello: Hello) {
+    pub fn session_came(&mut self, now: Timestamp, id: u64, hello: Hello) {
         self.core.session_came(now, id, hello);
     }
 
-    pub fn session_said(&mut self, now: Moment, id: u64, word: Word) {
+    pub fn session_said(&mut self, now: Timestamp, id: u64, word: Message) {
         self.core.session_said(now, id, word);
     }
 
-    pub fn session_lost(&mut self, now: Moment, id: u64, why: &str) {
+    pub fn session_lost(&mut self, now: Timestamp, id: u64, why: &str) {
         self.core.session_lost(now, id, why);
     }
 
-    pub fn list_read(&mut self, now: Moment, entries: Vec<Entry>) {
+    pub fn list_read(&mut self, now: Timestamp, entries: Vec<Entry>) {
         self.core.list_read(now, entries);
     }
 
-    pub fn leave(&mut self, now: Moment) {
+    pub fn leave(&mut self, now: Timestamp) {
         self.core.leave(now);
     }
 
@@ -153,12 +153,12 @@
         self.core.has_left()
     }
 
-    pub fn does_the_duty(&self, now: Moment) -> bool {
+    pub fn does_the_duty(&self, now: Timestamp) -> bool {
         self.core.holds(now).is_some()
     }
 
     pub fn is_current(&self) -> bool {
-        self.core.standing() == Standing::Current
+        self.core.standing() == ReplicaState::Current
     }
 
     /// Its folder holds all that it acknowledged.
@@ -170,20 +170,20 @@
         format!("{:?}", self.core.standing())
     }
 
-    pub fn ledger(&self) -> &Ledger {
+    pub fn ledger(&self) -> &ItemStore {
         self.core.ledger()
     }
 
     /// The casts that it knows, by name: edition and bytes.
     pub fn casts(&self) -> impl Iterator<Item = (&'static str, u64, &Bytes)> {
-        let cast = |name| self.ledger().get(Kind::Cast, name).map(|item| (name, item));
-        let known = [NOW, NEXT].into_iter().filter_map(cast);
+        let cast = |name| self.ledger().get(Kind::ReplicaSet, name).map(|item| (name, item));
+        let known = [CURRENT, INCOMING].into_iter().filter_map(cast);
         known.filter_map(|(name, item)| Some((name, item.edition, item.value.as_ref()?)))
     }
 
     /// Stations of the cast in force, as far as it knows.
     pub fn seated(&self) -> Vec<String> {
-        let cast = Cast::of(self.ledger(), NOW);
+        let cast = ReplicaSet::of(self.ledger(), CURRENT);
         cast.map_or(Vec::new(), |cast| cast.seats.into_iter().map(|seat| seat.station).collect())
     }
 
@@ -201,32 +201,33 @@
         let mut deeds = Vec::new();
         for act in std::mem::take(&mut self.core.acts) {
             match act {
-                Act::Peer(station, word) => deeds.push(Deed::Peer(station, word)),
-                Act::Session(id, word) => deeds.push(Deed::Session(id, word)),
-                Act::Items(id, items) => deeds
-                    .extend(items.chunks(BATCH).map(|items| Deed::Session(id, Word::Items(words_of(items))))),
-                Act::Answer(caller, reply) => deeds.push(Deed::Answer(caller, answer(reply))),
-                Act::Keep(ticket, records) => deeds.push(Deed::Keep(ticket, records)),
-                Act::Close(id) => deeds.push(Deed::Close(id)),
+                Action::Peer(station, word) => deeds.push(Deed::Peer(station, word)),
+                Action::Session(id, word) => deeds.push(Deed::Session(id, word)),
+                Action::Items(id, items) => deeds.extend(
+                    items.chunks(BATCH).map(|items| Deed::Session(id, Message::Items(words_of(items)))),
+                ),
+                Action::Answer(caller, reply) => deeds.push(Deed::Answer(caller, answer(reply))),
+                Action::Keep(ticket, records) => deeds.push(Deed::Keep(ticket, records)),
+                Action::Close(id) => deeds.push(Deed::Close(id)),
             }
         }
         deeds
     }
 }
 
-fn answer(reply: Reply) -> Answer {
+fn answer(reply: Response) -> Answer {
     match reply {
-        Reply::Done => Answer::Done,
-        Reply::Body(body) => Answer::Shown(shown(&body)),
-        Reply::Invalid(why) => Answer::Invalid(why),
-        Reply::Conflict(why) => Answer::Taken(why),
-        Reply::Redirect(ip) => Answer::Elsewhere(Some(ip)),
-        Reply::Elsewhere(_) => Answer::Elsewhere(None),
+        Response::Done => Answer::Done,
+        Response::Body(body) => Answer::Shown(shown(&body)),
+        Response::Invalid(why) => Answer::Invalid(why),
+        Response::Conflict(why) => Answer::Taken(why),
+        Response::Redirect(ip) => Answer::Elsewhere(Some(ip)),
+        Response::Elsewhere(_) => Answer::Elsewhere(None),
     }
 }
 
 pub fn words_of(items: &[Item]) -> Items {
-    Items { items: items.iter().map(ItemWord::from).collect() }
+    Items { items: items.iter().map(ItemMessage::from).collect() }
 }
 
 /// The items of an operator's call, as its body would be read.
@@ -264,7 +265,7 @@
 
 fn content_of(kind: Kind, fields: &serde_json::Value) -> Option<Content> {
     let call = match kind {
-        Kind::Line => fields["checkpoint"].as_str()?.strip_prefix('/')?.parse().ok()?,
+        Kind::Service => fields["checkpoint"].as_str()?.strip_prefix('/')?.parse().ok()?,
         Kind::Route => fields["target-ms"].as_u64()?,
         Kind::Tenant => fields["surge"].as_u64()?,
         _ => return None,
@@ -274,7 +275,7 @@
 
 /// What an item of the configuration says; none for other kinds.
 pub fn part_of(item: &Item) -> Option<Part> {
-    if !matches!(item.kind, Kind::Line | Kind::Route | Kind::Tenant) {
+    if !matches!(item.kind, Kind::Service | Kind::Route | Kind::Tenant) {
         return None;
     }
     let content = match &item.value {
@@ -288,7 +289,7 @@
 fn shown(body: &[u8]) -> BTreeMap<Name, (u64, Content)> {
     let whole: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
     let mut shown = BTreeMap::new();
-    let lists = [("itineraries", Kind::Route), ("customers", Kind::Tenant), ("carrier-lines", Kind::Line)];
+    let lists = [("itineraries", Kind::Route), ("customers", Kind::Tenant), ("carrier-lines", Kind::Service)];
     for (list, kind) in lists {
         let headings = whole[list]["headings"].as_array().cloned().unwrap_or_default();
         for entry in whole[list]["entries"].as_array().into_iter().flatten() {
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -77,7 +77,7 @@
     pub fn like(&self, seat: usize, breadth: Breadth) -> Vec<usize> {
         let (zone, region) = (self.seats[seat], self.provinces[self.seats[seat]]);
         let within = |other: &usize| match breadth {
-            Breadth::Seat => *other == seat,
+            Breadth::Replica => *other == seat,
             Breadth::Zone => self.seats[*other] == zone,
             Breadth::Region => self.provinces[self.seats[*other]] == region,
         };
@@ -87,7 +87,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Breadth {
-    Seat,
+    Replica,
     Zone,
     Region,
 }
@@ -202,7 +202,7 @@
             Trouble::Kill { power: true, .. } => "power",
             Trouble::Dark { .. } => "dark",
             Trouble::DiskLost { others: true, .. } => "disks-lost-and-dark",
-            Trouble::DiskLost { breadth: Breadth::Seat, .. } => "disk-lost",
+            Trouble::DiskLost { breadth: Breadth::Replica, .. } => "disk-lost",
             Trouble::DiskLost { breadth: Breadth::Zone, .. } => "disks-lost-zone",
             Trouble::DiskLost { breadth: Breadth::Region, .. } => "disks-lost-region",
             Trouble::Freeze { .. } => "freeze",
@@ -430,7 +430,7 @@
             }
         }
         3 => {
-            let breadth = [Breadth::Seat, Breadth::Zone, Breadth::Region][chance.below(3)];
+            let breadth = [Breadth::Replica, Breadth::Zone, Breadth::Region][chance.below(3)];
             Trouble::DiskLost { seat, breadth, others: chance.percent(40), back: back.min(4 * SECOND) }
         }
         4 => Trouble::Freeze { seat, span: span.min(8 * SECOND) },
--- a/crates/simulation/src/simulation/mod.rs
+++ b/crates/simulation/src/simulation/mod.rs
@@ -11,8 +11,8 @@
 use crate::rng::Chance;
 use crate::scenario::{Breadth, Layout, Script, Trouble, Way, Ways, MILLI, SECOND};
 use kitepass_control_plane::endpoints::Entry;
-use kitepass_coordination::protocol::{Hello, Word};
-use kitepass_time::Moment;
+use kitepass_coordination::protocol::{Hello, Message};
+use kitepass_time::Timestamp;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -53,7 +53,7 @@
 
 enum Event {
     Tick(usize, u64),
-    Word(u64, Word),
+    Message(u64, Message),
     /// What a cut held back goes on, if it is over.
     Release(u64),
     Synced(usize, u64),
@@ -273,10 +273,10 @@
     }
 
     /// A machine's steady time. Whoever asks for it is about to run its process.
-    fn moment(&self, node: usize) -> Moment {
+    fn moment(&self, node: usize) -> Timestamp {
         RUNS.set((self.now, node));
         let (began, fast) = self.nodes[node].clock;
-        Moment::from_micros(began + self.now + self.now / 1_000 * fast / 1_000)
+        Timestamp::from_micros(began + self.now + self.now / 1_000 * fast / 1_000)
     }
 
     /// Moves to an end; events up to it have come.
@@ -301,7 +301,9 @@
         let node = match &event {
             Event::Tick(node, _) | Event::Synced(node, _) => Some(*node),
             Event::SessionLost(node, ..) | Event::OutLost(node, ..) => Some(*node),
-            Event::Word(channel, _) => self.net.channels.get(channel).map(|c| c.to).filter(|to| *to < GATES),
+            Event::Message(channel, _) => {
+                self.net.channels.get(channel).map(|c| c.to).filter(|to| *to < GATES)
+            }
             Event::Request(sending) => self.sendings.get(sending).map(|s| s.node),
             _ => None,
         };
@@ -310,7 +312,7 @@
         }
         match event {
             Event::Tick(node, life) => self.tick(node, life),
-            Event::Word(channel, word) => self.word(channel, word),
+            Event::Message(channel, word) => self.word(channel, word),
             Event::Release(channel) => self.release(channel),
             Event::Synced(node, life) => self.synced(node, life),
             Event::Start(node) => self.start(node),
@@ -377,7 +379,7 @@
                 seen.0, seen.1
             ));
             let (edition, mark) = seen;
-            self.history.push(Seen::Cast { at: self.now, node, name, edition, mark });
+            self.history.push(Seen::ReplicaSet { at: self.now, node, name, edition, mark });
         }
         let holders: Vec<usize> = (0..self.nodes.len()).filter(|node| self.does_the_duty(*node)).collect();
         if holders.len() > 1 {
@@ -573,7 +575,7 @@
             // Both ways for the connection, then the word.
             let made = self.delay(other, number) + self.delay(number, other);
             self.net.channels.get_mut(&id).expect("made above").last = now + made;
-            self.say(id, Word::Hello(hello));
+            self.say(id, Message::Hello(hello));
         }
     }
 
@@ -600,7 +602,7 @@
     }
 
     /// Puts a word on a connection.
-    fn say(&mut self, id: u64, word: Word) {
+    fn say(&mut self, id: u64, word: Message) {
         let Some((from, to)) = self.net.channels.get(&id).filter(|c| !c.closed).map(|c| (c.from, c.to))
         else {
             return;
@@ -614,10 +616,10 @@
         self.traffic.message_bytes += bytes;
         self.tally.count("word");
         self.tally.add("word-bytes", bytes);
-        self.at(due, Event::Word(id, word));
+        self.at(due, Event::Message(id, word));
     }
 
-    fn word(&mut self, id: u64, word: Word) {
+    fn word(&mut self, id: u64, word: Message) {
         let now = self.now;
         let Some(channel) = self.net.channels.get(&id) else { return };
         if now > channel.until {
@@ -655,7 +657,7 @@
         let channel = self.net.channels.get_mut(&id).expect("found above");
         let held = std::mem::take(&mut channel.held);
         self.tally.add("word-held-then-came", held.len() as u64);
-        held.into_iter().for_each(|word| self.at(now, Event::Word(id, word)));
+        held.into_iter().for_each(|word| self.at(now, Event::Message(id, word)));
     }
 
     /// A connection breaks; whoever speaks on it, or has the session, notices.
@@ -723,7 +725,7 @@
         self.at(notice, Event::OutLost(from, from_life, id));
     }
 
-    fn arrive(&mut self, id: u64, word: Word) {
+    fn arrive(&mut self, id: u64, word: Message) {
         self.net.channels.entry(id).and_modify(|channel| channel.heard = self.now);
         let channel = &self.net.channels[&id];
         let (from, to, to_life, from_life) = (channel.from, channel.to, channel.to_life, channel.from_life);
@@ -744,13 +746,13 @@
         let node = &mut self.nodes[to];
         let process = node.process.as_mut().expect("found above");
         match (session, station, word) {
-            (Some(_), None, Word::Hello(hello)) => {
+            (Some(_), None, Message::Hello(hello)) => {
                 self.net.channels.get_mut(&id).expect("found above").station =
                     Some((hello.station.clone(), hello.life));
                 process.session_came(now, id, hello);
             }
             (Some(_), _, word) => process.session_said(now, id, word),
-            (None, None, Word::Hello(hello)) => {
+            (None, None, Message::Hello(hello)) => {
                 self.net.channels.get_mut(&id).expect("found above").station =
                     Some((hello.station.clone(), hello.life));
                 node.ips.insert(hello.station.clone(), hello.ip.clone());
@@ -812,7 +814,7 @@
     // Gateways.
 
     fn gate_turn(&mut self, number: usize) {
-        let now = Moment::from_micros(self.now + 5 * SECOND);
+        let now = Timestamp::from_micros(self.now + 5 * SECOND);
         let draw = self.chance.draw();
         let site = &mut self.sites[number];
         let had = site.at;
@@ -850,8 +852,8 @@
         }
     }
 
-    fn gate_hears(&mut self, number: usize, session: u64, word: Word) {
-        let now = Moment::from_micros(self.now + 5 * SECOND);
+    fn gate_hears(&mut self, number: usize, session: u64, word: Message) {
+        let now = Timestamp::from_micros(self.now + 5 * SECOND);
         let site = &mut self.sites[number];
         if site.at.is_none_or(|(id, _)| id != session) {
             return;
--- a/crates/simulation/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 
 fn line(name: &str) -> Name {
-    (Kind::Line, name.to_owned())
+    (Kind::Service, name.to_owned())
 }
 
 fn part(name: &str, edition: u64, call: u64) -> Part {
@@ -47,7 +47,7 @@
     seen.extend(read(100, &[("a", 3, 1), ("b", 3, 1)]));
     seen.push(in_force(0, part("a", 3, 1)));
     seen.push(Seen::Duty { at: 0, nodes: vec![4] });
-    seen.push(Seen::Cast { at: 0, node: 1, name: "now", edition: 1, mark: 7 });
+    seen.push(Seen::ReplicaSet { at: 0, node: 1, name: "now", edition: 1, mark: 7 });
     seen.push(Seen::ZoneBegan { at: 0, order: 1, zone: "z".into(), on: true });
     seen.push(Seen::ZoneEnded { at: 1, order: 1, taken: true });
     seen.push(Seen::ZoneIs { at: 2, node: 0, zone: "z".into(), on: true });
@@ -97,7 +97,7 @@
 )]
 #[case::a_gateway_goes_back(vec![in_force(0, part("a", 2, 3))], Rule::WentBack)]
 #[case::two_do_the_duty(vec![Seen::Duty { at: 0, nodes: vec![1, 2] }], Rule::TwoDoTheDuty)]
-#[case::two_casts(vec![Seen::Cast { at: 0, node: 2, name: "now", edition: 1, mark: 8 }], Rule::TwoCasts)]
+#[case::two_casts(vec![Seen::ReplicaSet { at: 0, node: 2, name: "now", edition: 1, mark: 8 }], Rule::TwoCasts)]
 #[case::an_evacuation_is_undone(vec![Seen::ZoneIs { at: 9, node: 0, zone: "z".into(), on: false }], Rule::ZoneUndone)]
 #[case::a_zone_is_evacuated_by_nobody(
     vec![Seen::ZoneIs { at: 9, node: 0, zone: "y".into(), on: true }],
--- a/crates/simulation/tests/requirements.rs
+++ b/crates/simulation/tests/requirements.rs
@@ -16,7 +16,7 @@
     for seed in 0..20 {
         let mut world = World::new(&script(seed, Layout::six(), Vec::new()));
         world.run_to(5 * SECOND);
-        let item = [((Kind::Line, "l".to_owned()), 7, true)];
+        let item = [((Kind::Service, "l".to_owned()), 7, true)];
         let (a, b) = (world.seat(seed as usize % 6), world.seat((seed as usize + 1 + seed as usize / 6) % 6));
         let (_, one) = world.change(a, &item);
         let (_, two) = world.change(b, &item);
@@ -48,7 +48,7 @@
         for life in 0..2 {
             for _ in 0..150 {
                 edition += 1;
-                let item = [((Kind::Line, format!("l{edition}")), edition, true)];
+                let item = [((Kind::Service, format!("l{edition}")), edition, true)];
                 sent.push(world.change(world.seat(0), &item).1);
                 world.run(20 * MILLI);
                 // The worst moment: a copy is said to be there, and no other disk has got so far.
--- a/crates/simulator-host/src/decode.rs
+++ b/crates/simulator-host/src/decode.rs
@@ -2,7 +2,7 @@
 
 pub use kitepass_gateway_config::Refusal;
 use kitepass_gateway_policy::{Charter, Ending, Listed, Standing, Total};
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 
 /// The values of one line.
 pub struct Fields<'a>(Vec<(&'a str, &'a str)>);
@@ -41,12 +41,12 @@
         }
     }
 
-    pub fn moment(&self, name: &str) -> Result<Moment, Refusal> {
-        micros(name, self.text(name)?).map(Moment::from_micros)
+    pub fn moment(&self, name: &str) -> Result<Timestamp, Refusal> {
+        micros(name, self.text(name)?).map(Timestamp::from_micros)
     }
 
-    pub fn span_or_zero(&self, name: &str) -> Result<Span, Refusal> {
-        self.get(name).map_or(Ok(Span::ZERO), |value| micros(name, value).map(Span::from_micros))
+    pub fn span_or_zero(&self, name: &str) -> Result<Duration, Refusal> {
+        self.get(name).map_or(Ok(Duration::ZERO), |value| micros(name, value).map(Duration::from_micros))
     }
 
     pub fn number_or(&self, name: &str, absent: f64) -> Result<f64, Refusal> {
@@ -134,7 +134,7 @@
             other => return Err(format!("Status: expected a standing, found '{}'", clip(other))),
         },
         size: Some(fields.number_or("Nominal", 1.0)?).filter(|size| *size > 0.0).unwrap_or(1.0),
-        started: Some(Moment::from_micros(started.micros())).filter(|_| started > Span::ZERO),
+        started: Some(Timestamp::from_micros(started.micros())).filter(|_| started > Duration::ZERO),
     })
 }
 
--- a/crates/simulator-host/src/host.rs
+++ b/crates/simulator-host/src/host.rs
@@ -3,7 +3,7 @@
 use crate::decode::{self, Fields, Refusal};
 use crate::message::{self, Message};
 use kitepass_gateway_policy::{Asked, Gateway, LegEnd, Listed, News, Offer, Orders, Verdict};
-use kitepass_time::{Moment, Span};
+use kitepass_time::{Duration, Timestamp};
 use std::collections::HashMap;
 use std::fmt::Display;
 use std::io::{self, BufRead, Write};
@@ -36,7 +36,7 @@
 
 #[derive(Default)]
 struct Host {
-    now: Moment,
+    now: Timestamp,
     gateways: HashMap<String, Gateway>,
     lists: Vec<Vec<Listed>>,
     /// The list being read and how many of its lines are still to come.
@@ -204,7 +204,7 @@
     }
 }
 
-struct Seconds(Span);
+struct Seconds(Duration);
 
 impl Display for Seconds {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
@@ -215,11 +215,11 @@
 }
 
 impl Orders for Reply {
-    fn leg(&mut self, command: &str, backend: &str, allow: Span) {
+    fn leg(&mut self, command: &str, backend: &str, allow: Duration) {
         let allow = Seconds(allow);
         self.line("CALL_OUT", format_args!(" Id={command} AllowFor={allow} Backend={backend}"));
     }
-    fn bounce(&mut self, command: &str, retry_in: Option<Span>) {
+    fn bounce(&mut self, command: &str, retry_in: Option<Duration>) {
         match retry_in {
             Some(away) => self.line("BUSY", format_args!(" Id={command} RetryIn={}", Seconds(away))),
             None => self.line("BUSY", format_args!(" Id={command}")),
@@ -228,7 +228,7 @@
     fn scrap(&mut self, command: &str) {
         self.line("RESPOND_ERROR", format_args!(" Id={command}"));
     }
-    fn count(&mut self, name: &str, amount: f64, keep: Span) {
+    fn count(&mut self, name: &str, amount: f64, keep: Duration) {
         let keep = Seconds(keep);
         self.line("POST_AMOUNT", format_args!(" Lives={keep} Delta={amount} TallyId={name}"));
     }
@@ -245,7 +245,7 @@
     fn answer(&mut self, peer: u32, question: u16, verdict: Verdict) {
         self.line("WRITE_PEER", format_args!(" Target={peer} Bytes={}", message::answer(question, verdict)));
     }
-    fn wake(&mut self, token: &str, after: Span) {
+    fn wake(&mut self, token: &str, after: Duration) {
         self.line("NOTIFY_ME", format_args!(" Token={token} In={}", Seconds(after)));
     }
 }
--- a/crates/storage/src/in_memory.rs
+++ b/crates/storage/src/in_memory.rs
@@ -5,15 +5,15 @@
 
 use crate::event_fd::Wake;
 use crate::format::Map;
-use crate::{Error, Record, Shelf, ThreadSnafu};
+use crate::{Error, Record, RecordStore, ThreadSnafu};
 
-/// What outlives a [`Memory`], as the disk outlives a store. Clones are the same.
+/// What outlives a [`InMemoryStore`], as the disk outlives a store. Clones are the same.
 #[derive(Clone, Debug, Default)]
 pub struct Kept(Arc<Mutex<Map>>);
 
 /// A stand-in of [`Store`](crate::Store): each put is kept at once, and its ticket waits for `done`.
 #[derive(Debug)]
-pub struct Memory {
+pub struct InMemoryStore {
     kept: Kept,
     done: Mutex<Vec<u64>>,
     wake: Wake,
@@ -23,19 +23,19 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Memory {
+impl InMemoryStore {
     /// Opens what is kept; gives it in the order of keys, as [`Store::open`](crate::Store::open) does.
     ///
     /// # Errors
     /// [`Error::Thread`] where no descriptor can be had.
-    pub fn open(kept: &Kept) -> Result<(Memory, Vec<Record>), Error> {
+    pub fn open(kept: &Kept) -> Result<(InMemoryStore, Vec<Record>), Error> {
         let wake = Wake::new().map_err(|e| ThreadSnafu { path: "", cause: e.to_string() }.build())?;
         let records = lock(&kept.0).clone().into_iter().collect();
-        Ok((Memory { kept: kept.clone(), done: Mutex::default(), wake }, records))
+        Ok((InMemoryStore { kept: kept.clone(), done: Mutex::default(), wake }, records))
     }
 }
 
-impl Shelf for Memory {
+impl RecordStore for InMemoryStore {
     fn put(&self, ticket: u64, records: Vec<Record>) {
         crate::record_log::take(&mut lock(&self.kept.0), records);
         lock(&self.done).push(ticket);
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,7 +1,7 @@
 //! The durable store of a control process: a map of records on disk.
 //!
 //! [`Store`] runs on a thread of its own, so that an event loop never waits for the disk: records are handed
-//! over with a ticket, and the ticket comes back once they are synced. [`Memory`] stands in for it in tests.
+//! over with a ticket, and the ticket comes back once they are synced. [`InMemoryStore`] stands in for it in tests.
 //!
 //! # On disk
 //!
@@ -19,7 +19,7 @@
 //! # A disk that refuses, fills up or hangs
 //!
 //! None of these ends the store; tickets come later, that is all. What waits collapses to the newest value of each
-//! key, so that memory holds a few times the map at most, and [`MOST_TICKETS`] bounds the tickets.
+//! key, so that memory holds a few times the map at most, and [`MAX_PENDING_WRITES`] bounds the tickets.
 //!
 //! * After any call that failed, the store is *refused* (`event=store_refused`): the log is not touched again, as a
 //!   sync that failed tells nothing when repeated, but cut to what was synced. After a pause, 0.25 s at first and
@@ -67,8 +67,8 @@
 
 use snafu::Snafu;
 
-pub use in_memory::{Kept, Memory};
-pub use store::{Store, MOST_TICKETS};
+pub use in_memory::{InMemoryStore, Kept};
+pub use store::{Store, MAX_PENDING_WRITES};
 
 /// A record: its key and its value.
 pub type Record = (Vec<u8>, Vec<u8>);
@@ -105,13 +105,13 @@
     },
 }
 
-/// What keeps records: [`Store`] on disk, [`Memory`] as its stand-in.
-pub trait Shelf {
+/// What keeps records: [`Store`] on disk, [`InMemoryStore`] as its stand-in.
+pub trait RecordStore {
     /// Hands records over to be kept; a later value of a key replaces earlier ones. The records of one call are
     /// kept all or none. Never waits.
     fn put(&self, ticket: u64, records: Vec<Record>);
 
-    /// Tickets whose records were kept since the last call, in the order of [`Shelf::put`]. Those of all earlier
+    /// Tickets whose records were kept since the last call, in the order of [`RecordStore::put`]. Those of all earlier
     /// puts are kept then too.
     ///
     /// # Errors
@@ -119,6 +119,6 @@
     /// their records may or may not be kept.
     fn done(&self) -> Result<Vec<u64>, Error>;
 
-    /// A descriptor that is readable when [`Shelf::done`] has something new to say.
+    /// A descriptor that is readable when [`RecordStore::done`] has something new to say.
     fn wakes(&self) -> BorrowedFd<'_>;
 }
--- a/crates/storage/src/record_log.rs
+++ b/crates/storage/src/record_log.rs
@@ -12,9 +12,9 @@
 const SNAPSHOT: &str = "snapshot";
 const SNAPSHOT_NEW: &str = "snapshot.new";
 
-/// The map in memory is always the newest. What of it is surely on disk, the last call of [`Journal::keep`] says.
+/// The map in memory is always the newest. What of it is surely on disk, the last call of [`RecordLog::keep`] says.
 #[derive(Debug)]
-pub(crate) struct Journal<D: Disk> {
+pub(crate) struct RecordLog<D: Disk> {
     disk: D,
     map: Map,
     /// Bytes that the log may take.
@@ -91,10 +91,10 @@
     Ok((found, entries))
 }
 
-impl<D: Disk> Journal<D> {
-    /// Reads what the folder holds, and writes nothing. Until the first [`Journal::keep`] has succeeded nothing of
+impl<D: Disk> RecordLog<D> {
+    /// Reads what the folder holds, and writes nothing. Until the first [`RecordLog::keep`] has succeeded nothing of
     /// it is sure: a process that was killed may have written and not synced it, or failed to sync it.
-    pub(crate) fn open(disk: D, bound: u64) -> Result<Journal<D>, Error> {
+    pub(crate) fn open(disk: D, bound: u64) -> Result<RecordLog<D>, Error> {
         let logs = logs(&disk.list().map_err(at(&disk, ""))?);
         let (Snapshot { map, from, next }, entries) = recover(&disk, &logs)?;
         // Above each log that is there: none is ever written to twice.
@@ -102,7 +102,7 @@
         // A snapshot's rename may be visible and not synced, and the logs below the one that it names are still
         // needed then. An entry in that one tells that it was synced: none is written before.
         let needed = if entries { from..=newest } else { 0..=newest };
-        Ok(Journal { disk, map, bound, log: Log::Broken, number: newest.max(from), next, needed })
+        Ok(RecordLog { disk, map, bound, log: Log::Broken, number: newest.max(from), next, needed })
     }
 
     pub(crate) fn map(&self) -> &Map {
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -10,12 +10,12 @@
 use crate::disk::{Disk, Folder};
 use crate::event_fd::Wake;
 use crate::format::Map;
-use crate::record_log::Journal;
-use crate::{DiskSnafu, Error, Record, Shelf, ThreadSnafu};
+use crate::record_log::RecordLog;
+use crate::{DiskSnafu, Error, Record, RecordStore, ThreadSnafu};
 
 /// How many tickets may wait for the disk. Beyond it the oldest are dropped and never come back; their records
 /// are kept like all others. Danger: a disk that hangs or refuses would have tickets pile up without end.
-pub const MOST_TICKETS: usize = 1 << 16;
+pub const MAX_PENDING_WRITES: usize = 1 << 16;
 
 /// How long the store pauses after the disk has refused, before it tries again: at first, and at most. Each pause
 /// is twice the one before. Danger: attempts without a pause would keep the machine from all else.
@@ -85,7 +85,7 @@
             return;
         }
         inner.waiting.extend(records);
-        if inner.tickets.len() >= MOST_TICKETS {
+        if inner.tickets.len() >= MAX_PENDING_WRITES {
             inner.tickets.pop_front();
             inner.covered = inner.covered.saturating_sub(1);
             inner.dropped += 1;
@@ -196,7 +196,7 @@
 }
 
 /// One attempt to have all on disk that was handed over.
-fn attempt<D: Disk>(shared: &Shared, journal: &mut Journal<D>, records: Map) {
+fn attempt<D: Disk>(shared: &Shared, journal: &mut RecordLog<D>, records: Map) {
     let start = Instant::now();
     match journal.keep(records) {
         Ok(compacted) => {
@@ -237,7 +237,7 @@
     {
         let folder = disk.path("");
         let no_thread = |e: std::io::Error| ThreadSnafu { path: &folder, cause: e.to_string() }.build();
-        let mut journal = Journal::open(disk, bound)?;
+        let mut journal = RecordLog::open(disk, bound)?;
         let records: Vec<Record> = journal.map().iter().map(|(k, v)| (k.clone(), v.clone())).collect();
         let inner = Inner {
             state: State::Open,
@@ -266,8 +266,8 @@
         Ok((Store { shared, thread: Some(thread) }, records))
     }
 
-    /// Hands records over to be written and synced; see [`Shelf::put`]. Never waits. Where the disk takes long
-    /// or refuses, the newest value of each key waits in memory, and no more than [`MOST_TICKETS`] tickets. A key
+    /// Hands records over to be written and synced; see [`RecordStore::put`]. Never waits. Where the disk takes long
+    /// or refuses, the newest value of each key waits in memory, and no more than [`MAX_PENDING_WRITES`] tickets. A key
     /// or a value has less than 4 GiB. After the store's end a put does nothing.
     pub fn put(&self, ticket: u64, records: Vec<Record>) {
         self.shared.hand_over(ticket, records);
@@ -310,7 +310,7 @@
     }
 }
 
-impl Shelf for Store {
+impl RecordStore for Store {
     fn put(&self, ticket: u64, records: Vec<Record>) {
         Store::put(self, ticket, records);
     }
--- a/crates/storage/src/tests.rs
+++ b/crates/storage/src/tests.rs
@@ -12,8 +12,8 @@
 
 use crate::disk::{Disk, Folder};
 use crate::format::Map;
-use crate::record_log::Journal;
-use crate::{Error, Kept, Memory, Record, Shelf, Store, MOST_TICKETS};
+use crate::record_log::RecordLog;
+use crate::{Error, InMemoryStore, Kept, Record, RecordStore, Store, MAX_PENDING_WRITES};
 
 /// A store that tries again at once.
 const AT_ONCE: (Duration, Duration) = (Duration::ZERO, Duration::ZERO);
@@ -29,7 +29,7 @@
 }
 
 impl Place {
-    fn open(&self) -> (Box<dyn Shelf>, Vec<Record>) {
+    fn open(&self) -> (Box<dyn RecordStore>, Vec<Record>) {
         match self {
             // A log so short that it is compacted now and then.
             Place::Folder(folder) => {
@@ -37,20 +37,20 @@
                 (Box::new(store), records)
             }
             Place::Kept(kept) => {
-                let (memory, records) = Memory::open(kept).unwrap();
+                let (memory, records) = InMemoryStore::open(kept).unwrap();
                 (Box::new(memory), records)
             }
         }
     }
 }
 
-fn readable(shelf: &dyn Shelf, wait: bool) -> bool {
+fn readable(shelf: &dyn RecordStore, wait: bool) -> bool {
     let now = Default::default();
     let mut fds = [PollFd::from_borrowed_fd(shelf.wakes(), PollFlags::IN)];
     poll(&mut fds, if wait { None } else { Some(&now) }).unwrap() > 0
 }
 
-fn wait_for(shelf: &dyn Shelf, count: usize) -> Result<Vec<u64>, Error> {
+fn wait_for(shelf: &dyn RecordStore, count: usize) -> Result<Vec<u64>, Error> {
     let mut tickets = Vec::new();
     while tickets.len() < count {
         readable(shelf, true);
@@ -404,7 +404,7 @@
                 inner.trouble = Trouble { calls, refuses, room, ..Trouble::default() };
             }
             drop(inner);
-            match Journal::open(sim.clone(), bound) {
+            match RecordLog::open(sim.clone(), bound) {
                 Err(error) => {
                     assert!(matches!(error, Error::Disk { .. }), "seed={seed} round={round} {error}")
                 }
@@ -443,7 +443,7 @@
             }
         }
         sim.lock().left = u64::MAX;
-        let found = Journal::open(sim.clone(), bound).unwrap_or_else(|e| panic!("seed={seed} {e}"));
+        let found = RecordLog::open(sim.clone(), bound).unwrap_or_else(|e| panic!("seed={seed} {e}"));
         assert!(maps.contains(found.map()), "seed={seed}");
     }
 }
@@ -511,13 +511,13 @@
     sim.trouble(Trouble { hangs: true, ..FOR_GOOD });
     store.put(0, vec![record("first", "0")]);
     sim.wait_until(|inner| inner.hung > 0);
-    let last = MOST_TICKETS as u64 + 10;
+    let last = MAX_PENDING_WRITES as u64 + 10;
     for ticket in 1..=last {
         store.put(ticket, vec![record("last", &ticket.to_string())]);
     }
     assert_eq!(store.done(), Ok(vec![]));
     sim.trouble(Trouble::default());
-    assert_eq!(wait_for(&store, MOST_TICKETS).unwrap(), (11..=last).collect::<Vec<_>>());
+    assert_eq!(wait_for(&store, MAX_PENDING_WRITES).unwrap(), (11..=last).collect::<Vec<_>>());
     let expected = [record("first", "0"), record("last", &last.to_string())];
     assert_eq!(after_power_loss(&sim, store), expected);
 }
