--- a/crates/config/src/change_request.rs
+++ b/crates/config/src/change_request.rs
@@ -152,12 +152,12 @@
     }
 }
 
-/// Reads an operator's call, and checks each of its items by itself; [`judge`](crate::judge()) does the rest.
+/// Reads an operator's call, and checks each of its items by itself; [`judge`](crate::validate()) does the rest.
 /// Deliveries come first, then withdrawals. The body's length is for the caller to bound.
 ///
 /// # Errors
 /// Where the call cannot be read whole, or an item is wrong by itself.
-pub fn read_call(checker: &SchemaValidator, body: &[u8]) -> Result<Vec<Item>, ValidationError> {
+pub fn parse_change_request(checker: &SchemaValidator, body: &[u8]) -> Result<Vec<Item>, ValidationError> {
     let mut call: Value = serde_json::from_slice(body).context(UnreadableSnafu)?;
     // A list of an unknown name is refused, as its items would be acknowledged and lost.
     if let Err(error) = checker.call.validate(&call) {
@@ -182,8 +182,8 @@
         for gone in call["withdraw"][list.name].as_array().into_iter().flatten() {
             check(&checker.withdrawal, list.name, gone)?;
             let name = gone["name"].as_str().unwrap_or_default();
-            let edition = read_edition(list.name, name, &gone["edition"])?;
-            intake.add(list.name, Item { kind: list.kind, name: Arc::from(name), edition, value: None })?;
+            let version = read_edition(list.name, name, &gone["edition"])?;
+            intake.add(list.name, Item { kind: list.kind, name: Arc::from(name), version, value: None })?;
         }
     }
     Ok(intake.items)
@@ -231,8 +231,8 @@
 }
 
 /// "r" and a number.
-fn read_edition(list: &'static str, name: &str, edition: &Value) -> Result<u64, ValidationError> {
-    let digits = edition.as_str().and_then(|text| text.strip_prefix('r'));
+fn read_edition(list: &'static str, name: &str, version: &Value) -> Result<u64, ValidationError> {
+    let digits = version.as_str().and_then(|text| text.strip_prefix('r'));
     match digits.filter(|digits| digits.bytes().all(|byte| byte.is_ascii_digit())).map(str::parse) {
         Some(Ok(number)) => Ok(number),
         _ => row(list, name, "edition", "not an \"r\" and a number below 2 to the 64th"),
@@ -249,19 +249,19 @@
     let object = Value::Object(object);
     check(checker.of(kind), list, &object)?;
     let name = if kind == Kind::Limits { "" } else { object["name"].as_str().unwrap_or_default() };
-    let edition = read_edition(list, name, &object["edition"])?;
+    let version = read_edition(list, name, &object["edition"])?;
     let fields = object.as_object().into_iter().flatten();
     let kept = fields.filter(|(key, _)| *key != "edition" && (*key != "name" || kind == Kind::Limits));
     // Sorted, so that the same content has the same bytes whatever order its headings came in.
     let kept: BTreeMap<&String, &Value> = kept.collect();
     let text = serde_json::to_vec(&kept).context(UnreadableSnafu)?;
-    let item = Item { kind, name: Arc::from(name), edition, value: Some(Bytes::from(text)) };
+    let item = Item { kind, name: Arc::from(name), version, value: Some(Bytes::from(text)) };
     // An item that the schema allows and a data plane cannot read would stand, and do nothing.
     let readable = match kind {
         Kind::Route => read(&item, kind).map(|route| check_route(name, &route)).transpose()?.is_some(),
-        Kind::Tenant => Tenant::of(&item).is_some(),
-        Kind::Service => Service::of(&item).is_some(),
-        _ => Limits::of(&item).is_some(),
+        Kind::Tenant => Tenant::from_item(&item).is_some(),
+        Kind::Service => Service::from_item(&item).is_some(),
+        _ => Limits::from_item(&item).is_some(),
     };
     if !readable {
         return row(list, name, "item", "cannot be read");
@@ -317,13 +317,13 @@
 /// The fields of a standing item, its edition among them.
 fn fields(item: &Item) -> Option<Map<String, Value>> {
     let mut object: Map<String, Value> = read(item, item.kind)?;
-    object.insert("edition".to_owned(), json!(format!("r{}", item.edition)));
+    object.insert("edition".to_owned(), json!(format!("r{}", item.version)));
     Some(object)
 }
 
 fn table(whole: &ItemStore, list: &List) -> Table {
     let mut rows: Vec<Map<String, Value>> = Vec::new();
-    for item in whole.each(list.kind) {
+    for item in whole.items_of(list.kind) {
         let Some(mut object) = fields(item) else { continue };
         object.insert("name".to_owned(), json!(&*item.name));
         rows.push(object);
@@ -349,11 +349,11 @@
 }
 
 /// All items that stand, as JSON: the three tables, rows by name, and the limits if there are any.
-pub fn read_back(whole: &ItemStore) -> Vec<u8> {
+pub fn to_configuration(whole: &ItemStore) -> Vec<u8> {
     serde_json::to_vec(&timetable(whole)).expect("keys are text")
 }
 
-/// As [`read_back`], laid out as a call that delivers all that stands.
-pub fn read_back_as_call(whole: &ItemStore) -> Vec<u8> {
+/// As [`to_configuration`], laid out as a call that delivers all that stands.
+pub fn to_change_request(whole: &ItemStore) -> Vec<u8> {
     serde_json::to_vec(&Call { deliver: timetable(whole) }).expect("keys are text")
 }
--- a/crates/config/src/item.rs
+++ b/crates/config/src/item.rs
@@ -47,7 +47,7 @@
     /// Unique within the kind. The single `Limits` item has the name "".
     pub name: Arc<str>,
     /// Of two versions of a name the higher one prevails.
-    pub edition: u64,
+    pub version: u64,
     /// A JSON object's text, without name and edition, its keys sorted, null fields left out; `None` for a
     /// dropped item. Opaque for `Evacuation`, `Backend` and `ReplicaSet`.
     pub value: Option<Bytes>,
@@ -55,12 +55,12 @@
 
 impl Item {
     /// Bytes that it takes on the wire at most, without older versions.
-    pub fn bytes(&self) -> usize {
+    pub fn wire_bytes(&self) -> usize {
         self.name.len() + self.value.as_ref().map_or(0, |value| value.len()) + 32
     }
 
     /// Whether the item is set, not dropped.
-    pub fn stands(&self) -> bool {
+    pub fn is_set(&self) -> bool {
         self.value.is_some()
     }
 }
--- a/crates/config/src/item_store/chunks.rs
+++ b/crates/config/src/item_store/chunks.rs
@@ -12,9 +12,9 @@
 pub struct Chunk<T> {
     pub items: Vec<T>,
     /// The first bucket that is not covered; [`BUCKETS`] when all are.
-    pub next: usize,
+    pub next_bucket: usize,
     /// A bit for each covered bucket that differs: all that is held in it is among the items.
-    pub differs: Vec<u8>,
+    pub differing_buckets: Vec<u8>,
     /// Over the hashes of the covered buckets, as they are here.
     pub digest: u64,
 }
@@ -41,12 +41,12 @@
 impl ItemStore {
     /// The items of buckets that differ from another copy's, from a bucket on: whole buckets of at most `most` bytes in
     /// all, but one that differs at least. A bucket that `theirs` is too short for differs.
-    pub fn piece(&self, theirs: &[u64], from: usize, most: usize) -> Chunk<&Item> {
+    pub fn chunk(&self, theirs: &[u64], from: usize, most: usize) -> Chunk<&Item> {
         self.cut(&self.buckets, theirs, from, most, |kept| &kept.item)
     }
 
     /// As [`ItemStore::piece`], by [`ItemStore::whole_buckets`] and with the older versions.
-    pub fn whole_piece(&self, theirs: &[u64], from: usize, most: usize) -> Chunk<Entry<'_>> {
+    pub fn history_chunk(&self, theirs: &[u64], from: usize, most: usize) -> Chunk<Entry<'_>> {
         self.cut(&self.whole, theirs, from, most, Kept::entry)
     }
 
@@ -61,7 +61,7 @@
         let from = from.min(BUCKETS);
         let mut sizes = [0; BUCKETS];
         for kept in self.kept() {
-            sizes[kept.bucket] += kept.item.bytes() + std::mem::size_of_val(kept.past.as_slice());
+            sizes[kept.bucket] += kept.item.wire_bytes() + std::mem::size_of_val(kept.past.as_slice());
         }
         let (mut next, mut size, mut differs) = (from, 0, vec![0; BUCKETS / 8]);
         while next < BUCKETS {
@@ -79,6 +79,6 @@
         if size == 0 && differs.iter().all(|byte| *byte == 0) {
             differs = Vec::new(); // mostly so, and then it takes no room
         }
-        Chunk { items, next, differs, digest }
+        Chunk { items, next_bucket: next, differing_buckets: differs, digest }
     }
 }
--- a/crates/config/src/item_store/mod.rs
+++ b/crates/config/src/item_store/mod.rs
@@ -29,7 +29,7 @@
 pub struct ItemStore {
     /// By kind, at `place(kind)`.
     items: [BTreeMap<Arc<str>, Kept>; Kind::ALL.len()],
-    highest: [u64; Kind::ALL.len()],
+    highest_version: [u64; Kind::ALL.len()],
     /// The xor of the hashes of a bucket's items; 0 for an empty one.
     buckets: Box<[u64; BUCKETS]>,
     /// The same over items with their older versions.
@@ -47,7 +47,7 @@
 
 impl Kept {
     fn entry(&self) -> Entry<'_> {
-        Entry { item: &self.item, past: &self.past }
+        Entry { item: &self.item, older_versions: &self.past }
     }
 }
 
@@ -58,12 +58,12 @@
 /// The same in every process and on every machine, as copies compare by it.
 fn hash(item: &Item) -> u64 {
     // Backends that are gone are forgotten one day: whether a copy has done so must not show.
-    if item.kind == Kind::Backend && !item.stands() {
+    if item.kind == Kind::Backend && !item.is_set() {
         return 0;
     }
     let mut hasher = Xxh3::new();
-    hasher.update(&[item.kind as u8, u8::from(item.stands())]);
-    hasher.update(&item.edition.to_le_bytes());
+    hasher.update(&[item.kind as u8, u8::from(item.is_set())]);
+    hasher.update(&item.version.to_le_bytes());
     hasher.update(&(item.name.len() as u64).to_le_bytes());
     hasher.update(item.name.as_bytes());
     hasher.update(item.value.as_deref().unwrap_or_default());
@@ -77,9 +77,9 @@
     }
     let mut hasher = Xxh3::new();
     hasher.update(&hash.to_le_bytes());
-    for version in past {
-        hasher.update(&version.edition.to_le_bytes());
-        hasher.update(&version.mark.to_le_bytes());
+    for version_digest in past {
+        hasher.update(&version_digest.version.to_le_bytes());
+        hasher.update(&version_digest.digest.to_le_bytes());
     }
     hasher.digest()
 }
@@ -112,7 +112,7 @@
         let buckets = || Box::new([0; BUCKETS]);
         ItemStore {
             items: Default::default(),
-            highest: [0; Kind::ALL.len()],
+            highest_version: [0; Kind::ALL.len()],
             buckets: buckets(),
             whole: buckets(),
         }
@@ -120,18 +120,18 @@
 
     /// Takes what another copy knows of an item; whether that changed its newest version. An older one is remembered.
     pub fn merge(&mut self, item: Item) -> bool {
-        self.merge_with(item, &[]) == MergeOutcome::News
+        self.merge_with_history(item, &[]) == MergeOutcome::NewestChanged
     }
 
     /// Takes what another copy knows of an item and of its older versions.
-    pub fn merge_with(&mut self, item: Item, past: &[VersionDigest]) -> MergeOutcome {
+    pub fn merge_with_history(&mut self, item: Item, past: &[VersionDigest]) -> MergeOutcome {
         let place = place(item.kind);
-        self.highest[place] = self.highest[place].max(item.edition);
+        self.highest_version[place] = self.highest_version[place].max(item.version);
         let keeps_past = item.kind.is_durable();
         let btree_map::Entry::Occupied(mut occupied) = self.items[place].entry(item.name.clone()) else {
             let mut older = Vec::new();
             if keeps_past {
-                unite(&mut older, item.edition, past);
+                unite(&mut older, item.version, past);
             }
             let (hash, bucket) = (hash(&item), bucket(&item));
             let whole = whole(hash, &older);
@@ -139,57 +139,63 @@
             self.whole[bucket] ^= whole;
             let name = item.name.clone();
             self.items[place].insert(name, Kept { item, past: older, hash, whole, bucket });
-            return MergeOutcome::News;
+            return MergeOutcome::NewestChanged;
         };
         let kept = occupied.get_mut();
-        let is_news = (item.edition, &item.value) > (kept.item.edition, &kept.item.value);
-        if !is_news && item.edition == kept.item.edition && past.is_empty() {
-            return MergeOutcome::Nothing;
+        let is_news = (item.version, &item.value) > (kept.item.version, &kept.item.value);
+        if !is_news && item.version == kept.item.version && past.is_empty() {
+            return MergeOutcome::Unchanged;
         }
-        let (mut version, was) = (item.version(), kept.hash);
+        let (mut version_digest, was) = (item.version_digest(), kept.hash);
         if is_news {
-            version = std::mem::replace(&mut kept.item, item).version();
+            version_digest = std::mem::replace(&mut kept.item, item).version_digest();
             kept.hash = hash(&kept.item);
             self.buckets[kept.bucket] ^= was ^ kept.hash;
         }
-        let below = kept.item.edition;
-        let remembers =
-            keeps_past && (unite(&mut kept.past, below, past) | unite(&mut kept.past, below, &[version]));
+        let below = kept.item.version;
+        let remembers = keeps_past
+            && (unite(&mut kept.past, below, past) | unite(&mut kept.past, below, &[version_digest]));
         if !is_news && !remembers {
-            return MergeOutcome::Nothing;
+            return MergeOutcome::Unchanged;
         }
         self.whole[kept.bucket] ^= kept.whole;
         kept.whole = whole(kept.hash, &kept.past);
         self.whole[kept.bucket] ^= kept.whole;
         if is_news {
-            MergeOutcome::News
+            MergeOutcome::NewestChanged
         } else {
-            MergeOutcome::Past
+            MergeOutcome::HistoryChanged
         }
     }
 
     /// How an item of a call stands to what is decided. Not for backends, of which the last word is always taken.
-    pub fn verdict(&self, item: &Item) -> VersionStatus {
-        let Some(kept) = self.items[place(item.kind)].get(&item.name) else { return VersionStatus::Open };
-        if kept.item.edition < item.edition {
-            return VersionStatus::Open;
+    pub fn version_status(&self, item: &Item) -> VersionStatus {
+        let Some(kept) = self.items[place(item.kind)].get(&item.name) else {
+            return VersionStatus::Undecided;
+        };
+        if kept.item.version < item.version {
+            return VersionStatus::Undecided;
         }
-        if kept.item.edition == item.edition {
-            return if kept.item.value == item.value { VersionStatus::Alike } else { VersionStatus::Other };
+        if kept.item.version == item.version {
+            return if kept.item.value == item.value {
+                VersionStatus::SameContent
+            } else {
+                VersionStatus::DifferentContent
+            };
         }
-        match kept.past.iter().find(|version| version.edition == item.edition) {
-            Some(version) if *version == item.version() => VersionStatus::Alike,
-            Some(_) => VersionStatus::Other,
+        match kept.past.iter().find(|version_digest| version_digest.version == item.version) {
+            Some(version_digest) if *version_digest == item.version_digest() => VersionStatus::SameContent,
+            Some(_) => VersionStatus::DifferentContent,
             // Whether it was decided once is forgotten.
-            None if kept.past.len() == MAX_OLDER_VERSIONS && item.edition < kept.past[0].edition => {
-                VersionStatus::Past
+            None if kept.past.len() == MAX_OLDER_VERSIONS && item.version < kept.past[0].version => {
+                VersionStatus::Forgotten
             }
-            None => VersionStatus::Open,
+            None => VersionStatus::Undecided,
         }
     }
 
     /// The older versions that are remembered of an item, the lowest first.
-    pub fn past(&self, kind: Kind, name: &str) -> &[VersionDigest] {
+    pub fn older_versions(&self, kind: Kind, name: &str) -> &[VersionDigest] {
         self.items[place(kind)].get(name).map_or(&[], |kept| &kept.past)
     }
 
@@ -205,13 +211,13 @@
 
     /// Whether an item of an operator's call has an effect: no version as high is known. To be asked before
     /// such an item is merged, as `merge` lets one of two equal editions win where a call must change nothing.
-    pub fn is_news(&self, item: &Item) -> bool {
-        self.get(item.kind, &item.name).is_none_or(|known| known.edition < item.edition)
+    pub fn is_newer(&self, item: &Item) -> bool {
+        self.get(item.kind, &item.name).is_none_or(|known| known.version < item.version)
     }
 
     /// Merges an item of an operator's call, which only a higher edition lets have an effect; whether it had.
-    pub fn take(&mut self, item: Item) -> bool {
-        self.is_news(&item) && self.merge(item)
+    pub fn apply(&mut self, item: Item) -> bool {
+        self.is_newer(&item) && self.merge(item)
     }
 
     /// The item, be it set or dropped.
@@ -220,12 +226,12 @@
     }
 
     /// The items of a kind, dropped ones too, by name.
-    pub fn each(&self, kind: Kind) -> impl Iterator<Item = &Item> {
+    pub fn items_of(&self, kind: Kind) -> impl Iterator<Item = &Item> {
         self.items[place(kind)].values().map(|kept| &kept.item)
     }
 
     /// All items, dropped ones too, by kind and name.
-    pub fn all(&self) -> impl Iterator<Item = &Item> {
+    pub fn items(&self) -> impl Iterator<Item = &Item> {
         self.kept().map(|kept| &kept.item)
     }
 
@@ -248,7 +254,7 @@
     }
 
     /// The same with the older versions.
-    pub fn whole_digest(&self) -> u64 {
+    pub fn history_digest(&self) -> u64 {
         digest(&self.whole)
     }
 
@@ -258,7 +264,7 @@
     }
 
     /// As [`ItemStore::buckets`], with the older versions.
-    pub fn whole_buckets(&self) -> &[u64; BUCKETS] {
+    pub fn history_buckets(&self) -> &[u64; BUCKETS] {
         &self.whole
     }
 
@@ -271,16 +277,16 @@
     }
 
     /// As [`ItemStore::differing`], with the older versions.
-    pub fn whole_differing<'a>(&'a self, theirs: &'a [u64]) -> impl Iterator<Item = Entry<'a>> {
+    pub fn history_differing<'a>(&'a self, theirs: &'a [u64]) -> impl Iterator<Item = Entry<'a>> {
         self.kept()
             .filter(move |kept| theirs.get(kept.bucket) != Some(&self.whole[kept.bucket]))
             .map(Kept::entry)
     }
 
     /// Forgets that an item was dropped, if that is what is known of it and by this very version; whether it was.
-    pub fn forget(&mut self, kind: Kind, name: &str, edition: u64) -> bool {
+    pub fn purge(&mut self, kind: Kind, name: &str, version: u64) -> bool {
         let items = &mut self.items[place(kind)];
-        if items.get(name).is_none_or(|kept| kept.item.stands() || kept.item.edition != edition) {
+        if items.get(name).is_none_or(|kept| kept.item.is_set() || kept.item.version != version) {
             return false;
         }
         if let Some(kept) = items.remove(name) {
@@ -291,15 +297,15 @@
     }
 
     /// Forgets the oldest dropped items of a kind, beyond so many. For kinds alone that somebody tells anew.
-    pub fn forget_dropped(&mut self, kind: Kind, most: usize) {
+    pub fn purge_dropped(&mut self, kind: Kind, most: usize) {
         let items = &mut self.items[place(kind)];
         if items.len() <= most {
             return;
         }
         let mut dropped: Vec<(u64, Arc<str>)> = items
             .values()
-            .filter(|kept| !kept.item.stands())
-            .map(|kept| (kept.item.edition, kept.item.name.clone()))
+            .filter(|kept| !kept.item.is_set())
+            .map(|kept| (kept.item.version, kept.item.name.clone()))
             .collect();
         // By a quarter at a time, so that this is rare.
         if dropped.len() > most {
@@ -315,8 +321,8 @@
     }
 
     /// The highest edition known of a kind; 0 where there is none.
-    pub fn highest(&self, kind: Kind) -> u64 {
-        self.highest[place(kind)]
+    pub fn highest_version(&self, kind: Kind) -> u64 {
+        self.highest_version[place(kind)]
     }
 }
 
@@ -330,19 +336,19 @@
         let item = |n: u64, value: Option<&'static str>| Item {
             kind: Kind::Backend,
             name: format!("b{n}").into(),
-            edition: n + 1,
+            version: n + 1,
             value: value.map(bytes::Bytes::from),
         };
         let (mut one, mut two) = (ItemStore::new(), ItemStore::new());
         for n in 0..100 {
             one.merge(item(n, Some("{}")));
-            one.merge(Item { edition: 1_000 + n, ..item(n, None) });
+            one.merge(Item { version: 1_000 + n, ..item(n, None) });
         }
-        for ledger in [&mut one, &mut two] {
-            ledger.merge(item(200, Some("{}")));
+        for item_store in [&mut one, &mut two] {
+            item_store.merge(item(200, Some("{}")));
         }
         assert_eq!(one.digest(), two.digest());
-        one.forget_dropped(Kind::Backend, 40);
+        one.purge_dropped(Kind::Backend, 40);
         assert_eq!((one.digest(), one.len()), (two.digest(), 31));
         assert!(one.get(Kind::Backend, "b99").is_some() && one.get(Kind::Backend, "b0").is_none());
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,5 @@
 //! The configuration of the load balancer, without any I/O: its items and their merge ([`ItemStore`]), the
-//! operator's calls and what makes them invalid ([`read_call`], [`validation`]), their JSON form ([`read_back`]),
+//! operator's calls and what makes them invalid ([`parse_change_request`], [`validation`]), their JSON form ([`to_configuration`]),
 //! typed readings ([`Route`], [`Tenant`], [`Service`], [`Limits`]) and what the data plane routes by ([`RoutingTable`]).
 
 mod change_request;
@@ -11,13 +11,14 @@
 mod validation;
 mod version_history;
 
-pub use change_request::{read_back, read_back_as_call, read_call, SchemaValidator};
+pub use change_request::{parse_change_request, to_change_request, to_configuration, SchemaValidator};
 pub use error::ValidationError;
 pub use item::{Item, Kind};
 pub use item_store::{chunk_digest, Chunk, ItemStore, BUCKETS};
 pub use model::{Limits, RequestSafety, Route, Service, Tenant};
 pub use routing_table::RoutingTable;
-pub use validation::judge;
+pub use validation::validate;
 pub use version_history::{
-    decode_record, encode_key, record, Entry, MergeOutcome, VersionDigest, VersionStatus, MAX_OLDER_VERSIONS,
+    decode_record, encode_key, encode_record, Entry, MergeOutcome, VersionDigest, VersionStatus,
+    MAX_OLDER_VERSIONS,
 };
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -12,19 +12,19 @@
 pub enum RequestSafety {
     Safe,
     Unsafe,
-    Posting,
+    Keyed,
 }
 
 /// An itinerary: which requests go to which services, and how.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     pub name: Arc<str>,
-    pub edition: u64,
+    pub version: u64,
     /// As sent; compared without regard to case.
     pub host: Arc<str>,
     /// Begins and ends with a slash.
-    pub prefix: Arc<str>,
-    pub mail: RequestSafety,
+    pub path_prefix: Arc<str>,
+    pub safety: RequestSafety,
     /// Milliseconds.
     pub deadline_ms: u32,
     /// Milliseconds; the deadline if the item has none.
@@ -32,11 +32,11 @@
     /// `Route::CLASS` if the item has none.
     pub class: u8,
     /// Services and their weights, none below 0, their sum above 0.
-    pub lines: SmallVec<[(Arc<str>, f64); 2]>,
+    pub services: SmallVec<[(Arc<str>, f64); 2]>,
     /// How often a request may be tried in all; at least 1.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Whether requests need no key.
-    pub unstamped: bool,
+    pub allows_no_key: bool,
     /// Provinces; none for any.
     pub homes: Vec<Arc<str>>,
 }
@@ -45,14 +45,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     pub name: Arc<str>,
-    pub edition: u64,
+    pub version: u64,
     /// Its keys.
-    pub permits: Vec<Arc<str>>,
+    pub keys: Vec<Arc<str>>,
     pub class: Option<u8>,
     /// Requests a second; 0 for no limit.
     pub rate: f64,
     /// Requests at once above the rate; 0 for no limit.
-    pub surge: f64,
+    pub burst: f64,
     /// Provinces; none for any.
     pub homes: Vec<Arc<str>>,
 }
@@ -61,31 +61,31 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     pub name: Arc<str>,
-    pub edition: u64,
+    pub version: u64,
     /// The path that tells whether a backend is well; "" if the item has none.
-    pub checkpoint: Arc<str>,
+    pub health_path: Arc<str>,
     /// Requests at once for a backend; 0 if the item has none.
-    pub berth_cap: u32,
+    pub max_concurrency: u32,
     /// Seconds; 0 if the item has none.
-    pub cold_s: f64,
+    pub slow_start_s: f64,
     /// Requests a second; 0 if the item has none.
-    pub cold_rate: f64,
+    pub slow_start_rate: f64,
 }
 
 /// The limits that hold for every request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    pub envelope_bytes: usize,
+    pub head_bytes: usize,
     pub body_bytes: u64,
     /// Milliseconds.
-    pub envelope_ms: u32,
+    pub head_ms: u32,
     /// Milliseconds.
     pub idle_ms: u32,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { envelope_bytes: 16_384, body_bytes: 64 << 20, envelope_ms: 3_000, idle_ms: 15_000 }
+        Limits { head_bytes: 16_384, body_bytes: 64 << 20, head_ms: 3_000, idle_ms: 15_000 }
     }
 }
 
@@ -144,7 +144,7 @@
     permits: Option<Vec<Arc<str>>>,
     class_of_mail: Option<f64>,
     rate_per_s: Option<f64>,
-    surge: Option<f64>,
+    burst: Option<f64>,
     home_provinces: Option<Vec<Arc<str>>>,
 }
 
@@ -184,7 +184,7 @@
     pub const CLASS: u8 = 1;
 
     /// The route of an item; `None` for another kind, a dropped item, or one that cannot be read.
-    pub fn of(item: &Item) -> Option<Route> {
+    pub fn from_item(item: &Item) -> Option<Route> {
         let text: RouteText = read(item, Kind::Route)?;
         let deadline_ms = text.deadline_ms as u32;
         let lines = match (text.share_list, text.line) {
@@ -196,20 +196,20 @@
         };
         Some(Route {
             name: item.name.clone(),
-            edition: item.edition,
+            version: item.version,
             host: Arc::from(&*text.depot),
-            prefix: Arc::from(&*text.lane_prefix),
-            mail: match text.mail_kind {
+            path_prefix: Arc::from(&*text.lane_prefix),
+            safety: match text.mail_kind {
                 Kinds::Safe => RequestSafety::Safe,
                 Kinds::Unsafe => RequestSafety::Unsafe,
-                Kinds::Posting => RequestSafety::Posting,
+                Kinds::Posting => RequestSafety::Keyed,
             },
             deadline_ms,
             target_ms: text.target_ms.map_or(deadline_ms, |target| target as u32),
             class: text.class_of_mail.map_or(Route::CLASS, |class| class as u8),
-            lines,
-            tries: text.tries.map_or(1, |tries| (tries as u32).max(1)),
-            unstamped: text.unstamped.unwrap_or(false),
+            services: lines,
+            max_attempts: text.tries.map_or(1, |tries| (tries as u32).max(1)),
+            allows_no_key: text.unstamped.unwrap_or(false),
             homes: text.home_provinces.unwrap_or_default(),
         })
     }
@@ -217,15 +217,15 @@
 
 impl Tenant {
     /// The tenant of an item; `None` for another kind, a dropped item, or one that cannot be read.
-    pub fn of(item: &Item) -> Option<Tenant> {
+    pub fn from_item(item: &Item) -> Option<Tenant> {
         let text: TenantText = read(item, Kind::Tenant)?;
         Some(Tenant {
             name: item.name.clone(),
-            edition: item.edition,
-            permits: text.permits.unwrap_or_default(),
+            version: item.version,
+            keys: text.permits.unwrap_or_default(),
             class: text.class_of_mail.map(|class| class as u8),
             rate: text.rate_per_s.unwrap_or(0.0),
-            surge: text.surge.unwrap_or(0.0),
+            burst: text.burst.unwrap_or(0.0),
             homes: text.home_provinces.unwrap_or_default(),
         })
     }
@@ -233,15 +233,15 @@
 
 impl Service {
     /// The service of an item; `None` for another kind, a dropped item, or one that cannot be read.
-    pub fn of(item: &Item) -> Option<Service> {
+    pub fn from_item(item: &Item) -> Option<Service> {
         let text: LineText = read(item, Kind::Service)?;
         Some(Service {
             name: item.name.clone(),
-            edition: item.edition,
-            checkpoint: text.checkpoint.unwrap_or_default(),
-            berth_cap: text.berth_cap.unwrap_or(0.0) as u32,
-            cold_s: text.cold_s.unwrap_or(0.0),
-            cold_rate: text.cold_rate_s.unwrap_or(0.0),
+            version: item.version,
+            health_path: text.checkpoint.unwrap_or_default(),
+            max_concurrency: text.berth_cap.unwrap_or(0.0) as u32,
+            slow_start_s: text.cold_s.unwrap_or(0.0),
+            slow_start_rate: text.cold_rate_s.unwrap_or(0.0),
         })
     }
 }
@@ -249,13 +249,13 @@
 impl Limits {
     /// The limits of an item, what it leaves out by default; `None` for another kind, a dropped item, or one
     /// that cannot be read.
-    pub fn of(item: &Item) -> Option<Limits> {
+    pub fn from_item(item: &Item) -> Option<Limits> {
         let text: LimitsText = read(item, Kind::Limits)?;
         let default = Limits::default();
         Some(Limits {
-            envelope_bytes: text.envelope_bytes.map_or(default.envelope_bytes, |number| number as usize),
+            head_bytes: text.envelope_bytes.map_or(default.head_bytes, |number| number as usize),
             body_bytes: text.body_bytes.map_or(default.body_bytes, |number| number as u64),
-            envelope_ms: text.envelope_ms.map_or(default.envelope_ms, |number| number as u32),
+            head_ms: text.envelope_ms.map_or(default.head_ms, |number| number as u32),
             idle_ms: text.idle_ms.map_or(default.idle_ms, |number| number as u32),
         })
     }
--- a/crates/config/src/routing_table.rs
+++ b/crates/config/src/routing_table.rs
@@ -19,7 +19,7 @@
 pub struct RoutingTable {
     /// By name.
     pub tenants: Vec<Arc<Tenant>>,
-    pub lines: BTreeMap<Arc<str>, Arc<Service>>,
+    pub services: BTreeMap<Arc<str>, Arc<Service>>,
     pub limits: Limits,
     /// The zones that are evacuated.
     pub evacuated: BTreeSet<Arc<str>>,
@@ -46,22 +46,22 @@
 
 impl RoutingTable {
     /// The view of what stands.
-    pub fn of(ledger: &ItemStore) -> RoutingTable {
-        RoutingTable::rebuild(&RoutingTable::default(), ledger)
+    pub fn build(item_store: &ItemStore) -> RoutingTable {
+        RoutingTable::rebuild(&RoutingTable::default(), item_store)
     }
 
     /// As [`RoutingTable::of`], but takes over what the previous view read out of items that have not changed.
-    pub fn rebuild(previous: &RoutingTable, ledger: &ItemStore) -> RoutingTable {
+    pub fn rebuild(previous: &RoutingTable, item_store: &ItemStore) -> RoutingTable {
         let mut view = RoutingTable {
-            limits: ledger.get(Kind::Limits, "").and_then(Limits::of).unwrap_or_default(),
-            routes_read: read_all(&previous.routes_read, ledger, Kind::Route, Route::of),
-            tenants_read: read_all(&previous.tenants_read, ledger, Kind::Tenant, Tenant::of),
+            limits: item_store.get(Kind::Limits, "").and_then(Limits::from_item).unwrap_or_default(),
+            routes_read: read_all(&previous.routes_read, item_store, Kind::Route, Route::from_item),
+            tenants_read: read_all(&previous.tenants_read, item_store, Kind::Tenant, Tenant::from_item),
             ..RoutingTable::default()
         };
-        for line in ledger.each(Kind::Service).filter_map(Service::of) {
-            view.lines.insert(line.name.clone(), Arc::new(line));
+        for line in item_store.items_of(Kind::Service).filter_map(Service::from_item) {
+            view.services.insert(line.name.clone(), Arc::new(line));
         }
-        for item in ledger.each(Kind::Evacuation) {
+        for item in item_store.items_of(Kind::Evacuation) {
             if item.value.as_deref() == Some(EVACUATED) {
                 view.evacuated.insert(item.name.clone());
             }
@@ -76,9 +76,10 @@
         for reading in &self.routes_read {
             let route = &reading.value;
             let host = self.hosts.entry(host_key(route.host.as_bytes()).into_boxed_slice()).or_default();
-            host.longest = host.longest.max(route.prefix.len());
-            let held = host.prefixes.entry(route.prefix.as_bytes().into()).or_insert_with(|| route.clone());
-            if held.edition < route.edition {
+            host.longest = host.longest.max(route.path_prefix.len());
+            let held =
+                host.prefixes.entry(route.path_prefix.as_bytes().into()).or_insert_with(|| route.clone());
+            if held.version < route.version {
                 *held = route.clone();
             }
         }
@@ -89,13 +90,13 @@
         self.keys.reserve(self.tenants_read.len());
         self.tenants = self.tenants_read.iter().map(|reading| reading.value.clone()).collect();
         for (at, tenant) in self.tenants.iter().enumerate() {
-            for key in &tenant.permits {
+            for key in &tenant.keys {
                 match self.keys.entry(key.clone()) {
                     Entry::Vacant(vacant) => {
                         vacant.insert(at);
                     }
                     Entry::Occupied(mut holder) => {
-                        if self.tenants[*holder.get()].edition < tenant.edition {
+                        if self.tenants[*holder.get()].version < tenant.version {
                             holder.insert(at);
                         }
                     }
@@ -142,13 +143,13 @@
 /// Reads the standing items of a kind. Both the previous readings and the items are in the order of names.
 fn read_all<T>(
     previous: &[Reading<T>],
-    ledger: &ItemStore,
+    item_store: &ItemStore,
     kind: Kind,
     read: fn(&Item) -> Option<T>,
 ) -> Vec<Reading<T>> {
     let mut previous = previous.iter().peekable();
     let mut readings = Vec::new();
-    for item in ledger.each(kind) {
+    for item in item_store.items_of(kind) {
         while previous.next_if(|reading| reading.item.name < item.name).is_some() {}
         let same = previous.next_if(|reading| reading.item == *item);
         if let Some(value) = same.map(|reading| reading.value.clone()).or_else(|| read(item).map(Arc::new)) {
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -15,10 +15,10 @@
 impl<'a> MergeOutcome<'a> {
     fn new(whole: &'a ItemStore, call: &'a [Item]) -> MergeOutcome<'a> {
         let mut news: BTreeMap<(Kind, &str), &Item> = BTreeMap::new();
-        for item in call.iter().filter(|item| whole.is_news(item)) {
+        for item in call.iter().filter(|item| whole.is_newer(item)) {
             let prevailing = news.entry((item.kind, &*item.name)).or_insert(item);
             // As `ItemStore::take` does with one after the other.
-            if prevailing.edition < item.edition {
+            if prevailing.version < item.version {
                 *prevailing = item;
             }
         }
@@ -27,24 +27,24 @@
 
     /// What the call newly sets.
     fn set(&self, kind: Kind) -> impl Iterator<Item = &'a Item> + '_ {
-        self.news.values().copied().filter(move |item| item.kind == kind && item.stands())
+        self.news.values().copied().filter(move |item| item.kind == kind && item.is_set())
     }
 
     /// What stands, and the call leaves alone.
     fn untouched(&self, kind: Kind) -> impl Iterator<Item = &'a Item> + '_ {
-        let left = move |item: &&Item| item.stands() && !self.news.contains_key(&(kind, &*item.name));
-        self.whole.each(kind).filter(left)
+        let left = move |item: &&Item| item.is_set() && !self.news.contains_key(&(kind, &*item.name));
+        self.whole.items_of(kind).filter(left)
     }
 
     fn stands(&self, kind: Kind, name: &str) -> bool {
         let new = self.news.get(&(kind, name)).copied();
-        new.or_else(|| self.whole.get(kind, name)).is_some_and(Item::stands)
+        new.or_else(|| self.whole.get(kind, name)).is_some_and(Item::is_set)
     }
 
     /// Services that stood, and that the call drops.
     fn dropped_lines(&self) -> BTreeSet<&'a str> {
-        let dropped = self.news.values().filter(|item| item.kind == Kind::Service && !item.stands());
-        let stood = |name: &&str| self.whole.get(Kind::Service, name).is_some_and(Item::stands);
+        let dropped = self.news.values().filter(|item| item.kind == Kind::Service && !item.is_set());
+        let stood = |name: &&str| self.whole.get(Kind::Service, name).is_some_and(Item::is_set);
         dropped.map(|item| &*item.name).filter(stood).collect()
     }
 }
@@ -56,7 +56,7 @@
 /// # Errors
 /// Where two customers would share a key, two itineraries a place, or an itinerary would name a service that
 /// there is not.
-pub fn judge(whole: &ItemStore, call: &[Item]) -> Result<(), ValidationError> {
+pub fn validate(whole: &ItemStore, call: &[Item]) -> Result<(), ValidationError> {
     let merged = MergeOutcome::new(whole, call);
     judge_routes(&merged)?;
     judge_dropped_lines(&merged)?;
--- a/crates/config/src/version_history.rs
+++ b/crates/config/src/version_history.rs
@@ -11,17 +11,17 @@
 /// One decided version of an item: its number, and by what its content is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VersionDigest {
-    pub edition: u64,
+    pub version: u64,
     /// The hash of the content, the same on every machine.
-    pub mark: u128,
+    pub digest: u128,
 }
 
 impl Item {
-    pub fn version(&self) -> VersionDigest {
+    pub fn version_digest(&self) -> VersionDigest {
         let mut hasher = Xxh3::new();
-        hasher.update(&[u8::from(self.stands())]);
+        hasher.update(&[u8::from(self.is_set())]);
         hasher.update(self.value.as_deref().unwrap_or_default());
-        VersionDigest { edition: self.edition, mark: hasher.digest128() }
+        VersionDigest { version: self.version, digest: hasher.digest128() }
     }
 }
 
@@ -29,40 +29,40 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry<'a> {
     pub item: &'a Item,
-    pub past: &'a [VersionDigest],
+    pub older_versions: &'a [VersionDigest],
 }
 
 /// How an item of a call stands to what is decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionStatus {
     /// Nothing is decided for this version.
-    Open,
+    Undecided,
     /// It is decided with this content.
-    Alike,
+    SameContent,
     /// It is decided with another content.
-    Other,
+    DifferentContent,
     /// It is below all that is remembered: it has no effect, and nobody can tell what it once said.
-    Past,
+    Forgotten,
 }
 
 /// What a merge changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    Nothing,
+    Unchanged,
     /// Older versions alone: the record on disk changes, what is in force does not.
-    Past,
+    HistoryChanged,
     /// The newest version.
-    News,
+    NewestChanged,
 }
 
 /// Puts `more` among the older versions and keeps the highest; whether that changed them. A union, so copies come
 /// to agree in whatever order they hear of versions.
 pub(crate) fn unite(past: &mut Vec<VersionDigest>, below: u64, more: &[VersionDigest]) -> bool {
     let was = past.clone();
-    past.extend(more.iter().filter(|version| version.edition < below));
+    past.extend(more.iter().filter(|version_digest| version_digest.version < below));
     past.sort_unstable_by(|a, b| b.cmp(a));
     // Of one number two contents never are decided; should they be, all copies keep the same.
-    past.dedup_by_key(|version| version.edition);
+    past.dedup_by_key(|version_digest| version_digest.version);
     past.truncate(MAX_OLDER_VERSIONS);
     past.reverse();
     *past != was
@@ -80,20 +80,20 @@
 }
 
 /// The record of an item with its older versions. An empty value takes a record away.
-pub fn record(entry: Entry) -> (Vec<u8>, Vec<u8>) {
-    let Entry { item, past } = entry;
+pub fn encode_record(entry: Entry) -> (Vec<u8>, Vec<u8>) {
+    let Entry { item, older_versions: past } = entry;
     let key = encode_key(item.kind, &item.name);
     // Of a backend that is gone nothing is kept.
-    if item.kind == Kind::Backend && !item.stands() {
+    if item.kind == Kind::Backend && !item.is_set() {
         return (key, Vec::new());
     }
-    let mut value = item.edition.to_be_bytes().to_vec();
-    value.push(if item.stands() { SET } else { 0 } | if past.is_empty() { 0 } else { WITH_PAST });
+    let mut value = item.version.to_be_bytes().to_vec();
+    value.push(if item.is_set() { SET } else { 0 } | if past.is_empty() { 0 } else { WITH_PAST });
     if !past.is_empty() {
         value.push(past.len() as u8);
-        for version in past {
-            value.extend_from_slice(&version.edition.to_be_bytes());
-            value.extend_from_slice(&version.mark.to_be_bytes());
+        for version_digest in past {
+            value.extend_from_slice(&version_digest.version.to_be_bytes());
+            value.extend_from_slice(&version_digest.digest.to_be_bytes());
         }
     }
     value.extend_from_slice(item.value.as_deref().unwrap_or_default());
@@ -104,18 +104,18 @@
 pub fn decode_record(key: &[u8], value: &[u8]) -> Option<(Item, Vec<VersionDigest>)> {
     let (kind, name) = key.split_first()?;
     let kind = Kind::from_u8(*kind)?;
-    let (edition, rest) = value.split_first_chunk::<8>()?;
+    let (version, rest) = value.split_first_chunk::<8>()?;
     let (flags, mut rest) = rest.split_first()?;
     let mut past = Vec::new();
     if flags & WITH_PAST != 0 {
         let (count, versions) = rest.split_first()?;
         rest = versions;
         for _ in 0..*count {
-            let (edition, after) = rest.split_first_chunk::<8>()?;
-            let (mark, after) = after.split_first_chunk::<16>()?;
+            let (version, after) = rest.split_first_chunk::<8>()?;
+            let (digest, after) = after.split_first_chunk::<16>()?;
             past.push(VersionDigest {
-                edition: u64::from_be_bytes(*edition),
-                mark: u128::from_be_bytes(*mark),
+                version: u64::from_be_bytes(*version),
+                digest: u128::from_be_bytes(*digest),
             });
             rest = after;
         }
@@ -123,7 +123,7 @@
     let item = Item {
         kind,
         name: Arc::from(std::str::from_utf8(name).ok()?),
-        edition: u64::from_be_bytes(*edition),
+        version: u64::from_be_bytes(*version),
         value: (flags & SET != 0).then(|| Bytes::copy_from_slice(rest)),
     };
     Some((item, past))
--- a/crates/config/tests/change_request.rs
+++ b/crates/config/tests/change_request.rs
@@ -1,7 +1,8 @@
 //! Calls: what is taken and read back, and what is refused.
 
 use kitepass_config::{
-    judge, read_back, read_back_as_call, read_call, ItemStore, SchemaValidator, ValidationError,
+    parse_change_request, to_change_request, to_configuration, validate, ItemStore, SchemaValidator,
+    ValidationError,
 };
 use rstest::{fixture, rstest};
 use serde_json::{json, Value};
@@ -13,11 +14,11 @@
 }
 
 /// Takes a call as a control plane does.
-fn call(ledger: &mut ItemStore, body: &[u8]) -> Result<(), ValidationError> {
-    let items = read_call(checker(), body)?;
-    judge(ledger, &items)?;
+fn call(item_store: &mut ItemStore, body: &[u8]) -> Result<(), ValidationError> {
+    let items = parse_change_request(checker(), body)?;
+    validate(item_store, &items)?;
     for item in items {
-        ledger.take(item);
+        item_store.apply(item);
     }
     Ok(())
 }
@@ -47,20 +48,20 @@
 /// The first call, taken.
 #[fixture]
 fn standing() -> ItemStore {
-    let mut ledger = ItemStore::new();
-    call(&mut ledger, json!({ "deliver": first_call() }).to_string().as_bytes()).unwrap();
-    ledger
+    let mut item_store = ItemStore::new();
+    call(&mut item_store, json!({ "deliver": first_call() }).to_string().as_bytes()).unwrap();
+    item_store
 }
 
-fn back(ledger: &ItemStore) -> Value {
-    serde_json::from_slice(&read_back(ledger)).unwrap()
+fn back(item_store: &ItemStore) -> Value {
+    serde_json::from_slice(&to_configuration(item_store)).unwrap()
 }
 
 #[rstest]
 fn what_is_sent_is_read_back(standing: ItemStore) {
     assert_eq!(back(&standing), first_call());
     let mut copy = ItemStore::new();
-    call(&mut copy, &read_back_as_call(&standing)).unwrap();
+    call(&mut copy, &to_change_request(&standing)).unwrap();
     assert_eq!(copy.digest(), standing.digest());
 }
 
@@ -99,12 +100,12 @@
 /// so is one that puts it right.
 #[rstest]
 fn a_fault_that_stands_is_not_blamed_on_others(mut standing: ItemStore) {
-    let customer = |name: &str, edition: &str| {
+    let customer = |name: &str, version: &str| {
         json!({"deliver": {"customers": {"headings": ["name", "permits", "edition"],
-            "entries": [[name, ["key3"], edition]]}}})
+            "entries": [[name, ["key3"], version]]}}})
         .to_string()
     };
-    for item in read_call(checker(), customer("c1", "r8").as_bytes()).unwrap() {
+    for item in parse_change_request(checker(), customer("c1", "r8").as_bytes()).unwrap() {
         assert!(standing.merge(item));
     }
     call(&mut standing, customer("c1", "r8").as_bytes()).unwrap();
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -3,8 +3,8 @@
 
 use bytes::Bytes;
 use kitepass_config::{
-    chunk_digest, judge, read_back, read_back_as_call, read_call, Item, ItemStore, Kind, SchemaValidator,
-    BUCKETS, MAX_OLDER_VERSIONS,
+    chunk_digest, parse_change_request, to_change_request, to_configuration, validate, Item, ItemStore, Kind,
+    SchemaValidator, BUCKETS, MAX_OLDER_VERSIONS,
 };
 use std::fmt::Write;
 use std::sync::OnceLock;
@@ -27,7 +27,7 @@
     let mut text = String::new();
     for item in items {
         let value = item.value.as_ref().map(|value| std::str::from_utf8(value).unwrap());
-        let (kind, name, version) = (item.kind as u8, &item.name, item.edition);
+        let (kind, name, version) = (item.kind as u8, &item.name, item.version);
         writeln!(text, "{kind} \"{name}\" {version} {}", value.unwrap_or("removed")).unwrap();
     }
     text
@@ -35,9 +35,9 @@
 
 /// Takes a call as the control plane does; the text of the error if it is rejected.
 fn apply(store: &mut ItemStore, call: &[u8]) -> Result<(), String> {
-    let items = read_call(checker(), call).map_err(|error| error.to_string())?;
-    judge(store, &items).map_err(|error| error.to_string())?;
-    items.into_iter().for_each(|item| _ = store.take(item));
+    let items = parse_change_request(checker(), call).map_err(|error| error.to_string())?;
+    validate(store, &items).map_err(|error| error.to_string())?;
+    items.into_iter().for_each(|item| _ = store.apply(item));
     Ok(())
 }
 
@@ -54,16 +54,16 @@
 
 #[test]
 fn a_change_gives_these_items() {
-    let items = read_call(checker(), CHANGE.as_bytes()).unwrap();
+    let items = parse_change_request(checker(), CHANGE.as_bytes()).unwrap();
     assert_eq!(describe(&items), CHANGE_ITEMS);
 }
 
 #[test]
 fn what_is_read_back() {
     let store = store_after_change();
-    assert_is_golden(read_back(&store), READ_BACK);
-    assert_is_golden(read_back_as_call(&store), READ_BACK_AS_CALL);
-    assert_is_golden(read_back(&ItemStore::new()), READ_BACK_EMPTY);
+    assert_is_golden(to_configuration(&store), READ_BACK);
+    assert_is_golden(to_change_request(&store), READ_BACK_AS_CALL);
+    assert_is_golden(to_configuration(&ItemStore::new()), READ_BACK_EMPTY);
 }
 
 /// What was read back and is sent as a call is read back as the same bytes.
@@ -71,8 +71,8 @@
 fn what_is_read_back_as_a_call_can_be_sent() {
     let mut store = ItemStore::new();
     apply(&mut store, READ_BACK_AS_CALL.as_bytes()).unwrap();
-    assert_is_golden(read_back(&store), READ_BACK);
-    assert_is_golden(read_back_as_call(&store), READ_BACK_AS_CALL);
+    assert_is_golden(to_configuration(&store), READ_BACK);
+    assert_is_golden(to_change_request(&store), READ_BACK_AS_CALL);
 }
 
 /// Two lines a call: the call, and the whole text of the error.
@@ -109,8 +109,8 @@
     assert!(Kind::from_u8(0).is_none() && Kind::from_u8(8).is_none());
 }
 
-fn item(kind: Kind, name: &str, edition: u64, value: Option<&'static str>) -> Item {
-    Item { kind, name: name.into(), edition, value: value.map(Bytes::from) }
+fn item(kind: Kind, name: &str, version: u64, value: Option<&'static str>) -> Item {
+    Item { kind, name: name.into(), version, value: value.map(Bytes::from) }
 }
 
 /// Items of all kinds, set and removed.
@@ -148,9 +148,9 @@
 
 fn hashes_of(text: &mut String, name: &str, store: &ItemStore) {
     writeln!(text, "{name}.digest {:016x}", store.digest()).unwrap();
-    writeln!(text, "{name}.digest-with-history {:016x}", store.whole_digest()).unwrap();
+    writeln!(text, "{name}.digest-with-history {:016x}", store.history_digest()).unwrap();
     describe_buckets(text, &format!("{name}.bucket"), store.buckets());
-    describe_buckets(text, &format!("{name}.bucket-with-history"), store.whole_buckets());
+    describe_buckets(text, &format!("{name}.bucket-with-history"), store.history_buckets());
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -168,27 +168,29 @@
     from: usize,
     max_bytes: usize,
 ) -> usize {
-    let chunk = store.piece(theirs, from, max_bytes);
-    let (next, digest, count) = (chunk.next, chunk.digest, chunk.items.len());
-    writeln!(text, "chunk {from} to {next}: {count} items, {digest:016x}, {}", hex(&chunk.differs)).unwrap();
-    let with_history = store.whole_piece(theirs, from, max_bytes);
-    let (next, digest, count) = (with_history.next, with_history.digest, with_history.items.len());
-    let differs = hex(&with_history.differs);
+    let chunk = store.chunk(theirs, from, max_bytes);
+    let (next, digest, count) = (chunk.next_bucket, chunk.digest, chunk.items.len());
+    writeln!(text, "chunk {from} to {next}: {count} items, {digest:016x}, {}", hex(&chunk.differing_buckets))
+        .unwrap();
+    let with_history = store.history_chunk(theirs, from, max_bytes);
+    let (next, digest, count) = (with_history.next_bucket, with_history.digest, with_history.items.len());
+    let differs = hex(&with_history.differing_buckets);
     writeln!(text, "chunk-with-history {from} to {next}: {count} items, {digest:016x}, {differs}").unwrap();
     // The receiver's own calculation gives the same digest.
     let mut received = ItemStore::new();
     chunk.items.iter().for_each(|item| _ = received.merge((*item).clone()));
-    let calculated = chunk_digest(received.buckets(), theirs, from, chunk.next, &chunk.differs);
+    let calculated =
+        chunk_digest(received.buckets(), theirs, from, chunk.next_bucket, &chunk.differing_buckets);
     assert_eq!(calculated, chunk.digest);
-    chunk.next
+    chunk.next_bucket
 }
 
 #[test]
 fn hashes_are_the_same_in_all_processes() {
     let mut text = String::new();
     for item in items() {
-        let version = item.version();
-        writeln!(text, "content {} {:032x}", version.edition, version.mark).unwrap();
+        let version = item.version_digest();
+        writeln!(text, "content {} {:032x}", version.version, version.digest).unwrap();
     }
     hashes_of(&mut text, "empty", &ItemStore::new());
     for item in items() {
--- a/crates/config/tests/routing_table.rs
+++ b/crates/config/tests/routing_table.rs
@@ -6,18 +6,18 @@
 use serde_json::{json, Value};
 use std::sync::Arc;
 
-fn item(kind: Kind, name: &str, edition: u64, value: Value) -> Item {
-    Item { kind, name: Arc::from(name), edition, value: Some(Bytes::from(value.to_string())) }
+fn item(kind: Kind, name: &str, version: u64, value: Value) -> Item {
+    Item { kind, name: Arc::from(name), version, value: Some(Bytes::from(value.to_string())) }
 }
 
-fn route(name: &str, edition: u64, prefix: &str) -> Item {
+fn route(name: &str, version: u64, prefix: &str) -> Item {
     let value = json!({"depot": "Hulo84.example", "lane-prefix": prefix, "mail-kind": "posting",
         "deadline-ms": 3000.0, "line": "unknown", "colour": 1});
-    item(Kind::Route, name, edition, value)
+    item(Kind::Route, name, version, value)
 }
 
-fn ledger() -> ItemStore {
-    let mut ledger = ItemStore::new();
+fn item_store() -> ItemStore {
+    let mut item_store = ItemStore::new();
     for item in [
         route("a", 1, "/a/"),
         route("ab", 1, "/a/b/"),
@@ -30,9 +30,9 @@
         item(Kind::Evacuation, "zone1", 1, json!(1)),
         item(Kind::Evacuation, "zone2", 1, json!(0)),
     ] {
-        ledger.merge(item);
+        item_store.merge(item);
     }
-    ledger
+    item_store
 }
 
 #[rstest]
@@ -46,10 +46,10 @@
 #[case("other.example", "/a/", None)]
 #[case("hulo84.example", "/c/d", Some("newer"))]
 fn the_longest_prefix_has_a_path(#[case] host: &str, #[case] path: &str, #[case] name: Option<&str>) {
-    let view = RoutingTable::of(&ledger());
+    let view = RoutingTable::build(&item_store());
     let route = view.route(host.as_bytes(), path.as_bytes());
     assert_eq!(route.map(|route| &*route.name), name);
-    assert!(route.is_none_or(|route| route.mail == RequestSafety::Posting && route.tries == 1));
+    assert!(route.is_none_or(|route| route.safety == RequestSafety::Keyed && route.max_attempts == 1));
 }
 
 #[rstest]
@@ -58,19 +58,19 @@
 #[case("k3", Some("t2"))]
 #[case("k4", None)]
 fn a_key_has_one_tenant(#[case] key: &str, #[case] name: Option<&str>) {
-    let view = RoutingTable::of(&ledger());
+    let view = RoutingTable::build(&item_store());
     let tenant = view.tenant_of(key.as_bytes()).map(|at| &view.tenants[at]);
     assert_eq!(tenant.map(|tenant| &*tenant.name), name);
 }
 
 #[rstest]
 fn a_rebuilt_view_takes_over_only_what_has_not_changed() {
-    let mut ledger = ledger();
-    let first = RoutingTable::of(&ledger);
+    let mut item_store = item_store();
+    let first = RoutingTable::build(&item_store);
     assert_eq!(first.evacuated.iter().map(|zone| &**zone).collect::<Vec<_>>(), ["zone1"]);
-    ledger.merge(route("a", 2, "/z/"));
-    ledger.merge(Item { value: None, ..route("newer", 11, "/c/") });
-    let second = RoutingTable::rebuild(&first, &ledger);
+    item_store.merge(route("a", 2, "/z/"));
+    item_store.merge(Item { value: None, ..route("newer", 11, "/c/") });
+    let second = RoutingTable::rebuild(&first, &item_store);
     let found = |view: &RoutingTable, path: &[u8]| view.route(b"hulo84.example", path).cloned();
     assert!(Arc::ptr_eq(&found(&first, b"/a/b/").unwrap(), &found(&second, b"/a/b/").unwrap()));
     assert_eq!(found(&second, b"/a/"), None);
--- a/crates/control-plane/examples/sizes.rs
+++ b/crates/control-plane/examples/sizes.rs
@@ -2,7 +2,7 @@
 //! sizes [TENANTS ROUTES]`. Time, bytes and memory to found it, to take the whole configuration, to start again with it and
 //! with an empty folder, and to open its store. docs/CAPACITY.md uses what it prints.
 
-use kitepass_config::{read_call, ItemStore, SchemaValidator, BUCKETS};
+use kitepass_config::{parse_change_request, ItemStore, SchemaValidator, BUCKETS};
 use kitepass_control_plane::server::Server;
 use kitepass_coordination::protocol::{pack, ItemMessage, Message, PrepareResponse};
 use kitepass_storage::Store;
@@ -129,8 +129,8 @@
 
 fn start_all(root: &Path) -> Vec<Process> {
     let [.., high, low] = std::process::id().to_be_bytes();
-    let ip = |n: u8| Ipv4Addr::new(127, high | 32, low, n + 1);
-    let first: Vec<String> = (0..3).map(|n| format!("\"{}:7201\"", ip(n))).collect();
+    let loopback = |n: u8| Ipv4Addr::new(127, high | 32, low, n + 1);
+    let first: Vec<String> = (0..3).map(|n| format!("\"{}:7201\"", loopback(n))).collect();
     let start = |n: u8| {
         let (settings, folder) = (root.join(format!("s{n}.toml")), root.join(format!("s{n}")));
         std::fs::create_dir_all(&folder).expect("a folder");
@@ -138,35 +138,41 @@
             "station = \"s{n}\"\nip = \"{}\"\ndistrict = \"d{n}\"\nprovince = \"p{}\"\nsidings = [7200, 7210]\n\
              first-stops = [{}]\nmaiden-run = true\non-roll = true\narchive-dir = {folder:?}\n\
              [counters]\ncontrol-desk = \"{}:7201\"\n",
-            ip(n),
+            loopback(n),
             n % REGIONS,
             first.join(", "),
-            ip(n)
+            loopback(n)
         );
         std::fs::write(&settings, text).expect("a file");
-        let desk = SocketAddr::new(ip(n).into(), 7201);
+        let desk = SocketAddr::new(loopback(n).into(), 7201);
         Process { child: Process::start(&settings), settings, folder, desk }
     };
     (0..PROCESSES).map(start).collect()
 }
 
 /// Words and bytes of the answers that bring an empty copy to hold all.
-fn pieces(ledger: &ItemStore) -> (usize, usize, usize) {
-    let (mut from, mut words, mut bytes, mut most) = (0, 0, 0, 0);
-    let sent = ItemStore::new().whole_buckets().to_vec();
+fn pieces(item_store: &ItemStore) -> (usize, usize, usize) {
+    let (mut from, mut messages, mut bytes, mut most) = (0, 0, 0, 0);
+    let sent = ItemStore::new().history_buckets().to_vec();
     while from < BUCKETS {
-        let piece = ledger.whole_piece(&sent, from, PIECE);
+        let piece = item_store.history_chunk(&sent, from, PIECE);
         let items = piece.items.into_iter().map(ItemMessage::from).collect();
-        let next = piece.next as u32;
-        let (differs, digest) = (piece.differs, piece.digest);
-        let held =
-            PrepareResponse { items, from: from as u32, next, differs, digest, ..PrepareResponse::default() };
+        let next = piece.next_bucket as u32;
+        let (differs, digest) = (piece.differing_buckets, piece.digest);
+        let held = PrepareResponse {
+            items,
+            first_bucket: from as u32,
+            next_bucket: next,
+            differing_buckets: differs,
+            digest,
+            ..PrepareResponse::default()
+        };
         let mut frames = Vec::new();
         pack(Message::PrepareResponse(held), &mut frames);
-        (words, bytes, most) = (words + 1, bytes + frames.len(), most.max(frames.len()));
-        from = piece.next;
+        (messages, bytes, most) = (messages + 1, bytes + frames.len(), most.max(frames.len()));
+        from = piece.next_bucket;
     }
-    (words, bytes, most)
+    (messages, bytes, most)
 }
 
 fn main() -> ExitCode {
@@ -186,15 +192,15 @@
     let call = configuration(tenants, routes);
     tell("the call", format!("{} tenants, {} routes, {} bytes", tenants, routes, call.len()));
     let begun = Instant::now();
-    let items = read_call(&SchemaValidator::new(), &call).expect("valid");
+    let items = parse_change_request(&SchemaValidator::new(), &call).expect("valid");
     tell("to read it, alone", ms(begun.elapsed()));
-    let mut ledger = ItemStore::new();
-    items.iter().for_each(|item| _ = ledger.merge(item.clone()));
-    tell("as items", format!("{} bytes", items.iter().map(|item| item.bytes()).sum::<usize>()));
-    let (words, bytes, most) = pieces(&ledger);
+    let mut item_store = ItemStore::new();
+    items.iter().for_each(|item| _ = item_store.merge(item.clone()));
+    tell("as items", format!("{} bytes", items.iter().map(|item| item.wire_bytes()).sum::<usize>()));
+    let (messages, bytes, most) = pieces(&item_store);
     tell(
         "to tell it to an empty folder",
-        format!("{words} words, {bytes} bytes, the longest {most} (and as many inquiries of 2 KB)"),
+        format!("{messages} words, {bytes} bytes, the longest {most} (and as many inquiries of 2 KB)"),
     );
     let begun = Instant::now();
     let mut all = start_all(&root);
--- a/crates/control-plane/examples/slopes.rs
+++ b/crates/control-plane/examples/slopes.rs
@@ -70,14 +70,14 @@
         self.bytes_in += bytes as f64;
     }
 
-    fn sent(&mut self, words: usize, bytes: usize) {
-        self.words_out += words as f64;
+    fn sent(&mut self, messages: usize, bytes: usize) {
+        self.words_out += messages as f64;
         self.bytes_out += bytes as f64;
     }
 }
 
 struct Node {
-    seat: Replica,
+    replica: Replica,
     core: StateMachine,
     tally: Tally,
 }
@@ -87,19 +87,19 @@
     hello: Hello,
     node: usize,
     session: u64,
-    ledger: Rc<ItemStore>,
+    item_store: Rc<ItemStore>,
     caught: bool,
     lived: bool,
     ready: bool,
     /// Tenants of its last periods, the newest at the back.
     seen: VecDeque<Vec<u32>>,
-    ticket: u64,
+    request_id: u64,
 }
 
 enum Due {
     Peer { from: usize, to: usize, frame: Vec<u8> },
     Up { gate: usize, session: u64, frame: Vec<u8> },
-    Down { gate: usize, session: u64, word: Message },
+    Down { gate: usize, session: u64, message: Message },
     Items { gate: usize, session: u64, items: Arc<[Item]> },
     Kept(usize, u64),
     Tick(usize),
@@ -120,7 +120,7 @@
 /// A change that is watched on its way.
 #[derive(Default)]
 struct Watched {
-    edition: u64,
+    version: u64,
     answered: Option<i64>,
     reached: usize,
     last: i64,
@@ -152,24 +152,24 @@
 
 impl World {
     fn new(size: [usize; 4]) -> World {
-        let nodes = PLACES.iter().enumerate().map(|(n, (district, province))| {
-            let (district, province) = (district.to_string(), province.to_string());
-            let seat = Replica {
-                station: format!("sorting-{district}-{n}"),
-                ip: format!("10.0.0.{n}"),
-                district,
-                province,
-                folder: 0,
+        let nodes = PLACES.iter().enumerate().map(|(n, (zone, region))| {
+            let (zone, region) = (zone.to_string(), region.to_string());
+            let replica = Replica {
+                node_id: format!("sorting-{zone}-{n}"),
+                address: format!("10.0.0.{n}"),
+                zone,
+                region,
+                replica_id: 0,
             };
             let start = Start {
-                me: seat.clone(),
-                life: 1_000 + n as u64,
-                maiden: true,
-                founder: n == 0,
+                me: replica.clone(),
+                incarnation: 1_000 + n as u64,
+                is_first_start: true,
+                is_bootstrap_node: n == 0,
                 records: vec![],
-                slack: SLACK,
+                tolerance: SLACK,
             };
-            Node { core: StateMachine::new(at(0), start), seat, tally: Tally::default() }
+            Node { core: StateMachine::new(at(0), start), replica, tally: Tally::default() }
         });
         let mut world = World {
             now: 0,
@@ -193,7 +193,7 @@
         for a in 0..6 {
             for b in (0..6).filter(|b| *b != a) {
                 let hello = world.nodes[a].core.hello();
-                world.run_core(b, |core, now| core.peer_came(now, &hello));
+                world.run_core(b, |core, now| core.peer_connected(now, &hello));
             }
             world.set(1 + a as i64 * 16_000, Due::Tick(a));
         }
@@ -218,7 +218,7 @@
         let (now, node) = (at(self.now), &mut self.nodes[n]);
         let begun = Instant::now();
         let result = call(&mut node.core, now);
-        let acts = std::mem::take(&mut node.core.acts);
+        let acts = std::mem::take(&mut node.core.active_term);
         node.tally.busy += begun.elapsed();
         acts.into_iter().for_each(|act| self.act(n, act));
         result
@@ -226,31 +226,32 @@
 
     fn act(&mut self, n: usize, act: Action) {
         match act {
-            Action::Peer(station, word) => {
-                let to = self.nodes.iter().position(|node| node.seat.station == station).expect("one of six");
+            Action::SendToPeer(node_id, message) => {
+                let to =
+                    self.nodes.iter().position(|node| node.replica.node_id == node_id).expect("one of six");
                 let news = matches!(
-                    word,
+                    message,
                     Message::AcceptRequest(_)
                         | Message::AcceptResponse(_)
                         | Message::PrepareRequest(_)
                         | Message::PrepareResponse(_)
                         | Message::Items(_)
                 );
-                let frame = self.pack(n, word);
+                let frame = self.pack(n, message);
                 if news {
-                    let (words, bytes) = &mut self.news[0];
-                    (*words, *bytes) = (*words + 1.0, *bytes + frame.len() as f64);
+                    let (messages, bytes) = &mut self.news[0];
+                    (*messages, *bytes) = (*messages + 1.0, *bytes + frame.len() as f64);
                 }
                 let near = PLACES[n].1 == PLACES[to].1;
                 self.set(if near { NEAR } else { FAR }, Due::Peer { from: n, to, frame });
             }
-            Action::Session(session, word) => {
+            Action::SendToSession(session, message) => {
                 let Some(gate) = self.gate(session) else { return };
-                let length = self.pack(n, word.clone()).len();
+                let length = self.pack(n, message.clone()).len();
                 self.edge.got(length);
-                self.set(NEAR, Due::Down { gate, session, word });
+                self.set(NEAR, Due::Down { gate, session, message });
             }
-            Action::Items(session, items) => {
+            Action::SendItems(session, items) => {
                 let Some(gate) = self.gate(session) else { return };
                 let (mut frame, begun) = (Vec::new(), Instant::now());
                 pack_items(items.iter(), &mut frame);
@@ -258,17 +259,17 @@
                 if !frame.is_empty() {
                     self.nodes[n].tally.sent(1, frame.len());
                     self.edge.got(frame.len());
-                    let (words, bytes) = &mut self.news[1];
-                    (*words, *bytes) = (*words + 1.0, *bytes + frame.len() as f64);
+                    let (messages, bytes) = &mut self.news[1];
+                    (*messages, *bytes) = (*messages + 1.0, *bytes + frame.len() as f64);
                     self.set(NEAR, Due::Items { gate, session, items });
                 }
             }
-            Action::Keep(ticket, _) => self.set(SYNC, Due::Kept(n, ticket)),
-            Action::Answer(_, reply) => {
-                assert_eq!(reply, Response::Done, "the core takes what it is given here");
+            Action::Persist(request_id, _) => self.set(SYNC, Due::Kept(n, request_id)),
+            Action::Respond(_, response) => {
+                assert_eq!(response, Response::Done, "the core takes what it is given here");
                 self.watched.answered = Some(self.now);
             }
-            Action::Close(session) => panic!("session {session} was closed"),
+            Action::CloseSession(session) => panic!("session {session} was closed"),
         }
     }
 
@@ -277,9 +278,9 @@
         (self.gates[gate].session == session).then_some(gate)
     }
 
-    fn pack(&mut self, n: usize, word: Message) -> Vec<u8> {
+    fn pack(&mut self, n: usize, message: Message) -> Vec<u8> {
         let (mut frame, begun) = (Vec::new(), Instant::now());
-        pack(word, &mut frame);
+        pack(message, &mut frame);
         self.nodes[n].tally.busy += begun.elapsed();
         self.nodes[n].tally.sent(1, frame.len());
         frame
@@ -287,62 +288,65 @@
 
     fn unpack(&mut self, n: usize, frame: &[u8]) -> Message {
         let begun = Instant::now();
-        let word = Assembler::default().next(frame, &mut 0);
+        let message = Assembler::default().next(frame, &mut 0);
         self.nodes[n].tally.busy += begun.elapsed();
         self.nodes[n].tally.got(frame.len());
-        word.expect("packed here").expect("whole")
+        message.expect("packed here").expect("whole")
     }
 
     /// A gateway says something.
-    fn say(&mut self, gate: usize, word: Message) {
+    fn say(&mut self, gate: usize, message: Message) {
         let mut frame = Vec::new();
-        pack(word, &mut frame);
+        pack(message, &mut frame);
         self.edge.sent(1, frame.len());
         let session = self.gates[gate].session;
         self.set(NEAR, Due::Up { gate, session, frame });
     }
 
     fn beat(&mut self, gate: usize) {
-        let Gate { ledger, ready, .. } = &self.gates[gate];
-        let beat = Heartbeat { digest: ledger.digest(), ready: *ready, ..Heartbeat::default() };
+        let Gate { item_store, ready, .. } = &self.gates[gate];
+        let beat = Heartbeat { digest: item_store.digest(), is_ready: *ready, ..Heartbeat::default() };
         self.say(gate, Message::Heartbeat(beat));
     }
 
     fn come(&mut self, gate: usize) {
         let it = &mut self.gates[gate];
-        (it.session, it.hello.life) = (it.session + 10_000, it.hello.life + 10_000);
-        (it.ledger, it.caught, it.lived, it.ready) = (Rc::default(), false, false, false);
+        (it.session, it.hello.incarnation) = (it.session + 10_000, it.hello.incarnation + 10_000);
+        (it.item_store, it.caught, it.lived, it.ready) = (Rc::default(), false, false, false);
         let (node, session, hello) = (it.node, it.session, it.hello.clone());
         let mut frame = Vec::new();
         pack(Message::Hello(hello.clone()), &mut frame);
         self.edge.sent(1, frame.len());
         self.unpack(node, &frame);
-        self.run_core(node, |core, now| core.session_came(now, session, hello));
-        let hashes = self.gates[gate].ledger.buckets().to_vec();
-        self.say(gate, Message::BucketDigests(BucketDigests { hashes, back: false }));
+        self.run_core(node, |core, now| core.session_opened(now, session, hello));
+        let hashes = self.gates[gate].item_store.buckets().to_vec();
+        self.say(gate, Message::BucketDigests(BucketDigests { digests: hashes, wants_reply: false }));
         self.beat(gate);
     }
 
-    /// As `Link::said` of the course.
-    fn heard(&mut self, gate: usize, word: Message) {
-        match word {
+    /// As `ControlSession::said` of the course.
+    fn heard(&mut self, gate: usize, message: Message) {
+        match message {
             Message::BucketDigests(buckets) => {
-                let ledger = self.gates[gate].ledger.clone();
+                let item_store = self.gates[gate].item_store.clone();
                 let items: Vec<ItemMessage> =
-                    ledger.differing(&buckets.hashes).map(ItemMessage::from).collect();
+                    item_store.differing(&buckets.digests).map(ItemMessage::from).collect();
                 if !items.is_empty() {
                     self.say(gate, Message::Items(Items { items }));
                 }
-                if buckets.back {
+                if buckets.wants_reply {
                     self.gates[gate].caught = true;
                 } else {
-                    let hashes = ledger.buckets().to_vec();
-                    self.say(gate, Message::BucketDigests(BucketDigests { hashes, back: false }));
+                    let hashes = item_store.buckets().to_vec();
+                    self.say(
+                        gate,
+                        Message::BucketDigests(BucketDigests { digests: hashes, wants_reply: false }),
+                    );
                 }
             }
             Message::MembershipUpdate(_) => self.gates[gate].lived = true,
-            Message::UsageTotals(totals) if totals.asks => {
-                let sent = self.asked.remove(&(gate, totals.ticket)).expect("asked for");
+            Message::UsageTotals(totals) if totals.is_mid_period => {
+                let sent = self.asked.remove(&(gate, totals.request_id)).expect("asked for");
                 return self.waited.push(self.now - sent);
             }
             _ => return,
@@ -356,21 +360,21 @@
 
     fn merged(&mut self, gate: usize, items: &[Item]) {
         let mut hasher = DefaultHasher::new();
-        items.iter().for_each(|item| (item.kind, &item.name, item.edition).hash(&mut hasher));
-        let ledger = &self.gates[gate].ledger;
-        let key = (ledger.digest(), hasher.finish());
+        items.iter().for_each(|item| (item.kind, &item.name, item.version).hash(&mut hasher));
+        let item_store = &self.gates[gate].item_store;
+        let key = (item_store.digest(), hasher.finish());
         if self.shared.len() > 64 {
             self.shared.clear();
         }
         let merged = self.shared.entry(key).or_insert_with(|| {
-            let mut ledger = ItemStore::clone(ledger);
+            let mut item_store = ItemStore::clone(item_store);
             items.iter().for_each(|item| {
-                ledger.merge(item.clone());
+                item_store.merge(item.clone());
             });
-            Rc::new(ledger)
+            Rc::new(item_store)
         });
-        self.gates[gate].ledger = merged.clone();
-        if items.iter().any(|item| item.kind != Kind::Backend && item.edition == self.watched.edition) {
+        self.gates[gate].item_store = merged.clone();
+        if items.iter().any(|item| item.kind != Kind::Backend && item.version == self.watched.version) {
             self.watched.reached += 1;
             self.watched.last = self.now;
         }
@@ -393,7 +397,7 @@
         let add = |(tenant, offered)| TenantUsage {
             tenant: tenant_name(tenant),
             offered,
-            sent: offered,
+            forwarded: offered,
             ..TenantUsage::default()
         };
         let adds = offered.into_iter().map(add).collect();
@@ -403,17 +407,27 @@
     /// A gateway asks for one request of a tenant: it holds none in advance, as it sees each tenant rarely.
     fn ask(&mut self, gate: usize) {
         let tenant = self.chance.rand_range(0..self.size[2] as u64) as u32;
-        let adds = vec![TenantUsage { tenant: tenant_name(tenant), wants: 1, ..TenantUsage::default() }];
-        let ticket = self.add(gate, adds, true);
-        self.asked.insert((gate, ticket), self.now);
+        let adds = vec![TenantUsage { tenant: tenant_name(tenant), requested: 1, ..TenantUsage::default() }];
+        let request_id = self.add(gate, adds, true);
+        self.asked.insert((gate, request_id), self.now);
     }
 
     fn add(&mut self, gate: usize, adds: Vec<TenantUsage>, asks: bool) -> u64 {
         let it = &mut self.gates[gate];
-        it.ticket += 1;
-        let (ticket, station, life) = (it.ticket, it.hello.station.clone(), it.hello.life);
-        self.say(gate, Message::UsageReport(UsageReport { ticket, station, adds, life, asks }));
-        ticket
+        it.request_id += 1;
+        let (request_id, node_id, incarnation) =
+            (it.request_id, it.hello.node_id.clone(), it.hello.incarnation);
+        self.say(
+            gate,
+            Message::UsageReport(UsageReport {
+                request_id,
+                node_id,
+                tenants: adds,
+                incarnation,
+                is_mid_period: asks,
+            }),
+        );
+        request_id
     }
 
     fn list(&mut self) {
@@ -438,34 +452,34 @@
         let begun = Instant::now();
         bodies.iter().for_each(|body| entries.extend(endpoints::page(body.as_bytes()).expect("made here").0));
         self.nodes[n].tally.busy += begun.elapsed();
-        self.run_core(n, |core, now| core.list_read(now, entries));
+        self.run_core(n, |core, now| core.endpoints_listed(now, entries));
     }
 
     fn steward(&self) -> Option<usize> {
-        self.nodes.iter().position(|node| node.core.holds(at(self.now)).is_some())
+        self.nodes.iter().position(|node| node.core.lease_term(at(self.now)).is_some())
     }
 
     fn step(&mut self, due: Due) {
         match due {
             Due::Peer { from, to, frame } => {
-                let word = self.unpack(to, &frame);
-                let station = self.nodes[from].seat.station.clone();
-                self.run_core(to, |core, now| core.peer_said(now, &station, word));
+                let message = self.unpack(to, &frame);
+                let node_id = self.nodes[from].replica.node_id.clone();
+                self.run_core(to, |core, now| core.peer_message(now, &node_id, message));
             }
             Due::Up { gate, session, frame } if self.gates[gate].session == session => {
                 let node = self.gates[gate].node;
-                let word = self.unpack(node, &frame);
-                self.run_core(node, |core, now| core.session_said(now, session, word));
+                let message = self.unpack(node, &frame);
+                self.run_core(node, |core, now| core.session_message(now, session, message));
             }
-            Due::Down { gate, session, word } if self.gates[gate].session == session => {
-                self.heard(gate, word)
+            Due::Down { gate, session, message } if self.gates[gate].session == session => {
+                self.heard(gate, message)
             }
             Due::Items { gate, session, items } if self.gates[gate].session == session => {
                 self.merged(gate, &items);
-                self.run_core(self.gates[gate].node, |core, now| core.left(now, session));
+                self.run_core(self.gates[gate].node, |core, now| core.session_drained(now, session));
             }
             Due::Up { .. } | Due::Down { .. } | Due::Items { .. } => {}
-            Due::Kept(n, ticket) => self.run_core(n, |core, now| core.kept(now, ticket)),
+            Due::Kept(n, request_id) => self.run_core(n, |core, now| core.records_persisted(now, request_id)),
             Due::Tick(n) => {
                 self.run_core(n, |core, now| core.tick(now));
                 self.set(100_000, Due::Tick(n));
@@ -508,8 +522,8 @@
         self.watched.answered = None;
         let body = body.to_string();
         let order: Request =
-            self.run_core(n, |core, _| core.read_call(body.as_bytes())).expect("a valid call");
-        self.run_core(n, |core, now| core.order(now, 1, order));
+            self.run_core(n, |core, _| core.parse_change_request(body.as_bytes())).expect("a valid call");
+        self.run_core(n, |core, now| core.handle_request(now, 1, order));
     }
 
     /// Runs on, and tells what holders (their mean, the steward left out), the steward and a gateway (the mean) did.
@@ -533,19 +547,29 @@
             let node = gate % 6;
             let zone = ZONES[gate % ZONES.len()];
             let hello = Hello {
-                station: format!("counter-{zone}-{gate}"),
-                ip: format!("10.1.{}.{}", gate / 250, gate % 250),
-                district: zone.to_owned(),
-                province: zone[..1].to_owned(),
-                life: (gate as u64 + 1) << 32,
-                front: format!("10.1.{}.{}:8686", gate / 250, gate % 250),
+                node_id: format!("counter-{zone}-{gate}"),
+                address: format!("10.1.{}.{}", gate / 250, gate % 250),
+                zone: zone.to_owned(),
+                region: zone[..1].to_owned(),
+                incarnation: (gate as u64 + 1) << 32,
+                client_address: format!("10.1.{}.{}:8686", gate / 250, gate % 250),
                 ..Hello::default()
             };
             let seen = VecDeque::new();
             let session = gate as u64;
-            let ledger = Rc::default();
-            let (caught, lived, ready, ticket) = (false, false, false, 0);
-            self.gates.push(Gate { hello, node, session, ledger, caught, lived, ready, seen, ticket });
+            let item_store = Rc::default();
+            let (caught, lived, ready, request_id) = (false, false, false, 0);
+            self.gates.push(Gate {
+                hello,
+                node,
+                session,
+                item_store,
+                caught,
+                lived,
+                ready,
+                seen,
+                request_id,
+            });
             let phases: Vec<i64> = (0..3).map(|_| self.chance.rand_range(0..SECOND as u64) as i64).collect();
             self.set(5 * phases[0], Due::Come(gate));
             self.set(phases[1] / 2, Due::Heartbeat(gate));
@@ -593,7 +617,7 @@
     "edition",
 ];
 
-fn route(n: usize, edition: u64) -> Value {
+fn route(n: usize, version: u64) -> Value {
     let shares = json!([{"line": line_name(n % SERVICES), "share": 90}, {"line": line_name((n + 1) % SERVICES), "share": 10}]);
     json!([
         format!("r-{n:07x}"),
@@ -607,11 +631,11 @@
         2,
         false,
         [],
-        format!("r{edition}")
+        format!("r{version}")
     ])
 }
 
-fn tenant(n: usize, edition: u64) -> Value {
+fn tenant(n: usize, version: u64) -> Value {
     json!([
         tenant_name(n as u32),
         [format!("k{n:019x}"), format!("m{n:019x}")],
@@ -619,7 +643,7 @@
         314,
         314,
         [],
-        format!("r{edition}")
+        format!("r{version}")
     ])
 }
 
@@ -679,13 +703,13 @@
     let before = resident();
     let mut world = World::new(size);
     world.run(5 * SECOND);
-    assert!(world.nodes.iter().all(|node| node.core.standing() == ReplicaState::Current), "not founded");
+    assert!(world.nodes.iter().all(|node| node.core.replica_state() == ReplicaState::Serving), "not founded");
     let empty = resident();
     world.patch(0, &configuration(size));
     world.set(0, Due::List);
     world.run(5 * SECOND);
     assert!(world.watched.answered.is_some(), "the configuration was not taken");
-    let items = world.nodes.iter().map(|node| node.core.ledger().len()).min().unwrap_or(0);
+    let items = world.nodes.iter().map(|node| node.core.item_store().len()).min().unwrap_or(0);
     let loaded = resident();
     let filled = (ballast(), resident());
     world.connect();
@@ -715,10 +739,10 @@
         let mut copied = 0.0;
         world.news = [(0.0, 0.0); 2];
         for change in 0..CHANGES {
-            let edition = 100 + change as u64 + if what == "route" { 0 } else { 1_000 };
-            world.watched = Watched { edition, ..Watched::default() };
+            let version = 100 + change as u64 + if what == "route" { 0 } else { 1_000 };
+            world.watched = Watched { version, ..Watched::default() };
             let begun = world.now;
-            let body = json!({"deliver": {list: {"headings": headings, "entries": [row(change, edition)]}}});
+            let body = json!({"deliver": {list: {"headings": headings, "entries": [row(change, version)]}}});
             world.nodes.iter_mut().for_each(|node| node.tally = Tally::default());
             world.edge = Tally::default();
             world.patch(writer, &body);
@@ -770,7 +794,7 @@
     for gate in &gone {
         let (node, session) = (world.gates[*gate].node, world.gates[*gate].session);
         world.gates[*gate].ready = false;
-        world.run_core(node, |core, now| core.session_lost(now, session, "closed"));
+        world.run_core(node, |core, now| core.session_closed(now, session, "closed"));
         let jitter = world.chance.rand_range(0..200_000) as i64;
         world.set(SECOND + jitter, Due::Come(*gate));
     }
--- a/crates/control-plane/src/cli/mod.rs
+++ b/crates/control-plane/src/cli/mod.rs
@@ -3,7 +3,7 @@
 mod client;
 
 use crate::server::Server;
-use kitepass_config::{judge, read_call, Item, ItemStore, Kind, SchemaValidator};
+use kitepass_config::{parse_change_request, validate, Item, ItemStore, Kind, SchemaValidator};
 use lexopt::prelude::*;
 use serde_json::{Map, Value as Json};
 use snafu::{OptionExt, ResultExt, Snafu};
@@ -21,7 +21,7 @@
 const MOST_SHOWN: usize = 60;
 
 const HELP: &str = "\
-accord: the control plane of kitepass
+kitepass-control-plane: the control plane of kitepass
 
 usage:
   kitepass-control-plane [serve] [--settings FILE]       a control process
@@ -45,7 +45,7 @@
 struct Command {
     name: &'static str,
     /// Its arguments, all of them needed.
-    words: &'static [&'static str],
+    messages: &'static [&'static str],
     options: &'static [&'static str],
     help: &'static str,
     run: fn(&Args) -> Result<(), Error>,
@@ -54,10 +54,10 @@
 static COMMANDS: [Command; 7] = [
     Command {
         name: "serve",
-        words: &[],
+        messages: &[],
         options: &["settings"],
         help: "\
-usage: accord [serve] [--settings FILE]
+usage: kitepass-control-plane [serve] [--settings FILE]
 
 A control process, by its settings file (or the one that the variable KITEPASS_NODE_FILE names).
 KITEPASS_LOG sets how much is logged to standard error: error, warn, info (the default), debug.
@@ -68,10 +68,10 @@
     },
     Command {
         name: "get",
-        words: &[],
+        messages: &[],
         options: &["at", "out"],
         help: "\
-usage: accord get [--at ADDR,..] [--out FILE]
+usage: kitepass-control-plane get [--at ADDR,..] [--out FILE]
 
 Prints the newest configuration in full as JSON, one item a line: every item that stands, with its version.
 --out writes it to a file instead, which only its owner can read: customers' keys are in it.
@@ -81,10 +81,10 @@
     },
     Command {
         name: "apply",
-        words: &["FILE"],
+        messages: &["FILE"],
         options: &["at"],
         help: "\
-usage: accord apply FILE [--at ADDR,..]
+usage: kitepass-control-plane apply FILE [--at ADDR,..]
 
 Sends a change of the configuration. FILE holds a call ({\"deliver\": .., \"withdraw\": ..}) or what get printed.
 Each item whose version is above the one that is known takes effect, any other has none; a call with anything
@@ -94,10 +94,10 @@
     },
     Command {
         name: "check",
-        words: &["FILE"],
+        messages: &["FILE"],
         options: &["against"],
         help: "\
-usage: accord check FILE [--against FILE]
+usage: kitepass-control-plane check FILE [--against FILE]
 
 Tells whether a call would be taken by a system that holds nothing, or the items of another file (as get
 prints it). Asks nobody. 0 where it would be, 1 and one line where not.
@@ -106,10 +106,10 @@
     },
     Command {
         name: "diff",
-        words: &["FILE"],
+        messages: &["FILE"],
         options: &["at"],
         help: "\
-usage: accord diff FILE [--at ADDR,..]
+usage: kitepass-control-plane diff FILE [--at ADDR,..]
 
 Compares a file's items with those that stand, one line each:
   newer    its version is above the one that stands; the fields that it changes follow
@@ -123,10 +123,10 @@
     },
     Command {
         name: "evacuate",
-        words: &["start|end", "ZONE"],
+        messages: &["start|end", "ZONE"],
         options: &["at"],
         help: "\
-usage: accord evacuate start|end ZONE [--at ADDR,..]
+usage: kitepass-control-plane evacuate start|end ZONE [--at ADDR,..]
 
 start: nothing more is sent to the backends of a zone (a district of the settings). end: they are used again.
 It may be given again.
@@ -135,10 +135,10 @@
     },
     Command {
         name: "members",
-        words: &[],
+        messages: &[],
         options: &["at", "json"],
         help: "\
-usage: accord members [--at ADDR,..] [--json]
+usage: kitepass-control-plane members [--at ADDR,..] [--json]
 
 The seats of the core, whether the process that was asked hears of each, and how long ago each is known to have
 heard that process; its own standing, and how long ago a majority is known to have heard it; the gateways with a
@@ -167,7 +167,7 @@
     Ask { source: client::Error },
     #[snafu(display("an answer that this program cannot read: {why}"))]
     Strange { why: String },
-    #[snafu(display("no settings file: name one with --settings or {}", kitepass_node::VARIABLE))]
+    #[snafu(display("no settings file: name one with --settings or {}", kitepass_node::SETTINGS_VARIABLE))]
     NoSettings,
     #[snafu(display("{source}"))]
     Serve { source: crate::server::Error },
@@ -188,7 +188,7 @@
 /// Arguments as they came; which of them a command takes is looked at afterwards.
 #[derive(Default)]
 struct Args {
-    words: Vec<String>,
+    messages: Vec<String>,
     settings: Option<PathBuf>,
     at: Vec<SocketAddr>,
     out: Option<PathBuf>,
@@ -218,7 +218,7 @@
     if args.version {
         return say(&format!("kitepass-control-plane {}\n", env!("CARGO_PKG_VERSION")));
     }
-    let named = (!args.words.is_empty()).then(|| args.words.remove(0));
+    let named = (!args.messages.is_empty()).then(|| args.messages.remove(0));
     let Some(name) = named.as_deref().or((!args.help).then_some("serve")) else { return say(HELP) };
     let command = COMMANDS.iter().find(|command| command.name == name);
     let command = command.with_context(|| UsageSnafu {
@@ -233,10 +233,10 @@
     if let Some(option) = args.given.iter().find(|option| !command.options.contains(*option)) {
         return wrong(format!("--{option} is not for this command"));
     }
-    if let Some(missing) = command.words.get(args.words.len()) {
+    if let Some(missing) = command.messages.get(args.messages.len()) {
         return wrong(format!("{missing} is missing"));
     }
-    if let Some(more) = args.words.get(command.words.len()) {
+    if let Some(more) = args.messages.get(command.messages.len()) {
         return wrong(format!("unexpected argument {more:?}"));
     }
     (command.run)(&args)
@@ -269,7 +269,7 @@
                 args.given.insert("at");
                 args.at.extend(addresses("--at", &parser.value()?.string()?)?);
             }
-            Value(word) => args.words.push(word.string()?),
+            Value(message) => args.messages.push(message.string()?),
             other => return Err(other.unexpected()),
         }
     }
@@ -306,7 +306,7 @@
 fn serve(args: &Args) -> Result<(), Error> {
     kitepass_node::log_to_stderr(kitepass_node::level_from_env());
     let path = args.settings.clone();
-    let path = path.or_else(|| std::env::var_os(kitepass_node::VARIABLE).map(PathBuf::from));
+    let path = path.or_else(|| std::env::var_os(kitepass_node::SETTINGS_VARIABLE).map(PathBuf::from));
     let path = path.context(NoSettingsSnafu)?;
     Server::open(path).and_then(Server::run).context(ServeSnafu)
 }
@@ -363,28 +363,28 @@
         path: path.to_owned(),
         why: refusal.to_string(),
     };
-    read_call(checker, &call_of(path)?).map_err(invalid)
+    parse_change_request(checker, &call_of(path)?).map_err(invalid)
 }
 
 fn apply(args: &Args) -> Result<(), Error> {
     let desks = desks(args)?;
-    let path = Path::new(&args.words[0]);
+    let path = Path::new(&args.messages[0]);
     client::ask(&desks, "POST", "/v1/Timetable.Patch", &call_of(path)?).context(AskSnafu)?;
     say(&format!("{}: taken\n", path.display()))
 }
 
 fn check(args: &Args) -> Result<(), Error> {
-    let path = Path::new(&args.words[0]);
+    let path = Path::new(&args.messages[0]);
     let (checker, mut whole) = (SchemaValidator::new(), ItemStore::new());
     if let Some(against) = &args.against {
         for item in items_of(&checker, against)? {
-            whole.take(item);
+            whole.apply(item);
         }
     }
     let items = items_of(&checker, path)?;
-    judge(&whole, &items)
+    validate(&whole, &items)
         .map_err(|refusal| Error::Invalid { path: path.to_owned(), why: refusal.to_string() })?;
-    let news = items.iter().filter(|item| whole.is_news(item)).count();
+    let news = items.iter().filter(|item| whole.is_newer(item)).count();
     say(&format!("{}: valid, {} items, {news} of them with an effect\n", path.display(), items.len()))
 }
 
@@ -416,8 +416,8 @@
 fn compare(item: &Item, stands: Option<&Item>) -> Against {
     match stands {
         None => Against::Unknown,
-        Some(stands) if item.edition > stands.edition => Against::Newer,
-        Some(stands) if item.edition < stands.edition => Against::Older,
+        Some(stands) if item.version > stands.version => Against::Newer,
+        Some(stands) if item.version < stands.version => Against::Older,
         Some(stands) if item.value == stands.value => Against::Equal,
         Some(_) => Against::Differs,
     }
@@ -435,12 +435,12 @@
 fn diff(args: &Args) -> Result<(), Error> {
     let desks = desks(args)?;
     let checker = SchemaValidator::new();
-    let items = items_of(&checker, Path::new(&args.words[0]))?;
+    let items = items_of(&checker, Path::new(&args.messages[0]))?;
     let body = client::ask(&desks, "GET", "/v1/Timetable.Get", b"").context(AskSnafu)?;
     let body = [b"{\"deliver\":", body.as_slice(), b"}"].concat();
     let mut whole = ItemStore::new();
-    for item in read_call(&checker, &body).map_err(strange)? {
-        whole.take(item);
+    for item in parse_change_request(&checker, &body).map_err(strange)? {
+        whole.apply(item);
     }
     say(&compared(&items, &whole))
 }
@@ -453,15 +453,15 @@
         let against = compare(item, stands);
         sums[against as usize] += 1;
         let there =
-            stands.map_or_else(|| "nothing stands".to_owned(), |stands| format!("r{}", stands.edition));
+            stands.map_or_else(|| "nothing stands".to_owned(), |stands| format!("r{}", stands.version));
         let versions = match against {
             Against::Equal | Against::Differs => there,
-            _ => format!("{there} -> r{}", item.edition),
+            _ => format!("{there} -> r{}", item.version),
         };
         let name = shown(if item.name.is_empty() { "-" } else { &item.name });
         let mut row: Vec<String> =
             vec![list_name(item.kind).to_owned(), name, against.name().to_owned(), versions];
-        match (stands, item.stands()) {
+        match (stands, item.is_set()) {
             (_, false) => row.push("withdrawn".to_owned()),
             (Some(stands), true) if matches!(against, Against::Newer | Against::Differs) => {
                 row.push(changes(item, stands));
@@ -471,7 +471,7 @@
         rows.push(row);
     }
     let named: BTreeSet<(Kind, &str)> = items.iter().map(|item| (item.kind, &*item.name)).collect();
-    let others = whole.all().filter(|item| !named.contains(&(item.kind, &*item.name))).count();
+    let others = whole.items().filter(|item| !named.contains(&(item.kind, &*item.name))).count();
     let sums = Against::ALL.iter().map(|against| format!("{} {}", sums[*against as usize], against.name()));
     let sums = sums.collect::<Vec<_>>().join(", ");
     format!("{}{sums}; {others} standing items are not in the file\n", table(&rows))
@@ -519,12 +519,12 @@
 
 fn evacuate(args: &Args) -> Result<(), Error> {
     let desks = desks(args)?;
-    let verb = match args.words[0].as_str() {
+    let verb = match args.messages[0].as_str() {
         "start" => "Start",
         "end" => "End",
         other => return UsageSnafu { why: format!("evacuate: start or end, not {other:?}") }.fail(),
     };
-    let zone = &args.words[1];
+    let zone = &args.messages[1];
     // Danger: a zone of several words, or with a line's end in it, would make another call of this one.
     if !zone.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-._~".contains(&byte)) || zone.is_empty() {
         return UsageSnafu { why: format!("evacuate: {zone:?} is no zone's name") }.fail();
@@ -546,17 +546,18 @@
     let held =
         told["duty"].as_object().into_iter().flatten().filter(|(_, held)| held.as_bool() == Some(true));
     let held: Vec<String> = held.map(|(name, _)| shown(name)).collect();
-    let duty = if held.is_empty() { "no duty".to_owned() } else { format!("duty {}", held.join(", ")) };
-    let row = |words: &[&str]| words.iter().map(|word| (*word).to_owned()).collect::<Vec<String>>();
+    let role = if held.is_empty() { "no duty".to_owned() } else { format!("duty {}", held.join(", ")) };
+    let row =
+        |messages: &[&str]| messages.iter().map(|message| (*message).to_owned()).collect::<Vec<String>>();
     let mut core = vec![row(&["core", "address", "district", "heard", "standing"])];
-    for seat in list("core") {
-        let own = seat["station"] == told["asked"];
-        let stands = if own { format!("{standing}, {duty}") } else { contact(&seat) };
+    for replica in list("core") {
+        let own = replica["station"] == told["asked"];
+        let stands = if own { format!("{standing}, {role}") } else { contact(&replica) };
         core.push(vec![
-            text(&seat["station"]),
-            text(&seat["ip"]),
-            text(&seat["district"]),
-            yes(&seat["heard"]),
+            text(&replica["station"]),
+            text(&replica["ip"]),
+            text(&replica["district"]),
+            yes(&replica["heard"]),
             stands,
         ]);
     }
@@ -581,7 +582,7 @@
         "-" => String::new(),
         contact => format!(", {contact} by a majority"),
     };
-    say(&format!("asked {asked}: {standing}, {duty}{contact}\n\n{core}\n{gateways}"))
+    say(&format!("asked {asked}: {standing}, {role}{contact}\n\n{core}\n{gateways}"))
 }
 
 /// How long ago the process that was asked was heard, by a seat or by a majority. Older processes tell nothing of it.
--- a/crates/control-plane/src/endpoints.rs
+++ b/crates/control-plane/src/endpoints.rs
@@ -16,33 +16,33 @@
 
 /// A line of the platform's list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct Endpoint {
     pub call_sign: String,
     pub line: String,
     pub address: String,
-    pub district: String,
+    pub zone: String,
     pub berths: u64,
     pub closing: bool,
     pub cold_ms: u64,
 }
 
 /// One page of the list: its entries, and the token of the next.
-pub fn page(body: &[u8]) -> Option<(Vec<Entry>, Option<String>)> {
+pub fn page(body: &[u8]) -> Option<(Vec<Endpoint>, Option<String>)> {
     let whole: Value = serde_json::from_slice(body).ok()?;
     let mut entries = Vec::new();
-    for (district, list) in whole.get("backends")?.as_object()? {
+    for (zone, list) in whole.get("backends")?.as_object()? {
         for line in list.as_array()? {
             let text = |name: &str| line.get(name).and_then(Value::as_str).map(str::to_owned);
             let number = |name: &str| line.get(name).and_then(Value::as_f64).unwrap_or(0.0).max(0.0) as u64;
-            let district = text("district").unwrap_or_else(|| district.clone());
+            let zone = text("district").unwrap_or_else(|| zone.clone());
             let closing = text("standing").is_some_and(|standing| standing != "open");
             let (berths, cold_ms) = (number("berths").max(1), number("cold-left-ms"));
             let (call_sign, address) = (text("call-sign")?, text("address")?);
-            entries.push(Entry {
+            entries.push(Endpoint {
                 call_sign,
                 line: text("line")?,
                 address,
-                district,
+                zone,
                 berths,
                 closing,
                 cold_ms,
@@ -65,16 +65,16 @@
 }
 
 impl EndpointList {
-    pub fn begin(&mut self, term: u64) {
+    pub fn start_term(&mut self, term: u64) {
         *self = EndpointList { number: term << 32, ..EndpointList::default() };
     }
 
     /// The news of a whole reading, as items of editions above all that are known.
-    pub fn read(&mut self, now: Timestamp, entries: Vec<Entry>, ledger: &ItemStore) -> Vec<Item> {
+    pub fn update(&mut self, now: Timestamp, entries: Vec<Endpoint>, item_store: &ItemStore) -> Vec<Item> {
         // Danger: terms begin anew when the whole core restarts, while backends are kept on disk: what an earlier
         // term wrote would stay for ever. Editions go on above whatever is known.
-        self.number = self.number.max(ledger.highest(Kind::Backend));
-        let known = ledger.each(Kind::Backend).filter(|item| item.value.is_some()).count();
+        self.number = self.number.max(item_store.highest_version(Kind::Backend));
+        let known = item_store.items_of(Kind::Backend).filter(|item| item.value.is_some()).count();
         // Danger: a platform that has just come up may list nothing; that is no word that all backends are gone.
         if entries.is_empty() && known > 1 {
             return Vec::new();
@@ -89,7 +89,7 @@
             let (was, is) = (told.max(now), until);
             let off = if is > was { is - was } else { was - is };
             let cold = entry.cold_ms;
-            let item = ledger.get(Kind::Backend, &entry.call_sign);
+            let item = item_store.get(Kind::Backend, &entry.call_sign);
             let same = item.and_then(|item| item.value.as_deref()).is_some_and(|value| {
                 let (mut was, mut is): (Value, Value) =
                     (serde_json::from_slice(value).unwrap_or_default(), value_of(entry, 0));
@@ -103,8 +103,8 @@
             }
         }
         // One that is missing once may have slipped between two pages that were read one after the other.
-        let gone: BTreeSet<String> = ledger
-            .each(Kind::Backend)
+        let gone: BTreeSet<String> = item_store
+            .items_of(Kind::Backend)
             .filter(|item| item.value.is_some() && !seen.contains(&*item.name))
             .map(|item| item.name.to_string())
             .collect();
@@ -117,14 +117,14 @@
             .map(|(name, value)| {
                 self.number += 1;
                 let value = value.map(|value| Bytes::from(value.to_string()));
-                Item { kind: Kind::Backend, name: name.into(), edition: self.number, value }
+                Item { kind: Kind::Backend, name: name.into(), version: self.number, value }
             })
             .collect()
     }
 }
 
-fn value_of(entry: &Entry, cold_ms: u64) -> Value {
-    json!({"line": entry.line, "address": entry.address, "district": entry.district,
+fn value_of(entry: &Endpoint, cold_ms: u64) -> Value {
+    json!({"line": entry.line, "address": entry.address, "district": entry.zone,
         "berths": entry.berths, "closing": entry.closing, "cold-ms": cold_ms})
 }
 
@@ -132,12 +132,12 @@
 mod tests {
     use super::*;
 
-    fn entry(name: &str, cold_ms: u64) -> Entry {
-        Entry {
+    fn entry(name: &str, cold_ms: u64) -> Endpoint {
+        Endpoint {
             call_sign: name.into(),
             line: "l".into(),
             address: "10.0.0.1:80".into(),
-            district: "d".into(),
+            zone: "d".into(),
             berths: 2,
             closing: false,
             cold_ms,
@@ -147,37 +147,37 @@
     #[test]
     fn only_what_changed_is_news_and_what_is_missing_twice_is_gone() {
         let at = |millis: i64| Timestamp::from_micros(millis * 1000);
-        let (mut roster, mut ledger) = (EndpointList::default(), ItemStore::new());
-        let mut read = |now, entries: &[Entry], ledger: &mut ItemStore| {
-            let news = roster.read(at(now), entries.to_vec(), ledger);
+        let (mut roster, mut item_store) = (EndpointList::default(), ItemStore::new());
+        let mut read = |now, entries: &[Endpoint], item_store: &mut ItemStore| {
+            let news = roster.update(at(now), entries.to_vec(), item_store);
             for item in &news {
-                assert!(ledger.merge(item.clone()));
+                assert!(item_store.merge(item.clone()));
             }
             news.len()
         };
-        assert_eq!(read(0, &[entry("a", 3000), entry("b", 0)], &mut ledger), 2);
-        assert_eq!(read(700, &[entry("a", 2300), entry("b", 0)], &mut ledger), 0);
-        assert_eq!(read(1400, &[entry("a", 1600), entry("b", 3000)], &mut ledger), 1); // cold again
-        assert_eq!(read(4600, &[entry("a", 0), entry("b", 0)], &mut ledger), 2);
-        assert_eq!(read(5300, &[entry("a", 0), entry("b", 0)], &mut ledger), 0);
+        assert_eq!(read(0, &[entry("a", 3000), entry("b", 0)], &mut item_store), 2);
+        assert_eq!(read(700, &[entry("a", 2300), entry("b", 0)], &mut item_store), 0);
+        assert_eq!(read(1400, &[entry("a", 1600), entry("b", 3000)], &mut item_store), 1); // cold again
+        assert_eq!(read(4600, &[entry("a", 0), entry("b", 0)], &mut item_store), 2);
+        assert_eq!(read(5300, &[entry("a", 0), entry("b", 0)], &mut item_store), 0);
         let mut closing = entry("a", 0);
         closing.closing = true;
-        assert_eq!(read(6000, &[closing, entry("b", 0)], &mut ledger), 1);
-        assert_eq!(read(6700, &[entry("b", 0)], &mut ledger), 0);
-        assert_eq!(read(7400, &[entry("b", 0)], &mut ledger), 1);
-        assert!(ledger.get(Kind::Backend, "a").unwrap().value.is_none());
+        assert_eq!(read(6000, &[closing, entry("b", 0)], &mut item_store), 1);
+        assert_eq!(read(6700, &[entry("b", 0)], &mut item_store), 0);
+        assert_eq!(read(7400, &[entry("b", 0)], &mut item_store), 1);
+        assert!(item_store.get(Kind::Backend, "a").unwrap().value.is_none());
         // A stalled list is no empty one, and an empty one not at once a true one.
-        ledger.merge(Item {
+        item_store.merge(Item {
             kind: Kind::Backend,
             name: "c".into(),
-            edition: 1,
+            version: 1,
             value: Some(Bytes::from("{}")),
         });
-        assert_eq!(read(8000, &[], &mut ledger), 0);
+        assert_eq!(read(8000, &[], &mut item_store), 0);
         // What a higher term wrote in an earlier life of the core is overwritten all the same.
         let old = Some(Bytes::from("{}"));
-        ledger.merge(Item { kind: Kind::Backend, name: "b".into(), edition: 99 << 32, value: old });
-        assert_eq!(read(8700, &[entry("b", 0)], &mut ledger), 1);
+        item_store.merge(Item { kind: Kind::Backend, name: "b".into(), version: 99 << 32, value: old });
+        assert_eq!(read(8700, &[entry("b", 0)], &mut item_store), 1);
     }
 
     #[test]
--- a/crates/control-plane/src/request.rs
+++ b/crates/control-plane/src/request.rs
@@ -27,7 +27,7 @@
     /// Bytes that are to be moved for it, its own alone.
     pub fn bytes(&self) -> usize {
         match self {
-            Request::Patch(items) => items.iter().map(Item::bytes).sum(),
+            Request::Patch(items) => items.iter().map(Item::wire_bytes).sum(),
             Request::Settle(call) => call.bytes(),
             _ => 0,
         }
@@ -59,7 +59,7 @@
     /// The control process at this address says that it is in contact with the core: it may do it.
     Redirect(String),
     /// Another control process may do it.
-    Elsewhere(&'static str),
+    Unavailable(&'static str),
 }
 
 /// A call as its first line and body tell it, before anything is run.
@@ -69,8 +69,8 @@
     /// A body that is still to be read as a change of items.
     Patch,
     Lookup {
-        province: String,
-        district: String,
+        region: String,
+        zone: String,
     },
     Members,
     Unknown,
@@ -86,9 +86,7 @@
             pair.map(|(_, value)| value.to_owned()).unwrap_or_default()
         };
         let (wanted, call) = match path {
-            "/v1/route-lookup" => {
-                ("GET", ApiCall::Lookup { province: of("province"), district: of("district") })
-            }
+            "/v1/route-lookup" => ("GET", ApiCall::Lookup { region: of("province"), zone: of("district") }),
             "/v1/Timetable.Get" => ("GET", ApiCall::Request(Request::Get)),
             "/v1/Timetable.Patch" => ("POST", ApiCall::Patch),
             "/v1/members" => ("GET", ApiCall::Members),
@@ -110,9 +108,9 @@
 
 /// Where the same call is to be made at another address, if its target can stand in a field. Danger: whatever a caller
 /// wrote there goes back to it as part of the answer's head.
-pub fn place(ip: &str, port: u16, target: &[u8]) -> Option<String> {
+pub fn place(address: &str, port: u16, target: &[u8]) -> Option<String> {
     let fit = target.starts_with(b"/") && target.iter().all(u8::is_ascii_graphic);
-    fit.then(|| format!("http://{ip}:{port}{}", String::from_utf8_lossy(target)))
+    fit.then(|| format!("http://{address}:{port}{}", String::from_utf8_lossy(target)))
 }
 
 #[cfg(test)]
@@ -134,7 +132,7 @@
     #[case("GET", "/v1/Timetable.Get", ApiCall::Request(Request::Get))]
     #[case("POST", "/v1/Timetable.Patch", ApiCall::Patch)]
     #[case("GET", "/v1/Timetable.Patch", ApiCall::WrongMethod)]
-    #[case("GET", "/v1/route-lookup?name=a&province=p&district=d", ApiCall::Lookup { province: "p".into(), district: "d".into() })]
+    #[case("GET", "/v1/route-lookup?name=a&province=p&district=d", ApiCall::Lookup { region: "p".into(), zone: "d".into() })]
     #[case("POST", "/v1/Evacuate.Start/z-1", ApiCall::Request(Request::Evacuate { zone: "z-1".into(), on: true }))]
     #[case("POST", "/v1/Evacuate.End/z-1", ApiCall::Request(Request::Evacuate { zone: "z-1".into(), on: false }))]
     #[case("POST", "/v1/Evacuate.Pause/z-1", ApiCall::Unknown)]
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -1,8 +1,8 @@
 //! Sockets, disk and clock around the [`StateMachine`]: one thread, one loop.
 
-use crate::endpoints::{self, Entry};
+use crate::endpoints::{self, Endpoint};
 use crate::request::{place, ApiCall, Request, Response};
-use crate::state_machine::{millis, Action, SeatContact, Start, StateMachine, COORDINATOR_ROLE};
+use crate::state_machine::{millis, Action, ReplicaContact, Start, StateMachine, COORDINATOR_ROLE};
 use kitepass_config::Item;
 use kitepass_coordination::membership::Replica;
 use kitepass_coordination::protocol::framing::{Assembler, Outbox, Packed, MOST_FRAME};
@@ -14,7 +14,7 @@
 use kitepass_net::http::MessageKind;
 use kitepass_net::poller::{self, Clock, Poller, ReadyEvent};
 use kitepass_net::{Errno, OwnedFd};
-use kitepass_node::process::{life, Signals};
+use kitepass_node::process::{new_incarnation, Signals};
 use kitepass_node::{Settings, Watch};
 use kitepass_storage::Store;
 use kitepass_time::{Duration, Timestamp};
@@ -89,15 +89,15 @@
     /// A caller of `control` or `directory`.
     Caller(Box<Caller>),
     /// A connection to another control process, on which this one speaks.
-    Out { ip: String },
+    Out { address: String },
     /// One of another process, until it has said who it is.
     Stranger,
     /// Another control process speaks here.
-    Peer { station: String, life: u64 },
+    Peer { node_id: String, incarnation: u64 },
     /// A gateway's session, both ways.
     Session,
     /// The platform's list.
-    Carrier(HeadReader, Option<(Body, u16)>, Vec<u8>),
+    Platform(HeadReader, Option<(Body, u16)>, Vec<u8>),
 }
 
 #[derive(Default)]
@@ -138,14 +138,14 @@
         self.wire.unsent() + self.outbox.waiting()
     }
 
-    fn say(&mut self, word: Packed, urgent: bool) {
-        self.outbox.say(word, urgent, &mut self.wire.output);
+    fn say(&mut self, message: Packed, urgent: bool) {
+        self.outbox.say(message, urgent, &mut self.wire.output);
     }
 }
 
 /// A reading of the platform's list under way.
 struct Reading {
-    entries: Vec<Entry>,
+    entries: Vec<Endpoint>,
     since: Timestamp,
 }
 
@@ -182,13 +182,13 @@
         let poll = Poller::new().context(SystemSnafu { what: "epoll" })?;
         let clock = Clock::new();
         let mut listeners = Vec::new();
-        if settings.counters.control_desk.is_none() {
+        if settings.listeners.operator_api.is_none() {
             warn!("event=no-control-desk"); // no operator reaches this one
         }
-        let siding = SocketAddr::new(IpAddr::V4(settings.ip), settings.sidings.0);
+        let siding = SocketAddr::new(IpAddr::V4(settings.address), settings.peer_ports.0);
         let asked = [
-            (DESK, settings.counters.control_desk),
-            (DIRECTORY, settings.counters.directory_desk),
+            (DESK, settings.listeners.operator_api),
+            (DIRECTORY, settings.listeners.directory_api),
             (SIDING, Some(siding)),
         ];
         for (token, address) in asked {
@@ -197,28 +197,38 @@
             poll.add(&socket, token).context(SystemSnafu { what: "epoll" })?;
             listeners.push((token, socket));
         }
-        let Some(folder) = settings.archive_dir.clone() else {
+        let Some(folder) = settings.data_dir.clone() else {
             return MissingSnafu { field: "archive-dir" }.fail();
         };
         let (store, records) = Store::open(&folder, LOG).context(DiskSnafu)?;
         poll.add(store.wakes(), DISK).context(SystemSnafu { what: "epoll" })?;
         let me = Replica {
-            station: settings.station.clone(),
-            ip: settings.ip.to_string(),
-            district: settings.district.clone(),
-            province: settings.province.clone(),
-            folder: 0,
+            node_id: settings.node_id.clone(),
+            address: settings.address.to_string(),
+            zone: settings.zone.clone(),
+            region: settings.region.clone(),
+            replica_id: 0,
         };
-        let founder = settings.first_stops.first().is_some_and(|stop| stop.ip() == IpAddr::V4(settings.ip));
-        let life = life(&settings.station);
+        let founder = settings
+            .bootstrap_addresses
+            .first()
+            .is_some_and(|stop| stop.ip() == IpAddr::V4(settings.address));
+        let incarnation = new_incarnation(&settings.node_id);
         let now = clock.now();
         let bounds = &settings.bounds;
-        let slack = QuotaTolerance {
+        let tolerance = QuotaTolerance {
             window: bounds.quota_window.as_secs_f64(),
             excess: bounds.quota_excess,
             margin: bounds.quota_margin,
         };
-        let start = Start { me, life, maiden: settings.maiden_run, founder, records, slack };
+        let start = Start {
+            me,
+            incarnation,
+            is_first_start: settings.is_first_start,
+            is_bootstrap_node: founder,
+            records,
+            tolerance,
+        };
         let watch = Watch::new(path);
         Ok(Server {
             core: StateMachine::new(now, start),
@@ -246,7 +256,7 @@
 
     pub fn run(mut self) -> Result<(), Error> {
         self.signals.heed().context(SignalsSnafu)?;
-        info!("event=serving station={} ip={}", self.settings.station, self.settings.ip);
+        info!("event=serving station={} ip={}", self.settings.node_id, self.settings.address);
         let (mut ready, mut ticked, mut watched) = (Vec::new(), Timestamp::default(), self.clock.now());
         let mut leaves: Option<Timestamp> = None;
         loop {
@@ -258,7 +268,7 @@
             }
             std::mem::take(&mut self.again).into_iter().for_each(|id| self.serve(id, None));
             let now = self.clock.now();
-            std::mem::take(&mut self.left).into_iter().for_each(|id| self.core.left(now, id));
+            std::mem::take(&mut self.left).into_iter().for_each(|id| self.core.session_drained(now, id));
             if now - ticked >= TICK {
                 ticked = now;
                 self.core.tick(now);
@@ -272,11 +282,11 @@
             }
             if leaves.is_none() && self.signals.ends() {
                 info!("event=leaving");
-                self.core.leave(now);
+                self.core.shut_down(now);
                 leaves = Some(now);
             }
             self.act();
-            if leaves.is_some_and(|since| now - since > GRACE || self.core.has_left()) {
+            if leaves.is_some_and(|since| now - since > GRACE || self.core.is_shut_down()) {
                 info!("event=end");
                 return Ok(());
             }
@@ -300,8 +310,8 @@
             DESK | DIRECTORY | SIDING => self.accept(ready.token),
             DISK => {
                 let now = self.clock.now();
-                for ticket in self.store.done().context(DiskSnafu)? {
-                    self.core.kept(now, ticket);
+                for request_id in self.store.done().context(DiskSnafu)? {
+                    self.core.records_persisted(now, request_id);
                 }
             }
             token => self.serve(token, Some(ready)),
@@ -359,7 +369,7 @@
             }
             let going = match &conn.role {
                 Role::Caller(_) => self.call(now, id),
-                Role::Carrier(..) => self.carried(now, id, ended),
+                Role::Platform(..) => self.carried(now, id, ended),
                 _ => self.said(now, id),
             };
             if let Err(why) = going {
@@ -399,7 +409,7 @@
                 let _ = conn.wire.end(); // the answer is whole: its reader need not wait for more
             }
             Ok(true) if conn.ends => self.lose(id, "done"),
-            Ok(_) if conn.unsent() <= LOW && self.core.is_fed(id) => self.left.push(id),
+            Ok(_) if conn.unsent() <= LOW && self.core.is_session_catching_up(id) => self.left.push(id),
             // A caller is answered one call at a time, and an answer may be as long as the configuration.
             Ok(_) if matches!(conn.role, Role::Caller(_)) => {}
             Ok(_) if conn.unsent() > MOST_UNSENT => self.lose(id, "does-not-read"),
@@ -412,12 +422,12 @@
         let Some(conn) = self.conns.remove(&id) else { return };
         let now = self.clock.now();
         match conn.role {
-            Role::Session => self.core.session_lost(now, id, why),
-            Role::Out { ip } => {
-                debug!("event=out-lost ip={ip} why={why}");
-                self.out.remove(&ip);
+            Role::Session => self.core.session_closed(now, id, why),
+            Role::Out { address } => {
+                debug!("event=out-lost ip={address} why={why}");
+                self.out.remove(&address);
             }
-            Role::Carrier(..) => {
+            Role::Platform(..) => {
                 self.carrier = None;
                 self.reading = None;
             }
@@ -514,7 +524,7 @@
     fn run_call(&mut self, now: Timestamp, id: u64, call: ApiCall, body: &[u8]) {
         let order = match call {
             ApiCall::Request(order) => order,
-            ApiCall::Patch => match self.core.read_call(body) {
+            ApiCall::Patch => match self.core.parse_change_request(body) {
                 Ok(order) if order.bytes() > MOST_ITEMS => return self.too_long(id),
                 Ok(order) => order,
                 Err(why) => {
@@ -522,16 +532,16 @@
                     return self.answer(id, 400, "text/plain", why.as_bytes(), None);
                 }
             },
-            ApiCall::Lookup { province, district } => return self.lookup(id, &province, &district),
+            ApiCall::Lookup { region, zone } => return self.lookup(id, &region, &zone),
             ApiCall::Members => return self.members(id),
             ApiCall::Unknown => return self.answer(id, 404, "text/plain", b"no such call", None),
             ApiCall::WrongMethod => return self.answer(id, 405, "text/plain", b"not by this method", None),
         };
         if let Request::Evacuate { zone, .. } = &order {
             // Out of contact not even that is known for certain: others may have newer settings.
-            if self.core.takes_orders(now)
-                && !self.settings.districts.is_empty()
-                && !self.settings.districts.contains_key(zone)
+            if self.core.accepts_requests(now)
+                && !self.settings.zones.is_empty()
+                && !self.settings.zones.contains_key(zone)
             {
                 return self.answer(id, 404, "text/plain", b"no such zone", None);
             }
@@ -539,15 +549,15 @@
         if let Some(Conn { role: Role::Caller(caller), .. }) = self.conns.get_mut(&id) {
             caller.waits = true;
         }
-        self.core.order(now, id, order);
+        self.core.handle_request(now, id, order);
     }
 
-    fn lookup(&mut self, id: u64, province: &str, district: &str) {
+    fn lookup(&mut self, id: u64, region: &str, zone: &str) {
         // Danger: gateways that are long gone, told by one that cannot know of it.
-        if !self.core.may_look_up(self.clock.now()) {
+        if !self.core.can_look_up(self.clock.now()) {
             return self.answer(id, 503, "text/plain", b"out of contact with the core", Some(1));
         }
-        let addresses = self.core.lookup(province, district, &self.settings.districts);
+        let addresses = self.core.look_up(region, zone, &self.settings.zones);
         if addresses.is_empty() {
             return self.answer(id, 503, "text/plain", b"no gateway is ready", Some(1));
         }
@@ -563,23 +573,23 @@
             .members()
             .into_iter()
             .map(
-                |m| json!({"station": m.station, "front": m.front, "district": m.district, "ready": m.ready}),
+                |m| json!({"station": m.node_id, "front": m.client_address, "district": m.zone, "ready": m.is_ready}),
             )
             .collect();
-        let seats: Vec<_> = self
+        let replicas: Vec<_> = self
             .core
-            .seats(now)
+            .replica_contacts(now)
             .into_iter()
-            .map(|SeatContact { seat, heard, age }| {
-                json!({"station": seat.station, "ip": seat.ip, "district": seat.district, "heard": heard,
+            .map(|ReplicaContact { replica, heard, age }| {
+                json!({"station": replica.node_id, "ip": replica.address, "district": replica.zone, "heard": heard,
                     "contact": age.is_some_and(|age| age <= CONTACT), "contact-age-ms": age.map(millis)})
             })
             .collect();
-        let standing = format!("{:?}", self.core.standing()).to_lowercase();
-        let body = json!({"asked": self.settings.station, "standing": standing,
-            "contact": self.core.is_in_contact(now), "contact-age-ms": self.core.contact_age(now).map(millis),
-            "duty": {COORDINATOR_ROLE: self.core.holds(now).is_some()}, "core": seats, "gateways": gateways,
-            "evacuated": self.core.evacuated()});
+        let standing = self.core.replica_state().wire_name();
+        let body = json!({"asked": self.settings.node_id, "standing": standing,
+            "contact": self.core.has_quorum(now), "contact-age-ms": self.core.contact_age(now).map(millis),
+            "duty": {COORDINATOR_ROLE: self.core.lease_term(now).is_some()}, "core": replicas, "gateways": gateways,
+            "evacuated": self.core.evacuated_zones()});
         self.answer(id, 200, "application/json", body.to_string().as_bytes(), None);
     }
 
@@ -589,10 +599,10 @@
     }
 
     /// The same call, at another control process. Ports are alike on all machines.
-    fn redirect(&mut self, id: u64, ip: &str) {
+    fn redirect(&mut self, id: u64, address: &str) {
         let Some(Conn { role: Role::Caller(caller), .. }) = self.conns.get(&id) else { return };
-        let port = self.settings.counters.control_desk.map(|desk| desk.port());
-        match port.and_then(|port| place(ip, port, &caller.target)) {
+        let port = self.settings.listeners.operator_api.map(|desk| desk.port());
+        match port.and_then(|port| place(address, port, &caller.target)) {
             Some(place) => {
                 let field = format!("Location: {place}\r\n");
                 self.answer_with(id, 307, "text/plain", b"out of contact with the core", &field);
@@ -635,14 +645,14 @@
         let (input, mut at) = (std::mem::take(&mut conn.wire.input), 0);
         // Danger: over a slow line a word of many MiB takes longer than a silence is borne.
         match &conn.role {
-            Role::Peer { station, .. } if !input.is_empty() => self.core.peer_alive(now, station),
+            Role::Peer { node_id, .. } if !input.is_empty() => self.core.peer_alive(now, node_id),
             Role::Session if !input.is_empty() => self.core.session_alive(now, id),
             _ => {}
         }
         loop {
             let Some(conn) = self.conns.get_mut(&id) else { return Ok(()) };
             match conn.assembler.next(&input, &mut at) {
-                Ok(Some(word)) => self.word(now, id, word),
+                Ok(Some(message)) => self.message(now, id, message),
                 Err(error) => {
                     warn!("event=garbled why={:?}", error.to_string());
                     return Err("garbled");
@@ -656,58 +666,59 @@
         }
     }
 
-    fn word(&mut self, now: Timestamp, id: u64, word: Message) {
+    fn message(&mut self, now: Timestamp, id: u64, message: Message) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
-        match (&conn.role, word) {
-            (Role::Stranger, Message::Hello(hello)) if hello.control => {
-                conn.role = Role::Peer { station: hello.station.clone(), life: hello.life };
-                self.ips.insert(hello.station.clone(), hello.ip.clone());
-                self.stops.insert(hello.ip.clone(), now);
-                self.core.peer_came(now, &hello);
+        match (&conn.role, message) {
+            (Role::Stranger, Message::Hello(hello)) if hello.is_control_plane => {
+                conn.role = Role::Peer { node_id: hello.node_id.clone(), incarnation: hello.incarnation };
+                self.ips.insert(hello.node_id.clone(), hello.address.clone());
+                self.stops.insert(hello.address.clone(), now);
+                self.core.peer_connected(now, &hello);
             }
             (Role::Stranger, Message::Hello(hello)) => {
                 conn.role = Role::Session;
-                self.core.session_came(now, id, hello);
+                self.core.session_opened(now, id, hello);
             }
-            (Role::Peer { station, life }, word) => {
-                let station = station.clone();
+            (Role::Peer { node_id, incarnation }, message) => {
+                let node_id = node_id.clone();
                 // Danger: what an earlier life said would count for the seat of this one, which may have another folder.
-                if !self.core.knows_life(&station, *life) {
+                if !self.core.knows_incarnation(&node_id, *incarnation) {
                     conn.ends = true;
                     return;
                 }
-                for ip in self.core.peer_said(now, &station, word) {
-                    self.stops.entry(ip).or_insert(now);
+                for address in self.core.peer_message(now, &node_id, message) {
+                    self.stops.entry(address).or_insert(now);
                 }
             }
-            (Role::Session, word) => self.core.session_said(now, id, word),
+            (Role::Session, message) => self.core.session_message(now, id, message),
             _ => {}
         }
     }
 
     /// Opens what connections are missing to control processes that are known.
     fn connect(&mut self, now: Timestamp) {
-        let own = self.settings.ip.to_string();
-        let first = self.settings.first_stops.iter().map(|stop| stop.ip().to_string());
-        let mut ips: Vec<String> = first.chain(self.core.stops()).chain(self.stops.keys().cloned()).collect();
+        let own = self.settings.address.to_string();
+        let first = self.settings.bootstrap_addresses.iter().map(|stop| stop.ip().to_string());
+        let mut ips: Vec<String> =
+            first.chain(self.core.known_addresses()).chain(self.stops.keys().cloned()).collect();
         ips.sort();
         ips.dedup();
-        for ip in ips.into_iter().filter(|ip| *ip != own) {
-            let last = self.tried.get(&ip).copied().unwrap_or_default();
-            if self.out.contains_key(&ip) || now - last < TICK * 4 {
+        for address in ips.into_iter().filter(|address| *address != own) {
+            let last = self.tried.get(&address).copied().unwrap_or_default();
+            if self.out.contains_key(&address) || now - last < TICK * 4 {
                 continue;
             }
-            self.tried.insert(ip.clone(), now);
-            let Ok(address) = ip.parse::<IpAddr>() else { continue };
-            let (id, to) = (self.next, SocketAddr::new(address, self.settings.sidings.0));
+            self.tried.insert(address.clone(), now);
+            let Ok(parsed) = address.parse::<IpAddr>() else { continue };
+            let (id, to) = (self.next, SocketAddr::new(parsed, self.settings.peer_ports.0));
             self.next += 1;
             match Connection::open(&self.poll, &to, id, PATIENCE) {
                 Ok(mut wire) => {
                     protocol::pack(Message::Hello(self.core.hello()), &mut wire.output);
-                    self.conns.insert(id, Conn::new(wire, Role::Out { ip: ip.clone() }, now));
-                    self.out.insert(ip, id);
+                    self.conns.insert(id, Conn::new(wire, Role::Out { address: address.clone() }, now));
+                    self.out.insert(address, id);
                 }
-                Err(error) => warn!("event=connect-failed ip={ip} why={}", cause(error)),
+                Err(error) => warn!("event=connect-failed ip={address} why={}", cause(error)),
             }
         }
     }
@@ -721,20 +732,20 @@
             // another try.
             Role::Out { .. } => !conn.wire.is_made() && now - conn.at > PATIENCE,
             Role::Peer { .. } | Role::Session => now - conn.at > PATIENCE * 4,
-            Role::Carrier(..) => self.reading.as_ref().is_some_and(|reading| now - reading.since > PAGE * 3),
+            Role::Platform(..) => self.reading.as_ref().is_some_and(|reading| now - reading.since > PAGE * 3),
         };
         let old: Vec<u64> = self.conns.iter().filter(|(_, conn)| old(conn)).map(|(id, _)| *id).collect();
         old.into_iter().for_each(|id| self.lose(id, "silent"));
-        self.stops.retain(|ip, since| self.out.contains_key(ip) || now - *since < PATIENCE * 20);
+        self.stops.retain(|address, since| self.out.contains_key(address) || now - *since < PATIENCE * 20);
     }
 
     // The platform's list.
 
     fn fetch(&mut self, now: Timestamp) {
-        if self.core.acts(now).is_none() || self.reading.is_some() || now - self.read < READING {
+        if self.core.active_term(now).is_none() || self.reading.is_some() || now - self.read < READING {
             return;
         }
-        let Some(carrier) = self.settings.carrier.as_ref().map(|carrier| carrier.address) else { return };
+        let Some(carrier) = self.settings.platform.as_ref().map(|carrier| carrier.address) else { return };
         self.read = now;
         self.reading = Some(Reading { entries: Vec::new(), since: now });
         if self.carrier.is_none() {
@@ -742,7 +753,7 @@
             self.next += 1;
             match Connection::open(&self.poll, &carrier, id, PATIENCE) {
                 Ok(wire) => {
-                    let role = Role::Carrier(HeadReader::default(), None, Vec::new());
+                    let role = Role::Platform(HeadReader::default(), None, Vec::new());
                     self.conns.insert(id, Conn::new(wire, role, now));
                     self.carrier = Some(id);
                 }
@@ -756,7 +767,7 @@
     }
 
     fn ask_page(&mut self, token: Option<&str>) {
-        let Some((id, carrier)) = self.carrier.zip(self.settings.carrier.as_ref()) else { return };
+        let Some((id, carrier)) = self.carrier.zip(self.settings.platform.as_ref()) else { return };
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let query = token.map(|token| format!("?page-token={token}")).unwrap_or_default();
         let request = format!("GET /backends{query} HTTP/1.1\r\nHost: {}\r\n\r\n", carrier.address);
@@ -765,7 +776,7 @@
     }
 
     fn carried(&mut self, now: Timestamp, id: u64, ended: bool) -> Result<(), &'static str> {
-        let Some(Conn { wire, role: Role::Carrier(reader, stage, bytes), .. }) = self.conns.get_mut(&id)
+        let Some(Conn { wire, role: Role::Platform(reader, stage, bytes), .. }) = self.conns.get_mut(&id)
         else {
             return Ok(());
         };
@@ -804,7 +815,7 @@
             Some(token) => self.ask_page(Some(&token)),
             None => {
                 let whole = self.reading.take().expect("found above");
-                self.core.list_read(now, whole.entries);
+                self.core.endpoints_listed(now, whole.entries);
             }
         }
         Ok(())
@@ -814,31 +825,31 @@
     fn act(&mut self) {
         let mut batches = Batches::default();
         let (mut touched, mut long) = (BTreeSet::new(), Long::default());
-        while !self.core.acts.is_empty() {
-            for act in std::mem::take(&mut self.core.acts) {
+        while !self.core.active_term.is_empty() {
+            for act in std::mem::take(&mut self.core.active_term) {
                 match act {
-                    Action::Peer(station, word) => {
-                        let id = self.ips.get(&station).and_then(|ip| self.out.get(ip)).copied();
+                    Action::SendToPeer(node_id, message) => {
+                        let id = self.ips.get(&node_id).and_then(|address| self.out.get(address)).copied();
                         if let Some((id, conn)) = id.and_then(|id| Some((id, self.conns.get_mut(&id)?))) {
                             let piece =
-                                matches!(&word, Message::PrepareResponse(held) if !held.items.is_empty());
+                                matches!(&message, Message::PrepareResponse(held) if !held.items.is_empty());
                             if piece && conn.unsent() > BUSY {
-                                debug!("event=held-back station={station} unsent={}", conn.unsent());
+                                debug!("event=held-back station={node_id} unsent={}", conn.unsent());
                                 continue;
                             }
-                            let urgent = is_urgent(&word);
-                            let packed = long.of(word);
+                            let urgent = is_urgent(&message);
+                            let packed = long.of(message);
                             conn.say(packed, urgent);
                             touched.insert(id);
                         }
                     }
-                    Action::Session(id, word) => {
+                    Action::SendToSession(id, message) => {
                         if let Some(conn) = self.conns.get_mut(&id) {
-                            conn.say(Packed::new(word.clone()), is_urgent(&word));
+                            conn.say(Packed::new(message.clone()), is_urgent(&message));
                             touched.insert(id);
                         }
                     }
-                    Action::Items(id, items) => {
+                    Action::SendItems(id, items) => {
                         if let Some(conn) = self.conns.get_mut(&id) {
                             for packed in batches.of(&items) {
                                 conn.say(packed, false);
@@ -846,14 +857,14 @@
                             touched.insert(id);
                         }
                     }
-                    Action::Answer(id, reply) => {
+                    Action::Respond(id, response) => {
                         let waits = |conn: &Conn| matches!(&conn.role, Role::Caller(caller) if caller.waits);
                         if !self.conns.get(&id).is_some_and(waits) {
                             // Danger: an answer to a caller that is gone, or has had one, in another's place.
                             debug!("event=answer-to-nobody");
                             continue;
                         }
-                        match reply {
+                        match response {
                             Response::Done => self.answer(id, 200, "application/json", b"{}", None),
                             Response::Body(body) => self.answer(id, 200, "application/json", &body, None),
                             Response::Conflict(why) => {
@@ -862,8 +873,8 @@
                             Response::Invalid(why) => {
                                 self.answer(id, 400, "text/plain", why.as_bytes(), None)
                             }
-                            Response::Redirect(ip) => self.redirect(id, &ip),
-                            Response::Elsewhere(why) => {
+                            Response::Redirect(address) => self.redirect(id, &address),
+                            Response::Unavailable(why) => {
                                 self.answer(id, 503, "text/plain", why.as_bytes(), Some(1));
                             }
                         }
@@ -871,8 +882,8 @@
                         // The next call may stand in its input already, and more of it in the socket.
                         self.serve(id, None);
                     }
-                    Action::Keep(ticket, records) => self.store.put(ticket, records),
-                    Action::Close(id) => {
+                    Action::Persist(request_id, records) => self.store.put(request_id, records),
+                    Action::CloseSession(id) => {
                         if let Some(conn) = self.conns.get_mut(&id) {
                             conn.ends = true;
                             touched.insert(id);
@@ -886,9 +897,9 @@
 }
 
 /// Words that must not wait behind a long one.
-fn is_urgent(word: &Message) -> bool {
+fn is_urgent(message: &Message) -> bool {
     matches!(
-        word,
+        message,
         Message::Heartbeat(_)
             | Message::LeaseRequest(_)
             | Message::LeaseVote(_)
@@ -917,13 +928,13 @@
 struct Long(Option<(Message, Packed)>);
 
 impl Long {
-    fn of(&mut self, word: Message) -> Packed {
-        if let Some((_, packed)) = self.0.as_ref().filter(|(last, _)| *last == word) {
+    fn of(&mut self, message: Message) -> Packed {
+        if let Some((_, packed)) = self.0.as_ref().filter(|(last, _)| *last == message) {
             return packed.clone();
         }
-        let packed = Packed::new(word.clone());
+        let packed = Packed::new(message.clone());
         if matches!(packed, Packed::Long(_)) {
-            self.0 = Some((word, packed.clone()));
+            self.0 = Some((message, packed.clone()));
         }
         packed
     }
--- a/crates/control-plane/src/state_machine/catch_up.rs
+++ b/crates/control-plane/src/state_machine/catch_up.rs
@@ -15,7 +15,7 @@
 /// How far the reading of one other process has come, under one ticket.
 pub(super) struct Reader {
     hashes: Arc<[u64]>,
-    era: u64,
+    epoch: u64,
     /// The bucket that is asked for.
     from: u32,
     at: Timestamp,
@@ -36,73 +36,84 @@
     pub(super) fn take(&mut self, items: Vec<(Item, Vec<VersionDigest>)>) -> bool {
         let (mut news, mut changed) = (Vec::new(), Vec::new());
         for (item, past) in items {
-            match self.ledger.merge_with(item.clone(), &past) {
-                MergeOutcome::Nothing => continue,
-                MergeOutcome::Past => {}
-                MergeOutcome::News => news.push(item.clone()),
+            match self.item_store.merge_with_history(item.clone(), &past) {
+                MergeOutcome::Unchanged => continue,
+                MergeOutcome::HistoryChanged => {}
+                MergeOutcome::NewestChanged => news.push(item.clone()),
             }
             changed.push(item);
         }
         if changed.is_empty() {
             return false;
         }
-        let entries = changed.iter().filter_map(|item| self.ledger.entry(item.kind, &item.name));
+        let entries = changed.iter().filter_map(|item| self.item_store.entry(item.kind, &item.name));
         // What is decided is on enough disks as accepted already: that it is decided can wait for the next sync. Danger: a
         // sync of its own would hold up the next call's for as long as a disk takes.
-        self.later.extend(entries.map(kitepass_config::record));
-        self.later.extend(self.acceptor.settle(&self.ledger, &changed));
+        self.later.extend(entries.map(kitepass_config::encode_record));
+        self.later.extend(self.acceptor.commit(&self.item_store, &changed));
         self.spread(&news);
         self.founded();
         true
     }
 
     pub(super) fn spread(&mut self, news: &[Item]) {
-        news.iter().for_each(|item| learn(&mut self.terms, item));
+        news.iter().for_each(|item| learn(&mut self.rate_limit, item));
         if news.is_empty() || self.sessions.is_empty() {
             return;
         }
         let news: Arc<[Item]> = news.into();
         for session in self.sessions.keys() {
-            self.acts.push(Action::Items(*session, news.clone()));
+            self.active_term.push(Action::SendItems(*session, news.clone()));
         }
     }
 
     /// The first cast has come to one that takes part in the founding: its empty folder is whole.
     pub(super) fn founded(&mut self) {
-        if self.standing == ReplicaState::Blank && self.cast().is_some() {
-            self.shift(ReplicaState::Behind);
-            if self.maiden && self.cast().is_some_and(|cast| cast.has(&self.name) && cast.edition == 1) {
+        if self.replica_state == ReplicaState::Uninitialized && self.replica_set().is_some() {
+            self.shift(ReplicaState::CatchingUp);
+            if self.maiden
+                && self
+                    .replica_set()
+                    .is_some_and(|replica_set| replica_set.contains(&self.name) && replica_set.version == 1)
+            {
                 self.keep_records(vec![(FULL.to_vec(), vec![1])], Kept::Full);
             }
         }
-        self.maiden &= self.cast().is_none();
+        self.maiden &= self.replica_set().is_none();
     }
 
     /// An inquiry that goes on until all is read.
-    pub(super) fn ask(&mut self, now: Timestamp, station: &str, inquire: PrepareRequest) {
-        let hashes = Arc::from(inquire.hashes.as_slice());
-        let reader = Reader { hashes, era: inquire.era, from: 0, at: now, spoilt: 0, first: None };
-        self.readers.insert((inquire.ticket, station.to_owned()), reader);
-        self.send(station, Message::PrepareRequest(inquire));
+    pub(super) fn ask(&mut self, now: Timestamp, node_id: &str, inquire: PrepareRequest) {
+        let hashes = Arc::from(inquire.bucket_digests.as_slice());
+        let reader = Reader { hashes, epoch: inquire.epoch, from: 0, at: now, spoilt: 0, first: None };
+        self.readers.insert((inquire.request_id, node_id.to_owned()), reader);
+        self.send(node_id, Message::PrepareRequest(inquire));
     }
 
     pub(super) fn ask_all(&mut self, now: Timestamp, inquire: &PrepareRequest) {
-        let stations: Vec<String> = self.peers.keys().cloned().collect();
-        stations.iter().for_each(|station| self.ask(now, station, inquire.clone()));
+        let node_ids: Vec<String> = self.peers.keys().cloned().collect();
+        node_ids.iter().for_each(|node_id| self.ask(now, node_id, inquire.clone()));
     }
 
     /// An inquiry for what another holds and this process does not.
-    fn word_of(&self, ticket: u64, era: u64) -> PrepareRequest {
-        let hashes = self.ledger.whole_buckets().to_vec();
-        PrepareRequest { ticket, hashes, life: self.life, era, ..PrepareRequest::default() }
+    fn word_of(&self, request_id: u64, epoch: u64) -> PrepareRequest {
+        let hashes = self.item_store.history_buckets().to_vec();
+        PrepareRequest {
+            request_id,
+            bucket_digests: hashes,
+            incarnation: self.incarnation,
+            epoch,
+            ..PrepareRequest::default()
+        }
     }
 
     /// The next piece of what the asker lacks.
     pub(super) fn piece(&self, inquire: &PrepareRequest, held: &mut PrepareResponse) {
-        let piece = self.ledger.whole_piece(&inquire.hashes, inquire.from as usize, PIECE);
+        let piece =
+            self.item_store.history_chunk(&inquire.bucket_digests, inquire.first_bucket as usize, PIECE);
         held.items = piece.items.into_iter().map(ItemMessage::from).collect();
-        (held.from, held.next) = (inquire.from, piece.next as u32);
-        (held.differs, held.digest) = (piece.differs, piece.digest);
+        (held.first_bucket, held.next_bucket) = (inquire.first_bucket, piece.next_bucket as u32);
+        (held.differing_buckets, held.digest) = (piece.differing_buckets, piece.digest);
     }
 
     /// Takes a piece in, whatever it belongs to, and asks on. What the first answer told comes back once all that the other
@@ -110,24 +121,24 @@
     fn took(
         &mut self,
         now: Timestamp,
-        station: &str,
+        node_id: &str,
         name: &str,
         mut held: PrepareResponse,
     ) -> Option<PrepareResponse> {
         let items = std::mem::take(&mut held.items);
-        let mut items: Vec<_> = items.into_iter().filter_map(ItemMessage::entry).collect();
+        let mut items: Vec<_> = items.into_iter().filter_map(ItemMessage::into_entry).collect();
         // Danger: one that stands outside of the cast may hold what was dropped and forgotten.
         let trusts = self.trusts(name);
         // Danger: tickets begin anew in each life, and an answer to an earlier one may come late: it would pass for a
         // reading that was never made.
-        let key = (held.ticket, station.to_owned());
-        let reader = if held.life == self.life { self.readers.remove(&key) } else { None };
+        let key = (held.request_id, node_id.to_owned());
+        let reader = if held.incarnation == self.incarnation { self.readers.remove(&key) } else { None };
         let Some(mut reader) = reader else {
             items.retain(|(item, _)| trusts || item.kind == Kind::ReplicaSet);
             self.take(items);
             return None;
         };
-        if held.from != reader.from {
+        if held.first_bucket != reader.from {
             // It was asked for twice, and came twice.
             self.readers.insert(key, reader);
             items.retain(|(item, _)| trusts || item.kind == Kind::ReplicaSet);
@@ -135,9 +146,10 @@
             return None;
         }
         let mut given = ItemStore::new();
-        items.iter().for_each(|(item, past)| _ = given.merge_with(item.clone(), past));
-        let (from, next) = (held.from as usize, held.next as usize);
-        let digest = chunk_digest(given.whole_buckets(), &reader.hashes, from, next, &held.differs);
+        items.iter().for_each(|(item, past)| _ = given.merge_with_history(item.clone(), past));
+        let (from, next) = (held.first_bucket as usize, held.next_bucket as usize);
+        let digest =
+            chunk_digest(given.history_buckets(), &reader.hashes, from, next, &held.differing_buckets);
         if !trusts {
             items.retain(|(item, _)| item.kind == Kind::ReplicaSet);
         }
@@ -146,9 +158,9 @@
             return None;
         }
         let whole = next > from && digest == held.digest;
-        let (ticket, told) = (held.ticket, held.digest);
+        let (request_id, told) = (held.request_id, held.digest);
         let first = reader.first.take().unwrap_or(held);
-        if first.refused {
+        if first.is_rejected {
             return Some(first);
         }
         reader.at = now;
@@ -156,7 +168,7 @@
         if !whole {
             reader.spoilt += 1;
             warn!(
-                "event=held-differs station={station} from={from} next={next} told={told:x} here={digest:x}"
+                "event=held-differs station={node_id} from={from} next={next} told={told:x} here={digest:x}"
             );
             if reader.spoilt > MOST_SPOILT {
                 return None;
@@ -168,55 +180,60 @@
         }
         reader.first = Some(first);
         let hashes = reader.hashes.to_vec();
-        let inquire =
-            PrepareRequest { ticket, hashes, life: self.life, era: reader.era, ..PrepareRequest::default() };
-        let inquire = PrepareRequest { from: reader.from, ..inquire };
+        let inquire = PrepareRequest {
+            request_id,
+            bucket_digests: hashes,
+            incarnation: self.incarnation,
+            epoch: reader.epoch,
+            ..PrepareRequest::default()
+        };
+        let inquire = PrepareRequest { first_bucket: reader.from, ..inquire };
         self.readers.insert(key, reader);
-        self.send(station, Message::PrepareRequest(inquire));
+        self.send(node_id, Message::PrepareRequest(inquire));
         None
     }
 
-    /// `name` is the seat of the process at `station`.
-    pub(super) fn held(&mut self, now: Timestamp, station: &str, name: &str, held: PrepareResponse) {
-        let own = station == self.me.station && held.life == self.life;
-        let held = if own { Some(held) } else { self.took(now, station, name, held) };
+    /// `name` is the seat of the process at `node_id`.
+    pub(super) fn held(&mut self, now: Timestamp, node_id: &str, name: &str, held: PrepareResponse) {
+        let own = node_id == self.me.node_id && held.incarnation == self.incarnation;
+        let held = if own { Some(held) } else { self.took(now, node_id, name, held) };
         // A cast may have come in which it has no seat: then what was read is not held any more.
         if self.prove(now) {
             return;
         }
         let Some(held) = held else { return };
-        if self.pulled(now, held.ticket, &held) || !held.full || !held.founded {
+        if self.pulled(now, held.request_id, &held) || !held.is_complete || !held.is_bootstrapped {
             return;
         }
-        if held.ticket != self.inquiry {
+        if held.request_id != self.inquiry {
             return self.read_of(now, name, held);
         }
-        if held.refused {
+        if held.is_rejected {
             self.inquired = Timestamp::default(); // of a newer era, that has come with the answer
             return;
         }
         self.caught.insert(name.to_owned());
-        self.caught_whole = self.caught_whole.max(held.whole);
+        self.caught_whole = self.caught_whole.max(held.activated_version);
         self.catch_up(now);
     }
 
     /// A copy that another asks for waits until this process holds all that the other does.
-    pub(super) fn pull(&mut self, now: Timestamp, station: &str, store: AcceptRequest) {
-        let ticket = self.ticket();
-        let inquire = self.word_of(ticket, store.era);
-        self.pulls.insert(station.to_owned(), (ticket, store));
-        self.ask(now, station, inquire);
+    pub(super) fn pull(&mut self, now: Timestamp, node_id: &str, store: AcceptRequest) {
+        let request_id = self.request_id();
+        let inquire = self.word_of(request_id, store.epoch);
+        self.pulls.insert(node_id.to_owned(), (request_id, store));
+        self.ask(now, node_id, inquire);
     }
 
     /// What such a copy waited for has come.
-    fn pulled(&mut self, now: Timestamp, ticket: u64, held: &PrepareResponse) -> bool {
-        let of = |(_, (asked, _)): &(&String, &(u64, AcceptRequest))| *asked == ticket;
-        let Some(station) = self.pulls.iter().find(of).map(|(station, _)| station.clone()) else {
+    fn pulled(&mut self, now: Timestamp, request_id: u64, held: &PrepareResponse) -> bool {
+        let of = |(_, (asked, _)): &(&String, &(u64, AcceptRequest))| *asked == request_id;
+        let Some(node_id) = self.pulls.iter().find(of).map(|(node_id, _)| node_id.clone()) else {
             return false;
         };
-        let Some((_, store)) = self.pulls.remove(&station) else { return false };
-        if !held.refused {
-            self.copy(now, &station, AcceptRequest { whole: Vec::new(), ..store });
+        let Some((_, store)) = self.pulls.remove(&node_id) else { return false };
+        if !held.is_rejected {
+            self.copy(now, &node_id, AcceptRequest { bucket_digests: Vec::new(), ..store });
         }
         true
     }
@@ -229,15 +246,15 @@
             heard.insert(self.name.clone());
             whole = whole.max(self.whole());
         }
-        let apart = self.contact.state() == ContactState::Out;
+        let apart = self.contact.state() == ContactState::Disconnected;
         if apart
-            || !matches!(self.standing, ReplicaState::Behind | ReplicaState::Apart)
+            || !matches!(self.replica_state, ReplicaState::CatchingUp | ReplicaState::Isolated)
             || !self.is_read(&heard, whole)
         {
             return;
         }
         if self.full {
-            self.shift(ReplicaState::Current);
+            self.shift(ReplicaState::Serving);
             self.watch_all(now);
         } else if !self.keeping.values().any(|kept| matches!(kept, Kept::Full)) {
             // Danger: one with an empty folder would pass for a copy of what it never held. It is full only once
@@ -252,40 +269,42 @@
         // `ask_core`, which has the ticket be a new one.
         if self.inquiry == 0 {
             // An answer may be to the first question under this ticket: it proves no more than that one was heard.
-            (self.inquiry, self.asked) = (self.ticket(), now);
+            (self.inquiry, self.asked) = (self.request_id(), now);
         }
-        let inquire = self.word_of(self.inquiry, self.era_number());
-        let waits = |station: &String| {
-            self.readers.get(&(inquire.ticket, station.clone())).is_some_and(|reader| !reader.is_overdue(now))
+        let inquire = self.word_of(self.inquiry, self.epoch_number());
+        let waits = |node_id: &String| {
+            self.readers
+                .get(&(inquire.request_id, node_id.clone()))
+                .is_some_and(|reader| !reader.is_overdue(now))
         };
-        let stations: Vec<String> = self.peers.keys().filter(|station| !waits(station)).cloned().collect();
-        stations.iter().for_each(|station| self.ask(now, station, inquire.clone()));
+        let node_ids: Vec<String> = self.peers.keys().filter(|node_id| !waits(node_id)).cloned().collect();
+        node_ids.iter().for_each(|node_id| self.ask(now, node_id, inquire.clone()));
     }
 
     /// A copy that still differs after two beats is read, and one that is read already is not asked again.
-    pub(super) fn repair(&mut self, now: Timestamp, station: &str, name: &str) {
+    pub(super) fn repair(&mut self, now: Timestamp, node_id: &str, name: &str) {
         if self.trusts(name)
-            && !self.readers.iter().any(|((_, s), reader)| s == station && !reader.is_overdue(now))
+            && !self.readers.iter().any(|((_, s), reader)| s == node_id && !reader.is_overdue(now))
         {
-            let ticket = self.ticket();
-            let inquire = self.word_of(ticket, self.era_number());
-            self.ask(now, station, inquire);
+            let request_id = self.request_id();
+            let inquire = self.word_of(request_id, self.epoch_number());
+            self.ask(now, node_id, inquire);
         }
     }
 
     /// A connection has come or gone: no answer comes any more to what was asked over the one before.
-    pub(super) fn unread(&mut self, station: &str) {
-        self.readers.retain(|(_, s), _| s != station);
+    pub(super) fn unread(&mut self, node_id: &str) {
+        self.readers.retain(|(_, s), _| s != node_id);
     }
 
     /// Readings that nobody waits for any more are let go.
     pub(super) fn forget_readers(&mut self, now: Timestamp) {
         let (work, pulls, inquiry) = (&self.work, &self.pulls, self.inquiry);
-        self.readers.retain(|(ticket, _), reader| {
+        self.readers.retain(|(request_id, _), reader| {
             !reader.is_overdue(now)
-                || *ticket == inquiry
-                || work.values().any(|work| work.waits_for(*ticket))
-                || pulls.values().any(|(asked, _)| asked == ticket)
+                || *request_id == inquiry
+                || work.values().any(|work| work.waits_for(*request_id))
+                || pulls.values().any(|(asked, _)| asked == request_id)
         });
     }
 
@@ -293,15 +312,15 @@
     pub(super) fn found(&mut self, now: Timestamp) {
         let (since, quiet) = (now - self.begun, now - self.newest);
         let alone = self.peers.is_empty() && since < GATHER_MOST;
-        if !self.founder || self.standing != ReplicaState::Blank || alone || quiet < GATHER {
+        if !self.founder || self.replica_state != ReplicaState::Uninitialized || alone || quiet < GATHER {
             return;
         }
-        let mut seats: Vec<Replica> = self.peers.values().map(|peer| Replica::from(&peer.hello)).collect();
-        seats.push(self.me.clone());
-        seats.sort();
-        let cast = ReplicaSet { seats, edition: 1 };
-        info!("event=found seats={}", cast.seats.len());
-        let item = cast.item(CURRENT);
+        let mut replicas: Vec<Replica> = self.peers.values().map(|peer| Replica::from(&peer.hello)).collect();
+        replicas.push(self.me.clone());
+        replicas.sort();
+        let replica_set = ReplicaSet { replicas, version: 1 };
+        info!("event=found seats={}", replica_set.replicas.len());
+        let item = replica_set.to_item(CURRENT);
         self.send_all(&Message::Items(Items { items: vec![(&item).into()] }));
         self.take(vec![(item, Vec::new())]);
     }
--- a/crates/control-plane/src/state_machine/mod.rs
+++ b/crates/control-plane/src/state_machine/mod.rs
@@ -24,14 +24,14 @@
     JointReplicaSets, Replica, ReplicaObservations, ReplicaSet, CURRENT, INCOMING,
 };
 use kitepass_coordination::protocol::*;
-use kitepass_coordination::quorum_contact::{QuorumContact, State as ContactState};
-use kitepass_coordination::sessions::Table;
+use kitepass_coordination::quorum_contact::{ContactState, QuorumContact};
+use kitepass_coordination::sessions::SessionTable;
 use kitepass_coordination::tombstones::TombstoneCollector;
 use kitepass_coordination::usage::{QuotaTolerance, RateLimit, UsageCounts};
 use kitepass_time::{Duration, Timestamp};
 use log::{debug, error, info, warn};
 use proposals::{PendingRequest, Watched};
-pub use quorum::{millis, SeatContact};
+pub use quorum::{millis, ReplicaContact};
 use records::{learn, record_vote, unrecord_vote};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -61,7 +61,7 @@
 /// The record that says that this folder holds all that was acknowledged here.
 const FULL: &[u8] = b"full";
 /// The record of this folder's number, with which its seat is named.
-const FOLDER: &[u8] = b"folder";
+const REPLICA_ID: &[u8] = b"folder";
 /// The record of whom this voter granted the duty last, by seat, and the edition of the newest cast that it knew.
 const VOTE: &[u8] = b"vote";
 /// The record of the gateways that counted as live. Danger: a core that was killed whole would take the first few
@@ -78,33 +78,47 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// To a control process, by its station.
-    Peer(String, Message),
+    SendToPeer(String, Message),
     /// To a gateway, by its session's number.
-    Session(u64, Message),
+    SendToSession(u64, Message),
     /// Items to a gateway's session, in as many words as they need. Sessions that are told the same share them.
-    Items(u64, Arc<[Item]>),
+    SendItems(u64, Arc<[Item]>),
     /// To a caller, by the number that it asked under.
-    Answer(u64, Response),
+    Respond(u64, Response),
     /// To be kept on disk, and told as [`StateMachine::kept`] with the ticket.
-    Keep(u64, Vec<(Vec<u8>, Vec<u8>)>),
+    Persist(u64, Vec<(Vec<u8>, Vec<u8>)>),
     /// A session is to be closed.
-    Close(u64),
+    CloseSession(u64),
 }
 
 /// How far a process may be relied on. [`StateMachine::shift`] alone changes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaState {
     /// It knows of no core.
-    Blank,
+    Uninitialized,
     /// It knows of a core, and has yet to hear what was acknowledged while it was away.
-    Behind,
+    CatchingUp,
     /// It has caught up, and is in contact with a majority: it takes orders and sessions.
-    Current,
+    Serving,
     /// It had caught up, and too few of the core have proved lately that they hear it: it cannot know of all that is
     /// acknowledged, and hands nothing out as current. Gateways are told, and go to another if there is a better one.
-    Apart,
+    Isolated,
     /// It ends: nothing new is taken.
-    Leaving,
+    ShuttingDown,
+}
+
+impl ReplicaState {
+    /// The state's name in what operators' calls answer (`standing` of `/v1/members`). Never renamed: operators' tools
+    /// read it.
+    pub fn wire_name(self) -> &'static str {
+        match self {
+            ReplicaState::Uninitialized => "blank",
+            ReplicaState::CatchingUp => "behind",
+            ReplicaState::Serving => "current",
+            ReplicaState::Isolated => "apart",
+            ReplicaState::ShuttingDown => "leaving",
+        }
+    }
 }
 
 struct Peer {
@@ -114,7 +128,7 @@
     heard: Timestamp,
     digest: u64,
     differs: u32,
-    duty: u64,
+    role: u64,
     leaving: bool,
 }
 
@@ -129,29 +143,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CoordinatorState {
     /// Another's, or nobody's.
-    Idle,
+    Follower,
     /// Won under a term. Danger: whoever acts on what it knew before would bring an older list, count or cast back.
-    Reading(u64),
+    Recovering(u64),
     /// It has read under that term what a majority holds, and acts.
-    Acting(u64),
+    Active(u64),
 }
 
 enum Kept {
     /// What was accepted for an order of a station, and what it is told then.
     Copy {
-        station: String,
+        node_id: String,
         stored: AcceptResponse,
         reserve: Option<BallotReservation>,
     },
     /// A floor that covers what was promised to a station.
     Promise {
-        station: String,
+        node_id: String,
         held: PrepareResponse,
         reserve: BallotReservation,
     },
     /// A vote that may be told.
     Vote {
-        station: String,
+        node_id: String,
         vote: Vote,
         grant: LeaseVote,
     },
@@ -167,12 +181,12 @@
     me: Replica,
     /// This process' own seat.
     name: String,
-    life: u64,
+    incarnation: u64,
     maiden: bool,
     founder: bool,
-    ledger: ItemStore,
+    item_store: ItemStore,
     checker: SchemaValidator,
-    standing: ReplicaState,
+    replica_state: ReplicaState,
     full: bool,
     begun: Timestamp,
     newest: Timestamp,
@@ -193,7 +207,7 @@
     sessions: BTreeMap<u64, Session>,
     /// Sessions that are told what they lack.
     feeds: CatchUpQueue,
-    table: Table,
+    table: SessionTable,
     told: (u64, Timestamp, Vec<Member>),
     /// Gateways that count as live, reckoned once a beat.
     live: Vec<String>,
@@ -203,11 +217,11 @@
     service: CoordinatorState,
     /// The coming cast that is decided and not in force, by its edition, and when this process ends that change itself.
     odd: Option<(u64, Timestamp)>,
-    claimant: LeaseCandidate,
+    candidate: LeaseCandidate,
     counts: Option<(u64, UsageCounts)>,
     /// Limits of the tenants that stand.
-    terms: BTreeMap<String, RateLimit>,
-    slack: QuotaTolerance,
+    rate_limit: BTreeMap<String, RateLimit>,
+    tolerance: QuotaTolerance,
     roster: EndpointList,
     /// What this seat has promised and accepted.
     acceptor: Acceptor,
@@ -232,11 +246,11 @@
     keeping: BTreeMap<u64, Kept>,
     /// Records that go to disk with the next ones, or at the next tick.
     later: Vec<(Vec<u8>, Vec<u8>)>,
-    ticket: u64,
+    request_id: u64,
     beat: Timestamp,
     inquired: Timestamp,
     chance: oorandom::Rand64,
-    pub acts: Vec<Action>,
+    pub active_term: Vec<Action>,
 }
 
 /// What a process is at its start.
@@ -244,35 +258,35 @@
     /// Its folder's number is taken from the records, or drawn if there are none.
     pub me: Replica,
     /// Drawn anew each time.
-    pub life: u64,
+    pub incarnation: u64,
     /// The first start of the whole system, with an empty folder.
-    pub maiden: bool,
+    pub is_first_start: bool,
     /// The one that gathers the first cast.
-    pub founder: bool,
+    pub is_bootstrap_node: bool,
     pub records: Vec<(Vec<u8>, Vec<u8>)>,
     /// What is borne beyond a quota.
-    pub slack: QuotaTolerance,
+    pub tolerance: QuotaTolerance,
 }
 
 impl StateMachine {
     pub fn new(now: Timestamp, start: Start) -> StateMachine {
-        let (mut ledger, mut full, mut table) = (ItemStore::new(), false, Table::default());
+        let (mut item_store, mut full, mut table) = (ItemStore::new(), false, SessionTable::default());
         let (mut recorded, mut me, mut empty) = (Vote::default(), start.me, true);
         let (mut acceptor, mut garbled) = (Acceptor::new(), Vec::new());
-        me.folder = 0;
+        me.replica_id = 0;
         for (key, value) in &start.records {
-            empty &= key == FOLDER;
+            empty &= key == REPLICA_ID;
             if key == FULL {
                 full = true;
-            } else if key == FOLDER {
-                me.folder = value.first_chunk().map_or(0, |bytes| u64::from_be_bytes(*bytes));
+            } else if key == REPLICA_ID {
+                me.replica_id = value.first_chunk().map_or(0, |bytes| u64::from_be_bytes(*bytes));
             } else if key == VOTE {
                 recorded = unrecord_vote(value);
             } else if key == LIVE {
-                let stations = String::from_utf8_lossy(value);
-                stations.split(',').filter(|s| !s.is_empty()).for_each(|s| table.recall(now, s));
+                let node_ids = String::from_utf8_lossy(value);
+                node_ids.split(',').filter(|s| !s.is_empty()).for_each(|s| table.restore(now, s));
             } else if let Some((item, past)) = kitepass_config::decode_record(key, value) {
-                ledger.merge_with(item, &past);
+                item_store.merge_with_history(item, &past);
             } else if acceptor.restore(key, value) == Restored::Garbled {
                 // Danger: what it accepted may have been chosen by it. It is as good as lost, and comes anew.
                 error!("event=record-garbled key={:?}", String::from_utf8_lossy(key));
@@ -280,41 +294,41 @@
             }
         }
         let is_garbled = !garbled.is_empty();
-        garbled.extend(acceptor.settle_all(&ledger));
+        garbled.extend(acceptor.commit_all(&item_store));
         // The folder of a version that had no numbers stays the seat that it was.
-        let drawn = (start.records.is_empty() || is_garbled).then(|| start.life.max(1));
+        let drawn = (start.records.is_empty() || is_garbled).then(|| start.incarnation.max(1));
         full &= !is_garbled;
-        me.folder = drawn.unwrap_or(me.folder);
-        let mut terms = BTreeMap::new();
-        ledger.each(Kind::Tenant).for_each(|item| learn(&mut terms, item));
-        let standing = if ReplicaSet::of(&ledger, CURRENT).is_some() {
-            ReplicaState::Behind
+        me.replica_id = drawn.unwrap_or(me.replica_id);
+        let mut rate_limit = BTreeMap::new();
+        item_store.items_of(Kind::Tenant).for_each(|item| learn(&mut rate_limit, item));
+        let standing = if ReplicaSet::load(&item_store, CURRENT).is_some() {
+            ReplicaState::CatchingUp
         } else {
-            ReplicaState::Blank
+            ReplicaState::Uninitialized
         };
         let name = me.name();
-        let newest = JointReplicaSets::of(&ledger).map(|era| era.newest().clone());
+        let newest = JointReplicaSets::load(&item_store).map(|epoch| epoch.newest().clone());
         // Danger: a vote given before this cast was known says nothing of what a majority of it may have granted since.
-        let stood = newest.as_ref().is_some_and(|cast| cast.edition == recorded.1);
+        let stood = newest.as_ref().is_some_and(|replica_set| replica_set.version == recorded.1);
         let recalled = stood.then(|| (COORDINATOR_ROLE.to_owned(), recorded.0.clone())).into_iter().collect();
-        info!("event=start seat={name} standing={standing:?} full={full} items={}", ledger.len());
-        let mut chance = oorandom::Rand64::new(u128::from(start.life));
-        let is_held = !ledger.is_empty();
+        info!("event=start seat={name} standing={standing:?} full={full} items={}", item_store.len());
+        let mut chance = oorandom::Rand64::new(u128::from(start.incarnation));
+        let is_held = !item_store.is_empty();
         let mut core = StateMachine {
             contact: QuorumContact::new(&name, chance.rand_u64() as u32),
-            voter: LeaseVoter::new(now, start.maiden && empty, recalled, newest),
+            voter: LeaseVoter::new(now, start.is_first_start && empty, recalled, newest),
             recorded,
-            service: CoordinatorState::Idle,
+            service: CoordinatorState::Follower,
             odd: None,
             chance,
-            maiden: start.maiden && empty,
-            founder: start.founder && start.maiden && empty,
+            maiden: start.is_first_start && empty,
+            founder: start.is_bootstrap_node && start.is_first_start && empty,
             me,
             name,
-            life: start.life,
-            ledger,
+            incarnation: start.incarnation,
+            item_store,
             checker: SchemaValidator::new(),
-            standing,
+            replica_state: standing,
             full,
             begun: now,
             newest: now,
@@ -331,10 +345,10 @@
             table,
             told: (0, Timestamp::default(), Vec::new()),
             live: Vec::new(),
-            claimant: LeaseCandidate::new(COORDINATOR_ROLE, start.life),
+            candidate: LeaseCandidate::new(COORDINATOR_ROLE, start.incarnation),
             counts: None,
-            terms,
-            slack: start.slack,
+            rate_limit,
+            tolerance: start.tolerance,
             roster: EndpointList::default(),
             acceptor,
             highest: Ballot::default(),
@@ -349,14 +363,14 @@
             unproven: is_held,
             keeping: BTreeMap::new(),
             later: Vec::new(),
-            ticket: 0,
+            request_id: 0,
             beat: now,
             inquired: Timestamp::default(),
-            acts: Vec::new(),
+            active_term: Vec::new(),
         };
-        if let Some(folder) = drawn {
+        if let Some(replica_id) = drawn {
             // First of all records, so that whatever else is on disk is on disk under this number.
-            core.keep_records(vec![(FOLDER.to_vec(), folder.to_be_bytes().to_vec())], Kept::Nothing);
+            core.keep_records(vec![(REPLICA_ID.to_vec(), replica_id.to_be_bytes().to_vec())], Kept::Nothing);
         }
         if !garbled.is_empty() {
             core.keep_records(garbled, Kept::Nothing);
@@ -367,118 +381,126 @@
 
     pub fn hello(&self) -> Hello {
         Hello {
-            station: self.me.station.clone(),
-            ip: self.me.ip.clone(),
-            district: self.me.district.clone(),
-            province: self.me.province.clone(),
-            life: self.life,
-            control: true,
-            front: String::new(),
-            current: self.standing == ReplicaState::Current,
-            full: self.full,
-            folder: self.me.folder,
+            node_id: self.me.node_id.clone(),
+            address: self.me.address.clone(),
+            zone: self.me.zone.clone(),
+            region: self.me.region.clone(),
+            incarnation: self.incarnation,
+            is_control_plane: true,
+            client_address: String::new(),
+            is_serving: self.replica_state == ReplicaState::Serving,
+            is_complete: self.full,
+            replica_id: self.me.replica_id,
         }
     }
 
-    pub fn standing(&self) -> ReplicaState {
-        self.standing
+    pub fn replica_state(&self) -> ReplicaState {
+        self.replica_state
     }
 
-    pub fn ledger(&self) -> &ItemStore {
-        &self.ledger
+    pub fn item_store(&self) -> &ItemStore {
+        &self.item_store
     }
 
     fn shift(&mut self, to: ReplicaState) {
-        if self.standing != to {
+        if self.replica_state != to {
             info!(
                 "event=standing from={:?} to={to:?} items={} full={}",
-                self.standing,
-                self.ledger.len(),
+                self.replica_state,
+                self.item_store.len(),
                 self.full
             );
-            self.standing = to;
+            self.replica_state = to;
         }
     }
 
-    fn ticket(&mut self) -> u64 {
-        self.ticket += 1;
-        self.ticket
+    fn request_id(&mut self) -> u64 {
+        self.request_id += 1;
+        self.request_id
     }
 
     /// Records go to disk, behind those that could wait.
     fn keep_records(&mut self, records: Vec<(Vec<u8>, Vec<u8>)>, why: Kept) {
-        let ticket = self.ticket();
+        let request_id = self.request_id();
         let records = match self.later.is_empty() {
             true => records,
             false => std::mem::take(&mut self.later).into_iter().chain(records).collect(),
         };
-        self.keeping.insert(ticket, why);
-        self.acts.push(Action::Keep(ticket, records));
+        self.keeping.insert(request_id, why);
+        self.active_term.push(Action::Persist(request_id, records));
     }
 
-    fn send(&mut self, station: &str, word: Message) {
-        self.acts.push(Action::Peer(station.to_owned(), word));
+    fn send(&mut self, node_id: &str, message: Message) {
+        self.active_term.push(Action::SendToPeer(node_id.to_owned(), message));
     }
 
-    fn send_all(&mut self, word: &Message) {
-        for station in self.peers.keys() {
-            self.acts.push(Action::Peer(station.clone(), word.clone()));
+    fn send_all(&mut self, message: &Message) {
+        for node_id in self.peers.keys() {
+            self.active_term.push(Action::SendToPeer(node_id.clone(), message.clone()));
         }
     }
 
     /// What another control process says. Addresses that it tells of come back.
-    pub fn peer_said(&mut self, now: Timestamp, station: &str, word: Message) -> Vec<String> {
-        let Some(peer) = self.peers.get_mut(station) else { return Vec::new() };
+    pub fn peer_message(&mut self, now: Timestamp, node_id: &str, message: Message) -> Vec<String> {
+        let Some(peer) = self.peers.get_mut(node_id) else { return Vec::new() };
         peer.heard = now;
-        let (life, name) = (peer.hello.life, peer.name.clone());
-        match &word {
-            Message::Heartbeat(beat) => self.contact.heard(now, &name, beat.number, beat.yours),
-            Message::PrepareResponse(held) if (held.life, held.ticket) == (self.life, self.inquiry) => {
-                self.contact.answered(now, &name, self.asked);
+        let (incarnation, name) = (peer.hello.incarnation, peer.name.clone());
+        match &message {
+            Message::Heartbeat(beat) => {
+                self.contact.heartbeat_received(now, &name, beat.sequence, beat.echoed_sequence)
+            }
+            Message::PrepareResponse(held)
+                if (held.incarnation, held.request_id) == (self.incarnation, self.inquiry) =>
+            {
+                self.contact.response_received(now, &name, self.asked);
             }
             _ => {}
         }
-        if matches!(word, Message::Heartbeat(_) | Message::PrepareResponse(_)) {
+        if matches!(message, Message::Heartbeat(_) | Message::PrepareResponse(_)) {
             self.judge_contact(now);
         }
-        let Some(peer) = self.peers.get_mut(station) else { return Vec::new() };
-        match word {
+        let Some(peer) = self.peers.get_mut(node_id) else { return Vec::new() };
+        match message {
             Message::Heartbeat(beat) => {
-                (peer.hello.current, peer.hello.full, peer.digest) = (beat.current, beat.full, beat.digest);
-                (peer.duty, peer.leaving) = (beat.duty, beat.leaving);
-                peer.differs = if beat.digest == self.ledger.whole_digest() { 0 } else { peer.differs + 1 };
+                (peer.hello.is_serving, peer.hello.is_complete, peer.digest) =
+                    (beat.is_serving, beat.is_complete, beat.digest);
+                (peer.role, peer.leaving) = (beat.coordinator_term, beat.is_shutting_down);
+                peer.differs =
+                    if beat.digest == self.item_store.history_digest() { 0 } else { peer.differs + 1 };
                 let asks = peer.differs >= 2;
                 self.agreed(now, &name, &beat);
-                self.table.alive(now, station, life);
+                self.table.heartbeat_received(now, node_id, incarnation);
                 if asks {
-                    self.peers.get_mut(station).expect("found above").differs = 0;
-                    self.repair(now, station, &name);
+                    self.peers.get_mut(node_id).expect("found above").differs = 0;
+                    self.repair(now, node_id, &name);
                 }
             }
-            Message::MembershipUpdate(live) => return live.controls,
+            Message::MembershipUpdate(live) => return live.control_addresses,
             // Backends as whoever does the duty reads them, and the first cast. Danger: whatever else is told unasked could
             // be what was dropped and forgotten.
             Message::Items(items) => {
-                let items = items.items.into_iter().filter_map(ItemMessage::entry);
+                let items = items.items.into_iter().filter_map(ItemMessage::into_entry);
                 self.take(
                     items.filter(|(i, _)| matches!(i.kind, Kind::Backend | Kind::ReplicaSet)).collect(),
                 );
             }
-            Message::AcceptRequest(store) => self.copy(now, station, store),
+            Message::AcceptRequest(store) => self.copy(now, node_id, store),
             Message::Commit(decided) => self.decided(&decided),
-            Message::PurgeTombstones(forget) if self.trusts(&name) => self.forget(forget.due()),
+            Message::PurgeTombstones(forget) if self.trusts(&name) => self.forget(forget.into_expired()),
             // Danger: an answer to an earlier life of this process would pass for a copy of what this life asked to store.
-            Message::AcceptResponse(stored) if stored.life == self.life => self.stored(now, &name, stored),
-            Message::PrepareRequest(inquire) => self.inquired(now, station, &inquire),
-            Message::PrepareResponse(held) => self.held(now, station, &name, held),
-            Message::LeaseRequest(claim) => self.vote(now, station, &name, &claim),
+            Message::AcceptResponse(stored) if stored.incarnation == self.incarnation => {
+                self.stored(now, &name, stored)
+            }
+            Message::PrepareRequest(inquire) => self.inquired(now, node_id, &inquire),
+            Message::PrepareResponse(held) => self.held(now, node_id, &name, held),
+            Message::LeaseRequest(claim) => self.vote(now, node_id, &name, &claim),
             Message::LeaseVote(grant) => self.granted(now, &name, &grant),
             Message::SessionList(sessions) => {
-                self.table.hear(now, station, life, &sessions);
+                self.table.update(now, node_id, incarnation, &sessions);
             }
             Message::UsageReport(adds) => {
                 if let Some(totals) = self.add(now, &adds) {
-                    self.send(station, Message::UsageTotals(totals));
+                    self.send(node_id, Message::UsageTotals(totals));
                 }
             }
             Message::UsageTotals(totals) => self.totals(totals),
@@ -495,8 +517,8 @@
             self.beat(now);
         }
         self.judge_contact(now);
-        match self.standing {
-            ReplicaState::Blank | ReplicaState::Behind | ReplicaState::Apart
+        match self.replica_state {
+            ReplicaState::Uninitialized | ReplicaState::CatchingUp | ReplicaState::Isolated
                 if now - self.inquired > BEAT =>
             {
                 self.ask_core(now);
@@ -521,7 +543,7 @@
         let late: Vec<u64> = self.work.iter().filter(|(_, w)| is_late(w)).map(|(id, _)| *id).collect();
         for id in late {
             warn!("event=order-late order={}", self.work[&id].order.name());
-            self.end(id, Response::Elsewhere("the core did not bear it out in time"));
+            self.end(id, Response::Unavailable("the core did not bear it out in time"));
         }
     }
 }
--- a/crates/control-plane/src/state_machine/sessions.rs
+++ b/crates/control-plane/src/state_machine/sessions.rs
@@ -4,21 +4,21 @@
 
 impl StateMachine {
     /// A gateway asks for a session. Danger: one that has not caught up would tell it an old configuration.
-    pub fn session_came(&mut self, now: Timestamp, id: u64, hello: Hello) {
-        self.acts.push(Action::Session(id, Message::Hello(self.hello())));
-        let may = match self.standing {
-            ReplicaState::Current => self.is_in_contact(now) || hello.current,
+    pub fn session_opened(&mut self, now: Timestamp, id: u64, hello: Hello) {
+        self.active_term.push(Action::SendToSession(id, Message::Hello(self.hello())));
+        let may = match self.replica_state {
+            ReplicaState::Serving => self.has_quorum(now) || hello.is_serving,
             // It had caught up once itself, and does no worse here while nobody better is to be found.
-            ReplicaState::Apart => hello.current,
-            ReplicaState::Blank | ReplicaState::Behind | ReplicaState::Leaving => false,
+            ReplicaState::Isolated => hello.is_serving,
+            ReplicaState::Uninitialized | ReplicaState::CatchingUp | ReplicaState::ShuttingDown => false,
         };
         if !may {
-            return self.acts.push(Action::Close(id));
+            return self.active_term.push(Action::CloseSession(id));
         }
-        info!("event=session station={} life={:x}", hello.station, hello.life);
+        info!("event=session station={} life={:x}", hello.node_id, hello.incarnation);
         self.sessions.insert(id, Session { hello, ready: false, heard: now, differs: 0 });
-        let word = Message::MembershipUpdate(self.live_word());
-        self.acts.push(Action::Session(id, word));
+        let message = Message::MembershipUpdate(self.live_word());
+        self.active_term.push(Action::SendToSession(id, message));
     }
 
     /// Bytes have come of a gateway that are no whole word yet.
@@ -28,41 +28,42 @@
         }
     }
 
-    pub fn session_lost(&mut self, now: Timestamp, id: u64, why: &str) {
+    pub fn session_closed(&mut self, now: Timestamp, id: u64, why: &str) {
         if let Some(session) = self.sessions.remove(&id) {
-            info!("event=session-lost station={} why={why}", session.hello.station);
-            self.feeds.lost(id);
+            info!("event=session-lost station={} why={why}", session.hello.node_id);
+            self.feeds.remove(id);
             self.feed(now);
             self.tell(now);
         }
     }
 
-    pub fn session_said(&mut self, now: Timestamp, id: u64, word: Message) {
+    pub fn session_message(&mut self, now: Timestamp, id: u64, message: Message) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         session.heard = now;
-        match word {
+        match message {
             Message::Heartbeat(beat) => {
-                let was = std::mem::replace(&mut session.ready, beat.ready);
-                session.hello.current |= beat.current;
-                let agrees = beat.digest == self.ledger.digest() || self.feeds.has(id);
+                let was = std::mem::replace(&mut session.ready, beat.is_ready);
+                session.hello.is_serving |= beat.is_serving;
+                let agrees = beat.digest == self.item_store.digest() || self.feeds.contains(id);
                 session.differs = if agrees { 0 } else { session.differs + 1 };
                 // One beat may have crossed with news.
                 if session.differs >= 2 {
                     session.differs = 0;
-                    self.acts.push(Action::Session(id, Message::BucketDigests(self.buckets(false))));
+                    self.active_term
+                        .push(Action::SendToSession(id, Message::BucketDigests(self.buckets(false))));
                 }
-                if was != beat.ready {
+                if was != beat.is_ready {
                     self.tell(now);
                 }
             }
             Message::BucketDigests(buckets) => {
-                self.feeds.ask(id, buckets.hashes, !buckets.back);
+                self.feeds.enqueue(id, buckets.digests, !buckets.wants_reply);
                 self.feed(now);
             }
             // Repair: what a gateway was told by one that is lost. Danger: of the configuration a gateway that was away
             // would bring back what has been dropped, and the drop forgotten.
             Message::Items(items) => {
-                let items = items.items.into_iter().filter_map(ItemMessage::entry);
+                let items = items.items.into_iter().filter_map(ItemMessage::into_entry);
                 self.take(items.filter(|(item, _)| item.kind == Kind::Backend).collect());
             }
             Message::UsageReport(adds) => match self.add(now, &adds) {
@@ -78,49 +79,44 @@
     }
 
     /// Whether something is on its way to a session that [`StateMachine::left`] is to be told of.
-    pub fn is_fed(&self, id: u64) -> bool {
-        self.feeds.is_told(id)
+    pub fn is_session_catching_up(&self, id: u64) -> bool {
+        self.feeds.is_in_flight(id)
     }
 
     /// What was on its way to a session has left, or nearly.
-    pub fn left(&mut self, now: Timestamp, id: u64) {
-        self.feeds.left(id);
+    pub fn session_drained(&mut self, now: Timestamp, id: u64) {
+        self.feeds.chunk_delivered(id);
         self.feed(now);
     }
 
     /// Tells the next of those that came what they lack, as far as there is room.
     pub(super) fn feed(&mut self, now: Timestamp) {
-        while let Some(turn) = self.feeds.next(now) {
-            let piece = self.ledger.piece(&turn.hashes, turn.from, FED);
-            let goes_on = (piece.next < BUCKETS).then_some(piece.next);
+        while let Some(turn) = self.feeds.next_turn(now) {
+            let piece = self.item_store.chunk(&turn.bucket_digests, turn.first_bucket, FED);
+            let goes_on = (piece.next_bucket < BUCKETS).then_some(piece.next_bucket);
             let items: Arc<[Item]> = piece.items.into_iter().cloned().collect();
-            let (id, back, bytes) = (turn.id, turn.back, items.iter().map(Item::bytes).sum());
-            self.feeds.told(now, turn, bytes, goes_on);
+            let (id, back, bytes) = (turn.id, turn.wants_reply, items.iter().map(Item::wire_bytes).sum());
+            self.feeds.chunk_sent(now, turn, bytes, goes_on);
             if !items.is_empty() {
-                self.acts.push(Action::Items(id, items));
+                self.active_term.push(Action::SendItems(id, items));
             }
             if goes_on.is_none() && back {
-                self.acts.push(Action::Session(id, Message::BucketDigests(self.buckets(true))));
+                self.active_term.push(Action::SendToSession(id, Message::BucketDigests(self.buckets(true))));
             }
         }
     }
 
     /// Gateways that a client may be sent to.
-    pub fn lookup(
-        &self,
-        province: &str,
-        district: &str,
-        districts: &BTreeMap<String, String>,
-    ) -> Vec<String> {
-        let ready: Vec<&Member> = self.table.members().into_values().filter(|m| m.ready).collect();
+    pub fn look_up(&self, region: &str, zone: &str, zones: &BTreeMap<String, String>) -> Vec<String> {
+        let ready: Vec<&Member> = self.table.members().into_values().filter(|m| m.is_ready).collect();
         let near = |of: &dyn Fn(&Member) -> bool| -> Vec<String> {
-            ready.iter().filter(|m| of(m)).map(|m| m.front.clone()).take(64).collect()
+            ready.iter().filter(|m| of(m)).map(|m| m.client_address.clone()).take(64).collect()
         };
-        let here = near(&|m| m.district == district);
+        let here = near(&|m| m.zone == zone);
         if here.len() > 1 {
             return here;
         }
-        let there = near(&|m| districts.get(&m.district).is_some_and(|p| p == province));
+        let there = near(&|m| zones.get(&m.zone).is_some_and(|p| p == region));
         if there.len() > 1 {
             return there;
         }
@@ -134,8 +130,8 @@
     }
 
     /// Zones that are evacuated.
-    pub fn evacuated(&self) -> Vec<String> {
-        let stands = self.ledger.each(Kind::Evacuation).filter(|item| item.value.is_some());
+    pub fn evacuated_zones(&self) -> Vec<String> {
+        let stands = self.item_store.items_of(Kind::Evacuation).filter(|item| item.value.is_some());
         stands.map(|item| item.name.to_string()).collect()
     }
 }
