--- a/crates/coordination/src/protocol/framing.rs
+++ b/crates/coordination/src/protocol/framing.rs
@@ -41,8 +41,8 @@
 }
 
 impl Packed {
-    pub fn new(word: Message) -> Packed {
-        let parcel = Envelope { word: Some(word) };
+    pub fn new(message: Message) -> Packed {
+        let parcel = Envelope { message: Some(message) };
         let length = parcel.encoded_len();
         if length > MOST_FRAME {
             return Packed::Long(parcel.encode_to_vec().into());
@@ -76,8 +76,8 @@
 }
 
 /// Appends a word in as many frames as it needs.
-pub fn pack(word: Message, into: &mut Vec<u8>) {
-    let mut packed = Packed::new(word);
+pub fn pack(message: Message, into: &mut Vec<u8>) {
+    let mut packed = Packed::new(message);
     while !packed.frame(into) {}
 }
 
@@ -91,24 +91,24 @@
 
 impl Outbox {
     /// Takes a word; `urgent` ones go at once, the others in their order.
-    pub fn say(&mut self, mut word: Packed, urgent: bool, into: &mut Vec<u8>) {
+    pub fn say(&mut self, mut message: Packed, urgent: bool, into: &mut Vec<u8>) {
         let at_once = self.queue.is_empty() && into.len() < MOST_FRAME;
-        if matches!(word, Packed::Short(_)) && (urgent || at_once) {
-            word.frame(into);
+        if matches!(message, Packed::Short(_)) && (urgent || at_once) {
+            message.frame(into);
             return;
         }
-        self.bytes += word.len();
-        self.queue.push_back(word);
+        self.bytes += message.len();
+        self.queue.push_back(message);
     }
 
     /// Hands over the next frames, for as long as there is room behind so many unsent bytes.
     pub fn feed(&mut self, into: &mut Vec<u8>, unsent: usize) {
         let begun = into.len();
         while unsent + into.len() - begun < MOST_FRAME {
-            let Some(word) = self.queue.front_mut() else { return };
-            let before = word.len();
-            let ended = word.frame(into);
-            self.bytes -= if ended { before } else { before - word.len() };
+            let Some(message) = self.queue.front_mut() else { return };
+            let before = message.len();
+            let ended = message.frame(into);
+            self.bytes -= if ended { before } else { before - message.len() };
             if ended {
                 self.queue.pop_front();
             }
@@ -156,8 +156,8 @@
                 0 => Some(decode(frame)?),
                 kind => self.add(frame, kind)?.map(|whole| decode(&whole)).transpose()?,
             };
-            if let Some(word) = parcel.and_then(|parcel| parcel.word) {
-                return Ok(Some(word));
+            if let Some(message) = parcel.and_then(|parcel| parcel.message) {
+                return Ok(Some(message));
             }
         }
     }
--- a/crates/coordination/src/protocol/messages.rs
+++ b/crates/coordination/src/protocol/messages.rs
@@ -2,7 +2,7 @@
 
 use super::framing::pack;
 use crate::consensus::{Ballot, ProposalMessage};
-use crate::tombstones::Due;
+use crate::tombstones::ExpiredTombstone;
 use bytes::Bytes;
 use kitepass_config::{Entry, Item, Kind, VersionDigest};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Envelope {
     #[prost(oneof = "Message", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16")]
-    pub word: Option<Message>,
+    pub message: Option<Message>,
 }
 
 #[derive(Clone, PartialEq, prost::Oneof)]
@@ -57,33 +57,33 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Hello {
     #[prost(string, tag = "1")]
-    pub station: String,
+    pub node_id: String,
     #[prost(string, tag = "2")]
-    pub ip: String,
+    pub address: String,
     #[prost(string, tag = "3")]
-    pub district: String,
+    pub zone: String,
     #[prost(string, tag = "4")]
-    pub province: String,
+    pub region: String,
     /// Drawn at each start: tells one life of a process from the next.
     #[prost(fixed64, tag = "5")]
-    pub life: u64,
+    pub incarnation: u64,
     /// A control process.
     #[prost(bool, tag = "6")]
-    pub control: bool,
+    pub is_control_plane: bool,
     /// Where clients reach it; empty for a control process.
     #[prost(string, tag = "7")]
-    pub front: String,
+    pub client_address: String,
     /// A control process that may be relied on: it has caught up with enough of the core, and is in contact with it. A
     /// gateway: it has caught up once, so it has nothing to fear from one that is not current.
     #[prost(bool, tag = "8")]
-    pub current: bool,
+    pub is_serving: bool,
     /// Its folder holds what it has acknowledged.
     #[prost(bool, tag = "9")]
-    pub full: bool,
+    pub is_complete: bool,
     /// A control process' folder, by the number that was drawn when it was first written: with the station it names the
     /// seat. 0 for a gateway, and for a folder older than that.
     #[prost(fixed64, tag = "10")]
-    pub folder: u64,
+    pub replica_id: u64,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -92,27 +92,27 @@
     pub digest: u64,
     /// A gateway: it takes requests.
     #[prost(bool, tag = "2")]
-    pub ready: bool,
+    pub is_ready: bool,
     /// A control process: see [`Hello`].
     #[prost(bool, tag = "3")]
-    pub current: bool,
+    pub is_serving: bool,
     #[prost(bool, tag = "4")]
-    pub full: bool,
+    pub is_complete: bool,
     /// The term under which it does the duty now, or 0.
     #[prost(uint64, tag = "5")]
-    pub duty: u64,
+    pub coordinator_term: u64,
     /// Between control processes: a number that the sender gave to no other beat of its life, and the last one that it
     /// heard of the other, or 0; see [`crate::quorum_contact`].
     #[prost(fixed32, tag = "6")]
-    pub number: u32,
+    pub sequence: u32,
     #[prost(fixed32, tag = "7")]
-    pub yours: u32,
+    pub echoed_sequence: u32,
     /// A control process that ends in order: its seat may go at once, before it is silent.
     #[prost(bool, tag = "8")]
-    pub leaving: bool,
+    pub is_shutting_down: bool,
     /// A control process: all that it holds is on disk, and nothing is accepted there and undecided.
     #[prost(bool, tag = "12")]
-    pub kept: bool,
+    pub is_persisted: bool,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -122,19 +122,19 @@
     #[prost(string, tag = "2")]
     pub name: String,
     #[prost(uint64, tag = "3")]
-    pub edition: u64,
+    pub version: u64,
     /// None where the item is dropped.
     #[prost(bytes = "bytes", optional, tag = "4")]
     pub value: Option<Bytes>,
     /// Older decided versions, the lowest first. Between control processes alone.
     #[prost(message, repeated, tag = "5")]
-    pub past: Vec<VersionMessage>,
+    pub older_versions: Vec<VersionMessage>,
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct VersionMessage {
     #[prost(uint64, tag = "1")]
-    pub edition: u64,
+    pub version: u64,
     /// The content's mark in two halves.
     #[prost(fixed64, tag = "2")]
     pub high: u64,
@@ -144,44 +144,44 @@
 
 impl From<&Item> for ItemMessage {
     fn from(item: &Item) -> ItemMessage {
-        ItemMessage::from(Entry { item, past: &[] })
+        ItemMessage::from(Entry { item, older_versions: &[] })
     }
 }
 
 impl From<Entry<'_>> for ItemMessage {
     fn from(entry: Entry) -> ItemMessage {
-        let Item { kind, name, edition, value } = entry.item;
-        let older = |version: &VersionDigest| VersionMessage {
-            edition: version.edition,
-            high: (version.mark >> 64) as u64,
-            low: version.mark as u64,
+        let Item { kind, name, version, value } = entry.item;
+        let older = |version_digest: &VersionDigest| VersionMessage {
+            version: version_digest.version,
+            high: (version_digest.digest >> 64) as u64,
+            low: version_digest.digest as u64,
         };
         ItemMessage {
             kind: *kind as u32,
             name: name.to_string(),
-            edition: *edition,
+            version: *version,
             value: value.clone(),
-            past: entry.past.iter().map(older).collect(),
+            older_versions: entry.older_versions.iter().map(older).collect(),
         }
     }
 }
 
 impl ItemMessage {
     /// None for a kind that this version does not know: it is passed over, not taken for another.
-    pub fn item(self) -> Option<Item> {
+    pub fn into_item(self) -> Option<Item> {
         let kind = Kind::from_u8(u8::try_from(self.kind).ok()?)?;
-        Some(Item { kind, name: Arc::from(self.name), edition: self.edition, value: self.value })
+        Some(Item { kind, name: Arc::from(self.name), version: self.version, value: self.value })
     }
 
     /// The item with its older versions.
-    pub fn entry(self) -> Option<(Item, Vec<VersionDigest>)> {
-        let older = |word: &VersionMessage| VersionDigest {
-            edition: word.edition,
-            mark: u128::from(word.high) << 64 | u128::from(word.low),
+    pub fn into_entry(self) -> Option<(Item, Vec<VersionDigest>)> {
+        let older = |message: &VersionMessage| VersionDigest {
+            version: message.version,
+            digest: u128::from(message.high) << 64 | u128::from(message.low),
         };
         // Danger: a list without end would make us keep memory for it.
-        let past = self.past.iter().take(kitepass_config::MAX_OLDER_VERSIONS).map(older).collect();
-        Some((self.item()?, past))
+        let past = self.older_versions.iter().take(kitepass_config::MAX_OLDER_VERSIONS).map(older).collect();
+        Some((self.into_item()?, past))
     }
 }
 
@@ -194,76 +194,76 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct BucketDigests {
     #[prost(fixed64, repeated, tag = "1")]
-    pub hashes: Vec<u64>,
+    pub digests: Vec<u64>,
     /// The sender has taken what the other had and still differs: the other may take in what follows.
     #[prost(bool, tag = "2")]
-    pub back: bool,
+    pub wants_reply: bool,
 }
 
 /// Items to be kept on disk before they are acknowledged.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AcceptRequest {
     #[prost(uint64, tag = "1")]
-    pub ticket: u64,
+    pub request_id: u64,
     #[prost(message, repeated, tag = "2")]
     pub items: Vec<ItemMessage>,
     /// The asker's life. Tickets begin anew in each: an answer that repeats another life's is not for this one.
     #[prost(fixed64, tag = "3")]
-    pub life: u64,
+    pub incarnation: u64,
     /// See [`PrepareRequest`].
     #[prost(uint64, tag = "4")]
-    pub era: u64,
+    pub epoch: u64,
     /// The ballot under which the call is proposed.
     #[prost(message, optional, tag = "5")]
     pub ballot: Option<Ballot>,
     /// Not the call is proposed but that it is denied: the items are left out, and these are its mark and its keys.
     #[prost(bytes = "bytes", tag = "6")]
-    pub denies: Bytes,
+    pub rejects: Bytes,
     #[prost(fixed64, repeated, tag = "7")]
     pub keys: Vec<u64>,
     /// For a cast that is to be in force: what its writer holds, by buckets. Only who holds all of it is a copy.
     #[prost(fixed64, repeated, tag = "8")]
-    pub whole: Vec<u64>,
+    pub bucket_digests: Vec<u64>,
     /// Somebody has accepted it before.
     #[prost(bool, tag = "9")]
-    pub again: bool,
+    pub was_accepted_before: bool,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AcceptResponse {
     #[prost(uint64, tag = "1")]
-    pub ticket: u64,
+    pub request_id: u64,
     /// The one that answers counts as a copy: its folder is full.
     #[prost(bool, tag = "2")]
-    pub full: bool,
+    pub is_complete: bool,
     /// The asker's life, as it was told.
     #[prost(fixed64, tag = "3")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Nothing was accepted: see [`PrepareResponse`].
     #[prost(bool, tag = "4")]
-    pub refused: bool,
+    pub is_rejected: bool,
     /// The higher ballot that was promised, where that is why.
     #[prost(message, optional, tag = "5")]
     pub ballot: Option<Ballot>,
     /// The ballot that this answers.
     #[prost(message, optional, tag = "6")]
-    pub under: Option<Ballot>,
+    pub answered_ballot: Option<Ballot>,
 }
 
 /// Asks a control process for what it holds and the asker does not, in pieces: see [`PrepareResponse`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PrepareRequest {
     #[prost(uint64, tag = "1")]
-    pub ticket: u64,
+    pub request_id: u64,
     #[prost(fixed64, repeated, tag = "2")]
-    pub hashes: Vec<u64>,
+    pub bucket_digests: Vec<u64>,
     /// The asker's life: see [`AcceptRequest`].
     #[prost(fixed64, tag = "3")]
-    pub life: u64,
+    pub incarnation: u64,
     /// The era by whose casts the asker counts, as decided. Danger: one that knows of an older cast alone would take an
     /// old majority for one in force.
     #[prost(uint64, tag = "4")]
-    pub era: u64,
+    pub epoch: u64,
     /// Asks for the promise to accept nothing below this ballot for these keys. None: a reading alone.
     #[prost(message, optional, tag = "5")]
     pub ballot: Option<Ballot>,
@@ -271,53 +271,53 @@
     pub keys: Vec<u64>,
     /// All calls that are accepted and undecided are to be told, whatever their keys.
     #[prost(bool, tag = "7")]
-    pub all: bool,
+    pub wants_all_undecided: bool,
     /// The bucket to go on with; 0 at first.
     #[prost(uint32, tag = "10")]
-    pub from: u32,
+    pub first_bucket: u32,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PrepareResponse {
     #[prost(uint64, tag = "1")]
-    pub ticket: u64,
+    pub request_id: u64,
     #[prost(message, repeated, tag = "2")]
     pub items: Vec<ItemMessage>,
     #[prost(bool, tag = "3")]
-    pub full: bool,
+    pub is_complete: bool,
     /// The answerer knows of a core.
     #[prost(bool, tag = "4")]
-    pub founded: bool,
+    pub is_bootstrapped: bool,
     /// The asker's life, as it was told.
     #[prost(fixed64, tag = "5")]
-    pub life: u64,
+    pub incarnation: u64,
     /// The buckets from this one up to `next` are covered: what differs in them is here, as it was held in one moment.
     /// Whoever has taken it asks on at `next`, until that is past the last bucket.
     #[prost(uint32, tag = "10")]
-    pub from: u32,
+    pub first_bucket: u32,
     #[prost(uint32, tag = "11")]
-    pub next: u32,
+    pub next_bucket: u32,
     /// See `tenet::Piece`.
     #[prost(bytes = "vec", tag = "12")]
-    pub differs: Vec<u8>,
+    pub differing_buckets: Vec<u8>,
     #[prost(fixed64, tag = "13")]
     pub digest: u64,
     /// No reading and no promise: the asker counts by an older era, or a higher ballot was promised.
     #[prost(bool, tag = "6")]
-    pub refused: bool,
+    pub is_rejected: bool,
     /// The highest ballot promised, where that is why.
     #[prost(message, optional, tag = "7")]
     pub ballot: Option<Ballot>,
     /// Calls that are accepted here and undecided.
     #[prost(message, repeated, tag = "8")]
-    pub calls: Vec<ProposalMessage>,
+    pub accepted: Vec<ProposalMessage>,
     /// Calls that are denied here.
     #[prost(message, repeated, tag = "9")]
-    pub denied: Vec<RejectedProposal>,
+    pub rejected: Vec<RejectedProposal>,
     /// The edition of a cast that was accepted here to be in force and is not known to be, or 0: all that was decided under
     /// the cast before is held here.
     #[prost(uint64, tag = "14")]
-    pub whole: u64,
+    pub activated_version: u64,
 }
 
 /// A call, by its mark, that was refused for its content under a ballot.
@@ -326,30 +326,30 @@
     #[prost(message, required, tag = "1")]
     pub ballot: Ballot,
     #[prost(bytes = "bytes", tag = "2")]
-    pub mark: Bytes,
+    pub proposal_id: Bytes,
 }
 
 /// Drops that are forgotten, each of exactly this version.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PurgeTombstones {
     #[prost(message, repeated, tag = "1")]
-    pub drops: Vec<ItemMessage>,
+    pub tombstones: Vec<ItemMessage>,
 }
 
 impl PurgeTombstones {
-    pub fn of(due: &[Due]) -> PurgeTombstones {
-        let drop = |(kind, name, edition): &Due| ItemMessage {
+    pub fn from_expired(due: &[ExpiredTombstone]) -> PurgeTombstones {
+        let drop = |(kind, name, version): &ExpiredTombstone| ItemMessage {
             kind: *kind as u32,
             name: name.to_string(),
-            edition: *edition,
+            version: *version,
             ..ItemMessage::default()
         };
-        PurgeTombstones { drops: due.iter().map(drop).collect() }
+        PurgeTombstones { tombstones: due.iter().map(drop).collect() }
     }
 
-    pub fn due(self) -> Vec<Due> {
-        let items = self.drops.into_iter().filter_map(ItemMessage::item);
-        items.map(|item| (item.kind, item.name, item.edition)).collect()
+    pub fn into_expired(self) -> Vec<ExpiredTombstone> {
+        let items = self.tombstones.into_iter().filter_map(ItemMessage::into_item);
+        items.map(|item| (item.kind, item.name, item.version)).collect()
     }
 }
 
@@ -357,35 +357,35 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Commit {
     #[prost(bytes = "bytes", tag = "1")]
-    pub mark: Bytes,
+    pub proposal_id: Bytes,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LeaseRequest {
     #[prost(string, tag = "1")]
-    pub duty: String,
+    pub role: String,
     #[prost(uint64, tag = "2")]
     pub term: u64,
     #[prost(uint64, tag = "3")]
-    pub ticket: u64,
+    pub request_id: u64,
     #[prost(bool, tag = "4")]
-    pub release: bool,
+    pub is_release: bool,
     /// The claimant holds the duty under this term, and renews.
     #[prost(bool, tag = "5")]
-    pub holds: bool,
+    pub is_renewal: bool,
     /// The era by whose casts the claimant counts the votes: a voter that knows of a later one refuses.
     #[prost(uint64, tag = "6")]
-    pub era: u64,
+    pub epoch: u64,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LeaseVote {
     #[prost(string, tag = "1")]
-    pub duty: String,
+    pub role: String,
     #[prost(uint64, tag = "2")]
-    pub ticket: u64,
+    pub request_id: u64,
     #[prost(bool, tag = "3")]
-    pub granted: bool,
+    pub is_granted: bool,
     /// The highest term that the voter has heard of.
     #[prost(uint64, tag = "4")]
     pub term: u64,
@@ -394,28 +394,28 @@
     pub holder: String,
     /// The voter's own era: a claimant that hears of a later one is behind.
     #[prost(uint64, tag = "6")]
-    pub era: u64,
+    pub epoch: u64,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Member {
     #[prost(string, tag = "1")]
-    pub station: String,
+    pub node_id: String,
     #[prost(fixed64, tag = "2")]
-    pub life: u64,
+    pub incarnation: u64,
     #[prost(string, tag = "3")]
-    pub front: String,
+    pub client_address: String,
     #[prost(string, tag = "4")]
-    pub district: String,
+    pub zone: String,
     #[prost(bool, tag = "5")]
-    pub ready: bool,
+    pub is_ready: bool,
 }
 
 /// All sessions of one control process; a later list replaces an earlier one.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SessionList {
     #[prost(uint64, tag = "1")]
-    pub number: u64,
+    pub sequence: u64,
     #[prost(message, repeated, tag = "2")]
     pub members: Vec<Member>,
 }
@@ -428,34 +428,34 @@
     #[prost(uint32, tag = "2")]
     pub offered: u32,
     #[prost(uint32, tag = "3")]
-    pub sent: u32,
+    pub forwarded: u32,
     /// Requests of the tenant's allowance that the gateway holds, and how many more it would have.
     #[prost(uint32, tag = "4")]
-    pub held: u32,
+    pub reserved: u32,
     #[prost(uint32, tag = "5")]
-    pub wants: u32,
+    pub requested: u32,
     /// Requests that it gives back: it holds fewer by now.
     #[prost(uint32, tag = "6")]
-    pub back: u32,
+    pub returned: u32,
     /// Requests that it would hold in advance, if there is plenty.
     #[prost(uint32, tag = "7")]
-    pub ahead: u32,
+    pub prefetch: u32,
 }
 
 /// A gateway's adds to the counts of its last period. Adding zero reads alone.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct UsageReport {
     #[prost(uint64, tag = "1")]
-    pub ticket: u64,
+    pub request_id: u64,
     #[prost(string, tag = "2")]
-    pub station: String,
+    pub node_id: String,
     #[prost(message, repeated, tag = "3")]
-    pub adds: Vec<TenantUsage>,
+    pub tenants: Vec<TenantUsage>,
     #[prost(fixed64, tag = "4")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Between two periods: it asks for more, and adds nothing.
     #[prost(bool, tag = "5")]
-    pub asks: bool,
+    pub is_mid_period: bool,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -466,27 +466,27 @@
     #[prost(float, tag = "2")]
     pub offered: f32,
     #[prost(float, tag = "3")]
-    pub sent: f32,
+    pub forwarded: f32,
     /// Requests of the allowance that the gateway holds from now on, beside those that it held.
     #[prost(uint32, tag = "4")]
     pub granted: u32,
     /// The gateway's part of the limit for as long as it hears nothing more.
     #[prost(float, tag = "5")]
-    pub part: f32,
+    pub share: f32,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct UsageTotals {
     #[prost(uint64, tag = "1")]
-    pub ticket: u64,
+    pub request_id: u64,
     #[prost(string, tag = "2")]
-    pub station: String,
+    pub node_id: String,
     #[prost(message, repeated, tag = "3")]
-    pub totals: Vec<TenantTotal>,
+    pub tenants: Vec<TenantTotal>,
     #[prost(fixed64, tag = "4")]
-    pub life: u64,
+    pub incarnation: u64,
     #[prost(bool, tag = "5")]
-    pub asks: bool,
+    pub is_mid_period: bool,
 }
 
 /// What a gateway is told of the others.
@@ -494,35 +494,35 @@
 pub struct MembershipUpdate {
     /// How many gateways count as live, recently lost ones included.
     #[prost(uint32, tag = "1")]
-    pub gateways: u32,
+    pub gateway_count: u32,
     /// Their stations, in order.
     #[prost(string, repeated, tag = "2")]
-    pub stations: Vec<String>,
+    pub node_ids: Vec<String>,
     /// Control processes: address for the system's own words, and district.
     #[prost(string, repeated, tag = "3")]
-    pub controls: Vec<String>,
+    pub control_addresses: Vec<String>,
     #[prost(string, repeated, tag = "4")]
     pub control_districts: Vec<String>,
 }
 
 /// Appends items in as many words as they need.
 pub fn pack_items<'a>(items: impl Iterator<Item = &'a Item>, into: &mut Vec<u8>) {
-    batches(items).into_iter().for_each(|word| pack(word, into));
+    batches(items).into_iter().for_each(|message| pack(message, into));
 }
 
 /// Items in as many words as they need.
 pub fn batches<'a>(items: impl Iterator<Item = &'a Item>) -> Vec<Message> {
-    let (mut batch, mut size, mut words) = (Vec::new(), 0, Vec::new());
+    let (mut batch, mut size, mut messages) = (Vec::new(), 0, Vec::new());
     for item in items {
-        size += item.bytes();
+        size += item.wire_bytes();
         batch.push(ItemMessage::from(item));
         if size > BATCH {
-            words.push(Message::Items(Items { items: std::mem::take(&mut batch) }));
+            messages.push(Message::Items(Items { items: std::mem::take(&mut batch) }));
             size = 0;
         }
     }
     if !batch.is_empty() {
-        words.push(Message::Items(Items { items: batch }));
+        messages.push(Message::Items(Items { items: batch }));
     }
-    words
+    messages
 }
--- a/crates/coordination/src/quorum_contact.rs
+++ b/crates/coordination/src/quorum_contact.rs
@@ -19,14 +19,14 @@
 
 /// Whether this process may speak for the core. [`QuorumContact::shift`] alone changes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ContactState {
     /// Too few have proved lately that they hear it. So it begins.
-    Out,
-    In,
+    Disconnected,
+    Connected,
 }
 
 struct Peer {
-    life: u64,
+    incarnation: u64,
     /// The last number heard of it, or 0.
     heard: u32,
     /// Numbers that it was sent, with the moment of each, oldest first.
@@ -40,9 +40,9 @@
 pub struct QuorumContact {
     /// Its own seat's name; all others go by theirs, too.
     me: String,
-    state: State,
+    state: ContactState,
     /// The moment after which a majority is known to have heard this process, as reckoned last.
-    as_of: Option<Timestamp>,
+    last_contact: Option<Timestamp>,
     number: u32,
     peers: BTreeMap<String, Peer>,
 }
@@ -53,27 +53,27 @@
     pub fn new(me: &str, draw: u32) -> QuorumContact {
         QuorumContact {
             me: me.to_owned(),
-            state: State::Out,
-            as_of: None,
+            state: ContactState::Disconnected,
+            last_contact: None,
             number: draw,
             peers: BTreeMap::new(),
         }
     }
 
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> ContactState {
         self.state
     }
 
     /// A peer said who it is. What an earlier life of it heard, this one did not.
-    pub fn came(&mut self, now: Timestamp, name: &str, life: u64) {
-        if self.peers.get(name).is_none_or(|peer| peer.life != life) {
-            let peer = Peer { life, heard: 0, sent: VecDeque::new(), as_of: None, at: now };
+    pub fn peer_connected(&mut self, now: Timestamp, name: &str, incarnation: u64) {
+        if self.peers.get(name).is_none_or(|peer| peer.incarnation != incarnation) {
+            let peer = Peer { incarnation, heard: 0, sent: VecDeque::new(), as_of: None, at: now };
             self.peers.insert(name.to_owned(), peer);
         }
     }
 
     /// What the next beat to a peer carries: a number of its own, and the last that was heard of that peer.
-    pub fn next(&mut self, now: Timestamp, name: &str) -> (u32, u32) {
+    pub fn next_heartbeat(&mut self, now: Timestamp, name: &str) -> (u32, u32) {
         let Some(peer) = self.peers.get_mut(name) else { return (0, 0) };
         // Each number goes to one peer alone, so nobody can give back what another was sent; 0 is none.
         self.number = self.number.checked_add(1).unwrap_or(1);
@@ -85,7 +85,7 @@
     }
 
     /// A peer's beat, with its own number and the one that it gives back.
-    pub fn heard(&mut self, now: Timestamp, name: &str, number: u32, yours: u32) {
+    pub fn heartbeat_received(&mut self, now: Timestamp, name: &str, number: u32, yours: u32) {
         let Some(peer) = self.peers.get_mut(name) else { return };
         (peer.heard, peer.at) = (number, now);
         // Danger: a number that this life never sent to this peer (an earlier life's, another's, or made up) proves
@@ -96,7 +96,7 @@
     }
 
     /// A peer answered a word that was sent to it at a moment: as good as a number given back.
-    pub fn answered(&mut self, now: Timestamp, name: &str, sent: Timestamp) {
+    pub fn response_received(&mut self, now: Timestamp, name: &str, sent: Timestamp) {
         let Some(peer) = self.peers.get_mut(name) else { return };
         peer.at = now;
         peer.as_of = peer.as_of.max(Some(sent));
@@ -108,38 +108,40 @@
     }
 
     /// Reckons the state anew, by all casts that count now; a change comes back.
-    pub fn judge(&mut self, now: Timestamp, casts: &[ReplicaSet]) -> Option<State> {
-        let all: Option<Vec<Timestamp>> = casts.iter().map(|cast| self.majority(now, cast)).collect();
-        self.as_of = all.and_then(|all| all.into_iter().min());
-        let to = if self.is_in(now) { State::In } else { State::Out };
+    pub fn evaluate(&mut self, now: Timestamp, replica_sets: &[ReplicaSet]) -> Option<ContactState> {
+        let all: Option<Vec<Timestamp>> =
+            replica_sets.iter().map(|replica_set| self.majority(now, replica_set)).collect();
+        self.last_contact = all.and_then(|all| all.into_iter().min());
+        let to = if self.is_connected(now) { ContactState::Connected } else { ContactState::Disconnected };
         self.shift(to)
     }
 
-    fn shift(&mut self, to: State) -> Option<State> {
+    fn shift(&mut self, to: ContactState) -> Option<ContactState> {
         (std::mem::replace(&mut self.state, to) != to).then_some(to)
     }
 
     /// The moment after which a majority of a cast, this process included, heard this process.
-    fn majority(&self, now: Timestamp, cast: &ReplicaSet) -> Option<Timestamp> {
-        let of = |name: String| if name == self.me { Some(now) } else { self.as_of(&name) };
-        let mut all: Vec<Timestamp> = cast.seats.iter().filter_map(|seat| of(seat.name())).collect();
+    fn majority(&self, now: Timestamp, replica_set: &ReplicaSet) -> Option<Timestamp> {
+        let of = |name: String| if name == self.me { Some(now) } else { self.last_contact(&name) };
+        let mut all: Vec<Timestamp> =
+            replica_set.replicas.iter().filter_map(|replica| of(replica.name())).collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
-        all.get(cast.majority() - 1).copied()
+        all.get(replica_set.majority() - 1).copied()
     }
 
     /// Whether it is in contact at this very moment, also if nothing has been reckoned anew for a while. Danger: a process
     /// that stood still would go on with what was true before.
-    pub fn is_in(&self, now: Timestamp) -> bool {
+    pub fn is_connected(&self, now: Timestamp) -> bool {
         self.age(now).is_some_and(|age| age <= CONTACT)
     }
 
     /// How long ago a majority is known to have heard this process.
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
-        self.as_of.map(|as_of| now - as_of)
+        self.last_contact.map(|as_of| now - as_of)
     }
 
     /// The moment after which a peer is known to have heard this process.
-    pub fn as_of(&self, name: &str) -> Option<Timestamp> {
+    pub fn last_contact(&self, name: &str) -> Option<Timestamp> {
         self.peers.get(name).and_then(|peer| peer.as_of)
     }
 }
--- a/crates/coordination/src/tombstones.rs
+++ b/crates/coordination/src/tombstones.rs
@@ -16,7 +16,7 @@
 /// How far the drop of an item has come. [`TombstoneCollector::due`] alone changes it.
 #[derive(Debug)]
 struct Tomb {
-    edition: u64,
+    version: u64,
     /// Known here since.
     seen: Timestamp,
     /// Known to be on the disks of all seats since.
@@ -24,7 +24,7 @@
 }
 
 /// A drop that may be forgotten.
-pub type Due = (Kind, Arc<str>, u64);
+pub type ExpiredTombstone = (Kind, Arc<str>, u64);
 
 /// What whoever does the duty knows of drops; with the duty it begins from nothing.
 #[derive(Debug)]
@@ -47,26 +47,31 @@
     }
 
     /// A seat says that it holds, all on disk, what is held here.
-    pub fn agrees(&mut self, now: Timestamp, seat: &str) {
-        self.agreed.insert(seat.to_owned(), now);
+    pub fn replica_persisted(&mut self, now: Timestamp, replica: &str) {
+        self.agreed.insert(replica.to_owned(), now);
     }
 
     /// Drops that may be forgotten now; to be called every few seconds with the seats of all casts that count.
-    pub fn due(&mut self, now: Timestamp, ledger: &ItemStore, seats: &BTreeSet<String>) -> Vec<Due> {
-        self.agreed.retain(|seat, _| seats.contains(seat));
-        let all = seats.iter().map(|seat| self.agreed.get(seat)).min().flatten().copied();
+    pub fn expired(
+        &mut self,
+        now: Timestamp,
+        item_store: &ItemStore,
+        replicas: &BTreeSet<String>,
+    ) -> Vec<ExpiredTombstone> {
+        self.agreed.retain(|replica, _| replicas.contains(replica));
+        let all = replicas.iter().map(|replica| self.agreed.get(replica)).min().flatten().copied();
         self.tombs.retain(|(kind, name), tomb| {
-            ledger.get(*kind, name).is_some_and(|item| !item.stands() && item.edition == tomb.edition)
+            item_store.get(*kind, name).is_some_and(|item| !item.is_set() && item.version == tomb.version)
         });
         let mut due = Vec::new();
-        for item in KINDS.iter().flat_map(|kind| ledger.each(*kind)).filter(|item| !item.stands()) {
-            let new = || Tomb { edition: item.edition, seen: now, held: None };
+        for item in KINDS.iter().flat_map(|kind| item_store.items_of(*kind)).filter(|item| !item.is_set()) {
+            let new = || Tomb { version: item.version, seen: now, held: None };
             let tomb = self.tombs.entry((item.kind, item.name.clone())).or_insert_with(new);
             // A seat that has come since counts too.
             let Some(all) = all.filter(|all| *all > tomb.seen) else { continue };
             let held = *tomb.held.get_or_insert(now.max(all));
             if now - held >= self.age && due.len() < MOST {
-                due.push((item.kind, item.name.clone(), item.edition));
+                due.push((item.kind, item.name.clone(), item.version));
             }
         }
         due
--- a/crates/coordination/src/usage.rs
+++ b/crates/coordination/src/usage.rs
@@ -40,7 +40,7 @@
     /// Requests a second; no limit at 0.
     pub rate: f64,
     /// Requests on top.
-    pub surge: f64,
+    pub burst: f64,
 }
 
 /// What the operators bear beyond a limit, over all gateways together.
@@ -55,8 +55,8 @@
 
 impl QuotaTolerance {
     /// Requests that the store holds on top of the surge.
-    pub fn of(self, terms: RateLimit) -> f64 {
-        SLACK_USED * (self.excess * (terms.rate * self.window + terms.surge) + self.margin)
+    pub fn allowance(self, rate_limit: RateLimit) -> f64 {
+        SLACK_USED * (self.excess * (rate_limit.rate * self.window + rate_limit.burst) + self.margin)
     }
 }
 
@@ -73,7 +73,7 @@
 
 #[derive(Debug)]
 struct Pool {
-    terms: RateLimit,
+    rate_limit: RateLimit,
     store: f64,
     as_of: Timestamp,
     reports: BTreeMap<String, Report>,
@@ -83,7 +83,7 @@
 pub struct UsageCounts {
     tenants: BTreeMap<String, Pool>,
     heard: BTreeMap<String, Timestamp>,
-    slack: QuotaTolerance,
+    tolerance: QuotaTolerance,
     /// Live gateways that are not heard, of how many, and when that was reckoned.
     unheard: Vec<String>,
     live: usize,
@@ -93,39 +93,46 @@
 impl UsageCounts {
     /// Counts begin empty, and are rebuilt from those who told of them: by a period every gateway has added. Danger:
     /// an earlier holder may have granted all there was a moment ago; so the stores begin with next to nothing.
-    pub fn new(slack: QuotaTolerance) -> UsageCounts {
+    pub fn new(tolerance: QuotaTolerance) -> UsageCounts {
         let (tenants, heard) = (BTreeMap::new(), BTreeMap::new());
-        UsageCounts { tenants, heard, slack, unheard: Vec::new(), live: 0, reckoned: Timestamp::default() }
+        UsageCounts {
+            tenants,
+            heard,
+            tolerance,
+            unheard: Vec::new(),
+            live: 0,
+            reckoned: Timestamp::default(),
+        }
     }
 
     /// Adds a gateway's period and reads the totals, or grants what it asks for between two periods. `live` are
-    /// the gateways that count as live, `terms` says a tenant's limit.
-    pub fn add(
+    /// the gateways that count as live, `rate_limit` says a tenant's limit.
+    pub fn record(
         &mut self,
         now: Timestamp,
         adds: &UsageReport,
         live: &[String],
-        terms: impl Fn(&str) -> Option<RateLimit>,
+        rate_limit: impl Fn(&str) -> Option<RateLimit>,
     ) -> UsageTotals {
-        let known = self.heard.insert(adds.station.clone(), now).is_some_and(|at| now - at < HEARD);
+        let known = self.heard.insert(adds.node_id.clone(), now).is_some_and(|at| now - at < HEARD);
         // Reckoned now and then: for each word it would grow with the square of the gateways.
         if !known || now - self.reckoned >= RECKON || self.live != live.len() {
             let silent = |s: &&String| self.heard.get(*s).is_none_or(|at| now - *at >= HEARD);
             (self.unheard, self.live) = (live.iter().filter(silent).cloned().collect(), live.len());
             self.reckoned = now;
         }
-        let mut totals = Vec::with_capacity(adds.adds.len());
-        for add in &adds.adds {
-            if let Some(terms) = terms(&add.tenant).filter(|terms| terms.rate > 0.0) {
-                totals.push(self.one(now, adds, add, terms));
+        let mut totals = Vec::with_capacity(adds.tenants.len());
+        for add in &adds.tenants {
+            if let Some(rate_limit) = rate_limit(&add.tenant).filter(|rate_limit| rate_limit.rate > 0.0) {
+                totals.push(self.one(now, adds, add, rate_limit));
             }
         }
         UsageTotals {
-            ticket: adds.ticket,
-            station: adds.station.clone(),
-            totals,
-            life: adds.life,
-            asks: adds.asks,
+            request_id: adds.request_id,
+            node_id: adds.node_id.clone(),
+            tenants: totals,
+            incarnation: adds.incarnation,
+            is_mid_period: adds.is_mid_period,
         }
     }
 
@@ -134,20 +141,21 @@
         now: Timestamp,
         adds: &UsageReport,
         add: &TenantUsage,
-        terms: RateLimit,
+        rate_limit: RateLimit,
     ) -> TenantTotal {
         if self.tenants.len() >= MOST_TENANTS && !self.tenants.contains_key(&add.tenant) {
-            self.sweep(now);
+            self.expire(now);
         }
-        let store = FIRST / SLACK_USED * self.slack.of(terms);
-        let fresh = || Pool { terms, store, as_of: now, reports: BTreeMap::new() };
+        let store = FIRST / SLACK_USED * self.tolerance.allowance(rate_limit);
+        let fresh = || Pool { rate_limit, store, as_of: now, reports: BTreeMap::new() };
         let pool = self.tenants.entry(add.tenant.clone()).or_insert_with(fresh);
-        pool.terms = terms;
+        pool.rate_limit = rate_limit;
         pool.reports.retain(|_, report| now - report.asked < HELD);
-        let report = pool.reports.entry(adds.station.clone()).or_default();
-        (report.asked, report.held) = (now, f64::from(add.held));
-        if !adds.asks {
-            (report.at, report.offered, report.sent) = (now, f64::from(add.offered), f64::from(add.sent));
+        let report = pool.reports.entry(adds.node_id.clone()).or_default();
+        (report.asked, report.held) = (now, f64::from(add.reserved));
+        if !adds.is_mid_period {
+            (report.at, report.offered, report.sent) =
+                (now, f64::from(add.offered), f64::from(add.forwarded));
         }
         let held: f64 = pool.reports.values().map(|report| report.held).sum();
         let past = (now - pool.as_of).secs();
@@ -155,31 +163,32 @@
         let alike = 1.0 / self.live.max(1) as f64;
         let theirs = |s: &String| pool.reports.get(s).map_or(alike, |report| report.part);
         let part = (1.0 - self.unheard.iter().map(theirs).sum::<f64>()).max(0.0);
-        let most = terms.surge + self.slack.of(terms) - held;
-        pool.store = (pool.store + terms.rate * part * past + f64::from(add.back)).min(most.max(0.0));
-        let wanted = f64::from(add.wants).min(pool.store.floor()).max(0.0);
+        let most = rate_limit.burst + self.tolerance.allowance(rate_limit) - held;
+        pool.store =
+            (pool.store + rate_limit.rate * part * past + f64::from(add.returned)).min(most.max(0.0));
+        let wanted = f64::from(add.requested).min(pool.store.floor()).max(0.0);
         pool.store -= wanted;
         // What is held in advance is out of the others' reach: of a half of the store there is none.
-        let plenty = pool.store - PLENTY * (terms.surge + self.slack.of(terms));
-        let ahead = f64::from(add.ahead).min(plenty.floor()).max(0.0);
+        let plenty = pool.store - PLENTY * (rate_limit.burst + self.tolerance.allowance(rate_limit));
+        let ahead = f64::from(add.prefetch).min(plenty.floor()).max(0.0);
         pool.store -= ahead;
         let granted = wanted + ahead;
-        let report = pool.reports.get_mut(&adds.station).expect("put in above");
+        let report = pool.reports.get_mut(&adds.node_id).expect("put in above");
         report.held += granted;
         let fresh = |report: &&Report| report.at != Timestamp::default() && now - report.at < FRESH;
         let offered: f64 = pool.reports.values().filter(fresh).map(|report| report.offered).sum();
         let sent: f64 = pool.reports.values().filter(fresh).map(|report| report.sent).sum();
-        let report = pool.reports.get_mut(&adds.station).expect("put in above");
-        if !adds.asks || report.part == 0.0 {
+        let report = pool.reports.get_mut(&adds.node_id).expect("put in above");
+        if !adds.is_mid_period || report.part == 0.0 {
             report.part = (report.offered / offered.max(1.0) + alike) / 2.0;
         }
         let (offered, sent, granted, part) =
             (offered as f32, sent as f32, granted as u32, report.part as f32);
-        TenantTotal { tenant: add.tenant.clone(), offered, sent, granted, part }
+        TenantTotal { tenant: add.tenant.clone(), offered, forwarded: sent, granted, share: part }
     }
 
     /// Forgets tenants that nobody adds to, and gateways that are gone.
-    pub fn sweep(&mut self, now: Timestamp) {
+    pub fn expire(&mut self, now: Timestamp) {
         self.tenants.retain(|_, pool| {
             pool.reports.retain(|_, report| now - report.asked < HELD);
             // A store that is full again is as good as a new one is not: it is kept for as long as it fills.
@@ -203,10 +212,20 @@
 
     const SLACK: QuotaTolerance = QuotaTolerance { window: 5.0, excess: 0.1, margin: 20.0 };
 
-    fn adds(station: &str, offered: u32, wants: u32, asks: bool) -> UsageReport {
-        let add =
-            TenantUsage { tenant: "t".into(), offered, sent: offered / 2, wants, ..TenantUsage::default() };
-        UsageReport { station: station.into(), adds: vec![add], asks, ..UsageReport::default() }
+    fn adds(node_id: &str, offered: u32, wants: u32, asks: bool) -> UsageReport {
+        let add = TenantUsage {
+            tenant: "t".into(),
+            offered,
+            forwarded: offered / 2,
+            requested: wants,
+            ..TenantUsage::default()
+        };
+        UsageReport {
+            node_id: node_id.into(),
+            tenants: vec![add],
+            is_mid_period: asks,
+            ..UsageReport::default()
+        }
     }
 
     fn live(number: usize) -> Vec<String> {
@@ -216,16 +235,17 @@
     #[test]
     fn totals_are_of_each_gateways_newest_period_and_asking_adds_nothing() {
         let at = |millis: i64| Timestamp::from_micros(millis * 1000);
-        let terms = |_: &str| Some(RateLimit { rate: 10.0, surge: 10.0 });
+        let rate_limit = |_: &str| Some(RateLimit { rate: 10.0, burst: 10.0 });
         let mut counts = UsageCounts::new(SLACK);
-        counts.add(at(0), &adds("g0", 10, 0, false), &live(2), terms);
-        counts.add(at(500), &adds("g1", 30, 0, false), &live(2), terms);
-        counts.add(at(700), &adds("g1", 99, 0, true), &live(2), terms);
-        let total = counts.add(at(1000), &adds("g0", 20, 0, false), &live(2), terms).totals.remove(0);
-        assert_eq!((total.offered, total.sent), (50.0, 25.0));
-        let total = counts.add(at(3000), &adds("g0", 0, 0, false), &live(2), terms).totals.remove(0);
+        counts.record(at(0), &adds("g0", 10, 0, false), &live(2), rate_limit);
+        counts.record(at(500), &adds("g1", 30, 0, false), &live(2), rate_limit);
+        counts.record(at(700), &adds("g1", 99, 0, true), &live(2), rate_limit);
+        let total =
+            counts.record(at(1000), &adds("g0", 20, 0, false), &live(2), rate_limit).tenants.remove(0);
+        assert_eq!((total.offered, total.forwarded), (50.0, 25.0));
+        let total = counts.record(at(3000), &adds("g0", 0, 0, false), &live(2), rate_limit).tenants.remove(0);
         assert_eq!(total.offered, 0.0);
-        counts.sweep(at(90_000));
+        counts.expire(at(90_000));
         assert!(counts.is_empty());
     }
 
@@ -234,22 +254,23 @@
     #[test]
     fn grants_fit_the_limit_in_every_window() {
         let at = |millis: i64| Timestamp::from_micros(millis * 1000);
-        let terms = |_: &str| Some(RateLimit { rate: 40.0, surge: 40.0 });
+        let rate_limit = |_: &str| Some(RateLimit { rate: 40.0, burst: 40.0 });
         for silent in [0u64, 4] {
             let (mut chance, mut counts) =
                 (oorandom::Rand64::new(u128::from(silent)), UsageCounts::new(SLACK));
             let mut granted: Vec<(i64, u32)> = Vec::new();
             for now in (0..60_000).step_by(10) {
                 let who = silent + chance.rand_range(0..8 - silent);
-                let word = adds(&format!("g{who}"), 5, chance.rand_range(0..9) as u32, true);
-                granted.push((now, counts.add(at(now), &word, &live(8), terms).totals[0].granted));
+                let message = adds(&format!("g{who}"), 5, chance.rand_range(0..9) as u32, true);
+                granted
+                    .push((now, counts.record(at(now), &message, &live(8), rate_limit).tenants[0].granted));
             }
             let rate = 40.0 * (8 - silent) as f64 / 8.0;
             for end in (5_000..60_000).step_by(500) {
                 let within = granted.iter().filter(|(at, _)| (end - 5_000..end).contains(at));
                 let sum = f64::from(within.map(|(_, n)| *n).sum::<u32>());
                 assert!(
-                    sum <= rate * 5.0 + 40.0 + SLACK.of(RateLimit { rate: 40.0, surge: 40.0 }) + 1.0,
+                    sum <= rate * 5.0 + 40.0 + SLACK.allowance(RateLimit { rate: 40.0, burst: 40.0 }) + 1.0,
                     "{sum}"
                 );
                 assert!(end < 10_000 || sum >= rate * 5.0 - 2.0, "{sum} only");
--- a/crates/coordination/tests/catch_up_queue.rs
+++ b/crates/coordination/tests/catch_up_queue.rs
@@ -14,27 +14,27 @@
         // How far each of 200 has been told; each needs 20 pieces. Some go and come again meanwhile, some never read.
         let (mut far, mut on_way) = (vec![0; 200], Vec::new());
         let stuck = |id: u64| id % 40 == 7;
-        (0..200).for_each(|id| feeds.ask(id, vec![id], false));
+        (0..200).for_each(|id| feeds.enqueue(id, vec![id], false));
         let (mut now, mut most) = (0, 0);
         while (0..200).any(|id| !stuck(id) && far[id as usize] < 20) {
             now += 10_000;
-            while let Some(turn) = feeds.next(Timestamp::from_micros(now)) {
+            while let Some(turn) = feeds.next_turn(Timestamp::from_micros(now)) {
                 let id = turn.id;
-                assert_eq!((turn.from, &turn.hashes), (far[id as usize], &vec![id]));
+                assert_eq!((turn.first_bucket, &turn.bucket_digests), (far[id as usize], &vec![id]));
                 far[id as usize] += 1;
                 let goes_on = (far[id as usize] < 20).then_some(far[id as usize]);
-                feeds.told(Timestamp::from_micros(now), turn, PIECE, goes_on);
+                feeds.chunk_sent(Timestamp::from_micros(now), turn, PIECE, goes_on);
                 on_way.push(id);
             }
-            most = most.max(feeds.bytes());
-            assert!(feeds.bytes() <= MOST + PIECE);
+            most = most.max(feeds.bytes_in_flight());
+            assert!(feeds.bytes_in_flight() <= MOST + PIECE);
             let takers = on_way.extract_if(.., |id| !stuck(*id) && chance.rand_range(0..3) > 0);
-            takers.collect::<Vec<u64>>().into_iter().for_each(|id| feeds.left(id));
+            takers.collect::<Vec<u64>>().into_iter().for_each(|id| feeds.chunk_delivered(id));
             if chance.rand_range(0..10) == 0 {
                 let id = chance.rand_range(0..200);
                 on_way.retain(|other| *other != id);
                 far[id as usize] = 0;
-                feeds.ask(id, vec![id], false);
+                feeds.enqueue(id, vec![id], false);
             }
             assert!(now < 60_000_000, "seed {seed}: not all are told");
         }
--- a/crates/coordination/tests/consensus_model/mod.rs
+++ b/crates/coordination/tests/consensus_model/mod.rs
@@ -42,7 +42,7 @@
     /// Which sets of seats read, and keep, by era.
     reads: Vec<Vec<bool>>,
     keeps: Vec<Vec<bool>>,
-    seats: usize,
+    replicas: usize,
     goals: Vec<usize>,
     /// The calls that bring the next cast in, and make it the one in force.
     next: Option<usize>,
@@ -62,30 +62,30 @@
     weigh: Weigh,
 }
 
-fn item(name: &str, edition: u64, value: &str) -> Item {
-    Item { kind: Kind::Service, name: name.into(), edition, value: Some(value.to_owned().into()) }
+fn item(name: &str, version: u64, value: &str) -> Item {
+    Item { kind: Kind::Service, name: name.into(), version, value: Some(value.to_owned().into()) }
 }
 
 /// `a1 b2` says `1` of version 1 of `a`, and `2` of `b`; `a1.3` says `1` of version 3.
 fn call(text: &str) -> Proposal {
-    let items = text
-        .split(' ')
-        .map(|word| item(&word[..1], word.get(3..).and_then(|n| n.parse().ok()).unwrap_or(1), &word[1..2]));
+    let items = text.split(' ').map(|message| {
+        item(&message[..1], message.get(3..).and_then(|n| n.parse().ok()).unwrap_or(1), &message[1..2])
+    });
     Proposal::new(items.collect())
 }
 
-fn cast(seats: &[usize]) -> ReplicaSet {
-    let seat = |n: &usize| Replica { station: format!("s{n}"), district: "d".into(), ..Replica::default() };
-    ReplicaSet { seats: seats.iter().map(seat).collect(), edition: 1 }
+fn replica_set(replicas: &[usize]) -> ReplicaSet {
+    let replica = |n: &usize| Replica { node_id: format!("s{n}"), zone: "d".into(), ..Replica::default() };
+    ReplicaSet { replicas: replicas.iter().map(replica).collect(), version: 1 }
 }
 
 impl Setup {
     /// Each proposer wants one of the calls, by its place. With two casts, one more brings the second in.
-    fn new(calls: &[&str], goals: &[usize], casts: &[&[usize]]) -> Setup {
+    fn new(calls: &[&str], goals: &[usize], replica_sets: &[&[usize]]) -> Setup {
         let mut calls: Vec<Proposal> = calls.iter().map(|text| call(text)).collect();
         let mut goals = goals.to_vec();
         let (mut next, mut now) = (None, None);
-        if casts.len() > 1 {
+        if replica_sets.len() > 1 {
             let of = |name: &str| Item { kind: Kind::ReplicaSet, ..item(name, 2, "cast") };
             (next, now) = (Some(calls.len()), Some(calls.len() + 1));
             calls.extend([Proposal::new(vec![of("next")]), Proposal::new(vec![of("now")])]);
@@ -98,43 +98,46 @@
             .iter()
             .map(|a| (0..calls.len()).filter(|n| clash(a, &calls[*n])).fold(0, |set, n| set | 1 << n));
         let ledgers = (0..1u32 << calls.len()).map(|set| {
-            let mut ledger = ItemStore::new();
+            let mut item_store = ItemStore::new();
             for (_, call) in calls.iter().enumerate().filter(|(n, _)| set >> n & 1 == 1) {
-                call.items().iter().for_each(|item| _ = ledger.merge(item.clone()));
+                call.items().iter().for_each(|item| _ = item_store.merge(item.clone()));
             }
-            ledger
+            item_store
         });
         let spoils = vec![0; calls.len()];
-        let seats = casts.iter().flat_map(|cast| cast.iter()).max().unwrap() + 1;
-        let alike = (0..seats).map(|seat| {
-            casts
+        let replicas = replica_sets.iter().flat_map(|replica_set| replica_set.iter()).max().unwrap() + 1;
+        let alike = (0..replicas).map(|replica| {
+            replica_sets
                 .iter()
                 .enumerate()
-                .filter(|(_, cast)| cast.contains(&seat))
+                .filter(|(_, replica_set)| replica_set.contains(&replica))
                 .fold(0, |set, (n, _)| set | 1 << n)
         });
         let alike = alike.collect();
-        let casts: Vec<ReplicaSet> = casts.iter().map(|seats| cast(seats)).collect();
+        let replica_sets: Vec<ReplicaSet> =
+            replica_sets.iter().map(|replicas| replica_set(replicas)).collect();
         // In the odd era between two casts, both.
-        let eras: Vec<&[ReplicaSet]> = match &casts[..] {
+        let eras: Vec<&[ReplicaSet]> = match &replica_sets[..] {
             [only] => vec![std::slice::from_ref(only)],
             both => vec![&both[..1], both, &both[1..]],
         };
         let table = |is: &dyn Fn(&ReplicaSet, &BTreeSet<String>) -> bool| {
-            let row = |casts: &&[ReplicaSet]| {
+            let row = |replica_sets: &&[ReplicaSet]| {
                 let names =
-                    |set: u32| (0..seats).filter(|n| set >> n & 1 == 1).map(|n| format!("s{n}")).collect();
-                (0..1u32 << seats).map(|set| casts.iter().all(|cast| is(cast, &names(set)))).collect()
+                    |set: u32| (0..replicas).filter(|n| set >> n & 1 == 1).map(|n| format!("s{n}")).collect();
+                (0..1u32 << replicas)
+                    .map(|set| replica_sets.iter().all(|replica_set| is(replica_set, &names(set))))
+                    .collect()
             };
             eras.iter().map(row).collect()
         };
         Setup {
-            reads: table(&ReplicaSet::is_read),
-            keeps: table(&ReplicaSet::is_safe),
+            reads: table(&ReplicaSet::is_read_quorum),
+            keeps: table(&ReplicaSet::is_write_quorum),
             clashes: clashes.collect(),
             ledgers: ledgers.collect(),
             calls,
-            seats,
+            replicas,
             goals,
             next,
             now,
@@ -146,7 +149,7 @@
             out: None,
             solo: 1,
             mint: Acceptor::new,
-            weigh: standing,
+            weigh: proposal_status,
         }
     }
 
@@ -172,16 +175,16 @@
         Setup { out: Some(out), ..self }
     }
 
-    fn place(&self, mark: ProposalId) -> usize {
-        self.calls.iter().position(|call| call.mark() == mark).expect("a call of the setup")
+    fn place(&self, proposal_id: ProposalId) -> usize {
+        self.calls.iter().position(|call| call.proposal_id() == proposal_id).expect("a call of the setup")
     }
 
-    fn ledger(&self, known: Set) -> &ItemStore {
+    fn item_store(&self, known: Set) -> &ItemStore {
         &self.ledgers[known as usize]
     }
 
     /// The era of one that knows these calls to be decided, and has heard of these.
-    fn era(&self, known: Set, heard: Set) -> u64 {
+    fn epoch(&self, known: Set, heard: Set) -> u64 {
         let has = |set: Set, call: Option<usize>| call.is_some_and(|n| set >> n & 1 == 1);
         match () {
             () if has(known, self.now) => 2,
@@ -190,12 +193,12 @@
         }
     }
 
-    fn is_read(&self, era: u64, set: Set) -> bool {
-        self.reads[era as usize][set as usize]
+    fn is_read(&self, epoch: u64, set: Set) -> bool {
+        self.reads[epoch as usize][set as usize]
     }
 
-    fn is_safe(&self, era: u64, set: Set) -> bool {
-        self.keeps[era as usize][set as usize]
+    fn is_safe(&self, epoch: u64, set: Set) -> bool {
+        self.keeps[epoch as usize][set as usize]
     }
 
     fn bits(&self, set: Set) -> impl Iterator<Item = usize> {
@@ -255,18 +258,18 @@
 /// A `AcceptRequest` under way to a seat. It counts only where the seat holds `need` as well.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AcceptRequest {
-    seat: usize,
+    replica: usize,
     ballot: Ballot,
     call: usize,
     bid: bool,
     /// Not the call, but that it is refused.
-    denies: bool,
+    rejects: bool,
     need: Set,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    stations: Vec<Station>,
+    node_ids: Vec<Station>,
     proposers: Vec<Proposer>,
     network: BTreeSet<AcceptRequest>,
     /// Who ever accepted what; nobody in the system knows this.
@@ -299,30 +302,35 @@
         // The next cast is in force only after it has been brought in.
         proposer.target = before(self.next).filter(|_| Some(target) == self.now).unwrap_or(target);
         let heard = proposer.seen.keys().fold(0, |set, n| set | 1 << n);
-        let ballot = Ballot::above(proposer.met, self.era(proposer.known, heard), proposer.who);
+        let ballot = Ballot::above(proposer.met, self.epoch(proposer.known, heard), proposer.who);
         proposer.met = ballot;
         proposer.step = Step::Reading { ballot, heard: 0 };
     }
 
     fn weigh(&self, proposer: &Proposer) -> ProposalStatus {
-        let (ledger, target) = (self.ledger(proposer.known), &self.calls[proposer.target]);
-        let seen = proposer.seen.iter().map(|(n, b)| (self.calls[*n].mark(), (*b, self.calls[*n].clone())));
-        let denied = proposer.denied.iter().map(|(n, ballot)| (self.calls[*n].mark(), *ballot)).collect();
-        let seen = live(&seen.collect(), &denied);
-        let heard = |n: &usize| seen.contains_key(&self.calls[*n].mark());
+        let (item_store, target) = (self.item_store(proposer.known), &self.calls[proposer.target]);
+        let seen =
+            proposer.seen.iter().map(|(n, b)| (self.calls[*n].proposal_id(), (*b, self.calls[*n].clone())));
+        let denied =
+            proposer.denied.iter().map(|(n, ballot)| (self.calls[*n].proposal_id(), *ballot)).collect();
+        let seen = possibly_chosen(&seen.collect(), &denied);
+        let heard = |n: &usize| seen.contains_key(&self.calls[*n].proposal_id());
         let is_open = |n: &usize| {
             let call = &self.calls[*n];
-            heard(n) && *n != proposer.target && !is_done(call, ledger) && taken(call, ledger).is_none()
+            heard(n)
+                && *n != proposer.target
+                && !is_committed(call, item_store)
+                && conflicting_item(call, item_store).is_none()
         };
         let pending = proposer.seen.iter().filter(|(n, _)| is_open(n)).max_by_key(|(_, ballot)| **ballot);
         // A change of the cast comes first of all; and the next cast is in force only once nothing is left open.
         let change = self.next.filter(|n| proposer.seen.contains_key(n) && is_open(n));
-        match (self.weigh)(target, &seen, ledger) {
-            end @ (ProposalStatus::Done | ProposalStatus::Taken(_)) => end,
+        match (self.weigh)(target, &seen, item_store) {
+            end @ (ProposalStatus::Committed | ProposalStatus::Conflicting(_)) => end,
             weighed => match (change, pending) {
-                (Some(next), _) => ProposalStatus::Behind(self.calls[next].mark()),
+                (Some(next), _) => ProposalStatus::BlockedBy(self.calls[next].proposal_id()),
                 (None, Some((n, _))) if Some(proposer.target) == self.now => {
-                    ProposalStatus::Behind(self.calls[*n].mark())
+                    ProposalStatus::BlockedBy(self.calls[*n].proposal_id())
                 }
                 _ => weighed,
             },
@@ -335,28 +343,29 @@
         let own = proposer.target == proposer.goal;
         let (goal, call) = (proposer.goal, proposer.target);
         match self.weigh(proposer) {
-            ProposalStatus::Done if own => proposer.step = Step::Done,
-            ProposalStatus::Taken(_) if own => proposer.step = Step::Taken,
-            ProposalStatus::Done | ProposalStatus::Taken(_) => self.begin(proposer, goal),
-            ProposalStatus::Behind(mark) => self.begin(proposer, self.place(mark)),
-            ProposalStatus::Free if self.spoils[call] & proposer.known != 0 => {
+            ProposalStatus::Committed if own => proposer.step = Step::Done,
+            ProposalStatus::Conflicting(_) if own => proposer.step = Step::Taken,
+            ProposalStatus::Committed | ProposalStatus::Conflicting(_) => self.begin(proposer, goal),
+            ProposalStatus::BlockedBy(proposal_id) => self.begin(proposer, self.place(proposal_id)),
+            ProposalStatus::New if self.spoils[call] & proposer.known != 0 => {
                 if !own {
                     return self.begin(proposer, goal);
                 }
-                let store = |seat| AcceptRequest { seat, ballot, call, bid: false, denies: true, need: 0 };
-                network.extend((0..self.seats).map(store));
+                let store =
+                    |replica| AcceptRequest { replica, ballot, call, bid: false, rejects: true, need: 0 };
+                network.extend((0..self.replicas).map(store));
                 proposer.step = Step::Denying { ballot, stored: 0 };
             }
-            weighed @ (ProposalStatus::Again | ProposalStatus::Free) => {
+            weighed @ (ProposalStatus::AlreadyAccepted | ProposalStatus::New) => {
                 let holds_all = Some(call) == self.now && self.out != Some(Handover::Holding);
                 let need = if holds_all { proposer.known } else { 0 };
-                let bid = weighed == ProposalStatus::Again;
-                network.extend((0..self.seats).map(|seat| AcceptRequest {
-                    seat,
+                let bid = weighed == ProposalStatus::AlreadyAccepted;
+                network.extend((0..self.replicas).map(|replica| AcceptRequest {
+                    replica,
                     ballot,
                     call,
                     bid,
-                    denies: false,
+                    rejects: false,
                     need,
                 }));
                 proposer.step = Step::Storing { ballot, stored: 0 };
@@ -365,60 +374,60 @@
     }
 
     /// What a seat does after each thing that changed it: what is over goes, and a new era is fenced.
-    fn settle(&self, station: &mut Station) {
-        for (key, _) in station.acceptor.settle_all(self.ledger(station.known)) {
-            station.disk.remove(&key);
+    fn settle(&self, node_id: &mut Station) {
+        for (key, _) in node_id.acceptor.commit_all(self.item_store(node_id.known)) {
+            node_id.disk.remove(&key);
         }
-        let next = self.next.filter(|n| station.acceptor.get(self.calls[*n].mark()).is_some());
-        let era = self.era(station.known, next.map_or(0, |n| 1 << n));
-        self.fence(station, era);
+        let next = self.next.filter(|n| node_id.acceptor.get(self.calls[*n].proposal_id()).is_some());
+        let epoch = self.epoch(node_id.known, next.map_or(0, |n| 1 << n));
+        self.fence(node_id, epoch);
     }
 
-    fn fence(&self, station: &mut Station, era: u64) {
-        if era > 0 && self.out != Some(Handover::Fence) {
-            let reserve = station.acceptor.fence(era);
-            self.write(station, reserve, Vec::new());
+    fn fence(&self, node_id: &mut Station, epoch: u64) {
+        if epoch > 0 && self.out != Some(Handover::Fence) {
+            let reserve = node_id.acceptor.fence(epoch);
+            self.write(node_id, reserve, Vec::new());
         }
     }
 
-    fn write(&self, station: &mut Station, reserve: Option<BallotReservation>, records: Vec<Record>) {
-        station.disk.extend(reserve.map(BallotReservation::record).into_iter().chain(records));
-        station.disk.retain(|_, value| !value.is_empty());
+    fn write(&self, node_id: &mut Station, reserve: Option<BallotReservation>, records: Vec<Record>) {
+        node_id.disk.extend(reserve.map(BallotReservation::record).into_iter().chain(records));
+        node_id.disk.retain(|_, value| !value.is_empty());
         if let Some(reserve) = reserve {
-            station.acceptor.on_disk(reserve);
+            node_id.acceptor.reservation_persisted(reserve);
         }
     }
 
-    fn inquire(&self, proposer: &mut Proposer, station: &mut Station, seat: usize, hears: bool) -> bool {
+    fn inquire(&self, proposer: &mut Proposer, node_id: &mut Station, replica: usize, hears: bool) -> bool {
         let Step::Reading { ballot, heard } = &mut proposer.step else { return false };
         let wide = Some(proposer.target) == self.now && self.out != Some(Handover::Reading);
-        match station.acceptor.prepare(*ballot, self.calls[proposer.target].keys()) {
+        match node_id.acceptor.prepare(*ballot, self.calls[proposer.target].keys()) {
             Err(higher) if hears => {
                 proposer.met = proposer.met.max(higher);
-                self.learn(proposer, station);
+                self.learn(proposer, node_id);
                 self.begin(proposer, proposer.target);
                 false
             }
             Err(_) => false,
             Ok(promise) => {
-                let mut calls = promise.calls;
-                self.write(station, promise.reserve, Vec::new());
+                let mut calls = promise.accepted;
+                self.write(node_id, promise.reservation, Vec::new());
                 if wide {
-                    calls = station.acceptor.pending().map(|(ballot, call)| (ballot, call.clone())).collect();
-                    self.fence(station, ballot.era);
+                    calls = node_id.acceptor.pending().map(|(ballot, call)| (ballot, call.clone())).collect();
+                    self.fence(node_id, ballot.epoch);
                 }
                 if !hears {
                     return false;
                 }
-                *heard |= 1 << seat;
-                let whole = self.is_read(ballot.era, *heard);
-                proposer.known |= station.known;
-                for (mark, ballot) in station.acceptor.denials(self.calls[proposer.target].keys()) {
-                    let known = proposer.denied.entry(self.place(mark)).or_default();
+                *heard |= 1 << replica;
+                let whole = self.is_read(ballot.epoch, *heard);
+                proposer.known |= node_id.known;
+                for (proposal_id, ballot) in node_id.acceptor.rejections(self.calls[proposer.target].keys()) {
+                    let known = proposer.denied.entry(self.place(proposal_id)).or_default();
                     *known = ballot.max(*known);
                 }
                 for (ballot, call) in calls {
-                    let known = proposer.seen.entry(self.place(call.mark())).or_default();
+                    let known = proposer.seen.entry(self.place(call.proposal_id())).or_default();
                     *known = ballot.max(*known);
                 }
                 whole
@@ -427,55 +436,56 @@
     }
 
     /// What comes with a refusal: what is decided, and a change of the cast that is under way.
-    fn learn(&self, proposer: &mut Proposer, station: &Station) {
-        proposer.known |= station.known;
-        let next =
-            self.next.and_then(|n| station.acceptor.get(self.calls[n].mark()).map(|(ballot, _)| (n, ballot)));
+    fn learn(&self, proposer: &mut Proposer, node_id: &Station) {
+        proposer.known |= node_id.known;
+        let next = self
+            .next
+            .and_then(|n| node_id.acceptor.get(self.calls[n].proposal_id()).map(|(ballot, _)| (n, ballot)));
         proposer.seen.extend(next);
     }
 
     fn play(&self, state: &mut State, action: Action) {
         match action {
-            Action::PrepareRequest(n, seat, hears) => {
-                let (proposer, station) = (&mut state.proposers[n], &mut state.stations[seat]);
-                if self.inquire(proposer, station, seat, hears) {
+            Action::PrepareRequest(n, replica, hears) => {
+                let (proposer, node_id) = (&mut state.proposers[n], &mut state.node_ids[replica]);
+                if self.inquire(proposer, node_id, replica, hears) {
                     self.decide(proposer, &mut state.network);
                 }
             }
             Action::AcceptRequest(store, hears) => self.store(state, store, hears),
-            Action::Tell(seat, call) => {
-                state.stations[seat].known |= 1 << call;
-                self.settle(&mut state.stations[seat]);
+            Action::Tell(replica, call) => {
+                state.node_ids[replica].known |= 1 << call;
+                self.settle(&mut state.node_ids[replica]);
             }
-            Action::Restart(seat) => {
-                let station = &mut state.stations[seat];
-                station.acceptor = (self.mint)();
-                for (key, value) in &station.disk {
-                    assert_eq!(station.acceptor.restore(key, value), Restored::Taken);
+            Action::Restart(replica) => {
+                let node_id = &mut state.node_ids[replica];
+                node_id.acceptor = (self.mint)();
+                for (key, value) in &node_id.disk {
+                    assert_eq!(node_id.acceptor.restore(key, value), Restored::Taken);
                 }
                 state.restarts += 1;
-                self.settle(&mut state.stations[seat]);
+                self.settle(&mut state.node_ids[replica]);
             }
         }
     }
 
     fn store(&self, state: &mut State, store: AcceptRequest, hears: bool) {
-        let station = &mut state.stations[store.seat];
+        let node_id = &mut state.node_ids[store.replica];
         let call = self.calls[store.call].clone();
-        let bid = if store.bid { AcceptReason::Again } else { AcceptReason::First };
-        let done = match store.denies {
-            true => station.acceptor.deny(store.ballot, call.mark(), call.keys()),
-            false => station.acceptor.accept(store.ballot, call, bid, self.ledger(station.known)),
+        let bid = if store.bid { AcceptReason::Resolve } else { AcceptReason::New };
+        let done = match store.rejects {
+            true => node_id.acceptor.reject(store.ballot, call.proposal_id(), call.keys()),
+            false => node_id.acceptor.accept(store.ballot, call, bid, self.item_store(node_id.known)),
         };
         let mut refused = None;
         match done {
             Ok(accepted) => {
-                self.write(station, accepted.reserve, accepted.records);
-                self.settle(station);
-                if !store.denies {
+                self.write(node_id, accepted.reservation, accepted.records);
+                self.settle(node_id);
+                if !store.rejects {
                     let copies = state.accepted.entry((store.ballot, store.call)).or_default();
-                    *copies |= 1 << store.seat;
-                    if self.is_safe(store.ballot.era, *copies) {
+                    *copies |= 1 << store.replica;
+                    if self.is_safe(store.ballot.epoch, *copies) {
                         state.chosen |= 1 << store.call;
                     }
                 }
@@ -494,12 +504,12 @@
         };
         if let Some(to) = refused {
             proposer.met = proposer.met.max(to);
-            self.learn(proposer, &state.stations[store.seat]);
+            self.learn(proposer, &state.node_ids[store.replica]);
             return self.begin(proposer, proposer.target);
         }
-        *stored |= 1 << store.seat;
-        let is_safe = self.is_safe(ballot.era, *stored);
-        if is_safe && store.denies {
+        *stored |= 1 << store.replica;
+        let is_safe = self.is_safe(ballot.epoch, *stored);
+        if is_safe && store.rejects {
             proposer.step = Step::Denied;
         } else if is_safe {
             proposer.known |= 1 << store.call;
@@ -535,16 +545,20 @@
         state.proposers.clear();
         for goal in 0..self.calls.len() - self.now.map_or(0, |_| 2) {
             state.proposers = vec![self.proposer(1_000 + goal as u64, goal, 30)];
-            for seat in (0..self.seats).cycle().take(1_000) {
-                let stores =
-                    state.network.iter().filter(|store| store.seat == seat).cloned().collect::<Vec<_>>();
+            for replica in (0..self.replicas).cycle().take(1_000) {
+                let stores = state
+                    .network
+                    .iter()
+                    .filter(|store| store.replica == replica)
+                    .cloned()
+                    .collect::<Vec<_>>();
                 for store in stores {
                     self.play(&mut state, Action::AcceptRequest(store, true));
                 }
                 let proposer = &state.proposers[0];
                 match proposer.step {
-                    Step::Reading { heard, .. } if heard >> seat & 1 == 0 => {
-                        self.play(&mut state, Action::PrepareRequest(0, seat, true));
+                    Step::Reading { heard, .. } if heard >> replica & 1 == 0 => {
+                        self.play(&mut state, Action::PrepareRequest(0, replica, true));
                     }
                     Step::Done | Step::Taken | Step::Denied | Step::Over => break,
                     _ => {}
@@ -559,36 +573,41 @@
 
     /// Whether every reading that could be made now still finds what was chosen: no rival of it would be proposed.
     fn is_kept_by_every_reading(&self, state: &State) -> bool {
-        let era = self.era(state.chosen, 0);
-        let readings = (0..1u32 << self.seats).filter(|set| self.is_read(era, *set));
+        let epoch = self.epoch(state.chosen, 0);
+        let readings = (0..1u32 << self.replicas).filter(|set| self.is_read(epoch, *set));
         // Those alone that no smaller one is part of.
-        let least = readings
-            .filter(|set| (0..self.seats).all(|n| set >> n & 1 == 0 || !self.is_read(era, set & !(1 << n))));
+        let least = readings.filter(|set| {
+            (0..self.replicas).all(|n| set >> n & 1 == 0 || !self.is_read(epoch, set & !(1 << n)))
+        });
         let mut rivals = self.bits(state.chosen).flat_map(|n| self.bits(self.clashes[n])).collect::<Vec<_>>();
         rivals.sort_unstable();
         rivals.dedup();
         rivals.is_empty()
             || least.into_iter().all(|set| {
-                let stations = || (0..self.seats).filter(|n| set >> n & 1 == 1).map(|n| &state.stations[n]);
-                let known = stations().fold(0, |known, station| known | station.known);
+                let node_ids =
+                    || (0..self.replicas).filter(|n| set >> n & 1 == 1).map(|n| &state.node_ids[n]);
+                let known = node_ids().fold(0, |known, node_id| known | node_id.known);
                 let mut seen = ObservedProposals::new();
-                for station in stations() {
-                    hear(&mut seen, station.acceptor.pending().map(|(ballot, call)| (ballot, call.clone())));
+                for node_id in node_ids() {
+                    observe(
+                        &mut seen,
+                        node_id.acceptor.pending().map(|(ballot, call)| (ballot, call.clone())),
+                    );
                 }
                 rivals.iter().all(|n| {
-                    let standing = (self.weigh)(&self.calls[*n], &seen, self.ledger(known));
-                    matches!(standing, ProposalStatus::Behind(_) | ProposalStatus::Taken(_))
+                    let standing = (self.weigh)(&self.calls[*n], &seen, self.item_store(known));
+                    matches!(standing, ProposalStatus::BlockedBy(_) | ProposalStatus::Conflicting(_))
                 })
             })
     }
 
     /// The one state that stands for all that differ by the names of seats that are alike.
     fn sorted(&self, state: State) -> State {
-        let mut order: Vec<(Set, u64, usize)> = (0..self.seats)
-            .map(|seat| {
-                let bit = |set: &Set| set >> seat & 1;
+        let mut order: Vec<(Set, u64, usize)> = (0..self.replicas)
+            .map(|replica| {
+                let bit = |set: &Set| set >> replica & 1;
                 let mut hasher = DefaultHasher::new();
-                state.stations[seat].hash(&mut hasher);
+                state.node_ids[replica].hash(&mut hasher);
                 state.proposers.iter().for_each(|p| match &p.step {
                     Step::Reading { heard: set, .. }
                     | Step::Storing { stored: set, .. }
@@ -596,24 +615,24 @@
                     _ => {}
                 });
                 state.accepted.values().for_each(|set| bit(set).hash(&mut hasher));
-                let stores = state.network.iter().filter(|store| store.seat == seat);
-                stores.for_each(|store| (store.ballot, store.need, store.denies).hash(&mut hasher));
-                (self.alike[seat], hasher.finish(), seat)
+                let stores = state.network.iter().filter(|store| store.replica == replica);
+                stores.for_each(|store| (store.ballot, store.need, store.rejects).hash(&mut hasher));
+                (self.alike[replica], hasher.finish(), replica)
             })
             .collect();
         order.sort_unstable();
         // Each goes to a place of its own kind.
         let mut places: Vec<(Set, usize)> = self.alike.iter().copied().zip(0..).collect();
         places.sort_unstable();
-        let mut to = vec![0; self.seats];
+        let mut to = vec![0; self.replicas];
         order.iter().zip(&places).for_each(|((.., from), (_, place))| to[*from] = *place);
         if to.iter().enumerate().all(|(n, place)| n == *place) {
             return state;
         }
         let moved =
-            |set: Set| (0..self.seats).filter(|n| set >> n & 1 == 1).fold(0, |set, n| set | 1 << to[n]);
+            |set: Set| (0..self.replicas).filter(|n| set >> n & 1 == 1).fold(0, |set, n| set | 1 << to[n]);
         let mut next = state.clone();
-        to.iter().zip(&state.stations).for_each(|(place, from)| next.stations[*place].clone_from(from));
+        to.iter().zip(&state.node_ids).for_each(|(place, from)| next.node_ids[*place].clone_from(from));
         for proposer in &mut next.proposers {
             if let Step::Reading { heard: set, .. }
             | Step::Storing { stored: set, .. }
@@ -623,8 +642,11 @@
             }
         }
         next.accepted.values_mut().for_each(|set| *set = moved(*set));
-        next.network =
-            state.network.into_iter().map(|store| AcceptRequest { seat: to[store.seat], ..store }).collect();
+        next.network = state
+            .network
+            .into_iter()
+            .map(|store| AcceptRequest { replica: to[store.replica], ..store })
+            .collect();
         next
     }
 
@@ -633,13 +655,13 @@
     }
 
     fn is_true(&self, state: &State) -> bool {
-        let ledger = self.ledger(state.chosen);
+        let item_store = self.item_store(state.chosen);
         state.decided & !state.chosen == 0
             && state.proposers.iter().all(|proposer| match proposer.step {
                 Step::Done => self.calls[proposer.goal]
                     .items()
                     .iter()
-                    .all(|i| ledger.verdict(i) == VersionStatus::Alike),
+                    .all(|i| item_store.version_status(i) == VersionStatus::SameContent),
                 // Nobody else asks for what may be denied.
                 Step::Taken | Step::Denied => state.chosen >> proposer.goal & 1 == 0,
                 _ => true,
@@ -652,10 +674,10 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let station = || Station { acceptor: (self.mint)(), known: 0, disk: BTreeMap::new() };
+        let node_id = || Station { acceptor: (self.mint)(), known: 0, disk: BTreeMap::new() };
         let proposer = |(n, goal): (usize, &usize)| self.proposer(n as u64 + 1, *goal, self.attempts);
         vec![State {
-            stations: (0..self.seats).map(|_| station()).collect(),
+            node_ids: (0..self.replicas).map(|_| node_id()).collect(),
             proposers: self.goals.iter().enumerate().map(proposer).collect(),
             network: BTreeSet::new(),
             accepted: BTreeMap::new(),
@@ -670,14 +692,14 @@
         for (n, proposer) in state.proposers.iter().enumerate() {
             if let Step::Reading { heard, .. } = proposer.step {
                 actions.extend(
-                    (0..self.seats)
+                    (0..self.replicas)
                         .filter(|s| heard >> s & 1 == 0)
                         .map(|s| Action::PrepareRequest(n, s, true)),
                 );
             }
         }
         for store in &state.network {
-            if store.need & !state.stations[store.seat].known != 0 {
+            if store.need & !state.node_ids[store.replica].known != 0 {
                 continue;
             }
             let is_awaited = state.proposers.iter().any(|p| p.awaits(store.ballot));
@@ -688,11 +710,11 @@
                 actions.push(Action::AcceptRequest(store.clone(), false));
             }
         }
-        for seat in 0..self.seats {
-            let tell = self.bits(state.decided & !state.stations[seat].known);
-            actions.extend(tell.map(|call| Action::Tell(seat, call)));
+        for replica in 0..self.replicas {
+            let tell = self.bits(state.decided & !state.node_ids[replica].known);
+            actions.extend(tell.map(|call| Action::Tell(replica, call)));
             if state.restarts < self.restarts {
-                actions.push(Action::Restart(seat));
+                actions.push(Action::Restart(replica));
             }
         }
     }
@@ -772,9 +794,9 @@
 
 impl Setup {
     pub fn named(name: &str) -> Setup {
-        let (_, calls, goals, casts) =
+        let (_, calls, goals, replica_sets) =
             SYSTEMS.iter().find(|system| system.0 == name).expect("a system's name");
-        let setup = Setup::new(calls, goals, casts);
+        let setup = Setup::new(calls, goals, replica_sets);
         if name.starts_with("spoiled") {
             return setup.with_a_spoiler();
         }
@@ -835,7 +857,7 @@
             let whose = state.proposers[focus].who;
             let is_near = |action: &Action| match action {
                 Action::PrepareRequest(n, ..) => *n == focus,
-                Action::AcceptRequest(store, hears) => store.ballot.who == whose && *hears,
+                Action::AcceptRequest(store, hears) => store.ballot.proposer == whose && *hears,
                 Action::Tell(..) => told,
                 Action::Restart(_) => false,
             };
@@ -847,8 +869,8 @@
             }
             let drawn = chance.rand_range(0..actions.len() as u64) as usize;
             let action = match actions.swap_remove(drawn) {
-                Action::PrepareRequest(n, seat, _) => {
-                    Action::PrepareRequest(n, seat, chance.rand_range(0..8) > 0)
+                Action::PrepareRequest(n, replica, _) => {
+                    Action::PrepareRequest(n, replica, chance.rand_range(0..8) > 0)
                 }
                 action => action,
             };
@@ -874,7 +896,7 @@
         walked.taken += are(Step::Taken);
         walked.denied += are(Step::Denied);
         walked.restarts += u64::from(state.restarts);
-        walked.changed_cast += u64::from(self.era(state.decided, 0) == 2);
+        walked.changed_cast += u64::from(self.epoch(state.decided, 0) == 2);
     }
 }
 
@@ -921,8 +943,8 @@
         for n in 0..state.proposers.len() {
             let ballot = ballot_of(&state.proposers[n]).expect("it has begun");
             let at = self.round_trip * 0.5 + self.spread * chance.rand_float();
-            for seat in 0..setup.seats {
-                send(&mut events, &mut chance, at, (Action::PrepareRequest(n, seat, true), ballot));
+            for replica in 0..setup.replicas {
+                send(&mut events, &mut chance, at, (Action::PrepareRequest(n, replica, true), ballot));
             }
         }
         while let Some(((micros, _), (action, ballot))) = events.pop_first() {
@@ -930,7 +952,7 @@
             let n = match &action {
                 Action::PrepareRequest(n, ..) => *n,
                 Action::AcceptRequest(store, _) => {
-                    state.proposers.iter().position(|p| p.who == store.ballot.who)?
+                    state.proposers.iter().position(|p| p.who == store.ballot.proposer)?
                 }
                 tell => {
                     setup.play(&mut state, tell.clone());
@@ -940,7 +962,7 @@
             let (before, decided) = (state.proposers[n].clone(), state.decided);
             let waits = ballot_of(&before) == Some(ballot);
             let is_reading = matches!(before.step, Step::Reading { heard, .. }
-                if matches!(action, Action::PrepareRequest(_, seat, _) if heard >> seat & 1 == 0));
+                if matches!(action, Action::PrepareRequest(_, replica, _) if heard >> replica & 1 == 0));
             match action {
                 Action::PrepareRequest(..) if !(waits && is_reading) => continue,
                 action => setup.play(&mut state, action),
@@ -950,8 +972,13 @@
                 raced.first = now;
             }
             for call in setup.bits(state.decided & !decided) {
-                for seat in 0..setup.seats {
-                    send(&mut events, &mut chance, now + self.round_trip, (Action::Tell(seat, call), ballot));
+                for replica in 0..setup.replicas {
+                    send(
+                        &mut events,
+                        &mut chance,
+                        now + self.round_trip,
+                        (Action::Tell(replica, call), ballot),
+                    );
                 }
             }
             if (&after.step, after.left) == (&before.step, before.left) {
@@ -973,8 +1000,8 @@
                         refusals[n] += 1;
                         pause = least + (most - least) * chance.rand_float();
                     }
-                    for seat in 0..setup.seats {
-                        let what = (Action::PrepareRequest(n, seat, true), *ballot);
+                    for replica in 0..setup.replicas {
+                        let what = (Action::PrepareRequest(n, replica, true), *ballot);
                         send(&mut events, &mut chance, now + self.round_trip + pause, what);
                     }
                 }
--- a/crates/coordination/tests/framing.rs
+++ b/crates/coordination/tests/framing.rs
@@ -8,13 +8,13 @@
 
 fn long(bytes: usize) -> Message {
     let value = Some(vec![7; bytes].into());
-    let item = ItemMessage { kind: 1, name: "n".into(), edition: 1, value, ..ItemMessage::default() };
-    Message::AcceptRequest(AcceptRequest { ticket: 3, items: vec![item], ..AcceptRequest::default() })
+    let item = ItemMessage { kind: 1, name: "n".into(), version: 1, value, ..ItemMessage::default() };
+    Message::AcceptRequest(AcceptRequest { request_id: 3, items: vec![item], ..AcceptRequest::default() })
 }
 
-fn packed(words: &[Message]) -> Vec<u8> {
+fn packed(messages: &[Message]) -> Vec<u8> {
     let mut bytes = Vec::new();
-    words.iter().for_each(|word| pack(word.clone(), &mut bytes));
+    messages.iter().for_each(|message| pack(message.clone(), &mut bytes));
     bytes
 }
 
@@ -24,31 +24,31 @@
 
 #[test]
 fn words_are_the_same_wherever_they_are_cut() {
-    let add = TenantUsage { tenant: "a".into(), offered: 7, sent: 3, ..TenantUsage::default() };
-    let words = [
-        Message::Hello(Hello { station: "one".into(), life: 7, ..Hello::default() }),
+    let add = TenantUsage { tenant: "a".into(), offered: 7, forwarded: 3, ..TenantUsage::default() };
+    let messages = [
+        Message::Hello(Hello { node_id: "one".into(), incarnation: 7, ..Hello::default() }),
         Message::UsageReport(UsageReport {
-            ticket: 3,
-            station: "one".into(),
-            adds: vec![add],
-            life: 9,
-            asks: false,
+            request_id: 3,
+            node_id: "one".into(),
+            tenants: vec![add],
+            incarnation: 9,
+            is_mid_period: false,
         }),
-        Message::Heartbeat(Heartbeat { digest: 5, ready: true, ..Heartbeat::default() }),
+        Message::Heartbeat(Heartbeat { digest: 5, is_ready: true, ..Heartbeat::default() }),
     ];
-    let bytes = packed(&words);
+    let bytes = packed(&messages);
     for cut in 0..=bytes.len() {
         let (mut assembler, mut at) = (Assembler::default(), 0);
         let mut seen = read(&mut assembler, &bytes[..cut], &mut at);
         seen.extend(read(&mut assembler, &bytes, &mut at));
-        assert_eq!(seen, words);
+        assert_eq!(seen, messages);
     }
 }
 
 #[test]
 fn long_words_go_in_pieces_and_others_may_overtake_them() {
-    let words = [long(MOST_FRAME - 40), long(3 * MOST_FRAME + 9), long(16 << 20)];
-    let bytes = packed(&words);
+    let messages = [long(MOST_FRAME - 40), long(3 * MOST_FRAME + 9), long(16 << 20)];
+    let bytes = packed(&messages);
     // In odd slices, as a socket gives them.
     let (mut assembler, mut input, mut seen, mut most) = (Assembler::default(), Vec::new(), Vec::new(), 0);
     for slice in bytes.chunks(100_003) {
@@ -59,13 +59,13 @@
         assert!(input.len() < MOST_FRAME + 4);
         most = most.max(assembler.kept());
     }
-    assert!(seen == words && assembler.kept() == 0 && most > 15 << 20);
+    assert!(seen == messages && assembler.kept() == 0 && most > 15 << 20);
     // A beat between two pieces comes first.
     let beat = Message::Heartbeat(Heartbeat { digest: 5, ..Heartbeat::default() });
-    let mut mixed = packed(&words[1..2]);
+    let mut mixed = packed(&messages[1..2]);
     mixed.splice(MOST_FRAME + 4..MOST_FRAME + 4, packed(std::slice::from_ref(&beat)));
     let seen = read(&mut Assembler::default(), &mixed, &mut 0);
-    assert!(seen == [beat, words[1].clone()]);
+    assert!(seen == [beat, messages[1].clone()]);
 }
 
 #[rstest]
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -58,7 +58,7 @@
 }
 
 fn envelope(message: &Message) -> Envelope {
-    Envelope { word: Some(message.clone()) }
+    Envelope { message: Some(message.clone()) }
 }
 
 fn all_samples() -> Vec<Sample> {
@@ -105,20 +105,20 @@
 /// Sets of replicas travel as items like any other, so that their names and values are part of the protocol.
 #[test]
 fn replica_sets_are_items() {
-    let set = ReplicaSet { seats: samples::replicas(), edition: 81 };
+    let set = ReplicaSet { replicas: samples::replicas(), version: 81 };
     for (name, expected) in [(CURRENT, "now"), (INCOMING, "next")] {
-        let item = set.item(name);
-        assert_eq!((item.kind as u8, &*item.name, item.edition), (7, expected, 81));
+        let item = set.to_item(name);
+        assert_eq!((item.kind as u8, &*item.name, item.version), (7, expected, 81));
         assert_eq!(to_hex(&item.value.clone().unwrap()), to_hex(&golden(NESTED, "replica-set")));
         assert!(ReplicaSet::from_item(&item) == Some(set.clone()));
     }
     // Votes and copies are counted by these names.
-    let names: Vec<String> = set.seats.iter().map(|replica| replica.name()).collect();
+    let names: Vec<String> = set.replicas.iter().map(|replica| replica.name()).collect();
     assert_eq!(names, ["node-1#2122232425262728", "node-2"]);
 }
 
-fn item(kind: Kind, name: &str, edition: u64, value: Option<&'static [u8]>) -> Item {
-    Item { kind, name: name.into(), edition, value: value.map(Bytes::from_static) }
+fn item(kind: Kind, name: &str, version: u64, value: Option<&'static [u8]>) -> Item {
+    Item { kind, name: name.into(), version, value: value.map(Bytes::from_static) }
 }
 
 /// An item of each kind, one of them removed.
@@ -139,13 +139,13 @@
     for (item, number) in items().iter().zip(1..) {
         let message = ItemMessage::from(item);
         assert_eq!(message.kind, number);
-        assert!(message.item().as_ref() == Some(item), "{}", item.name);
+        assert!(message.into_item().as_ref() == Some(item), "{}", item.name);
     }
     let due = vec![(Kind::Tenant, "tenant-1".into(), 5)];
-    let purge = Message::PurgeTombstones(PurgeTombstones::of(&due));
+    let purge = Message::PurgeTombstones(PurgeTombstones::from_expired(&due));
     assert_eq!(to_hex(&envelope(&purge).encode_to_vec()), to_hex(&golden(MESSAGES, "purge-tombstones")));
     let Message::PurgeTombstones(purge) = purge else { unreachable!() };
-    assert!(purge.due() == due);
+    assert!(purge.into_expired() == due);
 }
 
 /// A content's hash of 128 bits travels in two halves.
@@ -153,22 +153,22 @@
 fn older_versions_of_items_survive_a_round_trip() {
     let item = item(Kind::Route, "route-1", 1_000_000_000_001, Some(b"{\"a\":1}"));
     let history = [
-        VersionDigest { edition: 301, mark: 0x7172_7374_7576_7701_8182_8384_8586_8701 },
-        VersionDigest { edition: 302, mark: 0x7172_7374_7576_7702_8182_8384_8586_8702 },
+        VersionDigest { version: 301, digest: 0x7172_7374_7576_7701_8182_8384_8586_8701 },
+        VersionDigest { version: 302, digest: 0x7172_7374_7576_7702_8182_8384_8586_8702 },
     ];
-    let message = ItemMessage::from(Entry { item: &item, past: &history });
+    let message = ItemMessage::from(Entry { item: &item, older_versions: &history });
     assert_eq!(to_hex(&message.encode_to_vec()), to_hex(&golden(NESTED, "item")));
-    assert!(message.entry() == Some((item, history.to_vec())));
+    assert!(message.into_entry() == Some((item, history.to_vec())));
 }
 
 /// They must not be taken for items of the kind that the lowest byte of the number would name.
 #[rstest]
 fn items_of_unknown_kinds_are_skipped(#[values(0, 8, 255, 256 + 1, u32::MAX)] kind: u32) {
-    let message = ItemMessage { kind, name: "name".into(), edition: 1, ..ItemMessage::default() };
-    assert!(message.clone().item().is_none());
-    assert!(message.clone().entry().is_none());
+    let message = ItemMessage { kind, name: "name".into(), version: 1, ..ItemMessage::default() };
+    assert!(message.clone().into_item().is_none());
+    assert!(message.clone().into_entry().is_none());
     // A proposal that cannot be kept complete is not kept at all.
-    assert!(Proposal::of_words(vec![message, ItemMessage::from(&items()[0])]).is_none());
+    assert!(Proposal::from_messages(vec![message, ItemMessage::from(&items()[0])]).is_none());
 }
 
 /// Field 99 of each wire type: varint, 64 bits, bytes, 32 bits.
@@ -192,7 +192,7 @@
 #[test]
 fn unknown_variants_are_skipped() {
     let unknown = from_hex(UNKNOWN_VARIANT);
-    assert!(Envelope::decode(&unknown[..]).unwrap().word.is_none());
+    assert!(Envelope::decode(&unknown[..]).unwrap().message.is_none());
     let heartbeat = Message::Heartbeat(samples::heartbeat());
     let known = envelope(&heartbeat).encode_to_vec();
     // In one envelope with a known one, the known one counts.
@@ -211,7 +211,7 @@
     let both = [bytes("commit"), bytes("heartbeat")].concat();
     assert!(Envelope::decode(&both[..]).unwrap() == envelope(&Message::Heartbeat(samples::heartbeat())));
     let halves = [bytes("hello.is-current"), bytes("hello.is-complete")].concat();
-    let merged = Hello { current: true, full: true, ..Hello::default() };
+    let merged = Hello { is_serving: true, is_complete: true, ..Hello::default() };
     assert!(Envelope::decode(&halves[..]).unwrap() == envelope(&Message::Hello(merged)));
 }
 
@@ -220,10 +220,10 @@
 fn lists_of_numbers_are_read_unpacked_too() {
     // Bucket digests 1 and 2, each with a key of its own.
     let unpacked = from_hex("2212090100000000000000090200000000000000");
-    let Some(Message::BucketDigests(digests)) = Envelope::decode(&unpacked[..]).unwrap().word else {
+    let Some(Message::BucketDigests(digests)) = Envelope::decode(&unpacked[..]).unwrap().message else {
         panic!("not bucket digests")
     };
-    assert_eq!(digests.hashes, [1, 2]);
+    assert_eq!(digests.digests, [1, 2]);
     let packed = "22120a1001000000000000000200000000000000";
     assert_eq!(to_hex(&envelope(&Message::BucketDigests(digests)).encode_to_vec()), packed);
 }
@@ -253,7 +253,7 @@
 fn commit_of(length: usize) -> Message {
     // Two tags, and two lengths of three bytes each.
     let content = (0..length - 8).map(|at| (at % 251) as u8).collect::<Vec<u8>>();
-    let message = Message::Commit(Commit { mark: content.into() });
+    let message = Message::Commit(Commit { proposal_id: content.into() });
     assert_eq!(envelope(&message).encoded_len(), length);
     message
 }
@@ -319,7 +319,7 @@
     let large = |number: u64, length: usize| Item {
         kind: Kind::Tenant,
         name: format!("tenant-{number}").into(),
-        edition: number,
+        version: number,
         value: Some(vec![b'v'; length].into()),
     };
     // The estimate of an item is its name, its value and 32 bytes more.
@@ -340,7 +340,7 @@
 
 /// In ascending order: by epoch, then by round, then by proposer.
 fn ballots() -> Vec<(&'static str, Ballot)> {
-    let ballot = |era, round, who| Ballot { era, round, who };
+    let ballot = |epoch, round, who| Ballot { epoch, round, proposer: who };
     vec![
         ("zero", ballot(0, 0, 0)),
         ("proposer-1", ballot(0, 0, 1)),
@@ -373,16 +373,16 @@
 #[case::a_later_epoch((3, 8, 9), 4, (4, 1, 5))]
 #[case::an_earlier_epoch((3, 8, 9), 2, (3, 9, 5))]
 #[case::the_last_round((3, u64::MAX, 9), 3, (3, u64::MAX, 5))]
-fn the_next_ballot(#[case] met: (u64, u64, u64), #[case] era: u64, #[case] expected: (u64, u64, u64)) {
-    let ballot = |(era, round, who)| Ballot { era, round, who };
-    assert!(Ballot::above(ballot(met), era, 5) == ballot(expected));
+fn the_next_ballot(#[case] met: (u64, u64, u64), #[case] epoch: u64, #[case] expected: (u64, u64, u64)) {
+    let ballot = |(epoch, round, who)| Ballot { epoch, round, proposer: who };
+    assert!(Ballot::above(ballot(met), epoch, 5) == ballot(expected));
 }
 
 /// Proposals by name, each with its items in some order.
 fn proposals() -> Vec<(&'static str, Vec<Item>)> {
     let mut reversed = items();
     reversed.reverse();
-    let route = |edition, value| item(Kind::Route, "route-1", edition, value);
+    let route = |version, value| item(Kind::Route, "route-1", version, value);
     vec![
         ("empty", vec![]),
         ("one-item", vec![route(1, Some(b"{\"a\":1}"))]),
@@ -404,7 +404,7 @@
     let mut text = String::new();
     for (name, items) in proposals() {
         let proposal = Proposal::new(items);
-        write!(text, "{name} {}", to_hex(&proposal.mark().0)).unwrap();
+        write!(text, "{name} {}", to_hex(&proposal.proposal_id().0)).unwrap();
         for (item, of_item) in proposal.items().iter().zip(proposal.keys()) {
             assert_eq!(key(item), *of_item);
             write!(text, " {of_item:016x}").unwrap();
@@ -421,7 +421,7 @@
     for (name, items) in proposals() {
         let proposal = Proposal::new(items);
         let bytes = ProposalMessage::new(ballot, &proposal).encode_to_vec();
-        let received = ProposalMessage::decode(&bytes[..]).unwrap().call().unwrap();
+        let received = ProposalMessage::decode(&bytes[..]).unwrap().into_proposal().unwrap();
         assert!(received == (ballot, proposal), "{name}");
     }
     // A ballot of nothing but zeros is sent all the same.
--- a/crates/coordination/tests/golden/samples.rs
+++ b/crates/coordination/tests/golden/samples.rs
@@ -17,40 +17,40 @@
 
 pub fn hello() -> Hello {
     Hello {
-        station: "node-1".into(),
-        ip: "10.1.2.3".into(),
-        district: "zone-a".into(),
-        province: "region-a".into(),
-        life: 0x1112_1314_1516_1718,
-        control: true,
-        front: "203.0.113.7:8080".into(),
-        current: true,
-        full: true,
-        folder: 0x2122_2324_2526_2728,
+        node_id: "node-1".into(),
+        address: "10.1.2.3".into(),
+        zone: "zone-a".into(),
+        region: "region-a".into(),
+        incarnation: 0x1112_1314_1516_1718,
+        is_control_plane: true,
+        client_address: "203.0.113.7:8080".into(),
+        is_serving: true,
+        is_complete: true,
+        replica_id: 0x2122_2324_2526_2728,
     }
 }
 
 pub fn heartbeat() -> Heartbeat {
     Heartbeat {
         digest: 0x3132_3334_3536_3738,
-        ready: true,
-        current: true,
-        full: true,
-        duty: u64::MAX,
-        number: 0x4142_4344,
-        yours: 0x5152_5354,
-        leaving: true,
-        kept: true,
+        is_ready: true,
+        is_serving: true,
+        is_complete: true,
+        coordinator_term: u64::MAX,
+        sequence: 0x4142_4344,
+        echoed_sequence: 0x5152_5354,
+        is_shutting_down: true,
+        is_persisted: true,
     }
 }
 
 pub fn ballot(number: u64) -> Ballot {
-    Ballot { era: 100 + number, round: (1 << 40) + number, who: 0x6162_6364_6566_6700 + number }
+    Ballot { epoch: 100 + number, round: (1 << 40) + number, proposer: 0x6162_6364_6566_6700 + number }
 }
 
 fn version(number: u64) -> VersionMessage {
     VersionMessage {
-        edition: 300 + number,
+        version: 300 + number,
         high: 0x7172_7374_7576_7700 + number,
         low: 0x8182_8384_8586_8700 + number,
     }
@@ -61,61 +61,67 @@
     ItemMessage {
         kind: 1,
         name: "route-1".into(),
-        edition: 1_000_000_000_001,
+        version: 1_000_000_000_001,
         value: Some(Bytes::from_static(b"{\"a\":1}")),
-        past: vec![version(1), version(2)],
+        older_versions: vec![version(1), version(2)],
     }
 }
 
 fn removed_item() -> ItemMessage {
-    ItemMessage { kind: 2, name: "tenant-1".into(), edition: 5, value: None, past: vec![] }
+    ItemMessage { kind: 2, name: "tenant-1".into(), version: 5, value: None, older_versions: vec![] }
 }
 
 /// Set, to nothing: not the same as removed.
 fn empty_item() -> ItemMessage {
-    ItemMessage { kind: 5, name: "zone-a".into(), edition: 6, value: Some(Bytes::new()), past: vec![] }
+    ItemMessage {
+        kind: 5,
+        name: "zone-a".into(),
+        version: 6,
+        value: Some(Bytes::new()),
+        older_versions: vec![],
+    }
 }
 
 pub fn accept_request() -> AcceptRequest {
     AcceptRequest {
-        ticket: 0x0102_0304_0506,
+        request_id: 0x0102_0304_0506,
         items: vec![item_with_history(), removed_item()],
-        life: 0x9192_9394_9596_9798,
-        era: 7,
+        incarnation: 0x9192_9394_9596_9798,
+        epoch: 7,
         ballot: Some(ballot(1)),
-        denies: Bytes::from_static(b"0123456789abcdef"),
+        rejects: Bytes::from_static(b"0123456789abcdef"),
         keys: vec![0xa1a2_a3a4_a5a6_a7a8, 1],
-        whole: vec![0xb1b2_b3b4_b5b6_b7b8, 0, 2],
-        again: true,
+        bucket_digests: vec![0xb1b2_b3b4_b5b6_b7b8, 0, 2],
+        was_accepted_before: true,
     }
 }
 
 fn accept_response() -> AcceptResponse {
     AcceptResponse {
-        ticket: 0x0202_0304_0506,
-        full: true,
-        life: 0xc1c2_c3c4_c5c6_c7c8,
-        refused: true,
+        request_id: 0x0202_0304_0506,
+        is_complete: true,
+        incarnation: 0xc1c2_c3c4_c5c6_c7c8,
+        is_rejected: true,
         ballot: Some(ballot(2)),
-        under: Some(ballot(3)),
+        answered_ballot: Some(ballot(3)),
     }
 }
 
 fn prepare_request() -> PrepareRequest {
     PrepareRequest {
-        ticket: 0x0302_0304_0506,
-        hashes: vec![0xd1d2_d3d4_d5d6_d7d8, 0],
-        life: 0xe1e2_e3e4_e5e6_e7e8,
-        era: 8,
+        request_id: 0x0302_0304_0506,
+        bucket_digests: vec![0xd1d2_d3d4_d5d6_d7d8, 0],
+        incarnation: 0xe1e2_e3e4_e5e6_e7e8,
+        epoch: 8,
         ballot: Some(ballot(4)),
         keys: vec![0xf1f2_f3f4_f5f6_f7f8, 3],
-        all: true,
-        from: u32::MAX,
+        wants_all_undecided: true,
+        first_bucket: u32::MAX,
     }
 }
 
 pub fn rejection() -> RejectedProposal {
-    RejectedProposal { ballot: ballot(5), mark: Bytes::from_static(b"fedcba9876543210") }
+    RejectedProposal { ballot: ballot(5), proposal_id: Bytes::from_static(b"fedcba9876543210") }
 }
 
 pub fn accepted_proposal() -> ProposalMessage {
@@ -124,67 +130,74 @@
 
 fn prepare_response() -> PrepareResponse {
     PrepareResponse {
-        ticket: 0x0402_0304_0506,
+        request_id: 0x0402_0304_0506,
         items: vec![item_with_history()],
-        full: true,
-        founded: true,
-        life: 0x0908_0706_0504_0302,
-        from: 11,
-        next: 12,
-        differs: vec![0x80, 0, 0x01],
+        is_complete: true,
+        is_bootstrapped: true,
+        incarnation: 0x0908_0706_0504_0302,
+        first_bucket: 11,
+        next_bucket: 12,
+        differing_buckets: vec![0x80, 0, 0x01],
         digest: 0x1918_1716_1514_1312,
-        refused: true,
+        is_rejected: true,
         ballot: Some(ballot(7)),
-        calls: vec![accepted_proposal()],
-        denied: vec![rejection()],
-        whole: 13,
+        accepted: vec![accepted_proposal()],
+        rejected: vec![rejection()],
+        activated_version: 13,
     }
 }
 
 fn lease_request() -> LeaseRequest {
-    LeaseRequest { duty: "steward".into(), term: 21, ticket: 22, release: true, holds: true, era: 23 }
+    LeaseRequest {
+        role: "steward".into(),
+        term: 21,
+        request_id: 22,
+        is_release: true,
+        is_renewal: true,
+        epoch: 23,
+    }
 }
 
 fn lease_vote() -> LeaseVote {
     LeaseVote {
-        duty: "steward".into(),
-        ticket: 31,
-        granted: true,
+        role: "steward".into(),
+        request_id: 31,
+        is_granted: true,
         term: 32,
         holder: "node-2#1f".into(),
-        era: 33,
+        epoch: 33,
     }
 }
 
 fn session_list() -> SessionList {
     let member = Member {
-        station: "node-3".into(),
-        life: 0x2928_2726_2524_2322,
-        front: "203.0.113.9:80".into(),
-        district: "zone-b".into(),
-        ready: true,
+        node_id: "node-3".into(),
+        incarnation: 0x2928_2726_2524_2322,
+        client_address: "203.0.113.9:80".into(),
+        zone: "zone-b".into(),
+        is_ready: true,
     };
-    let other = Member { station: "node-4".into(), ..Member::default() };
-    SessionList { number: 41, members: vec![member, other] }
+    let other = Member { node_id: "node-4".into(), ..Member::default() };
+    SessionList { sequence: 41, members: vec![member, other] }
 }
 
 fn usage_report() -> UsageReport {
     let add = TenantUsage {
         tenant: "tenant-2".into(),
         offered: 51,
-        sent: 52,
-        held: 53,
-        wants: 54,
-        back: 55,
-        ahead: 56,
+        forwarded: 52,
+        reserved: 53,
+        requested: 54,
+        returned: 55,
+        prefetch: 56,
     };
     let other = TenantUsage { tenant: "tenant-3".into(), offered: u32::MAX, ..TenantUsage::default() };
     UsageReport {
-        ticket: 57,
-        station: "node-5".into(),
-        adds: vec![add, other],
-        life: 0x3938_3736_3534_3332,
-        asks: true,
+        request_id: 57,
+        node_id: "node-5".into(),
+        tenants: vec![add, other],
+        incarnation: 0x3938_3736_3534_3332,
+        is_mid_period: true,
     }
 }
 
@@ -192,39 +205,39 @@
     let total = TenantTotal {
         tenant: "tenant-4".into(),
         offered: 61.5,
-        sent: 0.0625,
+        forwarded: 0.0625,
         granted: 62,
-        part: f32::INFINITY,
+        share: f32::INFINITY,
     };
     UsageTotals {
-        ticket: 63,
-        station: "node-6".into(),
-        totals: vec![total],
-        life: 0x4948_4746_4544_4342,
-        asks: true,
+        request_id: 63,
+        node_id: "node-6".into(),
+        tenants: vec![total],
+        incarnation: 0x4948_4746_4544_4342,
+        is_mid_period: true,
     }
 }
 
 fn membership_update() -> MembershipUpdate {
     MembershipUpdate {
-        gateways: 71,
-        stations: vec!["node-7".into(), "node-8".into()],
-        controls: vec!["10.1.2.4:7000".into()],
+        gateway_count: 71,
+        node_ids: vec!["node-7".into(), "node-8".into()],
+        control_addresses: vec!["10.1.2.4:7000".into()],
         control_districts: vec!["zone-c".into()],
     }
 }
 
 pub fn commit() -> Commit {
-    Commit { mark: Bytes::from_static(b"0f1e2d3c4b5a6978") }
+    Commit { proposal_id: Bytes::from_static(b"0f1e2d3c4b5a6978") }
 }
 
 fn purge_tombstones() -> PurgeTombstones {
-    PurgeTombstones { drops: vec![removed_item()] }
+    PurgeTombstones { tombstones: vec![removed_item()] }
 }
 
 /// Every variant with every field, in the order of the variants' tags.
 pub fn complete() -> Vec<Sample> {
-    let bucket_digests = BucketDigests { hashes: vec![0x5958_5756_5554_5352, 0, 9], back: true };
+    let bucket_digests = BucketDigests { digests: vec![0x5958_5756_5554_5352, 0, 9], wants_reply: true };
     vec![
         ("hello", Message::Hello(hello())),
         ("heartbeat", Message::Heartbeat(heartbeat())),
@@ -270,41 +283,50 @@
 /// Each boolean alone, where a message has more than one.
 pub fn booleans() -> Vec<Sample> {
     vec![
-        ("hello.is-control-plane", Message::Hello(Hello { control: true, ..Hello::default() })),
-        ("hello.is-current", Message::Hello(Hello { current: true, ..Hello::default() })),
-        ("hello.is-complete", Message::Hello(Hello { full: true, ..Hello::default() })),
-        ("heartbeat.is-ready", Message::Heartbeat(Heartbeat { ready: true, ..Heartbeat::default() })),
-        ("heartbeat.is-current", Message::Heartbeat(Heartbeat { current: true, ..Heartbeat::default() })),
-        ("heartbeat.is-complete", Message::Heartbeat(Heartbeat { full: true, ..Heartbeat::default() })),
-        ("heartbeat.is-leaving", Message::Heartbeat(Heartbeat { leaving: true, ..Heartbeat::default() })),
-        ("heartbeat.is-durable", Message::Heartbeat(Heartbeat { kept: true, ..Heartbeat::default() })),
+        ("hello.is-control-plane", Message::Hello(Hello { is_control_plane: true, ..Hello::default() })),
+        ("hello.is-current", Message::Hello(Hello { is_serving: true, ..Hello::default() })),
+        ("hello.is-complete", Message::Hello(Hello { is_complete: true, ..Hello::default() })),
+        ("heartbeat.is-ready", Message::Heartbeat(Heartbeat { is_ready: true, ..Heartbeat::default() })),
+        ("heartbeat.is-current", Message::Heartbeat(Heartbeat { is_serving: true, ..Heartbeat::default() })),
+        (
+            "heartbeat.is-complete",
+            Message::Heartbeat(Heartbeat { is_complete: true, ..Heartbeat::default() }),
+        ),
+        (
+            "heartbeat.is-leaving",
+            Message::Heartbeat(Heartbeat { is_shutting_down: true, ..Heartbeat::default() }),
+        ),
+        (
+            "heartbeat.is-durable",
+            Message::Heartbeat(Heartbeat { is_persisted: true, ..Heartbeat::default() }),
+        ),
         (
             "accept-response.is-complete",
-            Message::AcceptResponse(AcceptResponse { full: true, ..AcceptResponse::default() }),
+            Message::AcceptResponse(AcceptResponse { is_complete: true, ..AcceptResponse::default() }),
         ),
         (
             "accept-response.is-rejected",
-            Message::AcceptResponse(AcceptResponse { refused: true, ..AcceptResponse::default() }),
+            Message::AcceptResponse(AcceptResponse { is_rejected: true, ..AcceptResponse::default() }),
         ),
         (
             "prepare-response.is-complete",
-            Message::PrepareResponse(PrepareResponse { full: true, ..PrepareResponse::default() }),
+            Message::PrepareResponse(PrepareResponse { is_complete: true, ..PrepareResponse::default() }),
         ),
         (
             "prepare-response.is-founded",
-            Message::PrepareResponse(PrepareResponse { founded: true, ..PrepareResponse::default() }),
+            Message::PrepareResponse(PrepareResponse { is_bootstrapped: true, ..PrepareResponse::default() }),
         ),
         (
             "prepare-response.is-rejected",
-            Message::PrepareResponse(PrepareResponse { refused: true, ..PrepareResponse::default() }),
+            Message::PrepareResponse(PrepareResponse { is_rejected: true, ..PrepareResponse::default() }),
         ),
         (
             "lease-request.is-release",
-            Message::LeaseRequest(LeaseRequest { release: true, ..LeaseRequest::default() }),
+            Message::LeaseRequest(LeaseRequest { is_release: true, ..LeaseRequest::default() }),
         ),
         (
             "lease-request.is-renewal",
-            Message::LeaseRequest(LeaseRequest { holds: true, ..LeaseRequest::default() }),
+            Message::LeaseRequest(LeaseRequest { is_renewal: true, ..LeaseRequest::default() }),
         ),
     ]
 }
@@ -314,12 +336,13 @@
     let nothing = Some(Ballot::default());
     let accept_request =
         AcceptRequest { items: vec![ItemMessage::default()], ballot: nothing, ..AcceptRequest::default() };
-    let accept_response = AcceptResponse { ballot: nothing, under: nothing, ..AcceptResponse::default() };
+    let accept_response =
+        AcceptResponse { ballot: nothing, answered_ballot: nothing, ..AcceptResponse::default() };
     let prepare_request = PrepareRequest { ballot: nothing, ..PrepareRequest::default() };
     let prepare_response = PrepareResponse {
         ballot: nothing,
-        calls: vec![ProposalMessage::default()],
-        denied: vec![RejectedProposal::default()],
+        accepted: vec![ProposalMessage::default()],
+        rejected: vec![RejectedProposal::default()],
         ..PrepareResponse::default()
     };
     vec![
@@ -333,19 +356,19 @@
 /// Seats of replicas; the second one is of a disk without a number.
 pub fn replicas() -> Vec<Replica> {
     let first = Replica {
-        station: "node-1".into(),
-        ip: "10.1.2.3:7000".into(),
-        district: "zone-a".into(),
-        province: "region-a".into(),
-        folder: 0x2122_2324_2526_2728,
+        node_id: "node-1".into(),
+        address: "10.1.2.3:7000".into(),
+        zone: "zone-a".into(),
+        region: "region-a".into(),
+        replica_id: 0x2122_2324_2526_2728,
     };
-    let second = Replica { station: "node-2".into(), folder: 0, ..first.clone() };
+    let second = Replica { node_id: "node-2".into(), replica_id: 0, ..first.clone() };
     vec![first, second]
 }
 
 /// Messages that are not sent by themselves, but inside of others or as an item's value.
 pub fn nested() -> Vec<(&'static str, Vec<u8>)> {
-    let replica_set = ReplicaSet { seats: replicas(), edition: 81 };
+    let replica_set = ReplicaSet { replicas: replicas(), version: 81 };
     vec![
         ("ballot", ballot(1).encode_to_vec()),
         ("rejection", rejection().encode_to_vec()),
--- a/crates/coordination/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -17,9 +17,9 @@
 }
 
 struct Process {
-    seat: Replica,
+    replica: Replica,
     voter: LeaseVoter,
-    claimant: LeaseCandidate,
+    candidate: LeaseCandidate,
     paused: i64,
     /// It hears of what is decided once in so many steps.
     deaf: u64,
@@ -36,8 +36,8 @@
     chance: oorandom::Rand64,
     time: i64,
     /// Casts by edition; the era that is decided.
-    casts: Vec<ReplicaSet>,
-    era: u64,
+    replica_sets: Vec<ReplicaSet>,
+    epoch: u64,
     all: Vec<Process>,
     claims: Vec<(i64, String, usize, usize, LeaseRequest)>,
     grants: Vec<(i64, String, usize, LeaseVote)>,
@@ -52,13 +52,13 @@
 impl Model {
     fn new(seed: u64) -> Model {
         let mut chance = oorandom::Rand64::new(u128::from(seed));
-        let seat =
-            |n: usize| Replica { station: format!("s{n}"), folder: n as u64 + 1, ..Replica::default() };
-        let seats: Vec<Replica> = (0..chance.rand_range(3..6) as usize).map(seat).collect();
+        let replica =
+            |n: usize| Replica { node_id: format!("s{n}"), replica_id: n as u64 + 1, ..Replica::default() };
+        let replicas: Vec<Replica> = (0..chance.rand_range(3..6) as usize).map(replica).collect();
         let all = (0..STATIONS).map(|n| Process {
-            seat: seat(n),
-            voter: LeaseVoter::new(at(0), n < seats.len(), BTreeMap::new(), None),
-            claimant: LeaseCandidate::new(DUTY, chance.rand_u64()),
+            replica: replica(n),
+            voter: LeaseVoter::new(at(0), n < replicas.len(), BTreeMap::new(), None),
+            candidate: LeaseCandidate::new(DUTY, chance.rand_u64()),
             paused: 0,
             deaf: [4, 8, 40, 200][chance.rand_range(0..4) as usize],
             known: 2,
@@ -68,14 +68,14 @@
         });
         let all = all.collect();
         let (rare, slow) = (60 + chance.rand_range(0..240), 2 + chance.rand_range(0..20));
-        let first = ReplicaSet { seats, edition: 1 };
-        let casts = vec![ReplicaSet::default(), first];
+        let first = ReplicaSet { replicas, version: 1 };
+        let replica_sets = vec![ReplicaSet::default(), first];
         let (claims, grants) = (Vec::new(), Vec::new());
         Model {
             chance,
             time: 0,
-            casts,
-            era: 2,
+            replica_sets,
+            epoch: 2,
             all,
             claims,
             grants,
@@ -94,45 +94,46 @@
         self.chance.rand_range(0..times) == 0
     }
 
-    fn era(&self, number: u64) -> JointReplicaSets {
-        let next = (number % 2 == 1).then(|| self.casts[number as usize / 2 + 1].clone());
-        JointReplicaSets { now: self.casts[number as usize / 2].clone(), next }
+    fn epoch(&self, number: u64) -> JointReplicaSets {
+        let next = (number % 2 == 1).then(|| self.replica_sets[number as usize / 2 + 1].clone());
+        JointReplicaSets { current: self.replica_sets[number as usize / 2].clone(), incoming: next }
     }
 
     /// Some cast follows the one in force: any seats that there are now. More than the core's own rule does.
     fn change(&mut self) {
-        let edition = self.era / 2 + 1;
-        if self.era.is_multiple_of(2) && self.casts.len() as u64 == edition && self.one_in(self.rare) {
-            let mut seats: Vec<Replica> = self.all.iter().map(|p| p.seat.clone()).collect();
+        let version = self.epoch / 2 + 1;
+        if self.epoch.is_multiple_of(2) && self.replica_sets.len() as u64 == version && self.one_in(self.rare)
+        {
+            let mut replicas: Vec<Replica> = self.all.iter().map(|p| p.replica.clone()).collect();
             let stays = self.chance.rand_range(3..6) as usize;
-            while seats.len() > stays {
-                let gone = self.chance.rand_range(0..seats.len() as u64) as usize;
-                seats.remove(gone);
+            while replicas.len() > stays {
+                let gone = self.chance.rand_range(0..replicas.len() as u64) as usize;
+                replicas.remove(gone);
             }
-            self.casts.push(ReplicaSet { seats, edition });
+            self.replica_sets.push(ReplicaSet { replicas, version });
         }
-        if self.casts.len() as u64 == edition {
+        if self.replica_sets.len() as u64 == version {
             return;
         }
         for n in 0..STATIONS {
             if self.all[n].paused > self.time || !self.one_in(self.slow) {
                 continue;
             }
-            let in_force = self.era % 2 == 1;
+            let in_force = self.epoch % 2 == 1;
             let process = &mut self.all[n];
             if !in_force {
-                process.next = edition;
+                process.next = version;
             } else {
                 // It has asked for all that the writer holds, the cast that is being brought in too.
-                (process.known, process.now) = (process.known.max(self.era), edition);
+                (process.known, process.now) = (process.known.max(self.epoch), version);
             }
         }
         let accepted =
-            |process: &&Process| edition == if self.era % 2 == 1 { process.now } else { process.next };
-        let copies: BTreeSet<String> = self.all.iter().filter(accepted).map(|p| p.seat.name()).collect();
-        let (now, next) = (&self.casts[self.era as usize / 2], &self.casts[edition as usize]);
-        if now.is_safe(&copies) && next.is_safe(&copies) {
-            self.era += 1;
+            |process: &&Process| version == if self.epoch % 2 == 1 { process.now } else { process.next };
+        let copies: BTreeSet<String> = self.all.iter().filter(accepted).map(|p| p.replica.name()).collect();
+        let (now, next) = (&self.replica_sets[self.epoch as usize / 2], &self.replica_sets[version as usize]);
+        if now.is_write_quorum(&copies) && next.is_write_quorum(&copies) {
+            self.epoch += 1;
             self.count("eras");
         }
     }
@@ -147,17 +148,17 @@
             }
             12..14 => {
                 // Disks are lost one at a time: the others have been replaced.
-                let standing = |cast: &ReplicaSet| {
-                    cast.seats.iter().all(|s| {
-                        self.all.iter().any(|p| p.seat == *s) || s.station == self.all[n].seat.station
+                let standing = |replica_set: &ReplicaSet| {
+                    replica_set.replicas.iter().all(|s| {
+                        self.all.iter().any(|p| p.replica == *s) || s.node_id == self.all[n].replica.node_id
                     })
                 };
-                let of = |edition: usize| self.casts.get(edition).is_none_or(standing);
-                if of(self.era as usize / 2) && of(self.era as usize / 2 + 1) {
+                let of = |version: usize| self.replica_sets.get(version).is_none_or(standing);
+                if of(self.epoch as usize / 2) && of(self.epoch as usize / 2 + 1) {
                     self.count("lost disks");
-                    let folder = self.chance.rand_u64();
+                    let replica_id = self.chance.rand_u64();
                     let process = &mut self.all[n];
-                    process.seat.folder = folder;
+                    process.replica.replica_id = replica_id;
                     (process.known, process.next, process.now) = (0, 0, 0);
                     process.recorded = Default::default();
                     self.restart(n);
@@ -169,51 +170,51 @@
 
     fn restart(&mut self, n: usize) {
         let known = self.all[n].known;
-        let newest = (known > 0).then(|| self.era(known).newest().clone());
-        let (who, edition) = self.all[n].recorded.clone();
-        let stood = newest.as_ref().is_some_and(|cast| cast.edition == edition);
+        let newest = (known > 0).then(|| self.epoch(known).newest().clone());
+        let (who, version) = self.all[n].recorded.clone();
+        let stood = newest.as_ref().is_some_and(|replica_set| replica_set.version == version);
         let recalled = stood.then(|| (DUTY.to_owned(), who)).into_iter().collect();
         let process = &mut self.all[n];
         process.voter = LeaseVoter::new(at(self.time), false, recalled, newest);
-        process.claimant = LeaseCandidate::new(DUTY, self.chance.rand_u64());
+        process.candidate = LeaseCandidate::new(DUTY, self.chance.rand_u64());
     }
 
     fn vote(&mut self, n: usize, who: &str, claim: &LeaseRequest) -> LeaseVote {
-        let (known, name) = (self.all[n].known, self.all[n].seat.name());
-        let era = (known > 0).then(|| self.era(known));
-        let newest = era.as_ref().map(|era| era.newest().clone());
-        let seated = era.is_some_and(|era| era.has(&name));
+        let (known, name) = (self.all[n].known, self.all[n].replica.name());
+        let epoch = (known > 0).then(|| self.epoch(known));
+        let newest = epoch.as_ref().map(|epoch| epoch.newest().clone());
+        let seated = epoch.is_some_and(|epoch| epoch.contains(&name));
         let fence = known.max(if self.all[n].next > known / 2 { self.all[n].next * 2 - 1 } else { 0 });
         let process = &mut self.all[n];
         if let Some(newest) = &newest {
-            process.voter.cast(at(self.time), newest);
+            process.voter.observe_replica_set(at(self.time), newest);
         }
         let mut grant = process.voter.vote(at(self.time), who, claim, fence);
-        grant.granted &= seated;
-        if grant.granted {
-            process.recorded = (who.to_owned(), newest.map_or(0, |cast| cast.edition));
+        grant.is_granted &= seated;
+        if grant.is_granted {
+            process.recorded = (who.to_owned(), newest.map_or(0, |replica_set| replica_set.version));
         }
         grant
     }
 
     fn turn(&mut self, n: usize) {
         let now = at(self.time);
-        let (known, name) = (self.all[n].known, self.all[n].seat.name());
-        if known < self.era && self.one_in(self.all[n].deaf) {
-            self.all[n].known = self.era - self.chance.rand_range(0..(self.era - known).min(3));
+        let (known, name) = (self.all[n].known, self.all[n].replica.name());
+        if known < self.epoch && self.one_in(self.all[n].deaf) {
+            self.all[n].known = self.epoch - self.chance.rand_range(0..(self.epoch - known).min(3));
         }
         let known = self.all[n].known;
         if known == 0 {
             return;
         }
-        let era = self.era(known);
-        self.all[n].voter.cast(now, era.newest());
-        if !era.now.has(&name) {
+        let epoch = self.epoch(known);
+        self.all[n].voter.observe_replica_set(now, epoch.newest());
+        if !epoch.current.contains(&name) {
             return;
         }
         let free = self.all[n].voter.holder(now, DUTY).is_none_or(|holder| holder == name) || self.one_in(6);
         let wait = Duration::from_micros(self.chance.rand_range(0..400_000) as i64);
-        let Some(claim) = self.all[n].claimant.tick(now, free, wait, known) else { return };
+        let Some(claim) = self.all[n].candidate.tick(now, free, wait, known) else { return };
         for to in 0..STATIONS {
             let times = if self.cuts.contains(&(n, to)) { 0 } else { self.chance.rand_range(0..5).min(2) };
             for _ in 0..times {
@@ -231,7 +232,7 @@
         for (_, who, from, to, claim) in claims {
             let grant = self.vote(to, &who, &claim);
             let late = self.chance.rand_range(0..400) as i64;
-            let name = self.all[to].seat.name();
+            let name = self.all[to].replica.name();
             if !self.cuts.contains(&(to, from)) {
                 self.grants.push((time + late, name, from, grant));
             }
@@ -243,9 +244,11 @@
             if known == 0 {
                 continue;
             }
-            let era = self.era(known);
-            let elects = |votes: &BTreeSet<String>| era.is_elected(votes);
-            if era.has(&name) && self.all[to].claimant.heard(at(time), &name, &grant, known, elects) {
+            let epoch = self.epoch(known);
+            let elects = |votes: &BTreeSet<String>| epoch.is_lease_quorum(votes);
+            if epoch.contains(&name)
+                && self.all[to].candidate.receive_vote(at(time), &name, &grant, known, elects)
+            {
                 self.count("won");
             }
         }
@@ -260,11 +263,11 @@
                 let pairs = (0..STATIONS).flat_map(|a| (0..STATIONS).map(move |b| (a, b)));
                 self.cuts = pairs.filter(|(a, b)| a != b && self.chance.rand_range(0..share) == 0).collect();
             }
-            let era = self.era;
+            let epoch = self.epoch;
             self.change();
             // Restarts are most telling right after a change.
             for n in 0..STATIONS {
-                if era != self.era && self.one_in(8) {
+                if epoch != self.epoch && self.one_in(8) {
                     self.restart(n);
                 }
             }
@@ -275,7 +278,7 @@
                 }
             }
             self.hear();
-            let holders = self.all.iter().filter(|p| p.claimant.holds(at(self.time)).is_some()).count();
+            let holders = self.all.iter().filter(|p| p.candidate.held_term(at(self.time)).is_some()).count();
             *self.tally.entry("held").or_default() += holders as u64;
             self.count("looks");
             if holders > 1 {
@@ -319,17 +322,20 @@
 /// once, and whether the one on the other side does at the end. `deaf` are the last eras that the claimant 1, and the
 /// voters 1, 2 and 4 hear of.
 fn cut_in_two(without: Without, deaf: (u64, u64), restarts: bool) -> (usize, bool) {
-    let seat = |n: usize| Replica { station: format!("s{n}"), ..Replica::default() };
-    let cast =
-        |seats: &[usize], edition| ReplicaSet { seats: seats.iter().copied().map(seat).collect(), edition };
-    let casts = [cast(&[0, 1, 2, 3, 4], 1), cast(&[0, 3, 5], 2)];
-    let era = |number: u64| match number {
-        2 => JointReplicaSets { now: casts[0].clone(), next: None },
-        3 => JointReplicaSets { now: casts[0].clone(), next: Some(casts[1].clone()) },
-        _ => JointReplicaSets { now: casts[1].clone(), next: None },
+    let replica = |n: usize| Replica { node_id: format!("s{n}"), ..Replica::default() };
+    let replica_set = |replicas: &[usize], version| ReplicaSet {
+        replicas: replicas.iter().copied().map(replica).collect(),
+        version,
     };
-    let mut voters: Vec<LeaseVoter> =
-        (0..6).map(|_| LeaseVoter::new(at(0), true, BTreeMap::new(), Some(casts[0].clone()))).collect();
+    let replica_sets = [replica_set(&[0, 1, 2, 3, 4], 1), replica_set(&[0, 3, 5], 2)];
+    let epoch = |number: u64| match number {
+        2 => JointReplicaSets { current: replica_sets[0].clone(), incoming: None },
+        3 => JointReplicaSets { current: replica_sets[0].clone(), incoming: Some(replica_sets[1].clone()) },
+        _ => JointReplicaSets { current: replica_sets[1].clone(), incoming: None },
+    };
+    let mut voters: Vec<LeaseVoter> = (0..6)
+        .map(|_| LeaseVoter::new(at(0), true, BTreeMap::new(), Some(replica_sets[0].clone())))
+        .collect();
     let mut claimants = [LeaseCandidate::new(DUTY, 10), LeaseCandidate::new(DUTY, 1_000)];
     let (mut most, mut last) = (0, false);
     for time in (0..8_000).step_by(50) {
@@ -347,15 +353,15 @@
             // They restart; they had granted the claimant 0 before the cast was decided.
             let stood = without == Without::Recall;
             let recalled = stood.then(|| (DUTY.to_owned(), "s0".to_owned())).into_iter().collect();
-            voters[n] = LeaseVoter::new(now, false, recalled, Some(casts[1].clone()));
+            voters[n] = LeaseVoter::new(now, false, recalled, Some(replica_sets[1].clone()));
         }
-        for (n, claimant) in claimants.iter_mut().enumerate() {
+        for (n, candidate) in claimants.iter_mut().enumerate() {
             let known = if n == 1 { decided.min(deaf.0) } else { decided };
-            let Some(claim) = claimant.tick(now, true, Duration::ZERO, known) else { continue };
+            let Some(claim) = candidate.tick(now, true, Duration::ZERO, known) else { continue };
             for (voter, grants) in voters.iter_mut().enumerate().filter(|(voter, _)| far(*voter) == far(n)) {
                 let known_here = if far(voter) { decided.min(deaf.1) } else { decided };
                 if without != Without::Renewals {
-                    grants.cast(now, era(known_here).newest());
+                    grants.observe_replica_set(now, epoch(known_here).newest());
                 }
                 let heeds = match without {
                     Without::JointReplicaSets => 0,
@@ -364,15 +370,15 @@
                     _ => known_here,
                 };
                 let mut grant = grants.vote(now, &format!("s{n}"), &claim, heeds);
-                grant.granted &= era(known_here).has(&format!("s{voter}"));
+                grant.is_granted &= epoch(known_here).contains(&format!("s{voter}"));
                 let elects = |votes: &BTreeSet<String>| match without {
-                    Without::Joint => era(known).now.is_elected(votes),
-                    _ => era(known).is_elected(votes),
+                    Without::Joint => epoch(known).current.is_lease_quorum(votes),
+                    _ => epoch(known).is_lease_quorum(votes),
                 };
-                claimant.heard(now, &format!("s{voter}"), &grant, known, elects);
+                candidate.receive_vote(now, &format!("s{voter}"), &grant, known, elects);
             }
         }
-        let holds = claimants.iter().map(|claimant| claimant.holds(now).is_some());
+        let holds = claimants.iter().map(|candidate| candidate.held_term(now).is_some());
         let holders = holds.clone().filter(|holds| *holds).count();
         (most, last) = (most.max(holders), holds.clone().next().unwrap_or_default());
     }
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -18,9 +18,9 @@
 }
 
 /// All layouts up to the names of regions and zones.
-fn layouts(seats: usize) -> Vec<Layout> {
+fn layouts(replicas: usize) -> Vec<Layout> {
     let mut all = Vec::new();
-    for regions in partitions(seats, seats).into_iter().filter(|regions| regions.len() <= 3) {
+    for regions in partitions(replicas, replicas).into_iter().filter(|regions| regions.len() <= 3) {
         let mut open: Vec<Layout> = vec![vec![]];
         for region in regions {
             let zones = partitions(region, region);
@@ -40,24 +40,24 @@
     all
 }
 
-fn seat(region: usize, zone: usize, n: usize, folder: u64) -> Replica {
-    let (province, district) = (format!("r{region}"), format!("r{region}z{zone}"));
-    Replica { station: format!("{district}s{n}"), ip: String::new(), district, province, folder }
+fn replica(region: usize, zone: usize, n: usize, replica_id: u64) -> Replica {
+    let (region, zone) = (format!("r{region}"), format!("r{region}z{zone}"));
+    Replica { node_id: format!("{zone}s{n}"), address: String::new(), zone, region, replica_id }
 }
 
-fn cast(layout: &Layout) -> ReplicaSet {
-    let mut seats = Vec::new();
+fn replica_set(layout: &Layout) -> ReplicaSet {
+    let mut replicas = Vec::new();
     for (region, zones) in layout.iter().enumerate() {
         for (zone, number) in zones.iter().enumerate() {
-            seats.extend((0..*number).map(|n| seat(region, zone, n, 1)));
+            replicas.extend((0..*number).map(|n| replica(region, zone, n, 1)));
         }
     }
-    seats.sort();
-    ReplicaSet { seats, edition: 1 }
+    replicas.sort();
+    ReplicaSet { replicas, version: 1 }
 }
 
-fn names<'a>(seats: impl IntoIterator<Item = &'a Replica>) -> Names {
-    seats.into_iter().map(Replica::name).collect()
+fn names<'a>(replicas: impl IntoIterator<Item = &'a Replica>) -> Names {
+    replicas.into_iter().map(Replica::name).collect()
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -68,58 +68,68 @@
 }
 
 /// The sets of stations that may be lost at once.
-fn losses(seats: &[Replica]) -> BTreeSet<(Loss, BTreeSet<String>)> {
+fn losses(replicas: &[Replica]) -> BTreeSet<(Loss, BTreeSet<String>)> {
     let of = |place: fn(&Replica) -> &str, what: Loss| {
-        let places: BTreeSet<&str> = seats.iter().map(place).collect();
-        let stations = move |at: &str| {
-            seats.iter().filter(|seat| place(seat) == at).map(|seat| seat.station.clone()).collect()
+        let places: BTreeSet<&str> = replicas.iter().map(place).collect();
+        let node_ids = move |at: &str| {
+            replicas
+                .iter()
+                .filter(|replica| place(replica) == at)
+                .map(|replica| replica.node_id.clone())
+                .collect()
         };
-        places.into_iter().map(|at| (what, stations(at))).collect::<Vec<_>>()
+        places.into_iter().map(|at| (what, node_ids(at))).collect::<Vec<_>>()
     };
-    let machines = of(|seat| &seat.station, Loss::Machine);
-    let zones = of(|seat| &seat.district, Loss::Zone);
-    machines.into_iter().chain(zones).chain(of(|seat| &seat.province, Loss::Region)).collect()
+    let machines = of(|replica| &replica.node_id, Loss::Machine);
+    let zones = of(|replica| &replica.zone, Loss::Zone);
+    machines.into_iter().chain(zones).chain(of(|replica| &replica.region, Loss::Region)).collect()
 }
 
 /// Steps from a cast: who comes, whose disk was lost, who leaves, who is silent with another in its place.
-fn steps(cast: &ReplicaSet) -> Vec<(&'static str, ReplicaObservations)> {
-    let all: BTreeSet<Replica> = cast.seats.iter().cloned().collect();
+fn steps(replica_set: &ReplicaSet) -> Vec<(&'static str, ReplicaObservations)> {
+    let all: BTreeSet<Replica> = replica_set.replicas.iter().cloned().collect();
     let mut steps = Vec::new();
-    let sight = |full: BTreeSet<Replica>| ReplicaObservations { full, ..ReplicaObservations::default() };
+    let sight =
+        |full: BTreeSet<Replica>| ReplicaObservations { complete: full, ..ReplicaObservations::default() };
     let places: BTreeSet<(String, String)> =
-        cast.seats.iter().map(|s| (s.province.clone(), s.district.clone())).collect();
-    let comer = |n: usize, (province, district): &(String, String)| Replica {
-        station: format!("{district}new{n}"),
-        ip: String::new(),
-        district: district.clone(),
-        province: province.clone(),
-        folder: 9,
+        replica_set.replicas.iter().map(|s| (s.region.clone(), s.zone.clone())).collect();
+    let comer = |n: usize, (region, zone): &(String, String)| Replica {
+        node_id: format!("{zone}new{n}"),
+        address: String::new(),
+        zone: zone.clone(),
+        region: region.clone(),
+        replica_id: 9,
     };
     for place in &places {
         steps.push(("joining", sight(and(&all, [comer(0, place)]))));
     }
     let filled: Vec<Replica> = places.iter().map(|place| comer(0, place)).collect();
     steps.push(("filling", sight(and(&all, filled))));
-    for seat in &cast.seats {
-        let rest: BTreeSet<Replica> = all.iter().filter(|s| *s != seat).cloned().collect();
-        let successor = Replica { folder: 2, ..seat.clone() };
-        let other = comer(1, &(seat.province.clone(), seat.district.clone()));
-        let (name, with) = (seat.name(), |s: Replica| and(&rest, [s]));
+    for replica in &replica_set.replicas {
+        let rest: BTreeSet<Replica> = all.iter().filter(|s| *s != replica).cloned().collect();
+        let successor = Replica { replica_id: 2, ..replica.clone() };
+        let other = comer(1, &(replica.region.clone(), replica.zone.clone()));
+        let (name, with) = (replica.name(), |s: Replica| and(&rest, [s]));
         steps.push(("replacing a lost disk", sight(with(successor))));
         steps.push((
             "replacing in silence",
-            ReplicaObservations { silent: [name.clone()].into(), ..sight(with(other.clone())) },
+            ReplicaObservations { unresponsive: [name.clone()].into(), ..sight(with(other.clone())) },
+        ));
+        steps.push((
+            "leaving",
+            ReplicaObservations { shutting_down: [name.clone()].into(), ..sight(all.clone()) },
         ));
-        steps.push(("leaving", ReplicaObservations { leaving: [name.clone()].into(), ..sight(all.clone()) }));
         let both = and(&all, [other]);
-        steps
-            .push(("leaving for a successor", ReplicaObservations { leaving: [name].into(), ..sight(both) }));
+        steps.push((
+            "leaving for a successor",
+            ReplicaObservations { shutting_down: [name].into(), ..sight(both) },
+        ));
     }
     steps
 }
 
-fn and(seats: &BTreeSet<Replica>, more: impl IntoIterator<Item = Replica>) -> BTreeSet<Replica> {
-    seats.iter().cloned().chain(more).collect()
+fn and(replicas: &BTreeSet<Replica>, more: impl IntoIterator<Item = Replica>) -> BTreeSet<Replica> {
+    replicas.iter().cloned().chain(more).collect()
 }
 
 /// A cast's quorums for all sets of its seats, each set as bits.
@@ -130,15 +140,18 @@
 }
 
 impl Quorums {
-    fn of(cast: &ReplicaSet) -> Quorums {
+    fn of(replica_set: &ReplicaSet) -> Quorums {
         let set = |bits: usize| -> Names {
-            (0..cast.seats.len()).filter(|n| bits >> n & 1 == 1).map(|n| cast.seats[n].name()).collect()
+            (0..replica_set.replicas.len())
+                .filter(|n| bits >> n & 1 == 1)
+                .map(|n| replica_set.replicas[n].name())
+                .collect()
         };
-        let sets: Vec<Names> = (0..1usize << cast.seats.len()).map(set).collect();
+        let sets: Vec<Names> = (0..1usize << replica_set.replicas.len()).map(set).collect();
         Quorums {
-            safe: sets.iter().map(|set| cast.is_safe(set)).collect(),
-            read: sets.iter().map(|set| cast.is_read(set)).collect(),
-            elected: sets.iter().map(|set| cast.is_elected(set)).collect(),
+            safe: sets.iter().map(|set| replica_set.is_write_quorum(set)).collect(),
+            read: sets.iter().map(|set| replica_set.is_read_quorum(set)).collect(),
+            elected: sets.iter().map(|set| replica_set.is_lease_quorum(set)).collect(),
         }
     }
 
@@ -156,33 +169,34 @@
 /// one place's: exactly those layouts are listed.
 #[test]
 fn quorums_meet_in_every_cast_and_what_a_loss_leaves_is_known() {
-    let (mut casts, mut stopped) = (0, BTreeMap::<Loss, usize>::new());
+    let (mut replica_sets, mut stopped) = (0, BTreeMap::<Loss, usize>::new());
     for layout in (3..=9).flat_map(layouts) {
-        let cast = cast(&layout);
-        casts += 1;
-        let quorums = Quorums::of(&cast);
+        let replica_set = replica_set(&layout);
+        replica_sets += 1;
+        let quorums = Quorums::of(&replica_set);
         assert!(Quorums::meet(&quorums.safe, &quorums.read), "{layout:?}: a reading misses a write");
         assert!(Quorums::meet(&quorums.elected, &quorums.elected), "{layout:?}: two elections");
-        for (loss, lost) in losses(&cast.seats) {
-            let rest: Vec<&Replica> = cast.seats.iter().filter(|s| !lost.contains(&s.station)).collect();
-            let places = |of: fn(&Replica) -> &String, seats: &[&Replica]| {
-                seats.iter().map(|seat| of(seat).clone()).collect::<BTreeSet<_>>().len()
+        for (loss, lost) in losses(&replica_set.replicas) {
+            let rest: Vec<&Replica> =
+                replica_set.replicas.iter().filter(|s| !lost.contains(&s.node_id)).collect();
+            let places = |of: fn(&Replica) -> &String, replicas: &[&Replica]| {
+                replicas.iter().map(|replica| of(replica).clone()).collect::<BTreeSet<_>>().len()
             };
-            let all: Vec<&Replica> = cast.seats.iter().collect();
+            let all: Vec<&Replica> = replica_set.replicas.iter().collect();
             let spread = |of| places(of, &rest) > 1 || places(of, &all) == 1;
-            let goes_on = cast.is_safe(&names(rest.iter().copied()));
+            let goes_on = replica_set.is_write_quorum(&names(rest.iter().copied()));
             let expected =
-                rest.len() * 2 > cast.seats.len() && spread(|s| &s.province) && spread(|s| &s.district);
+                rest.len() * 2 > replica_set.replicas.len() && spread(|s| &s.region) && spread(|s| &s.zone);
             assert_eq!(goes_on, expected, "{layout:?} without {lost:?}");
             // What was confirmed can be read, unless more than half is gone.
-            let read = cast.is_read(&names(rest.iter().copied()));
-            assert_eq!(read, rest.len() * 2 >= cast.seats.len(), "{layout:?} without {lost:?}");
+            let read = replica_set.is_read_quorum(&names(rest.iter().copied()));
+            assert_eq!(read, rest.len() * 2 >= replica_set.replicas.len(), "{layout:?} without {lost:?}");
             // No write has all its copies among what is lost where a reading is left: such a write would be missed.
             *stopped.entry(loss).or_default() += usize::from(!goes_on);
         }
     }
-    println!("casts={casts} losses after which writes stop: {stopped:?}");
-    assert!(casts > 300, "{casts}");
+    println!("casts={replica_sets} losses after which writes stop: {stopped:?}");
+    assert!(replica_sets > 300, "{replica_sets}");
 }
 
 /// From every cast by every step: at each phase each write that was confirmed is met by each reading, elections of the
@@ -193,38 +207,44 @@
     let (mut done, mut phases, mut second) = (BTreeMap::<&str, usize>::new(), 0, 0);
     let mut bears_less = BTreeMap::<&str, usize>::new();
     for layout in (3..=9).flat_map(layouts) {
-        let (now, mut seen) = (cast(&layout), BTreeSet::new());
+        let (now, mut seen) = (replica_set(&layout), BTreeSet::new());
         for (what, sight) in steps(&now) {
-            let Some(next) = now.follow(&sight) else {
+            let Some(next) = now.successor(&sight) else {
                 assert!(what == "leaving", "{layout:?}: no step for {what}");
                 continue;
             };
             *done.entry(what).or_default() += 1;
-            assert_eq!(next.edition, 2);
+            assert_eq!(next.version, 2);
             assert_eq!(
-                next.follow(&ReplicaObservations { leaving: Names::new(), ..sight.clone() })
+                next.successor(&ReplicaObservations { shutting_down: Names::new(), ..sight.clone() })
                     .filter(|_| what != "leaving" && what != "leaving for a successor"),
                 None,
                 "{layout:?}: {what} goes on"
             );
-            let gone = |seat: &&Replica| what.starts_with("replacing") && !next.has(&seat.name());
+            let gone = |replica: &&Replica| what.starts_with("replacing") && !next.contains(&replica.name());
             let alive: Vec<Replica> =
-                now.seats.iter().filter(|s| !gone(s)).chain(next.seats.iter()).cloned().collect();
-            let odd = JointReplicaSets { now: now.clone(), next: Some(next.clone()) };
-            assert_eq!((odd.number(), JointReplicaSets { now: next.clone(), next: None }.number()), (3, 4));
+                now.replicas.iter().filter(|s| !gone(s)).chain(next.replicas.iter()).cloned().collect();
+            let odd = JointReplicaSets { current: now.clone(), incoming: Some(next.clone()) };
+            assert_eq!(
+                (odd.epoch(), JointReplicaSets { current: next.clone(), incoming: None }.epoch()),
+                (3, 4)
+            );
             let whole = names(&alive);
             // It ends wherever a majority is left and the next cast itself is safe, whatever places the lost seat had alone.
-            if now.is_elected(&names(now.seats.iter().filter(|s| !gone(s)))) {
-                assert!(next.is_safe(&whole));
-                assert!(odd.is_safe(&whole) && odd.is_read(&whole), "{layout:?}: {what} cannot end");
+            if now.is_lease_quorum(&names(now.replicas.iter().filter(|s| !gone(s)))) {
+                assert!(next.is_write_quorum(&whole));
+                assert!(
+                    odd.is_write_quorum(&whole) && odd.is_read_quorum(&whole),
+                    "{layout:?}: {what} cannot end"
+                );
             }
             // A disk that is being replaced is the loss itself: one more comes after its repair.
             let more = if what.starts_with("replacing") { BTreeSet::new() } else { losses(&alive) };
             for (loss, lost) in more {
                 phases += 1;
-                let left = names(alive.iter().filter(|s| !lost.contains(&s.station)));
-                let (a, b) = (now.is_safe(&left), next.is_safe(&left));
-                let both: Vec<&Replica> = now.seats.iter().chain(&next.seats).collect();
+                let left = names(alive.iter().filter(|s| !lost.contains(&s.node_id)));
+                let (a, b) = (now.is_write_quorum(&left), next.is_write_quorum(&left));
+                let both: Vec<&Replica> = now.replicas.iter().chain(&next.replicas).collect();
                 let spread = |of: fn(&Replica) -> &String| {
                     let places = |all: bool| {
                         let with = both.iter().filter(|s| all || left.contains(&s.name()));
@@ -232,15 +252,15 @@
                     };
                     places(true) == 1 || places(false) > 1
                 };
-                let elected = now.is_elected(&left) && next.is_elected(&left);
-                let spread = spread(|s| &s.province) && spread(|s| &s.district);
-                assert_eq!(odd.is_safe(&left), elected && spread);
-                assert!(odd.is_safe(&left) || !(a && b));
+                let elected = now.is_lease_quorum(&left) && next.is_lease_quorum(&left);
+                let spread = spread(|s| &s.region) && spread(|s| &s.zone);
+                assert_eq!(odd.is_write_quorum(&left), elected && spread);
+                assert!(odd.is_write_quorum(&left) || !(a && b));
                 if a && !b {
                     // Where it is the successor that is lost, the one that leaves would have been missed as much.
                     let leaves =
-                        |s: &&Replica| sight.leaving.contains(&s.name()) || lost.contains(&s.station);
-                    let as_much = !now.is_safe(&names(now.seats.iter().filter(|s| !leaves(s))));
+                        |s: &&Replica| sight.shutting_down.contains(&s.name()) || lost.contains(&s.node_id);
+                    let as_much = !now.is_write_quorum(&names(now.replicas.iter().filter(|s| !leaves(s))));
                     *bears_less.entry(what).or_default() += 1;
                     assert!(
                         what == "joining" || what == "filling" || as_much,
@@ -251,25 +271,32 @@
                     continue;
                 }
                 // The step ends, and those that were lost come back with empty folders and are let in.
-                let back = next.seats.iter().map(|seat| {
-                    let folder = if lost.contains(&seat.station) { 77 } else { seat.folder };
-                    Replica { folder, ..seat.clone() }
+                let back = next.replicas.iter().map(|replica| {
+                    let replica_id = if lost.contains(&replica.node_id) { 77 } else { replica.replica_id };
+                    Replica { replica_id, ..replica.clone() }
                 });
                 let full: BTreeSet<Replica> = back.collect();
-                let repaired = next
-                    .follow(&ReplicaObservations { full: full.clone(), ..ReplicaObservations::default() });
+                let repaired = next.successor(&ReplicaObservations {
+                    complete: full.clone(),
+                    ..ReplicaObservations::default()
+                });
                 let repaired = repaired.unwrap_or_else(|| next.clone());
-                assert_eq!(repaired.seats.iter().cloned().collect::<BTreeSet<_>>(), full, "{layout:?}");
-                let era = JointReplicaSets { now: next.clone(), next: Some(repaired.clone()) };
-                assert!(era.is_safe(&[left, names(&full)].into_iter().flatten().collect()));
+                assert_eq!(repaired.replicas.iter().cloned().collect::<BTreeSet<_>>(), full, "{layout:?}");
+                let epoch = JointReplicaSets { current: next.clone(), incoming: Some(repaired.clone()) };
+                assert!(epoch.is_write_quorum(&[left, names(&full)].into_iter().flatten().collect()));
                 // A second loss asks for places alone: once for each cast of the same places.
-                let places: Vec<String> = next.seats.iter().map(|seat| seat.station.clone()).collect();
+                let places: Vec<String> =
+                    next.replicas.iter().map(|replica| replica.node_id.clone()).collect();
                 let new = seen.insert(places);
-                for (_, again) in losses(&repaired.seats).into_iter().filter(|_| new) {
+                for (_, again) in losses(&repaired.replicas).into_iter().filter(|_| new) {
                     second += 1;
-                    let rest = |c: &ReplicaSet| names(c.seats.iter().filter(|s| !again.contains(&s.station)));
-                    assert_eq!(repaired.is_safe(&rest(&repaired)), next.is_safe(&rest(&next)));
-                    assert_eq!(repaired.is_read(&rest(&repaired)), next.is_read(&rest(&next)));
+                    let rest =
+                        |c: &ReplicaSet| names(c.replicas.iter().filter(|s| !again.contains(&s.node_id)));
+                    assert_eq!(
+                        repaired.is_write_quorum(&rest(&repaired)),
+                        next.is_write_quorum(&rest(&next))
+                    );
+                    assert_eq!(repaired.is_read_quorum(&rest(&repaired)), next.is_read_quorum(&rest(&next)));
                 }
             }
         }
--- a/crates/data-plane/examples/tables.rs
+++ b/crates/data-plane/examples/tables.rs
@@ -1,12 +1,12 @@
 //! What the data plane's tables cost as the system grows: `cargo run --release -p kitepass-course --example tables`.
 //!
-//! The true [`Link`], [`RoutingTable`], [`Pick`] and [`Quota`] at three sizes, each in a process of its own so that memory is
+//! The true [`ControlSession`], [`RoutingTable`], [`Pick`] and [`Quota`] at three sizes, each in a process of its own so that memory is
 //! told apart: microseconds a call, and resident memory. docs/CAPACITY.md uses what it prints.
 
 use kitepass_config::{Item, Kind, RoutingTable};
 use kitepass_coordination::protocol::*;
 use kitepass_coordination::usage::{QuotaTolerance, RateLimit};
-use kitepass_data_plane::control_session::{Brought, Link};
+use kitepass_data_plane::control_session::{ControlSession, SessionUpdates};
 use kitepass_data_plane::load_balancer::{End, Need, Pick};
 use kitepass_data_plane::quota::{Quota, Verdict};
 use kitepass_time::{Duration, Timestamp};
@@ -37,31 +37,31 @@
     format!("line{n:03}").into()
 }
 
-fn item(kind: Kind, name: String, edition: u64, value: &serde_json::Value) -> Item {
-    Item { kind, name: name.into(), edition, value: Some(value.to_string().into()) }
+fn item(kind: Kind, name: String, version: u64, value: &serde_json::Value) -> Item {
+    Item { kind, name: name.into(), version, value: Some(value.to_string().into()) }
 }
 
-fn route(n: usize, edition: u64) -> Item {
+fn route(n: usize, version: u64) -> Item {
     let shares = json!([{"line": &*line_name(n % SERVICES), "share": 90},
         {"line": &*line_name((n + 1) % SERVICES), "share": 10}]);
     let value = json!({"class-of-mail": 2, "deadline-ms": 3000, "depot": format!("h{:04}.example", n % 300),
         "home-provinces": [], "lane-prefix": format!("/p{n:05}/"), "mail-kind": "safe", "share-list": shares,
         "target-ms": 500, "tries": 2, "unstamped": false});
-    item(Kind::Route, format!("r-{n:07x}"), edition, &value)
+    item(Kind::Route, format!("r-{n:07x}"), version, &value)
 }
 
-fn tenant(n: usize, edition: u64) -> Item {
+fn tenant(n: usize, version: u64) -> Item {
     let value = json!({"class-of-mail": 1, "home-provinces": [], "permits": [format!("k{n:019x}"), format!("m{n:019x}")],
         "rate-per-s": 314, "surge": 314});
-    item(Kind::Tenant, tenant_name(n), edition, &value)
+    item(Kind::Tenant, tenant_name(n), version, &value)
 }
 
 /// The first service holds a tenth of all backends, the others the rest alike.
-fn backend(n: usize, edition: u64, cold: u64) -> Item {
+fn backend(n: usize, version: u64, cold: u64) -> Item {
     let line = if n.is_multiple_of(10) { 0 } else { 1 + n % (SERVICES - 1) };
     let value = json!({"line": &*line_name(line), "address": format!("10.9.{}.{}:8000", n / 250, n % 250),
         "district": ZONES[n % ZONES.len()], "berths": 6, "closing": false, "cold-ms": cold});
-    item(Kind::Backend, format!("i-{n:07x}"), edition, &value)
+    item(Kind::Backend, format!("i-{n:07x}"), version, &value)
 }
 
 fn items([_, routes, tenants, backends]: [usize; 4]) -> Vec<Item> {
@@ -71,21 +71,21 @@
     all.chain(lines).chain((0..backends).map(|n| backend(n, 1, 0))).collect()
 }
 
-fn packed(word: Message) -> Vec<u8> {
+fn packed(message: Message) -> Vec<u8> {
     let mut frame = Vec::new();
-    pack(word, &mut frame);
+    pack(message, &mut frame);
     frame
 }
 
-fn hear(link: &mut Link, now: Timestamp, frame: &[u8]) -> Brought {
-    let (mut at, mut brought, mut assembler) = (0, Brought::default(), Assembler::default());
-    while let Some(word) = assembler.next(frame, &mut at).expect("packed here") {
-        link.said(now, word, &mut brought);
+fn hear(link: &mut ControlSession, now: Timestamp, frame: &[u8]) -> SessionUpdates {
+    let (mut at, mut brought, mut assembler) = (0, SessionUpdates::default(), Assembler::default());
+    while let Some(message) = assembler.next(frame, &mut at).expect("packed here") {
+        link.said(now, message, &mut brought);
     }
     brought
 }
 
-fn stations(gateways: usize) -> Vec<String> {
+fn node_ids(gateways: usize) -> Vec<String> {
     let mut all: Vec<String> =
         (0..gateways).map(|n| format!("counter-{}-{n}", ZONES[n % ZONES.len()])).collect();
     all.sort();
@@ -118,43 +118,54 @@
 
 /// All tables of one gateway.
 struct Tables {
-    link: Link,
+    link: ControlSession,
     view: RoutingTable,
     pick: Pick,
     quota: Quota,
 }
 
-fn provinces() -> BTreeMap<String, String> {
+fn regions() -> BTreeMap<String, String> {
     ZONES.iter().map(|zone| (zone.to_string(), zone[..1].to_owned())).collect()
 }
 
-fn link() -> Link {
+fn link() -> ControlSession {
     let hello = Hello {
-        station: "counter-a1-0".into(),
-        district: "a1".into(),
-        province: "a".into(),
-        life: 7,
-        front: "10.1.0.0:8686".into(),
+        node_id: "counter-a1-0".into(),
+        zone: "a1".into(),
+        region: "a".into(),
+        incarnation: 7,
+        client_address: "10.1.0.0:8686".into(),
         ..Hello::default()
     };
-    Link::new(hello, vec!["10.0.0.0".into()], provinces())
+    ControlSession::new(hello, vec!["10.0.0.0".into()], regions())
 }
 
 /// A request's draw, and where it has to wait what asking for a grant and the grant itself cost here.
-fn draw(quota: &mut Quota, link: &mut Link, now: Timestamp, name: &Arc<str>) {
-    if quota.draw(now, name, RateLimit { rate: 314.0, surge: 314.0 }, 1) != Verdict::Waits {
+fn draw(quota: &mut Quota, link: &mut ControlSession, now: Timestamp, name: &Arc<str>) {
+    if quota.draw(now, name, RateLimit { rate: 314.0, burst: 314.0 }, 1) != Verdict::Waits {
         return;
     }
-    let adds =
-        UsageReport { ticket: 1, station: "counter-a1-0".into(), adds: quota.asks(), life: 7, asks: true };
+    let adds = UsageReport {
+        request_id: 1,
+        node_id: "counter-a1-0".into(),
+        tenants: quota.asks(),
+        incarnation: 7,
+        is_mid_period: true,
+    };
     let total = |add: &TenantUsage| TenantTotal {
         tenant: add.tenant.clone(),
-        granted: add.wants,
+        granted: add.requested,
         ..TenantTotal::default()
     };
-    let totals = adds.adds.iter().map(total).collect();
+    let totals = adds.tenants.iter().map(total).collect();
     packed(Message::UsageReport(adds));
-    let totals = UsageTotals { ticket: 1, station: "counter-a1-0".into(), totals, life: 7, asks: true };
+    let totals = UsageTotals {
+        request_id: 1,
+        node_id: "counter-a1-0".into(),
+        tenants: totals,
+        incarnation: 7,
+        is_mid_period: true,
+    };
     let brought = hear(link, now, &packed(Message::UsageTotals(totals)));
     brought.totals.iter().for_each(|totals| quota.totals(now, now, totals));
     assert_eq!(quota.decided(), [(1, true)]);
@@ -163,7 +174,7 @@
 /// One gateway's second of requests; tenants come alike often.
 fn second(
     quota: &mut Quota,
-    link: &mut Link,
+    link: &mut ControlSession,
     now: Timestamp,
     names: &[Arc<str>],
     chance: &mut oorandom::Rand64,
@@ -178,17 +189,17 @@
     let total = |add: &TenantUsage| TenantTotal {
         tenant: add.tenant.clone(),
         offered: 4.0,
-        sent: 4.0,
+        forwarded: 4.0,
         granted: 0,
-        part: 0.1,
+        share: 0.1,
     };
     let totals = adds.iter().map(total).collect();
     Message::UsageTotals(UsageTotals {
-        ticket: 1,
-        station: "counter-a1-0".into(),
-        totals,
-        life: 7,
-        asks: false,
+        request_id: 1,
+        node_id: "counter-a1-0".into(),
+        tenants: totals,
+        incarnation: 7,
+        is_mid_period: false,
     })
 }
 
@@ -198,11 +209,11 @@
     tell("state\tbytes of all items, packed", frame.len() as f64);
     let names: Vec<Arc<str>> = (0..size[2]).map(|n| tenant_name(n).into()).collect();
     let mut chance = oorandom::Rand64::new(7);
-    let slack = QuotaTolerance { window: 5.0, excess: 0.1, margin: 20.0 };
+    let tolerance = QuotaTolerance { window: 5.0, excess: 0.1, margin: 20.0 };
     let live = MembershipUpdate {
-        gateways: size[0] as u32,
-        stations: stations(size[0]),
-        controls: (0..6).map(|n| format!("10.0.0.{n}")).collect(),
+        gateway_count: size[0] as u32,
+        node_ids: node_ids(size[0]),
+        control_addresses: (0..6).map(|n| format!("10.0.0.{n}")).collect(),
         control_districts: (0..6).map(|n| ZONES[n].to_owned()).collect(),
     };
     let live = packed(Message::MembershipUpdate(live));
@@ -219,20 +230,24 @@
         };
         let mut link = link();
         link.next(at(0), 0);
-        hear(&mut link, at(1), &packed(Message::Hello(Hello { current: true, ..Hello::default() })));
+        hear(&mut link, at(1), &packed(Message::Hello(Hello { is_serving: true, ..Hello::default() })));
         let brought = hear(&mut link, at(1), &frame);
         hear(&mut link, at(1), &live);
-        let hashes = link.ledger.buckets().to_vec();
-        hear(&mut link, at(1), &packed(Message::BucketDigests(BucketDigests { hashes, back: true })));
+        let hashes = link.item_store.buckets().to_vec();
+        hear(
+            &mut link,
+            at(1),
+            &packed(Message::BucketDigests(BucketDigests { digests: hashes, wants_reply: true })),
+        );
         mark(0);
-        let view = RoutingTable::of(&link.ledger);
+        let view = RoutingTable::build(&link.item_store);
         mark(1);
-        let mut pick = Pick::new(7, "counter-a1-0", "a1", &provinces());
+        let mut pick = Pick::new(7, "counter-a1-0", "a1", &regions());
         brought.items.iter().for_each(|item| pick.learn(at(1), item));
-        pick.live(stations(size[0]));
-        pick.cold_rates(view.lines.values().map(|line| (line.name.clone(), line.cold_rate)));
+        pick.live(node_ids(size[0]));
+        pick.cold_rates(view.services.values().map(|line| (line.name.clone(), line.slow_start_rate)));
         mark(2);
-        let mut quota = Quota::new(at(0), 7, slack);
+        let mut quota = Quota::new(at(0), 7, tolerance);
         quota.live(size[0]);
         for n in 0..40 {
             let now = at(n * 1000);
@@ -258,8 +273,8 @@
     // What the session brings.
     let beat = packed(Message::Heartbeat(Heartbeat {
         digest: 7,
-        current: true,
-        full: true,
+        is_serving: true,
+        is_complete: true,
         ..Heartbeat::default()
     }));
     time("Link::said, a beat", 1_000, |_| drop(hear(&mut link, at(2), &beat)));
@@ -268,7 +283,7 @@
         pick.live(brought.live.expect("told").1);
     });
     time("Ledger::digest", 1_000, |_| {
-        std::hint::black_box(link.ledger.digest());
+        std::hint::black_box(link.item_store.digest());
     });
     time("Link::tick with a beat said, and one heard", 200, |n| {
         link.out.clear();
@@ -277,22 +292,22 @@
         assert!(!link.out.is_empty());
     });
     let differing = {
-        let mut hashes = link.ledger.buckets().to_vec();
+        let mut hashes = link.item_store.buckets().to_vec();
         hashes[3] ^= 1;
         hashes
     };
-    let buckets = packed(Message::BucketDigests(BucketDigests { hashes: differing, back: true }));
+    let buckets = packed(Message::BucketDigests(BucketDigests { digests: differing, wants_reply: true }));
     time("Link::said, bucket hashes of which one differs", 20, |_| {
         hear(&mut link, at(2), &buckets);
         link.out_items.clear();
     });
-    let mut edition = 10;
+    let mut version = 10;
     let mut news = |kind: Kind, n: usize| {
-        edition += 1;
+        version += 1;
         let item = match kind {
-            Kind::Route => route(n % size[1], edition),
-            Kind::Tenant => tenant(n % size[2], edition),
-            _ => backend(n % size[3], edition, 0),
+            Kind::Route => route(n % size[1], version),
+            Kind::Tenant => tenant(n % size[2], version),
+            _ => backend(n % size[3], version, 0),
         };
         packed(Message::Items(Items { items: vec![(&item).into()] }))
     };
@@ -305,7 +320,7 @@
         let frames: Vec<Vec<u8>> = (0..7 * 5).map(|n| news(kind, n)).collect();
         time(&format!("the same, and View::rebuild, one {what}"), 5, |n| {
             hear(&mut link, at(2), &frames[n]);
-            view = RoutingTable::rebuild(&view, &link.ledger);
+            view = RoutingTable::rebuild(&view, &link.item_store);
         });
     }
     let frames: Vec<Vec<u8>> = (0..7 * 20).map(|n| news(Kind::Backend, n)).collect();
@@ -313,7 +328,7 @@
         let brought = hear(&mut link, at(2), &frames[n]);
         brought.items.iter().for_each(|item| pick.learn(at(2), item));
     });
-    time("View::of, all anew", 1, |_| view = RoutingTable::of(&link.ledger));
+    time("View::of, all anew", 1, |_| view = RoutingTable::build(&link.item_store));
 
     // A request.
     time("View::route and View::tenant_of", 2_000, |n| {
@@ -354,16 +369,17 @@
         second(&mut quota, &mut link, at(clock), &names, &mut chance);
         let begun = Instant::now();
         let period = quota.period(at(clock));
-        let station = "counter-a1-0".into();
-        let word = UsageReport { ticket: 1, station, adds: period, life: 7, asks: false };
-        let frame = packed(Message::UsageReport(word.clone()));
+        let node_id = "counter-a1-0".into();
+        let message =
+            UsageReport { request_id: 1, node_id, tenants: period, incarnation: 7, is_mid_period: false };
+        let frame = packed(Message::UsageReport(message.clone()));
         spent.push(begun.elapsed().as_secs_f64() * 1e6);
-        let totals = packed(answer(&word.adds));
+        let totals = packed(answer(&message.tenants));
         let begun = Instant::now();
         let brought = hear(&mut link, at(clock), &totals);
         brought.totals.iter().for_each(|totals| quota.totals(at(clock), at(clock), totals));
         heard.push(begun.elapsed().as_secs_f64() * 1e6);
-        adds.push((word.adds.len() as f64, frame.len() as f64, totals.len() as f64));
+        adds.push((message.tenants.len() as f64, frame.len() as f64, totals.len() as f64));
     }
     let middle = |figures: &mut Vec<f64>| {
         figures.sort_by(f64::total_cmp);
--- a/crates/data-plane/src/cli.rs
+++ b/crates/data-plane/src/cli.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 const HELP: &str = "\
-course: the data plane of kitepass
+kitepass-data-plane: the data plane of kitepass
 
 usage:
   kitepass-data-plane [serve] [--settings FILE]   a gateway, by its settings file (or the variable KITEPASS_NODE_FILE)
@@ -54,14 +54,15 @@
                 return Ok(());
             }
             Long("settings") => settings = Some(PathBuf::from(parser.value()?)),
-            Value(word) if verb.is_none() => verb = Some(word.string()?),
+            Value(message) if verb.is_none() => verb = Some(message.string()?),
             other => return Err(other.unexpected().into()),
         }
     }
     match verb.as_deref().unwrap_or("serve") {
         "serve" => {
             kitepass_node::log_to_stderr(kitepass_node::level_from_env());
-            let path = settings.or_else(|| std::env::var_os(kitepass_node::VARIABLE).map(PathBuf::from));
+            let path =
+                settings.or_else(|| std::env::var_os(kitepass_node::SETTINGS_VARIABLE).map(PathBuf::from));
             let none =
                 || Fault::Usage("no settings file: name one with --settings or KITEPASS_NODE_FILE".into());
             let path = path.ok_or_else(none)?;
--- a/crates/data-plane/src/control_session.rs
+++ b/crates/data-plane/src/control_session.rs
@@ -34,7 +34,7 @@
 /// A better control process is gone over to no sooner.
 const SETTLED: Duration = Duration::from_micros(3_000_000);
 
-/// How far the session has come. [`Link::shift`] alone changes it.
+/// How far the session has come. [`ControlSession::shift`] alone changes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Away,
@@ -48,7 +48,7 @@
 
 /// What the session has brought.
 #[derive(Debug, Default)]
-pub struct Brought {
+pub struct SessionUpdates {
     pub items: Vec<Item>,
     pub live: Option<(usize, Vec<String>)>,
     pub totals: Vec<UsageTotals>,
@@ -57,11 +57,11 @@
     pub close: bool,
 }
 
-pub struct Link {
+pub struct ControlSession {
     hello: Hello,
     state: State,
     /// What is gone by.
-    pub ledger: ItemStore,
+    pub item_store: ItemStore,
     /// A new beginning from nothing, in the ledger's place once it is whole; until then the ledger is gone by.
     anew: Option<(ItemStore, Timestamp)>,
     /// When it last held what a control process in touch with the core held.
@@ -88,19 +88,19 @@
     /// It has caught up with the core once: from then on it may serve.
     caught: bool,
     lived: bool,
-    provinces: BTreeMap<String, String>,
+    regions: BTreeMap<String, String>,
     pub ready: bool,
     told_ready: bool,
     pub out: Vec<Message>,
     pub out_items: Vec<Item>,
 }
 
-impl Link {
-    pub fn new(hello: Hello, first: Vec<String>, provinces: BTreeMap<String, String>) -> Link {
-        Link {
+impl ControlSession {
+    pub fn new(hello: Hello, first: Vec<String>, regions: BTreeMap<String, String>) -> ControlSession {
+        ControlSession {
             hello,
             state: State::Away,
-            ledger: ItemStore::new(),
+            item_store: ItemStore::new(),
             anew: None,
             told: Timestamp::default(),
             alone: ALONE,
@@ -117,7 +117,7 @@
             found_apart: BTreeMap::new(),
             caught: false,
             lived: false,
-            provinces,
+            regions,
             ready: false,
             told_ready: false,
             out: Vec::new(),
@@ -156,23 +156,23 @@
 
     /// What the session is about: a new beginning, or the ledger.
     fn held(&self) -> &ItemStore {
-        self.anew.as_ref().map_or(&self.ledger, |(anew, _)| anew)
+        self.anew.as_ref().map_or(&self.item_store, |(anew, _)| anew)
     }
 
     fn begin_anew(&mut self, now: Timestamp, why: &str) {
-        info!("event=anew why={why} items={}", self.ledger.len());
+        info!("event=anew why={why} items={}", self.item_store.len());
         self.anew = Some((ItemStore::new(), now));
         self.differing = 0;
     }
 
     /// What was begun anew is whole, and stands in the ledger's place from here on. What is not in it is gone.
-    fn swap(&mut self, brought: &mut Brought) {
+    fn swap(&mut self, brought: &mut SessionUpdates) {
         let Some((anew, _)) = self.anew.take() else { return };
-        let old = std::mem::replace(&mut self.ledger, anew);
+        let old = std::mem::replace(&mut self.item_store, anew);
         let is_new = |item: &&Item| old.get(item.kind, &item.name) != Some(*item);
-        brought.items.extend(self.ledger.all().filter(is_new).cloned());
-        let is_gone = |item: &&Item| item.stands() && self.ledger.get(item.kind, &item.name).is_none();
-        brought.items.extend(old.all().filter(is_gone).map(|item| Item { value: None, ..item.clone() }));
+        brought.items.extend(self.item_store.items().filter(is_new).cloned());
+        let is_gone = |item: &&Item| item.is_set() && self.item_store.get(item.kind, &item.name).is_none();
+        brought.items.extend(old.items().filter(is_gone).map(|item| Item { value: None, ..item.clone() }));
     }
 
     /// Caught up with the core, and told of the other gateways.
@@ -184,10 +184,10 @@
         self.first = first;
     }
 
-    fn rank(&self, ip: &str) -> u32 {
-        match self.known.get(ip) {
-            Some(district) if *district == self.hello.district => 0,
-            Some(district) if self.provinces.get(district) == Some(&self.hello.province) => 1,
+    fn rank(&self, address: &str) -> u32 {
+        match self.known.get(address) {
+            Some(zone) if *zone == self.hello.zone => 0,
+            Some(zone) if self.regions.get(zone) == Some(&self.hello.region) => 1,
             _ => 2,
         }
     }
@@ -195,23 +195,26 @@
     /// All control processes that are known.
     fn controls(&self) -> BTreeSet<String> {
         let mut all: BTreeSet<String> = self.first.iter().chain(self.known.keys()).cloned().collect();
-        if let Some(cast) = ReplicaSet::of(&self.ledger, CURRENT) {
-            all.extend(cast.seats.into_iter().map(|seat| seat.ip));
+        if let Some(replica_set) = ReplicaSet::load(&self.item_store, CURRENT) {
+            all.extend(replica_set.replicas.into_iter().map(|replica| replica.address));
         }
         all
     }
 
     /// Whether it was out of contact when it was heard last, and is not to be looked at again yet.
-    fn is_apart(&self, now: Timestamp, ip: &str) -> bool {
+    fn is_apart(&self, now: Timestamp, address: &str) -> bool {
         let again = |times: u32| (APART_AGAIN * i64::from(times.max(1))).min(APART_MOST);
-        self.found_apart.get(ip).is_some_and(|(found, times)| now - *found < again(*times))
+        self.found_apart.get(address).is_some_and(|(found, times)| now - *found < again(*times))
     }
 
     /// Whether there is another control process that may be in contact with the core.
     fn may_do_better(&self, now: Timestamp) -> bool {
-        let vain =
-            |ip: &str| self.tried.get(ip).is_some_and(|(tried, vain)| *vain > 0 && now - *tried < APART_MOST);
-        self.controls().iter().any(|ip| *ip != self.at && !self.is_apart(now, ip) && !vain(ip))
+        let vain = |address: &str| {
+            self.tried.get(address).is_some_and(|(tried, vain)| *vain > 0 && now - *tried < APART_MOST)
+        };
+        self.controls()
+            .iter()
+            .any(|address| *address != self.at && !self.is_apart(now, address) && !vain(address))
     }
 
     /// What the control process says of itself.
@@ -236,23 +239,23 @@
             return None;
         }
         let all = self.controls();
-        let late = |ip: &String| {
-            self.tried.get(ip).is_some_and(|(tried, vain)| {
-                let vain = (*vain).min(6).max(u32::from(self.is_apart(now, ip)));
+        let late = |address: &String| {
+            self.tried.get(address).is_some_and(|(tried, vain)| {
+                let vain = (*vain).min(6).max(u32::from(self.is_apart(now, address)));
                 now - *tried < AGAIN * i64::from(vain)
             })
         };
-        let fresh: Vec<&String> = all.iter().filter(|ip| !late(ip)).collect();
-        let order = |ip: &String| {
-            let vain = self.tried.get(ip).map_or(0, |(_, vain)| *vain);
-            (vain, self.is_apart(now, ip), self.rank(ip))
+        let fresh: Vec<&String> = all.iter().filter(|address| !late(address)).collect();
+        let order = |address: &String| {
+            let vain = self.tried.get(address).map_or(0, |(_, vain)| *vain);
+            (vain, self.is_apart(now, address), self.rank(address))
         };
-        let best = fresh.iter().map(|ip| order(ip)).min()?;
-        let best: Vec<&&String> = fresh.iter().filter(|ip| order(ip) == best).collect();
-        let ip = best[(draw % best.len() as u64) as usize].to_string();
-        let vain = self.tried.get(&ip).map_or(0, |(_, vain)| *vain);
-        self.tried.insert(ip.clone(), (now, vain + 1));
-        self.at = ip.clone();
+        let best = fresh.iter().map(|address| order(address)).min()?;
+        let best: Vec<&&String> = fresh.iter().filter(|address| order(address) == best).collect();
+        let address = best[(draw % best.len() as u64) as usize].to_string();
+        let vain = self.tried.get(&address).map_or(0, |(_, vain)| *vain);
+        self.tried.insert(address.clone(), (now, vain + 1));
+        self.at = address.clone();
         let begun = self.anew.as_ref().map_or(self.told, |(_, begun)| *begun);
         if self.caught && now - begun > self.alone {
             self.begin_anew(now, "alone");
@@ -261,11 +264,14 @@
         self.shift(State::Coming(now));
         (self.heard, self.since, self.apart) = (now, now, None);
         self.out = vec![
-            Message::Hello(Hello { current: self.has_whole(), ..self.hello.clone() }),
-            Message::BucketDigests(BucketDigests { hashes: self.held().buckets().to_vec(), back: false }),
+            Message::Hello(Hello { is_serving: self.has_whole(), ..self.hello.clone() }),
+            Message::BucketDigests(BucketDigests {
+                digests: self.held().buckets().to_vec(),
+                wants_reply: false,
+            }),
         ];
         self.told_ready = !self.ready;
-        Some(ip)
+        Some(address)
     }
 
     pub fn lost(&mut self, why: &str) {
@@ -284,7 +290,7 @@
 
     /// To be called about ten times a second; true if the session is to be closed.
     pub fn tick(&mut self, now: Timestamp) -> bool {
-        self.ledger.forget_dropped(Kind::Backend, MOST_DROPPED);
+        self.item_store.purge_dropped(Kind::Backend, MOST_DROPPED);
         match self.state {
             State::Away => return false,
             State::Coming(since) if now - since > COMING => return true,
@@ -295,24 +301,24 @@
             }
             _ => {}
         }
-        let better = self.known.keys().any(|ip| {
-            self.rank(ip) < self.rank(&self.at)
-                && self.found_apart.get(ip).is_none_or(|(found, _)| now - *found > SETTLED * 4)
-                && self.tried.get(ip).is_none_or(|(tried, _)| now - *tried > SETTLED * 4)
+        let better = self.known.keys().any(|address| {
+            self.rank(address) < self.rank(&self.at)
+                && self.found_apart.get(address).is_none_or(|(found, _)| now - *found > SETTLED * 4)
+                && self.tried.get(address).is_none_or(|(tried, _)| now - *tried > SETTLED * 4)
         });
         if self.state == State::Synced && better && now - self.since > SETTLED {
             return true;
         }
         if std::mem::take(&mut self.asks) {
             let hashes = self.held().buckets().to_vec();
-            self.out.push(Message::BucketDigests(BucketDigests { hashes, back: false }));
+            self.out.push(Message::BucketDigests(BucketDigests { digests: hashes, wants_reply: false }));
         }
         if now - self.beat >= BEAT || self.ready != self.told_ready {
             (self.beat, self.told_ready) = (now, self.ready);
             let beat = Heartbeat {
                 digest: self.held().digest(),
-                ready: self.ready,
-                current: self.has_whole(),
+                is_ready: self.ready,
+                is_serving: self.has_whole(),
                 ..Heartbeat::default()
             };
             self.out.push(Message::Heartbeat(beat));
@@ -326,18 +332,18 @@
         self.heard = now;
     }
 
-    pub fn said(&mut self, now: Timestamp, word: Message, brought: &mut Brought) {
+    pub fn said(&mut self, now: Timestamp, message: Message, brought: &mut SessionUpdates) {
         self.heard = now;
-        match &word {
+        match &message {
             Message::Hello(hello) => {
-                self.known.insert(hello.ip.clone(), hello.district.clone());
-                self.contact(now, hello.current, Duration::ZERO);
+                self.known.insert(hello.address.clone(), hello.zone.clone());
+                self.contact(now, hello.is_serving, Duration::ZERO);
                 self.shift(State::Telling(now));
             }
             Message::Heartbeat(beat) => {
-                self.contact(now, beat.current, APART);
+                self.contact(now, beat.is_serving, APART);
                 // What stands here is what stands there: words come in order.
-                if self.apart.is_none() && self.anew.is_none() && beat.digest == self.ledger.digest() {
+                if self.apart.is_none() && self.anew.is_none() && beat.digest == self.item_store.digest() {
                     self.told = now;
                 }
             }
@@ -348,15 +354,15 @@
             brought.close = true;
             return;
         }
-        match word {
+        match message {
             Message::Items(items) => {
                 if matches!(self.state, State::Telling(_)) {
                     self.shift(State::Telling(now));
                 }
-                for item in items.items.into_iter().filter_map(ItemMessage::item) {
+                for item in items.items.into_iter().filter_map(ItemMessage::into_item) {
                     match &mut self.anew {
                         Some((anew, _)) => _ = anew.merge(item),
-                        None if self.ledger.merge(item.clone()) => brought.items.push(item),
+                        None if self.item_store.merge(item.clone()) => brought.items.push(item),
                         None => {}
                     }
                 }
@@ -365,29 +371,34 @@
                 // Of backends what one told that is lost; whoever reads the list puts right what is wrong in it. Danger:
                 // of the configuration an old item could come back that way. The core has all of it: it is told here
                 // only once it is decided.
-                let differing = self.held().differing(&buckets.hashes);
+                let differing = self.held().differing(&buckets.digests);
                 let back: Vec<Item> = differing.filter(|item| item.kind == Kind::Backend).cloned().collect();
                 self.out_items.extend(back);
-                if buckets.back {
-                    self.told_all(now, buckets.hashes == self.held().buckets(), brought);
+                if buckets.wants_reply {
+                    self.told_all(now, buckets.digests == self.held().buckets(), brought);
                 } else {
                     let hashes = self.held().buckets().to_vec();
-                    self.out.push(Message::BucketDigests(BucketDigests { hashes, back: false }));
+                    self.out
+                        .push(Message::BucketDigests(BucketDigests { digests: hashes, wants_reply: false }));
                 }
                 brought.ready_changed = true;
             }
             Message::MembershipUpdate(live) => {
                 self.lived = true;
-                self.known =
-                    live.controls.iter().cloned().zip(live.control_districts.iter().cloned()).collect();
-                brought.live = Some((live.gateways as usize, live.stations));
+                self.known = live
+                    .control_addresses
+                    .iter()
+                    .cloned()
+                    .zip(live.control_districts.iter().cloned())
+                    .collect();
+                brought.live = Some((live.gateway_count as usize, live.node_ids));
                 brought.ready_changed = true;
             }
             Message::PurgeTombstones(forget) => {
-                for (kind, name, edition) in forget.due() {
-                    self.ledger.forget(kind, &name, edition);
+                for (kind, name, version) in forget.into_expired() {
+                    self.item_store.purge(kind, &name, version);
                     if let Some((anew, _)) = &mut self.anew {
-                        anew.forget(kind, &name, edition);
+                        anew.purge(kind, &name, version);
                     }
                 }
             }
@@ -397,7 +408,7 @@
     }
 
     /// The control process has told all that it holds; `agrees` if what is held here is that and nothing else.
-    fn told_all(&mut self, now: Timestamp, agrees: bool, brought: &mut Brought) {
+    fn told_all(&mut self, now: Timestamp, agrees: bool, brought: &mut SessionUpdates) {
         self.differing = if agrees { 0 } else { self.differing + 1 };
         let is_first = !self.caught || self.anew.is_some();
         // Danger: whoever serves by what it was told in part serves by less than was acknowledged.
@@ -408,13 +419,13 @@
         }
         self.swap(brought);
         if self.state != State::Synced {
-            info!("event=synced control={} items={}", self.at, self.ledger.len());
+            info!("event=synced control={} items={}", self.at, self.item_store.len());
         }
         self.caught = true;
         self.shift(State::Synced);
         // One that is out of contact tells nothing of the others.
-        for (ip, (_, vain)) in &mut self.tried {
-            if self.apart.is_none() || *ip == self.at {
+        for (address, (_, vain)) in &mut self.tried {
+            if self.apart.is_none() || *address == self.at {
                 *vain = 0;
             }
         }
@@ -429,6 +440,6 @@
 
     /// Whether any backend is known.
     pub fn has_backends(&self) -> bool {
-        self.ledger.each(Kind::Backend).any(|item| item.value.is_some())
+        self.item_store.items_of(Kind::Backend).any(|item| item.value.is_some())
     }
 }
--- a/crates/data-plane/src/load_balancer/mod.rs
+++ b/crates/data-plane/src/load_balancer/mod.rs
@@ -54,7 +54,7 @@
     pub call_sign: Arc<str>,
     pub line: Arc<str>,
     pub address: SocketAddr,
-    pub district: Arc<str>,
+    pub zone: Arc<str>,
     closing: bool,
     cold_until: Timestamp,
     pace: Option<Duration>,
@@ -81,12 +81,12 @@
     backends: BTreeMap<Arc<str>, Backend>,
     lines: BTreeMap<Arc<str>, Vec<Arc<str>>>,
     paces: BTreeMap<Arc<str>, Duration>,
-    district: Arc<str>,
-    province: Arc<str>,
-    station: Arc<str>,
-    provinces: BTreeMap<String, String>,
+    zone: Arc<str>,
+    region: Arc<str>,
+    node_id: Arc<str>,
+    regions: BTreeMap<String, String>,
     evacuated: BTreeSet<Arc<str>>,
-    stations: Vec<String>,
+    node_ids: Vec<String>,
     /// Which list of stations this is.
     listed: u64,
     chance: oorandom::Rand64,
@@ -95,18 +95,18 @@
 }
 
 impl Pick {
-    pub fn new(seed: u64, station: &str, district: &str, provinces: &BTreeMap<String, String>) -> Pick {
-        let province = provinces.get(district).map_or("", String::as_str).into();
+    pub fn new(seed: u64, node_id: &str, zone: &str, regions: &BTreeMap<String, String>) -> Pick {
+        let region = regions.get(zone).map_or("", String::as_str).into();
         Pick {
             backends: BTreeMap::new(),
             lines: BTreeMap::new(),
             paces: BTreeMap::new(),
-            district: district.into(),
-            province,
-            station: station.into(),
-            provinces: provinces.clone(),
+            zone: zone.into(),
+            region,
+            node_id: node_id.into(),
+            regions: regions.clone(),
             evacuated: BTreeSet::new(),
-            stations: Vec::new(),
+            node_ids: Vec::new(),
             listed: 1,
             chance: oorandom::Rand64::new(u128::from(seed)),
             cold_rates: BTreeMap::new(),
@@ -114,8 +114,8 @@
     }
 
     /// The stations of live gateways, in order.
-    pub fn live(&mut self, stations: Vec<String>) {
-        self.stations = stations;
+    pub fn live(&mut self, node_ids: Vec<String>) {
+        self.node_ids = node_ids;
         self.listed += 1;
     }
 
@@ -127,7 +127,7 @@
     /// tells late: its backends count as cold for a while.
     pub fn evacuated(&mut self, now: Timestamp, zones: &BTreeSet<Arc<str>>) {
         let back: BTreeSet<Arc<str>> = self.evacuated.difference(zones).cloned().collect();
-        for backend in self.backends.values_mut().filter(|b| back.contains(&b.district)) {
+        for backend in self.backends.values_mut().filter(|b| back.contains(&b.zone)) {
             backend.cold_until = backend.cold_until.max(now + Duration::from_micros(4_000_000));
         }
         self.evacuated = zones.clone();
@@ -144,7 +144,7 @@
             let address: SocketAddr = text("address")?.parse().ok()?;
             Some((Arc::<str>::from(text("line")?), address, Arc::<str>::from(text("district")?)))
         });
-        let Some((line, address, district)) = read else {
+        let Some((line, address, zone)) = read else {
             if let Some(backend) = self.backends.remove(&item.name) {
                 self.unline(&backend);
             }
@@ -167,7 +167,7 @@
             call_sign: item.name.clone(),
             line,
             address,
-            district,
+            zone,
             closing,
             cold_until,
             pace: None,
@@ -198,8 +198,8 @@
         self.backends.is_empty()
     }
 
-    pub fn province_of(&self, district: &str) -> &str {
-        self.provinces.get(district).map_or("", String::as_str)
+    pub fn province_of(&self, zone: &str) -> &str {
+        self.regions.get(zone).map_or("", String::as_str)
     }
 
     /// A service's usual time.
@@ -209,18 +209,18 @@
 
     /// Whether a zone's backend may be used at all for these homes.
     fn fits(&self, backend: &Backend, need: &Need) -> bool {
-        let province = self.province_of(&backend.district);
+        let region = self.province_of(&backend.zone);
         !backend.closing
-            && !self.evacuated.contains(&backend.district)
+            && !self.evacuated.contains(&backend.zone)
             && !need.had.contains(&backend.call_sign)
-            && need.homes.iter().all(|homes| homes.is_empty() || homes.iter().any(|home| **home == *province))
+            && need.homes.iter().all(|homes| homes.is_empty() || homes.iter().any(|home| **home == *region))
     }
 
     fn cost(&self, now: Timestamp, backend: &Backend, rests: bool) -> f64 {
-        let far = *self.province != *self.province_of(&backend.district);
+        let far = *self.region != *self.province_of(&backend.zone);
         let usual =
             backend.pace.unwrap_or_else(|| self.pace(&backend.line) + if far { FAR } else { Duration::ZERO });
-        let door = if backend.district == self.district { 1.0 } else { NEXT_DOOR };
+        let door = if backend.zone == self.zone { 1.0 } else { NEXT_DOOR };
         let barred = if backend.barred > now { 1e6 + (backend.barred - now).secs() * 1e3 } else { 0.0 };
         let way = HANDSHAKE + if far { FAR } else { Duration::ZERO };
         let opening = if rests { Duration::ZERO } else { way };
@@ -240,7 +240,7 @@
                 continue;
             }
             all.push(call_sign);
-            if *self.province_of(&backend.district) == *self.province && backend.barred <= now {
+            if *self.province_of(&backend.zone) == *self.region && backend.barred <= now {
                 near.push(call_sign);
                 if (need.rests)(call_sign) {
                     resting.push(call_sign);
@@ -275,7 +275,7 @@
     fn takes_cold(&self, now: Timestamp, backend: &Backend) -> bool {
         let rate = self.cold_rates.get(&backend.line).copied().unwrap_or(0.0) * COLD_USED;
         let few = (rate.floor() as usize).min(3);
-        if few == 0 || self.stations.is_empty() || backend.before.0 != self.listed {
+        if few == 0 || self.node_ids.is_empty() || backend.before.0 != self.listed {
             return false;
         }
         let gap = few as f64 / rate; // seconds between two of one gateway
@@ -290,12 +290,12 @@
             if backend.cold_until <= now || backend.before.0 == self.listed {
                 continue;
             }
-            let score = |station: &str| {
-                let text = station.bytes().chain(backend.call_sign.bytes());
+            let score = |node_id: &str| {
+                let text = node_id.bytes().chain(backend.call_sign.bytes());
                 text.fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
             };
-            let own = score(&self.station);
-            let before = self.stations.iter().filter(|s| ***s != *self.station && score(s) < own).count();
+            let own = score(&self.node_id);
+            let before = self.node_ids.iter().filter(|s| ***s != *self.node_id && score(s) < own).count();
             backend.before = (self.listed, before);
         }
     }
@@ -310,7 +310,7 @@
                 backend.fails = 0;
                 backend.barred = Timestamp::default();
                 learn(backend.pace.get_or_insert(took), took);
-                if *backend.district == *self.district {
+                if *backend.zone == *self.zone {
                     learn(self.paces.entry(backend.line.clone()).or_insert(took), took);
                 }
             }
@@ -349,20 +349,20 @@
 
     const CURRENT: Timestamp = Timestamp::from_micros(1_000_000_000);
 
-    fn pick(station: &str) -> Pick {
-        let provinces = [("a1", "a"), ("a2", "a"), ("b1", "b")].map(|(d, p)| (d.to_owned(), p.to_owned()));
-        let mut pick = Pick::new(7, station, "a1", &provinces.into());
+    fn pick(node_id: &str) -> Pick {
+        let regions = [("a1", "a"), ("a2", "a"), ("b1", "b")].map(|(d, p)| (d.to_owned(), p.to_owned()));
+        let mut pick = Pick::new(7, node_id, "a1", &regions.into());
         pick.live((0..12).map(|n| format!("g{n}")).collect());
         pick.cold_rates([("l".into(), 6.7)].into_iter());
         pick
     }
 
-    fn learn(pick: &mut Pick, name: &str, district: &str, closing: bool, cold_ms: u32) {
+    fn learn(pick: &mut Pick, name: &str, zone: &str, closing: bool, cold_ms: u32) {
         let value = format!(
-            r#"{{"line":"l","address":"10.0.0.1:80","district":"{district}","closing":{closing},"cold-ms":{cold_ms}}}"#
+            r#"{{"line":"l","address":"10.0.0.1:80","district":"{zone}","closing":{closing},"cold-ms":{cold_ms}}}"#
         );
         let value = Some(Bytes::from(value));
-        pick.learn(CURRENT, &Item { kind: Kind::Backend, name: name.into(), edition: 1, value });
+        pick.learn(CURRENT, &Item { kind: Kind::Backend, name: name.into(), version: 1, value });
     }
 
     fn go(pick: &mut Pick, homes: &[Arc<str>], had: &[Arc<str>], resting: &str) -> Option<String> {
