--- a/crates/gateway-config/src/lib.rs
+++ b/crates/gateway-config/src/lib.rs
@@ -4,7 +4,7 @@
 #![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 #![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
 
-use kitepass_gateway_policy::{Charter, ColdStart, Group, Plan, Repeats, Workload};
+use kitepass_gateway_policy::{GatewayConfig, Group, Idempotency, Plan, SlowStart, Workload};
 use kitepass_time::Duration;
 use serde_json::Value;
 use std::rc::Rc;
@@ -24,13 +24,13 @@
 }
 
 /// Reads the object from its text. `field` is what it is called where it came from.
-pub fn from_text(field: &str, text: &str) -> Result<(Charter, Carriage), Refusal> {
+pub fn from_text(field: &str, text: &str) -> Result<(GatewayConfig, Carriage), Refusal> {
     let all = serde_json::from_str(text).map_err(|e| format!("{field}: expected JSON, {e}"))?;
     from_value(field, &all)
 }
 
 /// Reads the object from a JSON text that holds more than it.
-pub fn from_value(field: &str, all: &Value) -> Result<(Charter, Carriage), Refusal> {
+pub fn from_value(field: &str, all: &Value) -> Result<(GatewayConfig, Carriage), Refusal> {
     if !all.is_object() {
         return Err(format!("{field}: expected a JSON object"));
     }
@@ -41,19 +41,19 @@
     let counted = family.yes("SharedCounter")?;
     let heeded = caps.yes("RetryAfter")?;
     let peers = caps.yes("PeerMessages")?;
-    let charter = Charter {
+    let config = GatewayConfig {
         gateways: whole.number("ReplicasOfMe", 1.0)?.max(1.0) as u32,
-        me: whole.number("Me", 0.0)? as u32,
+        gateway_index: whole.number("Me", 0.0)? as u32,
         workloads: whole.entries("Classes")?.iter().map(workload).collect::<Result<_, _>>()?,
         plans: whole.entries("Plans")?.iter().map(|p| plan(p).map(Rc::new)).collect::<Result<_, _>>()?,
-        counter: counted.then(|| family.span("CounterTimeout", 0.05)).transpose()?,
-        largest: family.number("MaxUnits", 1.0)?.max(1.0),
-        most_legs: caps.number("TryLimit", 1.0)?.max(1.0) as u32,
-        peer_messages: if peers { family.number("MailPerS", 0.0)? } else { 0.0 },
-        longest_advice: heeded.then(|| caps.span("MaxRetryAfter", 1.0)).transpose()?,
-        cold_start: ColdStart {
-            least: safety.number("ColdFrom", 1.0)?,
-            warm_within: safety.span("WarmWithin", 0.0)?,
+        counter_timeout: counted.then(|| family.span("CounterTimeout", 0.05)).transpose()?,
+        max_units: family.number("MaxUnits", 1.0)?.max(1.0),
+        max_attempts: caps.number("TryLimit", 1.0)?.max(1.0) as u32,
+        max_peer_messages: if peers { family.number("MailPerS", 0.0)? } else { 0.0 },
+        max_retry_after: heeded.then(|| caps.span("MaxRetryAfter", 1.0)).transpose()?,
+        slow_start: SlowStart {
+            initial_capacity: safety.number("ColdFrom", 1.0)?,
+            ramp: safety.span("WarmWithin", 0.0)?,
             multiple: safety.number("FallMultiple", 1.0)?,
             window: safety.span("Fall", 1.0)?,
         },
@@ -63,7 +63,7 @@
         idle: caps.span("ConnIdle", 15.0)?,
         answer_slack: safety.span("AnswerSlack", 0.016)?,
     };
-    Ok((charter, carriage))
+    Ok((config, carriage))
 }
 
 fn workload(entry: &Part) -> Result<Workload, Refusal> {
@@ -74,13 +74,13 @@
     };
     Ok(Workload {
         name: entry.word("Name", "")?.to_owned(),
-        repeats: match entry.word("Effect", "fragile")? {
-            "retryable" => Repeats::Repeatable,
-            "dedup" => Repeats::Tagged { group, memory: entry.span("Window", 0.0)? },
-            _ => Repeats::OnceOnly,
+        idempotency: match entry.word("Effect", "fragile")? {
+            "retryable" => Idempotency::Idempotent,
+            "dedup" => Idempotency::Deduplicated { group, memory: entry.span("Window", 0.0)? },
+            _ => Idempotency::NonIdempotent,
         },
-        contract: entry.span("Objective", 1.0)?,
-        late_share: entry.number("LateWorth", 0.0)?,
+        latency_target: entry.span("Objective", 1.0)?,
+        late_value: entry.number("LateWorth", 0.0)?,
         value: entry.number("Gain", 1.0)?,
     })
 }
@@ -89,10 +89,10 @@
     Ok(Plan {
         name: entry.word("Name", "")?.to_owned(),
         rate: entry.number("Refill", 0.0)?,
-        store: entry.number("StoreSize", 0.0)?,
-        legs_out: entry.number("Open", 0.0)? as u32,
-        ceiling_rate: entry.number("CeilingRate", 0.0)?,
-        ceiling_depth: entry.number("NeverOverDepth", 0.0)?,
+        burst: entry.number("StoreSize", 0.0)?,
+        max_in_flight: entry.number("Open", 0.0)? as u32,
+        hard_rate: entry.number("CeilingRate", 0.0)?,
+        hard_burst: entry.number("NeverOverDepth", 0.0)?,
     })
 }
 
@@ -167,8 +167,8 @@
 
     #[test]
     fn what_is_absent_or_unknown_is_passed_over() {
-        let (charter, carriage) = from_text("s", r#"{"Unknown":{},"ReplicasOfMe":3}"#).unwrap();
-        assert_eq!((charter.gateways, charter.counter), (3, None));
+        let (config, carriage) = from_text("s", r#"{"Unknown":{},"ReplicasOfMe":3}"#).unwrap();
+        assert_eq!((config.gateways, config.counter_timeout), (3, None));
         assert_eq!(carriage.idle, Duration::from_secs(15));
     }
 }
--- a/crates/gateway-config/tests/golden.rs
+++ b/crates/gateway-config/tests/golden.rs
@@ -6,7 +6,7 @@
 #![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
 
 use kitepass_gateway_config::{from_text, Carriage};
-use kitepass_gateway_policy::{Charter, Group, Plan, Repeats, Workload};
+use kitepass_gateway_policy::{GatewayConfig, Group, Idempotency, Plan, Workload};
 use kitepass_time::Duration;
 use std::fmt::Write;
 use std::path::Path;
@@ -87,10 +87,10 @@
 }
 
 fn effect_of(workload: &Workload) -> String {
-    match workload.repeats {
-        Repeats::Repeatable => "retryable".to_owned(),
-        Repeats::OnceOnly => "fragile".to_owned(),
-        Repeats::Tagged { group, memory } => {
+    match workload.idempotency {
+        Idempotency::Idempotent => "retryable".to_owned(),
+        Idempotency::NonIdempotent => "fragile".to_owned(),
+        Idempotency::Deduplicated { group, memory } => {
             let group = match group {
                 Group::All => "all",
                 Group::Zone => "zone",
@@ -106,8 +106,8 @@
         "Name={:?} Effect={} Objective={} LateWorth={} Gain={}",
         workload.name,
         effect_of(workload),
-        micros(workload.contract),
-        workload.late_share,
+        micros(workload.latency_target),
+        workload.late_value,
         workload.value
     )
 }
@@ -115,23 +115,23 @@
 fn plan_line(plan: &Plan) -> String {
     format!(
         "Name={:?} Refill={} StoreSize={} Open={} CeilingRate={} NeverOverDepth={}",
-        plan.name, plan.rate, plan.store, plan.legs_out, plan.ceiling_rate, plan.ceiling_depth
+        plan.name, plan.rate, plan.burst, plan.max_in_flight, plan.hard_rate, plan.hard_burst
     )
 }
 
-fn describe(charter: &Charter, carriage: &Carriage) -> String {
-    let cold = &charter.cold_start;
+fn describe(charter: &GatewayConfig, carriage: &Carriage) -> String {
+    let cold = &charter.slow_start;
     let mut lines = vec![
-        format!("ReplicasOfMe={} Me={}", charter.gateways, charter.me),
-        format!("TryLimit={}", charter.most_legs),
-        format!("MaxRetryAfter={}", or_none(charter.longest_advice, micros)),
+        format!("ReplicasOfMe={} Me={}", charter.gateways, charter.gateway_index),
+        format!("TryLimit={}", charter.max_attempts),
+        format!("MaxRetryAfter={}", or_none(charter.max_retry_after, micros)),
         format!("ConnectTimeout={}", micros(carriage.connect_within)),
         format!("ConnIdle={}", micros(carriage.idle)),
-        format!("CounterTimeout={}", or_none(charter.counter, micros)),
-        format!("MaxUnits={}", charter.largest),
-        format!("MailPerS={}", charter.peer_messages),
+        format!("CounterTimeout={}", or_none(charter.counter_timeout, micros)),
+        format!("MaxUnits={}", charter.max_units),
+        format!("MailPerS={}", charter.max_peer_messages),
         format!("AnswerSlack={}", micros(carriage.answer_slack)),
-        format!("ColdFrom={} WarmWithin={}", cold.least, micros(cold.warm_within)),
+        format!("ColdFrom={} WarmWithin={}", cold.initial_capacity, micros(cold.ramp)),
         format!("Fall={} FallMultiple={}", micros(cold.window), cold.multiple),
     ];
     lines.extend(charter.workloads.iter().map(|workload| format!("Classes: {}", class_line(workload))));
--- a/crates/gateway-policy/src/counters.rs
+++ b/crates/gateway-policy/src/counters.rs
@@ -5,12 +5,12 @@
 
 /// Stands for what was added within about the last `memory`.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tally {
+pub struct DecayingCount {
     count: f64,
     at: Timestamp,
 }
 
-impl Tally {
+impl DecayingCount {
     pub fn at(&mut self, now: Timestamp, memory: Duration) -> f64 {
         self.count *= (-(now - self.at).over(memory)).exp();
         self.at = now;
@@ -31,7 +31,7 @@
     }
 }
 
-/// One customer's sum on the counter, over all gateways.
+/// One tenant's sum on the counter, over all gateways.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sum {
     number: i64,
@@ -41,7 +41,7 @@
     seen: Units,
 }
 
-/// The last two sums of a customer, by their numbers.
+/// The last two sums of a tenant, by their numbers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sums([Sum; 2]);
 
@@ -59,7 +59,7 @@
         new
     }
 
-    pub fn knows(&mut self, number: i64) -> bool {
+    pub fn contains(&mut self, number: i64) -> bool {
         self.at(number).is_some()
     }
 
@@ -72,11 +72,12 @@
 
     /// By how much what the others added to a sum has grown since its last reading; less than nothing was
     /// offered if the counter has lost its counts.
-    pub fn read(&mut self, number: i64, all: Units) -> Option<Units> {
+    pub fn take_growth(&mut self, number: i64, all: Units) -> Option<Units> {
         let sum = self.at(number)?;
-        let others = Units { offered: all.offered - sum.mine.offered, sent: all.sent - sum.mine.sent };
+        let others =
+            Units { offered: all.offered - sum.mine.offered, forwarded: all.forwarded - sum.mine.forwarded };
         let seen = std::mem::replace(&mut sum.seen, others);
-        Some(Units { offered: others.offered - seen.offered, sent: others.sent - seen.sent })
+        Some(Units { offered: others.offered - seen.offered, forwarded: others.forwarded - seen.forwarded })
     }
 }
 
--- a/crates/gateway-policy/tests/scenarios.rs
+++ b/crates/gateway-policy/tests/scenarios.rs
@@ -30,7 +30,7 @@
 type Words<'a> = HashMap<&'a str, &'a str>;
 
 #[derive(Default)]
-struct Orders {
+struct Host {
     log: Vec<String>,
     legs: HashMap<String, Vec<(String, Timestamp)>>,
     timers: BTreeMap<(Timestamp, usize), String>,
@@ -41,36 +41,36 @@
     now: Timestamp,
 }
 
-impl kitepass_gateway_policy::Orders for Orders {
-    fn leg(&mut self, command: &str, backend: &str, allow: Duration) {
+impl kitepass_gateway_policy::Host for Host {
+    fn send_attempt(&mut self, command: &str, backend: &str, allow: Duration) {
         assert!(allow > Duration::ZERO, "a leg with no time");
         self.legs.entry(command.into()).or_default().push((backend.into(), self.now));
         self.log.push(format!("leg {command} {backend}"));
     }
-    fn bounce(&mut self, command: &str, _: Option<Duration>) {
+    fn reject(&mut self, command: &str, _: Option<Duration>) {
         self.log.push(format!("bounce {command}"));
     }
-    fn scrap(&mut self, command: &str) {
+    fn fail(&mut self, command: &str) {
         self.log.push(format!("scrap {command}"));
     }
-    fn count(&mut self, name: &str, amount: f64, _: Duration) {
+    fn add_to_counter(&mut self, name: &str, amount: f64, _: Duration) {
         *self.counts.entry(name.into()).or_default() += amount;
         self.calls.push(name.into());
         self.log.push(format!("count {name}"));
     }
-    fn tell(&mut self, news: &[News]) -> usize {
-        self.log.extend(news.iter().map(|item| format!("told {}", item.units.sent)));
-        self.mark = news.last().map_or(self.mark, |item| item.mark);
+    fn broadcast_usage(&mut self, news: &[UsageUpdate]) -> usize {
+        self.log.extend(news.iter().map(|item| format!("told {}", item.units.forwarded)));
+        self.mark = news.last().map_or(self.mark, |item| item.tenant_hash);
         1
     }
-    fn ask(&mut self, peer: u32, question: u16, _: &Offer) {
+    fn ask_peer(&mut self, peer: u32, question: u16, _: &QuotaRequest) {
         self.questions.push(question);
         self.log.push(format!("ask {peer}"));
     }
-    fn answer(&mut self, _: u32, _: u16, verdict: Verdict) {
-        self.log.push(if verdict.beyond { "beyond" } else { "passed" }.into());
+    fn answer_peer(&mut self, _: u32, _: u16, verdict: QuotaDecision) {
+        self.log.push(if verdict.exceeds { "beyond" } else { "passed" }.into());
     }
-    fn wake(&mut self, token: &str, after: Duration) {
+    fn set_timer(&mut self, token: &str, after: Duration) {
         self.timers.insert((self.now + after, self.timers.len() + self.log.len()), token.into());
     }
 }
@@ -91,31 +91,31 @@
     parts.map(|part| part.split_once('=').unwrap_or((part, ""))).collect()
 }
 
-fn listed(text: &str) -> Listed {
+fn listed(text: &str) -> BackendEntry {
     let mut parts = text.split('/');
     let id = parts.next().unwrap_or_default().to_owned();
     let w = words(parts);
     let standing = match (w.contains_key("draining"), w.contains_key("gone")) {
-        (true, _) => Standing::Draining,
-        (_, true) => Standing::Gone,
-        _ => Standing::Live,
+        (true, _) => BackendStatus::Draining,
+        (_, true) => BackendStatus::Removed,
+        _ => BackendStatus::Live,
     };
     let text = |name: &str| w.get(name).unwrap_or(&"").to_string();
     let cell = w.get("cell").map_or(0, |c| number(c) as i64);
     let size = w.get("size").map_or(1.0, |s| number(s));
     let started = w.get("started").map(|s| moment(s));
-    Listed { id, zone: text("zone"), cell, standing, size, started }
+    BackendEntry { id, zone: text("zone"), cell, status: standing, weight: size, started }
 }
 
 struct Play {
-    charter: Charter,
+    config: GatewayConfig,
     gateway: Option<Gateway>,
-    orders: Orders,
+    orders: Host,
     counter: Option<(String, String)>,
 }
 
 impl Play {
-    fn gateway(&mut self) -> (&mut Gateway, &mut Orders, Timestamp) {
+    fn gateway(&mut self) -> (&mut Gateway, &mut Host, Timestamp) {
         let now = self.orders.now;
         (self.gateway.as_mut().expect("no `open` yet"), &mut self.orders, now)
     }
@@ -133,33 +133,39 @@
                     _ => Group::All,
                 };
                 let repeats = match w.get("repeats") {
-                    Some(&"tagged") => Repeats::Tagged { group, memory: secs("memory", 5.0) },
-                    Some(&"once-only") => Repeats::OnceOnly,
-                    _ => Repeats::Repeatable,
+                    Some(&"tagged") => Idempotency::Deduplicated { group, memory: secs("memory", 5.0) },
+                    Some(&"once-only") => Idempotency::NonIdempotent,
+                    _ => Idempotency::Idempotent,
                 };
                 let (contract, late_share, value) =
                     (secs("contract", 2.0), get("late", 0.0), get("value", 1.0));
-                self.charter.workloads.push(Workload { name, repeats, contract, late_share, value });
+                self.config.workloads.push(Workload {
+                    name,
+                    idempotency: repeats,
+                    latency_target: contract,
+                    late_value: late_share,
+                    value,
+                });
             }
-            "plan" => self.charter.plans.push(Rc::new(Plan {
+            "plan" => self.config.plans.push(Rc::new(Plan {
                 name,
                 rate: get("rate", 0.0),
-                store: get("store", 0.0),
-                legs_out: get("legs_out", 0.0) as u32,
-                ceiling_rate: get("ceiling_rate", 0.0),
-                ceiling_depth: get("ceiling_depth", 0.0),
+                burst: get("store", 0.0),
+                max_in_flight: get("legs_out", 0.0) as u32,
+                hard_rate: get("ceiling_rate", 0.0),
+                hard_burst: get("ceiling_depth", 0.0),
             })),
             _ => {
-                self.charter.gateways = get("gateways", 2.0) as u32;
-                self.charter.me = get("me", 0.0) as u32;
-                self.charter.counter = Some(secs("counter", 0.03));
-                self.charter.largest = get("largest", 1.0);
-                self.charter.most_legs = get("legs", 5.0) as u32;
-                self.charter.peer_messages = get("peers", 0.0);
-                self.charter.longest_advice = Some(Duration::from_secs(1));
-                self.charter.cold_start = ColdStart {
-                    least: get("least", 0.2),
-                    warm_within: secs("warm", 10.0),
+                self.config.gateways = get("gateways", 2.0) as u32;
+                self.config.gateway_index = get("me", 0.0) as u32;
+                self.config.counter_timeout = Some(secs("counter", 0.03));
+                self.config.max_units = get("largest", 1.0);
+                self.config.max_attempts = get("legs", 5.0) as u32;
+                self.config.max_peer_messages = get("peers", 0.0);
+                self.config.max_retry_after = Some(Duration::from_secs(1));
+                self.config.slow_start = SlowStart {
+                    initial_capacity: get("least", 0.2),
+                    ramp: secs("warm", 10.0),
                     multiple: get("multiple", 2.0),
                     window: secs("window", 2.0),
                 };
@@ -175,7 +181,7 @@
             let ((due, _), token) = self.orders.timers.pop_first().expect("seen");
             self.orders.now = due.max(self.orders.now);
             let (gateway, orders, now) = self.gateway();
-            gateway.woken(now, &token, orders);
+            gateway.timer_fired(now, &token, orders);
             self.answer_by_itself();
         }
         self.orders.now = to;
@@ -183,17 +189,17 @@
 
     fn command(&mut self, id: &str, w: &Words) {
         let (gateway, orders, now) = self.gateway();
-        let asked = Asked {
+        let asked = IncomingRequest {
             id,
-            customer: w.get("customer").unwrap_or(&"k"),
+            tenant: w.get("customer").unwrap_or(&"k"),
             workload: w.get("workload").unwrap_or(&"w"),
             plan: w.get("plan").unwrap_or(&"p"),
-            outer_limit: w.get("limit").map_or(now + Duration::from_secs(8), |l| moment(l)),
+            deadline: w.get("limit").map_or(now + Duration::from_secs(8), |l| moment(l)),
             units: w.get("units").map_or(1.0, |u| number(u)),
-            width: w.get("width").map_or(0, |v| number(v) as u32),
-            first: 0,
+            gateways: w.get("width").map_or(0, |v| number(v) as u32),
+            first_gateway: 0,
         };
-        gateway.command(now, &asked, orders);
+        gateway.request_arrived(now, &asked, orders);
         self.answer_by_itself();
     }
 
@@ -207,19 +213,26 @@
         let legs = &self.orders.legs[id];
         let (backend, sent) = legs[legs.len() - 1].clone();
         let ending = match ending {
-            "settled" => Ending::Settled,
-            "error" => Ending::Error,
-            "turned_away" => Ending::TurnedAway,
-            "silent" => Ending::Silent,
-            "unreachable" => Ending::Unreachable,
+            "settled" => AttemptOutcome::Completed,
+            "error" => AttemptOutcome::Failed,
+            "turned_away" => AttemptOutcome::Rejected,
+            "silent" => AttemptOutcome::TimedOut,
+            "unreachable" => AttemptOutcome::Unreachable,
             other => panic!("no ending: {other}"),
         };
-        let over = ending == Ending::Settled || w.contains_key("over");
+        let over = ending == AttemptOutcome::Completed || w.contains_key("over");
         let true_units = w.get("true").map(|t| number(t));
         let (gateway, orders, now) = self.gateway();
         let took = w.get("took").map_or(now - sent, |t| span(t));
-        let end = LegEnd { command: id, backend: &backend, ending, over, took, true_units };
-        gateway.leg_ended(now, &end, orders);
+        let end = AttemptEnd {
+            request_id: id,
+            backend: &backend,
+            outcome: ending,
+            is_final: over,
+            elapsed: took,
+            actual_units: true_units,
+        };
+        gateway.attempt_ended(now, &end, orders);
     }
 
     fn offer(&mut self, times: usize, mark: usize, w: &Words) {
@@ -254,13 +267,13 @@
         for name in std::mem::take(&mut self.orders.calls) {
             let total = self.orders.counts[&name] * w.get("times").map_or(1.0, |t| number(t));
             let total = match how {
-                "lost" => Total::Of(0.0),
-                "silent" => Total::Unknown,
-                "late" => Total::Late(total),
-                _ => Total::Of(total),
+                "lost" => Reading::Known(0.0),
+                "silent" => Reading::Unknown,
+                "late" => Reading::Late(total),
+                _ => Reading::Known(total),
             };
             let (gateway, orders, now) = self.gateway();
-            gateway.counted(now, &name, total, orders);
+            gateway.counter_answered(now, &name, total, orders);
         }
     }
 
@@ -281,7 +294,7 @@
                 range,
             ),
             ["kept", ref counts @ ..] => {
-                let kept = self.gateway.as_ref().expect("no `open` yet").kept();
+                let kept = self.gateway.as_ref().expect("no `open` yet").table_sizes();
                 let counts: Vec<usize> = counts.iter().map(|count| number(count) as usize).collect();
                 assert_eq!(kept.as_slice(), counts, "`{line}`: commands, customers, backends, waiting");
             }
@@ -309,46 +322,46 @@
         match (verb, rest.first().copied()) {
             ("gateway" | "workload" | "plan", _) => self.terms(verb, &w),
             ("open", _) => {
-                let c = &self.charter;
+                let c = &self.config;
                 let lacks = [c.gateways == 0, c.workloads.is_empty(), c.plans.is_empty()];
                 for (what, lacks) in ["gateway", "workload", "plan"].into_iter().zip(lacks) {
                     if lacks {
                         self.terms(what, &Words::from([("late", "0.2")]));
                     }
                 }
-                let charter = Rc::new(self.charter.clone());
+                let config = Rc::new(self.config.clone());
                 self.orders.timers.clear();
-                self.gateway = Some(Gateway::open(charter, 11, self.orders.now));
-                self.gateway().0.roster(true, &rest.iter().map(|t| listed(t)).collect::<Vec<_>>());
+                self.gateway = Some(Gateway::open(config, 11, self.orders.now));
+                self.gateway().0.update_backends(true, &rest.iter().map(|t| listed(t)).collect::<Vec<_>>());
             }
             ("list", Some(kind)) => {
-                let lines: Vec<Listed> = rest[1..].iter().map(|t| listed(t)).collect();
-                self.gateway().0.roster(kind == "whole", &lines);
+                let lines: Vec<BackendEntry> = rest[1..].iter().map(|t| listed(t)).collect();
+                self.gateway().0.update_backends(kind == "whole", &lines);
             }
             ("at", Some(time)) => self.move_to(moment(time)),
             ("command", Some(id)) => self.command(id, &w),
             ("offer", Some(times)) => self.offer(number(times) as usize, number_of_line, &w),
             ("end", Some(id)) => self.end(id, rest[1], &w),
-            ("left", Some(id)) => self.gateway().0.client_left(id),
+            ("left", Some(id)) => self.gateway().0.client_disconnected(id),
             ("counter", Some(how)) => {
                 self.counter = Some((how.to_owned(), w.get("times").unwrap_or(&"1").to_string()))
             }
             ("answer", Some(how)) => self.answer(how, &w),
             ("told", Some(units)) => {
-                let units = Units { offered: number(units), sent: number(units) };
+                let units = Units { offered: number(units), forwarded: number(units) };
                 let (gateway, orders, now) = self.gateway();
-                gateway.told(now, &[News { mark: orders.mark, units }]);
+                gateway.usage_received(now, &[UsageUpdate { tenant_hash: orders.mark, units }]);
             }
             ("asked", Some(times)) => {
-                let offer = Offer { customer: "k".into(), plan: 0, width: 200, units: 1.0 };
+                let offer = QuotaRequest { tenant: "k".into(), plan: 0, gateways: 200, units: 1.0 };
                 let (gateway, orders, now) = self.gateway();
-                (0..number(times) as usize).for_each(|_| gateway.asked(now, 1, 7, &offer, orders));
+                (0..number(times) as usize).for_each(|_| gateway.peer_asked(now, 1, 7, &offer, orders));
             }
             ("answered", Some(how)) => {
-                let verdict = Verdict { beyond: how == "beyond", ratio: 1.0 };
+                let verdict = QuotaDecision { exceeds: how == "beyond", ratio: 1.0 };
                 for question in std::mem::take(&mut self.orders.questions) {
                     let (gateway, orders, now) = self.gateway();
-                    gateway.answered(now, question, verdict, orders);
+                    gateway.peer_answered(now, question, verdict, orders);
                 }
             }
             _ => panic!("no step: {line}"),
@@ -365,7 +378,7 @@
     for file in files {
         let name = file.file_name().unwrap().to_string_lossy().into_owned();
         let mut play =
-            Play { charter: Charter::default(), gateway: None, orders: Orders::default(), counter: None };
+            Play { config: GatewayConfig::default(), gateway: None, orders: Host::default(), counter: None };
         for (n, line) in std::fs::read_to_string(&file).unwrap().lines().enumerate() {
             let line = line.split('#').next().unwrap_or_default().trim();
             if !line.is_empty() {
--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -6,7 +6,7 @@
 use crate::poll::{self, empty, LineKey, ReadOutcome, ReadyEvent, Source};
 use crate::runtime::{Event, Floor, LegEnded, Timer};
 use crate::timer_wheel::TimerKey;
-use kitepass_gateway_policy::{Ending, Standing};
+use kitepass_gateway_policy::{AttemptOutcome, BackendStatus};
 use kitepass_time::{Duration, Timestamp};
 use log::{debug, warn};
 use rustix::fd::OwnedFd;
@@ -47,23 +47,23 @@
 impl Failure {
     /// What a failure means for the decisions: a backend begins a command with its last byte, so whatever
     /// stopped a leg before that proves that it never ran.
-    fn ending(self) -> Ending {
+    fn ending(self) -> AttemptOutcome {
         match (self.reached, self.cause) {
-            (Reached::NotConnected, Cause::Barred) => Ending::Unsent, // no blame for the backend
-            (Reached::NotConnected | Reached::PartWritten, _) => Ending::Unreachable,
-            (_, Cause::TimeUp) => Ending::Silent,
-            (_, Cause::ParseError(_)) => Ending::Error,
-            (..) => Ending::Broken,
+            (Reached::NotConnected, Cause::Barred) => AttemptOutcome::NotSent, // no blame for the backend
+            (Reached::NotConnected | Reached::PartWritten, _) => AttemptOutcome::Unreachable,
+            (_, Cause::TimeUp) => AttemptOutcome::TimedOut,
+            (_, Cause::ParseError(_)) => AttemptOutcome::Failed,
+            (..) => AttemptOutcome::ConnectionLost,
         }
     }
 }
 
 /// What a whole answer means.
-fn answered(answer: &Message) -> Ending {
+fn answered(answer: &Message) -> AttemptOutcome {
     match answer.status() {
-        200 => Ending::Settled,
-        503 | 504 if answer.field("x-never-ran") == Some(b"1") => Ending::TurnedAway,
-        _ => Ending::Error,
+        200 => AttemptOutcome::Completed,
+        503 | 504 if answer.field("x-never-ran") == Some(b"1") => AttemptOutcome::Rejected,
+        _ => AttemptOutcome::Failed,
     }
 }
 
@@ -118,8 +118,8 @@
 
 impl Floor {
     /// What the list says of a backend; `None` for an address that cannot be read.
-    pub fn list_backend(&mut self, id: &str, address: Option<SocketAddr>, standing: Standing) {
-        if standing == Standing::Gone {
+    pub fn list_backend(&mut self, id: &str, address: Option<SocketAddr>, standing: BackendStatus) {
+        if standing == BackendStatus::Removed {
             self.close_idle_lines(id);
             self.backends.records.remove(id);
             return;
@@ -127,7 +127,7 @@
         let record = self.backends.records.entry(id.into()).or_default();
         let moved = address.is_some() && record.address != address;
         record.address = address.or(record.address);
-        record.live = standing == Standing::Live;
+        record.live = standing == BackendStatus::Live;
         if moved || !record.live {
             self.close_idle_lines(id);
         }
@@ -137,7 +137,7 @@
     pub fn keep_backends(&mut self, listed: impl Fn(&str) -> bool) {
         let gone: Vec<_> = self.backends.records.keys().filter(|id| !listed(id)).cloned().collect();
         for id in gone {
-            self.list_backend(&id, None, Standing::Gone);
+            self.list_backend(&id, None, BackendStatus::Removed);
         }
     }
 
@@ -155,12 +155,14 @@
         let (intake, until) = (taken.intake.clone(), taken.outer_limit.min(now + allow));
         self.commands.shift(command, State::Out);
         let Some((name, record)) = self.backends.records.get_key_value(backend) else {
-            return self.leg_unsent(command, backend.into(), Ending::Unsent);
+            return self.leg_unsent(command, backend.into(), AttemptOutcome::NotSent);
         };
         let name = name.clone();
-        let Some(address) = record.address else { return self.leg_unsent(command, name, Ending::Unsent) };
+        let Some(address) = record.address else {
+            return self.leg_unsent(command, name, AttemptOutcome::NotSent);
+        };
         if until <= now || !record.live {
-            return self.leg_unsent(command, name, Ending::Unsent);
+            return self.leg_unsent(command, name, AttemptOutcome::NotSent);
         }
         let key = match self.reuse_line(backend, now) {
             Some(key) => key,
@@ -187,7 +189,7 @@
     }
 
     /// A leg of which nothing has been written.
-    fn leg_unsent(&mut self, command: CommandKey, backend: Rc<str>, ending: Ending) {
+    fn leg_unsent(&mut self, command: CommandKey, backend: Rc<str>, ending: AttemptOutcome) {
         let ended =
             LegEnded { command, backend, ending, over: false, took: Duration::ZERO, true_units: None };
         self.end_leg(ended, None);
@@ -425,7 +427,7 @@
         let Some(command) = self.commands.get_mut(ended.command) else { return };
         command.last = Some(ended.ending);
         let parted = command.state() == State::Parted;
-        if let Some(answer) = answer.filter(|_| ended.ending == Ending::Settled && !parted) {
+        if let Some(answer) = answer.filter(|_| ended.ending == AttemptOutcome::Completed && !parted) {
             self.settle(ended.command, answer);
             ended.over = true;
         }
@@ -447,17 +449,17 @@
         let reset = Cause::Broke(Errno::CONNRESET);
         let nonsense = Cause::ParseError(ParseError::Malformed("nonsense"));
         for (reached, cause, ending) in [
-            (NotConnected, refused, Ending::Unreachable),
-            (NotConnected, Cause::TimeUp, Ending::Unreachable),
-            (NotConnected, Cause::Barred, Ending::Unsent),
-            (PartWritten, reset, Ending::Unreachable),
-            (PartWritten, Cause::TimeUp, Ending::Unreachable),
-            (WholeWritten, reset, Ending::Broken),
-            (WholeWritten, Cause::Closed, Ending::Broken),
-            (WholeWritten, Cause::TimeUp, Ending::Silent),
-            (PartAnswered, Cause::TimeUp, Ending::Silent),
-            (PartAnswered, Cause::Closed, Ending::Broken),
-            (PartAnswered, nonsense, Ending::Error),
+            (NotConnected, refused, AttemptOutcome::Unreachable),
+            (NotConnected, Cause::TimeUp, AttemptOutcome::Unreachable),
+            (NotConnected, Cause::Barred, AttemptOutcome::NotSent),
+            (PartWritten, reset, AttemptOutcome::Unreachable),
+            (PartWritten, Cause::TimeUp, AttemptOutcome::Unreachable),
+            (WholeWritten, reset, AttemptOutcome::ConnectionLost),
+            (WholeWritten, Cause::Closed, AttemptOutcome::ConnectionLost),
+            (WholeWritten, Cause::TimeUp, AttemptOutcome::TimedOut),
+            (PartAnswered, Cause::TimeUp, AttemptOutcome::TimedOut),
+            (PartAnswered, Cause::Closed, AttemptOutcome::ConnectionLost),
+            (PartAnswered, nonsense, AttemptOutcome::Failed),
         ] {
             assert_eq!(Failure { reached, cause }.ending(), ending, "{reached:?} {cause:?}");
         }
@@ -466,14 +468,14 @@
     #[test]
     fn an_answer_means_what_the_protocol_says() {
         for (text, ending) in [
-            ("200 OK", Ending::Settled),
-            ("500 No", Ending::Error),
-            ("503 No", Ending::Error),
-            ("503 No\r\nX-Never-Ran: 0", Ending::Error),
-            ("503 No\r\nX-Never-Ran: 1", Ending::TurnedAway),
-            ("504 No\r\nx-never-ran: 1", Ending::TurnedAway),
-            ("500 No\r\nX-Never-Ran: 1", Ending::Error),
-            ("204 None", Ending::Error),
+            ("200 OK", AttemptOutcome::Completed),
+            ("500 No", AttemptOutcome::Failed),
+            ("503 No", AttemptOutcome::Failed),
+            ("503 No\r\nX-Never-Ran: 0", AttemptOutcome::Failed),
+            ("503 No\r\nX-Never-Ran: 1", AttemptOutcome::Rejected),
+            ("504 No\r\nx-never-ran: 1", AttemptOutcome::Rejected),
+            ("500 No\r\nX-Never-Ran: 1", AttemptOutcome::Failed),
+            ("204 None", AttemptOutcome::Failed),
         ] {
             let mut input = format!("HTTP/1.1 {text}\r\nContent-Length: 0\r\n\r\n").into_bytes();
             let answer =
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::poll::{self, empty, ClientKey, ReadOutcome, ReadyEvent, Source};
 use crate::request_head::Intake;
 use crate::runtime::{Event, Floor, Phase, Timer};
-use kitepass_gateway_policy::Ending;
+use kitepass_gateway_policy::AttemptOutcome;
 use kitepass_time::{Duration, Timestamp};
 use log::{debug, warn};
 use rustix::fd::OwnedFd;
@@ -290,7 +290,7 @@
             let ready = self.phase == Phase::Serving;
             return self.say(key, if ready { 200 } else { 503 }, None, if ready { "ready\n" } else { "" });
         }
-        let intake = match Intake::read(message, &self.charter) {
+        let intake = match Intake::read(message, &self.config) {
             Ok(intake) => intake,
             Err(wrong) => {
                 debug!("a client's command: {wrong}");
@@ -332,7 +332,7 @@
         let status = match (bounced, command.legs, command.last) {
             (true, 0, _) => 429,
             (true, ..) => 503,
-            (false, _, Some(Ending::Silent)) => 504,
+            (false, _, Some(AttemptOutcome::TimedOut)) => 504,
             (false, ..) => 502,
         };
         let client = command.client;
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -2,7 +2,7 @@
 
 use crate::poll::ClientKey;
 use crate::request_head::Intake;
-use kitepass_gateway_policy::Ending;
+use kitepass_gateway_policy::AttemptOutcome;
 use kitepass_time::Timestamp;
 use slotmap::{Key, KeyData, SlotMap};
 use std::collections::HashMap;
@@ -40,7 +40,7 @@
     pub intake: Rc<Intake>,
     pub outer_limit: Timestamp,
     pub legs: u32,
-    pub last: Option<Ending>,
+    pub last: Option<AttemptOutcome>,
     state: State,
 }
 
@@ -110,7 +110,7 @@
     #[test]
     fn no_command_and_no_id_is_kept_once_it_is_over() {
         let settings = r#"{"Classes":[{"Name":"look"}],"Plans":[{"Name":"team"}]}"#;
-        let (charter, _) = kitepass_gateway_config::from_text("settings", settings).unwrap();
+        let (config, _) = kitepass_gateway_config::from_text("settings", settings).unwrap();
         let mut commands = Commands::default();
         for n in 0..1000 {
             let mut text = format!(
@@ -120,7 +120,7 @@
             .into_bytes();
             let message =
                 MessageReader::default().next(MessageKind::Request, &mut text, false).unwrap().unwrap();
-            let intake = Intake::read(message, &charter).unwrap();
+            let intake = Intake::read(message, &config).unwrap();
             let key = commands.take(Command::new(ClientKey::default(), intake, Timestamp::from_micros(0)));
             assert!(commands.open_as(format!("t{n}").as_bytes()).is_some());
             commands.shift(key, State::Out);
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -5,7 +5,7 @@
 use crate::poll::{self, ReadOutcome, ReadyEvent, Source};
 use crate::runtime::{Event, Floor, Timer};
 use crate::timer_wheel::TimerKey;
-use kitepass_gateway_policy::Total;
+use kitepass_gateway_policy::Reading;
 use kitepass_time::{Duration, Timestamp};
 use log::{debug, warn};
 use rustix::fd::OwnedFd;
@@ -72,8 +72,8 @@
 impl Floor {
     /// Adds to a number on the counter.
     pub fn call(&mut self, name: &str, amount: f64, keep: Duration) {
-        let (Some(_), Some(patience)) = (self.counter.address, self.charter.counter) else {
-            return self.events.push_back(Event::Counted { name: name.to_owned(), total: Total::NotAdded });
+        let (Some(_), Some(patience)) = (self.counter.address, self.config.counter_timeout) else {
+            return self.events.push_back(Event::Counted { name: name.to_owned(), total: Reading::NotAdded });
         };
         let rest = format!("?by={amount}&expire_ms={}", (keep.micros() / 1000).max(1));
         let due = self.now() + patience;
@@ -89,13 +89,13 @@
         if address == self.counter.address {
             return;
         }
-        let until = self.now() + self.charter.counter.unwrap_or_default();
+        let until = self.now() + self.config.counter_timeout.unwrap_or_default();
         self.counter.address = address;
         self.counter.tried = None;
         self.counter.links.iter_mut().for_each(|link| (link.parting, link.until) = (true, until));
         self.drop_parted();
         self.wait_for_calls();
-        let Some(patience) = self.charter.counter.filter(|_| address.is_some()) else {
+        let Some(patience) = self.config.counter_timeout.filter(|_| address.is_some()) else {
             return self.fail_unsent();
         };
         if !self.counter.unsent.is_empty() {
@@ -208,10 +208,10 @@
                         let late = link.told > 0;
                         link.told -= usize::from(late);
                         let total = match (number, answer.status()) {
-                            (Some(number), _) if late => Total::Late(number),
-                            (Some(number), _) => Total::Of(number),
-                            (None, 400 | 404 | 503) => Total::NotAdded,
-                            (None, _) => Total::Unknown,
+                            (Some(number), _) if late => Reading::Late(number),
+                            (Some(number), _) => Reading::Known(number),
+                            (None, 400 | 404 | 503) => Reading::NotAdded,
+                            (None, _) => Reading::Unknown,
                         };
                         if !late || number.is_some() {
                             self.events.push_back(Event::Counted { name: call.name, total });
@@ -260,14 +260,14 @@
     pub fn calls_due(&mut self) {
         let now = self.now();
         let allowed = self.carriage.connect_within;
-        let patience = self.charter.counter.unwrap_or(allowed).min(allowed);
+        let patience = self.config.counter_timeout.unwrap_or(allowed).min(allowed);
         let counter = &mut self.counter;
         counter.timer = None;
         let room = counter.links.len() < MOST_LINKS;
         for link in &mut counter.links {
             let told = link.told;
             while let Some(call) = link.calls.get(link.told).filter(|call| call.due <= now) {
-                self.events.push_back(Event::Counted { name: call.name.clone(), total: Total::Unknown });
+                self.events.push_back(Event::Counted { name: call.name.clone(), total: Reading::Unknown });
                 link.told += 1;
             }
             // A machine that has gone silent never ends its connections, one connection can stall while others
@@ -278,14 +278,15 @@
                 (link.parting, link.until) = (true, link.lively + allowed * 8);
                 // In this order: the next call of a name must not be answered before these are told of.
                 for call in link.calls.iter().skip(link.told) {
-                    self.events.push_back(Event::Counted { name: call.name.clone(), total: Total::Unknown });
+                    self.events
+                        .push_back(Event::Counted { name: call.name.clone(), total: Reading::Unknown });
                 }
                 link.told = link.calls.len();
             }
         }
         // What nobody waits for any more is not sent.
         while let Some(call) = counter.unsent.pop_front_if(|call| call.due <= now) {
-            self.events.push_back(Event::Counted { name: call.name, total: Total::NotAdded });
+            self.events.push_back(Event::Counted { name: call.name, total: Reading::NotAdded });
         }
         if let Some(place) = self.counter.links.iter().position(|l| !l.connected && now - l.begun > allowed) {
             self.drop_link(place, "silent");
@@ -307,7 +308,7 @@
         debug!("counter: {why}");
         let link = self.counter.links.remove(place);
         for call in link.calls.into_iter().skip(link.told) {
-            self.events.push_back(Event::Counted { name: call.name, total: Total::Unknown });
+            self.events.push_back(Event::Counted { name: call.name, total: Reading::Unknown });
         }
         if !link.connected && !link.parting {
             self.fail_unsent();
@@ -316,7 +317,7 @@
 
     fn fail_unsent(&mut self) {
         let unsent = self.counter.unsent.drain(..);
-        self.events.extend(unsent.map(|call| Event::Counted { name: call.name, total: Total::NotAdded }));
+        self.events.extend(unsent.map(|call| Event::Counted { name: call.name, total: Reading::NotAdded }));
     }
 }
 
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -4,7 +4,7 @@
 use crate::http::MessageReader;
 use crate::poll::{self, ReadOutcome, ReadyEvent, Source};
 use crate::runtime::{Floor, Phase, Timer};
-use kitepass_gateway_policy::{Gateway, Listed, Standing};
+use kitepass_gateway_policy::{BackendEntry, BackendStatus, Gateway};
 use kitepass_time::{Duration, Timestamp};
 use log::{debug, info, warn};
 use rustix::fd::OwnedFd;
@@ -194,7 +194,7 @@
         for entry in entries {
             match listed(entry) {
                 Ok((listed, address)) => {
-                    floor.list_backend(&listed.id, address, listed.standing);
+                    floor.list_backend(&listed.id, address, listed.status);
                     lines.push(listed);
                 }
                 Err(wrong) => warn!("discovery: {wrong}"),
@@ -204,29 +204,29 @@
             let ids: std::collections::BTreeSet<&str> = lines.iter().map(|line| line.id.as_str()).collect();
             floor.keep_backends(|id| ids.contains(id));
         }
-        module.roster(whole, &lines);
+        module.update_backends(whole, &lines);
     }
 }
 
-fn listed(entry: &Value) -> Result<(Listed, Option<SocketAddr>), String> {
+fn listed(entry: &Value) -> Result<(BackendEntry, Option<SocketAddr>), String> {
     let id = entry["instanceId"].as_str().filter(|id| !id.is_empty()).ok_or("instanceId: expected an id")?;
     let standing = match entry["lifecycle"].as_str() {
-        Some("ready") => Standing::Live,
-        Some("draining") => Standing::Draining,
-        Some("gone") => Standing::Gone,
+        Some("ready") => BackendStatus::Live,
+        Some("draining") => BackendStatus::Draining,
+        Some("gone") => BackendStatus::Removed,
         other => return Err(format!("{id}: lifecycle: expected a state, found {other:?}")),
     };
     let address = entry["hostPort"].as_str().and_then(|address| address.parse().ok());
-    if address.is_none() && standing == Standing::Live {
+    if address.is_none() && standing == BackendStatus::Live {
         warn!("discovery: {id}: hostPort: expected address and port, found {}", entry["hostPort"]);
     }
     let started = entry["startedAtMs"].as_f64().filter(|millis| *millis > 0.0);
-    let listed = Listed {
+    let listed = BackendEntry {
         id: id.to_owned(),
         zone: entry["zone"].as_str().unwrap_or_default().to_owned(),
         cell: entry["cell"].as_i64().unwrap_or_default(),
-        standing,
-        size: entry["weight"].as_f64().filter(|size| *size > 0.0 && size.is_finite()).unwrap_or(1.0),
+        status: standing,
+        weight: entry["weight"].as_f64().filter(|size| *size > 0.0 && size.is_finite()).unwrap_or(1.0),
         started: started.map(|millis| Timestamp::from_micros((millis * 1000.0) as i64)),
     };
     Ok((listed, address))
--- a/crates/gateway/src/request_head.rs
+++ b/crates/gateway/src/request_head.rs
@@ -1,7 +1,7 @@
 //! What the decisions need of a client's command, taken out of the message that brought it.
 
 use crate::http::{digits, Message};
-use kitepass_gateway_policy::{Charter, Repeats};
+use kitepass_gateway_policy::{GatewayConfig, Idempotency};
 use kitepass_time::Duration;
 use std::ops::Range;
 
@@ -37,7 +37,7 @@
 pub type Wrong = &'static str;
 
 impl Intake {
-    pub fn read(message: Message, charter: &Charter) -> Result<Intake, Wrong> {
+    pub fn read(message: Message, config: &GatewayConfig) -> Result<Intake, Wrong> {
         let target = text(message.start(1)).ok_or("target")?;
         let path = target.split('?').next().unwrap_or_default();
         let (class, customer) = path[1..].split_once('/').ok_or("target: expected class and customer")?;
@@ -48,27 +48,27 @@
         if number.is_none_or(|c| c >= CUSTOMERS) {
             return Err("customer: expected 16 hex digits, a number below 2^33");
         }
-        let class = charter.workloads.iter().find(|w| w.name == class).ok_or("class: not known")?;
+        let class = config.workloads.iter().find(|w| w.name == class).ok_or("class: not known")?;
 
         let trace = one(&message, TRACE)?.ok_or("X-Trace-Id: expected one")?;
         if !(1..=MOST_TRACE).contains(&trace.len()) || !trace.iter().all(u8::is_ascii_graphic) {
             return Err("X-Trace-Id: expected an id");
         }
         let plan = one(&message, TARIFF)?.and_then(text).ok_or("X-Tariff: expected a plan")?;
-        if !charter.plans.iter().any(|p| p.name == plan) {
+        if !config.plans.iter().any(|p| p.name == plan) {
             return Err("X-Tariff: not known");
         }
         let expires = one(&message, EXPIRES)?.and_then(digits).filter(|millis| *millis < 1 << 32);
         let expires = expires.ok_or("X-Expires-In-Ms: expected whole milliseconds")?;
         let key = one(&message, KEY)?.filter(|key| !key.is_empty());
-        if matches!(class.repeats, Repeats::Tagged { .. }) && key.is_none() {
+        if matches!(class.idempotency, Idempotency::Deduplicated { .. }) && key.is_none() {
             return Err("Idempotency-Key: expected one"); // without it a repeat would take effect twice
         }
         if [TRACE, KEY].iter().any(|name| message.ends_here(name.as_bytes())) {
             return Err("Connection: names a field that a backend must see"); // a key left out repeats effects
         }
         let weight = one(&message, WEIGHT)?.and_then(text).ok_or("X-Weight: expected one")?;
-        let (units, width, first) = weigh(weight, charter).ok_or("X-Weight: expected units and set")?;
+        let (units, width, first) = weigh(weight, config).ok_or("X-Weight: expected units and set")?;
 
         let (plan, expires) = (plan.to_owned(), Duration::from_micros(expires as i64 * 1000));
         let lead = lead(&message);
@@ -123,7 +123,7 @@
 }
 
 /// Units, width and first gateway. Where no set is told, the width is 0.
-fn weigh(text: &str, charter: &Charter) -> Option<(f64, u32, u32)> {
+fn weigh(text: &str, config: &GatewayConfig) -> Option<(f64, u32, u32)> {
     let (mut units, mut width, mut first) = (None, None, None);
     for part in text.split(',') {
         let (name, value) = part.trim().split_once('=')?;
@@ -136,9 +136,9 @@
         }
     }
     let (width, first) = (width.unwrap_or(0), first.unwrap_or(0));
-    let in_set = width <= charter.gateways && first < charter.gateways;
+    let in_set = width <= config.gateways && first < config.gateways;
     // More than the largest command has would empty its customer's store in the name of one that nobody sent.
-    let units = units.filter(|units| *units > 0.0 && *units <= charter.largest && in_set)?;
+    let units = units.filter(|units| *units > 0.0 && *units <= config.max_units && in_set)?;
     Some((units, width, first))
 }
 
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -8,7 +8,9 @@
 use crate::poll::{ClientKey, Clock, LineKey, Poller};
 use crate::timer_wheel::TimerWheel;
 use kitepass_gateway_config::Carriage;
-use kitepass_gateway_policy::{Charter, Ending, News, Offer, Orders, Total, Verdict};
+use kitepass_gateway_policy::{
+    AttemptOutcome, GatewayConfig, Host, QuotaDecision, QuotaRequest, Reading, UsageUpdate,
+};
 use kitepass_time::{Duration, Timestamp};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -21,7 +23,7 @@
     LegEnded(LegEnded),
     Counted {
         name: String,
-        total: Total,
+        total: Reading,
     },
     /// Not the module's: a client's next command may stand in its input already.
     Pipelined(ClientKey),
@@ -31,7 +33,7 @@
 pub struct LegEnded {
     pub command: CommandKey,
     pub backend: Rc<str>,
-    pub ending: Ending,
+    pub ending: AttemptOutcome,
     pub over: bool,
     pub took: Duration,
     pub true_units: Option<f64>,
@@ -70,7 +72,7 @@
     pub poll: Poller,
     pub timers: TimerWheel<Timer>,
     pub events: VecDeque<Event>,
-    pub charter: Rc<Charter>,
+    pub config: Rc<GatewayConfig>,
     pub carriage: Carriage,
     pub phase: Phase,
     pub clients: Clients,
@@ -105,38 +107,38 @@
     }
 }
 
-impl Orders for Floor {
-    fn leg(&mut self, command: &str, backend: &str, allow: Duration) {
+impl Host for Floor {
+    fn send_attempt(&mut self, command: &str, backend: &str, allow: Duration) {
         if let Some(key) = command::key(command) {
             self.begin_leg(key, backend, allow);
         }
     }
 
-    fn bounce(&mut self, command: &str, retry_in: Option<Duration>) {
+    fn reject(&mut self, command: &str, retry_in: Option<Duration>) {
         if let Some(key) = command::key(command) {
             self.give_up(key, true, retry_in);
         }
     }
 
-    fn scrap(&mut self, command: &str) {
+    fn fail(&mut self, command: &str) {
         if let Some(key) = command::key(command) {
             self.give_up(key, false, None);
         }
     }
 
-    fn count(&mut self, name: &str, amount: f64, keep: Duration) {
+    fn add_to_counter(&mut self, name: &str, amount: f64, keep: Duration) {
         self.call(name, amount, keep);
     }
 
     // Gateways on sockets are not told each other's addresses, so start-up leaves the module no peers to
     // talk to, and it never gives these three orders.
-    fn tell(&mut self, _: &[News]) -> usize {
+    fn broadcast_usage(&mut self, _: &[UsageUpdate]) -> usize {
         0
     }
-    fn ask(&mut self, _: u32, _: u16, _: &Offer) {}
-    fn answer(&mut self, _: u32, _: u16, _: Verdict) {}
+    fn ask_peer(&mut self, _: u32, _: u16, _: &QuotaRequest) {}
+    fn answer_peer(&mut self, _: u32, _: u16, _: QuotaDecision) {}
 
-    fn wake(&mut self, token: &str, after: Duration) {
+    fn set_timer(&mut self, token: &str, after: Duration) {
         self.wake_at(self.now() + after, Timer::Module(token.to_owned()));
     }
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -10,7 +10,7 @@
 use crate::runtime::{Event, Floor, Phase, Timer};
 use crate::startup::{Launch, SILENCE};
 use crate::timer_wheel::TimerWheel;
-use kitepass_gateway_policy::{Asked, Gateway, LegEnd};
+use kitepass_gateway_policy::{AttemptEnd, Gateway, IncomingRequest};
 use log::{error, info};
 use std::collections::VecDeque;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -34,8 +34,8 @@
     pub fn open(launch: Launch) -> Result<Server, String> {
         let clock = Clock::new();
         let now = clock.now();
-        let charter = Rc::new(launch.charter);
-        let mut module = Gateway::open(charter.clone(), launch.seed, now);
+        let config = Rc::new(launch.config);
+        let mut module = Gateway::open(config.clone(), launch.seed, now);
         let failed = |what: &str| {
             let what = what.to_owned();
             move |error: rustix::io::Errno| format!("{what}: {error}")
@@ -56,7 +56,7 @@
             poll,
             timers: TimerWheel::new(now),
             events: VecDeque::new(),
-            charter,
+            config,
             carriage: launch.carriage,
             phase: Phase::Starting,
             clients: Clients::new(listener, places - spare, places - 1),
@@ -147,7 +147,7 @@
 
     fn due(&mut self, timer: Timer) {
         match timer {
-            Timer::Module(token) => self.module.woken(self.floor.now(), &token, &mut self.floor),
+            Timer::Module(token) => self.module.timer_fired(self.floor.now(), &token, &mut self.floor),
             Timer::Leg(key) => self.floor.leg_due(key),
             Timer::Calls => self.floor.calls_due(),
             Timer::Linger(key) => self.floor.client_gone(key),
@@ -170,35 +170,35 @@
                     let Some(command) = floor.commands.get(key) else { continue };
                     let (intake, outer_limit) = (command.intake.clone(), command.outer_limit);
                     floor.in_hand = Some(command.client);
-                    let asked = Asked {
+                    let asked = IncomingRequest {
                         id: &command::id(key),
-                        customer: &intake.customer,
+                        tenant: &intake.customer,
                         workload: intake.workload(),
                         plan: &intake.plan,
-                        outer_limit,
+                        deadline: outer_limit,
                         units: intake.units,
-                        width: intake.width,
-                        first: intake.first,
+                        gateways: intake.width,
+                        first_gateway: intake.first,
                     };
-                    module.command(now, &asked, floor);
+                    module.request_arrived(now, &asked, floor);
                 }
                 Event::Left(key) => {
                     floor.left(key);
-                    module.client_left(&command::id(key));
+                    module.client_disconnected(&command::id(key));
                 }
                 Event::LegEnded(ended) => {
                     floor.in_hand = floor.commands.get(ended.command).map(|command| command.client);
-                    let end = LegEnd {
-                        command: &command::id(ended.command),
+                    let end = AttemptEnd {
+                        request_id: &command::id(ended.command),
                         backend: &ended.backend,
-                        ending: ended.ending,
-                        over: ended.over,
-                        took: ended.took,
-                        true_units: ended.true_units,
+                        outcome: ended.ending,
+                        is_final: ended.over,
+                        elapsed: ended.took,
+                        actual_units: ended.true_units,
                     };
-                    module.leg_ended(now, &end, floor);
+                    module.attempt_ended(now, &end, floor);
                 }
-                Event::Counted { name, total } => module.counted(now, &name, total, floor),
+                Event::Counted { name, total } => module.counter_answered(now, &name, total, floor),
                 Event::Pipelined(client) => floor.next_command(client),
             }
             floor.in_hand = None;
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -3,7 +3,7 @@
 use crate::reload::Addresses;
 use crate::runtime::{Floor, Phase};
 use kitepass_gateway_config::Carriage;
-use kitepass_gateway_policy::Charter;
+use kitepass_gateway_policy::GatewayConfig;
 use kitepass_time::Duration;
 use rustix::process::{getrlimit, Resource};
 use serde_json::Value;
@@ -18,7 +18,7 @@
     pub addresses: Addresses,
     pub seed: u64,
     pub sockets: usize,
-    pub charter: Charter,
+    pub config: GatewayConfig,
     pub carriage: Carriage,
     /// The list of backends as this gateway last had it, in discovery's form.
     pub known: Value,
@@ -48,12 +48,12 @@
 
     pub fn from_text(text: &str) -> Result<Launch, String> {
         let all: Value = serde_json::from_str(text).map_err(|error| format!("expected JSON, {error}"))?;
-        let (mut charter, carriage) = kitepass_gateway_config::from_value("settings", &all["settings"])?;
-        if charter.me >= charter.gateways {
+        let (mut config, carriage) = kitepass_gateway_config::from_value("settings", &all["settings"])?;
+        if config.gateway_index >= config.gateways {
             return Err("settings.Me: expected a number below ReplicasOfMe".to_owned());
         }
         // Gateways on sockets know no addresses of each other's: the counter is all that they share.
-        charter.peer_messages = 0.0;
+        config.max_peer_messages = 0.0;
         let seed = all["seed"].as_str().and_then(|seed| u64::from_str_radix(seed, 16).ok());
         let sockets = match &all["limits"]["sockets"] {
             Value::Null => u64::MAX,
@@ -76,7 +76,7 @@
             },
             seed: seed.ok_or("seed: expected up to 16 hex digits")?,
             sockets: sockets.min(allowed).min(1 << 16) as usize,
-            charter,
+            config,
             carriage,
             known: known.clone(),
             origin: None,
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -77,8 +77,8 @@
         format!("name={:?} listen={}", launch.name, launch.listen),
         format!("discovery={} counter={counter}", launch.addresses.discovery),
         format!("seed={:016x} sockets={}", launch.seed, launch.sockets),
-        format!("ReplicasOfMe={} Me={}", launch.charter.gateways, launch.charter.me),
-        format!("MailPerS={}", launch.charter.peer_messages),
+        format!("ReplicasOfMe={} Me={}", launch.config.gateways, launch.config.gateway_index),
+        format!("MailPerS={}", launch.config.max_peer_messages),
         format!("ConnIdle={} us", launch.carriage.idle.micros()),
         format!("known={}", launch.known),
         format!(
--- a/crates/simulator-host/src/decode.rs
+++ b/crates/simulator-host/src/decode.rs
@@ -1,7 +1,7 @@
 //! Lines of the wire, read into what the decision module is told.
 
 pub use kitepass_gateway_config::Refusal;
-use kitepass_gateway_policy::{Charter, Ending, Listed, Standing, Total};
+use kitepass_gateway_policy::{AttemptOutcome, BackendEntry, BackendStatus, GatewayConfig, Reading};
 use kitepass_time::{Duration, Timestamp};
 
 /// The values of one line.
@@ -97,50 +97,50 @@
     Ok(if negative { -total } else { total })
 }
 
-pub fn ending(fields: &Fields) -> Result<Ending, Refusal> {
+pub fn ending(fields: &Fields) -> Result<AttemptOutcome, Refusal> {
     Ok(match fields.text("Ending")? {
-        "served" => Ending::Settled,
-        "server_error" => Ending::Error,
-        "turned_away" => Ending::TurnedAway,
-        "no_answer" => Ending::Silent,
-        "no_connection" => Ending::Unreachable,
-        "connection_lost" => Ending::Broken,
-        "called_off" => Ending::CalledOff,
-        "not_sent" => Ending::Unsent,
+        "served" => AttemptOutcome::Completed,
+        "server_error" => AttemptOutcome::Failed,
+        "turned_away" => AttemptOutcome::Rejected,
+        "no_answer" => AttemptOutcome::TimedOut,
+        "no_connection" => AttemptOutcome::Unreachable,
+        "connection_lost" => AttemptOutcome::ConnectionLost,
+        "called_off" => AttemptOutcome::Cancelled,
+        "not_sent" => AttemptOutcome::NotSent,
         other => return Err(format!("Ending: expected an outcome, found '{}'", clip(other))),
     })
 }
 
 /// The total, where the call brought one.
-pub fn counted(fields: &Fields) -> Result<Total, Refusal> {
+pub fn counted(fields: &Fields) -> Result<Reading, Refusal> {
     let sum = fields.number_or("Sum", 0.0)?;
     Ok(match ending(fields)? {
-        Ending::Settled => Total::Of(sum),
-        ending if ending.never_ran() => Total::NotAdded,
-        _ => Total::Unknown,
+        AttemptOutcome::Completed => Reading::Known(sum),
+        ending if ending.never_ran() => Reading::NotAdded,
+        _ => Reading::Unknown,
     })
 }
 
-pub fn listed(fields: &Fields) -> Result<Listed, Refusal> {
+pub fn listed(fields: &Fields) -> Result<BackendEntry, Refusal> {
     let started = fields.span_or_zero("Born")?;
-    Ok(Listed {
+    Ok(BackendEntry {
         id: fields.text("Backend")?.to_owned(),
         zone: fields.get("Campus").unwrap_or_default().to_owned(),
         cell: fields.number_or("Pod", 0.0)? as i64,
-        standing: match fields.text("Status")? {
-            "live" => Standing::Live,
-            "quiescing" => Standing::Draining,
-            "dead" => Standing::Gone,
+        status: match fields.text("Status")? {
+            "live" => BackendStatus::Live,
+            "quiescing" => BackendStatus::Draining,
+            "dead" => BackendStatus::Removed,
             other => return Err(format!("Status: expected a standing, found '{}'", clip(other))),
         },
-        size: Some(fields.number_or("Nominal", 1.0)?).filter(|size| *size > 0.0).unwrap_or(1.0),
+        weight: Some(fields.number_or("Nominal", 1.0)?).filter(|size| *size > 0.0).unwrap_or(1.0),
         started: Some(Timestamp::from_micros(started.micros())).filter(|_| started > Duration::ZERO),
     })
 }
 
 /// The settings, as far as the module reads them.
-pub fn charter(fields: &Fields) -> Result<Charter, Refusal> {
-    kitepass_gateway_config::from_text(TO_THE_END, fields.text(TO_THE_END)?).map(|(charter, _)| charter)
+pub fn config(fields: &Fields) -> Result<GatewayConfig, Refusal> {
+    kitepass_gateway_config::from_text(TO_THE_END, fields.text(TO_THE_END)?).map(|(config, _)| config)
 }
 
 #[cfg(test)]
--- a/crates/simulator-host/src/host.rs
+++ b/crates/simulator-host/src/host.rs
@@ -2,7 +2,9 @@
 
 use crate::decode::{self, Fields, Refusal};
 use crate::message::{self, Message};
-use kitepass_gateway_policy::{Asked, Gateway, LegEnd, Listed, News, Offer, Orders, Verdict};
+use kitepass_gateway_policy::{
+    AttemptEnd, BackendEntry, Gateway, Host, IncomingRequest, QuotaDecision, QuotaRequest, UsageUpdate,
+};
 use kitepass_time::{Duration, Timestamp};
 use std::collections::HashMap;
 use std::fmt::Display;
@@ -35,17 +37,17 @@
 }
 
 #[derive(Default)]
-struct Host {
+struct SimulatorHost {
     now: Timestamp,
     gateways: HashMap<String, Gateway>,
-    lists: Vec<Vec<Listed>>,
+    lists: Vec<Vec<BackendEntry>>,
     /// The list being read and how many of its lines are still to come.
     pending: Option<(usize, usize)>,
 }
 
 /// Plays batches until the input ends. A reply is written only once its whole batch has been taken.
 pub fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), Trouble> {
-    let mut host = Host { lists: vec![Vec::new(); LISTS], ..Host::default() };
+    let mut host = SimulatorHost { lists: vec![Vec::new(); LISTS], ..SimulatorHost::default() };
     let (mut line, mut number, mut inside) = (Vec::new(), 0_u64, false);
     let mut reply = Reply::default();
     loop {
@@ -91,7 +93,7 @@
     Trouble::Input { line, what: what.to_owned() }
 }
 
-impl Host {
+impl SimulatorHost {
     fn take(&mut self, name: &str, fields: &Fields, reply: &mut Reply) -> Result<(), Refusal> {
         if let Some((list, left)) = self.pending {
             if name != "ITEM" {
@@ -111,8 +113,8 @@
         let id = fields.text("GatewayId")?;
         if name == "OPEN_INSTANCE" {
             let seed = fields.whole::<i128>("RngSeed")? as u64;
-            let charter = Rc::new(decode::charter(fields)?);
-            self.gateways.insert(id.to_owned(), Gateway::open(charter, seed, self.now));
+            let config = Rc::new(decode::config(fields)?);
+            self.gateways.insert(id.to_owned(), Gateway::open(config, seed, self.now));
             return Ok(());
         }
         let now = self.now;
@@ -130,45 +132,47 @@
                     "failed" => return Ok(()),
                     other => return Err(format!("Kind: expected a kind of list, found '{other}'")),
                 };
-                gateway.roster(whole, &self.lists[list_number(fields)?]);
+                gateway.update_backends(whole, &self.lists[list_number(fields)?]);
             }
             "JOB_IN" => {
-                let asked = Asked {
+                let asked = IncomingRequest {
                     id: fields.text("Id")?,
-                    customer: fields.get("UserKey").unwrap_or_default(),
+                    tenant: fields.get("UserKey").unwrap_or_default(),
                     workload: fields.get("Type").unwrap_or_default(),
                     plan: fields.get("Terms").unwrap_or_default(),
-                    outer_limit: fields.moment("ClientDeadline")?,
+                    deadline: fields.moment("ClientDeadline")?,
                     units: fields.number_or("CostUnits", 1.0)?,
-                    width: fields.number_or("Width", 0.0)? as u32,
-                    first: fields.number_or("FirstDoor", 0.0)? as u32,
+                    gateways: fields.number_or("Width", 0.0)? as u32,
+                    first_gateway: fields.number_or("FirstDoor", 0.0)? as u32,
                 };
-                gateway.command(now, &asked, reply);
+                gateway.request_arrived(now, &asked, reply);
             }
             "RESULT" => {
-                let end = LegEnd {
-                    command: fields.text("Id")?,
+                let end = AttemptEnd {
+                    request_id: fields.text("Id")?,
                     backend: fields.text("Backend")?,
-                    ending: decode::ending(fields)?,
-                    over: fields.flag("Ended")?,
-                    took: fields.span_or_zero("Rtt")?,
-                    true_units: Some(fields.number_or("Cost", 0.0)?).filter(|units| *units > 0.0),
+                    outcome: decode::ending(fields)?,
+                    is_final: fields.flag("Ended")?,
+                    elapsed: fields.span_or_zero("Rtt")?,
+                    actual_units: Some(fields.number_or("Cost", 0.0)?).filter(|units| *units > 0.0),
                 };
-                gateway.leg_ended(now, &end, reply);
+                gateway.attempt_ended(now, &end, reply);
             }
-            "CLIENT_LEFT" => gateway.client_left(fields.text("Id")?),
-            "LEDGER_REPLY" => gateway.counted(now, fields.text("TallyId")?, decode::counted(fields)?, reply),
-            "ALARM" => gateway.woken(now, fields.text("Token")?, reply),
+            "CLIENT_LEFT" => gateway.client_disconnected(fields.text("Id")?),
+            "LEDGER_REPLY" => {
+                gateway.counter_answered(now, fields.text("TallyId")?, decode::counted(fields)?, reply)
+            }
+            "ALARM" => gateway.timer_fired(now, fields.text("Token")?, reply),
             // A peer is not trusted: what cannot be decoded is dropped.
             "MAIL" => {
                 let peer = fields.whole("Src")?;
                 match message::decode(fields.get("Bytes").unwrap_or_default()) {
-                    Some(Message::News(news)) => gateway.told(now, &news),
+                    Some(Message::UsageUpdate(news)) => gateway.usage_received(now, &news),
                     Some(Message::Question { number, offer }) => {
-                        gateway.asked(now, peer, number, &offer, reply)
+                        gateway.peer_asked(now, peer, number, &offer, reply)
                     }
                     Some(Message::Answer { number, verdict }) => {
-                        gateway.answered(now, number, verdict, reply)
+                        gateway.peer_answered(now, number, verdict, reply)
                     }
                     None => {}
                 }
@@ -214,38 +218,38 @@
     }
 }
 
-impl Orders for Reply {
-    fn leg(&mut self, command: &str, backend: &str, allow: Duration) {
+impl Host for Reply {
+    fn send_attempt(&mut self, command: &str, backend: &str, allow: Duration) {
         let allow = Seconds(allow);
         self.line("CALL_OUT", format_args!(" Id={command} AllowFor={allow} Backend={backend}"));
     }
-    fn bounce(&mut self, command: &str, retry_in: Option<Duration>) {
+    fn reject(&mut self, command: &str, retry_in: Option<Duration>) {
         match retry_in {
             Some(away) => self.line("BUSY", format_args!(" Id={command} RetryIn={}", Seconds(away))),
             None => self.line("BUSY", format_args!(" Id={command}")),
         }
     }
-    fn scrap(&mut self, command: &str) {
+    fn fail(&mut self, command: &str) {
         self.line("RESPOND_ERROR", format_args!(" Id={command}"));
     }
-    fn count(&mut self, name: &str, amount: f64, keep: Duration) {
+    fn add_to_counter(&mut self, name: &str, amount: f64, keep: Duration) {
         let keep = Seconds(keep);
         self.line("POST_AMOUNT", format_args!(" Lives={keep} Delta={amount} TallyId={name}"));
     }
-    fn tell(&mut self, news: &[News]) -> usize {
+    fn broadcast_usage(&mut self, news: &[UsageUpdate]) -> usize {
         let messages = message::encode(news);
         for bytes in &messages {
             self.line("WRITE_PEER", format_args!(" Target=-1 Bytes={bytes}"));
         }
         messages.len()
     }
-    fn ask(&mut self, peer: u32, question: u16, offer: &Offer) {
+    fn ask_peer(&mut self, peer: u32, question: u16, offer: &QuotaRequest) {
         self.line("WRITE_PEER", format_args!(" Target={peer} Bytes={}", message::question(question, offer)));
     }
-    fn answer(&mut self, peer: u32, question: u16, verdict: Verdict) {
+    fn answer_peer(&mut self, peer: u32, question: u16, verdict: QuotaDecision) {
         self.line("WRITE_PEER", format_args!(" Target={peer} Bytes={}", message::answer(question, verdict)));
     }
-    fn wake(&mut self, token: &str, after: Duration) {
+    fn set_timer(&mut self, token: &str, after: Duration) {
         self.line("NOTIFY_ME", format_args!(" Token={token} In={}", Seconds(after)));
     }
 }
--- a/crates/simulator-host/src/message.rs
+++ b/crates/simulator-host/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between gateways: news of customers, as much as a message holds, questions and answers.
 
 use base64::prelude::{Engine as _, BASE64_STANDARD as BASE64};
-use kitepass_gateway_policy::{News, Offer, Units, Verdict};
+use kitepass_gateway_policy::{QuotaDecision, QuotaRequest, Units, UsageUpdate};
 
 /// Bytes that a message holds, as the wire has it.
 const HOLDS: usize = 256;
@@ -13,9 +13,9 @@
 /// What a message holds, as its first byte says.
 #[derive(Debug, PartialEq)]
 pub enum Message {
-    News(Vec<News>),
-    Question { number: u16, offer: Offer },
-    Answer { number: u16, verdict: Verdict },
+    UsageUpdate(Vec<UsageUpdate>),
+    Question { number: u16, offer: QuotaRequest },
+    Answer { number: u16, verdict: QuotaDecision },
 }
 
 const NEWS: u8 = 0;
@@ -23,19 +23,19 @@
 const PASSES: u8 = 2;
 const BEYOND: u8 = 3;
 
-pub fn question(number: u16, offer: &Offer) -> String {
+pub fn question(number: u16, offer: &QuotaRequest) -> String {
     let mut bytes = vec![QUESTION, offer.plan as u8];
-    for part in [number, offer.width as u16, (offer.units * FINE).round() as u16] {
+    for part in [number, offer.gateways as u16, (offer.units * FINE).round() as u16] {
         bytes.extend_from_slice(&part.to_le_bytes());
     }
-    name(&mut bytes, &offer.customer);
+    name(&mut bytes, &offer.tenant);
     BASE64.encode(&bytes)
 }
 
-pub fn answer(number: u16, verdict: Verdict) -> String {
+pub fn answer(number: u16, verdict: QuotaDecision) -> String {
     let [low, high] = number.to_le_bytes();
     let ratio = (verdict.ratio * f64::from(u8::MAX)).round() as u8;
-    BASE64.encode([if verdict.beyond { BEYOND } else { PASSES }, low, high, ratio])
+    BASE64.encode([if verdict.exceeds { BEYOND } else { PASSES }, low, high, ratio])
 }
 
 fn name(bytes: &mut Vec<u8>, customer: &str) {
@@ -49,12 +49,12 @@
     bytes.extend_from_slice(&packed[..length]);
 }
 
-pub fn encode(news: &[News]) -> Vec<String> {
+pub fn encode(news: &[UsageUpdate]) -> Vec<String> {
     let mut messages = Vec::new();
     let mut bytes = vec![NEWS];
     for item in news {
-        let [a, b, c, d] = item.mark.to_le_bytes();
-        let [offered, sent] = [item.units.offered, item.units.sent].map(|units| units.round() as u8);
+        let [a, b, c, d] = item.tenant_hash.to_le_bytes();
+        let [offered, sent] = [item.units.offered, item.units.forwarded].map(|units| units.round() as u8);
         let mut next = vec![a, b, c, d, offered, sent];
         if bytes.len() + next.len() > HOLDS {
             messages.push(BASE64.encode(&bytes));
@@ -73,20 +73,24 @@
     let bytes = BASE64.decode(text).ok()?;
     Some(match *bytes.as_slice() {
         [NEWS, ref rest @ ..] => {
-            let item = |bytes: &[u8]| News {
-                mark: u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]),
-                units: Units { offered: bytes[4].into(), sent: bytes[5].into() },
+            let item = |bytes: &[u8]| UsageUpdate {
+                tenant_hash: u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]),
+                units: Units { offered: bytes[4].into(), forwarded: bytes[5].into() },
             };
-            Message::News(rest.chunks_exact(6).map(item).collect())
+            Message::UsageUpdate(rest.chunks_exact(6).map(item).collect())
         }
         [QUESTION, plan, a, b, c, d, e, f, ref rest @ ..] => {
             let [number, width, units] = [[a, b], [c, d], [e, f]].map(u16::from_le_bytes);
             let customer = named(rest)?;
             let (plan, width, units) = (plan.into(), width.into(), f64::from(units) / FINE);
-            Message::Question { number, offer: Offer { customer, plan, width, units } }
+            Message::Question {
+                number,
+                offer: QuotaRequest { tenant: customer, plan, gateways: width, units },
+            }
         }
         [kind @ (PASSES | BEYOND), a, b, ratio] => {
-            let verdict = Verdict { beyond: kind == BEYOND, ratio: f64::from(ratio) / f64::from(u8::MAX) };
+            let verdict =
+                QuotaDecision { exceeds: kind == BEYOND, ratio: f64::from(ratio) / f64::from(u8::MAX) };
             Message::Answer { number: u16::from_le_bytes([a, b]), verdict }
         }
         _ => return None,
@@ -129,30 +133,30 @@
 
     #[test]
     fn messages_come_back_and_hold_no_more_than_they_may() {
-        let item = |n: u32| News {
-            mark: n.wrapping_mul(0x9e37_79b9),
-            units: Units { offered: n.into(), sent: 2.0 },
+        let item = |n: u32| UsageUpdate {
+            tenant_hash: n.wrapping_mul(0x9e37_79b9),
+            units: Units { offered: n.into(), forwarded: 2.0 },
         };
         let told: Vec<_> = (0..61).map(item).collect();
         let messages = encode(&told);
         assert!(messages.len() > 1 && messages.iter().all(|m| m.len() <= 344));
         let back = messages.iter().filter_map(|m| decode(m)).flat_map(|m| match m {
-            Message::News(news) => news,
+            Message::UsageUpdate(news) => news,
             _ => Vec::new(),
         });
         assert_eq!(back.collect::<Vec<_>>(), told);
         let customer = "00ff00ff00ff00ff".to_owned();
-        let offer = Offer { customer, plan: 2, width: 300, units: 1.0 };
+        let offer = QuotaRequest { tenant: customer, plan: 2, gateways: 300, units: 1.0 };
         let asked = question(65535, &offer);
         assert_eq!(decode(&asked), Some(Message::Question { number: 65535, offer }));
-        let verdict = Verdict { beyond: true, ratio: 1.0 };
+        let verdict = QuotaDecision { exceeds: true, ratio: 1.0 };
         assert_eq!(decode(&answer(7, verdict)), Some(Message::Answer { number: 7, verdict }));
     }
 
     #[test]
     fn what_makes_no_sense_is_dropped() {
         for text in ["-", "no base64!", "", "AAAA", "/////w==", "Af8BAA=="] {
-            assert!(matches!(decode(text), None | Some(Message::News(_))), "{text}");
+            assert!(matches!(decode(text), None | Some(Message::UsageUpdate(_))), "{text}");
         }
     }
 }
