--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -144,6 +144,7 @@
     permits: Option<Vec<Arc<str>>>,
     class_of_mail: Option<f64>,
     rate_per_s: Option<f64>,
+    #[serde(rename = "surge")]
     burst: Option<f64>,
     home_provinces: Option<Vec<Arc<str>>>,
 }
