--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,33 +1,75 @@
-//! Why an operator's call is invalid, for the operator to read.
+//! Why an operator's change is invalid. Operators read these texts, and name things as the change does: a customer is
+//! a tenant, an itinerary a route, a carrier-line a service, a permit a key, and an edition a version.
 
 use snafu::Snafu;
 use std::sync::Arc;
 
-/// Why a call is invalid. Nothing of such a call may be taken.
+/// Why a change is invalid. Nothing of such a change may be applied.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ValidationError {
+    /// The change is not JSON.
     #[snafu(display("the call is not whole JSON: {source}"))]
-    Unreadable { source: serde_json::Error },
+    InvalidJson {
+        /// The parser's error.
+        source: serde_json::Error,
+    },
 
-    /// The call around its items is not laid out as one.
+    /// The structure around the items is wrong.
     #[snafu(display("{at}: {reason}"))]
-    Layout { at: String, reason: String },
+    Layout {
+        /// The dotted path to what is wrong.
+        at: String,
+        /// What is wrong there.
+        reason: String,
+    },
 
     /// An item is wrong by itself.
     #[snafu(display("{list} \"{name}\": {field}: {reason}"))]
-    Row { list: &'static str, name: String, field: String, reason: String },
+    InvalidItem {
+        /// The list that the item stands in.
+        list: &'static str,
+        /// The item's name.
+        name: String,
+        /// The field, or "item" where it is no single field.
+        field: String,
+        /// What is wrong with it.
+        reason: String,
+    },
 
-    /// The key stays out of the message: it is a secret, and messages go to logs.
+    /// Two tenants share a key. The key stays out of the message: it is a secret, and messages go to logs.
     #[snafu(display("customers \"{name}\": permits: one is also a permit of \"{other}\""))]
-    SharedKey { name: Arc<str>, other: Arc<str> },
+    SharedKey {
+        /// The tenant that the change sets.
+        name: Arc<str>,
+        /// The other tenant.
+        other: Arc<str>,
+    },
 
+    /// Two routes have the same host and path prefix.
     #[snafu(display("itineraries \"{name}\": depot and lane-prefix are those of \"{other}\""))]
-    SamePlace { name: Arc<str>, other: Arc<str> },
+    DuplicateRoute {
+        /// The route that the change sets.
+        name: Arc<str>,
+        /// The other route.
+        other: Arc<str>,
+    },
 
-    #[snafu(display("itineraries \"{name}\": line: there is no carrier-line \"{line}\""))]
-    UnknownLine { name: Arc<str>, line: String },
+    /// A route names a service that does not exist.
+    #[snafu(display("itineraries \"{name}\": line: there is no carrier-line \"{service}\""))]
+    UnknownService {
+        /// The route.
+        name: Arc<str>,
+        /// The service.
+        service: String,
+    },
 
-    #[snafu(display("carrier-lines \"{line}\": withdrawn, but itinerary \"{name}\" names it"))]
-    LineInUse { line: Arc<str>, name: Arc<str> },
+    /// A service is removed that a route names.
+    #[snafu(display("carrier-lines \"{service}\": withdrawn, but itinerary \"{name}\" names it"))]
+    ServiceInUse {
+        /// The service.
+        service: Arc<str>,
+        /// The route.
+        name: Arc<str>,
+    },
 }
--- a/crates/config/src/item_store/chunks.rs
+++ b/crates/config/src/item_store/chunks.rs
@@ -1,84 +1,111 @@
-//! What two copies differ in, in pieces: whole buckets, in order, as many as fit. A piece is worked out in one turn, so
-//! that whoever has merged it holds all that the other held of these buckets then; buckets that came before a break are
-//! equal after it and not sent again.
+//! What two stores differ in, in chunks: whole buckets, in order, as many as fit. A chunk is computed at once, so after
+//! merging it the receiver holds all that the sender held of these buckets then; buckets that were transferred before
+//! a connection broke are equal afterwards and not sent again.
 
-use super::{ItemStore, Kept, BUCKETS};
+use super::hashes::{digest_of_hashes, BucketHashes};
+use super::stored_item::StoredItem;
+use super::{ItemStore, BUCKETS};
 use crate::item::Item;
-use crate::version_history::Entry;
-use xxhash_rust::xxh3::xxh3_64;
+use crate::version_history::{Entry, VersionDigest};
 
-/// One piece: what differs in the buckets from the one that was asked for up to `next`.
+/// One chunk: what differs in the buckets from the one that was asked for up to `next_bucket`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Chunk<T> {
+    /// All items of the covered buckets that differ.
     pub items: Vec<T>,
     /// The first bucket that is not covered; [`BUCKETS`] when all are.
     pub next_bucket: usize,
-    /// A bit for each covered bucket that differs: all that is held in it is among the items.
+    /// A bitmap of the covered buckets that differ; empty if none does.
     pub differing_buckets: Vec<u8>,
-    /// Over the hashes of the covered buckets, as they are here.
+    /// Over the sender's hashes of the covered buckets.
     pub digest: u64,
 }
 
-fn bit(differs: &[u8], bucket: usize) -> bool {
-    differs.get(bucket / 8).is_some_and(|byte| byte >> (bucket % 8) & 1 == 1)
+fn is_marked(bitmap: &[u8], bucket: usize) -> bool {
+    bitmap.get(bucket / 8).is_some_and(|byte| byte >> (bucket % 8) & 1 == 1)
 }
 
-fn over(hashes: impl Iterator<Item = u64>) -> u64 {
-    xxh3_64(&hashes.flat_map(u64::to_le_bytes).collect::<Vec<u8>>())
+fn mark(bitmap: &mut [u8], bucket: usize) {
+    bitmap[bucket / 8] |= 1 << (bucket % 8);
 }
 
-/// What [`Chunk::digest`] must be if a piece has come whole: `given` are the hashes of a ledger that holds the piece's
-/// items and nothing else, `sent` those that the piece was worked out against.
-pub fn chunk_digest(given: &[u64; BUCKETS], sent: &[u64], from: usize, next: usize, differs: &[u8]) -> u64 {
-    let covered = from.min(BUCKETS)..next.min(BUCKETS);
-    let hash = |bucket: usize| match bit(differs, bucket) {
-        true => given[bucket],
-        false => sent.get(bucket).copied().unwrap_or_default(),
+/// What [`Chunk::digest`] must be if a chunk was received completely: `received` are the hashes of a store that holds
+/// the chunk's items and nothing else, `requested` those that the chunk was computed against.
+pub fn chunk_digest(
+    received: &[u64; BUCKETS],
+    requested: &[u64],
+    from_bucket: usize,
+    next_bucket: usize,
+    differing_buckets: &[u8],
+) -> u64 {
+    let covered = from_bucket.min(BUCKETS)..next_bucket.min(BUCKETS);
+    let hash_of = |bucket: usize| {
+        if is_marked(differing_buckets, bucket) {
+            received[bucket]
+        } else {
+            requested.get(bucket).copied().unwrap_or_default()
+        }
     };
-    over(covered.map(hash))
+    digest_of_hashes(covered.map(hash_of))
 }
 
 impl ItemStore {
-    /// The items of buckets that differ from another copy's, from a bucket on: whole buckets of at most `most` bytes in
-    /// all, but one that differs at least. A bucket that `theirs` is too short for differs.
-    pub fn chunk(&self, theirs: &[u64], from: usize, most: usize) -> Chunk<&Item> {
-        self.cut(&self.buckets, theirs, from, most, |kept| &kept.item)
+    /// The items of buckets that differ from another store's, from a bucket on: whole buckets of at most `max_bytes`
+    /// in all, but at least one that differs. A bucket that `their_hashes` is too short for differs.
+    pub fn chunk(&self, their_hashes: &[u64], from_bucket: usize, max_bytes: usize) -> Chunk<&Item> {
+        self.chunk_by(&self.buckets, their_hashes, from_bucket, max_bytes, |stored| &stored.item)
     }
 
-    /// As [`ItemStore::piece`], by [`ItemStore::whole_buckets`] and with the older versions.
-    pub fn history_chunk(&self, theirs: &[u64], from: usize, most: usize) -> Chunk<Entry<'_>> {
-        self.cut(&self.whole, theirs, from, most, Kept::entry)
+    /// As [`ItemStore::chunk`], by [`ItemStore::history_buckets`] and with the older versions.
+    pub fn history_chunk(
+        &self,
+        their_hashes: &[u64],
+        from_bucket: usize,
+        max_bytes: usize,
+    ) -> Chunk<Entry<'_>> {
+        self.chunk_by(&self.history_buckets, their_hashes, from_bucket, max_bytes, StoredItem::entry)
     }
 
-    fn cut<'a, T>(
+    fn chunk_by<'a, T>(
         &'a self,
-        mine: &[u64; BUCKETS],
-        theirs: &[u64],
-        from: usize,
-        most: usize,
-        of: impl Fn(&'a Kept) -> T,
+        own_hashes: &BucketHashes,
+        their_hashes: &[u64],
+        from_bucket: usize,
+        max_bytes: usize,
+        to_content: impl Fn(&'a StoredItem) -> T,
     ) -> Chunk<T> {
-        let from = from.min(BUCKETS);
-        let mut sizes = [0; BUCKETS];
-        for kept in self.kept() {
-            sizes[kept.bucket] += kept.item.wire_bytes() + std::mem::size_of_val(kept.past.as_slice());
-        }
-        let (mut next, mut size, mut differs) = (from, 0, vec![0; BUCKETS / 8]);
-        while next < BUCKETS {
-            if theirs.get(next) != Some(&mine[next]) {
-                if size > 0 && size + sizes[next] > most {
+        let own_hashes = own_hashes.as_array();
+        let from_bucket = from_bucket.min(BUCKETS);
+        let bucket_bytes = self.bucket_bytes();
+        let (mut next_bucket, mut bytes) = (from_bucket, 0);
+        let mut differing_buckets = vec![0; BUCKETS / 8];
+        while next_bucket < BUCKETS {
+            if their_hashes.get(next_bucket) != Some(&own_hashes[next_bucket]) {
+                if bytes > 0 && bytes + bucket_bytes[next_bucket] > max_bytes {
                     break;
                 }
-                size += sizes[next];
-                differs[next / 8] |= 1 << (next % 8);
+                bytes += bucket_bytes[next_bucket];
+                mark(&mut differing_buckets, next_bucket);
             }
-            next += 1;
+            next_bucket += 1;
+        }
+        let differing = self.stored_items().filter(|stored| is_marked(&differing_buckets, stored.bucket));
+        let items = differing.map(to_content).collect();
+        let digest = digest_of_hashes(own_hashes[from_bucket..next_bucket].iter().copied());
+        if differing_buckets.iter().all(|byte| *byte == 0) {
+            // The usual case, which takes no bytes on the wire.
+            differing_buckets = Vec::new();
         }
-        let items = self.kept().filter(|kept| bit(&differs, kept.bucket)).map(of).collect();
-        let digest = over(mine[from..next].iter().copied());
-        if size == 0 && differs.iter().all(|byte| *byte == 0) {
-            differs = Vec::new(); // mostly so, and then it takes no room
+        Chunk { items, next_bucket, differing_buckets, digest }
+    }
+
+    /// The size of each bucket's content. Bytes.
+    fn bucket_bytes(&self) -> [usize; BUCKETS] {
+        let mut bucket_bytes = [0; BUCKETS];
+        for stored in self.stored_items() {
+            let history_bytes = stored.older_versions.len() * size_of::<VersionDigest>();
+            bucket_bytes[stored.bucket] += stored.item.wire_bytes() + history_bytes;
         }
-        Chunk { items, next_bucket: next, differing_buckets: differs, digest }
+        bucket_bytes
     }
 }
--- a/crates/config/src/item_store/mod.rs
+++ b/crates/config/src/item_store/mod.rs
@@ -1,106 +1,53 @@
-//! All items known, with hashes that tell where two copies of a ledger differ.
+//! All known items, with hashes that tell where two stores differ.
 
 mod chunks;
+mod hashes;
+mod stored_item;
 
 use crate::item::{Item, Kind};
-use crate::version_history::{unite, Entry, MergeOutcome, VersionDigest, VersionStatus, MAX_OLDER_VERSIONS};
+use crate::version_history::{Entry, MergeOutcome, VersionDigest, VersionStatus};
+use hashes::BucketHashes;
 use std::collections::btree_map;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use xxhash_rust::xxh3::{xxh3_64, Xxh3};
+use stored_item::StoredItem;
 
 pub use chunks::{chunk_digest, Chunk};
 
-/// How many buckets the items are spread over for comparing copies.
+/// How many buckets the items are spread over for comparing stores. Both ends of a connection go by it.
 pub const BUCKETS: usize = 256;
 
-/// All items known, dropped ones as tombstones. Danger: without its tombstone a late copy of an old version would bring a
-/// dropped item back. So one of the configuration is taken out only by [`ItemStore::forget`], when no such copy is left;
-/// of backends that are gone the oldest are: whoever reads the platform's list puts that right.
+/// All known items, removed ones as tombstones.
 ///
-/// Merge is by item: the higher edition prevails; of equal editions that differ, the greater by (is set,
-/// bytes), so that all copies come to agree in whatever order they hear of them. For durable kinds the register
-/// lets one content alone be decided for an edition, so that only backends ever need the second rule.
+/// Invariant: without its tombstone a removed item would be brought back by a late copy of an old version. So the
+/// tombstone of a durable item is taken out only by [`ItemStore::purge`], when no such copy is left. Of backends the
+/// oldest tombstones are dropped ([`ItemStore::purge_dropped`]): the platform's next report corrects what that brings
+/// back.
 ///
-/// Of durable kinds up to [`MAX_OLDER_VERSIONS`] older decided versions are remembered by their marks: a call that comes
-/// again is known by them. Gateways compare copies by the newest versions alone ([`ItemStore::buckets`]), control
-/// processes by the older ones too ([`ItemStore::whole_buckets`]).
+/// Items are merged one by one: the higher version wins; of equal versions that differ, the greater by (is set, bytes).
+/// So all replicas converge, in whatever order they learn of items. Consensus commits one content alone for a version of
+/// a durable item, so only backends ever need the second rule.
+///
+/// Of durable items up to [`MAX_OLDER_VERSIONS`](crate::MAX_OLDER_VERSIONS) older committed versions are remembered by
+/// their digests, so that a repeated change is recognized. Data planes compare stores by the newest versions alone
+/// ([`ItemStore::buckets`]), control planes by the older ones too ([`ItemStore::history_buckets`]).
 #[derive(Clone, Debug)]
 pub struct ItemStore {
-    /// By kind, at `place(kind)`.
-    items: [BTreeMap<Arc<str>, Kept>; Kind::ALL.len()],
-    highest_version: [u64; Kind::ALL.len()],
-    /// The xor of the hashes of a bucket's items; 0 for an empty one.
-    buckets: Box<[u64; BUCKETS]>,
-    /// The same over items with their older versions.
-    whole: Box<[u64; BUCKETS]>,
-}
-
-#[derive(Clone, Debug)]
-struct Kept {
-    item: Item,
-    past: Vec<VersionDigest>,
-    hash: u64,
-    whole: u64,
-    bucket: usize,
+    /// By kind (at its [`index_of`]), then by name.
+    items: [BTreeMap<Arc<str>, StoredItem>; Kind::ALL.len()],
+    /// By kind, as `items`.
+    highest_versions: [u64; Kind::ALL.len()],
+    /// Over the newest versions.
+    buckets: BucketHashes,
+    /// Over the newest versions and the older ones.
+    history_buckets: BucketHashes,
 }
 
-impl Kept {
-    fn entry(&self) -> Entry<'_> {
-        Entry { item: &self.item, older_versions: &self.past }
-    }
-}
-
-fn place(kind: Kind) -> usize {
+/// The position of a kind in [`Kind::ALL`].
+fn index_of(kind: Kind) -> usize {
     kind as usize - 1
 }
 
-/// The same in every process and on every machine, as copies compare by it.
-fn hash(item: &Item) -> u64 {
-    // Backends that are gone are forgotten one day: whether a copy has done so must not show.
-    if item.kind == Kind::Backend && !item.is_set() {
-        return 0;
-    }
-    let mut hasher = Xxh3::new();
-    hasher.update(&[item.kind as u8, u8::from(item.is_set())]);
-    hasher.update(&item.version.to_le_bytes());
-    hasher.update(&(item.name.len() as u64).to_le_bytes());
-    hasher.update(item.name.as_bytes());
-    hasher.update(item.value.as_deref().unwrap_or_default());
-    hasher.digest()
-}
-
-/// `hash` with the older versions.
-fn whole(hash: u64, past: &[VersionDigest]) -> u64 {
-    if past.is_empty() {
-        return hash;
-    }
-    let mut hasher = Xxh3::new();
-    hasher.update(&hash.to_le_bytes());
-    for version_digest in past {
-        hasher.update(&version_digest.version.to_le_bytes());
-        hasher.update(&version_digest.digest.to_le_bytes());
-    }
-    hasher.digest()
-}
-
-/// One number for all buckets.
-fn digest(buckets: &[u64; BUCKETS]) -> u64 {
-    let mut bytes = [0; BUCKETS * 8];
-    for (room, hash) in bytes.chunks_exact_mut(8).zip(buckets) {
-        room.copy_from_slice(&hash.to_le_bytes());
-    }
-    xxh3_64(&bytes)
-}
-
-/// By kind and name alone, so that all versions of an item share a bucket.
-fn bucket(item: &Item) -> usize {
-    let mut hasher = Xxh3::new();
-    hasher.update(&[item.kind as u8]);
-    hasher.update(item.name.as_bytes());
-    hasher.digest() as usize % BUCKETS
-}
-
 impl Default for ItemStore {
     fn default() -> ItemStore {
         ItemStore::new()
@@ -108,248 +55,181 @@
 }
 
 impl ItemStore {
+    /// An empty store.
     pub fn new() -> ItemStore {
-        let buckets = || Box::new([0; BUCKETS]);
         ItemStore {
             items: Default::default(),
-            highest_version: [0; Kind::ALL.len()],
-            buckets: buckets(),
-            whole: buckets(),
+            highest_versions: [0; Kind::ALL.len()],
+            buckets: BucketHashes::new(),
+            history_buckets: BucketHashes::new(),
         }
     }
 
-    /// Takes what another copy knows of an item; whether that changed its newest version. An older one is remembered.
+    /// Merges an item that another replica holds; whether that changed its newest version. An older one is remembered.
     pub fn merge(&mut self, item: Item) -> bool {
         self.merge_with_history(item, &[]) == MergeOutcome::NewestChanged
     }
 
-    /// Takes what another copy knows of an item and of its older versions.
-    pub fn merge_with_history(&mut self, item: Item, past: &[VersionDigest]) -> MergeOutcome {
-        let place = place(item.kind);
-        self.highest_version[place] = self.highest_version[place].max(item.version);
-        let keeps_past = item.kind.is_durable();
-        let btree_map::Entry::Occupied(mut occupied) = self.items[place].entry(item.name.clone()) else {
-            let mut older = Vec::new();
-            if keeps_past {
-                unite(&mut older, item.version, past);
+    /// Merges an item that another replica holds, and its older versions.
+    pub fn merge_with_history(&mut self, item: Item, older_versions: &[VersionDigest]) -> MergeOutcome {
+        let index = index_of(item.kind);
+        self.highest_versions[index] = self.highest_versions[index].max(item.version);
+        match self.items[index].entry(item.name.clone()) {
+            btree_map::Entry::Vacant(vacant) => {
+                let stored = vacant.insert(StoredItem::new(item, older_versions));
+                self.buckets.toggle(stored.bucket, stored.hash);
+                self.history_buckets.toggle(stored.bucket, stored.history_hash);
+                MergeOutcome::NewestChanged
             }
-            let (hash, bucket) = (hash(&item), bucket(&item));
-            let whole = whole(hash, &older);
-            self.buckets[bucket] ^= hash;
-            self.whole[bucket] ^= whole;
-            let name = item.name.clone();
-            self.items[place].insert(name, Kept { item, past: older, hash, whole, bucket });
-            return MergeOutcome::NewestChanged;
-        };
-        let kept = occupied.get_mut();
-        let is_news = (item.version, &item.value) > (kept.item.version, &kept.item.value);
-        if !is_news && item.version == kept.item.version && past.is_empty() {
-            return MergeOutcome::Unchanged;
-        }
-        let (mut version_digest, was) = (item.version_digest(), kept.hash);
-        if is_news {
-            version_digest = std::mem::replace(&mut kept.item, item).version_digest();
-            kept.hash = hash(&kept.item);
-            self.buckets[kept.bucket] ^= was ^ kept.hash;
-        }
-        let below = kept.item.version;
-        let remembers = keeps_past
-            && (unite(&mut kept.past, below, past) | unite(&mut kept.past, below, &[version_digest]));
-        if !is_news && !remembers {
-            return MergeOutcome::Unchanged;
-        }
-        self.whole[kept.bucket] ^= kept.whole;
-        kept.whole = whole(kept.hash, &kept.past);
-        self.whole[kept.bucket] ^= kept.whole;
-        if is_news {
-            MergeOutcome::NewestChanged
-        } else {
-            MergeOutcome::HistoryChanged
-        }
-    }
-
-    /// How an item of a call stands to what is decided. Not for backends, of which the last word is always taken.
-    pub fn version_status(&self, item: &Item) -> VersionStatus {
-        let Some(kept) = self.items[place(item.kind)].get(&item.name) else {
-            return VersionStatus::Undecided;
-        };
-        if kept.item.version < item.version {
-            return VersionStatus::Undecided;
-        }
-        if kept.item.version == item.version {
-            return if kept.item.value == item.value {
-                VersionStatus::SameContent
-            } else {
-                VersionStatus::DifferentContent
-            };
-        }
-        match kept.past.iter().find(|version_digest| version_digest.version == item.version) {
-            Some(version_digest) if *version_digest == item.version_digest() => VersionStatus::SameContent,
-            Some(_) => VersionStatus::DifferentContent,
-            // Whether it was decided once is forgotten.
-            None if kept.past.len() == MAX_OLDER_VERSIONS && item.version < kept.past[0].version => {
-                VersionStatus::Forgotten
+            btree_map::Entry::Occupied(mut occupied) => {
+                let stored = occupied.get_mut();
+                let (hash_before, history_hash_before) = (stored.hash, stored.history_hash);
+                let outcome = stored.merge(item, older_versions);
+                self.buckets.toggle(stored.bucket, hash_before ^ stored.hash);
+                self.history_buckets.toggle(stored.bucket, history_hash_before ^ stored.history_hash);
+                outcome
             }
-            None => VersionStatus::Undecided,
         }
     }
 
-    /// The older versions that are remembered of an item, the lowest first.
-    pub fn older_versions(&self, kind: Kind, name: &str) -> &[VersionDigest] {
-        self.items[place(kind)].get(name).map_or(&[], |kept| &kept.past)
+    /// Whether an item of an operator's change has an effect: no version as high is known. To be asked before such an
+    /// item is merged, as `merge` lets one of two equal versions win where a change must have no effect.
+    pub fn is_newer(&self, item: &Item) -> bool {
+        self.get(item.kind, &item.name).is_none_or(|known| known.version < item.version)
     }
 
-    /// The item with its older versions.
-    pub fn entry(&self, kind: Kind, name: &str) -> Option<Entry<'_>> {
-        self.items[place(kind)].get(name).map(Kept::entry)
+    /// Merges an item of an operator's change if its version is higher than the known one; whether it was.
+    pub fn apply(&mut self, item: Item) -> bool {
+        self.is_newer(&item) && self.merge(item)
     }
 
-    /// All items with their older versions, by kind and name.
-    pub fn entries(&self) -> impl Iterator<Item = Entry<'_>> {
-        self.kept().map(Kept::entry)
+    /// How an item of a change compares with what is committed. Not for backends: their last report always wins.
+    pub fn version_status(&self, item: &Item) -> VersionStatus {
+        let stored = self.items[index_of(item.kind)].get(&item.name);
+        stored.map_or(VersionStatus::Undecided, |stored| stored.version_status(item))
     }
 
-    /// Whether an item of an operator's call has an effect: no version as high is known. To be asked before
-    /// such an item is merged, as `merge` lets one of two equal editions win where a call must change nothing.
-    pub fn is_newer(&self, item: &Item) -> bool {
-        self.get(item.kind, &item.name).is_none_or(|known| known.version < item.version)
+    /// The item, be it set or removed.
+    pub fn get(&self, kind: Kind, name: &str) -> Option<&Item> {
+        self.items[index_of(kind)].get(name).map(|stored| &stored.item)
     }
 
-    /// Merges an item of an operator's call, which only a higher edition lets have an effect; whether it had.
-    pub fn apply(&mut self, item: Item) -> bool {
-        self.is_newer(&item) && self.merge(item)
+    /// The item with its older versions.
+    pub fn entry(&self, kind: Kind, name: &str) -> Option<Entry<'_>> {
+        self.items[index_of(kind)].get(name).map(StoredItem::entry)
     }
 
-    /// The item, be it set or dropped.
-    pub fn get(&self, kind: Kind, name: &str) -> Option<&Item> {
-        self.items[place(kind)].get(name).map(|kept| &kept.item)
+    /// The older versions of an item that are remembered, by ascending number.
+    pub fn older_versions(&self, kind: Kind, name: &str) -> &[VersionDigest] {
+        self.items[index_of(kind)].get(name).map_or(&[], |stored| &stored.older_versions)
     }
 
-    /// The items of a kind, dropped ones too, by name.
+    /// The items of a kind, removed ones too, by name.
     pub fn items_of(&self, kind: Kind) -> impl Iterator<Item = &Item> {
-        self.items[place(kind)].values().map(|kept| &kept.item)
+        self.items[index_of(kind)].values().map(|stored| &stored.item)
     }
 
-    /// All items, dropped ones too, by kind and name.
+    /// All items, removed ones too, by kind and name.
     pub fn items(&self) -> impl Iterator<Item = &Item> {
-        self.kept().map(|kept| &kept.item)
+        self.stored_items().map(|stored| &stored.item)
     }
 
-    fn kept(&self) -> impl Iterator<Item = &Kept> {
+    /// All items with their older versions, by kind and name.
+    pub fn entries(&self) -> impl Iterator<Item = Entry<'_>> {
+        self.stored_items().map(StoredItem::entry)
+    }
+
+    fn stored_items(&self) -> impl Iterator<Item = &StoredItem> {
         self.items.iter().flat_map(BTreeMap::values)
     }
 
-    /// How many items are known, dropped ones too.
+    /// How many items are known, removed ones too.
     pub fn len(&self) -> usize {
         self.items.iter().map(BTreeMap::len).sum()
     }
 
+    /// Whether no item is known.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// One number for all newest versions: equal for equal ledgers, and for others but by a rare chance.
+    /// The highest version known of a kind; 0 where there is none.
+    pub fn highest_version(&self, kind: Kind) -> u64 {
+        self.highest_versions[index_of(kind)]
+    }
+
+    /// One number for all newest versions: equal for equal stores, and different for others but for hash collisions.
     pub fn digest(&self) -> u64 {
-        digest(&self.buckets)
+        self.buckets.digest()
     }
 
-    /// The same with the older versions.
+    /// As [`ItemStore::digest`], over the older versions too.
     pub fn history_digest(&self) -> u64 {
-        digest(&self.whole)
+        self.history_buckets.digest()
     }
 
-    /// A hash for each bucket of items; 0 for an empty one.
+    /// A hash over the newest versions of each bucket's items; 0 for an empty bucket.
     pub fn buckets(&self) -> &[u64; BUCKETS] {
-        &self.buckets
+        self.buckets.as_array()
     }
 
-    /// As [`ItemStore::buckets`], with the older versions.
+    /// As [`ItemStore::buckets`], over the older versions too.
     pub fn history_buckets(&self) -> &[u64; BUCKETS] {
-        &self.whole
+        self.history_buckets.as_array()
     }
 
-    /// The items in the buckets whose hash differs from another copy's. A bucket that `theirs` is too short
-    /// for differs.
-    pub fn differing<'a>(&'a self, theirs: &'a [u64]) -> impl Iterator<Item = &'a Item> {
-        self.kept()
-            .filter(move |kept| theirs.get(kept.bucket) != Some(&self.buckets[kept.bucket]))
-            .map(|kept| &kept.item)
+    /// The items in the buckets whose hash differs from another store's. A bucket that `their_hashes` is too short for
+    /// differs.
+    pub fn differing<'a>(&'a self, their_hashes: &'a [u64]) -> impl Iterator<Item = &'a Item> {
+        let own_hashes = self.buckets();
+        self.stored_items()
+            .filter(move |stored| their_hashes.get(stored.bucket) != Some(&own_hashes[stored.bucket]))
+            .map(|stored| &stored.item)
     }
 
-    /// As [`ItemStore::differing`], with the older versions.
-    pub fn history_differing<'a>(&'a self, theirs: &'a [u64]) -> impl Iterator<Item = Entry<'a>> {
-        self.kept()
-            .filter(move |kept| theirs.get(kept.bucket) != Some(&self.whole[kept.bucket]))
-            .map(Kept::entry)
+    /// As [`ItemStore::differing`], by [`ItemStore::history_buckets`] and with the older versions.
+    pub fn history_differing<'a>(&'a self, their_hashes: &'a [u64]) -> impl Iterator<Item = Entry<'a>> {
+        let own_hashes = self.history_buckets();
+        self.stored_items()
+            .filter(move |stored| their_hashes.get(stored.bucket) != Some(&own_hashes[stored.bucket]))
+            .map(StoredItem::entry)
     }
 
-    /// Forgets that an item was dropped, if that is what is known of it and by this very version; whether it was.
+    /// Purges an item's tombstone, if the newest version known of it is a removal with this number; whether it was.
     pub fn purge(&mut self, kind: Kind, name: &str, version: u64) -> bool {
-        let items = &mut self.items[place(kind)];
-        if items.get(name).is_none_or(|kept| kept.item.is_set() || kept.item.version != version) {
-            return false;
+        let is_this_tombstone =
+            self.get(kind, name).is_some_and(|item| !item.is_set() && item.version == version);
+        if is_this_tombstone {
+            self.forget(kind, name);
         }
-        if let Some(kept) = items.remove(name) {
-            self.buckets[kept.bucket] ^= kept.hash;
-            self.whole[kept.bucket] ^= kept.whole;
-        }
-        true
+        is_this_tombstone
     }
 
-    /// Forgets the oldest dropped items of a kind, beyond so many. For kinds alone that somebody tells anew.
-    pub fn purge_dropped(&mut self, kind: Kind, most: usize) {
-        let items = &mut self.items[place(kind)];
-        if items.len() <= most {
+    /// Purges the oldest tombstones of a kind where there are more than `max_tombstones`. Three quarters of that many
+    /// are left, so that this is rare. Only for kinds whose items are reported again.
+    pub fn purge_dropped(&mut self, kind: Kind, max_tombstones: usize) {
+        let items = &self.items[index_of(kind)];
+        if items.len() <= max_tombstones {
             return;
         }
-        let mut dropped: Vec<(u64, Arc<str>)> = items
-            .values()
-            .filter(|kept| !kept.item.is_set())
-            .map(|kept| (kept.item.version, kept.item.name.clone()))
-            .collect();
-        // By a quarter at a time, so that this is rare.
-        if dropped.len() > most {
-            dropped.sort();
-            dropped.truncate(dropped.len() - most * 3 / 4);
-            for (_, name) in dropped {
-                if let Some(kept) = items.remove(&name) {
-                    self.buckets[kept.bucket] ^= kept.hash;
-                    self.whole[kept.bucket] ^= kept.whole;
-                }
-            }
+        let tombstones = items.values().map(|stored| &stored.item).filter(|item| !item.is_set());
+        let mut tombstones: Vec<(u64, Arc<str>)> =
+            tombstones.map(|item| (item.version, item.name.clone())).collect();
+        if tombstones.len() <= max_tombstones {
+            return;
+        }
+        tombstones.sort();
+        tombstones.truncate(tombstones.len() - max_tombstones * 3 / 4);
+        for (_, name) in tombstones {
+            self.forget(kind, &name);
         }
     }
 
-    /// The highest edition known of a kind; 0 where there is none.
-    pub fn highest_version(&self, kind: Kind) -> u64 {
-        self.highest_version[place(kind)]
-    }
-}
-
-#[cfg(test)]
-mod forgetting {
-    use super::*;
-
-    /// Whether a copy has forgotten a backend that is gone does not show in its hashes, and what is kept is bounded.
-    #[test]
-    fn backends_that_are_gone_are_forgotten_without_a_trace() {
-        let item = |n: u64, value: Option<&'static str>| Item {
-            kind: Kind::Backend,
-            name: format!("b{n}").into(),
-            version: n + 1,
-            value: value.map(bytes::Bytes::from),
-        };
-        let (mut one, mut two) = (ItemStore::new(), ItemStore::new());
-        for n in 0..100 {
-            one.merge(item(n, Some("{}")));
-            one.merge(Item { version: 1_000 + n, ..item(n, None) });
-        }
-        for item_store in [&mut one, &mut two] {
-            item_store.merge(item(200, Some("{}")));
+    /// Takes an item out, with all that is known of it.
+    fn forget(&mut self, kind: Kind, name: &str) {
+        if let Some(stored) = self.items[index_of(kind)].remove(name) {
+            self.buckets.toggle(stored.bucket, stored.hash);
+            self.history_buckets.toggle(stored.bucket, stored.history_hash);
         }
-        assert_eq!(one.digest(), two.digest());
-        one.purge_dropped(Kind::Backend, 40);
-        assert_eq!((one.digest(), one.len()), (two.digest(), 31));
-        assert!(one.get(Kind::Backend, "b99").is_some() && one.get(Kind::Backend, "b0").is_none());
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,28 +1,30 @@
-//! The configuration of the load balancer, without any I/O: its items and their merge ([`ItemStore`]), the
-//! operator's calls and what makes them invalid ([`parse_change_request`], [`validation`]), their JSON form ([`to_configuration`]),
-//! typed readings ([`Route`], [`Tenant`], [`Service`], [`Limits`]) and what the data plane routes by ([`RoutingTable`]).
-
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
+//! The configuration of the load balancer, without any I/O.
+//!
+//! Its unit is the [`Item`]: a route, a tenant, a service and the like, with a name and a version. An [`ItemStore`] holds
+//! and merges items, and finds out where two replicas differ ([`Chunk`]). Operators' changes are parsed
+//! ([`parse_change_request`]), validated ([`validate`]) and read back ([`to_configuration`]) as JSON. Data planes use
+//! the typed form of items ([`Route`], [`Tenant`], [`Service`], [`Limits`]) and route by a [`RoutingTable`].
 
 mod change_request;
+mod configuration;
 mod error;
+mod host_key;
 mod item;
+mod item_json;
 mod item_store;
 mod model;
+mod record;
 mod routing_table;
 mod validation;
 mod version_history;
 
-pub use change_request::{parse_change_request, to_change_request, to_configuration, SchemaValidator};
+pub use change_request::{parse_change_request, SchemaValidator};
+pub use configuration::{to_change_request, to_configuration};
 pub use error::ValidationError;
 pub use item::{Item, Kind};
 pub use item_store::{chunk_digest, Chunk, ItemStore, BUCKETS};
 pub use model::{Limits, RequestSafety, Route, Service, Tenant};
+pub use record::{decode_record, encode_key, encode_record};
 pub use routing_table::RoutingTable;
 pub use validation::validate;
-pub use version_history::{
-    decode_record, encode_key, encode_record, Entry, MergeOutcome, VersionDigest, VersionStatus,
-    MAX_OLDER_VERSIONS,
-};
+pub use version_history::{Entry, MergeOutcome, VersionDigest, VersionStatus, MAX_OLDER_VERSIONS};
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,85 +1,97 @@
-//! Items as the data plane uses them. Reading is tolerant: fields that are not known are passed over.
+//! Items as the data plane uses them. Reading is tolerant: unknown fields are ignored.
 
 use crate::item::{Item, Kind};
-use serde::Deserialize;
+use crate::item_json::{parse_value, LimitsJson, RouteJson, SafetyJson, ServiceJson, TenantJson};
 use smallvec::SmallVec;
-use std::borrow::Cow;
-use std::ops::Deref;
 use std::sync::Arc;
 
 /// How a route's requests may be treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestSafety {
+    /// Without side effects, so a request may be processed more than once.
     Safe,
+    /// With side effects, so a request must not be processed more than once.
     Unsafe,
+    /// With side effects, and with a key by which a service can recognize a repeated request. The data plane treats it
+    /// as `Unsafe`.
     Keyed,
 }
 
-/// An itinerary: which requests go to which services, and how.
+/// Which requests go to which services, and how.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
+    /// The item's name.
     pub name: Arc<str>,
+    /// The item's version.
     pub version: u64,
-    /// As sent; compared without regard to case.
+    /// As the operator wrote it; compared without regard to case and port.
     pub host: Arc<str>,
     /// Begins and ends with a slash.
     pub path_prefix: Arc<str>,
+    /// How the requests may be treated.
     pub safety: RequestSafety,
-    /// Milliseconds.
+    /// How long a request may take. Milliseconds.
     pub deadline_ms: u32,
-    /// Milliseconds; the deadline if the item has none.
+    /// How long a request should take; the deadline if the item has none. Milliseconds.
     pub target_ms: u32,
-    /// `Route::CLASS` if the item has none.
+    /// The priority class; [`Route::DEFAULT_CLASS`] if the item has none.
     pub class: u8,
     /// Services and their weights, none below 0, their sum above 0.
     pub services: SmallVec<[(Arc<str>, f64); 2]>,
-    /// How often a request may be tried in all; at least 1.
+    /// How many attempts a request may take in all; at least 1.
     pub max_attempts: u32,
     /// Whether requests need no key.
     pub allows_no_key: bool,
-    /// Provinces; none for any.
+    /// The regions whose backends may serve the requests; none for any.
     pub homes: Vec<Arc<str>>,
 }
 
 /// A customer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
+    /// The item's name.
     pub name: Arc<str>,
+    /// The item's version.
     pub version: u64,
-    /// Its keys.
+    /// The API keys that identify its requests. Secrets: not to be logged.
     pub keys: Vec<Arc<str>>,
+    /// The priority class, if the item has one.
     pub class: Option<u8>,
     /// Requests a second; 0 for no limit.
     pub rate: f64,
     /// Requests at once above the rate; 0 for no limit.
     pub burst: f64,
-    /// Provinces; none for any.
+    /// The regions whose backends may serve its requests; none for any.
     pub homes: Vec<Arc<str>>,
 }
 
-/// A service.
+/// A group of backends that serve the same requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
+    /// The item's name.
     pub name: Arc<str>,
+    /// The item's version.
     pub version: u64,
-    /// The path that tells whether a backend is well; "" if the item has none.
+    /// The path of health checks; "" if the item has none.
     pub health_path: Arc<str>,
-    /// Requests at once for a backend; 0 if the item has none.
+    /// Concurrent requests for a backend; 0 if the item has none.
     pub max_concurrency: u32,
-    /// Seconds; 0 if the item has none.
+    /// How long a new backend's slow start takes; 0 if the item has none. Seconds.
     pub slow_start_s: f64,
-    /// Requests a second; 0 if the item has none.
+    /// Requests a second for a backend in slow start; 0 if the item has none.
     pub slow_start_rate: f64,
 }
 
 /// The limits that hold for every request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
+    /// The greatest request head. Bytes.
     pub head_bytes: usize,
+    /// The greatest request body. Bytes.
     pub body_bytes: u64,
-    /// Milliseconds.
+    /// How long a request head may take to arrive. Milliseconds.
     pub head_ms: u32,
-    /// Milliseconds.
+    /// How long a connection may be idle. Milliseconds.
     pub idle_ms: u32,
 }
 
@@ -89,186 +101,89 @@
     }
 }
 
-/// Borrowed where it has no escapes. A type of its own because serde copies a `Cow` inside a list or an option.
-#[derive(Deserialize, PartialEq, Eq, Hash)]
-#[serde(transparent)]
-pub(crate) struct Text<'a>(#[serde(borrow)] Cow<'a, str>);
-
-impl Deref for Text<'_> {
-    type Target = str;
-
-    fn deref(&self) -> &str {
-        &self.0
-    }
-}
-
-/// Numbers are all read as `f64`, since 3000.0 is as good as 3000; `as` brings those too great to the greatest.
-#[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub(crate) struct RouteText<'a> {
-    #[serde(borrow)]
-    pub depot: Text<'a>,
-    #[serde(borrow)]
-    pub lane_prefix: Text<'a>,
-    mail_kind: Kinds,
-    pub deadline_ms: f64,
-    pub target_ms: Option<f64>,
-    class_of_mail: Option<f64>,
-    #[serde(borrow)]
-    pub share_list: Option<Vec<ShareText<'a>>>,
-    #[serde(borrow)]
-    pub line: Option<Text<'a>>,
-    tries: Option<f64>,
-    unstamped: Option<bool>,
-    home_provinces: Option<Vec<Arc<str>>>,
-}
-
-#[derive(Deserialize)]
-pub(crate) struct ShareText<'a> {
-    #[serde(borrow)]
-    pub line: Text<'a>,
-    pub share: f64,
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-enum Kinds {
-    Safe,
-    Unsafe,
-    Posting,
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-struct TenantText {
-    permits: Option<Vec<Arc<str>>>,
-    class_of_mail: Option<f64>,
-    rate_per_s: Option<f64>,
-    #[serde(rename = "surge")]
-    burst: Option<f64>,
-    home_provinces: Option<Vec<Arc<str>>>,
-}
-
-/// Only a tenant's keys, for judging many tenants fast.
-#[derive(Deserialize)]
-pub(crate) struct PermitsText<'a> {
-    #[serde(borrow, default)]
-    pub permits: Vec<Text<'a>>,
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-struct LineText {
-    checkpoint: Option<Arc<str>>,
-    berth_cap: Option<f64>,
-    cold_s: Option<f64>,
-    cold_rate_s: Option<f64>,
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-struct LimitsText {
-    envelope_bytes: Option<f64>,
-    body_bytes: Option<f64>,
-    envelope_ms: Option<f64>,
-    idle_ms: Option<f64>,
-}
-
-/// The text of a standing item of a kind; `None` if it is of another kind, dropped, or not to be read.
-pub(crate) fn read<'a, T: Deserialize<'a>>(item: &'a Item, kind: Kind) -> Option<T> {
-    let value = item.value.as_ref().filter(|_| item.kind == kind)?;
-    serde_json::from_slice(value).ok()
-}
-
 impl Route {
     /// The class of a route whose item names none.
-    pub const CLASS: u8 = 1;
+    pub const DEFAULT_CLASS: u8 = 1;
 
-    /// The route of an item; `None` for another kind, a dropped item, or one that cannot be read.
+    /// The route of an item; `None` for another kind, a removed item, or one that cannot be parsed.
     pub fn from_item(item: &Item) -> Option<Route> {
-        let text: RouteText = read(item, Kind::Route)?;
-        let deadline_ms = text.deadline_ms as u32;
-        let lines = match (text.share_list, text.line) {
-            (Some(shares), _) => {
-                shares.into_iter().map(|share| (Arc::from(&*share.line), share.share)).collect()
-            }
-            (None, Some(line)) => SmallVec::from_iter([(Arc::from(&*line), 1.0)]),
-            (None, None) => SmallVec::new(),
-        };
+        let json: RouteJson = parse_value(item, Kind::Route)?;
+        let deadline_ms = json.deadline_ms as u32;
         Some(Route {
             name: item.name.clone(),
             version: item.version,
-            host: Arc::from(&*text.depot),
-            path_prefix: Arc::from(&*text.lane_prefix),
-            safety: match text.mail_kind {
-                Kinds::Safe => RequestSafety::Safe,
-                Kinds::Unsafe => RequestSafety::Unsafe,
-                Kinds::Posting => RequestSafety::Keyed,
+            host: Arc::from(&*json.host),
+            path_prefix: Arc::from(&*json.path_prefix),
+            safety: match json.safety {
+                SafetyJson::Safe => RequestSafety::Safe,
+                SafetyJson::Unsafe => RequestSafety::Unsafe,
+                SafetyJson::Keyed => RequestSafety::Keyed,
             },
             deadline_ms,
-            target_ms: text.target_ms.map_or(deadline_ms, |target| target as u32),
-            class: text.class_of_mail.map_or(Route::CLASS, |class| class as u8),
-            services: lines,
-            max_attempts: text.tries.map_or(1, |tries| (tries as u32).max(1)),
-            allows_no_key: text.unstamped.unwrap_or(false),
-            homes: text.home_provinces.unwrap_or_default(),
+            target_ms: json.target_ms.map_or(deadline_ms, |target_ms| target_ms as u32),
+            class: json.class.map_or(Route::DEFAULT_CLASS, |class| class as u8),
+            services: services_of(&json),
+            max_attempts: json.max_attempts.map_or(1, |max_attempts| (max_attempts as u32).max(1)),
+            allows_no_key: json.allows_no_key.unwrap_or(false),
+            homes: json.home_regions.unwrap_or_default(),
         })
     }
 }
 
+/// A route's services and their weights. A list of weighted services overrides a single service.
+fn services_of(json: &RouteJson) -> SmallVec<[(Arc<str>, f64); 2]> {
+    match (&json.weighted_services, &json.service) {
+        (Some(weighted_services), _) => weighted_services
+            .iter()
+            .map(|weighted| (Arc::from(&*weighted.service), weighted.weight))
+            .collect(),
+        (None, Some(service)) => SmallVec::from_iter([(Arc::from(&**service), 1.0)]),
+        (None, None) => SmallVec::new(),
+    }
+}
+
 impl Tenant {
-    /// The tenant of an item; `None` for another kind, a dropped item, or one that cannot be read.
+    /// The tenant of an item; `None` for another kind, a removed item, or one that cannot be parsed.
     pub fn from_item(item: &Item) -> Option<Tenant> {
-        let text: TenantText = read(item, Kind::Tenant)?;
+        let json: TenantJson = parse_value(item, Kind::Tenant)?;
         Some(Tenant {
             name: item.name.clone(),
             version: item.version,
-            keys: text.permits.unwrap_or_default(),
-            class: text.class_of_mail.map(|class| class as u8),
-            rate: text.rate_per_s.unwrap_or(0.0),
-            burst: text.burst.unwrap_or(0.0),
-            homes: text.home_provinces.unwrap_or_default(),
+            keys: json.keys.unwrap_or_default(),
+            class: json.class.map(|class| class as u8),
+            rate: json.rate.unwrap_or(0.0),
+            burst: json.burst.unwrap_or(0.0),
+            homes: json.home_regions.unwrap_or_default(),
         })
     }
 }
 
 impl Service {
-    /// The service of an item; `None` for another kind, a dropped item, or one that cannot be read.
+    /// The service of an item; `None` for another kind, a removed item, or one that cannot be parsed.
     pub fn from_item(item: &Item) -> Option<Service> {
-        let text: LineText = read(item, Kind::Service)?;
+        let json: ServiceJson = parse_value(item, Kind::Service)?;
         Some(Service {
             name: item.name.clone(),
             version: item.version,
-            health_path: text.checkpoint.unwrap_or_default(),
-            max_concurrency: text.berth_cap.unwrap_or(0.0) as u32,
-            slow_start_s: text.cold_s.unwrap_or(0.0),
-            slow_start_rate: text.cold_rate_s.unwrap_or(0.0),
+            health_path: json.health_path.unwrap_or_default(),
+            max_concurrency: json.max_concurrency.unwrap_or(0.0) as u32,
+            slow_start_s: json.slow_start_s.unwrap_or(0.0),
+            slow_start_rate: json.slow_start_rate.unwrap_or(0.0),
         })
     }
 }
 
 impl Limits {
-    /// The limits of an item, what it leaves out by default; `None` for another kind, a dropped item, or one
-    /// that cannot be read.
+    /// The limits of an item, those that it leaves out by default; `None` for another kind, a removed item, or one that
+    /// cannot be parsed.
     pub fn from_item(item: &Item) -> Option<Limits> {
-        let text: LimitsText = read(item, Kind::Limits)?;
+        let json: LimitsJson = parse_value(item, Kind::Limits)?;
         let default = Limits::default();
         Some(Limits {
-            head_bytes: text.envelope_bytes.map_or(default.head_bytes, |number| number as usize),
-            body_bytes: text.body_bytes.map_or(default.body_bytes, |number| number as u64),
-            head_ms: text.envelope_ms.map_or(default.head_ms, |number| number as u32),
-            idle_ms: text.idle_ms.map_or(default.idle_ms, |number| number as u32),
+            head_bytes: json.head_bytes.map_or(default.head_bytes, |bytes| bytes as usize),
+            body_bytes: json.body_bytes.map_or(default.body_bytes, |bytes| bytes as u64),
+            head_ms: json.head_ms.map_or(default.head_ms, |ms| ms as u32),
+            idle_ms: json.idle_ms.map_or(default.idle_ms, |ms| ms as u32),
         })
     }
 }
-
-/// A host as it is compared: in small letters, without a port.
-pub(crate) type HostKey = SmallVec<[u8; 64]>;
-
-/// The host as it is compared, of a depot or of a request's host.
-pub(crate) fn host_key(host: &[u8]) -> HostKey {
-    let port = host.iter().rposition(|byte| *byte == b':');
-    // In "[::1]" the last colon begins no port.
-    let port = port.filter(|at| host[at + 1..].iter().all(u8::is_ascii_digit));
-    host[..port.unwrap_or(host.len())].iter().map(u8::to_ascii_lowercase).collect()
-}
--- /dev/null
+++ b/crates/config/src/record.rs
@@ -0,0 +1,85 @@
+//! The record in which an item and its older versions are stored on disk. Numbers are big-endian.
+//!
+//! * Key: the number of the kind (u8), then the name (UTF-8).
+//! * Value: version (u64); flags (u8, see [`FLAG_SET`] and [`FLAG_HAS_OLDER_VERSIONS`]); if there are older versions,
+//!   their count (u8) and for each its version (u64) and digest (u128); then the item's value, empty for a removed item.
+//!
+//! An empty value deletes a record from the store.
+
+use crate::item::{Item, Kind};
+use crate::version_history::{Entry, VersionDigest};
+use bytes::Bytes;
+use std::sync::Arc;
+
+/// Flag of a record: the item is set, not removed.
+const FLAG_SET: u8 = 1;
+/// Flag of a record: older versions follow. Records of earlier releases have none.
+const FLAG_HAS_OLDER_VERSIONS: u8 = 2;
+
+/// The key of an item's record.
+pub fn encode_key(kind: Kind, name: &str) -> Vec<u8> {
+    let mut key = vec![kind as u8];
+    key.extend_from_slice(name.as_bytes());
+    key
+}
+
+/// The record (key and value) of an item with its older versions.
+pub fn encode_record(entry: Entry) -> (Vec<u8>, Vec<u8>) {
+    let Entry { item, older_versions } = entry;
+    let key = encode_key(item.kind, &item.name);
+    if item.is_removed_backend() {
+        return (key, Vec::new());
+    }
+    let mut flags = 0;
+    if item.is_set() {
+        flags |= FLAG_SET;
+    }
+    if !older_versions.is_empty() {
+        flags |= FLAG_HAS_OLDER_VERSIONS;
+    }
+    let mut value = item.version.to_be_bytes().to_vec();
+    value.push(flags);
+    if !older_versions.is_empty() {
+        // At most `MAX_OLDER_VERSIONS`, which a byte holds.
+        value.push(older_versions.len() as u8);
+        for version_digest in older_versions {
+            value.extend_from_slice(&version_digest.version.to_be_bytes());
+            value.extend_from_slice(&version_digest.digest.to_be_bytes());
+        }
+    }
+    value.extend_from_slice(item.value.as_deref().unwrap_or_default());
+    (key, value)
+}
+
+/// Decodes a record, also one of a release that did not remember older versions; `None` if it is not an item's.
+pub fn decode_record(key: &[u8], value: &[u8]) -> Option<(Item, Vec<VersionDigest>)> {
+    let (kind, name) = key.split_first()?;
+    let kind = Kind::from_u8(*kind)?;
+    let (version, rest) = value.split_first_chunk::<8>()?;
+    let (flags, rest) = rest.split_first()?;
+    let (older_versions, content) =
+        if flags & FLAG_HAS_OLDER_VERSIONS != 0 { decode_older_versions(rest)? } else { (Vec::new(), rest) };
+    let item = Item {
+        kind,
+        name: Arc::from(std::str::from_utf8(name).ok()?),
+        version: u64::from_be_bytes(*version),
+        value: (flags & FLAG_SET != 0).then(|| Bytes::copy_from_slice(content)),
+    };
+    Some((item, older_versions))
+}
+
+/// Decodes the count and the older versions; returns them and the bytes behind them.
+fn decode_older_versions(bytes: &[u8]) -> Option<(Vec<VersionDigest>, &[u8])> {
+    let (count, mut rest) = bytes.split_first()?;
+    let mut older_versions = Vec::new();
+    for _ in 0..*count {
+        let (version, after_version) = rest.split_first_chunk::<8>()?;
+        let (digest, after_digest) = after_version.split_first_chunk::<16>()?;
+        older_versions.push(VersionDigest {
+            version: u64::from_be_bytes(*version),
+            digest: u128::from_be_bytes(*digest),
+        });
+        rest = after_digest;
+    }
+    Some((older_versions, rest))
+}
--- a/crates/config/src/routing_table.rs
+++ b/crates/config/src/routing_table.rs
@@ -1,103 +1,129 @@
-//! What the data plane routes by: the ledger's standing items, read and indexed.
+//! What the data plane routes by: the items in force, parsed and indexed.
 
+use crate::host_key::host_key;
 use crate::item::{Item, Kind};
 use crate::item_store::ItemStore;
-use crate::model::{host_key, Limits, Route, Service, Tenant};
+use crate::model::{Limits, Route, Service, Tenant};
 use std::collections::hash_map::Entry;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// What the value of an `Evacuation` item is while its zone is evacuated.
+/// The value of an `Evacuation` item while its zone is evacuated.
 const EVACUATED: &[u8] = b"1";
 
-/// What the data plane routes by. It never changes; a new ledger makes a new one, to be swapped in whole.
+/// What the data plane routes by. It never changes; when items change, a new table replaces it.
 ///
-/// Two valid calls, taken at two places at once, can meet in one invalid whole. A view is built of that too:
-/// of two holders of a key or a place the one of the higher edition has it, then the one of the smaller name.
-/// A route is kept though its service is unknown; its requests find no backend.
+/// Two valid changes that two replicas accept at once can be invalid together. The table is built all the same: of two
+/// tenants with one key, or two routes with one host and path prefix, the one of the higher version wins, then the one
+/// of the smaller name. A route whose service is unknown is kept; its requests find no backend.
 #[derive(Debug, Default)]
 pub struct RoutingTable {
     /// By name.
     pub tenants: Vec<Arc<Tenant>>,
+    /// By name.
     pub services: BTreeMap<Arc<str>, Arc<Service>>,
+    /// The limits that hold for every request.
     pub limits: Limits,
     /// The zones that are evacuated.
     pub evacuated: BTreeSet<Arc<str>>,
-    hosts: HashMap<Box<[u8]>, Host>,
-    /// By key: the place in `tenants`.
-    keys: HashMap<Arc<str>, usize>,
-    /// What was read out of which items, by name, for the next view to take over.
-    routes_read: Vec<Reading<Route>>,
-    tenants_read: Vec<Reading<Tenant>>,
+    /// By [`host_key`].
+    hosts: HashMap<Box<[u8]>, HostRoutes>,
+    /// By key: the index in `tenants`.
+    tenant_indexes: HashMap<Arc<str>, usize>,
+    /// Routes with their items, by name, for the next table to reuse.
+    parsed_routes: Vec<ParsedItem<Route>>,
+    /// Tenants with their items, by name, for the next table to reuse.
+    parsed_tenants: Vec<ParsedItem<Tenant>>,
 }
 
+/// An item, and what was parsed from it.
 #[derive(Debug)]
-struct Reading<T> {
+struct ParsedItem<T> {
     item: Item,
     value: Arc<T>,
 }
 
+/// The routes of one host.
 #[derive(Debug, Default)]
-struct Host {
-    prefixes: HashMap<Box<[u8]>, Arc<Route>>,
-    /// The longest prefix's length.
-    longest: usize,
+struct HostRoutes {
+    by_prefix: HashMap<Box<[u8]>, Arc<Route>>,
+    /// The length of the longest prefix.
+    max_prefix_length: usize,
+}
+
+impl HostRoutes {
+    /// Adds a route. To be called in the order of names: of two routes with the same version the first stays.
+    fn add(&mut self, route: &Arc<Route>) {
+        self.max_prefix_length = self.max_prefix_length.max(route.path_prefix.len());
+        let prefix = route.path_prefix.as_bytes().into();
+        let winner = self.by_prefix.entry(prefix).or_insert_with(|| route.clone());
+        if winner.version < route.version {
+            *winner = route.clone();
+        }
+    }
+
+    /// The route of the longest prefix that begins the path.
+    fn find(&self, path: &[u8]) -> Option<&Arc<Route>> {
+        // Nothing longer than the longest prefix is looked up: a path of nothing but slashes would be hashed as often
+        // as it is long, and a few such requests would hold up all others.
+        let mut path = &path[..path.len().min(self.max_prefix_length)];
+        if let Some(end) = path.iter().position(|byte| matches!(byte, b'?' | b'#')) {
+            path = &path[..end];
+        }
+        while let Some(slash) = path.iter().rposition(|byte| *byte == b'/') {
+            if let Some(route) = self.by_prefix.get(&path[..=slash]) {
+                return Some(route);
+            }
+            path = &path[..slash];
+        }
+        None
+    }
 }
 
 impl RoutingTable {
-    /// The view of what stands.
+    /// The table of the items in force.
     pub fn build(item_store: &ItemStore) -> RoutingTable {
         RoutingTable::rebuild(&RoutingTable::default(), item_store)
     }
 
-    /// As [`RoutingTable::of`], but takes over what the previous view read out of items that have not changed.
+    /// As [`RoutingTable::build`], but reuses what the previous table parsed from items that have not changed.
     pub fn rebuild(previous: &RoutingTable, item_store: &ItemStore) -> RoutingTable {
-        let mut view = RoutingTable {
+        let services = item_store.items_of(Kind::Service).filter_map(Service::from_item);
+        let evacuations = item_store.items_of(Kind::Evacuation);
+        let evacuated = evacuations.filter(|item| item.value.as_deref() == Some(EVACUATED));
+        let mut table = RoutingTable {
+            services: services.map(|service| (service.name.clone(), Arc::new(service))).collect(),
             limits: item_store.get(Kind::Limits, "").and_then(Limits::from_item).unwrap_or_default(),
-            routes_read: read_all(&previous.routes_read, item_store, Kind::Route, Route::from_item),
-            tenants_read: read_all(&previous.tenants_read, item_store, Kind::Tenant, Tenant::from_item),
+            evacuated: evacuated.map(|item| item.name.clone()).collect(),
+            parsed_routes: parse_all(&previous.parsed_routes, item_store, Kind::Route, Route::from_item),
+            parsed_tenants: parse_all(&previous.parsed_tenants, item_store, Kind::Tenant, Tenant::from_item),
             ..RoutingTable::default()
         };
-        for line in item_store.items_of(Kind::Service).filter_map(Service::from_item) {
-            view.services.insert(line.name.clone(), Arc::new(line));
-        }
-        for item in item_store.items_of(Kind::Evacuation) {
-            if item.value.as_deref() == Some(EVACUATED) {
-                view.evacuated.insert(item.name.clone());
-            }
-        }
-        view.index_routes();
-        view.index_tenants();
-        view
+        table.index_routes();
+        table.index_tenants();
+        table
     }
 
-    /// Comes by routes in the order of names, so of two with the same edition the smaller name is there first.
     fn index_routes(&mut self) {
-        for reading in &self.routes_read {
-            let route = &reading.value;
-            let host = self.hosts.entry(host_key(route.host.as_bytes()).into_boxed_slice()).or_default();
-            host.longest = host.longest.max(route.path_prefix.len());
-            let held =
-                host.prefixes.entry(route.path_prefix.as_bytes().into()).or_insert_with(|| route.clone());
-            if held.version < route.version {
-                *held = route.clone();
-            }
+        for parsed in &self.parsed_routes {
+            let host = host_key(parsed.value.host.as_bytes()).into_boxed_slice();
+            self.hosts.entry(host).or_default().add(&parsed.value);
         }
     }
 
-    /// Comes by tenants in the order of names, as `index_routes` by routes.
+    /// Goes through the tenants in the order of names: of two with the same version the first gets a key.
     fn index_tenants(&mut self) {
-        self.keys.reserve(self.tenants_read.len());
-        self.tenants = self.tenants_read.iter().map(|reading| reading.value.clone()).collect();
-        for (at, tenant) in self.tenants.iter().enumerate() {
+        self.tenant_indexes.reserve(self.parsed_tenants.len());
+        self.tenants = self.parsed_tenants.iter().map(|parsed| parsed.value.clone()).collect();
+        for (index, tenant) in self.tenants.iter().enumerate() {
             for key in &tenant.keys {
-                match self.keys.entry(key.clone()) {
+                match self.tenant_indexes.entry(key.clone()) {
                     Entry::Vacant(vacant) => {
-                        vacant.insert(at);
+                        vacant.insert(index);
                     }
-                    Entry::Occupied(mut holder) => {
-                        if self.tenants[*holder.get()].version < tenant.version {
-                            holder.insert(at);
+                    Entry::Occupied(mut owner) => {
+                        if self.tenants[*owner.get()].version < tenant.version {
+                            owner.insert(index);
                         }
                     }
                 }
@@ -105,28 +131,15 @@
         }
     }
 
-    /// The route of the longest prefix that begins the path. The host may be in any case and carry a port,
-    /// the path carry a query.
+    /// The route of the longest prefix that begins the path. The host may be in any case and have a port, the path may
+    /// have a query.
     pub fn route(&self, host: &[u8], path: &[u8]) -> Option<&Arc<Route>> {
-        let host = self.hosts.get(&*host_key(host))?;
-        // Past the longest prefix no cut is tried: a path of nothing but slashes would be hashed as often as
-        // it is long, and a few such requests would hold up all others.
-        let mut path = &path[..path.len().min(host.longest)];
-        if let Some(end) = path.iter().position(|byte| matches!(byte, b'?' | b'#')) {
-            path = &path[..end];
-        }
-        while let Some(slash) = path.iter().rposition(|byte| *byte == b'/') {
-            if let Some(route) = host.prefixes.get(&path[..=slash]) {
-                return Some(route);
-            }
-            path = &path[..slash];
-        }
-        None
+        self.hosts.get(&*host_key(host))?.find(path)
     }
 
-    /// The place in `tenants` of the holder of this key.
+    /// The index in `tenants` of the one that has this key.
     pub fn tenant_of(&self, key: &[u8]) -> Option<usize> {
-        self.keys.get(std::str::from_utf8(key).ok()?).copied()
+        self.tenant_indexes.get(std::str::from_utf8(key).ok()?).copied()
     }
 
     /// Whether there are any tenants at all.
@@ -134,27 +147,28 @@
         !self.tenants.is_empty()
     }
 
-    /// The routes that stand, by name; those too whose place another one holds.
+    /// The routes in force, by name; those too that lost their host and path prefix to another one.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
-        self.routes_read.iter().map(|reading| &reading.value)
+        self.parsed_routes.iter().map(|parsed| &parsed.value)
     }
 }
 
-/// Reads the standing items of a kind. Both the previous readings and the items are in the order of names.
-fn read_all<T>(
-    previous: &[Reading<T>],
+/// Parses the items of a kind that are in force. Both what was parsed before and the items are in the order of names.
+fn parse_all<T>(
+    previous: &[ParsedItem<T>],
     item_store: &ItemStore,
     kind: Kind,
-    read: fn(&Item) -> Option<T>,
-) -> Vec<Reading<T>> {
+    parse: fn(&Item) -> Option<T>,
+) -> Vec<ParsedItem<T>> {
     let mut previous = previous.iter().peekable();
-    let mut readings = Vec::new();
+    let mut parsed_items = Vec::new();
     for item in item_store.items_of(kind) {
-        while previous.next_if(|reading| reading.item.name < item.name).is_some() {}
-        let same = previous.next_if(|reading| reading.item == *item);
-        if let Some(value) = same.map(|reading| reading.value.clone()).or_else(|| read(item).map(Arc::new)) {
-            readings.push(Reading { item: item.clone(), value });
+        while previous.next_if(|parsed| parsed.item.name < item.name).is_some() {}
+        let unchanged = previous.next_if(|parsed| parsed.item == *item);
+        let reused = unchanged.map(|parsed| parsed.value.clone());
+        if let Some(value) = reused.or_else(|| parse(item).map(Arc::new)) {
+            parsed_items.push(ParsedItem { item: item.clone(), value });
         }
     }
-    readings
+    parsed_items
 }
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -1,116 +1,126 @@
-//! What makes a call invalid together with what stands.
+//! What makes a change invalid together with the items that are in force.
 
-use crate::error::{LineInUseSnafu, SamePlaceSnafu, SharedKeySnafu, UnknownLineSnafu, ValidationError};
+use crate::error::{
+    DuplicateRouteSnafu, ServiceInUseSnafu, SharedKeySnafu, UnknownServiceSnafu, ValidationError,
+};
+use crate::host_key::{host_key, HostKey};
 use crate::item::{Item, Kind};
+use crate::item_json::{parse_value, JsonStr, RouteJson, TenantKeysJson};
 use crate::item_store::ItemStore;
-use crate::model::{host_key, read, HostKey, PermitsText, RouteText, Text};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The items of a call that have an effect, by kind and name, over the whole that they come to.
-struct MergeOutcome<'a> {
-    whole: &'a ItemStore,
-    news: BTreeMap<(Kind, &'a str), &'a Item>,
+/// Validates a change, each item of which is valid by itself, against the configuration that it would result in. Only
+/// what the change brings is rejected: a conflict that is in force already and that the change does not touch is
+/// ignored, or nothing could be corrected. Items whose version is not above the known one have no effect, and are not
+/// validated.
+///
+/// # Errors
+/// Where two tenants would share a key, two routes a host and a path prefix, or a route would name a service that does
+/// not exist.
+pub fn validate(item_store: &ItemStore, change: &[Item]) -> Result<(), ValidationError> {
+    let proposed = ProposedConfiguration::new(item_store, change);
+    check_routes(&proposed)?;
+    check_removed_services(&proposed)?;
+    check_tenant_keys(&proposed)
+}
+
+/// The configuration that a change would result in.
+struct ProposedConfiguration<'a> {
+    /// What is in force.
+    item_store: &'a ItemStore,
+    /// The items of the change that have an effect.
+    changes: BTreeMap<(Kind, &'a str), &'a Item>,
 }
 
-impl<'a> MergeOutcome<'a> {
-    fn new(whole: &'a ItemStore, call: &'a [Item]) -> MergeOutcome<'a> {
-        let mut news: BTreeMap<(Kind, &str), &Item> = BTreeMap::new();
-        for item in call.iter().filter(|item| whole.is_newer(item)) {
-            let prevailing = news.entry((item.kind, &*item.name)).or_insert(item);
-            // As `ItemStore::take` does with one after the other.
-            if prevailing.version < item.version {
-                *prevailing = item;
+impl<'a> ProposedConfiguration<'a> {
+    fn new(item_store: &'a ItemStore, change: &'a [Item]) -> ProposedConfiguration<'a> {
+        let mut changes: BTreeMap<(Kind, &str), &Item> = BTreeMap::new();
+        for item in change.iter().filter(|item| item_store.is_newer(item)) {
+            let winner = changes.entry((item.kind, &*item.name)).or_insert(item);
+            // As `ItemStore::apply` does with one after the other.
+            if winner.version < item.version {
+                *winner = item;
             }
         }
-        MergeOutcome { whole, news }
+        ProposedConfiguration { item_store, changes }
     }
 
-    /// What the call newly sets.
-    fn set(&self, kind: Kind) -> impl Iterator<Item = &'a Item> + '_ {
-        self.news.values().copied().filter(move |item| item.kind == kind && item.is_set())
+    /// The items that the change sets.
+    fn set_items(&self, kind: Kind) -> impl Iterator<Item = &'a Item> + '_ {
+        self.changes.values().copied().filter(move |item| item.kind == kind && item.is_set())
     }
 
-    /// What stands, and the call leaves alone.
-    fn untouched(&self, kind: Kind) -> impl Iterator<Item = &'a Item> + '_ {
-        let left = move |item: &&Item| item.is_set() && !self.news.contains_key(&(kind, &*item.name));
-        self.whole.items_of(kind).filter(left)
+    /// The items that are in force and that the change does not touch.
+    fn untouched_items(&self, kind: Kind) -> impl Iterator<Item = &'a Item> + '_ {
+        let is_untouched =
+            move |item: &&Item| item.is_set() && !self.changes.contains_key(&(kind, &*item.name));
+        self.item_store.items_of(kind).filter(is_untouched)
     }
 
-    fn stands(&self, kind: Kind, name: &str) -> bool {
-        let new = self.news.get(&(kind, name)).copied();
-        new.or_else(|| self.whole.get(kind, name)).is_some_and(Item::is_set)
+    fn has_service(&self, name: &str) -> bool {
+        let changed = self.changes.get(&(Kind::Service, name)).copied();
+        changed.or_else(|| self.item_store.get(Kind::Service, name)).is_some_and(Item::is_set)
     }
 
-    /// Services that stood, and that the call drops.
-    fn dropped_lines(&self) -> BTreeSet<&'a str> {
-        let dropped = self.news.values().filter(|item| item.kind == Kind::Service && !item.is_set());
-        let stood = |name: &&str| self.whole.get(Kind::Service, name).is_some_and(Item::is_set);
-        dropped.map(|item| &*item.name).filter(stood).collect()
+    /// The services in force that the change removes.
+    fn removed_services(&self) -> BTreeSet<&'a str> {
+        let removed = self.changes.values().filter(|item| item.kind == Kind::Service && !item.is_set());
+        let is_in_force = |name: &&str| self.item_store.get(Kind::Service, name).is_some_and(Item::is_set);
+        removed.map(|item| &*item.name).filter(is_in_force).collect()
     }
 }
 
-/// Judges a call, each item of which is right by itself, on the whole that it would come to. Only what the
-/// call brings is blamed: a fault that stood already and that the call does not touch is let be, or nothing
-/// could be put right. Items whose version is not above the known one have no effect, and are not judged.
-///
-/// # Errors
-/// Where two customers would share a key, two itineraries a place, or an itinerary would name a service that
-/// there is not.
-pub fn validate(whole: &ItemStore, call: &[Item]) -> Result<(), ValidationError> {
-    let merged = MergeOutcome::new(whole, call);
-    judge_routes(&merged)?;
-    judge_dropped_lines(&merged)?;
-    judge_permits(&merged)
-}
-
-fn lines<'a>(route: &'a RouteText) -> impl Iterator<Item = &'a str> {
-    let shares = route.share_list.iter().flatten().map(|share| &*share.line);
-    shares.chain(route.line.as_deref())
-}
-
-fn judge_routes(merged: &MergeOutcome) -> Result<(), ValidationError> {
-    let mut places: HashMap<(HostKey, Text), &Item> = HashMap::new();
-    for item in merged.set(Kind::Route) {
-        let Some(route) = read::<RouteText>(item, Kind::Route) else { continue };
-        if let Some(line) = lines(&route).find(|line| !merged.stands(Kind::Service, line)) {
-            return UnknownLineSnafu { name: item.name.clone(), line }.fail();
+/// Of the routes that the change sets: their services exist, and no other route has their host and path prefix.
+fn check_routes(proposed: &ProposedConfiguration) -> Result<(), ValidationError> {
+    let mut routes: HashMap<(HostKey, JsonStr), &Item> = HashMap::new();
+    for item in proposed.set_items(Kind::Route) {
+        let Some(route) = parse_value::<RouteJson>(item, Kind::Route) else { continue };
+        if let Some(service) = route.service_names().find(|service| !proposed.has_service(service)) {
+            return UnknownServiceSnafu { name: item.name.clone(), service }.fail();
         }
-        if let Some(other) = places.insert((host_key(route.depot.as_bytes()), route.lane_prefix), item) {
-            return SamePlaceSnafu { name: item.name.clone(), other: other.name.clone() }.fail();
+        if let Some(other) = routes.insert(match_key(route), item) {
+            return DuplicateRouteSnafu { name: item.name.clone(), other: other.name.clone() }.fail();
         }
     }
-    if places.is_empty() {
+    if routes.is_empty() {
         return Ok(());
     }
-    for other in merged.untouched(Kind::Route) {
-        let Some(route) = read::<RouteText>(other, Kind::Route) else { continue };
-        if let Some(item) = places.get(&(host_key(route.depot.as_bytes()), route.lane_prefix)) {
-            return SamePlaceSnafu { name: item.name.clone(), other: other.name.clone() }.fail();
+    for other in proposed.untouched_items(Kind::Route) {
+        let Some(route) = parse_value::<RouteJson>(other, Kind::Route) else { continue };
+        if let Some(item) = routes.get(&match_key(route)) {
+            return DuplicateRouteSnafu { name: item.name.clone(), other: other.name.clone() }.fail();
         }
     }
     Ok(())
 }
 
-fn judge_dropped_lines(merged: &MergeOutcome) -> Result<(), ValidationError> {
-    let dropped = merged.dropped_lines();
-    if dropped.is_empty() {
+/// What a route matches requests by.
+fn match_key(route: RouteJson) -> (HostKey, JsonStr) {
+    (host_key(route.host.as_bytes()), route.path_prefix)
+}
+
+/// No route that the change does not touch names a service that the change removes.
+fn check_removed_services(proposed: &ProposedConfiguration) -> Result<(), ValidationError> {
+    let removed = proposed.removed_services();
+    if removed.is_empty() {
         return Ok(());
     }
-    for item in merged.untouched(Kind::Route) {
-        let Some(route) = read::<RouteText>(item, Kind::Route) else { continue };
-        let line = lines(&route).find_map(|line| dropped.get(line).copied());
-        if let Some(line) = line {
-            return LineInUseSnafu { line, name: item.name.clone() }.fail();
+    for item in proposed.untouched_items(Kind::Route) {
+        let Some(route) = parse_value::<RouteJson>(item, Kind::Route) else { continue };
+        let service = route.service_names().find_map(|service| removed.get(service).copied());
+        if let Some(service) = service {
+            return ServiceInUseSnafu { service, name: item.name.clone() }.fail();
         }
     }
     Ok(())
 }
 
-fn judge_permits(merged: &MergeOutcome) -> Result<(), ValidationError> {
-    let mut keys: HashMap<Text, &Item> = HashMap::new();
-    for item in merged.set(Kind::Tenant) {
-        for key in read::<PermitsText>(item, Kind::Tenant).into_iter().flat_map(|text| text.permits) {
-            match keys.insert(key, item) {
+/// No key of a tenant that the change sets is another tenant's.
+fn check_tenant_keys(proposed: &ProposedConfiguration) -> Result<(), ValidationError> {
+    let mut owners: HashMap<JsonStr, &Item> = HashMap::new();
+    for item in proposed.set_items(Kind::Tenant) {
+        for key in tenant_keys(item) {
+            match owners.insert(key, item) {
                 Some(other) if other.name != item.name => {
                     return SharedKeySnafu { name: item.name.clone(), other: other.name.clone() }.fail();
                 }
@@ -118,15 +128,20 @@
             }
         }
     }
-    if keys.is_empty() {
+    if owners.is_empty() {
         return Ok(());
     }
-    for other in merged.untouched(Kind::Tenant) {
-        for key in read::<PermitsText>(other, Kind::Tenant).into_iter().flat_map(|text| text.permits) {
-            if let Some(item) = keys.get(&key) {
+    for other in proposed.untouched_items(Kind::Tenant) {
+        for key in tenant_keys(other) {
+            if let Some(item) = owners.get(&key) {
                 return SharedKeySnafu { name: item.name.clone(), other: other.name.clone() }.fail();
             }
         }
     }
     Ok(())
 }
+
+fn tenant_keys(item: &Item) -> impl Iterator<Item = JsonStr<'_>> {
+    let json: Option<TenantKeysJson> = parse_value(item, Kind::Tenant);
+    json.into_iter().flat_map(|json| json.keys)
+}
