--- a/crates/config/tests/change_request.rs
+++ b/crates/config/tests/change_request.rs
@@ -1,8 +1,4 @@
-//! Calls: what is taken and read back, and what is refused.
-
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
+//! Changes: what is accepted and read back, and what is rejected.
 
 use kitepass_config::{
     parse_change_request, to_change_request, to_configuration, validate, ItemStore, SchemaValidator,
@@ -12,14 +8,14 @@
 use serde_json::{json, Value};
 use std::sync::OnceLock;
 
-fn checker() -> &'static SchemaValidator {
-    static CHECKER: OnceLock<SchemaValidator> = OnceLock::new();
-    CHECKER.get_or_init(SchemaValidator::new)
+fn schema_validator() -> &'static SchemaValidator {
+    static SCHEMA_VALIDATOR: OnceLock<SchemaValidator> = OnceLock::new();
+    SCHEMA_VALIDATOR.get_or_init(SchemaValidator::new)
 }
 
-/// Takes a call as a control plane does.
-fn call(item_store: &mut ItemStore, body: &[u8]) -> Result<(), ValidationError> {
-    let items = parse_change_request(checker(), body)?;
+/// Applies a change as the control plane does.
+fn apply_change(item_store: &mut ItemStore, body: &[u8]) -> Result<(), ValidationError> {
+    let items = parse_change_request(schema_validator(), body)?;
     validate(item_store, &items)?;
     for item in items {
         item_store.apply(item);
@@ -27,7 +23,7 @@
     Ok(())
 }
 
-fn first_call() -> Value {
+fn first_change() -> Value {
     json!({
         "itineraries": {
             "headings": ["name", "depot", "lane-prefix", "mail-kind", "deadline-ms", "target-ms", "class-of-mail",
@@ -49,74 +45,77 @@
     })
 }
 
-/// The first call, taken.
+/// A store that the first change was applied to.
 #[fixture]
-fn standing() -> ItemStore {
+fn configured() -> ItemStore {
     let mut item_store = ItemStore::new();
-    call(&mut item_store, json!({ "deliver": first_call() }).to_string().as_bytes()).unwrap();
+    apply_change(&mut item_store, json!({ "deliver": first_change() }).to_string().as_bytes()).unwrap();
     item_store
 }
 
-fn back(item_store: &ItemStore) -> Value {
+fn read_back(item_store: &ItemStore) -> Value {
     serde_json::from_slice(&to_configuration(item_store)).unwrap()
 }
 
 #[rstest]
-fn what_is_sent_is_read_back(standing: ItemStore) {
-    assert_eq!(back(&standing), first_call());
+fn what_is_sent_is_read_back(configured: ItemStore) {
+    assert_eq!(read_back(&configured), first_change());
     let mut copy = ItemStore::new();
-    call(&mut copy, &to_change_request(&standing)).unwrap();
-    assert_eq!(copy.digest(), standing.digest());
+    apply_change(&mut copy, &to_change_request(&configured)).unwrap();
+    assert_eq!(copy.digest(), configured.digest());
 }
 
-/// Headings in another order, one unknown; the unknown one is kept for those rows that have it.
+/// Headings in another order, one of them unknown; the unknown one is stored for those rows that have it.
 #[rstest]
-fn unknown_headings_are_kept(mut standing: ItemStore) {
+fn unknown_headings_are_stored(mut configured: ItemStore) {
     let body = json!({"deliver": {"carrier-lines": {
         "headings": ["edition", "colour", "name"], "entries": [["r8", {"x": [1, null]}, "a"]]}}});
-    call(&mut standing, body.to_string().as_bytes()).unwrap();
-    let lines = &back(&standing)["carrier-lines"];
-    assert_eq!(lines["headings"][8], "colour");
-    assert_eq!(lines["entries"][0], json!(["a", null, null, null, null, null, null, "r8", {"x": [1, null]}]));
-    assert_eq!(lines["entries"][1][8], Value::Null);
+    apply_change(&mut configured, body.to_string().as_bytes()).unwrap();
+    let services = &read_back(&configured)["carrier-lines"];
+    assert_eq!(services["headings"][8], "colour");
+    assert_eq!(
+        services["entries"][0],
+        json!(["a", null, null, null, null, null, null, "r8", {"x": [1, null]}])
+    );
+    assert_eq!(services["entries"][1][8], Value::Null);
 }
 
 #[rstest]
-fn only_a_higher_edition_has_an_effect(mut standing: ItemStore) {
-    let digest = standing.digest();
-    // Were they to have an effect, the first would be refused, as its key is another's.
+fn only_a_higher_version_has_an_effect(mut configured: ItemStore) {
+    let digest = configured.digest();
+    // Had they an effect, the first would be rejected, as its key is another tenant's.
     for stale in [
         json!({"deliver": {"customers": {"headings": ["name", "permits", "edition"],
             "entries": [["c1", ["key3"], "r7"]]}}}),
         json!({"withdraw": {"carrier-lines": [{"name": "a", "edition": "r6"}]}}),
     ] {
-        call(&mut standing, stale.to_string().as_bytes()).unwrap();
-        assert_eq!(standing.digest(), digest);
+        apply_change(&mut configured, stale.to_string().as_bytes()).unwrap();
+        assert_eq!(configured.digest(), digest);
     }
-    // Compared as numbers, r10 is above r7; and a dropped one does not come back.
-    let gone = json!({"withdraw": {"itineraries": [{"name": "i1", "edition": "r10"}]}});
-    call(&mut standing, gone.to_string().as_bytes()).unwrap();
-    call(&mut standing, json!({ "deliver": first_call() }).to_string().as_bytes()).unwrap();
-    assert_eq!(back(&standing)["itineraries"]["entries"].as_array().unwrap().len(), 1);
+    // Compared as numbers, r10 is above r7; and a removed item does not come back.
+    let removal = json!({"withdraw": {"itineraries": [{"name": "i1", "edition": "r10"}]}});
+    apply_change(&mut configured, removal.to_string().as_bytes()).unwrap();
+    apply_change(&mut configured, json!({ "deliver": first_change() }).to_string().as_bytes()).unwrap();
+    assert_eq!(read_back(&configured)["itineraries"]["entries"].as_array().unwrap().len(), 1);
 }
 
-/// Two valid calls from two places met: both customers have the key. A call on something else is taken, and
-/// so is one that puts it right.
+/// Two valid changes were accepted by two replicas at once: both customers have the key. A change of something else is
+/// accepted, and so is one that corrects it.
 #[rstest]
-fn a_fault_that_stands_is_not_blamed_on_others(mut standing: ItemStore) {
+fn a_conflict_in_force_does_not_reject_other_changes(mut configured: ItemStore) {
     let customer = |name: &str, version: &str| {
         json!({"deliver": {"customers": {"headings": ["name", "permits", "edition"],
             "entries": [[name, ["key3"], version]]}}})
         .to_string()
     };
-    for item in parse_change_request(checker(), customer("c1", "r8").as_bytes()).unwrap() {
-        assert!(standing.merge(item));
+    for item in parse_change_request(schema_validator(), customer("c1", "r8").as_bytes()).unwrap() {
+        assert!(configured.merge(item));
     }
-    call(&mut standing, customer("c1", "r8").as_bytes()).unwrap();
-    let gone = json!({"withdraw": {"customers": [{"name": "c2", "edition": "r9"}]}});
-    assert!(call(&mut standing, customer("c1", "r9").as_bytes()).is_err());
-    call(&mut standing, gone.to_string().as_bytes()).unwrap();
-    call(&mut standing, customer("c1", "r9").as_bytes()).unwrap();
+    apply_change(&mut configured, customer("c1", "r8").as_bytes()).unwrap();
+    let removal = json!({"withdraw": {"customers": [{"name": "c2", "edition": "r9"}]}});
+    assert!(apply_change(&mut configured, customer("c1", "r9").as_bytes()).is_err());
+    apply_change(&mut configured, removal.to_string().as_bytes()).unwrap();
+    apply_change(&mut configured, customer("c1", "r9").as_bytes()).unwrap();
 }
 
 const CUSTOMER: &str = r#"{"deliver":{"customers":{"headings":["name","edition","permits"],"entries":"#;
@@ -125,7 +124,7 @@
     format!("{CUSTOMER}{rows}}}}}}}")
 }
 
-/// A route that differs from a right one in these fields.
+/// A route that differs from a valid one in these fields.
 fn route(fields: Value) -> String {
     let mut route = json!({"name": "i9", "edition": "r1", "depot": "x.example", "lane-prefix": "/x/",
         "mail-kind": "safe", "deadline-ms": 1000, "target-ms": 100, "line": "a"});
@@ -182,22 +181,22 @@
     r#"{"withdraw":{"carrier-lines":[{"name":"b","edition":"r8"}]}}"#,
     "\"b\": withdrawn, but itinerary \"i1\""
 )]
-fn an_invalid_call_is_refused_by_field_and_item(
-    mut standing: ItemStore,
+fn an_invalid_change_is_rejected_by_item_and_field(
+    mut configured: ItemStore,
     #[case] body: impl AsRef<str>,
     #[case] message: &str,
 ) {
-    let refusal = call(&mut standing, body.as_ref().as_bytes()).unwrap_err().to_string();
-    assert!(refusal.contains(message), "{refusal}");
+    let error = apply_change(&mut configured, body.as_ref().as_bytes()).unwrap_err().to_string();
+    assert!(error.contains(message), "{error}");
 }
 
-/// The other side of the bounds above.
+/// Just within the bounds above.
 #[rstest]
 #[case(route(json!({})))]
 #[case(route(json!({"target-ms": 60_999, "deadline-ms": 1000.0})))]
 #[case(route(json!({"deadline-ms": 600_000})))]
 #[case(customers(r#"[["c9","r1",["x","x"]],["c9","r1",["x","x"]]]"#))]
 #[case("{}")]
-fn a_valid_call_is_taken(mut standing: ItemStore, #[case] body: impl AsRef<str>) {
-    call(&mut standing, body.as_ref().as_bytes()).unwrap();
+fn a_valid_change_is_accepted(mut configured: ItemStore, #[case] body: impl AsRef<str>) {
+    apply_change(&mut configured, body.as_ref().as_bytes()).unwrap();
 }
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -1,10 +1,6 @@
 //! The operators' calls and what is read back, byte by byte, and the hashes by which processes compare what they hold.
 //! Operators' tools and processes of other versions rely on these: no line of the golden files may ever change.
 
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
-
 use bytes::Bytes;
 use kitepass_config::{
     chunk_digest, parse_change_request, to_change_request, to_configuration, validate, Item, ItemStore, Kind,
@@ -21,9 +17,9 @@
 const REJECTED: &str = include_str!("golden/rejected-calls.txt");
 const HASHES: &str = include_str!("golden/hashes.txt");
 
-fn checker() -> &'static SchemaValidator {
-    static CHECKER: OnceLock<SchemaValidator> = OnceLock::new();
-    CHECKER.get_or_init(SchemaValidator::new)
+fn schema_validator() -> &'static SchemaValidator {
+    static SCHEMA_VALIDATOR: OnceLock<SchemaValidator> = OnceLock::new();
+    SCHEMA_VALIDATOR.get_or_init(SchemaValidator::new)
 }
 
 /// A line an item: the number of its kind, its name, its version, and its value's bytes as text.
@@ -39,7 +35,7 @@
 
 /// Takes a call as the control plane does; the text of the error if it is rejected.
 fn apply(store: &mut ItemStore, call: &[u8]) -> Result<(), String> {
-    let items = parse_change_request(checker(), call).map_err(|error| error.to_string())?;
+    let items = parse_change_request(schema_validator(), call).map_err(|error| error.to_string())?;
     validate(store, &items).map_err(|error| error.to_string())?;
     items.into_iter().for_each(|item| _ = store.apply(item));
     Ok(())
@@ -58,7 +54,7 @@
 
 #[test]
 fn a_change_gives_these_items() {
-    let items = parse_change_request(checker(), CHANGE.as_bytes()).unwrap();
+    let items = parse_change_request(schema_validator(), CHANGE.as_bytes()).unwrap();
     assert_eq!(describe(&items), CHANGE_ITEMS);
 }
 
--- a/crates/config/tests/routing_table.rs
+++ b/crates/config/tests/routing_table.rs
@@ -1,8 +1,4 @@
-//! What a view finds, be the whole valid or not.
-
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
+//! What a routing table finds, be the configuration valid or not.
 
 use bytes::Bytes;
 use kitepass_config::{Item, ItemStore, Kind, RequestSafety, RoutingTable};
@@ -49,9 +45,9 @@
 #[case("hulo84.example", "/A/", None)]
 #[case("other.example", "/a/", None)]
 #[case("hulo84.example", "/c/d", Some("newer"))]
-fn the_longest_prefix_has_a_path(#[case] host: &str, #[case] path: &str, #[case] name: Option<&str>) {
-    let view = RoutingTable::build(&item_store());
-    let route = view.route(host.as_bytes(), path.as_bytes());
+fn the_longest_matching_prefix_wins(#[case] host: &str, #[case] path: &str, #[case] name: Option<&str>) {
+    let table = RoutingTable::build(&item_store());
+    let route = table.route(host.as_bytes(), path.as_bytes());
     assert_eq!(route.map(|route| &*route.name), name);
     assert!(route.is_none_or(|route| route.safety == RequestSafety::Keyed && route.max_attempts == 1));
 }
@@ -61,21 +57,21 @@
 #[case("k2", Some("t2"))]
 #[case("k3", Some("t2"))]
 #[case("k4", None)]
-fn a_key_has_one_tenant(#[case] key: &str, #[case] name: Option<&str>) {
-    let view = RoutingTable::build(&item_store());
-    let tenant = view.tenant_of(key.as_bytes()).map(|at| &view.tenants[at]);
+fn the_tenant_of_the_higher_version_has_a_shared_key(#[case] key: &str, #[case] name: Option<&str>) {
+    let table = RoutingTable::build(&item_store());
+    let tenant = table.tenant_of(key.as_bytes()).map(|index| &table.tenants[index]);
     assert_eq!(tenant.map(|tenant| &*tenant.name), name);
 }
 
 #[rstest]
-fn a_rebuilt_view_takes_over_only_what_has_not_changed() {
+fn a_rebuilt_table_reuses_only_what_has_not_changed() {
     let mut item_store = item_store();
     let first = RoutingTable::build(&item_store);
     assert_eq!(first.evacuated.iter().map(|zone| &**zone).collect::<Vec<_>>(), ["zone1"]);
     item_store.merge(route("a", 2, "/z/"));
     item_store.merge(Item { value: None, ..route("newer", 11, "/c/") });
     let second = RoutingTable::rebuild(&first, &item_store);
-    let found = |view: &RoutingTable, path: &[u8]| view.route(b"hulo84.example", path).cloned();
+    let found = |table: &RoutingTable, path: &[u8]| table.route(b"hulo84.example", path).cloned();
     assert!(Arc::ptr_eq(&found(&first, b"/a/b/").unwrap(), &found(&second, b"/a/b/").unwrap()));
     assert_eq!(found(&second, b"/a/"), None);
     assert_eq!(&*found(&second, b"/z/").unwrap().name, "a");
