--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -17,9 +17,9 @@
 const REJECTED: &str = include_str!("golden/rejected-calls.txt");
 const HASHES: &str = include_str!("golden/hashes.txt");
 
-fn schema_validator() -> &'static SchemaValidator {
-    static SCHEMA_VALIDATOR: OnceLock<SchemaValidator> = OnceLock::new();
-    SCHEMA_VALIDATOR.get_or_init(SchemaValidator::new)
+fn checker() -> &'static SchemaValidator {
+    static CHECKER: OnceLock<SchemaValidator> = OnceLock::new();
+    CHECKER.get_or_init(SchemaValidator::new)
 }
 
 /// A line an item: the number of its kind, its name, its version, and its value's bytes as text.
@@ -35,7 +35,7 @@
 
 /// Takes a call as the control plane does; the text of the error if it is rejected.
 fn apply(store: &mut ItemStore, call: &[u8]) -> Result<(), String> {
-    let items = parse_change_request(schema_validator(), call).map_err(|error| error.to_string())?;
+    let items = parse_change_request(checker(), call).map_err(|error| error.to_string())?;
     validate(store, &items).map_err(|error| error.to_string())?;
     items.into_iter().for_each(|item| _ = store.apply(item));
     Ok(())
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_change_gives_these_items() {
-    let items = parse_change_request(schema_validator(), CHANGE.as_bytes()).unwrap();
+    let items = parse_change_request(checker(), CHANGE.as_bytes()).unwrap();
     assert_eq!(describe(&items), CHANGE_ITEMS);
 }
 
