--- a/crates/storage/src/directory.rs
+++ b/crates/storage/src/directory.rs
@@ -1,55 +1,56 @@
-//! The few calls that the store makes on its folder, so that tests can put a disk in its place that loses
+//! The few calls that the store makes on its directory. Tests put a simulated disk in its place that fails and loses
 //! power.
 
 use std::fs::File;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder on a disk. Names are those of files in it.
-pub(crate) trait Disk {
+/// A directory on a disk. Names are those of files in it.
+pub(crate) trait Directory {
+    /// An open file.
     type File;
 
-    /// Where the folder, or a file in it, is; for errors.
+    /// The path of the directory (for the name ""), or of a file in it; for errors.
     fn path(&self, name: &str) -> PathBuf;
     /// The names of all files, in any order.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// All bytes of a file; `None` where there is no such file.
+    /// The content of a file; `None` where there is no such file.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
-    /// Makes a file, or empties it.
+    /// Creates a file, or truncates it.
     fn create(&self, name: &str) -> io::Result<Self::File>;
-    /// Appends to a file. A call that fails may have written a part.
-    fn write(&self, file: &mut Self::File, bytes: &[u8]) -> io::Result<()>;
-    /// Makes what was written to a file last. Once it has failed for a file, what it says of that file later
-    /// means nothing.
+    /// Appends to a file. A call that fails may have written some of the bytes.
+    fn append(&self, file: &mut Self::File, bytes: &[u8]) -> io::Result<()>;
+    /// Makes what was written to a file durable. Once it has failed for a file, later results for that file mean
+    /// nothing.
     fn sync(&self, file: &mut Self::File) -> io::Result<()>;
-    /// Cuts a file to a length, to give back the room behind it. Nothing is written to the file afterwards.
-    fn cut(&self, file: &mut Self::File, length: u64) -> io::Result<()>;
+    /// Truncates a file to a length, to free the space behind it. Nothing is written to the file afterwards.
+    fn truncate(&self, file: &mut Self::File, length: u64) -> io::Result<()>;
     /// Renames a file; a file of the new name is replaced.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Makes renames and removals last.
-    fn sync_folder(&self) -> io::Result<()>;
+    /// Makes renames and removals durable.
+    fn sync_directory(&self) -> io::Result<()>;
 }
 
-/// A folder of the operating system.
+/// A directory of the file system.
 #[derive(Debug)]
-pub(crate) struct Folder(PathBuf);
+pub(crate) struct FsDirectory(PathBuf);
 
-impl Folder {
-    /// Opens the folder; makes it where there is none.
-    pub(crate) fn open(path: &Path) -> io::Result<Folder> {
+impl FsDirectory {
+    /// Opens the directory; creates it where there is none.
+    pub(crate) fn open(path: &Path) -> io::Result<FsDirectory> {
         if !path.is_dir() {
             std::fs::create_dir_all(path)?;
-            // Danger: a folder that does not last takes all its files with it.
-            let above = path.parent().filter(|above| !above.as_os_str().is_empty());
-            File::open(above.unwrap_or(Path::new(".")))?.sync_all()?;
+            // Invariant: the directory is durable before its files are; a loss of power would take all of them with it.
+            let parent = path.parent().filter(|parent| !parent.as_os_str().is_empty());
+            File::open(parent.unwrap_or(Path::new(".")))?.sync_all()?;
         }
-        Ok(Folder(path.to_owned()))
+        Ok(FsDirectory(path.to_owned()))
     }
 }
 
-impl Disk for Folder {
+impl Directory for FsDirectory {
     type File = File;
 
     fn path(&self, name: &str) -> PathBuf {
@@ -57,7 +58,8 @@
     }
 
     fn list(&self) -> io::Result<Vec<String>> {
-        let names = std::fs::read_dir(&self.0)?.map(|entry| entry.map(|e| e.file_name().into_string().ok()));
+        let entries = std::fs::read_dir(&self.0)?;
+        let names = entries.map(|entry| entry.map(|entry| entry.file_name().into_string().ok()));
         names.filter_map(Result::transpose).collect()
     }
 
@@ -73,7 +75,7 @@
         File::create(self.0.join(name))
     }
 
-    fn write(&self, file: &mut File, bytes: &[u8]) -> io::Result<()> {
+    fn append(&self, file: &mut File, bytes: &[u8]) -> io::Result<()> {
         file.write_all(bytes)
     }
 
@@ -81,7 +83,7 @@
         file.sync_data()
     }
 
-    fn cut(&self, file: &mut File, length: u64) -> io::Result<()> {
+    fn truncate(&self, file: &mut File, length: u64) -> io::Result<()> {
         file.set_len(length)
     }
 
@@ -93,7 +95,7 @@
         std::fs::remove_file(self.0.join(name))
     }
 
-    fn sync_folder(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         File::open(&self.0)?.sync_all()
     }
 }
--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -1,154 +1,192 @@
-//! The bytes of logs and snapshots. Numbers are little-endian.
-//!
-//! * A log: `KPRLOG01`, then entries: checksum u32, length u32, sequence u64, payload of that length. The
-//!   checksum is over the log's number and all of the entry that follows the checksum.
-//! * A payload: records one after another; a record: key's length u32, value's length u32, key, value.
-//! * A snapshot: `KPRSNAP1`, the first log that it does not cover u64, the sequence of the first entry that it
-//!   does not cover u64, records as in a payload, checksum u32 of all before it.
-
-use std::collections::BTreeMap;
+//! Encoding and decoding of logs and snapshots. The crate's documentation describes the format.
 
+use crate::records::RecordMap;
 use crate::Record;
 
+/// What a log begins with.
 pub(crate) const LOG_MAGIC: &[u8; 8] = b"KPRLOG01";
+/// What a snapshot begins with.
 const SNAPSHOT_MAGIC: &[u8; 8] = b"KPRSNAP1";
-const ENTRY_HEAD: usize = 16;
-const SNAPSHOT_HEAD: usize = 24;
-
-pub(crate) type Map = BTreeMap<Vec<u8>, Vec<u8>>;
-
-/// How many bytes a record takes.
-fn size(key: &[u8], value: &[u8]) -> usize {
-    8 + key.len() + value.len()
+/// Checksum, payload length and sequence number of a log entry. Bytes.
+const ENTRY_HEADER_BYTES: usize = 16;
+/// Magic, first log and next sequence number of a snapshot. Bytes.
+const SNAPSHOT_HEADER_BYTES: usize = 24;
+/// Key length and value length of a record. Bytes.
+const RECORD_HEADER_BYTES: usize = 8;
+const CHECKSUM_BYTES: usize = 4;
+
+/// The number of a log, which its file's name holds. 0 comes before all logs.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct LogNumber(pub(crate) u64);
+
+impl LogNumber {
+    pub(crate) fn next(self) -> LogNumber {
+        LogNumber(self.0 + 1)
+    }
 }
 
-/// Takes the first `count` bytes off; `None` where there are fewer.
-fn take<'a>(bytes: &mut &'a [u8], count: usize) -> Option<&'a [u8]> {
-    let (head, rest) = bytes.split_at_checked(count)?;
-    *bytes = rest;
-    Some(head)
-}
+/// The number of a log entry. Entries are numbered through all logs, without gaps.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct Sequence(pub(crate) u64);
 
-fn take_u32(bytes: &mut &[u8]) -> Option<u32> {
-    Some(u32::from_le_bytes(take(bytes, 4)?.try_into().ok()?))
+impl Sequence {
+    pub(crate) fn next(self) -> Sequence {
+        Sequence(self.0 + 1)
+    }
 }
 
-fn take_u64(bytes: &mut &[u8]) -> Option<u64> {
-    Some(u64::from_le_bytes(take(bytes, 8)?.try_into().ok()?))
+/// A decoded log entry.
+#[derive(Debug)]
+pub(crate) struct LogEntry {
+    pub(crate) sequence: Sequence,
+    pub(crate) records: Vec<Record>,
 }
 
-/// A length as it is written. Whoever puts a record sees to it that each stays below 4 GiB.
-fn length(count: usize) -> [u8; 4] {
-    u32::try_from(count).expect("below 4 GiB").to_le_bytes()
+/// A decoded snapshot.
+#[derive(Debug, Default)]
+pub(crate) struct Snapshot {
+    pub(crate) records: RecordMap,
+    /// The first log that is not covered.
+    pub(crate) first_log: LogNumber,
+    /// The first sequence number that is not covered.
+    pub(crate) next_sequence: Sequence,
 }
 
-fn add_record(out: &mut Vec<u8>, key: &[u8], value: &[u8]) {
-    out.extend_from_slice(&length(key.len()));
-    out.extend_from_slice(&length(value.len()));
-    out.extend_from_slice(key);
-    out.extend_from_slice(value);
+/// How many bytes a record takes.
+fn record_bytes(key: &[u8], value: &[u8]) -> usize {
+    RECORD_HEADER_BYTES + key.len() + value.len()
 }
 
-/// `None` where the bytes do not end with a record.
-fn read_records(mut bytes: &[u8]) -> Option<Vec<Record>> {
-    let mut records = Vec::new();
-    while !bytes.is_empty() {
-        let (key, value) = (take_u32(&mut bytes)?, take_u32(&mut bytes)?);
-        let key = take(&mut bytes, key as usize)?.to_vec();
-        records.push((key, take(&mut bytes, value as usize)?.to_vec()));
-    }
-    Some(records)
+/// How many bytes the records of an entry take.
+fn payload_bytes(records: &RecordMap) -> usize {
+    records.iter().map(|(key, value)| record_bytes(key, value)).sum()
 }
 
-fn checksum(log: u64, rest: &[u8]) -> u32 {
-    let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&log.to_le_bytes());
-    hasher.update(rest);
-    hasher.finalize()
+/// How many bytes the entry of these records takes; `None` where they are too many for one.
+pub(crate) fn entry_bytes(records: &RecordMap) -> Option<u64> {
+    let payload = u32::try_from(payload_bytes(records)).ok()?;
+    Some(ENTRY_HEADER_BYTES as u64 + u64::from(payload))
 }
 
-/// How many bytes the entry of these records takes; `None` where they are too many for one.
-pub(crate) fn entry_size(records: &Map) -> Option<u64> {
-    let payload: usize = records.iter().map(|(key, value)| size(key, value)).sum();
-    u32::try_from(payload).ok().map(|payload| ENTRY_HEAD as u64 + u64::from(payload))
-}
-
-/// An entry of records that [`entry_size`] has found to fit.
-pub(crate) fn entry(log: u64, sequence: u64, records: &Map) -> Vec<u8> {
-    let payload = records.iter().map(|(key, value)| size(key, value)).sum();
-    let mut out = Vec::with_capacity(ENTRY_HEAD + payload);
-    out.extend_from_slice(&[0; 4]);
-    out.extend_from_slice(&length(payload));
-    out.extend_from_slice(&sequence.to_le_bytes());
+/// Encodes an entry of records that [`entry_bytes`] has found to fit.
+pub(crate) fn encode_entry(log: LogNumber, sequence: Sequence, records: &RecordMap) -> Vec<u8> {
+    let payload = payload_bytes(records);
+    let mut entry = Vec::with_capacity(ENTRY_HEADER_BYTES + payload);
+    entry.extend_from_slice(&[0; CHECKSUM_BYTES]);
+    entry.extend_from_slice(&encode_length(payload));
+    entry.extend_from_slice(&sequence.0.to_le_bytes());
     for (key, value) in records {
-        add_record(&mut out, key, value);
+        encode_record(&mut entry, key, value);
     }
-    let sum = checksum(log, &out[4..]);
-    out[..4].copy_from_slice(&sum.to_le_bytes());
-    out
+    let checksum = entry_checksum(log, &entry[CHECKSUM_BYTES..]);
+    entry[..CHECKSUM_BYTES].copy_from_slice(&checksum.to_le_bytes());
+    entry
 }
 
-/// Takes the next entry off a log's bytes: its sequence and records. `None` at the end and where the entry is
-/// not whole. A length is held against the bytes that are there before anything is made of that length.
-/// Danger: a torn length would ask for gigabytes.
-pub(crate) fn take_entry(bytes: &mut &[u8], log: u64) -> Option<(u64, Vec<Record>)> {
+/// Takes the next entry off a log's bytes. `None` at the end, and where the entry is incomplete or corrupt.
+///
+/// Invariant: a length is compared with the bytes that are there before anything of that length is allocated. A torn
+/// length would ask for gigabytes.
+pub(crate) fn take_entry(bytes: &mut &[u8], log: LogNumber) -> Option<LogEntry> {
     let mut rest = *bytes;
-    let sum = take_u32(&mut rest)?;
-    let summed = rest;
-    let payload = take_u32(&mut rest)? as usize;
-    let sequence = take_u64(&mut rest)?;
-    let records = take(&mut rest, payload)?;
-    if checksum(log, &summed[..ENTRY_HEAD - 4 + payload]) != sum {
+    let checksum = take_u32(&mut rest)?;
+    let checked = rest;
+    let payload_bytes = take_u32(&mut rest)? as usize;
+    let sequence = Sequence(take_u64(&mut rest)?);
+    let payload = take(&mut rest, payload_bytes)?;
+    let checked = &checked[..ENTRY_HEADER_BYTES - CHECKSUM_BYTES + payload_bytes];
+    if entry_checksum(log, checked) != checksum {
         return None;
     }
-    let records = read_records(records)?;
+    let records = decode_records(payload)?;
     *bytes = rest;
-    Some((sequence, records))
+    Some(LogEntry { sequence, records })
 }
 
-/// A snapshot, read.
-#[derive(Debug, Default)]
-pub(crate) struct Snapshot {
-    pub(crate) map: Map,
-    /// The first log that is not covered.
-    pub(crate) from: u64,
-    /// The first sequence that is not covered.
-    pub(crate) next: u64,
+/// CRC-32 over the log's number and the part of an entry that follows its checksum. With the number in it, an entry of
+/// another log (in a block of the disk that was used before) is not taken for one of this log.
+fn entry_checksum(log: LogNumber, rest: &[u8]) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(&log.0.to_le_bytes());
+    hasher.update(rest);
+    hasher.finalize()
 }
 
-/// Gives the snapshot's bytes to `write`, in pieces, so that the whole is never twice in memory.
+/// Passes a snapshot's bytes to `write`, in chunks, so that the records are never in memory twice.
 pub(crate) fn write_snapshot<E>(
-    map: &Map,
-    from: u64,
-    next: u64,
+    records: &RecordMap,
+    first_log: LogNumber,
+    next_sequence: Sequence,
     mut write: impl FnMut(&[u8]) -> Result<(), E>,
 ) -> Result<(), E> {
-    const PIECE: usize = 64 << 10;
+    const CHUNK_BYTES: usize = 64 << 10;
     let mut hasher = crc32fast::Hasher::new();
-    let mut piece = Vec::with_capacity(PIECE);
-    piece.extend_from_slice(SNAPSHOT_MAGIC);
-    piece.extend_from_slice(&from.to_le_bytes());
-    piece.extend_from_slice(&next.to_le_bytes());
-    for (key, value) in map {
-        if piece.len() + size(key, value) > PIECE {
-            hasher.update(&piece);
-            write(&piece)?;
-            piece.clear();
+    let mut chunk = Vec::with_capacity(CHUNK_BYTES);
+    chunk.extend_from_slice(SNAPSHOT_MAGIC);
+    chunk.extend_from_slice(&first_log.0.to_le_bytes());
+    chunk.extend_from_slice(&next_sequence.0.to_le_bytes());
+    for (key, value) in records {
+        if chunk.len() + record_bytes(key, value) > CHUNK_BYTES {
+            hasher.update(&chunk);
+            write(&chunk)?;
+            chunk.clear();
         }
-        add_record(&mut piece, key, value);
+        encode_record(&mut chunk, key, value);
     }
-    hasher.update(&piece);
-    piece.extend_from_slice(&hasher.finalize().to_le_bytes());
-    write(&piece)
+    hasher.update(&chunk);
+    chunk.extend_from_slice(&hasher.finalize().to_le_bytes());
+    write(&chunk)
 }
 
-/// `None` where the bytes are not a whole snapshot.
-pub(crate) fn read_snapshot(bytes: &[u8]) -> Option<Snapshot> {
-    let (body, sum) = bytes.split_at_checked(bytes.len().checked_sub(4)?)?;
-    if body.len() < SNAPSHOT_HEAD || crc32fast::hash(body).to_le_bytes() != sum {
+/// Decodes a snapshot; `None` where the bytes are not a complete one.
+pub(crate) fn decode_snapshot(bytes: &[u8]) -> Option<Snapshot> {
+    let (body, checksum) = bytes.split_at_checked(bytes.len().checked_sub(CHECKSUM_BYTES)?)?;
+    if body.len() < SNAPSHOT_HEADER_BYTES || crc32fast::hash(body).to_le_bytes() != checksum {
         return None;
     }
     let mut rest = body.strip_prefix(SNAPSHOT_MAGIC)?;
-    let (from, next) = (take_u64(&mut rest)?, take_u64(&mut rest)?);
-    Some(Snapshot { map: read_records(rest)?.into_iter().collect(), from, next })
+    let first_log = LogNumber(take_u64(&mut rest)?);
+    let next_sequence = Sequence(take_u64(&mut rest)?);
+    let records = decode_records(rest)?.into_iter().collect();
+    Some(Snapshot { records, first_log, next_sequence })
+}
+
+fn encode_record(out: &mut Vec<u8>, key: &[u8], value: &[u8]) {
+    out.extend_from_slice(&encode_length(key.len()));
+    out.extend_from_slice(&encode_length(value.len()));
+    out.extend_from_slice(key);
+    out.extend_from_slice(value);
+}
+
+/// Whoever puts a record ensures that key and value each stay below 4 GiB.
+fn encode_length(length: usize) -> [u8; 4] {
+    u32::try_from(length).expect("below 4 GiB").to_le_bytes()
+}
+
+/// Decodes records up to the end of the bytes; `None` where the last one is incomplete.
+fn decode_records(mut bytes: &[u8]) -> Option<Vec<Record>> {
+    let mut records = Vec::new();
+    while !bytes.is_empty() {
+        let key_bytes = take_u32(&mut bytes)? as usize;
+        let value_bytes = take_u32(&mut bytes)? as usize;
+        let key = take(&mut bytes, key_bytes)?.to_vec();
+        let value = take(&mut bytes, value_bytes)?.to_vec();
+        records.push((key, value));
+    }
+    Some(records)
+}
+
+/// Takes the first `count` bytes off; `None` where there are fewer.
+fn take<'a>(bytes: &mut &'a [u8], count: usize) -> Option<&'a [u8]> {
+    let (taken, rest) = bytes.split_at_checked(count)?;
+    *bytes = rest;
+    Some(taken)
+}
+
+fn take_u32(bytes: &mut &[u8]) -> Option<u32> {
+    Some(u32::from_le_bytes(take(bytes, 4)?.try_into().ok()?))
+}
+
+fn take_u64(bytes: &mut &[u8]) -> Option<u64> {
+    Some(u64::from_le_bytes(take(bytes, 8)?.try_into().ok()?))
 }
--- a/crates/storage/src/in_memory.rs
+++ b/crates/storage/src/in_memory.rs
@@ -1,22 +1,23 @@
-//! The stand-in that keeps records in memory.
+//! A store in memory, for tests.
 
 use std::os::fd::BorrowedFd;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use crate::event_fd::Wake;
-use crate::format::Map;
+use crate::event_fd::EventFd;
+use crate::records::{apply_records, RecordMap};
 use crate::{Error, Record, RecordStore, ThreadSnafu};
 
-/// What outlives a [`InMemoryStore`], as the disk outlives a store. Clones are the same.
+/// The records of an [`InMemoryStore`], which outlive it as files outlive a [`Store`](crate::Store). Clones share the
+/// same records.
 #[derive(Clone, Debug, Default)]
-pub struct Kept(Arc<Mutex<Map>>);
+pub struct InMemoryRecords(Arc<Mutex<RecordMap>>);
 
-/// A stand-in of [`Store`](crate::Store): each put is kept at once, and its ticket waits for `done`.
+/// A substitute for [`Store`](crate::Store) in tests: each write is complete at once, and its id waits for `done`.
 #[derive(Debug)]
 pub struct InMemoryStore {
-    kept: Kept,
-    done: Mutex<Vec<u64>>,
-    wake: Wake,
+    records: InMemoryRecords,
+    completed_writes: Mutex<Vec<u64>>,
+    event_fd: EventFd,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -24,31 +25,34 @@
 }
 
 impl InMemoryStore {
-    /// Opens what is kept; gives it in the order of keys, as [`Store::open`](crate::Store::open) does.
+    /// Opens a store of these records; returns it and the records in the order of keys, as
+    /// [`Store::open`](crate::Store::open) does.
     ///
     /// # Errors
-    /// [`Error::Thread`] where no descriptor can be had.
-    pub fn open(kept: &Kept) -> Result<(InMemoryStore, Vec<Record>), Error> {
-        let wake = Wake::new().map_err(|e| ThreadSnafu { path: "", cause: e.to_string() }.build())?;
-        let records = lock(&kept.0).clone().into_iter().collect();
-        Ok((InMemoryStore { kept: kept.clone(), done: Mutex::default(), wake }, records))
+    /// [`Error::Thread`] where no file descriptor can be had.
+    pub fn open(records: &InMemoryRecords) -> Result<(InMemoryStore, Vec<Record>), Error> {
+        let event_fd =
+            EventFd::new().map_err(|error| ThreadSnafu { path: "", cause: error.to_string() }.build())?;
+        let found = lock(&records.0).clone().into_iter().collect();
+        let store = InMemoryStore { records: records.clone(), completed_writes: Mutex::default(), event_fd };
+        Ok((store, found))
     }
 }
 
 impl RecordStore for InMemoryStore {
     fn put(&self, write_id: u64, records: Vec<Record>) {
-        crate::record_log::take(&mut lock(&self.kept.0), records);
-        lock(&self.done).push(write_id);
-        self.wake.set();
+        apply_records(&mut lock(&self.records.0), records);
+        lock(&self.completed_writes).push(write_id);
+        self.event_fd.notify();
     }
 
     fn done(&self) -> Result<Vec<u64>, Error> {
-        let mut done = lock(&self.done);
-        self.wake.clear();
-        Ok(std::mem::take(&mut *done))
+        let mut completed_writes = lock(&self.completed_writes);
+        self.event_fd.reset();
+        Ok(std::mem::take(&mut *completed_writes))
     }
 
     fn wakes(&self) -> BorrowedFd<'_> {
-        self.wake.fd()
+        self.event_fd.as_fd()
     }
 }
--- /dev/null
+++ b/crates/storage/src/records.rs
@@ -0,0 +1,19 @@
+//! Records in memory.
+
+use std::collections::BTreeMap;
+
+use crate::Record;
+
+/// Records by key. In a batch that is still to be written an empty value deletes its key.
+pub(crate) type RecordMap = BTreeMap<Vec<u8>, Vec<u8>>;
+
+/// Applies a batch: a later value of a key replaces an earlier one, an empty value deletes the key.
+pub(crate) fn apply_records(records: &mut RecordMap, batch: impl IntoIterator<Item = Record>) {
+    for (key, value) in batch {
+        if value.is_empty() {
+            records.remove(&key);
+        } else {
+            records.insert(key, value);
+        }
+    }
+}
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -2,10 +2,6 @@
 //! later one writes is what the earlier one would have. The files in `golden/` are never regenerated: a new format
 //! gets files of its own beside them.
 
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
-
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::Path;
@@ -220,7 +216,7 @@
 
 /// The error is of a file that does not hold what was written, and names the file.
 fn assert_corrupt(error: Error, file: &Path) {
-    assert!(matches!(&error, Error::Spoilt { path, .. } if path == file), "{error}");
+    assert!(matches!(&error, Error::Corrupt { path, .. } if path == file), "{error}");
 }
 
 #[test]
