--- a/crates/config/src/change_request/mod.rs
+++ b/crates/config/src/change_request/mod.rs
@@ -140,7 +140,7 @@
     }
 }
 
-/// A table's headings, each of which stands there once.
+/// A table's headings, which must be distinct.
 fn parse_headings(table: &ItemTable, table_json: &Value) -> Result<Vec<String>, ValidationError> {
     let to_text = |heading: &Value| heading.as_str().unwrap_or_default().to_owned();
     let headings: Vec<String> =
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -27,7 +27,7 @@
     /// An item is wrong by itself.
     #[snafu(display("{list} \"{name}\": {field}: {reason}"))]
     InvalidItem {
-        /// The list that the item stands in.
+        /// The table or list that the item is in.
         list: &'static str,
         /// The item's name.
         name: String,
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -32,8 +32,8 @@
 //! | --- | --- |
 //! | length of the key | 4 |
 //! | length of the value | 4 |
-//! | key | as told |
-//! | value | as told |
+//! | key | as its length says |
+//! | value | as its length says |
 //!
 //! *Log*: the magic `KPRLOG01`, then entries. An entry is one batch of records, which is applied completely or not at
 //! all:
@@ -43,9 +43,10 @@
 //! | checksum over the log's number (8 bytes) and all fields below | 4 |
 //! | length of the payload | 4 |
 //! | sequence number | 8 |
-//! | payload: records, one after another | as told |
+//! | payload: records, one after another | as its length says |
 //!
-//! Sequence numbers go up by one from entry to entry, through all logs.
+//! Sequence numbers go up by one from entry to entry, through all logs. The number of an entry that could not be written
+//! is not used again; the snapshot that follows such a failure covers it.
 //!
 //! *Snapshot*:
 //!
@@ -67,11 +68,11 @@
 //! * Of what was not synced any part may be missing or changed after a loss of power, in any order.
 //!
 //! A write is acknowledged after the sync that covers it, so an acknowledged write survives a loss of power. One that
-//! was not may survive too.
+//! was not acknowledged may survive too.
 //!
 //! A log therefore can have a *torn tail*: entries whose sync did not succeed. Recovery replays a log up to the first
-//! entry that is incomplete or does not match its checksum, and ignores the rest. No acknowledged entry can stand
-//! behind it, as each entry is synced before the next one is written. An incomplete magic means that the log was never
+//! entry that is incomplete or does not match its checksum, and ignores the rest. No acknowledged entry can follow
+//! it, as each entry is synced before the next one is written. An incomplete magic means that the log was never
 //! synced, so it holds no entry. The following cannot come from a loss of power, and is an [`Error::Corrupt`]: a
 //! snapshot that does not match its checksum, entries without a snapshot, and a gap in the sequence numbers.
 //!
--- a/crates/storage/src/write_queue.rs
+++ b/crates/storage/src/write_queue.rs
@@ -32,7 +32,7 @@
     path: PathBuf,
     backoff: RetryBackoff,
     inner: Mutex<Inner>,
-    /// Tells the thread of a new write, and of the end.
+    /// Notifies the thread of a new write, and of the end.
     changed: Condvar,
     /// Readable when `Inner::completed` or the state has something new.
     event_fd: EventFd,
@@ -84,7 +84,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // Poisoning tells nothing here: the thread reports its own panic by `stop_after_panic`.
+        // Poisoning can be ignored here: the thread reports its own panic by `stop_after_panic`.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
