--- /dev/null
+++ b/crates/net/src/http/framing.rs
@@ -0,0 +1,94 @@
+//! How the end of a body is found: RFC 9112 section 6.
+
+use super::digits;
+use super::error::{reason, ParseError};
+use super::head::{HeadLayout, MessageKind};
+
+/// How the body behind a head ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Framing {
+    /// There is no body.
+    Empty,
+    /// After this many bytes.
+    Sized(u64),
+    /// With the last chunk of the chunked transfer coding and its trailer.
+    Chunked,
+    /// With the connection.
+    ToTheEnd,
+}
+
+impl Framing {
+    /// Derives the framing from a parsed head.
+    ///
+    /// # Errors
+    ///
+    /// `Malformed` if the framing fields are invalid, or say two things.
+    pub(super) fn from_head(
+        kind: MessageKind,
+        layout: &HeadLayout,
+        bytes: &[u8],
+    ) -> Result<Framing, ParseError> {
+        let fields = FramingFields::from_head(layout, bytes)?;
+        let framing = match fields.content_length {
+            _ if has_no_body(kind, layout.status(bytes)) => Framing::Empty,
+            _ if fields.is_chunked => Framing::Chunked,
+            Some(length) => Framing::Sized(length),
+            None if kind == MessageKind::Request => Framing::Empty,
+            None => Framing::ToTheEnd,
+        };
+        Ok(framing)
+    }
+}
+
+/// Whether a response has no body whatever its fields say: one to `HEAD`, and those of status 204 and 304.
+fn has_no_body(kind: MessageKind, status: &[u8]) -> bool {
+    match kind {
+        MessageKind::Request => false,
+        MessageKind::Answer { to_head } => to_head || matches!(status, b"204" | b"304"),
+    }
+}
+
+/// What the fields say that determine a body's length.
+#[derive(Default)]
+struct FramingFields {
+    /// `Content-Length` in bytes.
+    content_length: Option<u64>,
+    /// Whether `Transfer-Encoding: chunked` is present.
+    is_chunked: bool,
+}
+
+impl FramingFields {
+    fn from_head(layout: &HeadLayout, bytes: &[u8]) -> Result<FramingFields, ParseError> {
+        let mut framing = FramingFields::default();
+        for (name, value) in layout.fields(bytes) {
+            if name.eq_ignore_ascii_case(b"content-length") {
+                framing.add_content_length(value)?;
+            } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
+                framing.add_transfer_encoding(value)?;
+            }
+        }
+        // Invariant: never both. An intermediary may believe the other field, and the two would see different
+        // messages (request smuggling, RFC 9112 section 11.2).
+        if framing.is_chunked && framing.content_length.is_some() {
+            return Err(ParseError::Malformed(reason::LENGTH_AND_ENCODING));
+        }
+        Ok(framing)
+    }
+
+    fn add_content_length(&mut self, value: &[u8]) -> Result<(), ParseError> {
+        let length = digits(value).ok_or(ParseError::Malformed(reason::CONTENT_LENGTH))?;
+        if self.content_length.is_some_and(|earlier| earlier != length) {
+            return Err(ParseError::Malformed(reason::CONFLICTING_LENGTHS));
+        }
+        self.content_length = Some(length);
+        Ok(())
+    }
+
+    fn add_transfer_encoding(&mut self, value: &[u8]) -> Result<(), ParseError> {
+        if self.is_chunked || !value.eq_ignore_ascii_case(b"chunked") {
+            return Err(ParseError::Malformed(reason::TRANSFER_ENCODING));
+        }
+        self.is_chunked = true;
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/net/src/http/head_reader.rs
@@ -0,0 +1,217 @@
+//! Parses heads from a connection's input: RFC 9112 sections 2 to 5.
+
+use super::error::{reason, ParseError};
+use super::framing::Framing;
+use super::head::{FieldLayout, Head, HeadLayout, MessageKind};
+use super::{digits, CRLF_BYTES};
+use memchr::memchr;
+use std::ops::Range;
+
+/// What each status line begins with.
+const STATUS_LINE_PREFIX: &[u8] = b"HTTP/1.";
+/// How many bytes of an incomplete request line are checked for characters that none has.
+const MAX_CHECKED_BYTES: usize = 64;
+/// The most interim responses (1xx) before the final one.
+const MAX_INTERIM_RESPONSES: u8 = 8;
+
+/// Reads heads, one after another, from a connection's input. Between two heads the body of the first has to be read
+/// with [`Body`](super::body::Body).
+#[derive(Debug, Default)]
+pub struct HeadReader {
+    parser: HeadParser,
+}
+
+impl HeadReader {
+    /// Takes the next head off the front of `input`, once it is complete, and says how the body behind it ends.
+    /// Interim responses (1xx) are dropped. `None` if more input is needed.
+    ///
+    /// `max_bytes` bounds the head's length in bytes, including empty lines before it.
+    ///
+    /// # Errors
+    ///
+    /// `HeadTooLarge` beyond `max_bytes`; `Malformed` for what is not a head, for more than 8 interim responses, and for
+    /// 101 Switching Protocols. The input is of no more use then.
+    pub fn next(
+        &mut self,
+        kind: MessageKind,
+        input: &mut Vec<u8>,
+        max_bytes: usize,
+    ) -> Result<Option<(Head, Framing)>, ParseError> {
+        let Some(framing) = self.parser.parse(kind, input, max_bytes)? else { return Ok(None) };
+        let layout = std::mem::take(&mut self.parser).layout;
+        let bytes = input.drain(..layout.end).collect();
+        Ok(Some((Head { bytes, layout }, framing)))
+    }
+
+    /// Whether a message has begun whose head is not complete. Interim responses before the head count as its begin.
+    pub fn begun(&self, input: &[u8]) -> bool {
+        !input.is_empty() || self.parser.interim_responses > 0
+    }
+}
+
+/// The state of parsing one head: the lines that are complete so far.
+#[derive(Debug, Default)]
+pub(super) struct HeadParser {
+    /// Where the parsed parts of the head are in the input.
+    pub(super) layout: HeadLayout,
+    /// The start of the first line that has not been parsed.
+    position: usize,
+    /// How many interim responses have been dropped before this head.
+    interim_responses: u8,
+}
+
+impl HeadParser {
+    /// Parses the lines that have become complete, within the first `max_bytes` of `input`. Returns the body's
+    /// framing once the head is complete. Interim responses are removed from the input.
+    pub(super) fn parse(
+        &mut self,
+        kind: MessageKind,
+        input: &mut Vec<u8>,
+        max_bytes: usize,
+    ) -> Result<Option<Framing>, ParseError> {
+        while let Some(line) = self.next_line(input, max_bytes)? {
+            let text = line.start..line.end - CRLF_BYTES;
+            match (self.layout.has_start_line(), text.is_empty()) {
+                // Empty lines before a message are ignored (RFC 9112 section 2.2).
+                (false, true) => {}
+                (false, false) => self.layout.start_line = parse_start_line(kind, input, text)?,
+                (true, false) => self.layout.fields.push(parse_field(input, text, line)?),
+                (true, true) => {
+                    self.layout.end = line.end;
+                    let is_interim = kind.is_response() && self.layout.status(input).starts_with(b"1");
+                    if !is_interim {
+                        return Framing::from_head(kind, &self.layout, input).map(Some);
+                    }
+                    self.drop_interim_response(input)?;
+                }
+            }
+        }
+        if input.len() > max_bytes {
+            return Err(ParseError::HeadTooLarge);
+        }
+        self.check_incomplete_start_line(kind, input)?;
+        Ok(None)
+    }
+
+    /// Moves on to the next complete line; the range includes its line break.
+    fn next_line(&mut self, input: &[u8], max_bytes: usize) -> Result<Option<Range<usize>>, ParseError> {
+        let Some(line_feed) = memchr(b'\n', &input[self.position..]) else { return Ok(None) };
+        let line = self.position..self.position + line_feed + 1;
+        if line.end > max_bytes {
+            return Err(ParseError::HeadTooLarge);
+        }
+        if !input[line.clone()].ends_with(b"\r\n") {
+            return Err(ParseError::Malformed(reason::BARE_LINE_FEED));
+        }
+        self.position = line.end;
+        Ok(Some(line))
+    }
+
+    /// Removes a complete interim response from the input; parsing starts again behind it.
+    fn drop_interim_response(&mut self, input: &mut Vec<u8>) -> Result<(), ParseError> {
+        if self.layout.status(input) == b"101" {
+            return Err(ParseError::Malformed(reason::SWITCHING_PROTOCOLS));
+        }
+        if self.interim_responses == MAX_INTERIM_RESPONSES {
+            return Err(ParseError::Malformed(reason::TOO_MANY_INTERIM));
+        }
+        input.drain(..self.layout.end);
+        *self = HeadParser { interim_responses: self.interim_responses + 1, ..HeadParser::default() };
+        Ok(())
+    }
+
+    /// Rejects the begin of a start line that cannot become one. Without this, bytes of another protocol that never
+    /// bring a line feed would be waited for until a time-out.
+    fn check_incomplete_start_line(&self, kind: MessageKind, input: &[u8]) -> Result<(), ParseError> {
+        if self.layout.has_start_line() {
+            return Ok(());
+        }
+        let line = &input[self.position..];
+        let is_plausible = match kind {
+            MessageKind::Answer { .. } => STATUS_LINE_PREFIX.iter().zip(line).all(|(a, b)| a == b),
+            MessageKind::Request => {
+                line.iter().take(MAX_CHECKED_BYTES).all(|byte| matches!(byte, b'\r' | b' '..=b'~'))
+            }
+        };
+        if !is_plausible {
+            return Err(ParseError::Malformed(reason::START_LINE));
+        }
+        Ok(())
+    }
+}
+
+/// Splits a request line or status line at its first two spaces. `text` is the line without its line break.
+fn parse_start_line(
+    kind: MessageKind,
+    input: &[u8],
+    text: Range<usize>,
+) -> Result<[Range<usize>; 3], ParseError> {
+    let error = ParseError::Malformed(reason::START_LINE);
+    let line = &input[text.clone()];
+    let first_space = memchr(b' ', line).ok_or(error)?;
+    let second_start = first_space + 1;
+    let second_space = match memchr(b' ', &line[second_start..]) {
+        Some(offset) => second_start + offset,
+        // A status line may end without a reason phrase.
+        None if kind.is_response() => line.len(),
+        None => return Err(error),
+    };
+    let third_start = (text.start + second_space + 1).min(text.end);
+    let parts = [
+        text.start..text.start + first_space,
+        text.start + second_start..text.start + second_space,
+        third_start..text.end,
+    ];
+    let [first, second, third] = parts.clone().map(|part| &input[part]);
+    let is_valid = match kind {
+        MessageKind::Request => is_method(first) && is_origin_form(second) && is_supported_version(third),
+        MessageKind::Answer { .. } => is_supported_version(first) && is_status_code(second),
+    };
+    if !is_valid {
+        return Err(error);
+    }
+    Ok(parts)
+}
+
+fn is_method(text: &[u8]) -> bool {
+    is_token(text)
+}
+
+/// Whether a request's target is a path, with or without a query.
+fn is_origin_form(target: &[u8]) -> bool {
+    target.starts_with(b"/") && target.iter().all(u8::is_ascii_graphic)
+}
+
+fn is_supported_version(version: &[u8]) -> bool {
+    matches!(version, b"HTTP/1.1" | b"HTTP/1.0")
+}
+
+fn is_status_code(text: &[u8]) -> bool {
+    text.len() == 3 && digits(text).is_some_and(|status| status >= 100)
+}
+
+/// Parses a field line. `text` is the line without its line break.
+fn parse_field(input: &[u8], text: Range<usize>, line: Range<usize>) -> Result<FieldLayout, ParseError> {
+    let bytes = &input[text.clone()];
+    let colon = memchr(b':', bytes).ok_or(ParseError::Malformed(reason::FIELD_WITHOUT_COLON))?;
+    let (name, value) = (&bytes[..colon], &bytes[colon + 1..]);
+    if !is_token(name) {
+        return Err(ParseError::Malformed(reason::FIELD_NAME));
+    }
+    let is_control = |byte: &u8| byte.is_ascii_control() && *byte != b'\t';
+    if value.iter().any(is_control) {
+        return Err(ParseError::Malformed(reason::FIELD_VALUE));
+    }
+    let is_blank = |byte: &&u8| matches!(byte, b' ' | b'\t');
+    let colon_at = text.start + colon;
+    let value_start = colon_at + 1 + value.iter().take_while(is_blank).count();
+    let trailing_blanks = value.iter().rev().take_while(is_blank).count();
+    let value_end = (text.end - trailing_blanks).max(value_start);
+    Ok(FieldLayout { name: text.start..colon_at, value: value_start..value_end, line })
+}
+
+/// Whether a text is a token: RFC 9110 section 5.6.2.
+fn is_token(text: &[u8]) -> bool {
+    let is_token_byte = |byte: &u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(byte);
+    !text.is_empty() && text.iter().all(is_token_byte)
+}
--- /dev/null
+++ b/crates/net/src/http/message.rs
@@ -0,0 +1,193 @@
+//! Reads complete messages of bounded size.
+
+use super::chunked::ChunkDecoder;
+use super::digits;
+use super::error::{reason, ParseError};
+use super::framing::Framing;
+use super::head::{Head, MessageKind};
+use super::head_reader::HeadParser;
+use std::ops::Range;
+
+/// The most bytes of a head that [`MessageReader`] accepts.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The most bytes of a body that [`MessageReader`] accepts.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+
+/// A complete message. What its head says is asked for as of a [`Head`].
+#[derive(Debug)]
+pub struct Message {
+    head: Head,
+    body: MessageBody,
+}
+
+#[derive(Debug)]
+enum MessageBody {
+    /// The body is this part of the head's bytes.
+    InPlace(Range<usize>),
+    /// A chunked body, decoded.
+    Decoded(Vec<u8>),
+}
+
+impl Message {
+    /// The body; a chunked one is decoded.
+    pub fn body(&self) -> &[u8] {
+        match &self.body {
+            MessageBody::InPlace(range) => &self.head.bytes[range.clone()],
+            MessageBody::Decoded(bytes) => bytes,
+        }
+    }
+}
+
+impl std::ops::Deref for Message {
+    type Target = Head;
+
+    fn deref(&self) -> &Head {
+        &self.head
+    }
+}
+
+/// Reads complete messages, one after another, from a connection's input.
+#[derive(Debug, Default)]
+pub struct MessageReader {
+    parser: HeadParser,
+    /// Up to where the input has been read, once the head is complete.
+    position: usize,
+    stage: Stage,
+}
+
+/// What part of a message is being read.
+#[derive(Debug, Default)]
+enum Stage {
+    #[default]
+    Head,
+    /// A body that ends at this position of the input.
+    SizedBody { end: usize },
+    /// A chunked body, and what has been decoded of it.
+    ChunkedBody { decoder: ChunkDecoder, decoded: Vec<u8> },
+    /// A body that ends with the connection.
+    BodyToTheEnd,
+}
+
+impl MessageReader {
+    /// Whether a message has begun and is not complete.
+    pub fn begun(&self, input: &[u8]) -> bool {
+        !input.is_empty() || !self.is_in_head()
+    }
+
+    /// Whether a request's head has come, nothing of its body, and the client waits for `100 Continue` before it
+    /// sends the body. Unlike [`Head::expects_a_word`] this disregards the version.
+    pub fn expects_a_word(&self, input: &[u8]) -> bool {
+        let has_head_alone = !self.is_in_head() && input.len() == self.position;
+        has_head_alone && self.parser.layout.has_expect_continue(input)
+    }
+
+    /// Takes the next message off the front of `input`, once it is complete. `ended` says that no more input will
+    /// come.
+    ///
+    /// # Errors
+    ///
+    /// Why the message is rejected: it is malformed, or exceeds [`MAX_HEAD_BYTES`] or [`MAX_BODY_BYTES`]. The input
+    /// is of no more use then.
+    pub fn next(
+        &mut self,
+        kind: MessageKind,
+        input: &mut Vec<u8>,
+        ended: bool,
+    ) -> Result<Option<Message>, ParseError> {
+        if self.is_in_head() && !self.read_head(kind, input)? {
+            return Ok(None);
+        }
+        let Some(body) = self.read_body(input, ended)? else { return Ok(None) };
+        let end = match &body {
+            MessageBody::InPlace(range) => range.end,
+            MessageBody::Decoded(_) => self.position,
+        };
+        let rest = input.split_off(end);
+        let bytes = std::mem::replace(input, rest);
+        let layout = std::mem::take(self).parser.layout;
+        Ok(Some(Message { head: Head { bytes, layout }, body }))
+    }
+
+    /// Reads a chunked response as it comes and appends what is decoded of its body to `into`. `None` before the
+    /// head is complete; then whether the body is. Not to be mixed with [`MessageReader::next`] within a message.
+    ///
+    /// # Errors
+    ///
+    /// Why the response is rejected; `Malformed` if it is not chunked.
+    pub fn stream(&mut self, input: &mut Vec<u8>, into: &mut Vec<u8>) -> Result<Option<bool>, ParseError> {
+        let response = MessageKind::Answer { to_head: false };
+        if self.is_in_head() && !self.read_head(response, input)? {
+            return Ok(None);
+        }
+        let Stage::ChunkedBody { decoder, .. } = &mut self.stage else {
+            return Err(ParseError::Malformed(reason::NOT_CHUNKED));
+        };
+        self.position += decoder.decode(&input[self.position..], into, usize::MAX)?;
+        let is_complete = decoder.is_done();
+        self.drop_decoded_input(input);
+        Ok(Some(is_complete))
+    }
+
+    /// The status code of the response that [`MessageReader::stream`] reads; 0 before its start line has come.
+    pub fn stream_status(&self, input: &[u8]) -> u16 {
+        // A status code has three digits, so that none is cut off.
+        digits(self.parser.layout.status(input)).unwrap_or(0) as u16
+    }
+
+    fn is_in_head(&self) -> bool {
+        matches!(self.stage, Stage::Head)
+    }
+
+    /// Reads the head as it comes; true once it is complete.
+    fn read_head(&mut self, kind: MessageKind, input: &mut Vec<u8>) -> Result<bool, ParseError> {
+        let Some(framing) = self.parser.parse(kind, input, MAX_HEAD_BYTES)? else { return Ok(false) };
+        let head_end = self.parser.layout.end;
+        self.position = head_end;
+        self.stage = match framing {
+            Framing::Empty => Stage::SizedBody { end: head_end },
+            Framing::Sized(length) if length > MAX_BODY_BYTES as u64 => return Err(ParseError::BodyTooLarge),
+            Framing::Sized(length) => Stage::SizedBody { end: head_end + length as usize },
+            Framing::Chunked => Stage::ChunkedBody {
+                decoder: ChunkDecoder::lenient(MAX_BODY_BYTES as u64),
+                decoded: Vec::new(),
+            },
+            Framing::ToTheEnd => Stage::BodyToTheEnd,
+        };
+        Ok(true)
+    }
+
+    /// Reads the body as it comes; `None` until it is complete.
+    fn read_body(&mut self, input: &mut Vec<u8>, ended: bool) -> Result<Option<MessageBody>, ParseError> {
+        let head_end = self.parser.layout.end;
+        match &self.stage {
+            Stage::Head => Ok(None),
+            Stage::SizedBody { end } if input.len() >= *end => Ok(Some(MessageBody::InPlace(head_end..*end))),
+            Stage::SizedBody { .. } => Ok(None),
+            Stage::ChunkedBody { .. } => self.read_chunked_body(input),
+            Stage::BodyToTheEnd if input.len() - head_end > MAX_BODY_BYTES => Err(ParseError::BodyTooLarge),
+            Stage::BodyToTheEnd if ended => Ok(Some(MessageBody::InPlace(head_end..input.len()))),
+            Stage::BodyToTheEnd => Ok(None),
+        }
+    }
+
+    /// Decodes a chunked body as it comes; `None` until it is complete.
+    fn read_chunked_body(&mut self, input: &mut Vec<u8>) -> Result<Option<MessageBody>, ParseError> {
+        let Stage::ChunkedBody { decoder, decoded } = &mut self.stage else { return Ok(None) };
+        self.position += decoder.decode(&input[self.position..], decoded, usize::MAX)?;
+        if decoded.len() > MAX_BODY_BYTES {
+            return Err(ParseError::BodyTooLarge);
+        }
+        if !decoder.is_done() {
+            self.drop_decoded_input(input);
+            return Ok(None);
+        }
+        Ok(Some(MessageBody::Decoded(std::mem::take(decoded))))
+    }
+
+    /// Removes the chunks that have been decoded from the input, so that they are not held twice. The head stays.
+    fn drop_decoded_input(&mut self, input: &mut Vec<u8>) {
+        let head_end = self.parser.layout.end;
+        input.drain(head_end..self.position);
+        self.position = head_end;
+    }
+}
