--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,12 +1,9 @@
-//! What the operators intend of a machine: its settings file, and the shape of its log lines.
+//! What every process of the system needs as a node:
 //!
-//! The settings are TOML, in the file that the variable [`SETTINGS_VARIABLE`] names. [`Settings`] is that file once it
-//! was checked against `schema/settings.json`; [`Watch`] tells of changes to it. [`log_to_stderr`] starts the
-//! log, one line an event.
-#![deny(missing_docs)]
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
+//! - [`Settings`]: the settings file, TOML, which the variable [`SETTINGS_VARIABLE`] names and which is checked against
+//!   `schema/settings.json`. [`Watch`] notices its changes.
+//! - [`log_to_stderr`]: the log, one line an event.
+//! - [`process`]: signals, and the process' incarnation.
 
 mod logging;
 pub mod process;
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -1,45 +1,53 @@
-//! What both programs of the system do as processes: heed signals, and be told from their earlier lives.
+//! A process' signals and its incarnation.
 
+use std::collections::hash_map::RandomState;
+use std::hash::{BuildHasher, Hasher};
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Signals that came. SIGTERM and SIGINT end the process, SIGHUP has it read its settings again.
+use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
+
+/// Signals that have come: SIGTERM and SIGINT ask the process to shut down, SIGHUP to read its settings again.
 #[derive(Debug, Default)]
 pub struct Signals {
-    term: Arc<AtomicBool>,
-    hup: Arc<AtomicBool>,
+    is_shutdown_requested: Arc<AtomicBool>,
+    is_reload_requested: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// From here on signals are taken note of and end nothing by themselves.
+    /// Installs the signal handlers. From then on these signals are recorded and no longer end the process.
     ///
     /// # Errors
     ///
     /// The system's.
     pub fn heed(&self) -> io::Result<()> {
-        use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
-        for (signal, flag) in [(SIGTERM, &self.term), (SIGINT, &self.term), (SIGHUP, &self.hup)] {
+        let handlers = [
+            (SIGTERM, &self.is_shutdown_requested),
+            (SIGINT, &self.is_shutdown_requested),
+            (SIGHUP, &self.is_reload_requested),
+        ];
+        for (signal, flag) in handlers {
             signal_hook::flag::register(signal, flag.clone())?;
         }
         Ok(())
     }
 
-    /// Whether the process was told to end.
+    /// Whether the process was asked to shut down.
     pub fn ends(&self) -> bool {
-        self.term.load(Ordering::Relaxed)
+        self.is_shutdown_requested.load(Ordering::Relaxed)
     }
 
-    /// Whether it was told to read its settings again, since it was asked last.
+    /// Whether the process was asked to read its settings again since the last call.
     pub fn reloads(&self) -> bool {
-        self.hup.swap(false, Ordering::Relaxed)
+        self.is_reload_requested.swap(false, Ordering::Relaxed)
     }
 }
 
-/// Tells one life of a process from another: no clock alone, as clocks may be set back.
+/// A number that differs between the incarnations of a node's process. It does not depend on a clock alone, since
+/// clocks may be set back.
 pub fn new_incarnation(node_id: &str) -> u64 {
-    use std::hash::{BuildHasher, Hasher};
-    let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
+    let mut hasher = RandomState::new().build_hasher();
     hasher.write(node_id.as_bytes());
     hasher.write_u32(std::process::id());
     hasher.finish()
--- /dev/null
+++ b/crates/node/src/settings/schema.rs
@@ -0,0 +1,26 @@
+//! The check of a settings file against its JSON schema.
+
+use super::error::{Error, FieldSnafu, SchemaSnafu};
+use serde_json::Value;
+
+const SCHEMA: &str = include_str!("../../schema/settings.json");
+
+/// Checks a file's value against the schema. The schema is compiled for each check: files are read seldom, and a
+/// compiled schema that is kept would hold memory for nothing.
+///
+/// # Errors
+///
+/// [`Error::Field`] for the first violation.
+pub(super) fn check(value: &Value) -> Result<(), Error> {
+    let schema: Value = serde_json::from_str(SCHEMA).map_err(invalid_schema)?;
+    let validator = jsonschema::validator_for(&schema).map_err(invalid_schema)?;
+    validator.validate(value).map_err(|violation| {
+        let path = violation.instance_path().as_str().trim_start_matches('/').replace('/', ".");
+        let field = if path.is_empty() { "(top)".to_owned() } else { path };
+        FieldSnafu { field, cause: violation.to_string() }.build()
+    })
+}
+
+fn invalid_schema(error: impl std::fmt::Display) -> Error {
+    SchemaSnafu { cause: error.to_string() }.build()
+}
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -1,95 +1,122 @@
-//! Changes of the settings file.
+//! Notices changes of the settings file.
 
+use crate::settings::read_file;
+use crate::{Error, Settings};
 use std::fs::Metadata;
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
-use crate::settings::read;
-use crate::{Error, Settings};
-
-/// A file changed so short a time ago may change again without its stamp showing it.
-const FRESH: Duration = Duration::from_secs(2);
+/// A file that was changed more recently than this may change again without its stamp showing it.
+const MIN_RELIABLE_AGE: Duration = Duration::from_secs(2);
 
-/// Tells of changes of a settings file.
+/// Notices changes of a settings file.
 #[derive(Debug)]
 pub struct Watch {
     path: PathBuf,
-    seen: Seen,
+    last_read: LastRead,
 }
 
-/// What was seen of the file last.
+/// What the last look at the file found.
 #[derive(Debug)]
-enum Seen {
-    /// Not looked at yet.
-    Nothing,
-    /// It could not be read, and that was told.
-    Unreadable,
-    /// These bytes. `settled`: an equal stamp means equal bytes.
-    Bytes { stamp: Stamp, settled: bool, bytes: Vec<u8> },
+enum LastRead {
+    /// There has been none yet.
+    Never,
+    /// The file could not be read, which has been reported.
+    Failed,
+    /// The file's content, which has been reported.
+    Content {
+        stamp: FileStamp,
+        /// Whether an equal stamp means equal content.
+        is_stamp_reliable: bool,
+        bytes: Vec<u8>,
+    },
 }
 
+/// What tells a file from its later states without its content being read.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Stamp {
-    file: u64,
-    length: u64,
-    seconds: i64,
-    nanos: i64,
+struct FileStamp {
+    inode: u64,
+    bytes: u64,
+    modified_seconds: i64,
+    modified_nanos: i64,
 }
 
-impl Stamp {
-    fn of(meta: &Metadata) -> Stamp {
-        Stamp { file: meta.ino(), length: meta.size(), seconds: meta.mtime(), nanos: meta.mtime_nsec() }
+impl FileStamp {
+    fn from_metadata(metadata: &Metadata) -> FileStamp {
+        FileStamp {
+            inode: metadata.ino(),
+            bytes: metadata.size(),
+            modified_seconds: metadata.mtime(),
+            modified_nanos: metadata.mtime_nsec(),
+        }
     }
 }
 
 impl Watch {
-    /// Watches the file at `path`. It need not exist yet. Nothing is read until [`Watch::changed`].
+    /// Watches the file at `path`, which need not exist yet. Nothing is read before [`Watch::changed`].
     pub fn new(path: impl AsRef<Path>) -> Watch {
-        Watch { path: path.as_ref().to_owned(), seen: Seen::Nothing }
+        Watch { path: path.as_ref().to_owned(), last_read: LastRead::Never }
     }
 
-    /// `None` where the file is as it was at the last call; else its settings, or why they cannot be taken:
-    /// the caller then keeps those it has. Each change is told once, a bad file too. The first call always
-    /// tells; so no change is missed between reading the settings first and watching them.
+    /// `None` if the file is as it was at the last call; else its settings, or why they are rejected: the caller then
+    /// keeps those that it has. Each change is reported once, a faulty file too. The first call always reports, so
+    /// that no change between loading the settings and watching them is missed.
     ///
-    /// Does not wait; meant to be called once a second and at SIGHUP. A file that is caught half written is
-    /// told as it is, and told again at the next call once it is whole; writers do better to rename.
+    /// Does not wait; meant to be called once a second and at SIGHUP. A file that is found half written is reported
+    /// as it is, and again at the next call once it is complete; writers had better rename a complete file.
     pub fn changed(&mut self) -> Option<Result<Settings, Error>> {
-        // The stamp is taken before the bytes: a change in between shows at the next call, at the latest.
-        let meta = std::fs::metadata(&self.path).ok();
-        let stamp = meta.as_ref().map(Stamp::of);
-        if let Seen::Bytes { stamp: old, settled: true, .. } = &self.seen {
-            if Some(*old) == stamp {
-                return None;
-            }
+        // The stamp is taken before the content: a change in between shows at the next call, at the latest.
+        let metadata = std::fs::metadata(&self.path).ok();
+        if self.is_known_unchanged(metadata.as_ref()) {
+            return None;
         }
-        match (read(&self.path), meta, stamp) {
-            (Ok(bytes), Some(meta), Some(stamp)) => self.saw(stamp, settled(&meta), bytes),
-            // It came between the two looks: taken at the next call.
-            (Ok(_), ..) => None,
-            (Err(error), ..) => self.missed(error),
+        match (read_file(&self.path), metadata) {
+            (Ok(bytes), Some(metadata)) => self.record_content(&metadata, bytes),
+            // The file appeared between the two looks; the next call reads it.
+            (Ok(_), None) => None,
+            (Err(error), _) => self.record_failure(error),
         }
     }
 
-    fn saw(&mut self, stamp: Stamp, settled: bool, bytes: Vec<u8>) -> Option<Result<Settings, Error>> {
-        let same = matches!(&self.seen, Seen::Bytes { bytes: old, .. } if *old == bytes);
-        let told = (!same).then(|| Settings::from_bytes(&bytes));
-        self.seen = Seen::Bytes { stamp, settled, bytes };
-        told
+    /// Whether the stamp alone shows that the file has not changed.
+    fn is_known_unchanged(&self, metadata: Option<&Metadata>) -> bool {
+        match &self.last_read {
+            LastRead::Content { stamp, is_stamp_reliable: true, .. } => {
+                metadata.is_some_and(|metadata| *stamp == FileStamp::from_metadata(metadata))
+            }
+            _ => false,
+        }
     }
 
-    fn missed(&mut self, error: Error) -> Option<Result<Settings, Error>> {
-        let told = !matches!(self.seen, Seen::Unreadable);
-        self.seen = Seen::Unreadable;
-        told.then_some(Err(error))
+    fn record_content(&mut self, metadata: &Metadata, bytes: Vec<u8>) -> Option<Result<Settings, Error>> {
+        let is_same = matches!(&self.last_read, LastRead::Content { bytes: last, .. } if *last == bytes);
+        let report = if is_same { None } else { Some(Settings::from_bytes(&bytes)) };
+        self.last_read = LastRead::Content {
+            stamp: FileStamp::from_metadata(metadata),
+            is_stamp_reliable: is_stamp_reliable(metadata),
+            bytes,
+        };
+        report
+    }
+
+    fn record_failure(&mut self, error: Error) -> Option<Result<Settings, Error>> {
+        let is_reported = matches!(self.last_read, LastRead::Failed);
+        self.last_read = LastRead::Failed;
+        if is_reported {
+            return None;
+        }
+        Some(Err(error))
     }
 }
 
-/// Whether the file's last change is so long ago that a further one shows in its time. Danger: two changes in
-/// one tick of the file system's clock that keep the length have the same stamp; the second would be missed
-/// for good. A time in the future, after a clock was set back, is never settled.
-fn settled(meta: &Metadata) -> bool {
-    let age = meta.modified().ok().and_then(|at| SystemTime::now().duration_since(at).ok());
-    age.is_some_and(|age| age > FRESH)
+/// Whether the file's last change is so long ago that another one shows in its time of modification.
+///
+/// Invariant: a stamp is trusted only then. Two changes within one tick of the file system's clock that keep the
+/// length have the same stamp, and the second would be missed for good. A time in the future, after a clock was set
+/// back, is never trusted.
+fn is_stamp_reliable(metadata: &Metadata) -> bool {
+    let modified = metadata.modified().ok();
+    let age = modified.and_then(|modified| SystemTime::now().duration_since(modified).ok());
+    age.is_some_and(|age| age > MIN_RELIABLE_AGE)
 }
--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -1,10 +1,6 @@
 //! Settings files as they are read today, value by value, and the error text of files that are rejected. Deployed
 //! files must keep their meaning across upgrades: expected values stand in `golden/` and are never regenerated.
 
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
-
 use std::fmt::Display;
 use std::time::Duration;
 
