--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -1,10 +1,10 @@
-//! Backends: one record each, connections kept for reuse, and the legs on them. A connection carries one leg
-//! at a time, and a leg is written at most once.
+//! Backends: one record each, connections kept for reuse, and the attempts on them. A connection carries one attempt
+//! at a time, and an attempt is written at most once.
 
-use crate::command::{CommandKey, State};
+use crate::command::{RequestKey, State};
 use crate::http::{Message, MessageKind, MessageReader, ParseError, MAX_BODY_BYTES, MAX_HEAD_BYTES};
-use crate::poll::{self, empty, LineKey, ReadOutcome, ReadyEvent, Source};
-use crate::runtime::{Event, Floor, LegEnded, Timer};
+use crate::poll::{self, empty, ConnectionKey, ReadOutcome, ReadyEvent, Source};
+use crate::runtime::{AttemptEnded, Event, Runtime, Timer};
 use crate::timer_wheel::TimerKey;
 use kitepass_gateway_policy::{AttemptOutcome, BackendStatus};
 use kitepass_time::{Duration, Timestamp};
@@ -16,49 +16,49 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// How far a leg had come.
+/// How far an attempt had come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reached {
+enum Progress {
     NotConnected,
-    PartWritten,
-    WholeWritten,
-    PartAnswered,
+    PartlyWritten,
+    FullyWritten,
+    PartlyAnswered,
 }
 
 /// Why it came no further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Cause {
+enum FailureCause {
     /// Refused or reset.
-    Broke(Errno),
+    ConnectionError(Errno),
     Closed,
-    TimeUp,
+    TimedOut,
     ParseError(ParseError),
-    /// Nothing is to be sent any more: the backend drains or is gone, the command needs no answer, or there is
+    /// Nothing is to be sent any more: the backend drains or is gone, the request needs no answer, or there is
     /// no descriptor to send it by.
-    Barred,
+    NotSendable,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Failure {
-    reached: Reached,
-    cause: Cause,
+    progress: Progress,
+    cause: FailureCause,
 }
 
 impl Failure {
-    /// What a failure means for the decisions: a backend begins a command with its last byte, so whatever
-    /// stopped a leg before that proves that it never ran.
-    fn ending(self) -> AttemptOutcome {
-        match (self.reached, self.cause) {
-            (Reached::NotConnected, Cause::Barred) => AttemptOutcome::NotSent, // no blame for the backend
-            (Reached::NotConnected | Reached::PartWritten, _) => AttemptOutcome::Unreachable,
-            (_, Cause::TimeUp) => AttemptOutcome::TimedOut,
-            (_, Cause::ParseError(_)) => AttemptOutcome::Failed,
+    /// What a failure means for the decisions: a backend begins a request with its last byte, so whatever
+    /// stopped an attempt before that proves that it never ran.
+    fn outcome(self) -> AttemptOutcome {
+        match (self.progress, self.cause) {
+            (Progress::NotConnected, FailureCause::NotSendable) => AttemptOutcome::NotSent, // no blame for the backend
+            (Progress::NotConnected | Progress::PartlyWritten, _) => AttemptOutcome::Unreachable,
+            (_, FailureCause::TimedOut) => AttemptOutcome::TimedOut,
+            (_, FailureCause::ParseError(_)) => AttemptOutcome::Failed,
             (..) => AttemptOutcome::ConnectionLost,
         }
     }
 }
 
-/// What a whole answer means.
+/// What a complete response means.
 fn answered(answer: &Message) -> AttemptOutcome {
     match answer.status() {
         200 => AttemptOutcome::Completed,
@@ -68,47 +68,47 @@
 }
 
 #[derive(Default)]
-struct Record {
+struct BackendRecord {
     address: Option<SocketAddr>,
     live: bool,
     /// When something last came from it.
-    heard: Timestamp,
+    last_heard: Timestamp,
     /// Connections that carry nothing, and since when, oldest first. Some may have been closed.
-    idle: VecDeque<(Timestamp, LineKey)>,
+    idle: VecDeque<(Timestamp, ConnectionKey)>,
 }
 
 /// A connection to a backend.
-struct Line {
+struct BackendConnection {
     socket: OwnedFd,
     backend: Rc<str>,
     connected: bool,
-    leg: Option<Leg>,
+    attempt: Option<Attempt>,
     reader: MessageReader,
     input: Vec<u8>,
     output: Vec<u8>,
     written: usize,
 }
 
-struct Leg {
-    command: CommandKey,
+struct Attempt {
+    request: RequestKey,
     timer: TimerKey,
     sent: Timestamp,
-    until: Timestamp,
-    to_head: bool,
+    deadline: Timestamp,
+    is_head_request: bool,
     /// Its answer has begun.
-    begun: bool,
+    has_response_begun: bool,
 }
 
 pub struct Backends {
-    records: BTreeMap<Rc<str>, Record>,
-    lines: SlotMap<LineKey, Line>,
+    records: BTreeMap<Rc<str>, BackendRecord>,
+    connections: SlotMap<ConnectionKey, BackendConnection>,
     /// Connections held at most.
-    most: usize,
+    max_connections: usize,
 }
 
 impl Backends {
     pub fn new(most: usize) -> Backends {
-        Backends { records: BTreeMap::new(), lines: SlotMap::with_key(), most }
+        Backends { records: BTreeMap::new(), connections: SlotMap::with_key(), max_connections: most }
     }
 
     pub fn any_listed(&self) -> bool {
@@ -116,11 +116,11 @@
     }
 }
 
-impl Floor {
+impl Runtime {
     /// What the list says of a backend; `None` for an address that cannot be read.
     pub fn list_backend(&mut self, id: &str, address: Option<SocketAddr>, standing: BackendStatus) {
         if standing == BackendStatus::Removed {
-            self.close_idle_lines(id);
+            self.close_idle_connections(id);
             self.backends.records.remove(id);
             return;
         }
@@ -129,83 +129,99 @@
         record.address = address.or(record.address);
         record.live = standing == BackendStatus::Live;
         if moved || !record.live {
-            self.close_idle_lines(id);
+            self.close_idle_connections(id);
         }
     }
 
-    /// Forgets all backends that a whole list leaves out.
-    pub fn keep_backends(&mut self, listed: impl Fn(&str) -> bool) {
+    /// Forgets all backends that a complete list leaves out.
+    pub fn retain_backends(&mut self, listed: impl Fn(&str) -> bool) {
         let gone: Vec<_> = self.backends.records.keys().filter(|id| !listed(id)).cloned().collect();
         for id in gone {
             self.list_backend(&id, None, BackendStatus::Removed);
         }
     }
 
-    fn close_idle_lines(&mut self, id: &str) {
+    fn close_idle_connections(&mut self, id: &str) {
         let Some(record) = self.backends.records.get_mut(id) else { return };
         for (_, key) in record.idle.drain(..) {
-            self.backends.lines.remove(key);
+            self.backends.connections.remove(key);
         }
     }
 
-    pub fn begin_leg(&mut self, command: CommandKey, backend: &str, allow: Duration) {
+    pub fn begin_attempt(&mut self, command: RequestKey, backend: &str, allow: Duration) {
         let now = self.now();
-        let Some(taken) = self.commands.get_mut(command).filter(|c| c.state() == State::Held) else { return };
-        taken.legs += 1;
-        let (intake, until) = (taken.intake.clone(), taken.outer_limit.min(now + allow));
-        self.commands.shift(command, State::Out);
+        let Some(taken) = self.commands.get_mut(command).filter(|c| c.state() == State::Queued) else {
+            return;
+        };
+        taken.attempts += 1;
+        let (head, until) = (taken.head.clone(), taken.deadline.min(now + allow));
+        self.commands.set_state(command, State::InFlight);
         let Some((name, record)) = self.backends.records.get_key_value(backend) else {
-            return self.leg_unsent(command, backend.into(), AttemptOutcome::NotSent);
+            return self.attempt_not_sent(command, backend.into(), AttemptOutcome::NotSent);
         };
         let name = name.clone();
         let Some(address) = record.address else {
-            return self.leg_unsent(command, name, AttemptOutcome::NotSent);
+            return self.attempt_not_sent(command, name, AttemptOutcome::NotSent);
         };
         if until <= now || !record.live {
-            return self.leg_unsent(command, name, AttemptOutcome::NotSent);
+            return self.attempt_not_sent(command, name, AttemptOutcome::NotSent);
         }
-        let key = match self.reuse_line(backend, now) {
+        let key = match self.reuse_connection(backend, now) {
             Some(key) => key,
-            None => match self.open_line(&name, &address) {
+            None => match self.open_connection(&name, &address) {
                 Ok(key) => key,
                 Err(error) => {
                     debug!("{name}: no connection: {error}");
                     let short = matches!(error, Errno::MFILE | Errno::NFILE);
-                    let cause = if short { Cause::Barred } else { Cause::Broke(error) };
-                    let failure = Failure { reached: Reached::NotConnected, cause };
-                    return self.leg_unsent(command, name, failure.ending());
+                    let cause =
+                        if short { FailureCause::NotSendable } else { FailureCause::ConnectionError(error) };
+                    let failure = Failure { progress: Progress::NotConnected, cause };
+                    return self.attempt_not_sent(command, name, failure.outcome());
                 }
             },
         };
-        let connected = self.backends.lines[key].connected;
+        let connected = self.backends.connections[key].connected;
         let due = if connected { until } else { until.min(now + self.carriage.connect_within) };
-        let timer = self.timers.set(due, Timer::Leg(key));
-        let line = &mut self.backends.lines[key];
-        intake.leg(until - now, &mut line.output);
-        line.leg = Some(Leg { command, timer, sent: now, until, to_head: intake.is_head(), begun: false });
+        let timer = self.timers.set(due, Timer::Attempt(key));
+        let line = &mut self.backends.connections[key];
+        head.leg(until - now, &mut line.output);
+        line.attempt = Some(Attempt {
+            request: command,
+            timer,
+            sent: now,
+            deadline: until,
+            is_head_request: head.is_head(),
+            has_response_begun: false,
+        });
         if connected {
-            self.write_line(key);
+            self.write_backend(key);
         }
     }
 
-    /// A leg of which nothing has been written.
-    fn leg_unsent(&mut self, command: CommandKey, backend: Rc<str>, ending: AttemptOutcome) {
-        let ended =
-            LegEnded { command, backend, ending, over: false, took: Duration::ZERO, true_units: None };
-        self.end_leg(ended, None);
+    /// An attempt of which nothing has been written.
+    fn attempt_not_sent(&mut self, command: RequestKey, backend: Rc<str>, ending: AttemptOutcome) {
+        let ended = AttemptEnded {
+            request: command,
+            backend,
+            outcome: ending,
+            is_final: false,
+            elapsed: Duration::ZERO,
+            actual_units: None,
+        };
+        self.end_attempt(ended, None);
     }
 
     /// A kept connection that the backend has not closed.
-    fn reuse_line(&mut self, backend: &str, now: Timestamp) -> Option<LineKey> {
+    fn reuse_connection(&mut self, backend: &str, now: Timestamp) -> Option<ConnectionKey> {
         let oldest = now - self.keeps_idle();
         let record = self.backends.records.get_mut(backend)?;
         while let Some((since, key)) = record.idle.pop_back() {
-            let Some(line) = self.backends.lines.get(key) else { continue };
-            // What the backend has closed by now would swallow a command, which may have run for all we know.
+            let Some(line) = self.backends.connections.get(key) else { continue };
+            // What the backend has closed by now would swallow a request, which may have run for all we know.
             if since > oldest && poll::is_quiet(&line.socket) {
                 return Some(key);
             }
-            self.backends.lines.remove(key);
+            self.backends.connections.remove(key);
         }
         None
     }
@@ -215,154 +231,158 @@
         self.carriage.idle / 8 * 7
     }
 
-    fn open_line(&mut self, backend: &Rc<str>, address: &SocketAddr) -> rustix::io::Result<LineKey> {
-        if self.backends.lines.len() >= self.backends.most {
+    fn open_connection(
+        &mut self,
+        backend: &Rc<str>,
+        address: &SocketAddr,
+    ) -> rustix::io::Result<ConnectionKey> {
+        if self.backends.connections.len() >= self.backends.max_connections {
             self.close_longest_idle();
         }
-        if self.backends.lines.len() >= self.backends.most {
+        if self.backends.connections.len() >= self.backends.max_connections {
             return Err(Errno::MFILE);
         }
         let line = |key| {
-            Ok(Line {
-                socket: self.poll.connect(address, Source::Line(key))?,
+            Ok(BackendConnection {
+                socket: self.poll.connect(address, Source::BackendConnection(key))?,
                 backend: backend.clone(),
                 connected: false,
-                leg: None,
+                attempt: None,
                 reader: MessageReader::default(),
                 input: Vec::new(),
                 output: Vec::new(),
                 written: 0,
             })
         };
-        self.backends.lines.try_insert_with_key(line)
+        self.backends.connections.try_insert_with_key(line)
     }
 
     fn close_longest_idle(&mut self) {
-        while self.backends.lines.len() >= self.backends.most {
+        while self.backends.connections.len() >= self.backends.max_connections {
             let idle = self.backends.records.values_mut().filter(|record| !record.idle.is_empty());
             let Some(record) = idle.min_by_key(|record| record.idle[0].0) else { return };
             if let Some((_, key)) = record.idle.pop_front() {
-                self.backends.lines.remove(key);
+                self.backends.connections.remove(key);
             }
         }
     }
 
     /// Closes what has been idle for long, and does so again.
-    pub fn drop_idle_lines(&mut self) {
+    pub fn drop_idle_connections(&mut self) {
         let now = self.now();
         let oldest = now - self.keeps_idle();
         for record in self.backends.records.values_mut() {
             while record.idle.front().is_some_and(|(since, _)| *since <= oldest) {
                 if let Some((_, key)) = record.idle.pop_front() {
-                    self.backends.lines.remove(key);
+                    self.backends.connections.remove(key);
                 }
             }
         }
-        self.wake_at(now + self.carriage.idle / 16, Timer::DropIdleLines);
+        self.wake_at(now + self.carriage.idle / 16, Timer::DropIdleConnections);
     }
 
-    pub fn line_ready(&mut self, ready: ReadyEvent, key: LineKey) {
+    pub fn backend_ready(&mut self, ready: ReadyEvent, key: ConnectionKey) {
         if ready.write && !self.connected(key) {
             return;
         }
         if ready.read {
-            self.read_line(key, ready.ended);
+            self.read_backend(key, ready.ended);
         }
     }
 
     /// A socket that is ready to write is connected, or has failed to.
-    fn connected(&mut self, key: LineKey) -> bool {
+    fn connected(&mut self, key: ConnectionKey) -> bool {
         let now = self.now();
-        let Some(line) = self.backends.lines.get_mut(key) else { return false };
+        let Some(line) = self.backends.connections.get_mut(key) else { return false };
         if !line.connected {
             if let Err(error) = poll::made(&line.socket) {
-                self.fail_line(key, Cause::Broke(error));
+                self.fail_connection(key, FailureCause::ConnectionError(error));
                 return false;
             }
-            let Some(leg) = &mut line.leg else { return true };
-            let until = leg.until;
+            let Some(leg) = &mut line.attempt else { return true };
+            let until = leg.deadline;
             self.timers.take_back(leg.timer);
-            leg.timer = self.timers.set(until, Timer::Leg(key));
+            leg.timer = self.timers.set(until, Timer::Attempt(key));
             // While the connection came up the backend may have been told to drain, or the client have left.
-            let waited_for = self.commands.get(leg.command).is_some_and(|c| c.state() == State::Out);
+            let waited_for = self.commands.get(leg.request).is_some_and(|c| c.state() == State::InFlight);
             let live = self.backends.records.get(&line.backend).is_some_and(|record| record.live);
             if !live || !waited_for {
-                self.fail_line(key, Cause::Barred);
+                self.fail_connection(key, FailureCause::NotSendable);
                 return false;
             }
             if until <= now {
-                self.fail_line(key, Cause::TimeUp);
+                self.fail_connection(key, FailureCause::TimedOut);
                 return false;
             }
-            if let Some(line) = self.backends.lines.get_mut(key) {
+            if let Some(line) = self.backends.connections.get_mut(key) {
                 line.connected = true;
             }
         }
-        self.write_line(key);
+        self.write_backend(key);
         true
     }
 
-    fn write_line(&mut self, key: LineKey) {
-        let Some(line) = self.backends.lines.get_mut(key) else { return };
+    fn write_backend(&mut self, key: ConnectionKey) {
+        let Some(line) = self.backends.connections.get_mut(key) else { return };
         if let Err(error) = poll::write(&line.socket, &line.output, &mut line.written) {
             // An answer may have come before the connection broke.
-            if line.written > 0 && line.leg.is_some() {
-                self.read_line(key, true);
+            if line.written > 0 && line.attempt.is_some() {
+                self.read_backend(key, true);
             }
-            self.fail_line(key, Cause::Broke(error));
+            self.fail_connection(key, FailureCause::ConnectionError(error));
         }
     }
 
-    fn read_line(&mut self, key: LineKey, ended: bool) {
+    fn read_backend(&mut self, key: ConnectionKey, ended: bool) {
         let now = self.now();
         loop {
-            let Some(line) = self.backends.lines.get_mut(key) else { return };
+            let Some(line) = self.backends.connections.get_mut(key) else { return };
             if !line.connected {
                 return;
             }
             let came = poll::read(&line.socket, &mut self.scratch, &mut line.input, ended);
-            let Some(leg) = &mut line.leg else {
+            let Some(leg) = &mut line.attempt else {
                 // Closed by the backend, or saying something that nobody asked for: no use any more.
                 if came != Ok(ReadOutcome::Nothing) || !line.input.is_empty() {
-                    self.backends.lines.remove(key);
+                    self.backends.connections.remove(key);
                 }
                 return;
             };
-            let kind = MessageKind::Answer { to_head: leg.to_head };
+            let kind = MessageKind::Answer { to_head: leg.is_head_request };
             let ended = matches!(came, Ok(ReadOutcome::End));
             match line.reader.next(kind, &mut line.input, ended) {
                 Ok(Some(answer)) => return self.answered(key, answer, ended),
-                Ok(None) if line.reader.begun(&line.input) && !leg.begun => {
+                Ok(None) if line.reader.begun(&line.input) && !leg.has_response_begun => {
                     // A length that does not fit keeps the rest of an answer waited for: an answer that has begun
                     // takes no longer than a connection does to come up.
-                    leg.begun = true;
-                    let due = leg.until.min(now + self.carriage.connect_within);
+                    leg.has_response_begun = true;
+                    let due = leg.deadline.min(now + self.carriage.connect_within);
                     self.timers.take_back(leg.timer);
-                    leg.timer = self.timers.set(due, Timer::Leg(key));
+                    leg.timer = self.timers.set(due, Timer::Attempt(key));
                 }
                 Ok(None) => {}
                 Err(fault) => {
                     warn!("{}: an answer that is none: {fault:?}", line.backend);
-                    return self.fail_line(key, Cause::ParseError(fault));
+                    return self.fail_connection(key, FailureCause::ParseError(fault));
                 }
             }
             if line.input.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES {
-                return self.fail_line(key, Cause::ParseError(ParseError::BodyTooLarge));
+                return self.fail_connection(key, FailureCause::ParseError(ParseError::BodyTooLarge));
             }
             match came {
                 Ok(ReadOutcome::Bytes) => {}
                 Ok(ReadOutcome::Nothing) => return,
-                Ok(ReadOutcome::End) => return self.fail_line(key, Cause::Closed),
-                Err(error) => return self.fail_line(key, Cause::Broke(error)),
+                Ok(ReadOutcome::End) => return self.fail_connection(key, FailureCause::Closed),
+                Err(error) => return self.fail_connection(key, FailureCause::ConnectionError(error)),
             }
         }
     }
 
-    /// A whole answer has come.
-    fn answered(&mut self, key: LineKey, answer: Message, ended: bool) {
+    /// A complete answer has come.
+    fn answered(&mut self, key: ConnectionKey, answer: Message, ended: bool) {
         let now = self.now();
-        let Some(line) = self.backends.lines.get_mut(key) else { return };
-        let Some(leg) = line.leg.take() else { return };
+        let Some(line) = self.backends.connections.get_mut(key) else { return };
+        let Some(leg) = line.attempt.take() else { return };
         self.timers.take_back(leg.timer);
         let backend = line.backend.clone();
         let whole = line.written == line.output.len();
@@ -370,7 +390,7 @@
         line.written = 0;
         let mut record = self.backends.records.get_mut(&backend);
         if let Some(record) = &mut record {
-            record.heard = now;
+            record.last_heard = now;
         }
         match record {
             Some(record)
@@ -378,90 +398,107 @@
             {
                 record.idle.push_back((now, key));
             }
-            _ => drop(self.backends.lines.remove(key)),
+            _ => drop(self.backends.connections.remove(key)),
         }
         let ending = answered(&answer);
         let units =
             answer.field("x-true-cost").and_then(|units| std::str::from_utf8(units).ok()?.parse().ok());
         let true_units = units.filter(|units: &f64| *units > 0.0 && *units < 1e6);
         let took = now - leg.sent;
-        let ended = LegEnded { command: leg.command, backend, ending, over: false, took, true_units };
-        self.end_leg(ended, Some(&answer));
+        let ended = AttemptEnded {
+            request: leg.request,
+            backend,
+            outcome: ending,
+            is_final: false,
+            elapsed: took,
+            actual_units: true_units,
+        };
+        self.end_attempt(ended, Some(&answer));
     }
 
-    /// A leg's time is up, or its connection's to be made.
-    pub fn leg_due(&mut self, key: LineKey) {
-        let begun =
-            self.backends.lines.get(key).and_then(|line| line.leg.as_ref()).is_some_and(|leg| leg.begun);
-        let stalled = Cause::ParseError(ParseError::Malformed("an answer that does not go on"));
-        self.fail_line(key, if begun { stalled } else { Cause::TimeUp });
+    /// An attempt's time is up, or its connection's to be made.
+    pub fn attempt_timed_out(&mut self, key: ConnectionKey) {
+        let begun = self
+            .backends
+            .connections
+            .get(key)
+            .and_then(|line| line.attempt.as_ref())
+            .is_some_and(|leg| leg.has_response_begun);
+        let stalled = FailureCause::ParseError(ParseError::Malformed("an answer that does not go on"));
+        self.fail_connection(key, if begun { stalled } else { FailureCause::TimedOut });
     }
 
-    /// Ends a connection and the leg on it.
-    fn fail_line(&mut self, key: LineKey, cause: Cause) {
+    /// Ends a connection and the attempt on it.
+    fn fail_connection(&mut self, key: ConnectionKey, cause: FailureCause) {
         let now = self.now();
-        let Some(line) = self.backends.lines.remove(key) else { return };
-        let Some(leg) = line.leg else { return };
+        let Some(line) = self.backends.connections.remove(key) else { return };
+        let Some(leg) = line.attempt else { return };
         self.timers.take_back(leg.timer);
         let reached = match () {
-            () if !line.connected => Reached::NotConnected,
-            () if line.written < line.output.len() => Reached::PartWritten,
-            () if line.reader.begun(&line.input) => Reached::PartAnswered,
-            () => Reached::WholeWritten,
+            () if !line.connected => Progress::NotConnected,
+            () if line.written < line.output.len() => Progress::PartlyWritten,
+            () if line.reader.begun(&line.input) => Progress::PartlyAnswered,
+            () => Progress::FullyWritten,
         };
-        let failure = Failure { reached, cause };
-        // A machine that has vanished leaves its connections open and silent: a leg over one of them may have
+        let failure = Failure { progress: reached, cause };
+        // A machine that has vanished leaves its connections open and silent: an attempt over one of them may have
         // run for all we know, while a new connection that does not come up proves that nothing ran.
-        let heard = self.backends.records.get(&line.backend).map_or(now, |record| record.heard);
-        if cause == Cause::TimeUp && heard < leg.sent {
-            self.close_idle_lines(&line.backend);
+        let heard = self.backends.records.get(&line.backend).map_or(now, |record| record.last_heard);
+        if cause == FailureCause::TimedOut && heard < leg.sent {
+            self.close_idle_connections(&line.backend);
         }
         debug!("{}: {failure:?}", line.backend);
-        let (command, backend, took) = (leg.command, line.backend, now - leg.sent);
-        let ended =
-            LegEnded { command, backend, ending: failure.ending(), over: false, took, true_units: None };
-        self.end_leg(ended, None);
+        let (command, backend, took) = (leg.request, line.backend, now - leg.sent);
+        let ended = AttemptEnded {
+            request: command,
+            backend,
+            outcome: failure.outcome(),
+            is_final: false,
+            elapsed: took,
+            actual_units: None,
+        };
+        self.end_attempt(ended, None);
     }
 
-    fn end_leg(&mut self, mut ended: LegEnded, answer: Option<&Message>) {
-        let Some(command) = self.commands.get_mut(ended.command) else { return };
-        command.last = Some(ended.ending);
-        let parted = command.state() == State::Parted;
-        if let Some(answer) = answer.filter(|_| ended.ending == AttemptOutcome::Completed && !parted) {
-            self.settle(ended.command, answer);
-            ended.over = true;
+    fn end_attempt(&mut self, mut ended: AttemptEnded, answer: Option<&Message>) {
+        let Some(command) = self.commands.get_mut(ended.request) else { return };
+        command.last_outcome = Some(ended.outcome);
+        let parted = command.state() == State::Abandoned;
+        if let Some(answer) = answer.filter(|_| ended.outcome == AttemptOutcome::Completed && !parted) {
+            self.complete(ended.request, answer);
+            ended.is_final = true;
         }
-        ended.over |= parted;
-        let to = if ended.over { State::Over } else { State::Held };
-        self.commands.shift(ended.command, to);
-        self.events.push_back(Event::LegEnded(ended));
+        ended.is_final |= parted;
+        let to = if ended.is_final { State::Finished } else { State::Queued };
+        self.commands.set_state(ended.request, to);
+        self.events.push_back(Event::AttemptEnded(ended));
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use Reached::*;
+    use Progress::*;
 
     #[test]
     fn only_what_cannot_have_run_is_said_never_to_have_run() {
-        let refused = Cause::Broke(Errno::CONNREFUSED);
-        let reset = Cause::Broke(Errno::CONNRESET);
-        let nonsense = Cause::ParseError(ParseError::Malformed("nonsense"));
+        let refused = FailureCause::ConnectionError(Errno::CONNREFUSED);
+        let reset = FailureCause::ConnectionError(Errno::CONNRESET);
+        let nonsense = FailureCause::ParseError(ParseError::Malformed("nonsense"));
         for (reached, cause, ending) in [
             (NotConnected, refused, AttemptOutcome::Unreachable),
-            (NotConnected, Cause::TimeUp, AttemptOutcome::Unreachable),
-            (NotConnected, Cause::Barred, AttemptOutcome::NotSent),
-            (PartWritten, reset, AttemptOutcome::Unreachable),
-            (PartWritten, Cause::TimeUp, AttemptOutcome::Unreachable),
-            (WholeWritten, reset, AttemptOutcome::ConnectionLost),
-            (WholeWritten, Cause::Closed, AttemptOutcome::ConnectionLost),
-            (WholeWritten, Cause::TimeUp, AttemptOutcome::TimedOut),
-            (PartAnswered, Cause::TimeUp, AttemptOutcome::TimedOut),
-            (PartAnswered, Cause::Closed, AttemptOutcome::ConnectionLost),
-            (PartAnswered, nonsense, AttemptOutcome::Failed),
+            (NotConnected, FailureCause::TimedOut, AttemptOutcome::Unreachable),
+            (NotConnected, FailureCause::NotSendable, AttemptOutcome::NotSent),
+            (PartlyWritten, reset, AttemptOutcome::Unreachable),
+            (PartlyWritten, FailureCause::TimedOut, AttemptOutcome::Unreachable),
+            (FullyWritten, reset, AttemptOutcome::ConnectionLost),
+            (FullyWritten, FailureCause::Closed, AttemptOutcome::ConnectionLost),
+            (FullyWritten, FailureCause::TimedOut, AttemptOutcome::TimedOut),
+            (PartlyAnswered, FailureCause::TimedOut, AttemptOutcome::TimedOut),
+            (PartlyAnswered, FailureCause::Closed, AttemptOutcome::ConnectionLost),
+            (PartlyAnswered, nonsense, AttemptOutcome::Failed),
         ] {
-            assert_eq!(Failure { reached, cause }.ending(), ending, "{reached:?} {cause:?}");
+            assert_eq!(Failure { progress: reached, cause }.outcome(), ending, "{reached:?} {cause:?}");
         }
     }
 
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,10 +1,10 @@
-//! Client connections: commands in, one at a time on each, and answers out.
+//! Client connections: requests in, one at a time on each, and answers out.
 
-use crate::command::{Command, CommandKey, State};
+use crate::command::{Request, RequestKey, State};
 use crate::http::{Message, MessageKind, MessageReader, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use crate::poll::{self, empty, ClientKey, ReadOutcome, ReadyEvent, Source};
-use crate::request_head::Intake;
-use crate::runtime::{Event, Floor, Phase, Timer};
+use crate::request_head::RequestHead;
+use crate::runtime::{Event, Phase, Runtime, Timer};
 use kitepass_gateway_policy::AttemptOutcome;
 use kitepass_time::{Duration, Timestamp};
 use log::{debug, warn};
@@ -17,41 +17,41 @@
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 /// How long a connection that is being closed is read on, so that its last answer arrives: closing a socket
 /// with something unread in it resets it.
-const LINGER: Duration = Duration::from_secs(1);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// So much of what comes behind a last answer is read; whoever goes on gets a reset, not our time.
-const LINGERS_FOR: usize = 256 * 1024;
-/// A connection's first message is whole in this time, a later one in this time from its first byte, and an
+const MAX_LINGER_BYTES: usize = 256 * 1024;
+/// A connection's first message is complete in this time, a later one in this time from its first byte, and an
 /// answer is taken in it: whoever sends byte by byte, or nothing, holds a place no longer.
-const WITHIN: Duration = Duration::from_micros(2_500_000);
+const MESSAGE_TIMEOUT: Duration = Duration::from_micros(2_500_000);
 /// A connection on which nothing comes is kept for so long: some clients ask once, or never, and do not let go.
-const KEPT: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How often connections are looked through for the two above.
-const LOOKS_EVERY: Duration = Duration::from_micros(250_000);
+const SWEEP_INTERVAL: Duration = Duration::from_micros(250_000);
 
 pub struct Client {
     socket: OwnedFd,
     input: Vec<u8>,
     reader: MessageReader,
     /// When what stands in the input had come.
-    came: Timestamp,
+    received_at: Timestamp,
     /// When it was let in or had its last answer,
     since: Timestamp,
-    /// and when the message that is not whole yet began.
+    /// and when the message that is not complete yet began.
     begun: Option<Timestamp>,
     /// It has had an answer.
     served: bool,
     /// What was read since nothing more is said.
     lingered: usize,
     /// The socket may hold more than the input takes for now.
-    unread: bool,
-    command: Option<CommandKey>,
+    has_unread_input: bool,
+    request: Option<RequestKey>,
     output: Vec<u8>,
     written: usize,
     closing: Closing,
-    told_to_go_on: bool,
+    continue_sent: bool,
 }
 
-/// How far a connection's end has come. `Floor::close` alone changes it, and never back.
+/// How far a connection's end has come. `Runtime::close` alone changes it, and never back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Closing {
     No,
@@ -64,7 +64,7 @@
 pub struct Clients {
     all: SlotMap<ClientKey, Client>,
     listener: Option<OwnedFd>,
-    /// From so many on, commands are turned away and their connections closed;
+    /// From so many on, requests are turned away and their connections closed;
     most: usize,
     /// beyond so many, no further client is let in.
     utmost: usize,
@@ -82,7 +82,7 @@
     }
 }
 
-impl Floor {
+impl Runtime {
     /// Lets clients in, as far as there is room.
     pub fn let_in(&mut self) {
         while let Some(listener) = &self.clients.listener {
@@ -105,7 +105,7 @@
                     // Trying again at once would spin for as long as there are no descriptors.
                     warn!("cannot let a client in: {error}");
                     self.close_an_idle_client(ClientKey::default());
-                    return self.wake_at(self.now() + Duration::from_micros(10_000), Timer::LetIn);
+                    return self.wake_at(self.now() + Duration::from_micros(10_000), Timer::AcceptClients);
                 }
             }
         }
@@ -117,17 +117,17 @@
             socket,
             input: Vec::new(),
             reader: MessageReader::default(),
-            came,
+            received_at: came,
             since: came,
             begun: None,
             served: false,
             lingered: 0,
-            unread: false,
-            command: None,
+            has_unread_input: false,
+            request: None,
             output: Vec::new(),
             written: 0,
             closing: Closing::No,
-            told_to_go_on: false,
+            continue_sent: false,
         });
         if let Err(error) = self.poll.add(&self.clients.all[key].socket, Source::Client(key)) {
             warn!("a client cannot be watched: {error}");
@@ -139,18 +139,18 @@
     /// Makes room for a client. Only reached when all places are taken, so that looking at each is bounded.
     fn close_an_idle_client(&mut self, newcomer: ClientKey) -> bool {
         let now = self.now();
-        // The one that has rested longest, and none that was let in just now: its command is on its way. One that
-        // has sent a command which nobody has read yet is not idle: closing it would lose that.
+        // The one that has rested longest, and none that was let in just now: its request is on its way. One that
+        // has sent a request which nobody has read yet is not idle: closing it would lose that.
         for _ in 0..4 {
             let gives_way = |client: &Client| client.is_idle() || client.is_overdue(now);
             let those = self.clients.all.iter_mut().filter(|(key, c)| *key != newcomer && gives_way(c));
-            let Some((key, client)) = those.min_by_key(|(_, client)| client.came) else {
+            let Some((key, client)) = those.min_by_key(|(_, client)| client.received_at) else {
                 return false;
             };
             if poll::is_quiet(&client.socket) {
                 return self.clients.all.remove(key).is_some();
             }
-            client.came = now;
+            client.received_at = now;
         }
         false
     }
@@ -177,23 +177,23 @@
     /// Lets go of connections that have been waited for long enough.
     pub fn look_after_clients(&mut self) {
         let now = self.now();
-        self.wake_at(now + LOOKS_EVERY, Timer::LookAfterClients);
+        self.wake_at(now + SWEEP_INTERVAL, Timer::SweepClients);
         let overdue: Vec<_> =
             self.clients.all.iter().filter(|(_, c)| c.is_overdue(now)).map(|(key, _)| key).collect();
         for key in overdue {
             let Some(client) = self.clients.all.get(key) else { continue };
             if client.begun.is_some() && client.output.is_empty() {
                 self.close(key, Closing::After);
-                self.say(key, 408, None, "");
+                self.respond(key, 408, None, "");
             } else if !client.output.is_empty() || poll::is_quiet(&client.socket) {
-                self.client_gone(key);
+                self.client_disconnected(key);
             }
         }
     }
 
     pub fn client_ready(&mut self, ready: ReadyEvent, key: ClientKey) {
         if ready.read && !self.read_client(key, ready.ended) {
-            return self.client_gone(key);
+            return self.client_disconnected(key);
         }
         if ready.write {
             self.write_client(key);
@@ -205,18 +205,18 @@
     fn read_client(&mut self, key: ClientKey, ended: bool) -> bool {
         let now = self.now();
         let Some(client) = self.clients.all.get_mut(key) else { return true };
-        if client.command.is_none() || client.input.is_empty() {
-            client.came = now;
+        if client.request.is_none() || client.input.is_empty() {
+            client.received_at = now;
         }
         loop {
             if client.closing == Closing::Lingering {
                 client.lingered += std::mem::take(&mut client.input).len();
-                if client.lingered > LINGERS_FOR {
+                if client.lingered > MAX_LINGER_BYTES {
                     return true; // left unread, for its time to run out
                 }
             }
-            client.unread = client.input.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES;
-            if client.unread {
+            client.has_unread_input = client.input.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES;
+            if client.has_unread_input {
                 return true; // it is read on once there is room: nobody fills the memory
             }
             match poll::read(&client.socket, &mut self.scratch, &mut client.input, ended) {
@@ -232,29 +232,29 @@
     }
 
     /// Drops a connection, whatever it is doing.
-    pub fn client_gone(&mut self, key: ClientKey) {
+    pub fn client_disconnected(&mut self, key: ClientKey) {
         let Some(client) = self.clients.all.remove(key) else { return };
-        if let Some(command) = client.command {
-            self.events.push_back(Event::Left(command));
+        if let Some(command) = client.request {
+            self.events.push_back(Event::ClientDisconnected(command));
         }
         if self.clients.waiting {
             self.let_in();
         }
     }
 
-    /// Takes the next command off a client's input, if it is there and nothing else is under way.
+    /// Takes the next request off a client's input, if it is there and nothing else is under way.
     pub fn next_command(&mut self, key: ClientKey) {
         let now = self.now();
         loop {
             let Some(client) = self.clients.all.get_mut(key) else { return };
-            if client.command.is_some() || client.closing != Closing::No || !client.output.is_empty() {
+            if client.request.is_some() || client.closing != Closing::No || !client.output.is_empty() {
                 return;
             }
             let message = match client.reader.next(MessageKind::Request, &mut client.input, false) {
                 Ok(Some(message)) => message,
-                Ok(None) if client.unread => {
+                Ok(None) if client.has_unread_input => {
                     if !self.read_client(key, true) {
-                        return self.client_gone(key);
+                        return self.client_disconnected(key);
                     }
                     continue;
                 }
@@ -262,8 +262,8 @@
                     if client.reader.begun(&client.input) {
                         client.begun.get_or_insert(now);
                     }
-                    if !client.told_to_go_on && client.reader.expects_a_word(&client.input) {
-                        client.told_to_go_on = true;
+                    if !client.continue_sent && client.reader.expects_a_word(&client.input) {
+                        client.continue_sent = true;
                         client.output.extend_from_slice(CONTINUE);
                         self.write_client(key);
                     }
@@ -272,11 +272,11 @@
                 Err(fault) => {
                     debug!("a client's message: {fault:?}");
                     self.close(key, Closing::After); // nobody knows where its next message would begin
-                    self.say(key, fault.status(), None, &format!("{fault:?}\n"));
+                    self.respond(key, fault.status(), None, &format!("{fault:?}\n"));
                     return;
                 }
             };
-            client.told_to_go_on = false;
+            client.continue_sent = false;
             client.begun = None;
             if !message.keeps_open() || self.phase == Phase::Closing {
                 self.close(key, Closing::After);
@@ -288,59 +288,64 @@
     fn take(&mut self, key: ClientKey, message: Message) {
         if message.start(1) == READY_AT {
             let ready = self.phase == Phase::Serving;
-            return self.say(key, if ready { 200 } else { 503 }, None, if ready { "ready\n" } else { "" });
+            return self.respond(
+                key,
+                if ready { 200 } else { 503 },
+                None,
+                if ready { "ready\n" } else { "" },
+            );
         }
-        let intake = match Intake::read(message, &self.config) {
-            Ok(intake) => intake,
+        let head = match RequestHead::read(message, &self.config) {
+            Ok(head) => head,
             Err(wrong) => {
                 debug!("a client's command: {wrong}");
-                return self.say(key, 400, None, &format!("{wrong}\n"));
+                return self.respond(key, 400, None, &format!("{wrong}\n"));
             }
         };
-        // The id of a command that is open elsewhere: a backend would take one for the other. A client that has
-        // gone, and whose end has not been read yet, may have sent its command once more.
-        if let Some(other) = self.commands.open_as(intake.trace()).map(|command| command.client) {
+        // The id of a request that is open elsewhere: a backend would take one for the other. A client that has
+        // gone, and whose end has not been read yet, may have sent its request once more.
+        if let Some(other) = self.commands.open_as(head.trace()).map(|command| command.client) {
             if self.clients.all.get(other).is_some_and(|client| !poll::has_ended(&client.socket)) {
-                return self.say(key, 400, None, "X-Trace-Id: still open elsewhere\n");
+                return self.respond(key, 400, None, "X-Trace-Id: still open elsewhere\n");
             }
-            self.client_gone(other);
+            self.client_disconnected(other);
         }
         let full = self.clients.all.len() > self.clients.most && !self.close_an_idle_client(key);
         let Some(client) = self.clients.all.get_mut(key) else { return };
         if full {
             self.close(key, Closing::After);
-            return self.say(key, 503, None, "too many connections\n");
+            return self.respond(key, 503, None, "too many connections\n");
         }
         // The answer must be out and through before the client's time is up, however late a timer fires.
-        let outer_limit = client.came + intake.expires - self.carriage.answer_slack;
-        let command = self.commands.take(Command::new(key, intake, outer_limit));
-        client.command = Some(command);
-        self.events.push_back(Event::Taken(command));
+        let outer_limit = client.received_at + head.expires - self.carriage.answer_slack;
+        let command = self.commands.take(Request::new(key, head, outer_limit));
+        client.request = Some(command);
+        self.events.push_back(Event::RequestArrived(command));
     }
 
     /// Passes a backend's good answer on.
-    pub fn settle(&mut self, key: CommandKey, answer: &Message) {
-        let Some((client, to_head)) = self.commands.get(key).map(|c| (c.client, c.intake.is_head())) else {
+    pub fn complete(&mut self, key: RequestKey, answer: &Message) {
+        let Some((client, to_head)) = self.commands.get(key).map(|c| (c.client, c.head.is_head())) else {
             return;
         };
         self.answer(client, 200, |head| answer.pass_on(&[], head), if to_head { b"" } else { answer.body() });
     }
 
     /// A final answer of our own.
-    pub fn give_up(&mut self, key: CommandKey, bounced: bool, retry_in: Option<Duration>) {
+    pub fn give_up(&mut self, key: RequestKey, bounced: bool, retry_in: Option<Duration>) {
         let Some(command) = self.commands.get(key) else { return };
-        let status = match (bounced, command.legs, command.last) {
+        let status = match (bounced, command.attempts, command.last_outcome) {
             (true, 0, _) => 429,
             (true, ..) => 503,
             (false, _, Some(AttemptOutcome::TimedOut)) => 504,
             (false, ..) => 502,
         };
         let client = command.client;
-        self.commands.shift(key, State::Over);
-        self.say(client, status, retry_in, "");
+        self.commands.set_state(key, State::Finished);
+        self.respond(client, status, retry_in, "");
     }
 
-    fn say(&mut self, key: ClientKey, status: u16, retry_in: Option<Duration>, text: &str) {
+    fn respond(&mut self, key: ClientKey, status: u16, retry_in: Option<Duration>, text: &str) {
         let lines = |head: &mut Vec<u8>| {
             if let Some(away) = retry_in {
                 let millis = (away.micros() + 999) / 1000;
@@ -369,7 +374,7 @@
         }
         let _ = write!(output, "Content-Length: {}\r\n\r\n", body.len());
         output.extend_from_slice(body);
-        client.command = None;
+        client.request = None;
         self.write_client(key);
         if self.clients.all.get(key).is_some_and(|client| !client.input.is_empty()) {
             self.events.push_back(Event::Pipelined(key));
@@ -390,13 +395,13 @@
             }
             Err(error) => {
                 debug!("an answer could not be written: {error}");
-                self.client_gone(key);
+                self.client_disconnected(key);
             }
         }
     }
 
     fn close(&mut self, key: ClientKey, to: Closing) {
-        let until = self.now() + LINGER;
+        let until = self.now() + LINGER_TIMEOUT;
         let Some(client) = self.clients.all.get_mut(key).filter(|client| client.closing < to) else { return };
         client.closing = to;
         if to == Closing::Lingering {
@@ -408,22 +413,22 @@
 
 impl Client {
     fn is_quiet(&self) -> bool {
-        self.command.is_none() && self.output.is_empty() && self.closing == Closing::No
+        self.request.is_none() && self.output.is_empty() && self.closing == Closing::No
     }
 
     fn is_idle(&self) -> bool {
         self.is_quiet() && !self.reader.begun(&self.input)
     }
 
-    /// Whether it has been waited for long enough: for its message, for its taking an answer, or for a next command.
+    /// Whether it has been waited for long enough: for its message, for its taking an answer, or for a next request.
     fn is_overdue(&self, now: Timestamp) -> bool {
-        if self.command.is_some() || self.closing == Closing::Lingering {
+        if self.request.is_some() || self.closing == Closing::Lingering {
             return false;
         }
         let (since, time) = match self.begun {
-            _ if !self.output.is_empty() => (self.since, WITHIN),
-            Some(begun) => (if self.served { begun } else { self.since }, WITHIN),
-            None => (self.since, KEPT),
+            _ if !self.output.is_empty() => (self.since, MESSAGE_TIMEOUT),
+            Some(begun) => (if self.served { begun } else { self.since }, MESSAGE_TIMEOUT),
+            None => (self.since, IDLE_TIMEOUT),
         };
         now - since > time
     }
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -1,7 +1,7 @@
-//! The commands that a gateway has taken, each from its intake to its final answer.
+//! The requests that a gateway has taken, each from its intake to its final answer.
 
 use crate::poll::ClientKey;
-use crate::request_head::Intake;
+use crate::request_head::RequestHead;
 use kitepass_gateway_policy::AttemptOutcome;
 use kitepass_time::Timestamp;
 use slotmap::{Key, KeyData, SlotMap};
@@ -9,44 +9,51 @@
 use std::rc::Rc;
 
 slotmap::new_key_type! {
-    pub struct CommandKey;
+    pub struct RequestKey;
 }
 
-/// What the decision module calls a command.
-pub fn id(key: CommandKey) -> String {
+/// What the policy calls a request.
+pub fn id(key: RequestKey) -> String {
     key.data().as_ffi().to_string()
 }
 
-pub fn key(id: &str) -> Option<CommandKey> {
+pub fn key(id: &str) -> Option<RequestKey> {
     id.parse().ok().map(|ffi| KeyData::from_ffi(ffi).into())
 }
 
-/// A command's states. `Commands::shift` alone changes them.
+/// A request's states. `Requests::shift` alone changes them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Taken; no leg is out.
-    Held,
-    /// Its leg is out.
-    Out,
-    /// It needs no answer any more, and its leg is still out.
-    Parted,
-    /// It has its answer or needs none, and no leg is out.
-    Over,
+    /// Taken; no attempt is out.
+    Queued,
+    /// Its attempt is out.
+    InFlight,
+    /// It needs no answer any more, and its attempt is still out.
+    Abandoned,
+    /// It has its answer or needs none, and no attempt is out.
+    Finished,
 }
 
 #[derive(Debug)]
-pub struct Command {
+pub struct Request {
     pub client: ClientKey,
-    pub intake: Rc<Intake>,
-    pub outer_limit: Timestamp,
-    pub legs: u32,
-    pub last: Option<AttemptOutcome>,
+    pub head: Rc<RequestHead>,
+    pub deadline: Timestamp,
+    pub attempts: u32,
+    pub last_outcome: Option<AttemptOutcome>,
     state: State,
 }
 
-impl Command {
-    pub fn new(client: ClientKey, intake: Intake, outer_limit: Timestamp) -> Command {
-        Command { client, intake: Rc::new(intake), outer_limit, legs: 0, last: None, state: State::Held }
+impl Request {
+    pub fn new(client: ClientKey, head: RequestHead, outer_limit: Timestamp) -> Request {
+        Request {
+            client,
+            head: Rc::new(head),
+            deadline: outer_limit,
+            attempts: 0,
+            last_outcome: None,
+            state: State::Queued,
+        }
     }
 
     pub fn state(&self) -> State {
@@ -55,42 +62,42 @@
 }
 
 #[derive(Default)]
-pub struct Commands {
-    all: SlotMap<CommandKey, Command>,
+pub struct Requests {
+    all: SlotMap<RequestKey, Request>,
     /// Those that are to be answered, by their trace ids.
-    open: HashMap<Box<[u8]>, CommandKey>,
+    open: HashMap<Box<[u8]>, RequestKey>,
 }
 
-impl Commands {
-    pub fn take(&mut self, command: Command) -> CommandKey {
-        let trace = command.intake.trace().into();
+impl Requests {
+    pub fn take(&mut self, command: Request) -> RequestKey {
+        let trace = command.head.trace().into();
         let key = self.all.insert(command);
         self.open.insert(trace, key);
         key
     }
 
-    /// The command that is open under a trace id.
-    pub fn open_as(&self, trace: &[u8]) -> Option<&Command> {
+    /// The request that is open under a trace id.
+    pub fn open_as(&self, trace: &[u8]) -> Option<&Request> {
         self.get(*self.open.get(trace)?)
     }
 
-    pub fn get(&self, key: CommandKey) -> Option<&Command> {
+    pub fn get(&self, key: RequestKey) -> Option<&Request> {
         self.all.get(key)
     }
 
-    pub fn get_mut(&mut self, key: CommandKey) -> Option<&mut Command> {
+    pub fn get_mut(&mut self, key: RequestKey) -> Option<&mut Request> {
         self.all.get_mut(key)
     }
 
-    /// Changes a command's state. One that is over is forgotten.
-    pub fn shift(&mut self, key: CommandKey, to: State) {
-        if let (State::Parted | State::Over, Some(command)) = (to, self.all.get(key)) {
-            let trace = command.intake.trace();
+    /// Changes a request's state. One that is over is forgotten.
+    pub fn set_state(&mut self, key: RequestKey, to: State) {
+        if let (State::Abandoned | State::Finished, Some(command)) = (to, self.all.get(key)) {
+            let trace = command.head.trace();
             if self.open.get(trace) == Some(&key) {
                 self.open.remove(trace);
             }
         }
-        if to == State::Over {
+        if to == State::Finished {
             self.all.remove(key);
         } else if let Some(command) = self.all.get_mut(key) {
             command.state = to;
@@ -111,7 +118,7 @@
     fn no_command_and_no_id_is_kept_once_it_is_over() {
         let settings = r#"{"Classes":[{"Name":"look"}],"Plans":[{"Name":"team"}]}"#;
         let (config, _) = kitepass_gateway_config::from_text("settings", settings).unwrap();
-        let mut commands = Commands::default();
+        let mut commands = Requests::default();
         for n in 0..1000 {
             let mut text = format!(
                 "GET /look/00000000b4d6{n:04x} HTTP/1.1\r\nX-Trace-Id: t{n}\r\nX-Tariff: team\r\n\
@@ -120,13 +127,13 @@
             .into_bytes();
             let message =
                 MessageReader::default().next(MessageKind::Request, &mut text, false).unwrap().unwrap();
-            let intake = Intake::read(message, &config).unwrap();
-            let key = commands.take(Command::new(ClientKey::default(), intake, Timestamp::from_micros(0)));
+            let head = RequestHead::read(message, &config).unwrap();
+            let key = commands.take(Request::new(ClientKey::default(), head, Timestamp::from_micros(0)));
             assert!(commands.open_as(format!("t{n}").as_bytes()).is_some());
-            commands.shift(key, State::Out);
-            commands.shift(key, State::Parted);
+            commands.set_state(key, State::InFlight);
+            commands.set_state(key, State::Abandoned);
             assert!(commands.open_as(format!("t{n}").as_bytes()).is_none());
-            commands.shift(key, State::Over);
+            commands.set_state(key, State::Finished);
         }
         assert!(commands.is_empty() && commands.open.is_empty());
     }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 #[derive(Debug)]
-pub(crate) enum Word {
+pub(crate) enum ControlMessage {
     End,
     TakeUp(Addresses),
     /// Read the configuration again, where it came from a file.
@@ -20,46 +20,52 @@
 /// Tells a gateway that runs on another thread what to do. What comes after its end is not heard.
 #[derive(Clone, Debug)]
 pub struct Control {
-    words: Sender<Word>,
+    messages: Sender<ControlMessage>,
     waker: Arc<UnixStream>,
 }
 
 impl Control {
     /// As SIGTERM: it serves on for a moment, answers what it took and ends.
     pub fn end(&self) {
-        self.say(Word::End);
+        self.send(ControlMessage::End);
     }
 
     /// As SIGHUP, with the addresses themselves.
     pub fn take_up(&self, addresses: Addresses) {
-        self.say(Word::TakeUp(addresses));
+        self.send(ControlMessage::TakeUp(addresses));
     }
 
-    fn say(&self, word: Word) {
-        if self.words.send(word).is_ok() {
+    fn send(&self, word: ControlMessage) {
+        if self.messages.send(word).is_ok() {
             let _ = (&*self.waker).write(&[0]); // full of bytes unread, it wakes as well
         }
     }
 }
 
 /// Where the words are heard.
-pub struct Ear {
+pub struct ControlReceiver {
     socket: UnixStream,
-    words: Receiver<Word>,
+    messages: Receiver<ControlMessage>,
     control: Control,
     /// A signal's handler may do no more than set one of these and wake the loop.
     end: Arc<AtomicBool>,
     read_again: Arc<AtomicBool>,
 }
 
-impl Ear {
-    pub fn open() -> io::Result<Ear> {
+impl ControlReceiver {
+    pub fn open() -> io::Result<ControlReceiver> {
         let (socket, waker) = UnixStream::pair()?;
         socket.set_nonblocking(true)?;
         waker.set_nonblocking(true)?;
         let (say, words) = channel();
-        let control = Control { words: say, waker: Arc::new(waker) };
-        Ok(Ear { socket, words, control, end: Arc::default(), read_again: Arc::default() })
+        let control = Control { messages: say, waker: Arc::new(waker) };
+        Ok(ControlReceiver {
+            socket,
+            messages: words,
+            control,
+            end: Arc::default(),
+            read_again: Arc::default(),
+        })
     }
 
     pub fn heed_signals(&self) -> io::Result<()> {
@@ -79,11 +85,11 @@
         &self.socket
     }
 
-    pub fn heard(&self, scratch: &mut [u8]) -> Vec<Word> {
+    pub fn heard(&self, scratch: &mut [u8]) -> Vec<ControlMessage> {
         while poll::read(&self.socket, scratch, &mut Vec::new(), true) == Ok(poll::ReadOutcome::Bytes) {}
-        let mut words: Vec<_> = self.words.try_iter().collect();
-        words.extend(self.read_again.swap(false, Ordering::Relaxed).then_some(Word::ReadAgain));
-        words.extend(self.end.swap(false, Ordering::Relaxed).then_some(Word::End));
+        let mut words: Vec<_> = self.messages.try_iter().collect();
+        words.extend(self.read_again.swap(false, Ordering::Relaxed).then_some(ControlMessage::ReadAgain));
+        words.extend(self.end.swap(false, Ordering::Relaxed).then_some(ControlMessage::End));
         words
     }
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -3,7 +3,7 @@
 
 use crate::http::MessageReader;
 use crate::poll::{self, ReadOutcome, ReadyEvent, Source};
-use crate::runtime::{Floor, Phase, Timer};
+use crate::runtime::{Phase, Runtime, Timer};
 use kitepass_gateway_policy::{BackendEntry, BackendStatus, Gateway};
 use kitepass_time::{Duration, Timestamp};
 use log::{debug, info, warn};
@@ -12,20 +12,20 @@
 use std::net::SocketAddr;
 
 /// An empty line comes at least this often while nothing changes.
-const BEAT: Duration = Duration::from_secs(2);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// While discovery is away the log says so this often.
-const AGAIN: Duration = Duration::from_secs(30);
+const LOG_INTERVAL: Duration = Duration::from_secs(30);
 /// The longest line of a watch.
-const MOST_LINE: usize = 16 << 20;
+const MAX_LINE_BYTES: usize = 16 << 20;
 
-struct Link {
+struct Connection {
     number: u32,
     socket: OwnedFd,
     connected: bool,
-    heard: Timestamp,
+    last_heard: Timestamp,
     reader: MessageReader,
     input: Vec<u8>,
-    lines: Vec<u8>,
+    partial_lines: Vec<u8>,
     output: Vec<u8>,
     written: usize,
 }
@@ -34,92 +34,99 @@
     address: SocketAddr,
     index: u64,
     /// The newest is last. One at an address that was given up stays before it until the newest has spoken.
-    links: Vec<Link>,
+    connections: Vec<Connection>,
     begun: u32,
     /// When a watch stood last, and when it was last said in the log that none does.
     stood: Timestamp,
-    told: Option<Timestamp>,
+    logged_at: Option<Timestamp>,
 }
 
 impl Watch {
     /// Takes the list that the gateway had last; what discovery has comes on top.
-    pub fn new(address: SocketAddr, known: &Value, module: &mut Gateway, floor: &mut Floor) -> Watch {
-        let (stood, told) = (floor.now(), None);
-        let mut watch = Watch { address, index: 0, links: Vec::new(), begun: 0, stood, told };
+    pub fn new(address: SocketAddr, known: &Value, policy: &mut Gateway, runtime: &mut Runtime) -> Watch {
+        let (stood, told) = (runtime.now(), None);
+        let mut watch =
+            Watch { address, index: 0, connections: Vec::new(), begun: 0, stood, logged_at: told };
         if !known.is_null() {
-            watch.change(known, true, module, floor);
+            watch.change(known, true, policy, runtime);
         }
-        watch.open(floor);
-        floor.wake_at(floor.now() + BEAT / 4, Timer::Watch);
+        watch.open(runtime);
+        runtime.wake_at(runtime.now() + HEARTBEAT_INTERVAL / 4, Timer::Watch);
         watch
     }
 
     /// Takes the watch up at another address, from the last version.
-    pub fn move_to(&mut self, address: SocketAddr, floor: &mut Floor) {
+    pub fn move_to(&mut self, address: SocketAddr, runtime: &mut Runtime) {
         if address != self.address {
             self.address = address;
-            self.links.truncate(1); // of several moves, only the last address is still wanted
-            self.open(floor);
+            self.connections.truncate(1); // of several moves, only the last address is still wanted
+            self.open(runtime);
         }
     }
 
-    fn open(&mut self, floor: &mut Floor) {
+    fn open(&mut self, runtime: &mut Runtime) {
         self.begun = self.begun.wrapping_add(1);
         let number = self.begun;
         let source = Source::Watch(number);
-        let opened = floor.poll.connect(&self.address, source);
+        let opened = runtime.poll.connect(&self.address, source);
         let (index, address) = (self.index, self.address);
         let output = format!(
             "GET /v1/servers?stream=1&index={index} HTTP/1.1\r\nHost: {address}\r\n\
              Accept: application/json\r\n\r\n"
         );
-        self.links.extend(opened.map_err(|error| debug!("discovery: {error}")).ok().map(|socket| Link {
-            number,
-            socket,
-            connected: false,
-            heard: floor.now(),
-            reader: MessageReader::default(),
-            input: Vec::new(),
-            lines: Vec::new(),
-            output: output.into_bytes(),
-            written: 0,
+        self.connections.extend(opened.map_err(|error| debug!("discovery: {error}")).ok().map(|socket| {
+            Connection {
+                number,
+                socket,
+                connected: false,
+                last_heard: runtime.now(),
+                reader: MessageReader::default(),
+                input: Vec::new(),
+                partial_lines: Vec::new(),
+                output: output.into_bytes(),
+                written: 0,
+            }
         }));
     }
 
     /// Looks after the watch from time to time: one that is lost or has fallen silent is taken up again.
-    pub fn look_after(&mut self, floor: &mut Floor) {
-        let now = floor.now();
-        let comes_up = floor.carriage.connect_within;
-        self.links.retain(|link| now - link.heard <= if link.connected { BEAT * 3 } else { comes_up });
-        if self.links.last().is_none_or(|link| link.number != self.begun) {
-            self.open(floor);
+    pub fn look_after(&mut self, runtime: &mut Runtime) {
+        let now = runtime.now();
+        let comes_up = runtime.carriage.connect_within;
+        self.connections.retain(|link| {
+            now - link.last_heard <= if link.connected { HEARTBEAT_INTERVAL * 3 } else { comes_up }
+        });
+        if self.connections.last().is_none_or(|link| link.number != self.begun) {
+            self.open(runtime);
         }
         self.tell(now);
-        floor.wake_at(now + BEAT / 4, Timer::Watch);
+        runtime.wake_at(now + HEARTBEAT_INTERVAL / 4, Timer::Watch);
     }
 
-    /// Says in the log that discovery is away, now and then, and that it is back. Danger: a gateway that came up
+    /// Says in the log that discovery is away, now and then, and that it is back. Invariant: a gateway that came up
     /// without a list bounces all, and nothing would say why.
     fn tell(&mut self, now: Timestamp) {
         let address = self.address;
-        if self.links.iter().any(|link| link.connected) {
+        if self.connections.iter().any(|link| link.connected) {
             self.stood = now;
-            if self.told.take().is_some() {
+            if self.logged_at.take().is_some() {
                 info!("discovery at {address} answers again");
             }
-        } else if now - self.stood >= BEAT && self.told.is_none_or(|told| now - told >= AGAIN) {
-            self.told = Some(now);
+        } else if now - self.stood >= HEARTBEAT_INTERVAL
+            && self.logged_at.is_none_or(|told| now - told >= LOG_INTERVAL)
+        {
+            self.logged_at = Some(now);
             let past = (now - self.stood).secs();
             warn!("discovery at {address} has not answered for {past:.0} s; the list of backends stays as it was");
         }
     }
 
-    pub fn ready(&mut self, ready: ReadyEvent, number: u32, module: &mut Gateway, floor: &mut Floor) {
-        let Some(place) = self.links.iter().position(|link| link.number == number) else { return };
-        let mut link = self.links.remove(place);
-        match self.go_on(&mut link, ready, module, floor) {
-            Ok(true) => self.links.splice(..place, [link]).for_each(drop),
-            Ok(false) => self.links.insert(place, link),
+    pub fn ready(&mut self, ready: ReadyEvent, number: u32, policy: &mut Gateway, runtime: &mut Runtime) {
+        let Some(place) = self.connections.iter().position(|link| link.number == number) else { return };
+        let mut link = self.connections.remove(place);
+        match self.go_on(&mut link, ready, policy, runtime) {
+            Ok(true) => self.connections.splice(..place, [link]).for_each(drop),
+            Ok(false) => self.connections.insert(place, link),
             Err(why) => debug!("discovery: {why}"), // looked after in a moment
         }
     }
@@ -127,10 +134,10 @@
     /// Reads on; whether it has said anything.
     fn go_on(
         &mut self,
-        link: &mut Link,
+        link: &mut Connection,
         ready: ReadyEvent,
-        module: &mut Gateway,
-        floor: &mut Floor,
+        policy: &mut Gateway,
+        runtime: &mut Runtime,
     ) -> Result<bool, String> {
         if ready.write {
             if !link.connected {
@@ -145,22 +152,22 @@
         }
         let mut spoke = false;
         loop {
-            let came = poll::read(&link.socket, &mut floor.scratch, &mut link.input, ready.ended);
-            link.heard = floor.now();
-            let whole = link.reader.stream(&mut link.input, &mut link.lines);
+            let came = poll::read(&link.socket, &mut runtime.scratch, &mut link.input, ready.ended);
+            link.last_heard = runtime.now();
+            let whole = link.reader.stream(&mut link.input, &mut link.partial_lines);
             let whole = whole.map_err(|fault| format!("{fault:?}"))?;
             if whole.is_some() && link.reader.stream_status(&link.input) != 200 {
                 return Err(format!("status {}", link.reader.stream_status(&link.input)));
             }
             let mut taken = 0;
-            while let Some(length) = memchr::memchr(b'\n', &link.lines[taken..]) {
+            while let Some(length) = memchr::memchr(b'\n', &link.partial_lines[taken..]) {
                 let line = taken..taken + length;
                 taken = line.end + 1;
-                self.line(link.lines[line].trim_ascii(), module, floor)?;
+                self.line(link.partial_lines[line].trim_ascii(), policy, runtime)?;
                 spoke = true;
             }
-            link.lines.drain(..taken);
-            if link.lines.len() > MOST_LINE {
+            link.partial_lines.drain(..taken);
+            if link.partial_lines.len() > MAX_LINE_BYTES {
                 return Err("a line too long".to_owned());
             }
             match came {
@@ -172,19 +179,19 @@
         }
     }
 
-    fn line(&mut self, line: &[u8], module: &mut Gateway, floor: &mut Floor) -> Result<(), String> {
+    fn line(&mut self, line: &[u8], policy: &mut Gateway, runtime: &mut Runtime) -> Result<(), String> {
         if line.is_empty() {
             return Ok(());
         }
         let change: Value = serde_json::from_slice(line).map_err(|error| error.to_string())?;
-        self.change(&change, false, module, floor);
-        if floor.phase == Phase::Starting {
-            floor.phase = Phase::Serving;
+        self.change(&change, false, policy, runtime);
+        if runtime.phase == Phase::Starting {
+            runtime.phase = Phase::Serving;
         }
         Ok(())
     }
 
-    fn change(&mut self, change: &Value, known: bool, module: &mut Gateway, floor: &mut Floor) {
+    fn change(&mut self, change: &Value, known: bool, policy: &mut Gateway, runtime: &mut Runtime) {
         let Some(entries) = change["instances"].as_array() else {
             return warn!("discovery: instances: expected an array");
         };
@@ -194,7 +201,7 @@
         for entry in entries {
             match listed(entry) {
                 Ok((listed, address)) => {
-                    floor.list_backend(&listed.id, address, listed.status);
+                    runtime.list_backend(&listed.id, address, listed.status);
                     lines.push(listed);
                 }
                 Err(wrong) => warn!("discovery: {wrong}"),
@@ -202,9 +209,9 @@
         }
         if whole {
             let ids: std::collections::BTreeSet<&str> = lines.iter().map(|line| line.id.as_str()).collect();
-            floor.keep_backends(|id| ids.contains(id));
+            runtime.retain_backends(|id| ids.contains(id));
         }
-        module.update_backends(whole, &lines);
+        policy.update_backends(whole, &lines);
     }
 }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,4 +1,4 @@
-//! kitepass on sockets: clients, backends, discovery and the counter around the decision module.
+//! kitepass on sockets: clients, backends, discovery and the counter around the policy.
 //!
 //! A program of its own is [`run`] with a [`Launch`] read from the environment. Another program can make its own
 //! [`Launch`], open a [`Server`], keep its [`Control`] and run it on a thread it can spare.
--- a/crates/gateway/src/poll.rs
+++ b/crates/gateway/src/poll.rs
@@ -15,7 +15,7 @@
     /// A client's connection.
     pub struct ClientKey;
     /// A connection to a backend.
-    pub struct LineKey;
+    pub struct ConnectionKey;
 }
 
 /// What a socket belongs to. A closed one's late events are told from its successor's by key or number.
@@ -26,7 +26,7 @@
     Counter(u32),
     Watch(u32),
     Client(ClientKey),
-    Line(LineKey),
+    BackendConnection(ConnectionKey),
 }
 
 /// Keys have their place in the low half of 64 bits; the kind goes above any place that is ever used.
@@ -40,7 +40,7 @@
             Source::Counter(number) => (2, u64::from(number) << 32),
             Source::Watch(number) => (3, u64::from(number) << 32),
             Source::Client(key) => (4, key.data().as_ffi()),
-            Source::Line(key) => (5, key.data().as_ffi()),
+            Source::BackendConnection(key) => (5, key.data().as_ffi()),
         };
         key | kind << KIND_AT
     }
@@ -54,7 +54,7 @@
             2 => Source::Counter(number),
             3 => Source::Watch(number),
             4 => Source::Client(key().into()),
-            5 => Source::Line(key().into()),
+            5 => Source::BackendConnection(key().into()),
             _ => return None,
         })
     }
@@ -108,10 +108,10 @@
 
     #[test]
     fn a_source_comes_back_from_its_number() {
-        let mut lines = slotmap::SlotMap::<LineKey, ()>::with_key();
+        let mut lines = slotmap::SlotMap::<ConnectionKey, ()>::with_key();
         let gone = lines.insert(());
         lines.remove(gone);
-        let (old, new) = (Source::Line(gone), Source::Line(lines.insert(())));
+        let (old, new) = (Source::BackendConnection(gone), Source::BackendConnection(lines.insert(())));
         assert_ne!(old, new);
         for source in [Source::Listener, Source::Control, Source::Counter(7), Source::Watch(9), old, new] {
             assert_eq!(Source::unpack(source.pack()), Some(source));
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -25,7 +25,7 @@
 
     pub(crate) fn take_up(&mut self, addresses: Addresses) {
         info!("discovery at {}, counter at {:?}", addresses.discovery, addresses.counter);
-        self.watch.move_to(addresses.discovery, &mut self.floor);
-        self.floor.move_counter(addresses.counter);
+        self.watch.move_to(addresses.discovery, &mut self.runtime);
+        self.runtime.move_counter(addresses.counter);
     }
 }
--- a/crates/gateway/src/request_head.rs
+++ b/crates/gateway/src/request_head.rs
@@ -1,4 +1,4 @@
-//! What the decisions need of a client's command, taken out of the message that brought it.
+//! What the decisions need of a client's request, taken out of the message that brought it.
 
 use crate::http::{digits, Message};
 use kitepass_gateway_policy::{GatewayConfig, Idempotency};
@@ -8,7 +8,7 @@
 /// Customers are numbered below this.
 const CUSTOMERS: u64 = 1 << 33;
 /// The longest trace id.
-const MOST_TRACE: usize = 128;
+const MAX_TRACE_ID_BYTES: usize = 128;
 
 const TRACE: &str = "x-trace-id";
 const TARIFF: &str = "x-tariff";
@@ -16,28 +16,28 @@
 const WEIGHT: &str = "x-weight";
 const KEY: &str = "idempotency-key";
 
-/// A command as it came, and what was read out of it.
+/// A request as it came, and what was read out of it.
 #[derive(Debug)]
-pub struct Intake {
+pub struct RequestHead {
     pub message: Message,
     /// Its place in the target.
     workload: Range<usize>,
-    /// In small letters: one customer must not have a quota for each way to write it.
+    /// In small letters: one tenant must not have a quota for each way to write it.
     pub customer: String,
     pub plan: String,
     pub expires: Duration,
     pub units: f64,
     pub width: u32,
     pub first: u32,
-    /// The head that every leg begins with; only the time that is left comes behind it.
+    /// The head that every attempt begins with; only the time that is left comes behind it.
     lead: Vec<u8>,
 }
 
-/// What is wrong with a command, for its client to read.
-pub type Wrong = &'static str;
+/// What is wrong with a request, for its client to read.
+pub type RequestError = &'static str;
 
-impl Intake {
-    pub fn read(message: Message, config: &GatewayConfig) -> Result<Intake, Wrong> {
+impl RequestHead {
+    pub fn read(message: Message, config: &GatewayConfig) -> Result<RequestHead, RequestError> {
         let target = text(message.start(1)).ok_or("target")?;
         let path = target.split('?').next().unwrap_or_default();
         let (class, customer) = path[1..].split_once('/').ok_or("target: expected class and customer")?;
@@ -51,7 +51,7 @@
         let class = config.workloads.iter().find(|w| w.name == class).ok_or("class: not known")?;
 
         let trace = one(&message, TRACE)?.ok_or("X-Trace-Id: expected one")?;
-        if !(1..=MOST_TRACE).contains(&trace.len()) || !trace.iter().all(u8::is_ascii_graphic) {
+        if !(1..=MAX_TRACE_ID_BYTES).contains(&trace.len()) || !trace.iter().all(u8::is_ascii_graphic) {
             return Err("X-Trace-Id: expected an id");
         }
         let plan = one(&message, TARIFF)?.and_then(text).ok_or("X-Tariff: expected a plan")?;
@@ -72,14 +72,14 @@
 
         let (plan, expires) = (plan.to_owned(), Duration::from_micros(expires as i64 * 1000));
         let lead = lead(&message);
-        Ok(Intake { workload, customer, plan, expires, units, width, first, lead, message })
+        Ok(RequestHead { workload, customer, plan, expires, units, width, first, lead, message })
     }
 
     pub fn workload(&self) -> &str {
         text(&self.message.start(1)[self.workload.clone()]).unwrap_or_default()
     }
 
-    /// As long as the command is open, no other may have it.
+    /// As long as the request is open, no other may have it.
     pub fn trace(&self) -> &[u8] {
         self.message.field(TRACE).unwrap_or_default()
     }
@@ -88,7 +88,7 @@
         self.message.start(0) == b"HEAD"
     }
 
-    /// The message of one leg, which will be waited for so long.
+    /// The message of one attempt, which will be waited for so long.
     pub fn leg(&self, wait: Duration, into: &mut Vec<u8>) {
         into.extend_from_slice(&self.lead);
         into.extend_from_slice(format!("X-Expires-In-Ms: {}\r\n\r\n", wait.micros() / 1000).as_bytes());
@@ -109,7 +109,7 @@
 }
 
 /// A field that may stand only once.
-fn one<'a>(message: &'a Message, name: &str) -> Result<Option<&'a [u8]>, Wrong> {
+fn one<'a>(message: &'a Message, name: &str) -> Result<Option<&'a [u8]>, RequestError> {
     let mut found = message.fields().filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()));
     let first = found.next().map(|(_, value)| value);
     match found.next() {
@@ -137,7 +137,7 @@
     }
     let (width, first) = (width.unwrap_or(0), first.unwrap_or(0));
     let in_set = width <= config.gateways && first < config.gateways;
-    // More than the largest command has would empty its customer's store in the name of one that nobody sent.
+    // More than the largest request has would empty its tenant's store in the name of one that nobody sent.
     let units = units.filter(|units| *units > 0.0 && *units <= config.max_units && in_set)?;
     Some((units, width, first))
 }
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -1,11 +1,11 @@
-//! The socket side of a gateway: its connections and timers, and the decision module's orders carried out
-//! on them. What happens here reaches the module as events, in order, and never inside one of its orders.
+//! The socket side of a gateway: its connections and timers, and the policy's orders carried out
+//! on them. What happens here reaches the policy as events, in order, and never inside one of its orders.
 
 use crate::backends::Backends;
 use crate::clients::Clients;
-use crate::command::{self, CommandKey, Commands, State};
+use crate::command::{self, RequestKey, Requests, State};
 use crate::counter::Counter;
-use crate::poll::{ClientKey, Clock, LineKey, Poller};
+use crate::poll::{ClientKey, Clock, ConnectionKey, Poller};
 use crate::timer_wheel::TimerWheel;
 use kitepass_gateway_config::Carriage;
 use kitepass_gateway_policy::{
@@ -15,43 +15,43 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// What the module is to be told.
+/// What the policy is to be told.
 #[derive(Debug)]
 pub enum Event {
-    Taken(CommandKey),
-    Left(CommandKey),
-    LegEnded(LegEnded),
-    Counted {
+    RequestArrived(RequestKey),
+    ClientDisconnected(RequestKey),
+    AttemptEnded(AttemptEnded),
+    CounterAnswered {
         name: String,
         total: Reading,
     },
-    /// Not the module's: a client's next command may stand in its input already.
+    /// Not the policy's: a client's next request may stand in its input already.
     Pipelined(ClientKey),
 }
 
 #[derive(Debug)]
-pub struct LegEnded {
-    pub command: CommandKey,
+pub struct AttemptEnded {
+    pub request: RequestKey,
     pub backend: Rc<str>,
-    pub ending: AttemptOutcome,
-    pub over: bool,
-    pub took: Duration,
-    pub true_units: Option<f64>,
+    pub outcome: AttemptOutcome,
+    pub is_final: bool,
+    pub elapsed: Duration,
+    pub actual_units: Option<f64>,
 }
 
 #[derive(Debug)]
 pub enum Timer {
-    Module(String),
-    Leg(LineKey),
-    Calls,
+    Policy(String),
+    Attempt(ConnectionKey),
+    CounterCalls,
     Linger(ClientKey),
-    LetIn,
-    DropIdleLines,
+    AcceptClients,
+    DropIdleConnections,
     Watch,
     /// The list that the start came with will do.
-    ReadyEvent,
-    StopLettingIn,
-    LookAfterClients,
+    UseInitialList,
+    StopAccepting,
+    SweepClients,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,10 +64,10 @@
     Closing,
 }
 
-pub struct Floor {
+pub struct Runtime {
     pub clock: Clock,
     /// The time that everything in hand is held to happen at. Read off the clock once for each event and
-    /// timer: a command takes microseconds, and reading it at every step was a part of its cost.
+    /// timer: a request takes microseconds, and reading it at every step was a part of its cost.
     pub at: Timestamp,
     pub poll: Poller,
     pub timers: TimerWheel<Timer>,
@@ -76,16 +76,16 @@
     pub carriage: Carriage,
     pub phase: Phase,
     pub clients: Clients,
-    pub commands: Commands,
+    pub commands: Requests,
     pub backends: Backends,
     pub counter: Counter,
-    /// Whose command the module is being told of.
+    /// Whose request the policy is being told of.
     pub in_hand: Option<ClientKey>,
     /// What a read lands in.
     pub scratch: Vec<u8>,
 }
 
-impl Floor {
+impl Runtime {
     pub fn now(&self) -> Timestamp {
         self.at
     }
@@ -99,18 +99,18 @@
         self.timers.set(due, timer);
     }
 
-    /// A client has gone: nothing is answered, and a leg that is out only ends.
-    pub fn left(&mut self, key: CommandKey) {
+    /// A client has gone: nothing is answered, and an attempt that is out only ends.
+    pub fn left(&mut self, key: RequestKey) {
         let Some(command) = self.commands.get(key) else { return };
-        let out = command.state() == State::Out;
-        self.commands.shift(key, if out { State::Parted } else { State::Over });
+        let out = command.state() == State::InFlight;
+        self.commands.set_state(key, if out { State::Abandoned } else { State::Finished });
     }
 }
 
-impl Host for Floor {
+impl Host for Runtime {
     fn send_attempt(&mut self, command: &str, backend: &str, allow: Duration) {
         if let Some(key) = command::key(command) {
-            self.begin_leg(key, backend, allow);
+            self.begin_attempt(key, backend, allow);
         }
     }
 
@@ -130,7 +130,7 @@
         self.call(name, amount, keep);
     }
 
-    // Gateways on sockets are not told each other's addresses, so start-up leaves the module no peers to
+    // Gateways on sockets are not told each other's addresses, so start-up leaves the policy no peers to
     // talk to, and it never gives these three orders.
     fn broadcast_usage(&mut self, _: &[UsageUpdate]) -> usize {
         0
@@ -139,6 +139,6 @@
     fn answer_peer(&mut self, _: u32, _: u16, _: QuotaDecision) {}
 
     fn set_timer(&mut self, token: &str, after: Duration) {
-        self.wake_at(self.now() + after, Timer::Module(token.to_owned()));
+        self.wake_at(self.now() + after, Timer::Policy(token.to_owned()));
     }
 }
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -1,7 +1,7 @@
 //! What a gateway is told at its start, read from its configuration.
 
 use crate::reload::Addresses;
-use crate::runtime::{Floor, Phase};
+use crate::runtime::{Phase, Runtime};
 use kitepass_gateway_config::Carriage;
 use kitepass_gateway_policy::GatewayConfig;
 use kitepass_time::Duration;
@@ -84,7 +84,7 @@
     }
 }
 
-impl Floor {
+impl Runtime {
     /// Discovery is silent: without any list there is nothing to serve with.
     pub fn do_with_known(&mut self) {
         if self.phase == Phase::Starting && self.backends.any_listed() {
