--- a/crates/coordination/examples/explore_consensus.rs
+++ b/crates/coordination/examples/explore_consensus.rs
@@ -1,17 +1,18 @@
-//! The long form of the register's models: `register [STEPS] [SEEDS]`, the most steps of a model and the walks through
-//! each system. It prints what was explored and how rivals fared, and ends with 1 if anything was found.
+//! The long form of the consensus models: `explore_consensus [STEPS] [SEEDS]`, the most steps of a model and the walks
+//! through each system. It prints what was explored and how rivals fared, and ends with 1 if anything was found.
 
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
-
-use consensus_model::{explore, walk_all, Race, Raced, Setup, CONFIRMED, SYSTEMS};
+use consensus_model::{explore, walk_all, Race, RaceResult, Setup, CONFIRMED, SYSTEMS};
 use std::process::ExitCode;
 
 #[path = "../tests/consensus_model/mod.rs"]
 mod consensus_model;
 
-/// Attempts, restarts and lost answers.
+const DEFAULT_STEPS: u64 = 3_000_000;
+const DEFAULT_SEEDS: u64 = 10_000;
+const STEPS_PER_WALK: usize = 2_000;
+const THREADS: usize = 3;
+
+/// Attempts, restarts and lost responses.
 const MODELS: [(&str, (u8, u8, u8)); 18] = [
     ("pair", (1, 3, 3)),
     ("pair", (2, 0, 0)),
@@ -26,61 +27,86 @@
     ("versions", (1, 0, 0)),
     ("spoiled", (1, 0, 0)),
     ("spoiled", (2, 0, 0)),
-    ("eras-one", (1, 1, 1)),
-    ("eras-one", (2, 0, 0)),
-    ("eras-two", (1, 1, 0)),
-    ("eras-two", (2, 0, 0)),
-    ("eras-apart", (1, 0, 0)),
+    ("epochs-one", (1, 1, 1)),
+    ("epochs-one", (2, 0, 0)),
+    ("epochs-two", (1, 1, 0)),
+    ("epochs-two", (2, 0, 0)),
+    ("epochs-apart", (1, 0, 0)),
 ];
 
-/// Between which a pause after a refusal is drawn, and how often the upper one doubles.
-const PAUSES: [((f64, f64), u32); 3] = [((20.0, 150.0), 0), ((0.0, 100.0), 0), ((0.0, 100.0), 3)];
+/// Between which the backoff after a refusal is drawn, in milliseconds, and how often the upper bound doubles.
+const BACKOFFS: [((f64, f64), u32); 3] = [((20.0, 150.0), 0), ((0.0, 100.0), 0), ((0.0, 100.0), 3)];
 const RACES: u64 = 2_000;
 
 fn main() -> ExitCode {
     let mut args = std::env::args().skip(1).filter_map(|arg| arg.parse::<u64>().ok());
-    let (steps, seeds) = (args.next().unwrap_or(3_000_000) as usize, args.next().unwrap_or(10_000));
+    let steps = args.next().unwrap_or(DEFAULT_STEPS) as usize;
+    let seeds = args.next().unwrap_or(DEFAULT_SEEDS);
+    let mut is_well = explore_all(steps);
+    is_well &= walk_through_all(seeds);
+    is_well &= race_all();
+    println!("well={is_well}");
+    if is_well {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
+}
+
+/// Whether all properties held.
+fn explore_all(steps: usize) -> bool {
     let mut is_well = true;
     for (name, (attempts, restarts, lost)) in MODELS {
         let setup = Setup::named(name).bounds(attempts, restarts, lost, 4);
-        let named = format!("{name} attempts={attempts} restarts={restarts} lost={lost}");
-        is_well &= explore(&named, setup, steps, 3).found == [CONFIRMED].into();
+        let label = format!("{name} attempts={attempts} restarts={restarts} lost={lost}");
+        is_well &= explore(&label, setup, steps, THREADS).found == [CONFIRMED].into();
     }
-    for (name, ..) in SYSTEMS {
-        let setup = Setup::named(name).bounds(60, 6, 200, 1);
-        is_well &= walk_all(name, &setup, 0..seeds, 2_000).broken.is_empty();
+    is_well
+}
+
+/// Whether all properties held.
+fn walk_through_all(seeds: u64) -> bool {
+    let mut is_well = true;
+    for system in SYSTEMS {
+        let setup = Setup::named(system.name).bounds(60, 6, 200, 1);
+        is_well &= walk_all(system.name, &setup, 0..seeds, STEPS_PER_WALK).broken.is_empty();
     }
+    is_well
+}
+
+/// Whether all proposers had their answers.
+fn race_all() -> bool {
+    let mut is_well = true;
     for rivals in [2, 3, 8] {
         for round_trip in [0.2, 0.9, 55.0] {
-            for (pause, doubles) in PAUSES {
-                is_well &= race(rivals, round_trip, pause, doubles);
+            for (backoff, doublings) in BACKOFFS {
+                let spread = 2.0 * round_trip + 10.0;
+                let race = Race { round_trip, sync: 2.0, spread, backoff, doublings };
+                is_well &= race_many(rivals, &race);
             }
         }
     }
-    println!("well={is_well}");
-    if is_well {
-        ExitCode::SUCCESS
-    } else {
-        ExitCode::FAILURE
-    }
+    is_well
 }
 
-fn race(rivals: usize, round_trip: f64, pause: (f64, f64), doubles: u32) -> bool {
+fn race_many(rivals: usize, race: &Race) -> bool {
     let setup = Setup::rivals(rivals);
-    let race = Race { round_trip, sync: 2.0, spread: 2.0 * round_trip + 10.0, pause, doubles };
-    let raced: Vec<Raced> = (0..RACES).filter_map(|seed| race.run(&setup, seed)).collect();
-    let told = |of: fn(&Raced) -> f64| {
-        let mut times: Vec<f64> = raced.iter().map(of).collect();
+    let results: Vec<RaceResult> = (0..RACES).filter_map(|seed| race.run(&setup, seed)).collect();
+    let summary = |time: fn(&RaceResult) -> f64| {
+        let mut times: Vec<f64> = results.iter().map(time).collect();
         times.sort_by(f64::total_cmp);
-        let at = |part: usize| times[(times.len() - 1) * part / 100];
-        format!("p50={:.0} p99={:.0} most={:.0}", at(50), at(99), at(100))
+        let percentile = |percent: usize| times[(times.len() - 1) * percent / 100];
+        format!("p50={:.0} p99={:.0} most={:.0}", percentile(50), percentile(99), percentile(100))
     };
-    let attempts = raced.iter().map(|raced| raced.attempts).max().unwrap_or_default();
+    let attempts = results.iter().map(|result| result.attempts).max().unwrap_or_default();
     println!(
-        "race rivals={rivals} round-trip-ms={round_trip} pause-ms={pause:?} doubles={doubles} races={} first {} all {} attempts={attempts}",
-        raced.len(),
-        told(|raced| raced.first),
-        told(|raced| raced.all),
+        "race rivals={rivals} round-trip-ms={} backoff-ms={:?} doublings={} races={} first {} all {} attempts={attempts}",
+        race.round_trip,
+        race.backoff,
+        race.doublings,
+        results.len(),
+        summary(|result| result.first),
+        summary(|result| result.all),
     );
-    raced.len() as u64 == RACES
+    results.len() as u64 == RACES
 }
--- /dev/null
+++ b/crates/coordination/src/consensus/accepted.rs
@@ -0,0 +1,96 @@
+//! The proposals that an acceptor has accepted and that are not known to be committed, with their indices.
+
+use super::proposal::{name_key, Proposal, ProposalId};
+use crate::protocol::Ballot;
+use kitepass_config::Item;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Proposals by some hash of their items.
+pub(super) type ProposalIndex = BTreeMap<u64, BTreeSet<ProposalId>>;
+
+/// Accepted proposals, each with the highest ballot under which it was accepted.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(super) struct AcceptedProposals {
+    by_id: BTreeMap<ProposalId, (Ballot, Proposal)>,
+    /// By the keys of their items' versions.
+    pub(super) by_key: ProposalIndex,
+    /// By the names of their items, whatever the version.
+    pub(super) by_name: ProposalIndex,
+    /// Of all proposals together.
+    pub(super) bytes: usize,
+}
+
+impl AcceptedProposals {
+    pub(super) fn len(&self) -> usize {
+        self.by_id.len()
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.by_id.is_empty()
+    }
+
+    pub(super) fn get(&self, proposal_id: ProposalId) -> Option<(Ballot, &Proposal)> {
+        self.by_id.get(&proposal_id).map(|(ballot, proposal)| (*ballot, proposal))
+    }
+
+    pub(super) fn iter(&self) -> impl Iterator<Item = (Ballot, &Proposal)> {
+        self.by_id.values().map(|(ballot, proposal)| (*ballot, proposal))
+    }
+
+    pub(super) fn ids(&self) -> BTreeSet<ProposalId> {
+        self.by_id.keys().copied().collect()
+    }
+
+    /// Those that touch any of the keys, by their ids.
+    pub(super) fn overlapping(&self, keys: &[u64]) -> Vec<(Ballot, Proposal)> {
+        let ids = indexed(&self.by_key, keys);
+        ids.iter().map(|proposal_id| self.by_id[proposal_id].clone()).collect()
+    }
+
+    /// Those that have any version of any of the items.
+    pub(super) fn with_names_of<'a>(
+        &self,
+        items: impl IntoIterator<Item = &'a Item>,
+    ) -> BTreeSet<ProposalId> {
+        let of_name = |item: &Item| self.by_name.get(&name_key(item));
+        items.into_iter().filter_map(of_name).flatten().copied().collect()
+    }
+
+    pub(super) fn insert(&mut self, ballot: Ballot, proposal: Proposal) {
+        let proposal_id = proposal.proposal_id();
+        let previous = self.by_id.insert(proposal_id, (ballot, proposal.clone()));
+        if previous.is_some() {
+            return;
+        }
+        self.bytes += proposal.bytes();
+        for (item, key) in proposal.items().iter().zip(proposal.keys()) {
+            self.by_key.entry(*key).or_default().insert(proposal_id);
+            self.by_name.entry(name_key(item)).or_default().insert(proposal_id);
+        }
+    }
+
+    /// Whether it was there.
+    pub(super) fn remove(&mut self, proposal_id: ProposalId) -> bool {
+        let Some((_, proposal)) = self.by_id.remove(&proposal_id) else { return false };
+        self.bytes -= proposal.bytes();
+        for (item, key) in proposal.items().iter().zip(proposal.keys()) {
+            remove_from_index(&mut self.by_key, *key, proposal_id);
+            remove_from_index(&mut self.by_name, name_key(item), proposal_id);
+        }
+        true
+    }
+}
+
+/// The proposals that an index has under any of the keys.
+pub(super) fn indexed(index: &ProposalIndex, keys: &[u64]) -> BTreeSet<ProposalId> {
+    keys.iter().filter_map(|key| index.get(key)).flatten().copied().collect()
+}
+
+pub(super) fn remove_from_index(index: &mut ProposalIndex, key: u64, proposal_id: ProposalId) {
+    if let Some(ids) = index.get_mut(&key) {
+        ids.remove(&proposal_id);
+        if ids.is_empty() {
+            index.remove(&key);
+        }
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/consensus/proposal.rs
@@ -0,0 +1,150 @@
+//! Proposals: what is agreed on, by which id it is known, and on which keys it is decided.
+
+use crate::protocol::{Ballot, ItemMessage, ProposalMessage};
+use kitepass_config::{Item, Kind};
+use std::cmp::Ordering;
+use std::hash::{Hash, Hasher};
+use std::sync::Arc;
+use xxhash_rust::xxh3::{Xxh3, Xxh3Builder};
+
+/// What an item is taken to need in memory beside its name and its value.
+const ITEM_OVERHEAD_BYTES: usize = 64;
+
+/// Identifies a proposal by its content: the hash of its sorted items, the same on every machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ProposalId(pub [u8; 16]);
+
+impl ProposalId {
+    /// None unless there are 16 bytes.
+    pub fn from_bytes(bytes: &[u8]) -> Option<ProposalId> {
+        Some(ProposalId(bytes.try_into().ok()?))
+    }
+}
+
+/// An operator's change with all its items, chosen completely or not at all.
+///
+/// Two proposals are equal if their ids are.
+#[derive(Clone, Debug)]
+pub struct Proposal {
+    items: Arc<[Item]>,
+    proposal_id: ProposalId,
+    keys: Arc<[u64]>,
+    bytes: usize,
+}
+
+impl PartialEq for Proposal {
+    fn eq(&self, other: &Proposal) -> bool {
+        self.proposal_id == other.proposal_id
+    }
+}
+
+impl Eq for Proposal {}
+
+impl Hash for Proposal {
+    fn hash<H: Hasher>(&self, state: &mut H) {
+        self.proposal_id.hash(state);
+    }
+}
+
+impl Proposal {
+    /// Of two items with the same kind, name and version the first one in the given order counts: the second would have
+    /// no effect.
+    pub fn new(mut items: Vec<Item>) -> Proposal {
+        items.sort_by(compare_versions);
+        items.dedup_by(|later, earlier| compare_versions(later, earlier).is_eq());
+        Proposal {
+            proposal_id: hash_items(&items),
+            keys: items.iter().map(key).collect(),
+            bytes: items.iter().map(memory_bytes).sum(),
+            items: items.into(),
+        }
+    }
+
+    /// Sorted by kind, name and version.
+    pub fn items(&self) -> &Arc<[Item]> {
+        &self.items
+    }
+
+    /// The hash of the items.
+    pub fn proposal_id(&self) -> ProposalId {
+        self.proposal_id
+    }
+
+    /// The consensus instances that the proposal takes part in: one for each item, in the items' order.
+    pub fn keys(&self) -> &[u64] {
+        &self.keys
+    }
+
+    /// About how many bytes of memory the proposal takes.
+    pub fn bytes(&self) -> usize {
+        self.bytes
+    }
+
+    /// The items as they travel.
+    pub fn to_messages(&self) -> Vec<ItemMessage> {
+        self.items.iter().map(ItemMessage::from).collect()
+    }
+
+    /// None if an item is of a kind that this version does not know: the proposal could not be kept completely.
+    pub fn from_messages(messages: Vec<ItemMessage>) -> Option<Proposal> {
+        let items: Option<Vec<Item>> = messages.into_iter().map(ItemMessage::into_item).collect();
+        items.map(Proposal::new)
+    }
+}
+
+impl ProposalMessage {
+    /// An accepted proposal with the ballot under which it was accepted.
+    pub fn new(ballot: Ballot, proposal: &Proposal) -> ProposalMessage {
+        ProposalMessage { ballot, items: proposal.to_messages() }
+    }
+
+    /// None as in [`Proposal::from_messages`].
+    pub fn into_proposal(self) -> Option<(Ballot, Proposal)> {
+        Some((self.ballot, Proposal::from_messages(self.items)?))
+    }
+}
+
+/// The key of an item's version, which names a consensus instance. Two versions whose keys collide cost a retry, and
+/// nothing else.
+pub fn key(item: &Item) -> u64 {
+    hash_name(item.kind, &item.name, Some(item.version))
+}
+
+/// The same for all versions of an item.
+pub(super) fn name_key(item: &Item) -> u64 {
+    hash_name(item.kind, &item.name, None)
+}
+
+fn hash_name(kind: Kind, name: &str, version: Option<u64>) -> u64 {
+    let mut hasher = Xxh3::new();
+    hasher.update(&[kind as u8]);
+    if let Some(version) = version {
+        hasher.update(&version.to_le_bytes());
+    }
+    hasher.update(name.as_bytes());
+    hasher.digest()
+}
+
+fn compare_versions(one: &Item, other: &Item) -> Ordering {
+    (one.kind, &one.name, one.version).cmp(&(other.kind, &other.name, other.version))
+}
+
+/// Lengths stand before names and values, so that no two lists of items give the same bytes.
+fn hash_items(items: &[Item]) -> ProposalId {
+    let mut hasher = Xxh3Builder::new().build();
+    for item in items {
+        let value = item.value.as_deref().unwrap_or_default();
+        hasher.update(&[item.kind as u8, u8::from(item.is_set())]);
+        hasher.update(&item.version.to_le_bytes());
+        hasher.update(&(item.name.len() as u64).to_le_bytes());
+        hasher.update(item.name.as_bytes());
+        hasher.update(&(value.len() as u64).to_le_bytes());
+        hasher.update(value);
+    }
+    ProposalId(hasher.digest128().to_be_bytes())
+}
+
+fn memory_bytes(item: &Item) -> usize {
+    let value = item.value.as_deref().unwrap_or_default();
+    item.name.len() + value.len() + ITEM_OVERHEAD_BYTES
+}
--- /dev/null
+++ b/crates/coordination/tests/consensus_model/walks.rs
@@ -0,0 +1,150 @@
+//! Random schedules of a system.
+
+use super::exploration::{CHOSEN_IS_FOUND, ONE_CONTENT, RESOLVABLE, TRUE_ANSWERS};
+use super::setup::Setup;
+use super::state::{Action, Phase, State};
+use stateright::Model;
+use std::collections::BTreeMap;
+use std::ops::Range;
+
+/// What random walks brought about.
+#[derive(Default, Debug)]
+pub(crate) struct Walked {
+    pub(crate) steps: u64,
+    pub(crate) chosen: u64,
+    pub(crate) confirmed: u64,
+    pub(crate) conflicting: u64,
+    pub(crate) rejected: u64,
+    pub(crate) restarts: u64,
+    pub(crate) replica_set_changes: u64,
+    /// The properties that broke: in how many walks, and the first one's seed.
+    pub(crate) broken: BTreeMap<&'static str, (u64, u64)>,
+}
+
+/// Random walks, one for each seed.
+pub(crate) fn walk_all(name: &str, setup: &Setup, seeds: Range<u64>, steps: usize) -> Walked {
+    let (started, mut walked) = (std::time::Instant::now(), Walked::default());
+    let number = seeds.end - seeds.start;
+    for seed in seeds {
+        setup.walk(seed, steps, &mut walked);
+    }
+    println!("walks={name} seeds={number} took={:.1?} {walked:?}", started.elapsed());
+    walked
+}
+
+/// A random walk. One proposer at a time is the most likely to go on, so that walks come far; its messages are lost and
+/// late all the same, and it may give up and begin again.
+struct Walk<'a> {
+    setup: &'a Setup,
+    rng: oorandom::Rand64,
+    state: State,
+    /// The proposer that is the most likely to go on.
+    focus: usize,
+    /// Of 12 steps, how many are the focused proposer's.
+    focused_steps: u64,
+    /// Replicas are told of commits as part of the focused proposer's steps.
+    are_commits_prompt: bool,
+}
+
+impl Setup {
+    fn walk(&self, seed: u64, steps: usize, walked: &mut Walked) {
+        let mut walk = Walk::new(self, seed);
+        let mut actions = Vec::new();
+        for step in 0..steps {
+            walk.disturb();
+            actions.clear();
+            self.actions(&walk.state, &mut actions);
+            let Some(action) = walk.draw(&mut actions) else { break };
+            self.apply(&mut walk.state, action);
+            walked.steps += 1;
+            if let Some(broken) = self.broken_property(&walk.state, step) {
+                walked.broken.entry(broken).or_insert((0, seed)).0 += 1;
+                break;
+            }
+        }
+        walked.add(self, &walk.state);
+    }
+
+    /// The costly properties are checked after some steps only.
+    fn broken_property(&self, state: &State, step: usize) -> Option<&'static str> {
+        if !self.is_one_content(state) {
+            Some(ONE_CONTENT)
+        } else if !self.are_answers_true(state) {
+            Some(TRUE_ANSWERS)
+        } else if step.is_multiple_of(8) && !self.is_found_by_every_read_quorum(state) {
+            Some(CHOSEN_IS_FOUND)
+        } else if step.is_multiple_of(64) && !self.is_resolvable(state) {
+            Some(RESOLVABLE)
+        } else {
+            None
+        }
+    }
+}
+
+impl<'a> Walk<'a> {
+    fn new(setup: &'a Setup, seed: u64) -> Walk<'a> {
+        let mut rng = oorandom::Rand64::new(u128::from(seed));
+        let focused_steps = rng.rand_range(1..12);
+        let are_commits_prompt = rng.rand_range(0..2) == 0;
+        let state = setup.init_states().remove(0);
+        Walk { setup, rng, state, focus: 0, focused_steps, are_commits_prompt }
+    }
+
+    /// Now and then another proposer goes on, or the focused one begins again.
+    fn disturb(&mut self) {
+        if self.rng.rand_range(0..24) == 0 {
+            self.focus = self.draw_index(self.state.proposers.len());
+        }
+        if self.rng.rand_range(0..16) == 0 {
+            let proposer = &mut self.state.proposers[self.focus];
+            if proposer.phase.ballot().is_some() {
+                self.setup.begin(proposer, proposer.target);
+            }
+        }
+    }
+
+    fn draw_index(&mut self, length: usize) -> usize {
+        self.rng.rand_range(0..length as u64) as usize
+    }
+
+    /// One of the possible actions.
+    fn draw(&mut self, actions: &mut Vec<Action>) -> Option<Action> {
+        let (focus, are_commits_prompt) = (self.focus, self.are_commits_prompt);
+        let incarnation = self.state.proposers[focus].incarnation;
+        let is_of_focus = |action: &Action| match action {
+            Action::Prepare { proposer, .. } => *proposer == focus,
+            Action::Accept { request, is_response_delivered } => {
+                request.ballot.proposer == incarnation && *is_response_delivered
+            }
+            Action::Commit { .. } => are_commits_prompt,
+            Action::Restart { .. } => false,
+        };
+        if self.rng.rand_range(0..12) < self.focused_steps && actions.iter().any(is_of_focus) {
+            actions.retain(is_of_focus);
+        }
+        if actions.is_empty() {
+            return None;
+        }
+        let drawn = self.draw_index(actions.len());
+        Some(match actions.swap_remove(drawn) {
+            Action::Prepare { proposer, replica, .. } => {
+                let is_response_delivered = self.rng.rand_range(0..8) > 0;
+                Action::Prepare { proposer, replica, is_response_delivered }
+            }
+            action => action,
+        })
+    }
+}
+
+impl Walked {
+    fn add(&mut self, setup: &Setup, state: &State) {
+        let in_phase =
+            |phase: Phase| state.proposers.iter().filter(|proposer| proposer.phase == phase).count() as u64;
+        self.chosen += u64::from(state.chosen.count_ones());
+        self.confirmed += in_phase(Phase::Confirmed);
+        self.conflicting += in_phase(Phase::Conflicting);
+        self.rejected += in_phase(Phase::Rejected);
+        self.restarts += u64::from(state.restarts);
+        self.replica_set_changes += u64::from(setup.epoch(state.committed, 0) == 2);
+    }
+}
