--- /dev/null
+++ b/crates/coordination/src/membership/tests.rs
@@ -0,0 +1,96 @@
+//! Replica sets and their succession. All small layouts are played in `tests/membership.rs`.
+
+use super::*;
+use kitepass_config::ItemStore;
+use std::collections::BTreeSet;
+
+fn replica_set(places: &[(&str, &str)]) -> ReplicaSet {
+    let replica = |(n, (zone, region)): (usize, &(&str, &str))| Replica {
+        node_id: format!("s{n}"),
+        address: String::new(),
+        zone: zone.to_string(),
+        region: region.to_string(),
+        replica_id: n as u64,
+    };
+    ReplicaSet { replicas: places.iter().enumerate().map(replica).collect(), version: 1 }
+}
+
+fn names(numbers: &[usize]) -> BTreeSet<String> {
+    numbers.iter().map(|n| replica_set(&SIX).replicas[*n].name()).collect()
+}
+
+const SIX: [(&str, &str); 6] = [("a1", "a"), ("a2", "a"), ("b1", "b"), ("b2", "b"), ("c1", "c"), ("c2", "c")];
+
+/// Every write quorum, every loss that is to be tolerated, every read quorum after it.
+#[test]
+fn read_quorums_after_a_loss_meet_every_write_quorum() {
+    let replica_set = replica_set(&SIX);
+    let subsets = || (0u32..64).map(|bits| (0..6).filter(|n| bits >> n & 1 == 1).collect::<Vec<usize>>());
+    let losses: Vec<Vec<usize>> =
+        (0..6).map(|n| vec![n]).chain([vec![0, 1], vec![2, 3], vec![4, 5]]).collect();
+    for accepted in subsets().filter(|set| replica_set.is_write_quorum(&names(set))) {
+        for lost in &losses {
+            let left = |set: &[usize]| set.iter().copied().filter(|n| !lost.contains(n)).collect::<Vec<_>>();
+            assert!(!left(&accepted).is_empty(), "{accepted:?} gone with {lost:?}");
+            for read in subsets().filter(|set| replica_set.is_read_quorum(&names(&left(set)))) {
+                assert!(left(&read).iter().any(|n| accepted.contains(n)), "{accepted:?} {lost:?} {read:?}");
+            }
+        }
+    }
+}
+
+fn observations(
+    complete: &[&Replica],
+    shutting_down: &[usize],
+    unresponsive: &[usize],
+) -> ReplicaObservations {
+    ReplicaObservations {
+        complete: complete.iter().map(|replica| (*replica).clone()).collect(),
+        shutting_down: names(shutting_down),
+        unresponsive: names(unresponsive),
+    }
+}
+
+#[test]
+fn one_successor_has_all_that_changed_one_version_above_its_base() {
+    let old = replica_set(&SIX);
+    assert_eq!(old.replicas[0].name(), "s0");
+    let other = |n: usize, replica_id: u64| Replica { replica_id, ..old.replicas[n].clone() };
+    let (replaced, newcomer) = (other(1, 77), Replica { node_id: "s9".into(), ..other(2, 9) });
+    // s1 lost its disk, s9 is in unresponsive s2's zone, s5 shuts down; s4 moved with its disk.
+    let moved = Replica { address: "elsewhere".into(), ..old.replicas[4].clone() };
+    let next = old.successor(&observations(&[&replaced, &newcomer, &moved], &[5], &[2, 3])).unwrap();
+    assert_eq!(next.version, 2);
+    let names: Vec<String> = next.replicas.iter().map(Replica::name).collect();
+    assert_eq!(names, ["s0", "s1#4d", "s3#3", "s4#4", "s9#9"]);
+    assert!(next.replicas.contains(&moved));
+    assert_eq!(next.successor(&observations(&[&replaced, &newcomer, &moved], &[], &[3])), None);
+    let mut item_store = ItemStore::new();
+    item_store.merge(old.to_item(CURRENT));
+    assert_eq!(JointReplicaSets::load(&item_store).unwrap().epoch(), 2);
+    item_store.merge(next.to_item(INCOMING));
+    assert_eq!(
+        JointReplicaSets::load(&item_store),
+        Some(JointReplicaSets { current: old, incoming: Some(next.clone()) })
+    );
+    assert_eq!(JointReplicaSets::load(&item_store).unwrap().epoch(), 3);
+    item_store.merge(next.to_item(CURRENT));
+    assert_eq!(JointReplicaSets::load(&item_store).unwrap().epoch(), 4);
+}
+
+#[test]
+fn no_replica_leaves_a_set_that_would_tolerate_less() {
+    // No newcomer is in the place of the unresponsive one: it stays.
+    assert_eq!(replica_set(&SIX).successor(&observations(&[], &[], &[0])), None);
+    // One may leave; a second one of any region may not: of four replicas no two are a write quorum.
+    let next = replica_set(&SIX).successor(&observations(&[], &[0, 1, 2, 3, 4, 5], &[])).unwrap();
+    assert_eq!((next.replicas.len(), next.contains("s0")), (5, false));
+    assert_eq!(replica_set(&SIX[..3]).successor(&observations(&[], &[0], &[])), None);
+    // One that shuts down is no newcomer.
+    let newcomer = Replica { node_id: "s9".into(), replica_id: 9, ..replica_set(&SIX).replicas[0].clone() };
+    let leaving = ReplicaObservations {
+        shutting_down: [newcomer.name()].into(),
+        ..observations(&[&newcomer], &[], &[])
+    };
+    assert_eq!(replica_set(&SIX).successor(&leaving), None);
+}
--- a/crates/coordination/src/protocol/framing.rs
+++ b/crates/coordination/src/protocol/framing.rs
@@ -1,55 +1,78 @@
-//! Frames: four bytes of head, then so many bytes of a message. The head's two highest bits say what the bytes are: a
-//! whole word, a piece of a longer one, or the last piece of it. Whole words may stand between the pieces of a long
-//! one, so that a sign of life need not wait for megabytes.
+//! How messages travel over a connection: in frames of a header of four bytes and a payload.
 //!
-//! No frame tells how long its word will be: what a receiver keeps grows with what has come, never with a claim.
+//! The header is big-endian. Its two highest bits say what the payload is, the others how many bytes it has:
+//!
+//! | bits | payload |
+//! | --- | --- |
+//! | `00` | a complete message |
+//! | `10` | a fragment of a message, and more follow |
+//! | `01` | the last fragment of a message |
+//!
+//! Complete messages may stand between the fragments of another one, so that a heartbeat need not wait for megabytes.
+//! No frame says how long its message will be: what a receiver keeps grows with what has arrived, never with a claim.
 
 use crate::protocol::{Envelope, Message};
 use bytes::Bytes;
 use prost::Message as _;
-use snafu::Snafu;
+use snafu::{ResultExt, Snafu};
 use std::collections::VecDeque;
 
-/// The most bytes of one frame behind its head. Danger: a peer that lies about a length must not make us keep memory
-/// for it, and a word of many MiB in one frame would hold up all that goes behind it.
+/// The most bytes of one frame's payload.
+///
+/// A peer that lies about a length must not make a receiver keep memory for it, and a message of many MiB in one frame
+/// would hold up all that goes behind it.
 pub const MOST_FRAME: usize = 256 * 1024;
-/// The most bytes of one word. An operator's call of 16 MiB, as items, is well within it.
+/// The most bytes of one message. An operator's change of 16 MiB, as items, is well within it.
 pub const MOST_WORD: usize = 24 * 1024 * 1024;
 
-const PIECE: u32 = 1 << 31;
-const LAST: u32 = 1 << 30;
+const HEADER_BYTES: usize = 4;
+const FRAGMENT: u32 = 1 << 31;
+const LAST_FRAGMENT: u32 = 1 << 30;
+const FRAGMENT_BITS: u32 = FRAGMENT | LAST_FRAGMENT;
 
+/// Why what came is not from a process of this system. The connection is of no more use.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum Error {
-    #[snafu(display("a frame of {length} bytes, over the {MOST_FRAME} that are taken"))]
-    LongFrame { length: usize },
-    #[snafu(display("a word of over {MOST_WORD} bytes"))]
+    /// A frame is longer than [`MOST_FRAME`].
+    #[snafu(display("a frame of {length} bytes, over the {MOST_FRAME} that are accepted"))]
+    LongFrame {
+        /// The length in the header.
+        length: usize,
+    },
+    /// A message is longer than [`MOST_WORD`].
+    #[snafu(display("a message of over {MOST_WORD} bytes"))]
     LongWord,
-    #[snafu(display("a piece without bytes, or the end of a word that has not begun"))]
+    /// A fragment that can't stand where it does.
+    #[snafu(display("a fragment without bytes, or the end of a message that has not begun"))]
     Stray,
-    #[snafu(display("a frame that is no message: {cause}"))]
-    Garbled { cause: String },
+    /// The bytes are no message.
+    #[snafu(display("a frame that is no message: {source}"))]
+    Garbled {
+        /// What is wrong with them.
+        source: prost::DecodeError,
+    },
 }
 
-/// A word as it is sent.
+/// A message, encoded to be sent.
 #[derive(Clone, Debug)]
 pub enum Packed {
-    /// One frame, with its head.
+    /// One frame, with its header.
     Short(Bytes),
-    /// The message of a word that goes in pieces. Copies share it.
+    /// The bytes of a message that goes in fragments, or those of them that are left. Clones share them.
     Long(Bytes),
 }
 
 impl Packed {
+    /// Encodes a message.
     pub fn new(message: Message) -> Packed {
-        let parcel = Envelope { message: Some(message) };
-        let length = parcel.encoded_len();
+        let envelope = Envelope { message: Some(message) };
+        let length = envelope.encoded_len();
         if length > MOST_FRAME {
-            return Packed::Long(parcel.encode_to_vec().into());
+            return Packed::Long(envelope.encode_to_vec().into());
         }
-        let mut frame = Vec::with_capacity(4 + length);
+        let mut frame = Vec::with_capacity(HEADER_BYTES + length);
         frame.extend_from_slice(&(length as u32).to_be_bytes());
-        parcel.encode_raw(&mut frame);
+        envelope.encode_raw(&mut frame);
         Packed::Short(frame.into())
     }
 
@@ -60,29 +83,33 @@
     }
 
     /// Appends the next frame; whether it was the last.
-    fn frame(&mut self, into: &mut Vec<u8>) -> bool {
+    fn append_frame(&mut self, into: &mut Vec<u8>) -> bool {
         match self {
-            Packed::Short(frame) => into.extend_from_slice(frame),
-            Packed::Long(bytes) => {
-                let piece = bytes.split_to(bytes.len().min(MOST_FRAME));
-                let kind = if bytes.is_empty() { LAST } else { PIECE };
-                into.extend_from_slice(&(piece.len() as u32 | kind).to_be_bytes());
-                into.extend_from_slice(&piece);
-                return bytes.is_empty();
+            Packed::Short(frame) => {
+                into.extend_from_slice(frame);
+                true
+            }
+            Packed::Long(rest) => {
+                let fragment = rest.split_to(rest.len().min(MOST_FRAME));
+                let bits = if rest.is_empty() { LAST_FRAGMENT } else { FRAGMENT };
+                into.extend_from_slice(&(fragment.len() as u32 | bits).to_be_bytes());
+                into.extend_from_slice(&fragment);
+                rest.is_empty()
             }
         }
-        true
     }
 }
 
-/// Appends a word in as many frames as it needs.
+/// Appends a message in as many frames as it needs.
 pub fn pack(message: Message, into: &mut Vec<u8>) {
     let mut packed = Packed::new(message);
-    while !packed.frame(into) {}
+    while !packed.append_frame(into) {}
 }
 
-/// Words that wait for a connection with room. Signs of life go past them. Danger: behind a word of many MiB on a slow
-/// line both ends would take each other for lost.
+/// Messages that wait for a connection to have room.
+///
+/// Urgent messages overtake the others. Behind a message of many MiB on a slow connection, heartbeats would come so late
+/// that both ends took each other for lost.
 #[derive(Debug, Default)]
 pub struct Outbox {
     queue: VecDeque<Packed>,
@@ -90,109 +117,101 @@
 }
 
 impl Outbox {
-    /// Takes a word; `urgent` ones go at once, the others in their order.
+    /// Takes a message; `urgent` ones of one frame go at once, the others in their order.
     pub fn say(&mut self, mut message: Packed, urgent: bool, into: &mut Vec<u8>) {
-        let at_once = self.queue.is_empty() && into.len() < MOST_FRAME;
-        if matches!(message, Packed::Short(_)) && (urgent || at_once) {
-            message.frame(into);
+        let has_room = self.queue.is_empty() && into.len() < MOST_FRAME;
+        if matches!(message, Packed::Short(_)) && (urgent || has_room) {
+            message.append_frame(into);
             return;
         }
         self.bytes += message.len();
         self.queue.push_back(message);
     }
 
-    /// Hands over the next frames, for as long as there is room behind so many unsent bytes.
+    /// Appends the next frames, for as long as there is room. `unsent` bytes are in the connection's output already.
     pub fn feed(&mut self, into: &mut Vec<u8>, unsent: usize) {
-        let begun = into.len();
-        while unsent + into.len() - begun < MOST_FRAME {
+        let length_before = into.len();
+        while unsent + into.len() - length_before < MOST_FRAME {
             let Some(message) = self.queue.front_mut() else { return };
-            let before = message.len();
-            let ended = message.frame(into);
-            self.bytes -= if ended { before } else { before - message.len() };
-            if ended {
+            let message_bytes = message.len();
+            let was_last = message.append_frame(into);
+            if was_last {
+                self.bytes -= message_bytes;
                 self.queue.pop_front();
+            } else {
+                self.bytes -= message_bytes - message.len();
             }
         }
     }
 
-    /// Bytes that wait.
+    /// The bytes of all messages that wait.
     pub fn waiting(&self) -> usize {
         self.bytes
     }
 }
 
-/// What one connection has brought of a long word. [`Assembler::add`] alone changes it.
-#[derive(Debug, Default)]
-enum Long {
-    #[default]
-    None,
-    Begun(Vec<u8>),
-}
-
-/// Takes words off one connection's input. After an error the connection is of no more use.
+/// Takes messages off one connection's input. After an error the connection is of no more use.
 #[derive(Debug, Default)]
 pub struct Assembler {
-    long: Long,
+    /// The fragments that have come of a long message.
+    fragments: Option<Vec<u8>>,
 }
 
 impl Assembler {
-    /// Takes the next whole word off the input's front, from `at` on, which is moved past all frames that were used.
-    /// A word of a kind that this version does not know is passed over.
+    /// Takes the next complete message off the input from position `at` on, which is moved past all frames that were
+    /// used. None if more bytes are needed. A message of a kind that this version does not know is skipped.
     ///
     /// # Errors
-    /// What came is not from one of us; the connection is to be ended.
+    /// If the input is not from a process of this system; the connection is to be closed.
     pub fn next(&mut self, input: &[u8], at: &mut usize) -> Result<Option<Message>, Error> {
         loop {
             let rest = &input[*at..];
-            let Some(head) = rest.first_chunk::<4>() else { return Ok(None) };
-            let head = u32::from_be_bytes(*head);
-            let length = (head & !(PIECE | LAST)) as usize;
+            let Some(header) = rest.first_chunk::<HEADER_BYTES>() else { return Ok(None) };
+            let header = u32::from_be_bytes(*header);
+            let length = (header & !FRAGMENT_BITS) as usize;
             if length > MOST_FRAME {
                 return LongFrameSnafu { length }.fail();
             }
-            let Some(frame) = rest.get(4..4 + length) else { return Ok(None) };
-            *at += 4 + length;
-            let parcel = match head & (PIECE | LAST) {
-                0 => Some(decode(frame)?),
-                kind => self.add(frame, kind)?.map(|whole| decode(&whole)).transpose()?,
+            let Some(payload) = rest.get(HEADER_BYTES..HEADER_BYTES + length) else { return Ok(None) };
+            *at += HEADER_BYTES + length;
+            let envelope = match header & FRAGMENT_BITS {
+                0 => Some(decode(payload)?),
+                bits => self.add_fragment(payload, bits)?.map(|message| decode(&message)).transpose()?,
             };
-            if let Some(message) = parcel.and_then(|parcel| parcel.message) {
+            if let Some(message) = envelope.and_then(|envelope| envelope.message) {
                 return Ok(Some(message));
             }
         }
     }
 
-    /// Bytes that are kept of a long word.
+    /// The bytes that are kept of a long message.
     pub fn kept(&self) -> usize {
-        match &self.long {
-            Long::None => 0,
-            Long::Begun(bytes) => bytes.len(),
-        }
+        self.fragments.as_ref().map_or(0, Vec::len)
     }
 
-    /// Takes a piece up; the whole once it is there.
-    fn add(&mut self, piece: &[u8], kind: u32) -> Result<Option<Vec<u8>>, Error> {
-        let mut bytes = match std::mem::take(&mut self.long) {
-            Long::Begun(bytes) => bytes,
-            Long::None if kind == PIECE => Vec::new(),
-            Long::None => return StraySnafu.fail(),
+    /// Adds a fragment; gives the complete message with the last one.
+    fn add_fragment(&mut self, fragment: &[u8], bits: u32) -> Result<Option<Vec<u8>>, Error> {
+        let mut message = match self.fragments.take() {
+            Some(message) => message,
+            None if bits == FRAGMENT => Vec::new(),
+            None => return StraySnafu.fail(),
         };
-        // Danger: pieces without bytes could come for ever, and one with both marks is none of ours.
-        if piece.is_empty() || kind == PIECE | LAST {
+        // Fragments without bytes could come for ever; and no sender sets both bits.
+        if fragment.is_empty() || bits == FRAGMENT_BITS {
             return StraySnafu.fail();
         }
-        if bytes.len() + piece.len() > MOST_WORD {
+        if message.len() + fragment.len() > MOST_WORD {
             return LongWordSnafu.fail();
         }
-        bytes.extend_from_slice(piece);
-        if kind == LAST {
-            return Ok(Some(bytes));
+        message.extend_from_slice(fragment);
+        if bits == LAST_FRAGMENT {
+            return Ok(Some(message));
         }
-        self.long = Long::Begun(bytes);
+        self.fragments = Some(message);
         Ok(None)
     }
 }
 
 fn decode(bytes: &[u8]) -> Result<Envelope, Error> {
-    Envelope::decode(bytes).map_err(|e| Error::Garbled { cause: e.to_string() })
+    Envelope::decode(bytes).context(GarbledSnafu)
 }
