--- a/crates/coordination/src/catch_up_queue.rs
+++ b/crates/coordination/src/catch_up_queue.rs
@@ -1,141 +1,161 @@
-//! Who of those that came is told what next. Each is told what it lacks in pieces; the next one goes once the one before
-//! has left, and what is on its way to all of them together is bounded. Danger: a region that comes back has some
-//! hundred gateways ask for the whole configuration at once.
+//! Who of those that catch up is sent a chunk next.
+//!
+//! Each is sent what it lacks in chunks. Its next chunk goes once the one before has left, and what is in flight to all of
+//! them together is bounded: when a region comes back, some hundred gateways ask for the complete configuration at once.
 
 use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// One that has not taken its piece by then holds nobody else up any longer; its session has other bounds.
-const STUCK: Duration = Duration::from_micros(2_000_000);
+/// A receiver that has not taken its chunk by then holds nobody else up any longer. Its session has a time-out of its own.
+const STALL_TIMEOUT: Duration = Duration::from_micros(2_000_000);
 
-/// How far one that came has been told. [`CatchUpQueue::next`], [`CatchUpQueue::told`] and [`CatchUpQueue::left`] alone change it.
+/// How far one receiver has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum Progress {
     /// It is in the queue.
-    Waiting,
-    /// It is its turn, and nobody has told it yet.
+    Queued,
+    /// It is its turn, and nothing has been sent yet.
     Chosen,
-    /// So many bytes are on their way to it.
-    Told { bytes: usize, since: Timestamp, more: bool },
+    /// A chunk is in flight to it.
+    InFlight { bytes: usize, since: Timestamp, has_more: bool },
 }
 
 #[derive(Debug)]
-struct Feed {
+struct Receiver {
     /// What it said that it holds.
-    hashes: Vec<u64>,
-    /// The bucket to go on with.
-    from: usize,
-    back: bool,
-    state: State,
+    bucket_digests: Vec<u64>,
+    /// The bucket to continue with.
+    next_bucket: usize,
+    wants_reply: bool,
+    progress: Progress,
 }
 
-/// A turn: whom to tell what.
+/// A turn: to whom to send which chunk.
 #[derive(Debug, PartialEq)]
 pub struct CatchUpTurn {
+    /// The receiver, by the number that the caller gave it.
     pub id: u64,
+    /// What the receiver said that it holds.
     pub bucket_digests: Vec<u64>,
+    /// The bucket with which the chunk begins.
     pub first_bucket: usize,
-    /// Whether it waits for the other's hashes at the end.
+    /// Whether the receiver waits for the sender's digests at the end.
     pub wants_reply: bool,
 }
 
-/// All that are being told.
+/// All receivers that catch up.
 #[derive(Debug)]
 pub struct CatchUpQueue {
-    /// Bytes that may be on their way to all together, but for the last piece that fits no more.
-    most: usize,
-    feeds: BTreeMap<u64, Feed>,
+    /// Bytes that may be in flight to all together; the last chunk may exceed it.
+    max_bytes_in_flight: usize,
+    receivers: BTreeMap<u64, Receiver>,
     queue: VecDeque<u64>,
     bytes_in_flight: usize,
 }
 
 impl CatchUpQueue {
-    pub fn new(most: usize) -> CatchUpQueue {
-        CatchUpQueue { most, feeds: BTreeMap::new(), queue: VecDeque::new(), bytes_in_flight: 0 }
+    /// An empty queue.
+    pub fn new(max_bytes_in_flight: usize) -> CatchUpQueue {
+        CatchUpQueue {
+            max_bytes_in_flight,
+            receivers: BTreeMap::new(),
+            queue: VecDeque::new(),
+            bytes_in_flight: 0,
+        }
     }
 
-    /// One says what it holds, and waits for what it lacks. If it is being told already, that begins anew.
-    pub fn enqueue(&mut self, id: u64, hashes: Vec<u64>, back: bool) {
+    /// A receiver says what it holds, and waits for what it lacks. If it catches up already, that begins anew.
+    pub fn enqueue(&mut self, id: u64, bucket_digests: Vec<u64>, wants_reply: bool) {
         self.remove(id);
-        self.feeds.insert(id, Feed { hashes, from: 0, back, state: State::Waiting });
+        let receiver = Receiver { bucket_digests, next_bucket: 0, wants_reply, progress: Progress::Queued };
+        self.receivers.insert(id, receiver);
         self.queue.push_back(id);
     }
 
-    /// Whose turn it is now, if there is room.
+    /// Whose turn it is now, if there is room. [`CatchUpQueue::chunk_sent`] is to be called with the turn.
     pub fn next_turn(&mut self, now: Timestamp) -> Option<CatchUpTurn> {
-        self.sweep(now);
-        if self.bytes_in_flight >= self.most {
+        self.release_stalled(now);
+        if self.bytes_in_flight >= self.max_bytes_in_flight {
             return None;
         }
         let id = self.queue.pop_front()?;
-        let feed = self.feeds.get_mut(&id)?;
-        feed.state = State::Chosen;
+        let receiver = self.receivers.get_mut(&id)?;
+        receiver.progress = Progress::Chosen;
         Some(CatchUpTurn {
             id,
-            bucket_digests: std::mem::take(&mut feed.hashes),
-            first_bucket: feed.from,
-            wants_reply: feed.back,
+            bucket_digests: std::mem::take(&mut receiver.bucket_digests),
+            first_bucket: receiver.next_bucket,
+            wants_reply: receiver.wants_reply,
         })
     }
 
-    /// What came of a turn: so many bytes are on their way, and it goes on at this bucket, or not at all.
-    pub fn chunk_sent(&mut self, now: Timestamp, turn: CatchUpTurn, bytes: usize, goes_on: Option<usize>) {
-        let Some(feed) = self.feeds.get_mut(&turn.id).filter(|feed| feed.state == State::Chosen) else {
+    /// A turn's chunk of so many bytes is in flight; the next one begins with `next_bucket`, or there is none.
+    pub fn chunk_sent(
+        &mut self,
+        now: Timestamp,
+        turn: CatchUpTurn,
+        bytes: usize,
+        next_bucket: Option<usize>,
+    ) {
+        let Some(receiver) = self.receivers.get_mut(&turn.id) else { return };
+        if receiver.progress != Progress::Chosen {
             return;
-        };
+        }
         self.bytes_in_flight += bytes;
-        feed.hashes = turn.bucket_digests;
-        feed.from = goes_on.unwrap_or(feed.from);
-        feed.state = State::Told { bytes, since: now, more: goes_on.is_some() };
+        receiver.bucket_digests = turn.bucket_digests;
+        receiver.next_bucket = next_bucket.unwrap_or(receiver.next_bucket);
+        receiver.progress = Progress::InFlight { bytes, since: now, has_more: next_bucket.is_some() };
     }
 
-    /// Whether it is being told, or waits for its turn.
+    /// Whether a receiver catches up, or waits for its turn.
     pub fn contains(&self, id: u64) -> bool {
-        self.feeds.contains_key(&id)
+        self.receivers.contains_key(&id)
     }
 
-    /// Whether something is on its way to it.
+    /// Whether a chunk is in flight to a receiver.
     pub fn is_in_flight(&self, id: u64) -> bool {
-        matches!(self.feeds.get(&id), Some(Feed { state: State::Told { .. }, .. }))
+        let progress = self.receivers.get(&id).map(|receiver| receiver.progress);
+        matches!(progress, Some(Progress::InFlight { .. }))
     }
 
-    /// What was on its way to one has left.
+    /// The chunk that was in flight to a receiver has left.
     pub fn chunk_delivered(&mut self, id: u64) {
-        let Some(feed) = self.feeds.get_mut(&id) else { return };
-        let State::Told { bytes, more, .. } = feed.state else { return };
+        let Some(receiver) = self.receivers.get_mut(&id) else { return };
+        let Progress::InFlight { bytes, has_more, .. } = receiver.progress else { return };
         self.bytes_in_flight -= bytes;
-        if more {
-            feed.state = State::Waiting;
+        if has_more {
+            receiver.progress = Progress::Queued;
             self.queue.push_back(id);
         } else {
-            self.feeds.remove(&id);
+            self.receivers.remove(&id);
         }
     }
 
-    /// One has gone.
+    /// A receiver has gone.
     pub fn remove(&mut self, id: u64) {
-        let Some(feed) = self.feeds.remove(&id) else { return };
-        match feed.state {
-            State::Told { bytes, .. } => self.bytes_in_flight -= bytes,
-            State::Waiting => self.queue.retain(|other| *other != id),
-            State::Chosen => {}
+        let Some(receiver) = self.receivers.remove(&id) else { return };
+        match receiver.progress {
+            Progress::InFlight { bytes, .. } => self.bytes_in_flight -= bytes,
+            Progress::Queued => self.queue.retain(|other| *other != id),
+            Progress::Chosen => {}
         }
     }
 
-    /// Bytes on their way to all together.
+    /// Bytes in flight to all receivers together.
     pub fn bytes_in_flight(&self) -> usize {
         self.bytes_in_flight
     }
 
-    fn sweep(&mut self, now: Timestamp) {
-        let mut free = 0;
-        self.feeds.retain(|_, feed| match &mut feed.state {
-            State::Told { bytes, since, more } if now - *since > STUCK => {
-                free += std::mem::take(bytes);
-                *more
+    /// What is in flight to a stalled receiver counts no more. One that has its last chunk in flight is forgotten.
+    fn release_stalled(&mut self, now: Timestamp) {
+        let mut released = 0;
+        self.receivers.retain(|_, receiver| match &mut receiver.progress {
+            Progress::InFlight { bytes, since, has_more } if now - *since > STALL_TIMEOUT => {
+                released += std::mem::take(bytes);
+                *has_more
             }
             _ => true,
         });
-        self.bytes_in_flight -= free;
+        self.bytes_in_flight -= released;
     }
 }
--- a/crates/coordination/src/consensus/mod.rs
+++ b/crates/coordination/src/consensus/mod.rs
@@ -13,7 +13,7 @@
 //! | phase 2: a proposal is accepted | [`Acceptor::accept`] |
 //! | a proposal is chosen | once a write quorum has accepted it under one ballot; see [`crate::membership`] |
 //! | a chosen proposal is learned | [`Acceptor::commit`], after its items were merged into the item store |
-//! | stable storage | the records of [`records`](self::records), see [`Record`] |
+//! | stable storage | the records whose keys and values `records.rs` describes, see [`Record`] |
 //!
 //! **Assumptions.** Each read quorum shares a replica with each write quorum of the same membership epoch; a ballot is
 //! used by one proposer for one proposal; what a response rests on is on disk before the response leaves
--- a/crates/coordination/src/quorum_contact.rs
+++ b/crates/coordination/src/quorum_contact.rs
@@ -1,147 +1,167 @@
-//! Contact: whom of the core this process hears, and who of it heard this process, as of when.
+//! Quorum contact: whether a majority of the replicas has heard this process lately.
 //!
-//! Every beat to another control process carries a number of the sender's own and the last number that it heard of the
-//! other. A beat that gives back a number proves that its sender lived and heard this process *after* that number was
-//! sent; the proof is dated by the moment at which this process sent it, by its own steady time. Clocks of two machines
-//! are never compared, and a proof that comes late is no newer for that.
+//! Each heartbeat to another control process carries a number of the sender's own and the last number that it received
+//! from the other. A heartbeat that echoes a number proves that its sender was alive and received this process' heartbeat
+//! *after* that number was sent. The proof is dated by the moment at which this process sent the number, by its own
+//! monotonic clock: clocks of two machines are never compared, and a proof that arrives late is no newer for that.
 
 use crate::membership::ReplicaSet;
 use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A process is in contact while a majority of the cast has proved within so long that it heard this process.
+/// A process is in contact while a majority of the replicas has proved within so long that it heard this process.
 pub const CONTACT: Duration = Duration::from_micros(2_000_000);
-/// Numbers that are remembered of those that one peer was sent. A beat goes out every half second, and a few between:
-/// what falls out is older than [`CONTACT`] and proves nothing any longer.
-const MOST_SENT: usize = 16;
-/// One of whom nothing was heard for so long is forgotten. Danger: stations that come and go would be kept for ever.
-const FORGOTTEN: Duration = Duration::from_micros(60_000_000);
+/// Numbers that are remembered of those that were sent to one peer. A heartbeat goes out every half second, and a few in
+/// between: what falls out is older than [`CONTACT`] and proves nothing any longer.
+const MAX_REMEMBERED_SEQUENCES: usize = 16;
+/// A peer of which nothing was heard for so long is forgotten; peers that come and go would be kept for ever.
+const PEER_EXPIRY: Duration = Duration::from_micros(60_000_000);
 
-/// Whether this process may speak for the core. [`QuorumContact::shift`] alone changes it.
+/// Whether this process may speak for the replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ContactState {
-    /// Too few have proved lately that they hear it. So it begins.
+    /// Too few have proved lately that they hear it. This is the first state.
     Disconnected,
+    /// A majority has.
     Connected,
 }
 
+/// A heartbeat that was sent.
+struct SentHeartbeat {
+    sequence: u32,
+    sent_at: Timestamp,
+}
+
 struct Peer {
     incarnation: u64,
-    /// The last number heard of it, or 0.
-    heard: u32,
-    /// Numbers that it was sent, with the moment of each, oldest first.
-    sent: VecDeque<(u32, Timestamp)>,
+    /// The last number that was received from it, or 0.
+    last_sequence: u32,
+    /// What it was sent, the oldest first.
+    sent: VecDeque<SentHeartbeat>,
     /// The newest moment after which it is known to have heard this process.
-    as_of: Option<Timestamp>,
-    /// It was heard itself then.
-    at: Timestamp,
+    last_contact: Option<Timestamp>,
+    last_heard_at: Timestamp,
 }
 
+impl Peer {
+    fn has_heard(&mut self, sent_at: Timestamp) {
+        self.last_contact = self.last_contact.max(Some(sent_at));
+    }
+}
+
+/// What a process knows of who hears it. Replicas go by their names, see
+/// [`Replica::name`](crate::membership::Replica::name).
 pub struct QuorumContact {
-    /// Its own seat's name; all others go by theirs, too.
-    me: String,
+    own_name: String,
     state: ContactState,
-    /// The moment after which a majority is known to have heard this process, as reckoned last.
-    last_contact: Option<Timestamp>,
-    number: u32,
+    /// The moment after which a majority is known to have heard this process, as evaluated last.
+    last_quorum_contact: Option<Timestamp>,
+    last_sequence: u32,
     peers: BTreeMap<String, Peer>,
 }
 
 impl QuorumContact {
-    /// `draw` is drawn anew in each life. Danger: a number of an earlier life that is given back late would pass for one
-    /// of this life, and prove what was long ago.
-    pub fn new(me: &str, draw: u32) -> QuorumContact {
+    /// `first_sequence` is drawn at random in each incarnation: a number of an earlier incarnation that is echoed late
+    /// would pass for one of this incarnation, and prove what was long ago.
+    pub fn new(own_name: &str, first_sequence: u32) -> QuorumContact {
         QuorumContact {
-            me: me.to_owned(),
+            own_name: own_name.to_owned(),
             state: ContactState::Disconnected,
-            last_contact: None,
-            number: draw,
+            last_quorum_contact: None,
+            last_sequence: first_sequence,
             peers: BTreeMap::new(),
         }
     }
 
+    /// The state as evaluated last.
     pub fn state(&self) -> ContactState {
         self.state
     }
 
-    /// A peer said who it is. What an earlier life of it heard, this one did not.
+    /// A peer said who it is. What an earlier incarnation of it heard, this one did not.
     pub fn peer_connected(&mut self, now: Timestamp, name: &str, incarnation: u64) {
-        if self.peers.get(name).is_none_or(|peer| peer.incarnation != incarnation) {
-            let peer = Peer { incarnation, heard: 0, sent: VecDeque::new(), as_of: None, at: now };
-            self.peers.insert(name.to_owned(), peer);
+        if self.peers.get(name).is_some_and(|peer| peer.incarnation == incarnation) {
+            return;
         }
+        let (last_sequence, sent, last_contact) = (0, VecDeque::new(), None);
+        let peer = Peer { incarnation, last_sequence, sent, last_contact, last_heard_at: now };
+        self.peers.insert(name.to_owned(), peer);
     }
 
-    /// What the next beat to a peer carries: a number of its own, and the last that was heard of that peer.
+    /// What the next heartbeat to a peer carries: its own number, and the last one that was received from that peer. Both
+    /// are 0 for a peer that has not connected.
     pub fn next_heartbeat(&mut self, now: Timestamp, name: &str) -> (u32, u32) {
         let Some(peer) = self.peers.get_mut(name) else { return (0, 0) };
-        // Each number goes to one peer alone, so nobody can give back what another was sent; 0 is none.
-        self.number = self.number.checked_add(1).unwrap_or(1);
-        peer.sent.push_back((self.number, now));
-        if peer.sent.len() > MOST_SENT {
+        // Each number goes to one peer alone, so that nobody can echo what another was sent. 0 stands for none.
+        self.last_sequence = self.last_sequence.checked_add(1).unwrap_or(1);
+        peer.sent.push_back(SentHeartbeat { sequence: self.last_sequence, sent_at: now });
+        if peer.sent.len() > MAX_REMEMBERED_SEQUENCES {
             peer.sent.pop_front();
         }
-        (self.number, peer.heard)
+        (self.last_sequence, peer.last_sequence)
     }
 
-    /// A peer's beat, with its own number and the one that it gives back.
-    pub fn heartbeat_received(&mut self, now: Timestamp, name: &str, number: u32, yours: u32) {
+    /// A peer's heartbeat, with its own number and the one that it echoes.
+    pub fn heartbeat_received(&mut self, now: Timestamp, name: &str, sequence: u32, echoed_sequence: u32) {
         let Some(peer) = self.peers.get_mut(name) else { return };
-        (peer.heard, peer.at) = (number, now);
-        // Danger: a number that this life never sent to this peer (an earlier life's, another's, or made up) proves
-        // nothing, and neither does one that is too old to be remembered.
-        if let Some((_, sent)) = peer.sent.iter().find(|(sent, _)| *sent == yours) {
-            peer.as_of = peer.as_of.max(Some(*sent));
+        peer.last_sequence = sequence;
+        peer.last_heard_at = now;
+        // Invariant: only a number that this incarnation sent to this peer is a proof. One of an earlier incarnation, of
+        // another peer, made up, or too old to be remembered proves nothing.
+        let echoed = peer.sent.iter().find(|sent| sent.sequence == echoed_sequence);
+        if let Some(sent_at) = echoed.map(|sent| sent.sent_at) {
+            peer.has_heard(sent_at);
         }
     }
 
-    /// A peer answered a word that was sent to it at a moment: as good as a number given back.
-    pub fn response_received(&mut self, now: Timestamp, name: &str, sent: Timestamp) {
+    /// A peer answered a request that was sent to it at a moment: as good as an echoed number.
+    pub fn response_received(&mut self, now: Timestamp, name: &str, sent_at: Timestamp) {
         let Some(peer) = self.peers.get_mut(name) else { return };
-        peer.at = now;
-        peer.as_of = peer.as_of.max(Some(sent));
+        peer.last_heard_at = now;
+        peer.has_heard(sent_at);
     }
 
-    /// Forgets who has been silent for long; to be called about once a second.
+    /// Forgets peers that have been silent for long; to be called about once a second.
     pub fn sweep(&mut self, now: Timestamp) {
-        self.peers.retain(|_, peer| now - peer.at <= FORGOTTEN);
+        self.peers.retain(|_, peer| now - peer.last_heard_at <= PEER_EXPIRY);
     }
 
-    /// Reckons the state anew, by all casts that count now; a change comes back.
+    /// Evaluates the state anew, by all replica sets that count now; gives it if it has changed.
     pub fn evaluate(&mut self, now: Timestamp, replica_sets: &[ReplicaSet]) -> Option<ContactState> {
-        let all: Option<Vec<Timestamp>> =
-            replica_sets.iter().map(|replica_set| self.majority(now, replica_set)).collect();
-        self.last_contact = all.and_then(|all| all.into_iter().min());
-        let to = if self.is_connected(now) { ContactState::Connected } else { ContactState::Disconnected };
-        self.shift(to)
-    }
-
-    fn shift(&mut self, to: ContactState) -> Option<ContactState> {
-        (std::mem::replace(&mut self.state, to) != to).then_some(to)
+        let contacts: Option<Vec<Timestamp>> =
+            replica_sets.iter().map(|replica_set| self.majority_contact(now, replica_set)).collect();
+        self.last_quorum_contact = contacts.and_then(|contacts| contacts.into_iter().min());
+        let state = match self.is_connected(now) {
+            true => ContactState::Connected,
+            false => ContactState::Disconnected,
+        };
+        let has_changed = state != self.state;
+        self.state = state;
+        has_changed.then_some(state)
     }
 
-    /// The moment after which a majority of a cast, this process included, heard this process.
-    fn majority(&self, now: Timestamp, replica_set: &ReplicaSet) -> Option<Timestamp> {
-        let of = |name: String| if name == self.me { Some(now) } else { self.last_contact(&name) };
-        let mut all: Vec<Timestamp> =
-            replica_set.replicas.iter().filter_map(|replica| of(replica.name())).collect();
-        all.sort_unstable_by(|a, b| b.cmp(a));
-        all.get(replica_set.majority() - 1).copied()
+    /// The moment after which a majority of a replica set, this process included, has heard this process.
+    fn majority_contact(&self, now: Timestamp, replica_set: &ReplicaSet) -> Option<Timestamp> {
+        let contact = |name: String| if name == self.own_name { Some(now) } else { self.last_contact(&name) };
+        let mut contacts: Vec<Timestamp> =
+            replica_set.replicas.iter().filter_map(|replica| contact(replica.name())).collect();
+        contacts.sort_unstable_by(|one, other| other.cmp(one));
+        contacts.get(replica_set.majority() - 1).copied()
     }
 
-    /// Whether it is in contact at this very moment, also if nothing has been reckoned anew for a while. Danger: a process
-    /// that stood still would go on with what was true before.
+    /// Whether it is in contact at this very moment, even if nothing has been evaluated for a while: a process that was
+    /// suspended would go on with what was true before.
     pub fn is_connected(&self, now: Timestamp) -> bool {
         self.age(now).is_some_and(|age| age <= CONTACT)
     }
 
     /// How long ago a majority is known to have heard this process.
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
-        self.last_contact.map(|as_of| now - as_of)
+        self.last_quorum_contact.map(|last_contact| now - last_contact)
     }
 
     /// The moment after which a peer is known to have heard this process.
     pub fn last_contact(&self, name: &str) -> Option<Timestamp> {
-        self.peers.get(name).and_then(|peer| peer.as_of)
+        self.peers.get(name).and_then(|peer| peer.last_contact)
     }
 }
--- a/crates/coordination/src/tombstones.rs
+++ b/crates/coordination/src/tombstones.rs
@@ -1,79 +1,99 @@
-//! When a dropped item may be forgotten: once every seat of the cast has held the drop, on disk, for a stated time of the
-//! holder's own steady clock. Gateways that were away for half that time begin anew from nothing, and so does a control
-//! process that stands outside of the cast or was away from it; so nothing is left that could bring back what was
-//! dropped. See docs/control-size.md.
+//! When the tombstone of a removed item may be forgotten.
+//!
+//! **Invariant.** Nothing is left that could bring the removed item back.
+//!
+//! **Why.** A tombstone is forgotten once all replicas have had it on disk for a given time, by the coordinator's own
+//! monotonic clock. A gateway that was away for half of that time begins anew from nothing, and so does a control process
+//! that is no replica or was away. See `docs/control-size.md`.
 
 use kitepass_config::{ItemStore, Kind};
 use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The kinds whose drops are forgotten. Evacuations are as few as zones, and their versions are drawn from the last.
-const KINDS: [Kind; 3] = [Kind::Route, Kind::Tenant, Kind::Service];
-/// Forgotten at one time.
-const MOST: usize = 1_024;
+/// The kinds whose tombstones are forgotten. Evacuations are as few as zones, and their versions follow from the last.
+const EXPIRING_KINDS: [Kind; 3] = [Kind::Route, Kind::Tenant, Kind::Service];
+/// Tombstones that are forgotten at one time.
+const MAX_EXPIRED: usize = 1_024;
 
-/// How far the drop of an item has come. [`TombstoneCollector::due`] alone changes it.
+/// How far a tombstone has come.
 #[derive(Debug)]
-struct Tomb {
+struct Tombstone {
     version: u64,
-    /// Known here since.
-    seen: Timestamp,
-    /// Known to be on the disks of all seats since.
-    held: Option<Timestamp>,
+    /// Since when it is known here.
+    seen_at: Timestamp,
+    /// Since when it is known to be on the disks of all replicas.
+    persisted_at: Option<Timestamp>,
 }
 
-/// A drop that may be forgotten.
+/// A tombstone that may be forgotten: the item's kind, its name, and the version that removed it.
 pub type ExpiredTombstone = (Kind, Arc<str>, u64);
 
-/// What whoever does the duty knows of drops; with the duty it begins from nothing.
+/// What the coordinator knows of tombstones. A new coordinator begins from nothing.
 #[derive(Debug)]
 pub struct TombstoneCollector {
-    age: Duration,
-    tombs: BTreeMap<(Kind, Arc<str>), Tomb>,
-    /// By seat, when it held last what is held here, all of it on disk.
-    agreed: BTreeMap<String, Timestamp>,
+    retention: Duration,
+    tombstones: BTreeMap<(Kind, Arc<str>), Tombstone>,
+    /// By replica, when it last had on disk all that is held here.
+    persisted_at: BTreeMap<String, Timestamp>,
 }
 
 impl TombstoneCollector {
-    pub fn new(age: Duration) -> TombstoneCollector {
-        TombstoneCollector { age, tombs: BTreeMap::new(), agreed: BTreeMap::new() }
+    /// Tombstones are forgotten once they have been on all disks for `retention`.
+    pub fn new(retention: Duration) -> TombstoneCollector {
+        TombstoneCollector { retention, tombstones: BTreeMap::new(), persisted_at: BTreeMap::new() }
     }
 
-    /// The duty has come or gone. Danger: what an earlier term knew of the seats is not so any more.
+    /// The process has become the coordinator or is it no longer: what an earlier term knew of the replicas is outdated.
     pub fn clear(&mut self) {
-        self.tombs.clear();
-        self.agreed.clear();
+        self.tombstones.clear();
+        self.persisted_at.clear();
     }
 
-    /// A seat says that it holds, all on disk, what is held here.
+    /// A replica says that it has on disk all that is held here.
     pub fn replica_persisted(&mut self, now: Timestamp, replica: &str) {
-        self.agreed.insert(replica.to_owned(), now);
+        self.persisted_at.insert(replica.to_owned(), now);
     }
 
-    /// Drops that may be forgotten now; to be called every few seconds with the seats of all casts that count.
+    /// Tombstones that may be forgotten now; to be called every few seconds with the replicas of all sets that count.
     pub fn expired(
         &mut self,
         now: Timestamp,
         item_store: &ItemStore,
         replicas: &BTreeSet<String>,
     ) -> Vec<ExpiredTombstone> {
-        self.agreed.retain(|replica, _| replicas.contains(replica));
-        let all = replicas.iter().map(|replica| self.agreed.get(replica)).min().flatten().copied();
-        self.tombs.retain(|(kind, name), tomb| {
-            item_store.get(*kind, name).is_some_and(|item| !item.is_set() && item.version == tomb.version)
-        });
-        let mut due = Vec::new();
-        for item in KINDS.iter().flat_map(|kind| item_store.items_of(*kind)).filter(|item| !item.is_set()) {
-            let new = || Tomb { version: item.version, seen: now, held: None };
-            let tomb = self.tombs.entry((item.kind, item.name.clone())).or_insert_with(new);
-            // A seat that has come since counts too.
-            let Some(all) = all.filter(|all| *all > tomb.seen) else { continue };
-            let held = *tomb.held.get_or_insert(now.max(all));
-            if now - held >= self.age && due.len() < MOST {
-                due.push((item.kind, item.name.clone(), item.version));
+        self.persisted_at.retain(|replica, _| replicas.contains(replica));
+        self.forget_outdated(item_store);
+        let all_persisted_at = self.all_persisted_at(replicas);
+        let mut expired = Vec::new();
+        let items = EXPIRING_KINDS.iter().flat_map(|kind| item_store.items_of(*kind));
+        for item in items.filter(|item| !item.is_set()) {
+            let new = || Tombstone { version: item.version, seen_at: now, persisted_at: None };
+            let tombstone = self.tombstones.entry((item.kind, item.name.clone())).or_insert_with(new);
+            // Invariant: a replica counts by what it said after the tombstone was seen; so does one that is new in the
+            // set.
+            let Some(all_persisted_at) = all_persisted_at.filter(|at| *at > tombstone.seen_at) else {
+                continue;
+            };
+            let persisted_at = *tombstone.persisted_at.get_or_insert(now.max(all_persisted_at));
+            if now - persisted_at >= self.retention && expired.len() < MAX_EXPIRED {
+                expired.push((item.kind, item.name.clone(), item.version));
             }
         }
-        due
+        expired
+    }
+
+    /// Drops what is no tombstone any more, or one of another version.
+    fn forget_outdated(&mut self, item_store: &ItemStore) {
+        self.tombstones.retain(|(kind, name), tombstone| {
+            let item = item_store.get(*kind, name);
+            item.is_some_and(|item| !item.is_set() && item.version == tombstone.version)
+        });
+    }
+
+    /// The moment at which the last of the replicas said that it has all on disk; none while one has not.
+    fn all_persisted_at(&self, replicas: &BTreeSet<String>) -> Option<Timestamp> {
+        let persisted_at = replicas.iter().map(|replica| self.persisted_at.get(replica));
+        persisted_at.min().flatten().copied()
     }
 }
