--- a/crates/coordination/tests/catch_up_queue.rs
+++ b/crates/coordination/tests/catch_up_queue.rs
@@ -1,47 +1,84 @@
-//! Many that come at once are told all of it, in turns, and what is on its way to them stays bounded.
-
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
+//! Many that catch up at once are all sent everything, in turns, and what is in flight to them stays bounded.
 
 use kitepass_coordination::catch_up_queue::CatchUpQueue;
 use kitepass_time::Timestamp;
 
-const PIECE: usize = 100;
-const MOST: usize = 1_000;
+const RECEIVERS: u64 = 200;
+const CHUNKS: usize = 20;
+const CHUNK_BYTES: usize = 100;
+const MAX_BYTES_IN_FLIGHT: usize = 1_000;
+/// In microseconds.
+const STEP: i64 = 10_000;
+
+/// Some receivers never read.
+fn is_stuck(id: u64) -> bool {
+    id % 40 == 7
+}
+
+struct Model {
+    rng: oorandom::Rand64,
+    queue: CatchUpQueue,
+    /// How many chunks each receiver was sent.
+    sent: Vec<usize>,
+    in_flight: Vec<u64>,
+    now: i64,
+}
+
+impl Model {
+    fn new(seed: u128) -> Model {
+        let mut queue = CatchUpQueue::new(MAX_BYTES_IN_FLIGHT);
+        (0..RECEIVERS).for_each(|id| queue.enqueue(id, vec![id], false));
+        let sent = vec![0; RECEIVERS as usize];
+        Model { rng: oorandom::Rand64::new(seed), queue, sent, in_flight: Vec::new(), now: 0 }
+    }
+
+    fn is_complete(&self) -> bool {
+        (0..RECEIVERS).all(|id| is_stuck(id) || self.sent[id as usize] >= CHUNKS)
+    }
+
+    fn send_chunks(&mut self) {
+        while let Some(turn) = self.queue.next_turn(Timestamp::from_micros(self.now)) {
+            let id = turn.id;
+            let sent = &mut self.sent[id as usize];
+            assert_eq!((turn.first_bucket, &turn.bucket_digests), (*sent, &vec![id]));
+            *sent += 1;
+            let next_bucket = (*sent < CHUNKS).then_some(*sent);
+            self.queue.chunk_sent(Timestamp::from_micros(self.now), turn, CHUNK_BYTES, next_bucket);
+            self.in_flight.push(id);
+        }
+    }
+
+    fn deliver(&mut self) {
+        let is_delivered = |id: &mut u64| !is_stuck(*id) && self.rng.rand_range(0..3) > 0;
+        let delivered: Vec<u64> = self.in_flight.extract_if(.., is_delivered).collect();
+        delivered.into_iter().for_each(|id| self.queue.chunk_delivered(id));
+    }
+
+    /// Now and then a receiver goes and comes back.
+    fn reconnect(&mut self) {
+        if self.rng.rand_range(0..10) == 0 {
+            let id = self.rng.rand_range(0..RECEIVERS);
+            self.in_flight.retain(|other| *other != id);
+            self.sent[id as usize] = 0;
+            self.queue.enqueue(id, vec![id], false);
+        }
+    }
+}
 
 #[test]
-fn what_is_on_its_way_to_all_is_bounded_and_everybody_is_told_all() {
+fn bytes_in_flight_are_bounded_and_everybody_catches_up() {
     for seed in 0..50 {
-        let mut chance = oorandom::Rand64::new(seed);
-        let mut feeds = CatchUpQueue::new(MOST);
-        // How far each of 200 has been told; each needs 20 pieces. Some go and come again meanwhile, some never read.
-        let (mut far, mut on_way) = (vec![0; 200], Vec::new());
-        let stuck = |id: u64| id % 40 == 7;
-        (0..200).for_each(|id| feeds.enqueue(id, vec![id], false));
-        let (mut now, mut most) = (0, 0);
-        while (0..200).any(|id| !stuck(id) && far[id as usize] < 20) {
-            now += 10_000;
-            while let Some(turn) = feeds.next_turn(Timestamp::from_micros(now)) {
-                let id = turn.id;
-                assert_eq!((turn.first_bucket, &turn.bucket_digests), (far[id as usize], &vec![id]));
-                far[id as usize] += 1;
-                let goes_on = (far[id as usize] < 20).then_some(far[id as usize]);
-                feeds.chunk_sent(Timestamp::from_micros(now), turn, PIECE, goes_on);
-                on_way.push(id);
-            }
-            most = most.max(feeds.bytes_in_flight());
-            assert!(feeds.bytes_in_flight() <= MOST + PIECE);
-            let takers = on_way.extract_if(.., |id| !stuck(*id) && chance.rand_range(0..3) > 0);
-            takers.collect::<Vec<u64>>().into_iter().for_each(|id| feeds.chunk_delivered(id));
-            if chance.rand_range(0..10) == 0 {
-                let id = chance.rand_range(0..200);
-                on_way.retain(|other| *other != id);
-                far[id as usize] = 0;
-                feeds.enqueue(id, vec![id], false);
-            }
-            assert!(now < 60_000_000, "seed {seed}: not all are told");
+        let mut model = Model::new(seed);
+        let mut most = 0;
+        while !model.is_complete() {
+            model.now += STEP;
+            model.send_chunks();
+            most = most.max(model.queue.bytes_in_flight());
+            assert!(model.queue.bytes_in_flight() <= MAX_BYTES_IN_FLIGHT + CHUNK_BYTES);
+            model.deliver();
+            model.reconnect();
+            assert!(model.now < 60_000_000, "seed {seed}: not all have caught up");
         }
-        assert!(most >= MOST - PIECE, "the bound was never reached");
+        assert!(most >= MAX_BYTES_IN_FLIGHT - CHUNK_BYTES, "the bound was never reached");
     }
 }
--- a/crates/coordination/tests/framing.rs
+++ b/crates/coordination/tests/framing.rs
@@ -1,8 +1,4 @@
-//! Words as they go over a connection: whole and in pieces, wherever they are cut, and lies about them.
-
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
+//! Messages as they travel over a connection: complete and in fragments, however the input is split, and malformed frames.
 
 use kitepass_coordination::protocol::framing::{pack, Assembler, Error, MOST_FRAME, MOST_WORD};
 use kitepass_coordination::protocol::{
@@ -10,7 +6,8 @@
 };
 use rstest::rstest;
 
-fn long(bytes: usize) -> Message {
+/// A message of somewhat more than so many bytes.
+fn large_message(bytes: usize) -> Message {
     let value = Some(vec![7; bytes].into());
     let item = ItemMessage { kind: 1, name: "n".into(), version: 1, value, ..ItemMessage::default() };
     Message::AcceptRequest(AcceptRequest { request_id: 3, items: vec![item], ..AcceptRequest::default() })
@@ -27,70 +24,72 @@
 }
 
 #[test]
-fn words_are_the_same_wherever_they_are_cut() {
-    let add = TenantUsage { tenant: "a".into(), offered: 7, forwarded: 3, ..TenantUsage::default() };
+fn messages_are_the_same_however_the_input_is_split() {
+    let usage = TenantUsage { tenant: "a".into(), offered: 7, forwarded: 3, ..TenantUsage::default() };
     let messages = [
         Message::Hello(Hello { node_id: "one".into(), incarnation: 7, ..Hello::default() }),
         Message::UsageReport(UsageReport {
             request_id: 3,
             node_id: "one".into(),
-            tenants: vec![add],
+            tenants: vec![usage],
             incarnation: 9,
             is_mid_period: false,
         }),
         Message::Heartbeat(Heartbeat { digest: 5, is_ready: true, ..Heartbeat::default() }),
     ];
     let bytes = packed(&messages);
-    for cut in 0..=bytes.len() {
+    for split in 0..=bytes.len() {
         let (mut assembler, mut at) = (Assembler::default(), 0);
-        let mut seen = read(&mut assembler, &bytes[..cut], &mut at);
-        seen.extend(read(&mut assembler, &bytes, &mut at));
-        assert_eq!(seen, messages);
+        let mut received = read(&mut assembler, &bytes[..split], &mut at);
+        received.extend(read(&mut assembler, &bytes, &mut at));
+        assert_eq!(received, messages);
     }
 }
 
 #[test]
-fn long_words_go_in_pieces_and_others_may_overtake_them() {
-    let messages = [long(MOST_FRAME - 40), long(3 * MOST_FRAME + 9), long(16 << 20)];
+fn large_messages_travel_in_fragments_and_others_may_overtake_them() {
+    let messages =
+        [large_message(MOST_FRAME - 40), large_message(3 * MOST_FRAME + 9), large_message(16 << 20)];
     let bytes = packed(&messages);
     // In odd slices, as a socket gives them.
-    let (mut assembler, mut input, mut seen, mut most) = (Assembler::default(), Vec::new(), Vec::new(), 0);
+    let (mut assembler, mut input) = (Assembler::default(), Vec::new());
+    let (mut received, mut most_kept) = (Vec::new(), 0);
     for slice in bytes.chunks(100_003) {
         input.extend_from_slice(slice);
         let mut at = 0;
-        seen.extend(read(&mut assembler, &input, &mut at));
+        received.extend(read(&mut assembler, &input, &mut at));
         input.drain(..at);
         assert!(input.len() < MOST_FRAME + 4);
-        most = most.max(assembler.kept());
+        most_kept = most_kept.max(assembler.kept());
     }
-    assert!(seen == messages && assembler.kept() == 0 && most > 15 << 20);
-    // A beat between two pieces comes first.
-    let beat = Message::Heartbeat(Heartbeat { digest: 5, ..Heartbeat::default() });
+    assert!(received == messages && assembler.kept() == 0 && most_kept > 15 << 20);
+    // A heartbeat between two fragments comes first.
+    let heartbeat = Message::Heartbeat(Heartbeat { digest: 5, ..Heartbeat::default() });
     let mut mixed = packed(&messages[1..2]);
-    mixed.splice(MOST_FRAME + 4..MOST_FRAME + 4, packed(std::slice::from_ref(&beat)));
-    let seen = read(&mut Assembler::default(), &mixed, &mut 0);
-    assert!(seen == [beat, messages[1].clone()]);
+    mixed.splice(MOST_FRAME + 4..MOST_FRAME + 4, packed(std::slice::from_ref(&heartbeat)));
+    let received = read(&mut Assembler::default(), &mixed, &mut 0);
+    assert!(received == [heartbeat, messages[1].clone()]);
 }
 
 #[rstest]
 #[case::length(&[0, 255, 255, 255], Error::LongFrame { length: 0xff_ffff })]
-#[case::both_marks(&[0xc0, 0, 0, 1, 0], Error::Stray)]
-#[case::an_end_alone(&[0x40, 0, 0, 1, 0], Error::Stray)]
-#[case::nothing_for_ever(&[0x80, 0, 0, 0, 0x80, 0, 0, 0], Error::Stray)]
-fn lies_are_refused(#[case] bytes: &[u8], #[case] error: Error) {
+#[case::both_bits(&[0xc0, 0, 0, 1, 0], Error::Stray)]
+#[case::a_last_fragment_alone(&[0x40, 0, 0, 1, 0], Error::Stray)]
+#[case::empty_fragments(&[0x80, 0, 0, 0, 0x80, 0, 0, 0], Error::Stray)]
+fn malformed_frames_are_rejected(#[case] bytes: &[u8], #[case] error: Error) {
     assert_eq!(Assembler::default().next(bytes, &mut 0), Err(error));
 }
 
 #[test]
-fn what_is_no_message_or_never_ends_is_refused() {
+fn garbled_and_endless_messages_are_rejected() {
     let mut at = 0;
     let garbled = Assembler::default().next(&[0, 0, 0, 2, 255, 255], &mut at);
     assert!(matches!(garbled, Err(Error::Garbled { .. })));
-    let mut frame = (MOST_FRAME as u32 | 1 << 31).to_be_bytes().to_vec();
-    frame.resize(4 + MOST_FRAME, 0);
+    let mut fragment = (MOST_FRAME as u32 | 1 << 31).to_be_bytes().to_vec();
+    fragment.resize(4 + MOST_FRAME, 0);
     let mut assembler = Assembler::default();
     for _ in 0..MOST_WORD / MOST_FRAME {
-        assert_eq!(assembler.next(&frame, &mut 0), Ok(None));
+        assert_eq!(assembler.next(&fragment, &mut 0), Ok(None));
     }
-    assert_eq!(assembler.next(&frame, &mut 0), Err(Error::LongWord));
+    assert_eq!(assembler.next(&fragment, &mut 0), Err(Error::LongWord));
 }
--- a/crates/coordination/tests/quorum_contact.rs
+++ b/crates/coordination/tests/quorum_contact.rs
@@ -1,8 +1,5 @@
-//! Contact by what peers give back: one that hears nothing, one that nobody hears, late words, earlier lives, lies.
-
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
+//! Quorum contact by what peers echo: a process that hears nothing, one that nobody hears, late heartbeats, earlier
+//! incarnations, made-up numbers.
 
 use kitepass_coordination::membership::{Replica, ReplicaSet};
 use kitepass_coordination::quorum_contact::{ContactState, QuorumContact, CONTACT};
@@ -18,50 +15,72 @@
     ReplicaSet { replicas: (0..replicas).map(replica).collect(), version: 1 }
 }
 
-/// Seats that beat every 500 ms over ways that take 50 ms; `passes` says which words come through.
-struct Net {
+const HEARTBEAT_INTERVAL: i64 = 500;
+/// The latency of each link, in milliseconds.
+const LATENCY: i64 = 50;
+
+struct HeartbeatInFlight {
+    due: i64,
+    from: usize,
+    to: usize,
+    sequence: u32,
+    echoed_sequence: u32,
+}
+
+/// Replicas that send each other heartbeats.
+struct Network {
     replica_set: ReplicaSet,
-    all: Vec<QuorumContact>,
-    wire: Vec<(i64, usize, usize, u32, u32)>,
+    contacts: Vec<QuorumContact>,
+    in_flight: Vec<HeartbeatInFlight>,
 }
 
-impl Net {
-    fn new(replicas: usize) -> Net {
+impl Network {
+    fn new(replicas: usize) -> Network {
         let names: Vec<String> = (0..replicas).map(|n| format!("s{n}")).collect();
-        let mut all: Vec<QuorumContact> =
-            names.iter().enumerate().map(|(n, name)| QuorumContact::new(name, n as u32 * 1000)).collect();
-        for contact in &mut all {
+        let new_contact = |(n, name): (usize, &String)| QuorumContact::new(name, n as u32 * 1000);
+        let mut contacts: Vec<QuorumContact> = names.iter().enumerate().map(new_contact).collect();
+        for contact in &mut contacts {
             names.iter().enumerate().for_each(|(n, name)| contact.peer_connected(at(0), name, n as u64 + 1));
         }
-        Net { replica_set: replica_set(replicas), all, wire: Vec::new() }
+        Network { replica_set: replica_set(replicas), contacts, in_flight: Vec::new() }
     }
 
-    /// When each first was out of contact from a moment on, if it was.
-    fn run(&mut self, from: i64, to: i64, passes: impl Fn(usize, usize) -> bool) -> Vec<Option<i64>> {
-        let replicas = self.all.len();
-        let mut out = vec![None; replicas];
-        for now in (from..to).step_by(10) {
-            let (due, rest) = self.wire.iter().partition(|message| message.0 <= now);
-            self.wire = rest;
-            for (_, from, to, number, yours) in due {
-                if passes(from, to) {
-                    self.all[to].heartbeat_received(at(now), &format!("s{from}"), number, yours);
+    /// When each was first out of contact in a span of time, if it was. `is_delivered` says from whom to whom heartbeats
+    /// arrive.
+    fn run(&mut self, start: i64, end: i64, is_delivered: impl Fn(usize, usize) -> bool) -> Vec<Option<i64>> {
+        let mut disconnected_at = vec![None; self.contacts.len()];
+        for now in (start..end).step_by(10) {
+            self.deliver(now, &is_delivered);
+            for (n, disconnected_at) in disconnected_at.iter_mut().enumerate() {
+                if now % HEARTBEAT_INTERVAL == n as i64 * 70 {
+                    self.send(now, n);
                 }
-            }
-            for (n, out) in out.iter_mut().enumerate() {
-                if now % 500 == n as i64 * 70 {
-                    for to in (0..replicas).filter(|to| *to != n) {
-                        let (number, yours) = self.all[n].next_heartbeat(at(now), &format!("s{to}"));
-                        self.wire.push((now + 50, n, to, number, yours));
-                    }
-                }
-                self.all[n].evaluate(at(now), std::slice::from_ref(&self.replica_set));
-                if self.all[n].state() == ContactState::Disconnected {
-                    out.get_or_insert(now);
+                let contact = &mut self.contacts[n];
+                contact.evaluate(at(now), std::slice::from_ref(&self.replica_set));
+                if contact.state() == ContactState::Disconnected {
+                    disconnected_at.get_or_insert(now);
                 }
             }
         }
-        out
+        disconnected_at
+    }
+
+    fn deliver(&mut self, now: i64, is_delivered: impl Fn(usize, usize) -> bool) {
+        let due: Vec<HeartbeatInFlight> = self.in_flight.extract_if(.., |m| m.due <= now).collect();
+        for HeartbeatInFlight { from, to, sequence, echoed_sequence, .. } in due {
+            if is_delivered(from, to) {
+                let name = format!("s{from}");
+                self.contacts[to].heartbeat_received(at(now), &name, sequence, echoed_sequence);
+            }
+        }
+    }
+
+    fn send(&mut self, now: i64, from: usize) {
+        for to in (0..self.contacts.len()).filter(|to| *to != from) {
+            let (sequence, echoed_sequence) = self.contacts[from].next_heartbeat(at(now), &format!("s{to}"));
+            let due = now + LATENCY;
+            self.in_flight.push(HeartbeatInFlight { due, from, to, sequence, echoed_sequence });
+        }
     }
 }
 
@@ -69,37 +88,43 @@
 #[case::deaf(|_, to| to != 0)]
 #[case::mute(|from, _| from != 0)]
 #[case::both(|from, to| from != 0 && to != 0)]
-/// It hears two and is heard by the two others.
+// It hears two and is heard by the two others.
 #[case::crossed(|from, to| !(from == 0 && to < 3 || to == 0 && from >= 3))]
-fn one_that_is_cut_off_in_any_way_is_out_of_contact_in_time(#[case] passes: fn(usize, usize) -> bool) {
-    let mut net = Net::new(5);
-    net.run(0, 3_000, |_, _| true);
-    assert!(net.all.iter().all(|contact| contact.state() == ContactState::Connected));
-    let out = net.run(3_000, 13_000, passes);
-    assert!(out[0].is_some_and(|since| since <= 3_000 + CONTACT.micros() / 1000 + 10), "{out:?}");
-    assert!(out[1..].iter().all(Option::is_none), "the others are a majority: {out:?}");
-    assert!(!net.all[0].is_connected(at(13_000)));
-    net.run(13_000, 14_200, |_, _| true);
-    assert_eq!(net.all[0].state(), ContactState::Connected, "a beat each way is enough");
+fn a_partitioned_replica_is_out_of_contact_in_time(#[case] is_delivered: fn(usize, usize) -> bool) {
+    let mut network = Network::new(5);
+    network.run(0, 3_000, |_, _| true);
+    assert!(network.contacts.iter().all(|contact| contact.state() == ContactState::Connected));
+    let disconnected_at = network.run(3_000, 13_000, is_delivered);
+    assert!(
+        disconnected_at[0].is_some_and(|since| since <= 3_000 + CONTACT.micros() / 1000 + 10),
+        "{disconnected_at:?}"
+    );
+    assert!(
+        disconnected_at[1..].iter().all(Option::is_none),
+        "the others are a majority: {disconnected_at:?}"
+    );
+    assert!(!network.contacts[0].is_connected(at(13_000)));
+    network.run(13_000, 14_200, |_, _| true);
+    assert_eq!(network.contacts[0].state(), ContactState::Connected, "a heartbeat each way is enough");
 }
 
 #[test]
-fn a_minority_of_any_size_is_out_and_one_seat_alone_is_in() {
-    let mut net = Net::new(6);
-    net.run(0, 3_000, |_, _| true);
+fn a_minority_of_any_size_is_out_of_contact_and_a_single_replica_is_in() {
+    let mut network = Network::new(6);
+    network.run(0, 3_000, |_, _| true);
     // Three and three: neither half is a majority.
-    let out = net.run(3_000, 6_000, |from, to| (from < 3) == (to < 3));
-    assert!(out.iter().all(Option::is_some), "{out:?}");
+    let disconnected_at = network.run(3_000, 6_000, |from, to| (from < 3) == (to < 3));
+    assert!(disconnected_at.iter().all(Option::is_some), "{disconnected_at:?}");
     let mut alone = QuorumContact::new("s0", 7);
     assert_eq!(alone.evaluate(at(0), &[replica_set(1)]), Some(ContactState::Connected));
-    // Both casts count while one is brought in, and no cast at all is no contact.
+    // Both replica sets count while one is brought in, and no replica set at all is no contact.
     assert_eq!(alone.evaluate(at(0), &[replica_set(1), replica_set(3)]), Some(ContactState::Disconnected));
     assert_eq!(alone.evaluate(at(0), &[replica_set(1)]), Some(ContactState::Connected));
     assert_eq!(alone.evaluate(at(0), &[]), Some(ContactState::Disconnected));
 }
 
 #[test]
-fn a_proof_is_as_old_as_the_number_that_it_gives_back_however_late_it_comes() {
+fn a_proof_is_as_old_as_the_number_that_it_echoes_however_late_it_arrives() {
     let mut contact = QuorumContact::new("s0", 0);
     let replica_sets = [replica_set(3)];
     contact.peer_connected(at(0), "s1", 1);
@@ -111,25 +136,25 @@
         (contact.state(), contact.age(at(1_100))),
         (ContactState::Connected, Some(Duration::from_micros(100_000)))
     );
-    // An older number that comes after takes nothing back, and adds nothing.
+    // An older number that arrives later takes nothing back, and adds nothing.
     contact.heartbeat_received(at(2_900), "s1", 6, early);
     contact.evaluate(at(2_900), &replica_sets);
     assert_eq!(contact.last_contact("s1"), Some(at(1_000)));
-    // A process that stood still meanwhile is out at once, before anything is reckoned anew.
+    // A process that was suspended meanwhile is out of contact at once, before anything is evaluated anew.
     assert!(contact.is_connected(at(3_000)) && !contact.is_connected(at(3_001)));
     assert_eq!(contact.evaluate(at(3_001), &replica_sets), Some(ContactState::Disconnected));
-    // An answer is as old as what it answers.
+    // A response is as old as its request.
     contact.response_received(at(3_050), "s1", at(2_000));
     assert_eq!(contact.last_contact("s1"), Some(at(2_000)));
     contact.response_received(at(3_060), "s1", at(500));
     contact.response_received(at(3_060), "s2", at(3_000));
     assert_eq!((contact.last_contact("s1"), contact.last_contact("s2")), (Some(at(2_000)), None));
-    // What it gives back itself is the last that it heard.
+    // What it echoes itself is the last number that it received.
     assert_eq!(contact.next_heartbeat(at(3_100), "s1").1, 6);
 }
 
 #[test]
-fn numbers_of_an_earlier_life_of_another_peer_and_made_up_ones_prove_nothing() {
+fn numbers_of_an_earlier_incarnation_of_another_peer_and_made_up_ones_prove_nothing() {
     let mut first = QuorumContact::new("s0", 1_000);
     first.peer_connected(at(0), "s1", 1);
     let (old, _) = first.next_heartbeat(at(0), "s1");
@@ -139,22 +164,23 @@
     contact.peer_connected(at(0), "s2", 1);
     let (one, _) = contact.next_heartbeat(at(100), "s1");
     let (two, _) = contact.next_heartbeat(at(100), "s2");
-    for lie in [old, two, two + 1, 0, u32::MAX] {
-        contact.heartbeat_received(at(200), "s1", 1, lie);
-        assert_eq!(contact.last_contact("s1"), None, "{lie}");
+    for wrong in [old, two, two + 1, 0, u32::MAX] {
+        contact.heartbeat_received(at(200), "s1", 1, wrong);
+        assert_eq!(contact.last_contact("s1"), None, "{wrong}");
     }
-    // A stranger's word, and one to a peer that never came.
+    // A heartbeat of an unknown peer, and one to a peer that never connected.
     contact.heartbeat_received(at(200), "s9", 1, one);
     assert_eq!((contact.last_contact("s9"), contact.next_heartbeat(at(200), "s9")), (None, (0, 0)));
     contact.heartbeat_received(at(200), "s1", 1, one);
     assert_eq!(contact.last_contact("s1"), Some(at(100)));
-    // The same life again keeps its proof; the next one has heard nothing yet, and what the one before heard counts no more.
+    // The same incarnation keeps its proof; the next one has heard nothing yet, and what the one before heard counts no
+    // more.
     contact.peer_connected(at(300), "s1", 1);
     assert_eq!(contact.last_contact("s1"), Some(at(100)));
     contact.peer_connected(at(300), "s1", 2);
     contact.heartbeat_received(at(400), "s1", 1, one);
     assert_eq!(contact.last_contact("s1"), None);
-    // Of a great many numbers the newest are remembered; who is silent for long is forgotten.
+    // Of a great many numbers the newest are remembered; a peer that is silent for long is forgotten.
     let (long_ago, _) = contact.next_heartbeat(at(500), "s1");
     (0..100).for_each(|_| _ = contact.next_heartbeat(at(600), "s1"));
     contact.heartbeat_received(at(700), "s1", 1, long_ago);
