--- a/crates/coordination/src/consensus/acceptor.rs
+++ b/crates/coordination/src/consensus/acceptor.rs
@@ -35,7 +35,7 @@
     pub reservation: Option<BallotReservation>,
 }
 
-/// What must be on disk, completely, before an acceptance is told.
+/// What must be on disk, completely, before an acceptance is acknowledged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Acceptance {
     /// Those of the proposal are left out where it is committed already: its items need only be on disk.
@@ -47,7 +47,7 @@
 /// Why a proposal is to be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptReason {
-    /// The proposer heard of nobody who had accepted it.
+    /// No replica that responded to the proposer had accepted it.
     New,
     /// A replica had accepted it before: it is being resolved.
     Resolve,
@@ -109,7 +109,7 @@
     ///
     /// Invariant: the replicas of a new epoch read only what write quorums held when they read. So a replica that
     /// answers such a reading, or accepts a change of the replica set, is fenced before it responds. If there is a
-    /// reservation, nothing that rests on the fence may be told before it is on disk.
+    /// reservation, nothing that rests on the fence may be sent before it is on disk.
     pub fn fence(&mut self, epoch: u64) -> Option<BallotReservation> {
         let lowest = Ballot { epoch, round: 0, proposer: 0 };
         self.promises.raise_floor(lowest);
@@ -170,7 +170,7 @@
         proposal: &Proposal,
         item_store: &ItemStore,
     ) -> Result<(), AcceptError> {
-        // Invariant: a proposer that has prepared a higher ballot here was not told of this proposal, and relies on its
+        // Invariant: a proposer that has prepared a higher ballot here did not learn of this proposal, and relies on its
         // not being chosen.
         if self.is_enabled(Safeguard::Promise) {
             if let Some(to) = self.promise_above(ballot, proposal.keys()) {
@@ -205,9 +205,9 @@
     /// Records that a proposal is rejected for its content: what was accepted of it below this ballot can never be
     /// chosen.
     ///
-    /// Invariant: the caller is told of a rejection only once a write quorum has it on disk. A replica that was not
-    /// heard may have accepted the proposal in an earlier attempt; resolved by somebody else, it would take effect after
-    /// the caller was told that it had been rejected.
+    /// Invariant: a rejection is reported to the operator only once a write quorum has it on disk. A replica that did not
+    /// respond may have accepted the proposal in an earlier attempt; resolved by another proposer, it would take effect
+    /// after it was reported to be rejected.
     ///
     /// # Errors
     /// If a higher ballot was promised on a key.
--- a/crates/coordination/src/consensus/promises.rs
+++ b/crates/coordination/src/consensus/promises.rs
@@ -15,7 +15,7 @@
 pub(super) struct PromiseTable {
     /// Nothing below it is accepted, on any key.
     pub(super) floor: Ballot,
-    /// The floor that is on disk: promises up to it may be told.
+    /// The floor that is on disk: promises up to it may be sent.
     persisted: Ballot,
     /// The floor that was last requested to be written.
     requested: Ballot,
@@ -58,7 +58,7 @@
         self.requested = self.requested.max(floor);
     }
 
-    /// What must be on disk before a promise up to the ballot is told, if anything.
+    /// What must be on disk before a promise up to the ballot is sent, if anything.
     pub(super) fn reserve(&mut self, ballot: Ballot) -> Option<BallotReservation> {
         if ballot <= self.persisted {
             return None;
--- a/crates/coordination/src/consensus/proposer.rs
+++ b/crates/coordination/src/consensus/proposer.rs
@@ -6,9 +6,9 @@
 use kitepass_config::{Item, ItemStore, VersionStatus};
 use std::collections::BTreeMap;
 
-/// The accepted proposals that a proposer has heard of, each with the highest ballot that it was reported with.
+/// The accepted proposals that were reported to a proposer, each with the highest ballot that it was reported with.
 ///
-/// What was heard while other proposals were resolved is kept: chains of proposals that block one another go up in
+/// What was reported while other proposals were resolved is kept: chains of proposals that block one another go up in
 /// ballots, and so they end.
 pub type ObservedProposals = BTreeMap<ProposalId, (Ballot, Proposal)>;
 
@@ -57,7 +57,7 @@
     BlockedBy(ProposalId),
     /// It was accepted somewhere and may be chosen already: it is proposed without being validated again.
     AlreadyAccepted,
-    /// No replica that was heard has accepted it: it is validated, then proposed.
+    /// No replica that responded has accepted it: it is validated, then proposed.
     New,
 }
 
--- a/crates/coordination/src/consensus/records.rs
+++ b/crates/coordination/src/consensus/records.rs
@@ -22,7 +22,7 @@
 /// A key and a value for the durable store. An empty value deletes the record.
 pub type Record = (Vec<u8>, Vec<u8>);
 
-/// A floor for promises that must be on disk before a promise that it covers is told; then
+/// A floor for promises that must be on disk before a promise that it covers is sent; then
 /// [`Acceptor::reservation_persisted`](super::Acceptor::reservation_persisted) is to be called.
 ///
 /// One reservation covers many rounds, so that not every promise waits for the disk.
--- a/crates/coordination/src/lease/mod.rs
+++ b/crates/coordination/src/lease/mod.rs
@@ -8,7 +8,7 @@
 //!
 //! **Invariant.** At no moment do two processes hold the lease of one role.
 //!
-//! **Why.** Votes are told apart by the names of replicas and counted within a membership epoch, where two majorities
+//! **Why.** Votes are identified by the names of replicas and counted within a membership epoch, where two majorities
 //! share a replica, which does not vote for two candidates at once. In an odd epoch a majority of both replica sets is
 //! needed (see [`JointReplicaSets`](crate::membership::JointReplicaSets)). Over a change of the replica set:
 //!
--- a/crates/coordination/src/lease/tests.rs
+++ b/crates/coordination/src/lease/tests.rs
@@ -5,6 +5,7 @@
 use kitepass_time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+const ROLE: &str = "coordinator";
 const REPLICAS: usize = 6;
 /// Milliseconds.
 const STEP: i64 = 20;
@@ -52,7 +53,7 @@
             rng: oorandom::Rand64::new(seed),
             now: 0,
             voters: new_voters(),
-            candidates: (0..REPLICAS).map(|_| LeaseCandidate::new("duty", 0)).collect(),
+            candidates: (0..REPLICAS).map(|_| LeaseCandidate::new(ROLE, 0)).collect(),
             recorded: vec![BTreeMap::new(); REPLICAS],
             paused_until: [0; REPLICAS],
             requests: VecDeque::new(),
@@ -79,7 +80,7 @@
                 let recalled = self.recorded[replica].clone();
                 self.voters[replica] = LeaseVoter::new(now, false, recalled, None);
             }
-            2 => self.candidates[replica] = LeaseCandidate::new("duty", self.rng.rand_u64()),
+            2 => self.candidates[replica] = LeaseCandidate::new(ROLE, self.rng.rand_u64()),
             _ => {}
         }
     }
@@ -87,7 +88,7 @@
     fn tick(&mut self, replica: usize) {
         let now = at(self.now);
         let delay = Duration::from_micros(self.rng.rand_range(0..400_000) as i64);
-        let holder = self.voters[replica].holder(now, "duty");
+        let holder = self.voters[replica].holder(now, ROLE);
         let is_free = holder.is_none_or(|holder| holder == replica.to_string());
         let Some(request) = self.candidates[replica].tick(now, is_free, delay, 0) else { return };
         for to in 0..REPLICAS {
@@ -108,7 +109,7 @@
             let InFlight { from, to, message, .. } = request;
             let vote = self.voters[to].vote(at(self.now), &from.to_string(), &message, 0);
             if vote.is_granted {
-                self.recorded[to].insert("duty".into(), from.to_string());
+                self.recorded[to].insert(ROLE.into(), from.to_string());
             }
             let due = self.now + self.rng.rand_range(0..300) as i64;
             self.votes.push_back(InFlight { due, from: to, to: from, message: vote });
--- a/crates/coordination/src/lease/voter.rs
+++ b/crates/coordination/src/lease/voter.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Is told the newest replica set that is committed.
+    /// Takes note of the newest replica set that is committed.
     ///
     /// Invariant: a majority of it may have no replica that voted in a majority of the one before; then the voter has to
     /// wait until all leases of the one before have expired. Where any two majorities share a replica, the votes that
--- a/crates/coordination/src/membership/mod.rs
+++ b/crates/coordination/src/membership/mod.rs
@@ -5,7 +5,7 @@
 //! another by joint consensus, as in Raft (Ongaro, "Consensus: Bridging Theory and Practice", chapter 4.3): while one is
 //! being brought in, write quorums, read quorums and lease quorums are needed of both.
 //!
-//! Raft needs majorities throughout. Here reads and writes are told apart: a read quorum is as small as it can be and
+//! Raft needs majorities throughout. Here reads and writes differ: a read quorum is as small as it can be and
 //! still meet each write quorum, and a write quorum has replicas in more than one zone and region, where there are
 //! several; see [`ReplicaSet::is_read_quorum`] and [`ReplicaSet::is_write_quorum`].
 
--- a/crates/coordination/src/membership/succession.rs
+++ b/crates/coordination/src/membership/succession.rs
@@ -9,7 +9,7 @@
 /// What the coordinator observes of the replicas as it works out the next replica set. All but `complete` are names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaObservations {
-    /// Replicas that are heard now and whose disk holds what it has acknowledged, newcomers included.
+    /// Replicas that respond now and whose disk holds what it has acknowledged, newcomers included.
     pub complete: BTreeSet<Replica>,
     /// Those that are in a graceful shutdown.
     pub shutting_down: BTreeSet<String>,
--- a/crates/coordination/src/protocol/messages/items.rs
+++ b/crates/coordination/src/protocol/messages/items.rs
@@ -121,7 +121,7 @@
 }
 
 impl PurgeTombstones {
-    /// The message that tells of these tombstones.
+    /// The message that names these tombstones.
     pub fn from_expired(expired: &[ExpiredTombstone]) -> PurgeTombstones {
         let to_message = |(kind, name, version): &ExpiredTombstone| ItemMessage {
             kind: *kind as u32,
--- a/crates/coordination/src/protocol/messages/mod.rs
+++ b/crates/coordination/src/protocol/messages/mod.rs
@@ -69,7 +69,7 @@
     /// What all gateways were offered, and what is granted.
     #[prost(message, tag = "13")]
     UsageTotals(UsageTotals),
-    /// What a gateway is told of the others and of the control plane.
+    /// What a gateway has to know of the others and of the control plane.
     #[prost(message, tag = "14")]
     MembershipUpdate(MembershipUpdate),
     /// A proposal is chosen.
--- a/crates/coordination/src/protocol/messages/sessions.rs
+++ b/crates/coordination/src/protocol/messages/sessions.rs
@@ -31,7 +31,7 @@
     pub members: Vec<Member>,
 }
 
-/// What a gateway is told of the others and of the control plane.
+/// What a gateway has to know of the others and of the control plane.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct MembershipUpdate {
     /// How many gateways count as live, recently lost ones included.
--- a/crates/coordination/src/protocol/messages/usage.rs
+++ b/crates/coordination/src/protocol/messages/usage.rs
@@ -46,7 +46,7 @@
     pub is_mid_period: bool,
 }
 
-/// What a gateway is told of one tenant.
+/// The totals of one tenant, and what the gateway is granted of its quota.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct TenantTotal {
     /// The tenant's name.
--- a/crates/coordination/src/usage.rs
+++ b/crates/coordination/src/usage.rs
@@ -80,7 +80,7 @@
     forwarded: f64,
     /// Granted and not used.
     reserved: f64,
-    /// The quota share that it was told to go by if it hears nothing more.
+    /// The quota share that it goes by if it is partitioned from the coordinator.
     share: f64,
 }
 
@@ -181,7 +181,7 @@
         live: &[String],
         rate_limit: impl Fn(&str) -> Option<RateLimit>,
     ) -> UsageTotals {
-        self.heard(now, &report.node_id, live);
+        self.report_received(now, &report.node_id, live);
         let mut totals = Vec::with_capacity(report.tenants.len());
         for usage in &report.tenants {
             if let Some(rate_limit) = rate_limit(&usage.tenant).filter(|rate_limit| rate_limit.rate > 0.0) {
@@ -199,7 +199,7 @@
 
     /// Which gateways are silent is evaluated now and then only: at each report, the effort would grow with the square of
     /// the number of gateways.
-    fn heard(&mut self, now: Timestamp, node_id: &str, live: &[String]) {
+    fn report_received(&mut self, now: Timestamp, node_id: &str, live: &[String]) {
         let last_heard = self.last_heard.insert(node_id.to_owned(), now);
         let was_heard = last_heard.is_some_and(|at| now - at < GATEWAY_TIMEOUT);
         let is_check_due = now - self.silence_checked_at >= SILENCE_CHECK_INTERVAL;
--- a/crates/coordination/tests/lease/main.rs
+++ b/crates/coordination/tests/lease/main.rs
@@ -8,7 +8,7 @@
 mod model;
 mod partition;
 
-const ROLE: &str = "duty";
+const ROLE: &str = "coordinator";
 
 fn at(millis: i64) -> Timestamp {
     Timestamp::from_micros(millis * 1000)
--- a/crates/coordination/tests/membership/main.rs
+++ b/crates/coordination/tests/membership/main.rs
@@ -63,7 +63,7 @@
 }
 
 /// In every replica set: each read quorum meets each write quorum, and two lease quorums meet. This holds whatever disks
-/// were lost, as a replica whose disk is gone is neither heard nor asked; and a lost machine leaves a write quorum, a lost
+/// were lost, as a replica whose disk is gone neither responds nor is asked; and a lost machine leaves a write quorum, a lost
 /// zone or region too, but where it has half of the replicas or more, or all but those of one place: exactly those
 /// layouts stop.
 #[test]
