--- a/crates/coordination/tests/consensus_model/replicas.rs
+++ b/crates/coordination/tests/consensus_model/replicas.rs
@@ -3,7 +3,7 @@
 use super::setup::{ReplicaSetSafeguard, Setup};
 use super::state::{AcceptRequest, Action, Node, Phase, Proposer, State};
 use kitepass_coordination::consensus::{
-    AcceptError, AcceptReason, BallotReservation, Proposal, Record, Restored,
+    AcceptError, AcceptReason, Ballot, BallotReservation, Record, Restored,
 };
 
 impl Setup {
@@ -143,13 +143,9 @@
     }
 
     /// The ballot above which the proposer has to retry, if the replica refuses.
-    fn accept_or_reject(
-        &self,
-        state: &mut State,
-        request: &AcceptRequest,
-    ) -> Option<kitepass_coordination::consensus::Ballot> {
+    fn accept_or_reject(&self, state: &mut State, request: &AcceptRequest) -> Option<Ballot> {
         let node = &mut state.nodes[request.replica];
-        let proposal: Proposal = self.proposals[request.proposal].clone();
+        let proposal = self.proposals[request.proposal].clone();
         let reason = if request.was_accepted_before { AcceptReason::Resolve } else { AcceptReason::New };
         let acceptance = if request.rejects {
             node.acceptor.reject(request.ballot, proposal.proposal_id(), proposal.keys())
