--- a/crates/control-plane/examples/slopes.rs
+++ b/crates/control-plane/examples/slopes.rs
@@ -454,7 +454,9 @@
         }
         self.list_bytes = bodies.iter().map(|body| body.len() as f64).sum();
         let begun = Instant::now();
-        bodies.iter().for_each(|body| entries.extend(endpoints::page(body.as_bytes()).expect("made here").0));
+        bodies.iter().for_each(|body| {
+            entries.extend(endpoints::parse_page(body.as_bytes()).expect("made here").endpoints)
+        });
         self.nodes[n].tally.busy += begun.elapsed();
         self.run_core(n, |core, now| core.endpoints_listed(now, entries));
     }
--- a/crates/control-plane/src/endpoints.rs
+++ b/crates/control-plane/src/endpoints.rs
@@ -1,7 +1,7 @@
-//! The backends there are, as the platform lists them, turned into items: one an item, under its call-sign.
+//! The backends that there are, as the platform lists them, turned into items: one item a backend, under its id.
 //!
-//! An item's value has its service, address, district, slots, whether it is closing, and for how long it stays
-//! cold from when the item came. Only what changed becomes news: a cold time that merely runs down does not.
+//! An item's value has the backend's service, address, zone, slots, whether it is draining, and for how long it warms up
+//! from when the item came. Only what changed becomes an update; a warm-up that merely runs down does not.
 
 use bytes::Bytes;
 use kitepass_config::{Item, ItemStore, Kind};
@@ -9,123 +9,171 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A cold time that differs by no more from what was told is the same one.
-const SLACK: Duration = Duration::from_micros(700_000);
-/// Backends taken at most. Danger: a list that never ends.
-const MOST: usize = 50_000;
+/// Ends of a warm-up that differ by less than this are the same one.
+const WARM_UP_TOLERANCE: Duration = Duration::from_micros(700_000);
+/// Backends of one page at most: the list comes from outside, and must not fill the memory.
+const MAX_PAGE_ENDPOINTS: usize = 50_000;
+/// The item's field with the milliseconds that its backend still warms up.
+const WARM_UP_FIELD: &str = "cold-ms";
 
-/// A line of the platform's list.
+/// An entry of the platform's list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
+    /// The backend's id.
     pub call_sign: String,
+    /// The service that it belongs to.
     pub line: String,
+    /// Address and port, as a text.
     pub address: String,
+    /// The zone that it stands in.
     pub zone: String,
+    /// Requests that it takes at a time.
     pub berths: u64,
+    /// It takes no new requests.
     pub closing: bool,
+    /// Milliseconds for which it still warms up.
     pub cold_ms: u64,
 }
 
-/// One page of the list: its entries, and the token of the next.
-pub fn page(body: &[u8]) -> Option<(Vec<Endpoint>, Option<String>)> {
-    let whole: Value = serde_json::from_slice(body).ok()?;
-    let mut entries = Vec::new();
-    for (zone, list) in whole.get("backends")?.as_object()? {
-        for line in list.as_array()? {
-            let text = |name: &str| line.get(name).and_then(Value::as_str).map(str::to_owned);
-            let number = |name: &str| line.get(name).and_then(Value::as_f64).unwrap_or(0.0).max(0.0) as u64;
-            let zone = text("district").unwrap_or_else(|| zone.clone());
-            let closing = text("standing").is_some_and(|standing| standing != "open");
-            let (berths, cold_ms) = (number("berths").max(1), number("cold-left-ms"));
-            let (call_sign, address) = (text("call-sign")?, text("address")?);
-            entries.push(Endpoint {
-                call_sign,
-                line: text("line")?,
-                address,
-                zone,
-                berths,
-                closing,
-                cold_ms,
-            });
+impl Endpoint {
+    /// An entry of the list of `listed_zone`, which counts for entries that name no zone themselves.
+    fn parse(entry: &Value, listed_zone: &str) -> Option<Endpoint> {
+        let text = |name: &str| entry.get(name).and_then(Value::as_str).map(str::to_owned);
+        let number = |name: &str| entry.get(name).and_then(Value::as_f64).unwrap_or(0.0).max(0.0) as u64;
+        Some(Endpoint {
+            call_sign: text("call-sign")?,
+            line: text("line")?,
+            address: text("address")?,
+            zone: text("district").unwrap_or_else(|| listed_zone.to_owned()),
+            berths: number("berths").max(1),
+            closing: text("standing").is_some_and(|standing| standing != "open"),
+            cold_ms: number("cold-left-ms"),
+        })
+    }
+
+    /// The item's value for this backend.
+    fn to_value(&self, warm_up_ms: u64) -> Value {
+        json!({"line": self.line, "address": self.address, "district": self.zone,
+            "berths": self.berths, "closing": self.closing, WARM_UP_FIELD: warm_up_ms})
+    }
+}
+
+/// One page of the platform's list.
+#[derive(Clone, Debug, PartialEq)]
+pub struct EndpointPage {
+    /// Its entries.
+    pub endpoints: Vec<Endpoint>,
+    /// The token of the next page, if there is one.
+    pub next_token: Option<String>,
+}
+
+/// Parses one page; none if any entry of it lacks what an endpoint needs, or it has too many.
+pub fn parse_page(body: &[u8]) -> Option<EndpointPage> {
+    let page: Value = serde_json::from_slice(body).ok()?;
+    let mut endpoints = Vec::new();
+    for (zone, entries) in page.get("backends")?.as_object()? {
+        for entry in entries.as_array()? {
+            endpoints.push(Endpoint::parse(entry, zone)?);
         }
     }
-    let next = match whole.get("next-token") {
+    let next_token = match page.get("next-token") {
         Some(Value::String(token)) if !token.is_empty() => Some(token.clone()),
         _ => None,
     };
-    (entries.len() <= MOST).then_some((entries, next))
+    (endpoints.len() <= MAX_PAGE_ENDPOINTS).then_some(EndpointPage { endpoints, next_token })
 }
 
-/// What the holder of the duty keeps of its readings.
+/// What the coordinator remembers of its readings.
 #[derive(Default)]
 pub struct EndpointList {
-    number: u64,
-    cold: BTreeMap<String, Timestamp>,
+    /// The version of the last item that was made.
+    version: u64,
+    /// Until when backends warm up, by id, as the items tell.
+    warm_until: BTreeMap<String, Timestamp>,
+    /// Backends that the last reading lacked.
     missing: BTreeSet<String>,
 }
 
 impl EndpointList {
+    /// Starts anew under the coordinator's term. Versions are above those of lower terms.
     pub fn start_term(&mut self, term: u64) {
-        *self = EndpointList { number: term << 32, ..EndpointList::default() };
+        *self = EndpointList { version: term << 32, ..EndpointList::default() };
     }
 
-    /// The news of a whole reading, as items of editions above all that are known.
-    pub fn update(&mut self, now: Timestamp, entries: Vec<Endpoint>, item_store: &ItemStore) -> Vec<Item> {
-        // Danger: terms begin anew when the whole core restarts, while backends are kept on disk: what an earlier
-        // term wrote would stay for ever. Editions go on above whatever is known.
-        self.number = self.number.max(item_store.highest_version(Kind::Backend));
+    /// The changes that a complete reading makes, as items with versions above all that are known.
+    pub fn update(&mut self, now: Timestamp, endpoints: Vec<Endpoint>, item_store: &ItemStore) -> Vec<Item> {
+        // Invariant: versions go on above whatever is known. Terms begin anew when all control processes restart, while
+        // backends are kept on disk: what an earlier term wrote would stay for ever.
+        self.version = self.version.max(item_store.highest_version(Kind::Backend));
         let known = item_store.items_of(Kind::Backend).filter(|item| item.value.is_some()).count();
-        // Danger: a platform that has just come up may list nothing; that is no word that all backends are gone.
-        if entries.is_empty() && known > 1 {
+        // Invariant: a platform that has just started may list nothing, which does not mean that all backends are gone.
+        if endpoints.is_empty() && known > 1 {
             return Vec::new();
         }
-        let mut news = Vec::new();
-        let mut seen = BTreeSet::new();
-        for entry in &entries {
-            seen.insert(entry.call_sign.as_str());
-            let until = now + Duration::from_micros(entry.cold_ms as i64 * 1000);
-            let told = self.cold.get(&entry.call_sign).copied().unwrap_or(now);
-            // What was told and is over is as warm as what is not cold.
-            let (was, is) = (told.max(now), until);
-            let off = if is > was { is - was } else { was - is };
-            let cold = entry.cold_ms;
-            let item = item_store.get(Kind::Backend, &entry.call_sign);
-            let same = item.and_then(|item| item.value.as_deref()).is_some_and(|value| {
-                let (mut was, mut is): (Value, Value) =
-                    (serde_json::from_slice(value).unwrap_or_default(), value_of(entry, 0));
-                let was_cold = was["cold-ms"].as_u64().unwrap_or(0) > 0;
-                (was["cold-ms"], is["cold-ms"]) = (0.into(), 0.into());
-                was == is && off < SLACK && (was_cold == (cold > 0))
-            });
-            if !same {
-                self.cold.insert(entry.call_sign.clone(), until);
-                news.push((entry.call_sign.clone(), Some(value_of(entry, cold))));
+        let mut items = Vec::new();
+        for endpoint in &endpoints {
+            if self.has_changed(now, endpoint, item_store) {
+                self.warm_until.insert(endpoint.call_sign.clone(), warm_until(now, endpoint));
+                items.push(self.next_item(&endpoint.call_sign, Some(endpoint.to_value(endpoint.cold_ms))));
             }
         }
-        // One that is missing once may have slipped between two pages that were read one after the other.
-        let gone: BTreeSet<String> = item_store
+        items.extend(self.remove_missing(&endpoints, item_store));
+        items
+    }
+
+    /// Whether the item that is known of a backend tells something else than its entry.
+    fn has_changed(&self, now: Timestamp, endpoint: &Endpoint, item_store: &ItemStore) -> bool {
+        let item = item_store.get(Kind::Backend, &endpoint.call_sign);
+        let Some(value) = item.and_then(|item| item.value.as_deref()) else { return true };
+        let mut known: Value = serde_json::from_slice(value).unwrap_or_default();
+        let was_warming_up = known[WARM_UP_FIELD].as_u64().unwrap_or(0) > 0;
+        known[WARM_UP_FIELD] = 0.into();
+        known != endpoint.to_value(0)
+            || was_warming_up != (endpoint.cold_ms > 0)
+            || self.warm_up_difference(now, endpoint) >= WARM_UP_TOLERANCE
+    }
+
+    /// By how much the end of a backend's warm-up differs from the one that its item tells.
+    fn warm_up_difference(&self, now: Timestamp, endpoint: &Endpoint) -> Duration {
+        // A warm-up that was told and is over is as good as none.
+        let known = self.warm_until.get(&endpoint.call_sign).copied().unwrap_or(now).max(now);
+        let listed = warm_until(now, endpoint);
+        if listed > known {
+            listed - known
+        } else {
+            known - listed
+        }
+    }
+
+    /// Removes the backends that two readings in a row lacked. One that is missing once may have moved between two pages
+    /// that were read one after the other.
+    fn remove_missing(&mut self, endpoints: &[Endpoint], item_store: &ItemStore) -> Vec<Item> {
+        let listed: BTreeSet<&str> = endpoints.iter().map(|endpoint| endpoint.call_sign.as_str()).collect();
+        let missing: BTreeSet<String> = item_store
             .items_of(Kind::Backend)
-            .filter(|item| item.value.is_some() && !seen.contains(&*item.name))
+            .filter(|item| item.value.is_some() && !listed.contains(&*item.name))
             .map(|item| item.name.to_string())
             .collect();
-        for call_sign in gone.intersection(&self.missing) {
-            news.push((call_sign.clone(), None));
-            self.cold.remove(call_sign);
+        let missed_before = std::mem::replace(&mut self.missing, missing.clone());
+        let mut items = Vec::new();
+        for backend_id in missing.intersection(&missed_before) {
+            self.warm_until.remove(backend_id);
+            items.push(self.next_item(backend_id, None));
         }
-        self.missing = gone;
-        news.into_iter()
-            .map(|(name, value)| {
-                self.number += 1;
-                let value = value.map(|value| Bytes::from(value.to_string()));
-                Item { kind: Kind::Backend, name: name.into(), version: self.number, value }
-            })
-            .collect()
+        items
+    }
+
+    /// An item of the next version; without a value it removes the backend.
+    fn next_item(&mut self, backend_id: &str, value: Option<Value>) -> Item {
+        self.version += 1;
+        let value = value.map(|value| Bytes::from(value.to_string()));
+        Item { kind: Kind::Backend, name: backend_id.into(), version: self.version, value }
     }
 }
 
-fn value_of(entry: &Endpoint, cold_ms: u64) -> Value {
-    json!({"line": entry.line, "address": entry.address, "district": entry.zone,
-        "berths": entry.berths, "closing": entry.closing, "cold-ms": cold_ms})
+/// When a backend's warm-up ends, as the platform lists it.
+fn warm_until(now: Timestamp, endpoint: &Endpoint) -> Timestamp {
+    now + Duration::from_micros(endpoint.cold_ms as i64 * 1000)
 }
 
 #[cfg(test)]
@@ -145,50 +193,51 @@
     }
 
     #[test]
-    fn only_what_changed_is_news_and_what_is_missing_twice_is_gone() {
+    fn only_changes_become_items_and_an_entry_missing_twice_is_removed() {
         let at = |millis: i64| Timestamp::from_micros(millis * 1000);
-        let (mut roster, mut item_store) = (EndpointList::default(), ItemStore::new());
-        let mut read = |now, entries: &[Endpoint], item_store: &mut ItemStore| {
-            let news = roster.update(at(now), entries.to_vec(), item_store);
-            for item in &news {
+        let (mut endpoint_list, mut item_store) = (EndpointList::default(), ItemStore::new());
+        let mut count_updates = |now, entries: &[Endpoint], item_store: &mut ItemStore| {
+            let updates = endpoint_list.update(at(now), entries.to_vec(), item_store);
+            for item in &updates {
                 assert!(item_store.merge(item.clone()));
             }
-            news.len()
+            updates.len()
         };
-        assert_eq!(read(0, &[entry("a", 3000), entry("b", 0)], &mut item_store), 2);
-        assert_eq!(read(700, &[entry("a", 2300), entry("b", 0)], &mut item_store), 0);
-        assert_eq!(read(1400, &[entry("a", 1600), entry("b", 3000)], &mut item_store), 1); // cold again
-        assert_eq!(read(4600, &[entry("a", 0), entry("b", 0)], &mut item_store), 2);
-        assert_eq!(read(5300, &[entry("a", 0), entry("b", 0)], &mut item_store), 0);
+        assert_eq!(count_updates(0, &[entry("a", 3000), entry("b", 0)], &mut item_store), 2);
+        assert_eq!(count_updates(700, &[entry("a", 2300), entry("b", 0)], &mut item_store), 0);
+        assert_eq!(count_updates(1400, &[entry("a", 1600), entry("b", 3000)], &mut item_store), 1); // warming up again
+        assert_eq!(count_updates(4600, &[entry("a", 0), entry("b", 0)], &mut item_store), 2);
+        assert_eq!(count_updates(5300, &[entry("a", 0), entry("b", 0)], &mut item_store), 0);
         let mut closing = entry("a", 0);
         closing.closing = true;
-        assert_eq!(read(6000, &[closing, entry("b", 0)], &mut item_store), 1);
-        assert_eq!(read(6700, &[entry("b", 0)], &mut item_store), 0);
-        assert_eq!(read(7400, &[entry("b", 0)], &mut item_store), 1);
+        assert_eq!(count_updates(6000, &[closing, entry("b", 0)], &mut item_store), 1);
+        assert_eq!(count_updates(6700, &[entry("b", 0)], &mut item_store), 0);
+        assert_eq!(count_updates(7400, &[entry("b", 0)], &mut item_store), 1);
         assert!(item_store.get(Kind::Backend, "a").unwrap().value.is_none());
-        // A stalled list is no empty one, and an empty one not at once a true one.
+        // An empty list is not taken for the loss of all backends.
         item_store.merge(Item {
             kind: Kind::Backend,
             name: "c".into(),
             version: 1,
             value: Some(Bytes::from("{}")),
         });
-        assert_eq!(read(8000, &[], &mut item_store), 0);
-        // What a higher term wrote in an earlier life of the core is overwritten all the same.
+        assert_eq!(count_updates(8000, &[], &mut item_store), 0);
+        // What a higher term wrote before the whole control plane restarted is overwritten all the same.
         let old = Some(Bytes::from("{}"));
         item_store.merge(Item { kind: Kind::Backend, name: "b".into(), version: 99 << 32, value: old });
-        assert_eq!(read(8700, &[entry("b", 0)], &mut item_store), 1);
+        assert_eq!(count_updates(8700, &[entry("b", 0)], &mut item_store), 1);
     }
 
     #[test]
-    fn pages_are_read_whole_or_not_at_all() {
+    fn pages_are_parsed_completely_or_not_at_all() {
         let body = br#"{"backends":{"d":[{"line":"l","address":"10.0.0.1:80","district":"d","edition":"v1","berths":6,
             "standing":"closing","cold-left-ms":12.5,"call-sign":"i-1","new":1}]},"next-token":"p-50"}"#;
-        let (entries, next) = page(body).unwrap();
-        assert!(entries[0].closing && entries[0].cold_ms == 12 && entries[0].berths == 6);
-        assert_eq!(next.as_deref(), Some("p-50"));
-        assert_eq!(page(br#"{"backends":{},"next-token":null}"#), Some((vec![], None)));
-        assert_eq!(page(&body[..80]), None);
-        assert_eq!(page(br#"{"backends":{"d":[{"line":"l"}]}}"#), None);
+        let EndpointPage { endpoints, next_token } = parse_page(body).unwrap();
+        assert!(endpoints[0].closing && endpoints[0].cold_ms == 12 && endpoints[0].berths == 6);
+        assert_eq!(next_token.as_deref(), Some("p-50"));
+        let empty = EndpointPage { endpoints: vec![], next_token: None };
+        assert_eq!(parse_page(br#"{"backends":{},"next-token":null}"#), Some(empty));
+        assert_eq!(parse_page(&body[..80]), None);
+        assert_eq!(parse_page(br#"{"backends":{"d":[{"line":"l"}]}}"#), None);
     }
 }
--- a/crates/control-plane/src/request.rs
+++ b/crates/control-plane/src/request.rs
@@ -1,116 +1,159 @@
-//! What callers ask of a control process, as values; decoded from their calls, run by the core.
+//! What clients request of a control process, as values: decoded from their HTTP requests, executed by the state machine.
 
 use kitepass_config::Item;
 use kitepass_coordination::consensus::Proposal;
 use kitepass_coordination::membership::ReplicaSet;
 
+/// The paths of the operators' and directory APIs, which are their clients' contract.
+mod path {
+    pub(super) const ROUTE_LOOKUP: &str = "/v1/route-lookup";
+    pub(super) const GET_CONFIGURATION: &str = "/v1/Timetable.Get";
+    pub(super) const PATCH_CONFIGURATION: &str = "/v1/Timetable.Patch";
+    pub(super) const MEMBERS: &str = "/v1/members";
+    /// A verb and a zone follow: `Start/ZONE` or `End/ZONE`.
+    pub(super) const EVACUATE_PREFIX: &str = "/v1/Evacuate.";
+}
+
+/// What the state machine executes: an operator's request, or one of the control plane's own.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
     /// The newest configuration in full.
     Get,
+    /// A change of the configuration: these items, all of them or none.
     Patch(Vec<Item>),
+    /// Whether the backends of a zone are used.
     Evacuate {
+        /// The zone's name.
         zone: String,
+        /// True: nothing more is sent to them. False: they are used again.
         on: bool,
     },
-    /// The core's own: a call that somebody accepted is brought to its end.
+    /// Completes a proposal that some replica has accepted.
     Settle(Proposal),
-    /// The one that does the duty reads what a majority holds.
+    /// Reads what a majority holds: a new coordinator does so before it acts.
     Survey,
-    /// A cast is brought in, all that was decided before is read, and it is put in force.
+    /// First step of a membership change: the incoming replica set is proposed.
     Next(ReplicaSet),
+    /// Second step: all that was committed before is read from a majority, so that the incoming set holds it.
     Fill(ReplicaSet),
+    /// Third step: the incoming replica set becomes the current one.
     Now(ReplicaSet),
 }
 
 impl Request {
-    /// Bytes that are to be moved for it, its own alone.
+    /// Bytes of items that have to be moved for it, its own alone.
     pub fn bytes(&self) -> usize {
         match self {
             Request::Patch(items) => items.iter().map(Item::wire_bytes).sum(),
-            Request::Settle(call) => call.bytes(),
+            Request::Settle(proposal) => proposal.bytes(),
             _ => 0,
         }
     }
 
+    /// The request's name in log lines.
     pub fn name(&self) -> &'static str {
         match self {
             Request::Get => "get",
             Request::Patch(_) => "patch",
             Request::Evacuate { on: true, .. } => "evacuate-start",
             Request::Evacuate { on: false, .. } => "evacuate-end",
-            Request::Settle(_) => "settle",
-            Request::Survey => "survey",
-            Request::Next(_) => "cast-next",
-            Request::Fill(_) => "cast-fill",
-            Request::Now(_) => "cast-now",
+            Request::Settle(_) => "complete-proposal",
+            Request::Survey => "read-quorum",
+            Request::Next(_) => "propose-replica-set",
+            Request::Fill(_) => "fill-replica-set",
+            Request::Now(_) => "activate-replica-set",
         }
     }
 }
 
+/// How a request ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
+    /// Done; there is nothing to tell.
     Done,
+    /// Done; this is what was requested, as JSON.
     Body(Vec<u8>),
-    /// Nothing of it was taken, and why.
+    /// No part of it was accepted, and why.
     Invalid(String),
-    /// Another content has taken the version of one of its items: no part of it ever takes effect.
+    /// The version of one of its items is taken by another content: no part of it ever takes effect.
     Conflict(String),
-    /// The control process at this address says that it is in contact with the core: it may do it.
+    /// The control process at this address says that it is in contact with a quorum: it may do it.
     Redirect(String),
-    /// Another control process may do it.
+    /// Another control process may do it, and why this one cannot.
     Unavailable(&'static str),
 }
 
-/// A call as its first line and body tell it, before anything is run.
+/// A call of an API as its request line tells it, before anything is executed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ApiCall {
+    /// One that is complete without its body.
     Request(Request),
-    /// A body that is still to be read as a change of items.
+    /// A change of the configuration, which stands in the body.
     Patch,
+    /// Which gateways a client is to use.
     Lookup {
+        /// The client's region, or an empty text.
         region: String,
+        /// The client's zone, or an empty text.
         zone: String,
     },
+    /// The view of the membership.
     Members,
+    /// A path that is none of an API's.
     Unknown,
+    /// A known path, with a method that is not its own.
     WrongMethod,
 }
 
 impl ApiCall {
+    /// Decodes a request line's method and target.
     pub fn decode(method: &[u8], target: &[u8]) -> ApiCall {
         let target = String::from_utf8_lossy(target);
         let (path, query) = target.split_once('?').unwrap_or((&target, ""));
-        let of = |name: &str| {
-            let pair = query.split('&').filter_map(|pair| pair.split_once('=')).find(|(n, _)| *n == name);
-            pair.map(|(_, value)| value.to_owned()).unwrap_or_default()
-        };
-        let (wanted, call) = match path {
-            "/v1/route-lookup" => ("GET", ApiCall::Lookup { region: of("province"), zone: of("district") }),
-            "/v1/Timetable.Get" => ("GET", ApiCall::Request(Request::Get)),
-            "/v1/Timetable.Patch" => ("POST", ApiCall::Patch),
-            "/v1/members" => ("GET", ApiCall::Members),
-            _ => match path.strip_prefix("/v1/Evacuate.").and_then(|rest| rest.split_once('/')) {
-                Some((verb @ ("Start" | "End"), zone)) if !zone.is_empty() && !zone.contains('/') => (
-                    "POST",
-                    ApiCall::Request(Request::Evacuate { zone: zone.to_owned(), on: verb == "Start" }),
-                ),
-                _ => return ApiCall::Unknown,
+        let (expected_method, call) = match path {
+            path::ROUTE_LOOKUP => ("GET", ApiCall::decode_lookup(query)),
+            path::GET_CONFIGURATION => ("GET", ApiCall::Request(Request::Get)),
+            path::PATCH_CONFIGURATION => ("POST", ApiCall::Patch),
+            path::MEMBERS => ("GET", ApiCall::Members),
+            _ => match ApiCall::decode_evacuation(path) {
+                Some(call) => ("POST", call),
+                None => return ApiCall::Unknown,
             },
         };
-        if method == wanted.as_bytes() {
+        if method == expected_method.as_bytes() {
             call
         } else {
             ApiCall::WrongMethod
         }
     }
+
+    fn decode_lookup(query: &str) -> ApiCall {
+        let parameter = |name: &str| {
+            let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+            pairs.find(|(key, _)| *key == name).map(|(_, value)| value.to_owned()).unwrap_or_default()
+        };
+        ApiCall::Lookup { region: parameter("province"), zone: parameter("district") }
+    }
+
+    fn decode_evacuation(path: &str) -> Option<ApiCall> {
+        let (verb, zone) = path.strip_prefix(path::EVACUATE_PREFIX)?.split_once('/')?;
+        let on = match verb {
+            "Start" => true,
+            "End" => false,
+            _ => return None,
+        };
+        let is_zone = !zone.is_empty() && !zone.contains('/');
+        is_zone.then(|| ApiCall::Request(Request::Evacuate { zone: zone.to_owned(), on }))
+    }
 }
 
-/// Where the same call is to be made at another address, if its target can stand in a field. Danger: whatever a caller
-/// wrote there goes back to it as part of the answer's head.
-pub fn place(address: &str, port: u16, target: &[u8]) -> Option<String> {
-    let fit = target.starts_with(b"/") && target.iter().all(u8::is_ascii_graphic);
-    fit.then(|| format!("http://{address}:{port}{}", String::from_utf8_lossy(target)))
+/// The location of the same request at another address, if its target can stand in a header.
+///
+/// Invariant: only visible ASCII is passed on. Whatever a client wrote in the target goes back to it as part of the
+/// response's head, and a line end there would add headers of its own.
+pub fn redirect_location(address: &str, port: u16, target: &[u8]) -> Option<String> {
+    let is_safe = target.starts_with(b"/") && target.iter().all(u8::is_ascii_graphic);
+    is_safe.then(|| format!("http://{address}:{port}{}", String::from_utf8_lossy(target)))
 }
 
 #[cfg(test)]
@@ -124,8 +167,8 @@
     #[case(b"/v1/a b", None)]
     #[case(b"/v1/a\r\nX: y", None)]
     #[case(b"http://elsewhere/v1/members", None)]
-    fn a_call_goes_on_with_path_and_query(#[case] target: &[u8], #[case] to: Option<&str>) {
-        assert_eq!(place("10.0.0.4", 8080, target).as_deref(), to);
+    fn a_redirect_keeps_path_and_query(#[case] target: &[u8], #[case] location: Option<&str>) {
+        assert_eq!(redirect_location("10.0.0.4", 8080, target).as_deref(), location);
     }
 
     #[rstest]
--- /dev/null
+++ b/crates/control-plane/src/server/http_response.rs
@@ -0,0 +1,114 @@
+//! Responses to the clients of the operators' and directory APIs.
+
+use super::connections::{ConnectionId, Role, ServerConnection};
+use super::Server;
+use crate::request::{redirect_location, Response};
+use log::debug;
+use std::fmt::Write;
+
+const JSON: &str = "application/json";
+const TEXT: &str = "text/plain";
+/// What a client is told, along with another address or none, by a process that cannot know what is current.
+pub(super) const OUT_OF_CONTACT: &str = "out of contact with the core";
+/// Seconds after which a client may retry what was unavailable.
+pub(super) const RETRY_AFTER_S: u32 = 1;
+
+/// A response before it is encoded.
+pub(super) struct HttpResponse {
+    status: u16,
+    content_type: &'static str,
+    body: Vec<u8>,
+    /// Header lines beside the usual ones, each with its line end.
+    extra_headers: String,
+}
+
+impl HttpResponse {
+    pub(super) fn json(body: impl Into<Vec<u8>>) -> HttpResponse {
+        HttpResponse { status: 200, content_type: JSON, body: body.into(), extra_headers: String::new() }
+    }
+
+    pub(super) fn text(status: u16, body: impl Into<Vec<u8>>) -> HttpResponse {
+        HttpResponse { status, content_type: TEXT, body: body.into(), extra_headers: String::new() }
+    }
+
+    /// Another control process, or this one later, may do it.
+    pub(super) fn unavailable(reason: &str) -> HttpResponse {
+        HttpResponse::text(503, reason).retry_after(RETRY_AFTER_S)
+    }
+
+    pub(super) fn retry_after(mut self, seconds: u32) -> HttpResponse {
+        let _ = write!(self.extra_headers, "Retry-After: {seconds}\r\n"); // writing to a string cannot fail
+        self
+    }
+
+    pub(super) fn location(mut self, location: &str) -> HttpResponse {
+        let _ = write!(self.extra_headers, "Location: {location}\r\n"); // writing to a string cannot fail
+        self
+    }
+
+    fn reason_phrase(&self) -> &'static str {
+        match self.status {
+            200 => "OK",
+            307 => "Temporary Redirect",
+            413 => "Content Too Large",
+            503 => "Service Unavailable",
+            _ => "Refused",
+        }
+    }
+
+    fn head(&self, closes: bool) -> String {
+        format!(
+            "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n{}{}\r\n",
+            self.status,
+            self.reason_phrase(),
+            self.content_type,
+            self.body.len(),
+            self.extra_headers,
+            if closes { "Connection: close\r\n" } else { "" },
+        )
+    }
+}
+
+impl Server {
+    /// Queues a response to a client, and lets it send its next request.
+    pub(super) fn respond(&mut self, id: ConnectionId, response: &HttpResponse) {
+        let now = self.clock.now();
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        let ServerConnection { transport, role: Role::ApiClient(client), .. } = connection else { return };
+        client.awaits_response = false;
+        connection.last_active = now;
+        connection.closes_after_flush |= client.closes_after_response;
+        let head = response.head(connection.closes_after_flush);
+        transport.output.extend_from_slice(head.as_bytes());
+        transport.output.extend_from_slice(&response.body);
+    }
+
+    /// Sends the state machine's response to the client that waits for it; false if there is none.
+    pub(super) fn respond_to_request(&mut self, id: ConnectionId, response: Response) -> bool {
+        let client = self.connections.get(id).and_then(ServerConnection::api_client);
+        let Some(client) = client.filter(|client| client.awaits_response) else {
+            // Invariant: a response whose client is gone, or has had one, must not be taken for another request's.
+            debug!("event=response-without-client");
+            return false;
+        };
+        let response = match response {
+            Response::Done => HttpResponse::json("{}"),
+            Response::Body(body) => HttpResponse::json(body),
+            Response::Conflict(reason) => HttpResponse::text(409, reason),
+            Response::Invalid(reason) => HttpResponse::text(400, reason),
+            Response::Redirect(address) => self.redirect(&address, &client.target),
+            Response::Unavailable(reason) => HttpResponse::unavailable(reason),
+        };
+        self.respond(id, &response);
+        true
+    }
+
+    /// Points a client to the same request at another control process. Ports are alike on all machines.
+    fn redirect(&self, address: &str, target: &[u8]) -> HttpResponse {
+        let listener = self.settings.listeners.operator_api;
+        match listener.and_then(|listener| redirect_location(address, listener.port(), target)) {
+            Some(location) => HttpResponse::text(307, OUT_OF_CONTACT).location(&location),
+            None => HttpResponse::unavailable(OUT_OF_CONTACT),
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/server/operator_api.rs
@@ -0,0 +1,95 @@
+//! The operators' API: changes and readings of the configuration, evacuations, and the view of the membership. Paths,
+//! JSON names and texts are the operators' contract.
+
+use super::api_client::MAX_ITEM_BYTES;
+use super::connections::{ConnectionId, Role, ServerConnection};
+use super::http_response::HttpResponse;
+use super::Server;
+use crate::request::{ApiCall, Request};
+use crate::state_machine::{millis, ReplicaContact, COORDINATOR_ROLE};
+use kitepass_coordination::protocol::Member;
+use kitepass_coordination::quorum_contact::CONTACT;
+use kitepass_time::Timestamp;
+use log::info;
+use serde_json::{json, Value};
+
+impl Server {
+    /// Answers a call, or hands it to the state machine, which responds later.
+    pub(super) fn run_call(&mut self, now: Timestamp, id: ConnectionId, call: ApiCall, body: &[u8]) {
+        match call {
+            ApiCall::Request(request) => self.submit(now, id, request),
+            ApiCall::Patch => self.patch(now, id, body),
+            ApiCall::Lookup { region, zone } => self.look_up(id, &region, &zone),
+            ApiCall::Members => self.members(id),
+            ApiCall::Unknown => self.respond(id, &HttpResponse::text(404, "no such call")),
+            ApiCall::WrongMethod => self.respond(id, &HttpResponse::text(405, "not by this method")),
+        }
+    }
+
+    fn patch(&mut self, now: Timestamp, id: ConnectionId, body: &[u8]) {
+        match self.state_machine.parse_change_request(body) {
+            Ok(request) if request.bytes() > MAX_ITEM_BYTES => self.reject_too_long(id),
+            Ok(request) => self.submit(now, id, request),
+            Err(reason) => {
+                info!("event=request-invalid reason={reason:?}");
+                self.respond(id, &HttpResponse::text(400, reason));
+            }
+        }
+    }
+
+    fn submit(&mut self, now: Timestamp, id: ConnectionId, request: Request) {
+        if matches!(&request, Request::Evacuate { zone, .. } if self.is_unknown_zone(now, zone)) {
+            return self.respond(id, &HttpResponse::text(404, "no such zone"));
+        }
+        if let Some(ServerConnection { role: Role::ApiClient(client), .. }) = self.connections.get_mut(id) {
+            client.awaits_response = true;
+        }
+        self.state_machine.handle_request(now, id.0, request);
+    }
+
+    /// Whether the settings' list of zones, if there is one, lacks this zone. Out of contact with a quorum not even that
+    /// is known for certain, as others may have newer settings.
+    fn is_unknown_zone(&self, now: Timestamp, zone: &str) -> bool {
+        let zones = &self.settings.zones;
+        self.state_machine.accepts_requests(now) && !zones.is_empty() && !zones.contains_key(zone)
+    }
+
+    fn members(&mut self, id: ConnectionId) {
+        let now = self.clock.now();
+        let state_machine = &self.state_machine;
+        let gateways: Vec<Value> = state_machine.members().iter().map(gateway_json).collect();
+        let replicas: Vec<Value> = state_machine.replica_contacts(now).iter().map(replica_json).collect();
+        let body = json!({
+            "asked": self.settings.node_id,
+            "standing": state_machine.replica_state().wire_name(),
+            "contact": state_machine.has_quorum(now),
+            "contact-age-ms": state_machine.contact_age(now).map(millis),
+            "duty": {COORDINATOR_ROLE: state_machine.lease_term(now).is_some()},
+            "core": replicas,
+            "gateways": gateways,
+            "evacuated": state_machine.evacuated_zones(),
+        });
+        self.respond(id, &HttpResponse::json(body.to_string()));
+    }
+}
+
+fn gateway_json(member: &Member) -> Value {
+    json!({
+        "station": member.node_id,
+        "front": member.client_address,
+        "district": member.zone,
+        "ready": member.is_ready,
+    })
+}
+
+fn replica_json(contact: &ReplicaContact) -> Value {
+    let ReplicaContact { replica, heard, age } = contact;
+    json!({
+        "station": replica.node_id,
+        "ip": replica.address,
+        "district": replica.zone,
+        "heard": heard,
+        "contact": age.is_some_and(|age| age <= CONTACT),
+        "contact-age-ms": age.map(millis),
+    })
+}
--- /dev/null
+++ b/crates/control-plane/src/server/peer_connections.rs
@@ -0,0 +1,161 @@
+//! Connections with the system's other processes: control processes, on one connection each way, and gateways' sessions.
+
+use super::connections::{CloseReason, ConnectionId, Role};
+use super::Server;
+use kitepass_coordination::protocol::{self, Message};
+use kitepass_net::connection::cause;
+use kitepass_time::{Duration, Timestamp};
+use log::warn;
+use std::collections::BTreeMap;
+use std::net::{IpAddr, SocketAddr};
+
+/// Time between two attempts to connect to one address.
+const RECONNECT_INTERVAL: Duration = Duration::from_micros(400_000);
+/// An address that another process told is tried for this time.
+const ADDRESS_TIMEOUT: Duration = Duration::from_micros(30_000_000);
+
+/// How this process reaches the other control processes. Addresses are texts, as the protocol has them.
+#[derive(Default)]
+pub(super) struct PeerDirectory {
+    /// Connections on which this process sends, by address.
+    outgoing: BTreeMap<String, ConnectionId>,
+    /// Addresses by node id, as the processes themselves told in their greeting.
+    addresses: BTreeMap<String, String>,
+    /// When a connection to an address was attempted last.
+    last_attempts: BTreeMap<String, Timestamp>,
+    /// Addresses that others told, and when.
+    discovered: BTreeMap<String, Timestamp>,
+}
+
+impl PeerDirectory {
+    /// The connection on which this process sends to a node.
+    pub(super) fn connection_to(&self, node_id: &str) -> Option<ConnectionId> {
+        let address = self.addresses.get(node_id)?;
+        self.outgoing.get(address).copied()
+    }
+
+    /// The connection to this address is closed.
+    pub(super) fn forget_connection(&mut self, address: &str) {
+        self.outgoing.remove(address);
+    }
+
+    /// Forgets addresses that led nowhere.
+    pub(super) fn expire_addresses(&mut self, now: Timestamp) {
+        let outgoing = &self.outgoing;
+        self.discovered.retain(|address, discovered_at| {
+            outgoing.contains_key(address) || now - *discovered_at < ADDRESS_TIMEOUT
+        });
+    }
+
+    fn greeted(&mut self, now: Timestamp, node_id: &str, address: &str) {
+        self.addresses.insert(node_id.to_owned(), address.to_owned());
+        self.discovered.insert(address.to_owned(), now);
+    }
+
+    /// Whether a connection to this address is to be attempted now; if so the attempt is noted.
+    fn begin_attempt(&mut self, now: Timestamp, address: &str) -> bool {
+        let last_attempt = self.last_attempts.get(address).copied().unwrap_or_default();
+        if self.outgoing.contains_key(address) || now - last_attempt < RECONNECT_INTERVAL {
+            return false;
+        }
+        self.last_attempts.insert(address.to_owned(), now);
+        true
+    }
+}
+
+impl Server {
+    /// Takes all complete messages off a connection's input.
+    pub(super) fn read_messages(&mut self, now: Timestamp, id: ConnectionId) -> Result<(), CloseReason> {
+        let Some(connection) = self.connections.get_mut(id) else { return Ok(()) };
+        let input = std::mem::take(&mut connection.transport.input);
+        // Invariant: any byte counts as a sign of life. Over a slow line a message of many MiB takes longer than the
+        // time after which an unresponsive process is given up.
+        match &connection.role {
+            Role::IncomingPeer { node_id, .. } if !input.is_empty() => {
+                self.state_machine.peer_alive(now, node_id);
+            }
+            Role::GatewaySession if !input.is_empty() => self.state_machine.session_alive(now, id.0),
+            _ => {}
+        }
+        let mut offset = 0;
+        loop {
+            let Some(connection) = self.connections.get_mut(id) else { return Ok(()) };
+            match connection.assembler.next(&input, &mut offset) {
+                Ok(Some(message)) => self.handle_message(now, id, message),
+                Err(error) => {
+                    warn!("event=malformed-message reason={:?}", error.to_string());
+                    return Err(CloseReason::Malformed);
+                }
+                Ok(None) => {
+                    connection.transport.input = input;
+                    connection.transport.input.drain(..offset);
+                    return Ok(());
+                }
+            }
+        }
+    }
+
+    fn handle_message(&mut self, now: Timestamp, id: ConnectionId, message: Message) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        match (&connection.role, message) {
+            (Role::Unidentified, Message::Hello(hello)) if hello.is_control_plane => {
+                connection.role =
+                    Role::IncomingPeer { node_id: hello.node_id.clone(), incarnation: hello.incarnation };
+                self.peers.greeted(now, &hello.node_id, &hello.address);
+                self.state_machine.peer_connected(now, &hello);
+            }
+            (Role::Unidentified, Message::Hello(hello)) => {
+                connection.role = Role::GatewaySession;
+                self.state_machine.session_opened(now, id.0, hello);
+            }
+            (Role::IncomingPeer { node_id, incarnation }, message) => {
+                let node_id = node_id.clone();
+                // Invariant: what an earlier incarnation said must not count for the replica of the present one, which
+                // may have another data directory.
+                if !self.state_machine.knows_incarnation(&node_id, *incarnation) {
+                    connection.closes_after_flush = true;
+                    return;
+                }
+                for address in self.state_machine.peer_message(now, &node_id, message) {
+                    self.peers.discovered.entry(address).or_insert(now);
+                }
+            }
+            (Role::GatewaySession, message) => self.state_machine.session_message(now, id.0, message),
+            _ => {}
+        }
+    }
+
+    /// Opens the missing connections to all control processes that are known.
+    pub(super) fn connect_to_peers(&mut self, now: Timestamp) {
+        let own_address = self.settings.address.to_string();
+        let bootstrap = self.settings.bootstrap_addresses.iter().map(|address| address.ip().to_string());
+        let mut addresses: Vec<String> = bootstrap
+            .chain(self.state_machine.known_addresses())
+            .chain(self.peers.discovered.keys().cloned())
+            .filter(|address| *address != own_address)
+            .collect();
+        addresses.sort();
+        addresses.dedup();
+        for address in addresses {
+            if self.peers.begin_attempt(now, &address) {
+                self.connect_to_peer(now, address);
+            }
+        }
+    }
+
+    fn connect_to_peer(&mut self, now: Timestamp, address: String) {
+        let Ok(ip) = address.parse::<IpAddr>() else { return };
+        let target = SocketAddr::new(ip, self.settings.peer_ports.0);
+        let role = Role::OutgoingPeer { address: address.clone() };
+        let opened = self.connections.open(&self.poller, &target, role, now);
+        let id = match opened {
+            Ok(id) => id,
+            Err(error) => return warn!("event=connect-failed address={address} reason={}", cause(error)),
+        };
+        if let Some(connection) = self.connections.get_mut(id) {
+            let hello = Message::Hello(self.state_machine.hello());
+            protocol::pack(hello, &mut connection.transport.output);
+        }
+        self.peers.outgoing.insert(address, id);
+    }
+}
