--- a/crates/control-plane/src/cli/client.rs
+++ b/crates/control-plane/src/cli/client.rs
@@ -1,222 +1,155 @@
-//! An operator's calls of the control processes: one after another is asked until one of them has an answer that
-//! counts. Blocking, as a command has nothing else to do.
-
-use kitepass_net::http::body::{Body, HeadReader};
-use kitepass_net::http::{MessageKind, ParseError};
-use snafu::{OptionExt, ResultExt, Snafu};
-use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpStream};
-use std::time::{Duration, Instant};
-
-/// A try has so long, and so much more for each MiB that was moved.
-const TRY: Duration = Duration::from_secs(2);
-const TRY_MIB: Duration = Duration::from_secs(1);
-/// How often a `307` is followed.
-const MOST_TURNS: usize = 2;
-const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Bytes of an answer. Danger: one that never ends.
-const MOST_ANSWER: usize = 64 * 1024 * 1024;
-/// Characters of a refusal that are shown.
-const MOST_SHOWN: usize = 2_000;
-const PIECE: usize = 64 * 1024;
+//! Client of the operators' API: one control process after another is called until one of them gives an answer that
+//! counts. It blocks, as a command has nothing else to do.
+
+mod exchange;
+
+use super::output::sanitized;
+use crate::request::path;
+use exchange::{call, HttpResponse, TransportError};
+use snafu::Snafu;
+use std::net::SocketAddr;
+
+/// How often a redirect is followed.
+const MAX_REDIRECTS: usize = 2;
 
 /// Why a call came to nothing.
 #[derive(Debug, Snafu)]
-pub enum Error {
-    /// The system heard the call and will not do it; another try would end the same.
-    #[snafu(display("refused by {at}: {status} {why}"))]
-    Refused { at: SocketAddr, status: u16, why: String },
-    /// Nobody could be asked, or nobody who was could do it now; the same call may be made again.
-    #[snafu(display("nobody could do it; tried {}", tried.join("; ")))]
-    Nobody { tried: Vec<String> },
+pub(super) enum Error {
+    /// The system received the call and rejected it; another attempt would end the same.
+    #[snafu(display("refused by {address}: {status} {reason}"))]
+    Rejected { address: SocketAddr, status: u16, reason: String },
+    /// No control process could be reached, or none that was could do it now; the same call may be made again.
+    #[snafu(display("nobody could do it; tried {}", attempts.join("; ")))]
+    Unavailable { attempts: Vec<String> },
 }
 
-/// Why one try failed.
+/// Why one attempt failed.
 #[derive(Debug, Snafu)]
-enum Failure {
-    #[snafu(display("{source}"))]
-    Socket { source: std::io::Error },
-    #[snafu(display("no answer in time"))]
-    Late,
-    #[snafu(display("an answer that is none, {source}"))]
-    Garbled { source: ParseError },
-    #[snafu(display("closed without a whole answer"))]
-    Short,
-    #[snafu(display("an answer of too many bytes"))]
-    TooLong,
-    #[snafu(display("sent on more than {MOST_TURNS} times"))]
-    Turns,
+enum AttemptError {
+    #[snafu(transparent)]
+    Transport { source: TransportError },
+    #[snafu(display("sent on more than {MAX_REDIRECTS} times"))]
+    TooManyRedirects,
     #[snafu(display("sent on to what is no http address"))]
-    NoWay,
-    #[snafu(display("{status} {why}"))]
-    Later { status: u16, why: String },
-}
-
-struct Answer {
-    status: u16,
-    location: Option<String>,
-    body: Vec<u8>,
+    InvalidLocation,
+    #[snafu(display("{status} {reason}"))]
+    NotNow { status: u16, reason: String },
 }
 
-/// What one answer means for the call. [`verdict`] alone decides it.
-enum Verdict {
+/// What a response means for the call. [`outcome`] alone decides it.
+enum Outcome {
     Done,
-    /// The call is to be made there.
-    Turn,
+    /// The call is to be made at the response's location.
+    Redirected,
     /// Another control process may do it.
-    Next,
-    Refused,
+    Unavailable,
+    Rejected,
 }
 
-fn verdict(status: u16) -> Verdict {
+fn outcome(status: u16) -> Outcome {
     match status {
-        200..=299 => Verdict::Done,
-        307 => Verdict::Turn,
-        408 | 429 | 500..=599 => Verdict::Next,
-        _ => Verdict::Refused,
-    }
-}
-
-/// Makes a call at the first of these control desks that has an answer to it, and gives the answer's body. The
-/// system's calls may all be made again, so one whose answer got lost is simply made at the next.
-///
-/// # Errors
-/// [`Error::Refused`] where one refused it, [`Error::Nobody`] where none could do it.
-pub fn ask(desks: &[SocketAddr], method: &str, path: &str, body: &[u8]) -> Result<Vec<u8>, Error> {
-    let mut tried = Vec::new();
-    for desk in desks {
-        match ask_one(*desk, method, path, body) {
-            Ok((_, Answer { status: 200..=299, body, .. })) => return Ok(body),
-            Ok((at, answer)) => {
-                return RefusedSnafu { at, status: answer.status, why: shown(&answer.body) }.fail();
-            }
-            Err(failure) => tried.push(format!("{desk}: {failure}")),
-        }
+        200..=299 => Outcome::Done,
+        307 => Outcome::Redirected,
+        408 | 429 | 500..=599 => Outcome::Unavailable,
+        _ => Outcome::Rejected,
     }
-    NobodySnafu { tried }.fail()
 }
 
-/// One desk's final answer, and who gave it.
-fn ask_one(desk: SocketAddr, method: &str, path: &str, body: &[u8]) -> Result<(SocketAddr, Answer), Failure> {
-    let (mut at, mut path) = (desk, path.to_owned());
-    for _ in 0..=MOST_TURNS {
-        let answer = call(at, method, &path, body)?;
-        match verdict(answer.status) {
-            Verdict::Done | Verdict::Refused => return Ok((at, answer)),
-            Verdict::Next => {
-                return LaterSnafu { status: answer.status, why: shown(&answer.body) }.fail();
-            }
-            Verdict::Turn => match answer.location.as_deref().and_then(|to| place(at, to)) {
-                Some(next) => (at, path) = next,
-                None => return NoWaySnafu.fail(),
-            },
-        }
-    }
-    TurnsSnafu.fail()
-}
-
-/// Where a `Location` leads: `http://ADDRESS:PORT/path`, or a path at the same place.
-fn place(at: SocketAddr, location: &str) -> Option<(SocketAddr, String)> {
-    let fit = |path: &str| path.bytes().all(|byte| byte.is_ascii_graphic());
-    if location.starts_with('/') && !location.starts_with("//") {
-        return fit(location).then(|| (at, location.to_owned()));
-    }
-    let rest = location.strip_prefix("http://")?;
-    let (host, path) = rest.find('/').map_or((rest, "/"), |cut| rest.split_at(cut));
-    Some((host.parse().ok()?, fit(path).then(|| path.to_owned())?))
+/// Whether an evacuation starts or ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Evacuation {
+    Start,
+    End,
 }
 
-/// Time that is left to a try.
-struct Patience {
-    since: Instant,
-    moved: usize,
+/// The newest configuration, as JSON.
+pub(super) fn get_configuration(addresses: &[SocketAddr]) -> Result<Vec<u8>, Error> {
+    call_any(addresses, "GET", path::GET_CONFIGURATION, b"")
 }
 
-impl Patience {
-    fn left(&self) -> Result<Duration, Failure> {
-        let all = TRY + TRY_MIB * (self.moved >> 20) as u32;
-        all.checked_sub(self.since.elapsed()).filter(|left| !left.is_zero()).ok_or(Failure::Late)
-    }
+/// Sends a change of the configuration.
+pub(super) fn patch_configuration(addresses: &[SocketAddr], request: &[u8]) -> Result<Vec<u8>, Error> {
+    call_any(addresses, "POST", path::PATCH_CONFIGURATION, request)
 }
 
-fn socket(error: std::io::Error) -> Failure {
-    match error.kind() {
-        std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut => Failure::Late,
-        _ => Failure::Socket { source: error },
-    }
+/// The view of the membership, as JSON.
+pub(super) fn get_members(addresses: &[SocketAddr]) -> Result<Vec<u8>, Error> {
+    call_any(addresses, "GET", path::MEMBERS, b"")
 }
 
-fn call(at: SocketAddr, method: &str, path: &str, body: &[u8]) -> Result<Answer, Failure> {
-    let mut patience = Patience { since: Instant::now(), moved: 0 };
-    let mut stream = TcpStream::connect_timeout(&at, TRY).map_err(socket)?;
-    let head = format!(
-        "{method} {path} HTTP/1.1\r\nHost: {at}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\
-         Connection: close\r\n\r\n",
-        body.len()
-    );
-    // One that refuses a call by its head alone may close before the body is through: its answer is what counts.
-    let sent = send(&mut stream, head.as_bytes(), &mut patience)
-        .and_then(|()| send(&mut stream, body, &mut patience));
-    match (receive(&mut stream, &mut patience), sent) {
-        (Ok(answer), _) => Ok(answer),
-        (Err(_), Err(failure)) | (Err(failure), Ok(())) => Err(failure),
-    }
+/// Starts or ends the evacuation of a zone, whose name must be fit for a path.
+pub(super) fn evacuate(
+    addresses: &[SocketAddr],
+    evacuation: Evacuation,
+    zone: &str,
+) -> Result<Vec<u8>, Error> {
+    let verb = match evacuation {
+        Evacuation::Start => path::EVACUATE_START,
+        Evacuation::End => path::EVACUATE_END,
+    };
+    call_any(addresses, "POST", &format!("{}{verb}/{zone}", path::EVACUATE_PREFIX), b"")
 }
 
-fn send(stream: &mut TcpStream, mut bytes: &[u8], patience: &mut Patience) -> Result<(), Failure> {
-    while !bytes.is_empty() {
-        stream.set_write_timeout(Some(patience.left()?)).map_err(socket)?;
-        let piece = &bytes[..bytes.len().min(PIECE)];
-        let length = match stream.write(piece) {
-            Err(error) if error.kind() == std::io::ErrorKind::Interrupted => 0,
-            other => other.map_err(socket)?,
-        };
-        patience.moved += length;
-        bytes = &bytes[length..];
+/// Makes a call at the first of these control processes that has an answer to it, and gives the response's body. All of
+/// the API's calls are idempotent, so one whose response got lost is simply made at the next.
+///
+/// # Errors
+///
+/// [`Error::Rejected`] where one rejected it, [`Error::Unavailable`] where none could do it.
+fn call_any(addresses: &[SocketAddr], method: &str, path: &str, body: &[u8]) -> Result<Vec<u8>, Error> {
+    let mut attempts = Vec::new();
+    for address in addresses {
+        match call_following_redirects(*address, method, path, body) {
+            Ok((_, HttpResponse { status: 200..=299, body, .. })) => return Ok(body),
+            Ok((address, response)) => {
+                let reason = reason(&response);
+                return RejectedSnafu { address, status: response.status, reason }.fail();
+            }
+            Err(error) => attempts.push(format!("{address}: {error}")),
+        }
     }
-    Ok(())
+    UnavailableSnafu { attempts }.fail()
 }
 
-fn receive(stream: &mut TcpStream, patience: &mut Patience) -> Result<Answer, Failure> {
-    let (mut reader, mut input, mut piece) = (HeadReader::default(), Vec::new(), vec![0; PIECE]);
-    let mut begun: Option<(Answer, Body)> = None;
-    loop {
-        if begun.is_none() {
-            let kind = MessageKind::Answer { to_head: false };
-            if let Some((head, framing)) =
-                reader.next(kind, &mut input, MAX_HEAD_BYTES).context(GarbledSnafu)?
-            {
-                let location = head.field("location").map(|to| String::from_utf8_lossy(to).into_owned());
-                let answer = Answer { status: head.status(), location, body: Vec::new() };
-                begun = Some((answer, Body::new(framing)));
-            }
-        }
-        if let Some((answer, body)) = &mut begun {
-            let room = MOST_ANSWER - answer.body.len().min(MOST_ANSWER);
-            if body.read(&mut input, &mut answer.body, room).context(GarbledSnafu)? {
-                return Ok(begun.expect("matched above").0);
+/// The final response to a call that starts at one control process, and the address that gave it.
+fn call_following_redirects(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &[u8],
+) -> Result<(SocketAddr, HttpResponse), AttemptError> {
+    let (mut address, mut path) = (address, path.to_owned());
+    for _ in 0..=MAX_REDIRECTS {
+        let response = call(address, method, &path, body)?;
+        match outcome(response.status) {
+            Outcome::Done | Outcome::Rejected => return Ok((address, response)),
+            Outcome::Unavailable => {
+                let status = response.status;
+                return NotNowSnafu { status, reason: reason(&response) }.fail();
             }
-            if answer.body.len() >= MOST_ANSWER {
-                return TooLongSnafu.fail();
+            Outcome::Redirected => {
+                let location = response.location.as_deref();
+                (address, path) = location
+                    .and_then(|location| redirect_target(address, location))
+                    .ok_or(AttemptError::InvalidLocation)?;
             }
         }
-        stream.set_read_timeout(Some(patience.left()?)).map_err(socket)?;
-        let length = match stream.read(&mut piece) {
-            Err(error) if error.kind() == std::io::ErrorKind::Interrupted => continue,
-            other => other.map_err(socket)?,
-        };
-        if length == 0 {
-            let whole = begun.as_mut().is_some_and(|(_, body)| body.ended().is_ok());
-            return begun.filter(|_| whole).map(|(answer, _)| answer).context(ShortSnafu);
-        }
-        patience.moved += length;
-        input.extend_from_slice(&piece[..length]);
     }
+    TooManyRedirectsSnafu.fail()
+}
+
+/// Where a `Location` leads: `http://ADDRESS:PORT/path`, or a path at the same address.
+fn redirect_target(address: SocketAddr, location: &str) -> Option<(SocketAddr, String)> {
+    let is_safe = |path: &str| path.bytes().all(|byte| byte.is_ascii_graphic());
+    if location.starts_with('/') && !location.starts_with("//") {
+        return is_safe(location).then(|| (address, location.to_owned()));
+    }
+    let rest = location.strip_prefix("http://")?;
+    let (host, path) = rest.find('/').map_or((rest, "/"), |slash| rest.split_at(slash));
+    Some((host.parse().ok()?, is_safe(path).then(|| path.to_owned())?))
 }
 
-/// What another process said, for a terminal. Danger: control characters in it would play with the terminal.
-pub fn shown(bytes: &[u8]) -> String {
-    let text = String::from_utf8_lossy(bytes);
-    let text = text.trim().chars().map(|c| if c.is_control() { ' ' } else { c });
-    text.take(MOST_SHOWN).collect()
+/// What a control process said to a call that it did not do.
+fn reason(response: &HttpResponse) -> String {
+    sanitized(&response.body)
 }
--- a/crates/control-plane/src/request.rs
+++ b/crates/control-plane/src/request.rs
@@ -5,13 +5,16 @@
 use kitepass_coordination::membership::ReplicaSet;
 
 /// The paths of the operators' and directory APIs, which are their clients' contract.
-mod path {
-    pub(super) const ROUTE_LOOKUP: &str = "/v1/route-lookup";
-    pub(super) const GET_CONFIGURATION: &str = "/v1/Timetable.Get";
-    pub(super) const PATCH_CONFIGURATION: &str = "/v1/Timetable.Patch";
-    pub(super) const MEMBERS: &str = "/v1/members";
-    /// A verb and a zone follow: `Start/ZONE` or `End/ZONE`.
-    pub(super) const EVACUATE_PREFIX: &str = "/v1/Evacuate.";
+pub(crate) mod path {
+    /// The directory: which gateways a client is to use.
+    pub(crate) const ROUTE_LOOKUP: &str = "/v1/route-lookup";
+    pub(crate) const GET_CONFIGURATION: &str = "/v1/Timetable.Get";
+    pub(crate) const PATCH_CONFIGURATION: &str = "/v1/Timetable.Patch";
+    pub(crate) const MEMBERS: &str = "/v1/members";
+    /// A verb and a zone follow: `VERB/ZONE`.
+    pub(crate) const EVACUATE_PREFIX: &str = "/v1/Evacuate.";
+    pub(crate) const EVACUATE_START: &str = "Start";
+    pub(crate) const EVACUATE_END: &str = "End";
 }
 
 /// What the state machine executes: an operator's request, or one of the control plane's own.
@@ -138,8 +141,8 @@
     fn decode_evacuation(path: &str) -> Option<ApiCall> {
         let (verb, zone) = path.strip_prefix(path::EVACUATE_PREFIX)?.split_once('/')?;
         let on = match verb {
-            "Start" => true,
-            "End" => false,
+            path::EVACUATE_START => true,
+            path::EVACUATE_END => false,
             _ => return None,
         };
         let is_zone = !zone.is_empty() && !zone.contains('/');
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -1,8 +1,8 @@
 //! Sockets, disk and clock around the [`StateMachine`]: one thread, one event loop.
 //!
-//! Each module serves one kind of event: [`connection_io`] the sockets, [`api_client`], [`operator_api`] and
-//! [`directory_api`] the APIs' clients, [`peer_connections`] control processes and gateways, [`platform_client`] the
-//! platform's list of backends, [`persistence`] the disk. [`actions`] carries out what the state machine wants done.
+//! Each module serves one kind of event: `connection_io` the sockets, `api_client`, `operator_api` and `directory_api` the
+//! clients of the APIs, `peer_connections` control processes and gateways, `platform_client` the platform's list of
+//! backends, `persistence` the disk. `actions` carries out what the state machine wants done.
 
 mod actions;
 mod api_client;
--- a/crates/control-plane/src/server/platform_client.rs
+++ b/crates/control-plane/src/server/platform_client.rs
@@ -79,8 +79,8 @@
         }
         let Some((body, status)) = &mut self.begun else { return Ok(None) };
         let capacity = MAX_PAGE_BYTES - self.bytes.len().min(MAX_PAGE_BYTES);
-        let is_complete = body.read(input, &mut self.bytes, capacity)?;
-        if !is_complete && !(has_ended && body.ended().is_ok()) {
+        let is_complete = body.read(input, &mut self.bytes, capacity)? || has_ended && body.ended().is_ok();
+        if !is_complete {
             return Ok(None);
         }
         let response = PlatformResponse { status: *status, body: std::mem::take(&mut self.bytes) };
