--- a/crates/control-plane/tests/golden_commands.rs
+++ b/crates/control-plane/tests/golden_commands.rs
@@ -1,10 +1,6 @@
-//! What the operators' calls answer over HTTP and what the subcommands print, byte by byte as it was when the golden
+//! What the operators' API answers over HTTP and what the subcommands print, byte by byte as it was when the golden
 //! files were made. Log lines are not part of it.
 
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
-
 mod support;
 
 use kitepass_coordination::protocol::{Heartbeat, Hello, Message};
@@ -15,8 +11,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Instant;
-use support::cluster::{request, Cluster, Connection, PATIENCE};
-use support::command::{answer, command, outcome, stand_in, TempFile, PROGRAM};
+use support::cluster::{request, Cluster, Connection, TIMEOUT};
+use support::command::{command, http_response, mock_server, outcome, TempFile, PROGRAM};
 use support::golden::{mask_after, GoldenFiles};
 
 const GOLDEN: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/commands");
@@ -51,7 +47,7 @@
 
 /// The golden files of what a cluster answers.
 fn answered(cluster: &Cluster) -> GoldenFiles {
-    let [first, second, third] = cluster.ips;
+    let [first, second, third] = cluster.addresses;
     GoldenFiles::new(GOLDEN)
         .replace(format!("{first}:"), "{IP_0}:")
         .replace(format!("{second}:"), "{IP_1}:")
@@ -78,7 +74,7 @@
         if expected(&answer) {
             return answer;
         }
-        assert!(since.elapsed() < PATIENCE, "{what}: {answer}");
+        assert!(since.elapsed() < TIMEOUT, "{what}: {answer}");
         std::thread::yield_now();
     }
 }
@@ -132,7 +128,7 @@
 #[case::apply_no_file("apply-no-file.txt", &["apply", "nonexistent.json", "--at", NOBODY])]
 #[case::apply_not_json("apply-not-json.txt", &["apply", "not-json.json", "--at", NOBODY])]
 #[case::diff_not_valid("diff-not-valid.txt", &["diff", "bad-version.json", "--at", NOBODY])]
-fn what_a_subcommand_prints_that_hears_of_nobody(#[case] name: &str, #[case] args: &[&str]) {
+fn what_a_subcommand_prints_that_reaches_nobody(#[case] name: &str, #[case] args: &[&str]) {
     printed().assert_matches(name, &run(args));
 }
 
@@ -154,68 +150,68 @@
 const TEXT: &str = "Content-Type: text/plain\r\n";
 
 #[rstest]
-#[case::get("get.txt", &["get"], answer("200 OK", "", &input("diff.json")))]
-#[case::get_garbled("get-garbled.txt", &["get"], answer("200 OK", "", "{\"a\""))]
+#[case::get("get.txt", &["get"], http_response("200 OK", "", &input("diff.json")))]
+#[case::get_garbled("get-garbled.txt", &["get"], http_response("200 OK", "", "{\"a\""))]
 #[case::get_not_http("get-not-http.txt", &["get"], "HELLO\r\n\r\n".to_owned())]
 #[case::get_cut_short("get-cut-short.txt", &["get"], "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_owned())]
-#[case::apply("apply.txt", &["apply", "configuration.json"], answer("200 OK", "", "{}"))]
+#[case::apply("apply.txt", &["apply", "configuration.json"], http_response("200 OK", "", "{}"))]
 #[case::apply_400("apply-400.txt", &["apply", "configuration.json"],
-    answer("400 Refused", TEXT, "itineraries \"a\": line: none\u{7}"))]
-#[case::apply_409("apply-409.txt", &["apply", "configuration.json"], answer("409 Refused", TEXT, "taken"))]
-#[case::apply_413("apply-413.txt", &["apply", "configuration.json"], answer("413 Content Too Large", TEXT, "too long"))]
+    http_response("400 Refused", TEXT, "itineraries \"a\": line: none\u{7}"))]
+#[case::apply_409("apply-409.txt", &["apply", "configuration.json"], http_response("409 Refused", TEXT, "taken"))]
+#[case::apply_413("apply-413.txt", &["apply", "configuration.json"], http_response("413 Content Too Large", TEXT, "too long"))]
 #[case::apply_503("apply-503.txt", &["apply", "configuration.json"],
-    answer("503 Service Unavailable", "Retry-After: 1\r\n", "not caught up"))]
+    http_response("503 Service Unavailable", "Retry-After: 1\r\n", "not caught up"))]
 #[case::apply_redirect("apply-redirect-elsewhere.txt", &["apply", "configuration.json"],
-    answer("307 Temporary Redirect", "Location: https://elsewhere/\r\n", ""))]
-#[case::evacuate_start("evacuate-start.txt", &["evacuate", "start", "z-1"], answer("200 OK", "", "{}"))]
-#[case::evacuate_end("evacuate-end.txt", &["evacuate", "end", "z-1"], answer("200 OK", "", "{}"))]
-#[case::evacuate_404("evacuate-404.txt", &["evacuate", "end", "z-1"], answer("404 Refused", TEXT, "no such zone"))]
-#[case::members("members.txt", &["members"], answer("200 OK", "", &input("members.json")))]
-#[case::members_json("members-json.txt", &["members", "--json"], answer("200 OK", "", &input("members.json")))]
-#[case::members_isolated("members-isolated.txt", &["members"], answer("200 OK", "", &input("members-isolated.json")))]
-#[case::members_blank("members-blank.txt", &["members"], answer("200 OK", "", &input("members-blank.json")))]
+    http_response("307 Temporary Redirect", "Location: https://elsewhere/\r\n", ""))]
+#[case::evacuate_start("evacuate-start.txt", &["evacuate", "start", "z-1"], http_response("200 OK", "", "{}"))]
+#[case::evacuate_end("evacuate-end.txt", &["evacuate", "end", "z-1"], http_response("200 OK", "", "{}"))]
+#[case::evacuate_404("evacuate-404.txt", &["evacuate", "end", "z-1"], http_response("404 Refused", TEXT, "no such zone"))]
+#[case::members("members.txt", &["members"], http_response("200 OK", "", &input("members.json")))]
+#[case::members_json("members-json.txt", &["members", "--json"], http_response("200 OK", "", &input("members.json")))]
+#[case::members_isolated("members-isolated.txt", &["members"], http_response("200 OK", "", &input("members-isolated.json")))]
+#[case::members_blank("members-blank.txt", &["members"], http_response("200 OK", "", &input("members-blank.json")))]
 #[case::members_blank_json("members-blank-json.txt", &["members", "--json"],
-    answer("200 OK", "", &input("members-blank.json")))]
-#[case::members_garbled("members-garbled.txt", &["members"], answer("200 OK", "", "[1"))]
+    http_response("200 OK", "", &input("members-blank.json")))]
+#[case::members_garbled("members-garbled.txt", &["members"], http_response("200 OK", "", "[1"))]
 fn what_a_subcommand_prints_that_has_this_answer(
     #[case] name: &str,
     #[case] args: &[&str],
     #[case] answer: String,
 ) {
-    let (desk, thread) = stand_in(vec![answer]);
-    let desk = desk.to_string();
-    let printed = printed().replace(&desk, "{DESK}");
-    printed.assert_matches(name, &run(&[args, &["--at", &desk]].concat()));
+    let (address, thread) = mock_server(vec![answer]);
+    let address = address.to_string();
+    let printed = printed().replace(&address, "{DESK}");
+    printed.assert_matches(name, &run(&[args, &["--at", &address]].concat()));
     thread.join().expect("asked once");
 }
 
 #[test]
 fn what_a_subcommand_prints_that_is_redirected_in_a_circle() {
-    let redirect = answer("307 Temporary Redirect", "Location: /v1/members\r\n", "");
-    let (desk, thread) = stand_in(vec![redirect.clone(), redirect.clone(), redirect]);
-    let desk = desk.to_string();
+    let redirect = http_response("307 Temporary Redirect", "Location: /v1/members\r\n", "");
+    let (address, thread) = mock_server(vec![redirect.clone(), redirect.clone(), redirect]);
+    let address = address.to_string();
     printed()
-        .replace(&desk, "{DESK}")
-        .assert_matches("members-circle.txt", &run(&["members", "--at", &desk]));
+        .replace(&address, "{DESK}")
+        .assert_matches("members-circle.txt", &run(&["members", "--at", &address]));
     thread.join().expect("asked thrice");
 }
 
 #[test]
 fn what_a_diff_prints() {
     let call: Json = serde_json::from_str(&input("configuration.json")).expect("JSON");
-    let (desk, thread) = stand_in(vec![answer("200 OK", "", &call["deliver"].to_string())]);
-    let desk = desk.to_string();
+    let (address, thread) = mock_server(vec![http_response("200 OK", "", &call["deliver"].to_string())]);
+    let address = address.to_string();
     printed()
-        .replace(&desk, "{DESK}")
-        .assert_matches("diff.txt", &run(&["diff", "diff.json", "--at", &desk]));
+        .replace(&address, "{DESK}")
+        .assert_matches("diff.txt", &run(&["diff", "diff.json", "--at", &address]));
     thread.join().expect("asked once");
 }
 
 #[test]
 fn what_get_writes_to_a_file() {
-    let (desk, thread) = stand_in(vec![answer("200 OK", "", &input("diff.json"))]);
+    let (address, thread) = mock_server(vec![http_response("200 OK", "", &input("diff.json"))]);
     let file = TempFile::new("golden-out.json", "");
-    let printed = run(&["get", "--at", &desk.to_string(), "--out", file.path()]);
+    let printed = run(&["get", "--at", &address.to_string(), "--out", file.path()]);
     assert_eq!(printed, transcript(&(0, String::new(), String::new())));
     let written = std::fs::read_to_string(&file.0).expect("written");
     GoldenFiles::new(GOLDEN).assert_matches("get-out.json", &written);
@@ -226,8 +222,8 @@
 #[test]
 fn what_subcommands_print_at_a_cluster() {
     let cluster = Cluster::start();
-    let desk = cluster.desk.to_string();
-    let printed = printed().replace(&desk, "{DESK}");
+    let address = cluster.operator_api.to_string();
+    let printed = printed().replace(&address, "{DESK}");
     let steps: [(&str, &[&str]); 13] = [
         ("cluster-01-get-empty.txt", &["get"]),
         ("cluster-02-apply.txt", &["apply", "configuration.json"]),
@@ -244,7 +240,7 @@
         ("cluster-13-evacuate-unknown-zone.txt", &["evacuate", "start", "nowhere"]),
     ];
     for (name, args) in steps {
-        printed.assert_matches(name, &run(&[args, &["--at", &desk]].concat()));
+        printed.assert_matches(name, &run(&[args, &["--at", &address]].concat()));
     }
 }
 
@@ -332,17 +328,17 @@
             is_serving: true,
             ..Hello::default()
         };
-        let mut connection = Connection::to(cluster.siding);
-        connection.send_word(Message::Hello(hello.clone())).expect("written");
-        GatewaySession { connection, address: cluster.siding, hello, ready }
+        let mut connection = Connection::to(cluster.peer_listener);
+        connection.send_message(Message::Hello(hello.clone())).expect("written");
+        GatewaySession { connection, address: cluster.peer_listener, hello, ready }
     }
 
-    /// Where this test stood still for so long that the session was given up, it comes anew.
+    /// Where this test was suspended for so long that the session was given up, it reconnects.
     fn heartbeat(&mut self) {
         let heartbeat = Message::Heartbeat(Heartbeat { is_ready: self.ready, ..Heartbeat::default() });
-        if self.connection.send_word(heartbeat).is_err() {
+        if self.connection.send_message(heartbeat).is_err() {
             self.connection = Connection::to(self.address);
-            let _ = self.connection.send_word(Message::Hello(self.hello.clone()));
+            let _ = self.connection.send_message(Message::Hello(self.hello.clone()));
             // the next heartbeat tells
         }
     }
@@ -384,7 +380,7 @@
     for (name, method, path, addresses) in lookups {
         let lookup = || {
             gateways.iter_mut().for_each(GatewaySession::heartbeat);
-            raw(&mut Connection::to(cluster.directory), request(method, path, ""))
+            raw(&mut Connection::to(cluster.directory_api), request(method, path, ""))
         };
         let is_complete = |answer: &str| answer.matches(":80\"").count() == addresses;
         golden.assert_matches(name, &until(name, lookup, is_complete));
@@ -406,14 +402,14 @@
     for (name, method, path, body) in steps {
         golden.assert_matches(name, &call(&cluster, method, path, &body));
     }
-    let desk = cluster.desk.to_string();
-    let printed = printed().replace(&desk, "{DESK}");
+    let address = cluster.operator_api.to_string();
+    let printed = printed().replace(&address, "{DESK}");
     for (name, args) in [
         ("blank-get.txt", ["get"].as_slice()),
         ("blank-members.txt", &["members"]),
         ("blank-members-json.txt", &["members", "--json"]),
     ] {
-        printed.assert_matches(name, &run(&[args, &["--at", &desk]].concat()));
+        printed.assert_matches(name, &run(&[args, &["--at", &address]].concat()));
     }
 }
 
@@ -422,10 +418,10 @@
 fn what_a_process_answers_that_knows_who_is_in_contact() {
     let cluster = Cluster::start_alone();
     let golden = answered(&cluster);
-    let mut peer = Connection::to(cluster.siding);
+    let mut peer = Connection::to(cluster.peer_listener);
     let hello = Hello {
         node_id: "s1".into(),
-        address: cluster.ips[1].to_string(),
+        address: cluster.addresses[1].to_string(),
         zone: "d1".into(),
         region: "p".into(),
         incarnation: 7,
@@ -435,11 +431,11 @@
         replica_id: 9,
         ..Hello::default()
     };
-    peer.send_word(Message::Hello(hello)).expect("written");
+    peer.send_message(Message::Hello(hello)).expect("written");
     let mut redirected = |name: &str, text: String| {
         let redirected = || {
             let heartbeat = Heartbeat { is_serving: true, is_complete: true, ..Heartbeat::default() };
-            peer.send_word(Message::Heartbeat(heartbeat)).expect("written");
+            peer.send_message(Message::Heartbeat(heartbeat)).expect("written");
             raw(&mut cluster.connect(), &text)
         };
         golden.assert_matches(name, &until(name, redirected, |answer| answer.contains(" 307 ")));
--- a/crates/control-plane/tests/large_changes.rs
+++ b/crates/control-plane/tests/large_changes.rs
@@ -1,9 +1,5 @@
-//! Three control processes on this machine's own addresses, and calls of many MiB to their desks: what is within the
-//! stated limit is confirmed and read back, what is beyond it is refused before anything of it is kept.
-
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
+//! Three control processes on loopback addresses of their own, and changes of many MiB: what is within the stated limit is
+//! committed and read back, what is beyond it is rejected before anything of it is kept.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
@@ -12,58 +8,58 @@
 use std::time::{Duration, Instant};
 
 const MIB: usize = 1024 * 1024;
-/// Longer than any answer here may take, the longest call in a debug build on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Longer than any response here may take: the longest change in a debug build on a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-struct StateMachine {
-    folder: PathBuf,
+struct Cluster {
+    dir: PathBuf,
     processes: Vec<Child>,
-    desks: Vec<SocketAddr>,
+    operator_apis: Vec<SocketAddr>,
 }
 
-impl Drop for StateMachine {
+impl Drop for Cluster {
     fn drop(&mut self) {
         for process in &mut self.processes {
             let _ = process.kill();
             let _ = process.wait();
         }
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
 
-impl StateMachine {
-    /// Starts three, and waits until all of them have caught up.
-    fn start() -> StateMachine {
+impl Cluster {
+    /// Starts three processes, and waits until all of them serve.
+    fn start() -> Cluster {
         let [.., high, low] = std::process::id().to_be_bytes();
-        let ips = [1, 2, 3].map(|n| Ipv4Addr::new(127, high | 64, low, n));
-        let folder = std::env::temp_dir().join(format!("accord-large-{}", std::process::id()));
-        let first: Vec<String> = ips.iter().map(|address| format!("\"{address}:7101\"")).collect();
-        let mut core = StateMachine { folder: folder.clone(), processes: Vec::new(), desks: Vec::new() };
-        for (n, address) in ips.into_iter().enumerate() {
-            let own = folder.join(format!("s{n}"));
-            std::fs::create_dir_all(&own).expect("a folder");
-            let file = folder.join(format!("s{n}.toml"));
+        let addresses = [1, 2, 3].map(|n| Ipv4Addr::new(127, high | 64, low, n));
+        let dir = std::env::temp_dir().join(format!("kitepass-large-changes-{}", std::process::id()));
+        let bootstrap: Vec<String> = addresses.iter().map(|address| format!("\"{address}:7101\"")).collect();
+        let mut cluster = Cluster { dir: dir.clone(), processes: Vec::new(), operator_apis: Vec::new() };
+        for (n, address) in addresses.into_iter().enumerate() {
+            let data_dir = dir.join(format!("s{n}"));
+            std::fs::create_dir_all(&data_dir).expect("a directory");
+            let file = dir.join(format!("s{n}.toml"));
             let text = format!(
                 "station = \"s{n}\"\nip = \"{address}\"\ndistrict = \"d{n}\"\nprovince = \"p{n}\"\nsidings = [7100, 7110]\n\
-                 first-stops = [{}]\nmaiden-run = true\non-roll = true\narchive-dir = {own:?}\n\
+                 first-stops = [{}]\nmaiden-run = true\non-roll = true\narchive-dir = {data_dir:?}\n\
                  [counters]\ncontrol-desk = \"{address}:7101\"\n",
-                first.join(", ")
+                bootstrap.join(", ")
             );
             std::fs::write(&file, text).expect("a file");
             let mut command = Command::new(env!("CARGO_BIN_EXE_kitepass-control-plane"));
             let command = command.arg("serve").arg("--settings").arg(&file).stderr(Stdio::null());
-            core.processes.push(command.spawn().expect("the program starts"));
-            core.desks.push(SocketAddr::new(address.into(), 7101));
+            cluster.processes.push(command.spawn().expect("the program starts"));
+            cluster.operator_apis.push(SocketAddr::new(address.into(), 7101));
         }
         let since = Instant::now();
-        while !core.desks.iter().all(|desk| {
-            TcpStream::connect(desk).is_ok()
-                && ask(*desk, "GET", "/v1/Timetable.Get", Body::Sized(&[])).0 == 200
+        while !cluster.operator_apis.iter().all(|address| {
+            TcpStream::connect(address).is_ok()
+                && exchange(*address, "GET", "/v1/Timetable.Get", Body::Sized(&[])).0 == 200
         }) {
-            assert!(since.elapsed() < PATIENCE, "no core is founded");
+            assert!(since.elapsed() < TIMEOUT, "no control plane is formed");
             std::thread::yield_now();
         }
-        core
+        cluster
     }
 }
 
@@ -74,10 +70,10 @@
     Chunked(&'a [u8]),
 }
 
-/// A call's status and the answer's body. What cannot be written any more once the answer is there is let go.
-fn ask(desk: SocketAddr, method: &str, path: &str, body: Body) -> (u16, String) {
-    let mut stream = TcpStream::connect(desk).expect("a desk");
-    stream.set_read_timeout(Some(PATIENCE)).expect("an option");
+/// The status and the body of the response. Once it is there, failures to send the rest of the request are ignored.
+fn exchange(address: SocketAddr, method: &str, path: &str, body: Body) -> (u16, String) {
+    let mut stream = TcpStream::connect(address).expect("a connection");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("an option");
     let framing = match &body {
         Body::Sized(bytes) => format!("Content-Length: {}", bytes.len()),
         Body::Claimed(length) => format!("Content-Length: {length}"),
@@ -89,8 +85,8 @@
         Body::Sized(bytes) => _ = stream.write_all(bytes),
         Body::Claimed(_) => {}
         Body::Chunked(bytes) => {
-            for piece in bytes.chunks(100_000) {
-                let framed = [format!("{:x}\r\n", piece.len()).as_bytes(), piece, b"\r\n"].concat();
+            for chunk in bytes.chunks(100_000) {
+                let framed = [format!("{:x}\r\n", chunk.len()).as_bytes(), chunk, b"\r\n"].concat();
                 if stream.write_all(&framed).is_err() {
                     break;
                 }
@@ -117,27 +113,29 @@
         entries.push(entry);
     }
     let headings = r#"["name","permits","class-of-mail","rate-per-s","surge","edition"]"#;
-    let call = format!(
+    let request = format!(
         r#"{{"deliver":{{"customers":{{"headings":{headings},"entries":[{}]}}}}}}"#,
         entries.join(",")
     );
-    assert!(call.len() <= bytes && call.len() + 30_000 > bytes);
-    call.into_bytes()
+    assert!(request.len() <= bytes && request.len() + 30_000 > bytes);
+    request.into_bytes()
 }
 
 #[test]
-fn calls_within_the_limit_are_confirmed_and_those_beyond_it_refused_at_once() {
-    let core = StateMachine::start();
-    let patch = |desk: usize, body: Body| ask(core.desks[desk], "POST", "/v1/Timetable.Patch", body);
+fn changes_within_the_limit_are_committed_and_those_beyond_it_rejected_at_once() {
+    let cluster = Cluster::start();
+    let patch = |process: usize, body: Body| {
+        exchange(cluster.operator_apis[process], "POST", "/v1/Timetable.Patch", body)
+    };
     let (nine, fourteen) = (change("nine", 1, 9 * MIB), change("fourteen", 1, 14 * MIB));
     assert_eq!(patch(0, Body::Sized(&nine)).0, 200, "9 MiB");
     assert_eq!(patch(1, Body::Chunked(&fourteen)).0, 200, "14 MiB");
-    // By its length alone, before any byte of the body; without one once it has passed the limit.
+    // By its stated length alone, before any byte of the body; without one, once it has passed the limit.
     let beyond = change("beyond", 1, 17 * MIB);
     assert_eq!(patch(2, Body::Claimed(16 * MIB + 1)).0, 413);
-    assert_eq!(patch(2, Body::Sized(&beyond)).0, 413, "17 MiB, told");
+    assert_eq!(patch(2, Body::Sized(&beyond)).0, 413, "17 MiB, sized");
     assert_eq!(patch(2, Body::Chunked(&beyond)).0, 413, "17 MiB, in chunks");
-    let (status, standing) = ask(core.desks[2], "GET", "/v1/Timetable.Get", Body::Sized(&[]));
+    let (status, standing) = exchange(cluster.operator_apis[2], "GET", "/v1/Timetable.Get", Body::Sized(&[]));
     let has = |name: &str| standing.contains(&format!("\"{name}-0\""));
     assert_eq!((status, has("nine"), has("fourteen"), has("beyond")), (200, true, true, false));
 }
--- a/crates/control-plane/tests/operator_api.rs
+++ b/crates/control-plane/tests/operator_api.rs
@@ -1,9 +1,5 @@
-//! Control processes on addresses of this machine's own: callers at its desk, one after the other and one
-//! behind the other, gone before the answer, waiting for a word; and a gateway that comes anew.
-
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
+//! A cluster of control processes on this machine: clients of the operators' API that pipeline requests, disconnect
+//! before the response or expect `100 Continue`; and a gateway that reconnects.
 
 mod support;
 
@@ -11,7 +7,7 @@
 use std::io::Write;
 use std::net::Shutdown;
 use std::time::Instant;
-use support::cluster::{request, Cluster, Connection, PATIENCE};
+use support::cluster::{request, Cluster, Connection, TIMEOUT};
 
 /// A change of one service.
 fn change(name: &str, version: u64) -> String {
@@ -26,81 +22,84 @@
 }
 
 #[test]
-fn calls_that_come_one_behind_the_other_are_answered_in_their_order() {
+fn pipelined_requests_are_answered_in_order() {
     let cluster = Cluster::start();
-    let mut all = String::new();
+    let mut requests = String::new();
     let mut expected: Vec<(u16, String)> = Vec::new();
     for n in 1..=20 {
-        all += &patch("a", n);
+        requests += &patch("a", n);
         expected.push((200, "{}".into()));
-        all += &request("GET", "Timetable.Get", "");
+        requests += &request("GET", "Timetable.Get", "");
         expected.push((200, format!("\"r{n}\"")));
-        all += &request("POST", "Timetable.Patch", "{");
+        requests += &request("POST", "Timetable.Patch", "{");
         expected.push((400, String::new()));
-        all += &request("POST", "Evacuate.Start/nowhere", "");
+        requests += &request("POST", "Evacuate.Start/nowhere", "");
         expected.push((404, "no such zone".into()));
-        all += &request("GET", &format!("nothing/{n}"), "");
+        requests += &request("GET", &format!("nothing/{n}"), "");
         expected.push((404, "no such call".into()));
-        all += &request("POST", if n % 2 == 0 { "Evacuate.End/d1" } else { "Evacuate.Start/d1" }, "");
+        requests += &request("POST", if n % 2 == 0 { "Evacuate.End/d1" } else { "Evacuate.Start/d1" }, "");
         expected.push((200, "{}".into()));
     }
-    let mut line = cluster.connect();
-    // The last bytes of a call come with the first of the next, or by themselves.
-    for piece in all.as_bytes().chunks(1_237) {
-        line.stream.write_all(piece).expect("written");
+    let mut connection = cluster.connect();
+    // The last bytes of a request come with the first of the next, or by themselves.
+    for chunk in requests.as_bytes().chunks(1_237) {
+        connection.stream.write_all(chunk).expect("written");
     }
-    for (n, (status, part)) in expected.into_iter().enumerate() {
-        let answer = line.receive();
-        assert!(answer.0 == status && answer.1.contains(&part), "{n}: {answer:?}, not {status} {part:?}");
+    for (n, (status, content)) in expected.into_iter().enumerate() {
+        let answer = connection.receive();
+        assert!(
+            answer.0 == status && answer.1.contains(&content),
+            "{n}: {answer:?}, not {status} {content:?}"
+        );
     }
-    assert!(line.input.is_empty());
+    assert!(connection.input.is_empty());
 }
 
-/// Callers end or break their connections with an order under way; whoever comes next gets its own answer, once. What
-/// was ordered is in force whole or not at all.
+/// Clients close or reset their connections with a request in flight; the next client gets its own response, once. The
+/// change takes effect as a whole or not at all.
 #[test]
-fn an_answer_to_a_caller_that_is_gone_reaches_nobody() {
+fn a_response_to_a_disconnected_client_reaches_nobody_else() {
     let cluster = Cluster::start();
     for n in 1..=40 {
-        let mut gone = cluster.connect();
-        gone.send(&patch("gone", n));
-        let mut next = cluster.connect();
+        let mut disconnected = cluster.connect();
+        disconnected.send(&patch("gone", n));
+        let mut other = cluster.connect();
         if n % 2 == 0 {
-            gone.reset();
+            disconnected.reset();
         } else {
-            drop(gone);
+            drop(disconnected);
         }
         let name = format!("own{n}");
-        assert_eq!(next.call("POST", "Timetable.Patch", &change(&name, 1)), (200, "{}".into()));
-        let (status, standing) = next.call("GET", "Timetable.Get", "");
+        assert_eq!(other.call("POST", "Timetable.Patch", &change(&name, 1)), (200, "{}".into()));
+        let (status, standing) = other.call("GET", "Timetable.Get", "");
         assert!(status == 200 && standing.contains(&format!("\"{name}\"")), "{standing}");
-        assert!(next.input.is_empty());
+        assert!(other.input.is_empty());
     }
     // Sent again, to be told for certain.
     assert_eq!(cluster.connect().call("POST", "Timetable.Patch", &change("gone", 40)).0, 200);
 }
 
 #[test]
-fn a_caller_that_has_said_all_is_answered_and_its_connection_ends() {
+fn a_client_that_has_ended_its_sending_is_answered_and_disconnected() {
     let cluster = Cluster::start();
-    let mut line = cluster.connect();
-    line.send(&(patch("a", 1) + &request("GET", "Timetable.Get", "")));
-    line.stream.shutdown(Shutdown::Write).expect("ended");
-    assert_eq!(line.receive(), (200, "{}".into()));
-    assert!(line.receive().1.contains("\"r1\""));
-    assert!(line.ends());
-    // A call that is not whole by then is none.
-    let mut line = cluster.connect();
-    line.send(&patch("a", 2)[..60]);
-    line.stream.shutdown(Shutdown::Write).expect("ended");
-    assert!(line.ends());
+    let mut connection = cluster.connect();
+    connection.send(&(patch("a", 1) + &request("GET", "Timetable.Get", "")));
+    connection.stream.shutdown(Shutdown::Write).expect("ended");
+    assert_eq!(connection.receive(), (200, "{}".into()));
+    assert!(connection.receive().1.contains("\"r1\""));
+    assert!(connection.ends());
+    // A request that is incomplete by then is not executed.
+    let mut connection = cluster.connect();
+    connection.send(&patch("a", 2)[..60]);
+    connection.stream.shutdown(Shutdown::Write).expect("ended");
+    assert!(connection.ends());
     assert!(cluster.connect().call("GET", "Timetable.Get", "").1.contains("\"r1\""));
 }
 
 #[test]
-fn a_caller_that_waits_for_a_word_gets_it_before_its_answer() {
+fn a_client_that_expects_100_continue_gets_it_before_the_response() {
     let cluster = Cluster::start();
-    let mut line = cluster.connect();
+    let mut connection = cluster.connect();
     let body = change("a", 1);
     let head = |length: usize| {
         format!(
@@ -108,23 +107,23 @@
         )
     };
     for _ in 0..2 {
-        line.send(&head(body.len()));
-        assert_eq!(line.receive().0, 100);
-        assert_eq!(line.send(&body).receive(), (200, "{}".into()));
+        connection.send(&head(body.len()));
+        assert_eq!(connection.receive().0, 100);
+        assert_eq!(connection.send(&body).receive(), (200, "{}".into()));
     }
-    // Behind an order that is under way: its word comes behind the other's answer.
-    line.send(&(patch("a", 2) + &head(body.len())));
-    assert_eq!((line.receive().0, line.receive().0), (200, 100));
-    assert_eq!(line.send(&body).receive().0, 200);
-    // One that is too long is told so instead.
-    line.send(&head(17 << 20));
-    assert_eq!(line.receive().0, 413);
-    assert!(line.ends());
+    // Behind a request in flight: its `100 Continue` comes after the other's response.
+    connection.send(&(patch("a", 2) + &head(body.len())));
+    assert_eq!((connection.receive().0, connection.receive().0), (200, 100));
+    assert_eq!(connection.send(&body).receive().0, 200);
+    // One that is too long is rejected instead.
+    connection.send(&head(17 << 20));
+    assert_eq!(connection.receive().0, 413);
+    assert!(connection.ends());
 }
 
-/// A gateway's connection is lost, and it comes anew before that is noticed: what it asks for is answered there.
+/// A gateway's connection is lost, and it reconnects before that is noticed: its request is answered on the new one.
 #[test]
-fn the_counts_answer_goes_to_the_newest_connection_of_the_life_that_asked() {
+fn usage_totals_go_to_the_newest_connection_of_the_incarnation() {
     let cluster = Cluster::start();
     let hello = Hello {
         node_id: "g".into(),
@@ -132,24 +131,24 @@
         client_address: "127.0.0.1:1".into(),
         ..Hello::default()
     };
-    let mut lines = [Connection::to(cluster.siding), Connection::to(cluster.siding)];
+    let mut connections = [Connection::to(cluster.peer_listener), Connection::to(cluster.peer_listener)];
     let mut assemblers = [Assembler::default(), Assembler::default()];
-    let mut next = |line: &mut Connection, n: usize| loop {
+    let mut next = |connection: &mut Connection, n: usize| loop {
         let mut at = 0;
-        let message = assemblers[n].next(&line.input, &mut at).expect("words");
-        line.input.drain(..at);
+        let message = assemblers[n].next(&connection.input, &mut at).expect("a message");
+        connection.input.drain(..at);
         if let Some(message) = message {
             return message;
         }
-        assert!(line.fill(), "it ended");
+        assert!(connection.fill(), "it ended");
     };
-    for (n, line) in lines.iter_mut().enumerate() {
-        line.send_word(Message::Hello(hello.clone())).expect("written");
+    for (n, connection) in connections.iter_mut().enumerate() {
+        connection.send_message(Message::Hello(hello.clone())).expect("written");
         // It is a session by then.
-        while !matches!(next(line, n), Message::MembershipUpdate(_)) {}
+        while !matches!(next(connection, n), Message::MembershipUpdate(_)) {}
     }
-    let [old, new] = &mut lines;
-    let ask = |request_id| {
+    let [old, new] = &mut connections;
+    let report = |request_id| {
         Message::UsageReport(UsageReport {
             request_id,
             node_id: "g".into(),
@@ -159,23 +158,23 @@
     };
     let since = Instant::now();
     let mut request_id = 0;
-    // Until it does the duty it answers nothing.
-    let answer: UsageTotals = 'answer: loop {
-        assert!(since.elapsed() < PATIENCE, "no answer");
+    // A process that is not the coordinator does not answer.
+    let totals: UsageTotals = 'totals: loop {
+        assert!(since.elapsed() < TIMEOUT, "no answer");
         request_id += 1;
-        new.send_word(ask(request_id)).expect("written");
-        old.send_word(Message::Heartbeat(Heartbeat::default())).expect("written");
+        new.send_message(report(request_id)).expect("written");
+        old.send_message(Message::Heartbeat(Heartbeat::default())).expect("written");
         loop {
             match next(new, 1) {
-                Message::UsageTotals(totals) => break 'answer totals,
+                Message::UsageTotals(totals) => break 'totals totals,
                 Message::Heartbeat(_) => break,
                 _ => {}
             }
         }
     };
     assert!(
-        answer.request_id <= request_id && answer.incarnation == 7 && answer.node_id == "g",
-        "{answer:?}"
+        totals.request_id <= request_id && totals.incarnation == 7 && totals.node_id == "g",
+        "{totals:?}"
     );
     while !matches!(next(old, 0), Message::Heartbeat(_)) {}
     loop {
--- a/crates/control-plane/tests/support/golden.rs
+++ b/crates/control-plane/tests/support/golden.rs
@@ -4,25 +4,25 @@
 use std::path::PathBuf;
 
 /// A folder of golden files, and the placeholders for what differs from run to run.
-pub struct GoldenFiles {
+pub(crate) struct GoldenFiles {
     folder: PathBuf,
     placeholders: Vec<(String, &'static str)>,
 }
 
 impl GoldenFiles {
-    pub fn new(folder: &str) -> GoldenFiles {
+    pub(crate) fn new(folder: &str) -> GoldenFiles {
         GoldenFiles { folder: folder.into(), placeholders: Vec::new() }
     }
 
     /// From now on a placeholder stands for this text. Those that were added first are replaced first.
-    pub fn replace(mut self, text: impl ToString, placeholder: &'static str) -> GoldenFiles {
+    pub(crate) fn replace(mut self, text: impl ToString, placeholder: &'static str) -> GoldenFiles {
         self.placeholders.push((text.to_string(), placeholder));
         self
     }
 
     /// Compares a text with the golden file of this name.
     #[track_caller]
-    pub fn assert_matches(&self, name: &str, text: &str) {
+    pub(crate) fn assert_matches(&self, name: &str, text: &str) {
         let path = self.folder.join(name);
         let mut actual = text.to_owned();
         for (text, placeholder) in &self.placeholders {
@@ -41,7 +41,7 @@
 
 /// A text in which a placeholder stands for whatever follows each occurrence of a prefix, up to one of these end
 /// characters.
-pub fn mask_after(text: &str, prefix: &str, ends: &[char], placeholder: &str) -> String {
+pub(crate) fn mask_after(text: &str, prefix: &str, ends: &[char], placeholder: &str) -> String {
     let mut parts = text.split(prefix);
     let mut masked = parts.next().unwrap_or_default().to_owned();
     for part in parts {
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! What the tests of the program share.
 #![allow(dead_code)] // each test file uses its part
 
-pub mod cluster;
-pub mod command;
-pub mod golden;
+pub(crate) mod cluster;
+pub(crate) mod command;
+pub(crate) mod golden;
