--- a/crates/control-plane/src/request.rs
+++ b/crates/control-plane/src/request.rs
@@ -60,10 +60,10 @@
             Request::Patch(_) => "patch",
             Request::Evacuate { on: true, .. } => "evacuate-start",
             Request::Evacuate { on: false, .. } => "evacuate-end",
-            Request::Settle(_) => "complete-proposal",
-            Request::Survey => "read-quorum",
+            Request::Settle(_) => "resolve-proposal",
+            Request::Survey => "read-majority",
             Request::Next(_) => "propose-replica-set",
-            Request::Fill(_) => "fill-replica-set",
+            Request::Fill(_) => "prepare-activation",
             Request::Now(_) => "activate-replica-set",
         }
     }
--- a/crates/control-plane/src/server/connection_io.rs
+++ b/crates/control-plane/src/server/connection_io.rs
@@ -31,7 +31,7 @@
             match poller::accept(socket) {
                 Ok(Some(socket)) => self.add_accepted(listener, socket),
                 Ok(None) => return,
-                Err(error) => return warn!("event=accept-failed reason={}", cause(error)),
+                Err(error) => return warn!("event=accept-failed why={}", cause(error)),
             }
         }
     }
@@ -148,7 +148,7 @@
         match connection.role {
             Role::GatewaySession => self.state_machine.session_closed(now, id.0, reason.name()),
             Role::OutgoingPeer { address } => {
-                debug!("event=peer-connection-lost address={address} reason={}", reason.name());
+                debug!("event=peer-connection-lost address={address} why={}", reason.name());
                 self.peers.forget_connection(&address);
             }
             Role::Platform(_) => self.platform.forget_connection(),
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -218,7 +218,7 @@
             self.begin_shutdown_if_requested(now, &mut times);
             self.perform_actions();
             if self.has_shut_down(now, &times) {
-                info!("event=stopped");
+                info!("event=end");
                 return Ok(());
             }
         }
@@ -278,17 +278,17 @@
         match self.settings_watch.changed() {
             Some(Ok(settings)) if settings == self.settings => {}
             Some(Ok(settings)) => {
-                info!("event=settings-reloaded");
+                info!("event=settings");
                 self.settings = settings;
             }
-            Some(Err(error)) => error!("event=settings-rejected reason={:?}", error.to_string()),
+            Some(Err(error)) => error!("event=settings-rejected why={:?}", error.to_string()),
             None => {}
         }
     }
 
     fn begin_shutdown_if_requested(&mut self, now: Timestamp, times: &mut LoopTimes) {
         if times.shutdown_started.is_none() && self.signals.ends() {
-            info!("event=shutting-down");
+            info!("event=leaving");
             self.state_machine.shut_down(now);
             times.shutdown_started = Some(now);
         }
--- a/crates/control-plane/src/server/operator_api.rs
+++ b/crates/control-plane/src/server/operator_api.rs
@@ -31,7 +31,7 @@
             Ok(request) if request.bytes() > MAX_ITEM_BYTES => self.reject_too_long(id),
             Ok(request) => self.submit(now, id, request),
             Err(reason) => {
-                info!("event=request-invalid reason={reason:?}");
+                info!("event=request-invalid why={reason:?}");
                 self.respond(id, &HttpResponse::text(400, reason));
             }
         }
--- a/crates/control-plane/src/server/peer_connections.rs
+++ b/crates/control-plane/src/server/peer_connections.rs
@@ -83,7 +83,7 @@
             match connection.assembler.next(&input, &mut offset) {
                 Ok(Some(message)) => self.handle_message(now, id, message),
                 Err(error) => {
-                    warn!("event=malformed-message reason={:?}", error.to_string());
+                    warn!("event=malformed-message why={:?}", error.to_string());
                     return Err(CloseReason::Malformed);
                 }
                 Ok(None) => {
@@ -150,7 +150,7 @@
         let opened = self.connections.open(&self.poller, &target, role, now);
         let id = match opened {
             Ok(id) => id,
-            Err(error) => return warn!("event=connect-failed address={address} reason={}", cause(error)),
+            Err(error) => return warn!("event=connect-failed address={address} why={}", cause(error)),
         };
         if let Some(connection) = self.connections.get_mut(id) {
             let hello = Message::Hello(self.state_machine.hello());
--- a/crates/control-plane/src/server/platform_client.rs
+++ b/crates/control-plane/src/server/platform_client.rs
@@ -104,7 +104,7 @@
                 Ok(id) => self.platform.connection = Some(id),
                 Err(error) => {
                     self.platform.reading = None;
-                    return warn!("event=platform-connect-failed reason={}", cause(error));
+                    return warn!("event=platform-connect-failed why={}", cause(error));
                 }
             }
         }
