--- a/crates/control-plane/tests/support/golden.rs
+++ b/crates/control-plane/tests/support/golden.rs
@@ -3,15 +3,15 @@
 
 use std::path::PathBuf;
 
-/// A folder of golden files, and the placeholders for what differs from run to run.
+/// A directory of golden files, and the placeholders for what differs from run to run.
 pub(crate) struct GoldenFiles {
-    folder: PathBuf,
+    dir: PathBuf,
     placeholders: Vec<(String, &'static str)>,
 }
 
 impl GoldenFiles {
-    pub(crate) fn new(folder: &str) -> GoldenFiles {
-        GoldenFiles { folder: folder.into(), placeholders: Vec::new() }
+    pub(crate) fn new(dir: &str) -> GoldenFiles {
+        GoldenFiles { dir: dir.into(), placeholders: Vec::new() }
     }
 
     /// From now on a placeholder stands for this text. Those that were added first are replaced first.
@@ -23,7 +23,7 @@
     /// Compares a text with the golden file of this name.
     #[track_caller]
     pub(crate) fn assert_matches(&self, name: &str, text: &str) {
-        let path = self.folder.join(name);
+        let path = self.dir.join(name);
         let mut actual = text.to_owned();
         for (text, placeholder) in &self.placeholders {
             actual = actual.replace(text, placeholder);
