--- a/crates/data-plane/examples/tables.rs
+++ b/crates/data-plane/examples/tables.rs
@@ -1,6 +1,6 @@
 //! What the data plane's tables cost as the system grows: `cargo run --release -p kitepass-course --example tables`.
 //!
-//! The true [`ControlSession`], [`RoutingTable`], [`Pick`] and [`Quota`] at three sizes, each in a process of its own so that memory is
+//! The true [`ControlSession`], [`RoutingTable`], [`LoadBalancer`] and [`Quota`] at three sizes, each in a process of its own so that memory is
 //! told apart: microseconds a call, and resident memory. docs/CAPACITY.md uses what it prints.
 
 // Until the issue "Readable code 2" has reached this crate.
@@ -11,7 +11,7 @@
 use kitepass_coordination::protocol::*;
 use kitepass_coordination::usage::{QuotaTolerance, RateLimit};
 use kitepass_data_plane::control_session::{ControlSession, SessionUpdates};
-use kitepass_data_plane::load_balancer::{End, Need, Pick};
+use kitepass_data_plane::load_balancer::{AttemptOutcome, LoadBalancer, SelectionRequest};
 use kitepass_data_plane::quota::{Quota, Verdict};
 use kitepass_time::{Duration, Timestamp};
 use serde_json::json;
@@ -124,7 +124,7 @@
 struct Tables {
     link: ControlSession,
     view: RoutingTable,
-    pick: Pick,
+    pick: LoadBalancer,
     quota: Quota,
 }
 
@@ -246,10 +246,12 @@
         mark(0);
         let view = RoutingTable::build(&link.item_store);
         mark(1);
-        let mut pick = Pick::new(7, "counter-a1-0", "a1", &regions());
-        brought.items.iter().for_each(|item| pick.learn(at(1), item));
-        pick.live(node_ids(size[0]));
-        pick.cold_rates(view.services.values().map(|line| (line.name.clone(), line.slow_start_rate)));
+        let mut pick = LoadBalancer::new(7, "counter-a1-0", "a1", &regions());
+        brought.items.iter().for_each(|item| pick.update_backend(at(1), item));
+        pick.set_live_gateways(node_ids(size[0]));
+        pick.set_slow_start_rates(
+            view.services.values().map(|line| (line.name.clone(), line.slow_start_rate)),
+        );
         mark(2);
         let mut quota = Quota::new(at(0), 7, tolerance);
         quota.live(size[0]);
@@ -282,9 +284,9 @@
         ..Heartbeat::default()
     }));
     time("Link::said, a beat", 1_000, |_| drop(hear(&mut link, at(2), &beat)));
-    time("Link::said, the living, and Pick::live", 100, |_| {
+    time("Link::said, the living, and LoadBalancer::live", 100, |_| {
         let brought = hear(&mut link, at(2), &live);
-        pick.live(brought.live.expect("told").1);
+        pick.set_live_gateways(brought.live.expect("told").1);
     });
     time("Ledger::digest", 1_000, |_| {
         std::hint::black_box(link.item_store.digest());
@@ -328,9 +330,9 @@
         });
     }
     let frames: Vec<Vec<u8>> = (0..7 * 20).map(|n| news(Kind::Backend, n)).collect();
-    time("Link::said and Pick::learn, one backend", 20, |n| {
+    time("Link::said and LoadBalancer::learn, one backend", 20, |n| {
         let brought = hear(&mut link, at(2), &frames[n]);
-        brought.items.iter().for_each(|item| pick.learn(at(2), item));
+        brought.items.iter().for_each(|item| pick.update_backend(at(2), item));
     });
     time("View::of, all anew", 1, |_| view = RoutingTable::build(&link.item_store));
 
@@ -346,22 +348,27 @@
         now += i64::from(n % REQUESTS == 0) * 10;
         draw(&mut quota, &mut link, at(now), &names[n * 7 % names.len()]);
     });
-    let pick_of = |what: &str, pick: &mut Pick, line: usize| {
+    let pick_of = |what: &str, pick: &mut LoadBalancer, line: usize| {
         let line = line_name(line);
-        let need = Need { line: &line, homes: [&[], &[]], had: &[], rests: &|_| false };
+        let need = SelectionRequest {
+            service: &line,
+            allowed_regions: [&[], &[]],
+            tried_backends: &[],
+            has_idle_connection: &|_| false,
+        };
         time(what, 1_000, |n| {
             let now = at(50_000 + n as i64);
-            if let Some(call_sign) = pick.pick(now, &need) {
-                pick.ended(now, &call_sign, End::Settled, Duration::from_micros(90_000));
+            if let Some(call_sign) = pick.select(now, &need) {
+                pick.attempt_ended(now, &call_sign, AttemptOutcome::Completed, Duration::from_micros(90_000));
             }
         });
     };
-    pick_of("Pick::pick, a service with a hundredth of the backends", &mut pick, 7);
-    pick_of("Pick::pick, the service with a tenth of the backends", &mut pick, 0);
+    pick_of("LoadBalancer::pick, a service with a hundredth of the backends", &mut pick, 7);
+    pick_of("LoadBalancer::pick, the service with a tenth of the backends", &mut pick, 0);
     // All of a large service come back cold: who may send to each is reckoned anew at each pick.
     let learnt: Vec<Item> = (0..size[3]).step_by(10).map(|n| backend(n, 1_000, 600_000)).collect();
-    learnt.iter().for_each(|item| pick.learn(at(50_000), item));
-    pick_of("Pick::pick, the same while all of it is cold", &mut pick, 0);
+    learnt.iter().for_each(|item| pick.update_backend(at(50_000), item));
+    pick_of("LoadBalancer::pick, the same while all of it is cold", &mut pick, 0);
 
     // A period.
     let mut clock = 100_000;
--- a/crates/data-plane/src/retry_budget.rs
+++ b/crates/data-plane/src/retry_budget.rs
@@ -1,71 +1,99 @@
-//! The budget of further legs, by service: a part of this gateway's own requests, and its part of the margin. The
-//! sum over gateways holds without talk, as only the margin is divided. No input or output.
+//! The budget of retries, by service: a fraction of this gateway's own requests, and its share of a fixed margin.
+//!
+//! Only the margin is divided among the gateways, so that the sum over all of them holds without any exchange
+//! between them. No input or output.
 
 use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Pieces of a window that are counted apart.
-const PIECES: i64 = 20;
-/// The part of what the rule allows that is used: windows slide, and requests may not arrive.
-const USED: f64 = 0.8;
+/// Slots into which a window is divided for counting.
+const SLOTS_PER_WINDOW: i64 = 20;
+/// The fraction of the allowed retries that is used: windows slide, and requests may not arrive.
+const USED_FRACTION: f64 = 0.8;
 
+/// The rule that all gateways together keep: in every window, at most `ratio` retries for a request, and `margin`
+/// retries beyond that.
 #[derive(Clone, Copy, Debug)]
-pub struct Budget {
+pub struct RetryLimits {
+    /// Retries allowed for each request.
     pub ratio: f64,
+    /// The length of the sliding window.
     pub window: Duration,
+    /// Retries allowed in a window beyond the ratio, for all gateways together.
     pub margin: f64,
 }
 
+/// What happened in one slot of a window.
+struct Slot {
+    /// The slot's number, counted in slots from the clock's origin.
+    number: i64,
+    requests: u32,
+    retries: u32,
+}
+
+/// The slots of a service's present window, oldest first.
 #[derive(Default)]
-struct Service {
-    /// Number of a piece, first legs and further ones in it.
-    pieces: VecDeque<(i64, u32, u32)>,
+struct ServiceWindow {
+    slots: VecDeque<Slot>,
 }
 
-pub struct Further {
-    budget: Budget,
-    lines: BTreeMap<Arc<str>, Service>,
+/// Counts requests and retries of each service, and says whether one more retry is allowed.
+pub struct RetryBudget {
+    limits: RetryLimits,
+    services: BTreeMap<Arc<str>, ServiceWindow>,
 }
 
-impl Further {
-    pub fn new(budget: Budget) -> Further {
-        Further { budget, lines: BTreeMap::new() }
+impl RetryBudget {
+    /// An empty budget.
+    pub fn new(limits: RetryLimits) -> RetryBudget {
+        RetryBudget { limits, services: BTreeMap::new() }
     }
 
-    pub fn set(&mut self, budget: Budget) {
-        self.budget = budget;
+    /// Takes new limits; what was counted stays.
+    pub fn set_limits(&mut self, limits: RetryLimits) {
+        self.limits = limits;
     }
 
-    fn piece(&mut self, now: Timestamp, line: &Arc<str>) -> &mut Service {
-        let number = now.among(self.budget.window / PIECES).0;
-        let line = self.lines.entry(line.clone()).or_default();
-        while line.pieces.front().is_some_and(|piece| piece.0 <= number - PIECES) {
-            line.pieces.pop_front();
+    /// The service's window, moved on to the present slot.
+    fn current_window(&mut self, now: Timestamp, service: &Arc<str>) -> &mut ServiceWindow {
+        let number = now.among(self.limits.window / SLOTS_PER_WINDOW).0;
+        let window = self.services.entry(service.clone()).or_default();
+        while window.slots.front().is_some_and(|slot| slot.number <= number - SLOTS_PER_WINDOW) {
+            window.slots.pop_front();
         }
-        if line.pieces.back().is_none_or(|piece| piece.0 < number) {
-            line.pieces.push_back((number, 0, 0));
+        if window.slots.back().is_none_or(|slot| slot.number < number) {
+            window.slots.push_back(Slot { number, requests: 0, retries: 0 });
         }
-        line
+        window
+    }
+
+    /// Counts a request for a service.
+    pub fn record_request(&mut self, now: Timestamp, service: &Arc<str>) {
+        self.current_window(now, service).current_slot().requests += 1;
     }
 
-    /// A request for a service has come.
-    pub fn first(&mut self, now: Timestamp, line: &Arc<str>) {
-        let line = self.piece(now, line);
-        line.pieces.back_mut().expect("piece puts one in").1 += 1;
+    /// Whether one more retry is within the budget of one among `gateways` gateways; it is counted then.
+    pub fn try_acquire(&mut self, now: Timestamp, service: &Arc<str>, gateways: usize) -> bool {
+        let RetryLimits { ratio, margin, .. } = self.limits;
+        let window = self.current_window(now, service);
+        let (requests, retries) = window.totals();
+        let is_within = retries + 1.0 <= USED_FRACTION * (ratio * requests + margin / gateways.max(1) as f64);
+        window.current_slot().retries += u32::from(is_within);
+        is_within
+    }
+}
+
+impl ServiceWindow {
+    fn current_slot(&mut self) -> &mut Slot {
+        self.slots.back_mut().expect("a window that was moved on has the present slot")
     }
 
-    /// Whether one more further leg fits the budget; it is booked then.
-    pub fn allows(&mut self, now: Timestamp, line: &Arc<str>, gateways: usize) -> bool {
-        let Budget { ratio, margin, .. } = self.budget;
-        let line = self.piece(now, line);
-        let (first, further) = line
-            .pieces
-            .iter()
-            .fold((0.0, 0.0), |(a, b), piece| (a + f64::from(piece.1), b + f64::from(piece.2)));
-        let fits = further + 1.0 <= USED * (ratio * first + margin / gateways.max(1) as f64);
-        line.pieces.back_mut().expect("piece puts one in").2 += u32::from(fits);
-        fits
+    /// Requests and retries in the window.
+    fn totals(&self) -> (f64, f64) {
+        self.slots.iter().fold((0.0, 0.0), |(requests, retries), slot| {
+            (requests + f64::from(slot.requests), retries + f64::from(slot.retries))
+        })
     }
 }
 
@@ -74,30 +102,30 @@
     use super::*;
 
     #[test]
-    fn further_legs_of_all_gateways_stay_within_the_rule_in_every_window() {
-        let budget = Budget { ratio: 0.2, window: Duration::from_secs(10), margin: 60.0 };
-        let line: Arc<str> = "l".into();
-        let mut gateways: Vec<Further> = (0..10).map(|_| Further::new(budget)).collect();
-        let mut chance = oorandom::Rand64::new(7);
-        let (mut first, mut further) = (Vec::new(), Vec::new());
+    fn retries_of_all_gateways_stay_within_the_limits_in_every_window() {
+        let limits = RetryLimits { ratio: 0.2, window: Duration::from_secs(10), margin: 60.0 };
+        let service: Arc<str> = "l".into();
+        let mut gateways: Vec<RetryBudget> = (0..10).map(|_| RetryBudget::new(limits)).collect();
+        let mut rng = oorandom::Rand64::new(7);
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         // Nearly every request fails, and the load comes and goes.
         for millis in 0..60_000i64 {
             let now = Timestamp::from_micros(millis * 1000);
-            let busy = if millis / 7_000 % 2 == 0 { 2 } else { 20 };
-            if chance.rand_range(0..busy) == 0 {
-                let gateway = &mut gateways[chance.rand_range(0..10) as usize];
-                gateway.first(now, &line);
-                first.push(millis);
-                if gateway.allows(now, &line, 10) {
-                    further.push(millis);
+            let millis_per_request = if millis / 7_000 % 2 == 0 { 2 } else { 20 };
+            if rng.rand_range(0..millis_per_request) == 0 {
+                let gateway = &mut gateways[rng.rand_range(0..10) as usize];
+                gateway.record_request(now, &service);
+                requests.push(millis);
+                if gateway.try_acquire(now, &service, 10) {
+                    retries.push(millis);
                 }
             }
         }
-        assert!(further.len() > 1000, "{}", further.len());
+        assert!(retries.len() > 1000, "{}", retries.len());
         for end in (10_000..60_000).step_by(100) {
             let within =
                 |all: &[i64]| all.iter().filter(|at| (end - 10_000..end).contains(*at)).count() as f64;
-            assert!(within(&further) <= 0.2 * within(&first) + 60.0, "window ending at {end}");
+            assert!(within(&retries) <= 0.2 * within(&requests) + 60.0, "window ending at {end}");
         }
     }
 }
--- a/crates/data-plane/src/server/mod.rs
+++ b/crates/data-plane/src/server/mod.rs
@@ -1,11 +1,14 @@
 //! Sockets and clock around the decisions: one thread, one loop.
 
-use crate::attempt::{self, Answer, Asked, Came, Next, State, Tail, Verdict};
+use crate::attempt::{
+    self, ConnectionRemains, InputState, NextStep, ReadProgress, RequestState, ResponseClass,
+    ResponseContext, ResponseFailure, ResponseReader,
+};
 use crate::control_session::{ControlSession, SessionUpdates};
-use crate::load_balancer::{End, Need, Pick};
+use crate::load_balancer::{AttemptOutcome, LoadBalancer, SelectionRequest};
 use crate::quota::{Quota, Verdict as Draw, PERIOD};
-use crate::request::{Job, WINDOW};
-use crate::retry_budget::{Budget, Further};
+use crate::request::{Request, RequestInfo, MAX_BUFFERED_BODY_BYTES};
+use crate::retry_budget::{RetryBudget, RetryLimits};
 use kitepass_config::{Kind, RequestSafety, RoutingTable};
 use kitepass_coordination::protocol::framing::{Assembler, MOST_FRAME};
 use kitepass_coordination::protocol::{self, Hello, Message, TenantUsage, UsageReport};
@@ -100,7 +103,7 @@
     handed: u64,
     chunked: bool,
     finished: bool,
-    answer: Answer,
+    answer: ResponseReader,
     timer: Option<TimerKey>,
 }
 
@@ -126,7 +129,7 @@
     clients: BTreeMap<u64, Client>,
     lines: BTreeMap<u64, Service>,
     idle: BTreeMap<Arc<str>, Vec<u64>>,
-    jobs: BTreeMap<u64, Job>,
+    jobs: BTreeMap<u64, Request>,
     next: u64,
     bodies: usize,
     link: ControlSession,
@@ -134,8 +137,8 @@
     view: Arc<RoutingTable>,
     changed: bool,
     quota: Quota,
-    pick: Pick,
-    further: Further,
+    load_balancer: LoadBalancer,
+    retry_budget: RetryBudget,
     live: usize,
     incarnation: u64,
     request_id: u64,
@@ -150,10 +153,10 @@
     watch: Watch,
 }
 
-fn budget(settings: &Settings) -> Budget {
+fn retry_limits(settings: &Settings) -> RetryLimits {
     let bounds = &settings.bounds;
     let window = Duration::from_micros(bounds.retry_window.as_micros() as i64);
-    Budget { ratio: bounds.retry_ratio, window, margin: bounds.retry_margin }
+    RetryLimits { ratio: bounds.retry_ratio, window, margin: bounds.retry_margin }
 }
 
 fn tolerance(settings: &Settings) -> QuotaTolerance {
@@ -197,8 +200,13 @@
         let now = clock.now();
         Ok(Server {
             quota: Quota::new(now, incarnation, tolerance(&settings)),
-            pick: Pick::new(incarnation ^ 1, &settings.node_id, &settings.zone, &settings.zones),
-            further: Further::new(budget(&settings)),
+            load_balancer: LoadBalancer::new(
+                incarnation ^ 1,
+                &settings.node_id,
+                &settings.zone,
+                &settings.zones,
+            ),
+            retry_budget: RetryBudget::new(retry_limits(&settings)),
             settings,
             poll,
             clock,
@@ -279,7 +287,7 @@
                 info!("event=settings");
                 self.link
                     .stops(settings.bootstrap_addresses.iter().map(|stop| stop.ip().to_string()).collect());
-                self.further.set(budget(&settings));
+                self.retry_budget.set_limits(retry_limits(&settings));
                 self.quota.tolerance(tolerance(&settings));
                 self.settings = settings;
             }
@@ -315,7 +323,7 @@
         if late {
             let ids: Vec<u64> = self.jobs.keys().copied().collect();
             for id in ids {
-                let next = self.jobs.get_mut(&id).map_or(Next::Wait, |job| job.way.end());
+                let next = self.jobs.get_mut(&id).map_or(NextStep::Wait, |job| job.lifecycle.shut_down());
                 self.follow(now, id, next);
             }
         }
@@ -339,7 +347,7 @@
             Due::Deadline(job) => self.expire(now, job),
             Due::Connect(line) => {
                 if self.lines.get(&line).is_some_and(|l| !l.wire.is_made()) {
-                    self.lose_line(now, line, End::Unreached, "not-made");
+                    self.lose_line(now, line, AttemptOutcome::Unreachable, "not-made");
                 }
             }
             Due::Overdue(job, line) => self.overdue(now, job, line),
@@ -436,11 +444,11 @@
             }
             for (id, passes) in decided {
                 let Some(job) = self.jobs.get_mut(&id) else { continue };
-                job.waits = false;
+                job.awaits_quota = false;
                 if !passes {
                     self.give_up(now, id, 429);
-                } else if job.is_due() {
-                    let client = job.client;
+                } else if job.is_ready_to_send() {
+                    let client = job.info.client;
                     self.advance(now, id);
                     // What waited in the client's socket is told of by no further edge.
                     self.serve_client(client, None);
@@ -458,14 +466,15 @@
         if self.changed {
             self.changed = false;
             let view = RoutingTable::rebuild(&self.view, &self.link.item_store);
-            self.pick.evacuated(now, &view.evacuated);
-            self.pick
-                .cold_rates(view.services.values().map(|line| (line.name.clone(), line.slow_start_rate)));
+            self.load_balancer.set_evacuated_zones(now, &view.evacuated);
+            self.load_balancer.set_slow_start_rates(
+                view.services.values().map(|line| (line.name.clone(), line.slow_start_rate)),
+            );
             self.view = Arc::new(view);
         }
         let ready = self.leaves.is_none() && self.link.is_caught_up() && self.link.has_backends();
         if ready != self.link.ready {
-            info!("event=ready ready={ready} backends={}", self.pick.len());
+            info!("event=ready ready={ready} backends={}", self.load_balancer.len());
             self.link.ready = ready;
         }
     }
@@ -511,7 +520,7 @@
         }
         for item in &brought.items {
             match item.kind {
-                Kind::Backend => self.pick.learn(now, item),
+                Kind::Backend => self.load_balancer.update_backend(now, item),
                 Kind::ReplicaSet => {}
                 _ => self.changed = true,
             }
@@ -519,7 +528,7 @@
         if let Some((live, node_ids)) = brought.live {
             self.live = live.max(1);
             self.quota.live(live);
-            self.pick.live(node_ids);
+            self.load_balancer.set_live_gateways(node_ids);
         }
         for totals in brought.totals.iter().filter(|totals| totals.incarnation == self.incarnation) {
             if let Some(sent) = self.asked.remove(&totals.request_id) {
@@ -630,7 +639,8 @@
             Ok(true) if client.ends => self.lose_client(id, "done"),
             Ok(_) => {
                 // There is room again for an answer that passes through.
-                let leg = client.job.and_then(|job| self.jobs.get(&job)).and_then(|job| job.leg);
+                let leg =
+                    client.job.and_then(|job| self.jobs.get(&job)).and_then(|job| job.attempt_connection);
                 if let Some(line) = leg.filter(|_| was >= MOST_UNSENT) {
                     if self.clients[&id].wire.unsent() < MOST_UNSENT {
                         self.serve_line(line, None);
@@ -645,7 +655,7 @@
         let Some(client) = self.clients.remove(&id) else { return };
         debug!("event=client-lost why={why}");
         if let Some(job) = client.job {
-            self.end_job(job, End::Left);
+            self.end_job(job, AttemptOutcome::Abandoned);
         }
     }
 
@@ -747,11 +757,21 @@
         }
         let line = self.line_of(&route);
         let until = now + Duration::from_micros(left * 1000);
-        self.further.first(now, &line);
+        self.retry_budget.record_request(now, &line);
         let client = self.clients.get_mut(&id).expect("as above");
         (client.skips, client.job) = (false, Some(job));
-        let mut work = Job::new(id, head, route, line, tenant, view, now, until, length);
-        work.waits = waits;
+        let mut work = Request::new(RequestInfo {
+            client: id,
+            head,
+            route,
+            service: line,
+            tenant,
+            routing_table: view,
+            arrived_at: now,
+            deadline: until,
+            content_length: length,
+        });
+        work.awaits_quota = waits;
         self.jobs.insert(job, work);
         self.timers.set(until, Due::Deadline(job));
     }
@@ -779,8 +799,8 @@
         let (Some(client), Some(work)) = (self.clients.get_mut(&id), self.jobs.get_mut(&job)) else {
             return false;
         };
-        let Some(body) = client.body.as_mut().filter(|_| !work.whole) else { return false };
-        let room = (2 * WINDOW).saturating_sub(work.body.len());
+        let Some(body) = client.body.as_mut().filter(|_| !work.is_body_complete) else { return false };
+        let room = (2 * MAX_BUFFERED_BODY_BYTES).saturating_sub(work.body.len());
         let (had, stood) = (work.body.len(), client.wire.input.len());
         let whole = match body.read(&mut client.wire.input, &mut work.body, room) {
             Ok(whole) => whole,
@@ -791,25 +811,28 @@
         };
         client.at = now;
         self.bodies += work.body.len() - had;
-        work.whole = whole;
+        work.is_body_complete = whole;
         if whole {
             client.body = None;
         }
-        let long = work.base + work.body.len() as u64 > work.view.limits.body_bytes;
-        if long || self.bodies > MOST_BODIES && work.leg.is_none() {
+        let long = work.body_offset + work.body.len() as u64 > work.info.routing_table.limits.body_bytes;
+        if long || self.bodies > MOST_BODIES && work.attempt_connection.is_none() {
             let status = if long { 413 } else { 503 };
             self.give_up(now, job, status);
             return false;
         }
-        match work.leg {
-            None if work.is_due() => self.advance(now, job),
+        match work.attempt_connection {
+            None if work.is_ready_to_send() => self.advance(now, job),
             None => {}
             Some(line) => self.hand(line),
         }
         // What was handed on has made room for more that stands here already.
         let (Some(client), Some(work)) = (self.clients.get(&id), self.jobs.get(&job)) else { return false };
         let moved = client.wire.input.len() < stood || work.body.len() < had;
-        moved && !work.whole && !client.wire.input.is_empty() && work.body.len() < 2 * WINDOW
+        moved
+            && !work.is_body_complete
+            && !client.wire.input.is_empty()
+            && work.body.len() < 2 * MAX_BUFFERED_BODY_BYTES
     }
 
     /// A short answer of this gateway's own to a client.
@@ -854,49 +877,56 @@
     /// further legs is booked.
     fn choose(&mut self, now: Timestamp, id: u64) -> Option<Arc<str>> {
         let job = self.jobs.get(&id)?;
-        if job.until <= now || job.had.len() >= 6 || !job.way.may_follow() {
+        if job.info.deadline <= now || job.tried_backends.len() >= 6 || !job.lifecycle.may_attempt() {
             return None;
         }
-        if job.way.sent() > 0 && !self.further.allows(now, &job.line, self.live) {
+        if job.lifecycle.attempts_sent() > 0
+            && !self.retry_budget.try_acquire(now, &job.info.service, self.live)
+        {
             return None;
         }
         let homes: [&[Arc<str>]; 2] =
-            [&job.route.homes, job.tenant.as_ref().map_or(&[], |tenant| &tenant.homes)];
+            [&job.info.route.homes, job.info.tenant.as_ref().map_or(&[], |tenant| &tenant.homes)];
         let idle = &self.idle;
         let rests = |call_sign: &Arc<str>| idle.contains_key(call_sign);
-        let need = Need { line: &job.line, homes, had: &job.had, rests: &rests };
-        self.pick.pick(now, &need)
+        let need = SelectionRequest {
+            service: &job.info.service,
+            allowed_regions: homes,
+            tried_backends: &job.tried_backends,
+            has_idle_connection: &rests,
+        };
+        self.load_balancer.select(now, &need)
     }
 
     /// Sends a request's next leg to the backend that was chosen, or gives it up where none was.
     fn go(&mut self, now: Timestamp, id: u64, mut next: Option<Arc<str>>) {
         while let Some(call_sign) = next {
             let Some(job) = self.jobs.get_mut(&id) else { return };
-            job.had.push(call_sign.clone());
+            job.tried_backends.push(call_sign.clone());
             if self.send(now, id, &call_sign) {
                 return;
             }
-            self.pick.ended(now, &call_sign, End::Unreached, Duration::ZERO);
+            self.load_balancer.attempt_ended(now, &call_sign, AttemptOutcome::Unreachable, Duration::ZERO);
             next = self.choose(now, id);
         }
         let Some(job) = self.jobs.get(&id) else { return };
-        let status = job.way.refusal();
+        let status = job.lifecycle.rejection_status();
         self.give_up(now, id, status);
     }
 
     fn give_up(&mut self, now: Timestamp, id: u64, status: u16) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let next = job.way.refuse(status);
+        let next = job.lifecycle.reject(status);
         self.follow(now, id, next);
     }
 
     /// A request ends without a backend's answer.
-    fn follow(&mut self, now: Timestamp, id: u64, next: Next) {
+    fn follow(&mut self, now: Timestamp, id: u64, next: NextStep) {
         let Some(job) = self.jobs.get(&id) else { return };
-        let client = job.client;
+        let client = job.info.client;
         let status = match next {
-            Next::Refuse(status) => status,
-            Next::BreakOff => return self.lose_client(client, "broken-off"),
+            NextStep::Reject(status) => status,
+            NextStep::Abort => return self.lose_client(client, "broken-off"),
             _ => return,
         };
         let retry = match status {
@@ -904,7 +934,7 @@
             503 => Some(200 + self.chance.rand_range(0..300)),
             _ => None,
         };
-        self.end_job(id, End::Left);
+        self.end_job(id, AttemptOutcome::Abandoned);
         self.free(now, client);
         self.refuse_client(client, status, retry);
         self.flush_client(client);
@@ -926,18 +956,18 @@
     }
 
     /// Forgets a request; a leg that is still out is broken off.
-    fn end_job(&mut self, id: u64, end: End) {
+    fn end_job(&mut self, id: u64, end: AttemptOutcome) {
         let now = self.clock.now();
         let Some(mut job) = self.jobs.remove(&id) else { return };
-        job.way.gone();
+        job.lifecycle.client_gone();
         self.bodies -= job.body.len().min(self.bodies);
-        if let Some(line) = job.leg {
+        if let Some(line) = job.attempt_connection {
             if let Some(l) = self.lines.get_mut(&line) {
                 if let Some(leg) = l.leg.take() {
                     if let Some(timer) = leg.timer {
                         self.timers.take_back(timer);
                     }
-                    self.pick.ended(now, &l.call_sign, end, now - leg.began);
+                    self.load_balancer.attempt_ended(now, &l.call_sign, end, now - leg.began);
                 }
             }
             self.drop_line(line);
@@ -946,16 +976,16 @@
 
     fn expire(&mut self, now: Timestamp, id: u64) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let next = job.way.deadline();
+        let next = job.lifecycle.deadline_expired();
         self.follow(now, id, next);
     }
 
     // Backends.
 
     fn send(&mut self, now: Timestamp, id: u64, call_sign: &Arc<str>) -> bool {
-        let Some(backend) = self.pick.get(call_sign) else { return false };
+        let Some(backend) = self.load_balancer.get(call_sign) else { return false };
         let (address, zone) = (backend.address, backend.zone.clone());
-        let far = self.pick.province_of(&zone) != self.settings.region;
+        let far = self.load_balancer.region_of(&zone) != self.settings.region;
         let mut line = None;
         while let Some(rested) = self.idle.get_mut(call_sign).and_then(Vec::pop) {
             if self.idle.get(call_sign).is_some_and(Vec::is_empty) {
@@ -989,28 +1019,31 @@
         };
         let l = self.lines.get_mut(&line).expect("made or found above");
         let Some(job) = self.jobs.get_mut(&id) else { return false };
-        if !job.way.begin(l.wire.is_made()) {
+        if !job.lifecycle.begin_attempt(l.wire.is_made()) {
             self.drop_line(line);
             return false;
         }
-        let left = (job.until - now).micros() / 1000;
-        job.leg_head(call_sign, left.max(1), &mut l.wire.output);
-        job.leg = Some(line);
-        l.headed |= job.is_to_head();
+        let left = (job.info.deadline - now).micros() / 1000;
+        job.write_attempt_head(call_sign, left.max(1), &mut l.wire.output);
+        job.attempt_connection = Some(line);
+        l.headed |= job.is_head_request();
         l.leg = Some(Leg {
             job: id,
             began: now,
             handed: 0,
-            chunked: job.is_chunked(),
+            chunked: job.is_sent_chunked(),
             finished: false,
-            answer: Answer::default(),
+            answer: ResponseReader::default(),
             timer: None,
         });
         // Another leg is worth its while only where there is time and somebody to take it.
-        if job.route.safety == RequestSafety::Safe && job.way.sent() + 1 < job.route.max_attempts {
-            let usual = self.pick.pace(&job.line) + if far { FAR / 4 } else { Duration::ZERO };
+        if job.info.route.safety == RequestSafety::Safe
+            && job.lifecycle.attempts_sent() + 1 < job.info.route.max_attempts
+        {
+            let usual = self.load_balancer.service_latency(&job.info.service)
+                + if far { FAR / 4 } else { Duration::ZERO };
             let overdue = (usual * 5).max(Duration::from_micros(500_000));
-            if job.until - now > overdue + usual {
+            if job.info.deadline - now > overdue + usual {
                 let key = self.timers.set(now + overdue, Due::Overdue(id, line));
                 l.leg.as_mut().expect("set above").timer = Some(key);
             }
@@ -1032,14 +1065,14 @@
             let unsent = l.wire.unsent();
             let flushed = l.wire.flush();
             if let Some(job) = work.filter(|_| l.wire.unsent() < unsent) {
-                job.way.wrote();
+                job.lifecycle.bytes_written();
             }
             match flushed {
                 // All is out: what was held back for want of room may follow.
                 Ok(true) => {
                     let leg = l.leg.as_ref().filter(|leg| !leg.finished);
                     let job = leg.and_then(|leg| Some((leg, self.jobs.get(&leg.job)?)));
-                    if job.is_none_or(|(leg, job)| job.base + job.body.len() as u64 <= leg.handed) {
+                    if job.is_none_or(|(leg, job)| job.body_offset + job.body.len() as u64 <= leg.handed) {
                         return;
                     }
                 }
@@ -1056,12 +1089,12 @@
         let was_made = line.wire.is_made();
         if let Some(ready) = ready {
             if let Err(error) = line.wire.note(ready) {
-                return self.lose_line(now, id, End::Unreached, cause(error));
+                return self.lose_line(now, id, AttemptOutcome::Unreachable, cause(error));
             }
         }
         if !was_made && line.wire.is_made() {
             if let Some(job) = line.leg.as_ref().and_then(|leg| self.jobs.get_mut(&leg.job)) {
-                job.way.made();
+                job.lifecycle.connected();
             }
         }
         // Room for a body that passes through, in both directions.
@@ -1069,10 +1102,13 @@
         let Some(line) = self.lines.get(&id) else { return };
         let waiting = line.leg.as_ref().and_then(|leg| self.jobs.get(&leg.job));
         let full = waiting.is_some_and(|job| {
-            job.way.state() == State::Answering
-                && self.clients.get(&job.client).is_some_and(|c| c.wire.unsent() >= MOST_UNSENT)
+            job.lifecycle.state() == RequestState::Responding
+                && self.clients.get(&job.info.client).is_some_and(|c| c.wire.unsent() >= MOST_UNSENT)
         });
-        if let Some(job) = waiting.filter(|job| !job.whole && job.way.is_out()).map(|job| job.client) {
+        if let Some(job) = waiting
+            .filter(|job| !job.is_body_complete && job.lifecycle.is_in_flight())
+            .map(|job| job.info.client)
+        {
             let waits = |c: &Client| !c.wire.input.is_empty() || c.wire.is_readable();
             if self.clients.get(&job).is_some_and(waits) && line.wire.unsent() < MOST_UNSENT {
                 self.serve_client(job, None);
@@ -1088,35 +1124,44 @@
     fn read_line(&mut self, now: Timestamp, id: u64, broken: Option<&'static str>) {
         let Some(line) = self.lines.get_mut(&id) else { return };
         let (tail, why) = match (line.wire.fill(&mut self.piece, MOST_UNSENT), broken) {
-            (Ok(_), Some(why)) => (Tail::Broken, why),
-            (Ok(true), None) => (Tail::Ended, "closed"),
-            (Ok(false), None) => (Tail::Open, ""),
-            (Err(error), _) => (Tail::Broken, cause(error)),
+            (Ok(_), Some(why)) => (InputState::Broken, why),
+            (Ok(true), None) => (InputState::Ended, "closed"),
+            (Ok(false), None) => (InputState::Open, ""),
+            (Err(error), _) => (InputState::Broken, cause(error)),
         };
         let Service { wire, leg: Some(leg), headed, .. } = line else {
             // Nothing is due here: whatever came belongs to no request.
-            if tail != Tail::Open || !line.wire.input.is_empty() {
+            if tail != InputState::Open || !line.wire.input.is_empty() {
                 self.drop_line(id);
             }
             return;
         };
         let Some(job) = self.jobs.get(&leg.job) else { return };
-        let asked = Asked { id: job.id(), to_head: job.is_to_head(), headed: *headed, long: attempt::LONG };
+        let asked = ResponseContext {
+            request_id: job.id(),
+            is_head_request: job.is_head_request(),
+            has_carried_head: *headed,
+            max_buffered_bytes: attempt::MAX_BUFFERED_RESPONSE_BYTES,
+        };
         match leg.answer.read(asked, &mut wire.input, tail) {
-            Came::Part => {}
-            Came::Whole => return self.answered(now, id, tail),
-            Came::Long => self.pass_through(now, id),
-            Came::Nothing("closed" | "cut-short") if tail == Tail::Broken => {
-                return self.lose_line(now, id, End::Broken, why);
+            ReadProgress::Partial => {}
+            ReadProgress::Complete => return self.answered(now, id, tail),
+            ReadProgress::BufferFull => self.pass_through(now, id),
+            ReadProgress::Failed(ResponseFailure::Closed | ResponseFailure::Truncated)
+                if tail == InputState::Broken =>
+            {
+                return self.lose_line(now, id, AttemptOutcome::Broken, why);
+            }
+            ReadProgress::Failed(why) => {
+                return self.lose_line(now, id, AttemptOutcome::Broken, why.as_str())
             }
-            Came::Nothing(why) => return self.lose_line(now, id, End::Broken, why),
         }
         // What was left in the socket for want of room is told of by no further edge.
         let Some(line) = self.lines.get(&id) else { return };
         let job = line.leg.as_ref().and_then(|leg| self.jobs.get(&leg.job));
         let room = job.is_some_and(|job| {
-            job.way.state() != State::Answering
-                || self.clients.get(&job.client).is_some_and(|c| c.wire.unsent() < MOST_UNSENT)
+            job.lifecycle.state() != RequestState::Responding
+                || self.clients.get(&job.info.client).is_some_and(|c| c.wire.unsent() < MOST_UNSENT)
         });
         if room && line.wire.is_readable() {
             self.again.push(id); // not from here: the stack would grow with the answer
@@ -1124,7 +1169,7 @@
     }
 
     /// An answer is whole.
-    fn answered(&mut self, now: Timestamp, id: u64, tail: Tail) {
+    fn answered(&mut self, now: Timestamp, id: u64, tail: InputState) {
         let Some(line) = self.lines.get_mut(&id) else { return };
         let Some(mut leg) = line.leg.take() else { return };
         if let Some(timer) = leg.timer {
@@ -1132,15 +1177,27 @@
         }
         let Some(job) = self.jobs.get_mut(&leg.job) else { return };
         let head = leg.answer.head.take().expect("whole with its body");
-        let asked = matches!(job.way.state(), State::Written | State::Answering);
-        let verdict = if asked { Verdict::of(&head, job.is_safe()) } else { Verdict::Spoilt };
-        let next = job.way.answered(verdict);
-        job.leg = None;
-        self.pick.ended(now, &line.call_sign, verdict.end(), now - leg.began);
+        let asked = matches!(job.lifecycle.state(), RequestState::Sent | RequestState::Responding);
+        let class = if asked {
+            ResponseClass::of(&head, job.lifecycle.is_idempotent())
+        } else {
+            ResponseClass::Invalid
+        };
+        let next = job.lifecycle.response_complete(class);
+        job.attempt_connection = None;
+        self.load_balancer.attempt_ended(now, &line.call_sign, class.outcome(), now - leg.began);
         if head.ends_here(b"close") {
-            self.pick.closes(now, &line.call_sign);
-        }
-        let clean = attempt::may_rest(verdict, tail, line.wire.input.len(), line.wire.unsent(), leg.finished);
+            self.load_balancer.backend_is_closing(now, &line.call_sign);
+        }
+        let clean = attempt::may_keep_connection(
+            class,
+            ConnectionRemains {
+                input_state: tail,
+                unread_bytes: line.wire.input.len(),
+                unsent_bytes: line.wire.unsent(),
+                is_request_finished: leg.finished,
+            },
+        );
         let rest = head.keep_alive_secs().map_or(REST, |secs| {
             REST.min(Duration::from_micros(secs as i64 * 1_000_000) - Duration::from_micros(1_000_000))
         });
@@ -1151,22 +1208,22 @@
         } else {
             self.drop_line(id);
         }
-        let (id, got) = (leg.job, leg.answer.got);
+        let (id, got) = (leg.job, leg.answer.body);
         match next {
-            Next::PassEnd => self.pass_end(now, id, &got),
-            Next::Deliver => self.deliver(now, id, &head, &got),
-            Next::AgainOrDeliver => {
+            NextStep::StreamLast => self.pass_end(now, id, &got),
+            NextStep::Deliver => self.deliver(now, id, &head, &got),
+            NextStep::RetryOrDeliver => {
                 // Its own failure goes to the client where no further leg may go.
                 let Some(job) = self.jobs.get(&id) else { return };
-                let worth = job.until - now > self.pick.pace(&job.line);
+                let worth = job.info.deadline - now > self.load_balancer.service_latency(&job.info.service);
                 let other = if worth { self.choose(now, id) } else { None };
                 if other.is_some() {
                     self.go(now, id, other);
-                } else if self.jobs.get_mut(&id).is_some_and(|job| job.way.deliver()) {
+                } else if self.jobs.get_mut(&id).is_some_and(|job| job.lifecycle.deliver_error_response()) {
                     self.deliver(now, id, &head, &got);
                 }
             }
-            Next::Again => self.advance(now, id),
+            NextStep::Retry => self.advance(now, id),
             next => self.follow(now, id, next),
         }
     }
@@ -1174,9 +1231,9 @@
     /// A whole answer goes to the client as the backend gave it.
     fn deliver(&mut self, now: Timestamp, id: u64, head: &Head, body: &[u8]) {
         let Some(job) = self.jobs.get(&id) else { return };
-        let client = job.client;
-        let to_head = job.is_to_head();
-        self.end_job(id, End::Left);
+        let client = job.info.client;
+        let to_head = job.is_head_request();
+        self.end_job(id, AttemptOutcome::Abandoned);
         let bare = to_head || matches!(head.status(), 204 | 304);
         let length = if bare { None } else { Some(body.len()) };
         self.answer_head(client, head, length.map(|n| format!("Content-Length: {n}\r\n")));
@@ -1208,18 +1265,19 @@
         let Some(Service { leg: Some(leg), .. }) = self.lines.get_mut(&id) else { return };
         let Some(job) = self.jobs.get_mut(&leg.job) else { return };
         let head = leg.answer.head.as_ref().expect("its body has begun");
-        let next = job.way.is_long(Verdict::of(head, job.is_safe()));
-        let (client, got) = (job.client, std::mem::take(&mut leg.answer.got));
+        let next =
+            job.lifecycle.response_exceeds_buffer(ResponseClass::of(head, job.lifecycle.is_idempotent()));
+        let (client, got) = (job.info.client, std::mem::take(&mut leg.answer.body));
         match next {
-            Next::PassFirst => {
+            NextStep::StreamFirst => {
                 let head = leg.answer.head.take().expect("as above");
                 self.answer_head(client, &head, Some("Transfer-Encoding: chunked\r\n".to_owned()));
                 let leg = self.lines.get_mut(&id).and_then(|line| line.leg.as_mut());
                 leg.expect("as above").answer.head = Some(head);
             }
-            Next::PassOn => {}
+            NextStep::StreamMore => {}
             next => {
-                self.unleg(now, id, End::Broken, "no-answer");
+                self.unleg(now, id, AttemptOutcome::Broken, "no-answer");
                 return self.resume(now, id, next);
             }
         }
@@ -1232,8 +1290,8 @@
     /// A long answer's end.
     fn pass_end(&mut self, now: Timestamp, id: u64, got: &[u8]) {
         let Some(job) = self.jobs.get(&id) else { return };
-        let client = job.client;
-        self.end_job(id, End::Left);
+        let client = job.info.client;
+        self.end_job(id, AttemptOutcome::Abandoned);
         self.free(now, client);
         let Some(c) = self.clients.get_mut(&client) else { return };
         chunk(got, &mut c.wire.output);
@@ -1251,23 +1309,23 @@
         leg.timer = None;
         // Danger: a backend at work would be broken off for nothing.
         let Some(other) = self.choose(now, id) else { return };
-        if self.jobs.get_mut(&id).is_some_and(|job| job.way.overdue()) {
-            self.unleg(now, line, End::Broken, "overdue");
+        if self.jobs.get_mut(&id).is_some_and(|job| job.lifecycle.abandon_overdue_attempt()) {
+            self.unleg(now, line, AttemptOutcome::Broken, "overdue");
             self.go(now, id, Some(other));
         } else {
-            self.pick.ended(now, &other, End::Left, Duration::ZERO);
+            self.load_balancer.attempt_ended(now, &other, AttemptOutcome::Abandoned, Duration::ZERO);
         }
     }
 
     /// A connection to a backend is lost, with the leg on it.
-    fn lose_line(&mut self, now: Timestamp, id: u64, end: End, why: &'static str) {
+    fn lose_line(&mut self, now: Timestamp, id: u64, end: AttemptOutcome, why: &'static str) {
         let Some(job) = self.unleg(now, id, end, why) else { return };
-        let Some(next) = self.jobs.get_mut(&job).map(|job| job.way.lost()) else { return };
+        let Some(next) = self.jobs.get_mut(&job).map(|job| job.lifecycle.attempt_failed()) else { return };
         self.resume(now, job, next);
     }
 
     /// Drops a connection to a backend; the request whose leg was on it.
-    fn unleg(&mut self, now: Timestamp, id: u64, end: End, why: &'static str) -> Option<u64> {
+    fn unleg(&mut self, now: Timestamp, id: u64, end: AttemptOutcome, why: &'static str) -> Option<u64> {
         let line = self.lines.get_mut(&id)?;
         let made = line.wire.is_made();
         let leg = line.leg.take();
@@ -1275,22 +1333,22 @@
             if let Some(timer) = leg.timer {
                 self.timers.take_back(timer);
             }
-            let end = if made { end } else { End::Unreached };
+            let end = if made { end } else { AttemptOutcome::Unreachable };
             debug!("event=leg-lost backend={} why={why} made={made}", line.call_sign);
-            self.pick.ended(now, &line.call_sign, end, now - leg.began);
+            self.load_balancer.attempt_ended(now, &line.call_sign, end, now - leg.began);
         }
         self.drop_line(id);
         let job = leg?.job;
         if let Some(work) = self.jobs.get_mut(&job) {
-            work.leg = None;
+            work.attempt_connection = None;
         }
         Some(job)
     }
 
     /// A request goes on behind a leg that brought no answer.
-    fn resume(&mut self, now: Timestamp, id: u64, next: Next) {
+    fn resume(&mut self, now: Timestamp, id: u64, next: NextStep) {
         match next {
-            Next::Again => self.advance(now, id),
+            NextStep::Retry => self.advance(now, id),
             next => self.follow(now, id, next),
         }
     }
@@ -1307,31 +1365,31 @@
 }
 
 /// Hands on to a connection what it has room for of a request's body; how much of the body is kept no longer.
-fn hand_on(leg: &mut Leg, job: &mut Job, wire: &mut Connection) -> usize {
+fn hand_on(leg: &mut Leg, job: &mut Request, wire: &mut Connection) -> usize {
     if leg.finished || wire.unsent() >= MOST_UNSENT {
         return 0;
     }
-    let new = &job.body[(leg.handed - job.base) as usize..];
+    let new = &job.body[(leg.handed - job.body_offset) as usize..];
     if leg.chunked {
         chunk(new, &mut wire.output);
     } else {
         wire.output.extend_from_slice(new);
     }
     leg.handed += new.len() as u64;
-    if job.whole {
+    if job.is_body_complete {
         leg.finished = true;
         if leg.chunked {
             wire.output.extend_from_slice(b"0\r\n\r\n");
         }
         return 0;
     }
-    if job.body.len() < WINDOW {
+    if job.body.len() < MAX_BUFFERED_BODY_BYTES {
         return 0;
     }
     // Too long to be kept for another leg.
     let passed = job.body.len();
-    job.base += passed as u64;
-    job.way.passed();
+    job.body_offset += passed as u64;
+    job.lifecycle.body_dropped();
     job.body.clear();
     passed
 }
--- a/crates/data-plane/tests/attempt/calls.rs
+++ b/crates/data-plane/tests/attempt/calls.rs
@@ -1,12 +1,20 @@
 //! All orders of calls to a way, also such as no server makes: each of its answers holds by itself, whoever asks.
 
-use kitepass_data_plane::attempt::{may_rest, Next, State, Tail, Verdict, Way};
-use kitepass_data_plane::load_balancer::End;
+use kitepass_data_plane::attempt::{
+    may_keep_connection, ConnectionRemains, InputState, NextStep, RequestLifecycle, RequestState,
+    ResponseClass,
+};
+use kitepass_data_plane::load_balancer::AttemptOutcome;
 use rstest::rstest;
 use std::collections::BTreeSet;
 
-const VERDICTS: [Verdict; 5] =
-    [Verdict::Good, Verdict::Failed, Verdict::PassOn, Verdict::NotRun(End::TurnedAway), Verdict::Spoilt];
+const VERDICTS: [ResponseClass; 5] = [
+    ResponseClass::Success,
+    ResponseClass::ServerError,
+    ResponseClass::Other,
+    ResponseClass::NotExecuted(AttemptOutcome::Rejected),
+    ResponseClass::Invalid,
+];
 
 /// What is true of a request, kept beside its way.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
@@ -33,113 +41,119 @@
     }
 }
 
-fn step(way: &mut Way, truth: &mut Truth, call: usize, repeats: bool) {
-    let (was, settled) = (truth.clone(), way.state() == State::Settled);
+fn step(way: &mut RequestLifecycle, truth: &mut Truth, call: usize, repeats: bool) {
+    let (was, settled) = (truth.clone(), way.state() == RequestState::Completed);
     let next = match call {
         0 | 1 => {
-            if way.begin(call == 1) {
+            if way.begin_attempt(call == 1) {
                 assert!(!settled && !was.out && !was.passed && was.made < 2, "{truth:?}");
                 assert!(repeats || !was.runs(), "sent twice: {truth:?}");
                 truth.out = true;
                 truth.made += u32::from(call == 1);
             }
-            Next::Wait
+            NextStep::Wait
         }
         2 => {
-            truth.made += u32::from(way.state() == State::Connecting);
-            way.made();
-            Next::Wait
+            truth.made += u32::from(way.state() == RequestState::Connecting);
+            way.connected();
+            NextStep::Wait
         }
         3 => {
-            truth.written |= way.state() == State::Handed;
-            way.wrote();
-            Next::Wait
+            truth.written |= way.state() == RequestState::Connected;
+            way.bytes_written();
+            NextStep::Wait
         }
         4 => {
-            way.passed();
+            way.body_dropped();
             truth.passed = true;
-            Next::Wait
+            NextStep::Wait
         }
         5 => {
-            let next = way.lost();
+            let next = way.attempt_failed();
             truth.leg_over(true);
             next
         }
         6..=10 => {
-            let verdict = VERDICTS[call - 6];
-            let next = way.answered(verdict);
-            let delivers = matches!(next, Next::Deliver | Next::AgainOrDeliver | Next::PassEnd);
+            let class = VERDICTS[call - 6];
+            let next = way.response_complete(class);
+            let delivers =
+                matches!(next, NextStep::Deliver | NextStep::RetryOrDeliver | NextStep::StreamLast);
             assert!(!delivers || was.written, "an answer to what was not sent: {truth:?}");
-            assert!(next != Next::Deliver || matches!(verdict, Verdict::Good | Verdict::PassOn));
-            assert!((next == Next::PassEnd) == was.begun_answer || settled);
-            truth.leg_over(!matches!(verdict, Verdict::NotRun(_)));
+            assert!(
+                next != NextStep::Deliver || matches!(class, ResponseClass::Success | ResponseClass::Other)
+            );
+            assert!((next == NextStep::StreamLast) == was.begun_answer || settled);
+            truth.leg_over(!matches!(class, ResponseClass::NotExecuted(_)));
             next
         }
         11..=15 => {
-            let verdict = VERDICTS[call - 11];
-            let next = way.is_long(verdict);
+            let class = VERDICTS[call - 11];
+            let next = way.response_exceeds_buffer(class);
             match next {
-                Next::PassFirst => {
+                NextStep::StreamFirst => {
                     assert!(was.written && !was.begun_answer);
-                    assert!(matches!(verdict, Verdict::Good | Verdict::PassOn), "{verdict:?} passes");
+                    assert!(
+                        matches!(class, ResponseClass::Success | ResponseClass::Other),
+                        "{class:?} passes"
+                    );
                     truth.begun_answer = true;
                 }
-                Next::PassOn => assert!(was.begun_answer),
+                NextStep::StreamMore => assert!(was.begun_answer),
                 _ => truth.leg_over(true),
             }
             next
         }
         16 => {
-            if way.deliver() {
+            if way.deliver_error_response() {
                 assert!(!was.out && !settled);
                 truth.finals += 1;
             }
-            Next::Wait
+            NextStep::Wait
         }
         17 => {
-            if way.overdue() {
+            if way.abandon_overdue_attempt() {
                 assert!(was.out && repeats && !was.passed && was.made < 2, "left for nothing: {truth:?}");
                 truth.leg_over(true);
             }
-            Next::Wait
+            NextStep::Wait
         }
         18 => {
-            let next = way.deadline();
-            assert!(settled || next != Next::Wait, "it waits beyond its deadline");
+            let next = way.deadline_expired();
+            assert!(settled || next != NextStep::Wait, "it waits beyond its deadline");
             next
         }
-        19..=21 => way.refuse([413, 429, 503][call - 19]),
+        19..=21 => way.reject([413, 429, 503][call - 19]),
         22 => {
-            let next = way.end();
-            let ends = if was.runs() { Next::BreakOff } else { Next::Refuse(503) };
+            let next = way.shut_down();
+            let ends = if was.runs() { NextStep::Abort } else { NextStep::Reject(503) };
             assert!(settled || next == ends, "{next:?}: {truth:?}");
             next
         }
         _ => {
-            way.gone();
+            way.client_gone();
             truth.finals += u32::from(!settled);
-            Next::Wait
+            NextStep::Wait
         }
     };
     match next {
-        Next::Refuse(status) => {
+        NextStep::Reject(status) => {
             assert!(!was.begun_answer, "an answer behind the beginning of another");
             let promise = matches!(status, 408 | 421 | 429 | 503);
             assert!(!promise || !was.runs(), "{status} for what may have run: {truth:?}");
             truth.finals += 1;
         }
-        Next::Deliver | Next::PassEnd => truth.finals += 1,
-        Next::BreakOff => {
+        NextStep::Deliver | NextStep::StreamLast => truth.finals += 1,
+        NextStep::Abort => {
             assert!(was.begun_answer || was.runs(), "broken off for nothing: {truth:?}");
             truth.finals += 1;
         }
         _ => {}
     }
     assert!(truth.finals <= 1, "a second end: {truth:?}");
-    assert_eq!(truth.finals == 1, way.state() == State::Settled, "{way:?} {truth:?}");
-    assert!(!way.may_follow() || repeats || !truth.runs(), "{way:?} {truth:?}");
-    let over = way.state() == State::Settled;
-    assert!(over || (way.refusal() == 503) != truth.runs(), "{way:?} {truth:?}");
+    assert_eq!(truth.finals == 1, way.state() == RequestState::Completed, "{way:?} {truth:?}");
+    assert!(!way.may_attempt() || repeats || !truth.runs(), "{way:?} {truth:?}");
+    let over = way.state() == RequestState::Completed;
+    assert!(over || (way.rejection_status() == 503) != truth.runs(), "{way:?} {truth:?}");
 }
 
 #[rstest]
@@ -147,7 +161,7 @@
 #[case::safe(true)]
 fn every_call_is_answered_by_what_is_true(#[case] repeats: bool) {
     let mut seen = BTreeSet::new();
-    let mut edge = vec![(Way::new(repeats, 2), Truth::default())];
+    let mut edge = vec![(RequestLifecycle::new(repeats, 2), Truth::default())];
     let mut calls = 0u64;
     while !edge.is_empty() {
         let mut next = Vec::new();
@@ -167,20 +181,31 @@
 }
 
 #[rstest]
-#[case::clean(Verdict::Good, Tail::Open, 0, 0, true, true)]
-#[case::spoilt(Verdict::Spoilt, Tail::Open, 0, 0, true, false)]
-#[case::ended(Verdict::Good, Tail::Ended, 0, 0, true, false)]
-#[case::broken(Verdict::Good, Tail::Broken, 0, 0, true, false)]
-#[case::bytes_behind(Verdict::Good, Tail::Open, 1, 0, true, false)]
-#[case::unsent(Verdict::Good, Tail::Open, 0, 1, true, false)]
-#[case::body_not_whole(Verdict::Good, Tail::Open, 0, 0, false, false)]
+#[case::clean(ResponseClass::Success, InputState::Open, 0, 0, true, true)]
+#[case::spoilt(ResponseClass::Invalid, InputState::Open, 0, 0, true, false)]
+#[case::ended(ResponseClass::Success, InputState::Ended, 0, 0, true, false)]
+#[case::broken(ResponseClass::Success, InputState::Broken, 0, 0, true, false)]
+#[case::bytes_behind(ResponseClass::Success, InputState::Open, 1, 0, true, false)]
+#[case::unsent(ResponseClass::Success, InputState::Open, 0, 1, true, false)]
+#[case::body_not_whole(ResponseClass::Success, InputState::Open, 0, 0, false, false)]
 fn only_a_clean_connection_rests(
-    #[case] verdict: Verdict,
-    #[case] tail: Tail,
+    #[case] class: ResponseClass,
+    #[case] tail: InputState,
     #[case] unread: usize,
     #[case] unsent: usize,
     #[case] finished: bool,
     #[case] rests: bool,
 ) {
-    assert_eq!(may_rest(verdict, tail, unread, unsent, finished), rests);
+    assert_eq!(
+        may_keep_connection(
+            class,
+            ConnectionRemains {
+                input_state: tail,
+                unread_bytes: unread,
+                unsent_bytes: unsent,
+                is_request_finished: finished
+            }
+        ),
+        rests
+    );
 }
--- a/crates/data-plane/tests/attempt/model.rs
+++ b/crates/data-plane/tests/attempt/model.rs
@@ -1,8 +1,11 @@
 //! Requests, connections and backends around the way, explored in all orders. The gateway's side is the real
-//! [`Way`] and the real [`Answer`]; around them stands what the server does with sockets, in a few lines each. Backends
+//! [`RequestLifecycle`] and the real [`ResponseReader`]; around them stands what the server does with sockets, in a few lines each. Backends
 //! count what they run, also on connections that the gateway has dropped; clients count what they are told.
 
-use kitepass_data_plane::attempt::{may_rest, Answer, Asked, Came, Next, State, Tail, Verdict, Way};
+use kitepass_data_plane::attempt::{
+    may_keep_connection, ConnectionRemains, InputState, NextStep, ReadProgress, RequestLifecycle,
+    RequestState, ResponseClass, ResponseContext, ResponseReader,
+};
 use rstest::rstest;
 use stateright::{Checker, Model, Property};
 
@@ -108,7 +111,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Request {
-    way: Way,
+    way: RequestLifecycle,
     client: Client,
     /// All of its body has come from the client.
     whole: bool,
@@ -137,7 +140,7 @@
     said: Vec<u8>,
     /// What is on the way to the gateway, and how it ends.
     out: Vec<Piece>,
-    tail: Tail,
+    tail: InputState,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -168,7 +171,7 @@
     Says(usize, Says),
     SaysTooMuch(usize, u8),
     /// The backend ends its sending, or the connection breaks, with what is on the way or without.
-    Ends(usize, Tail, bool),
+    Ends(usize, InputState, bool),
     /// The gateway reads so many pieces, and the end behind them.
     Reads(usize, usize, bool),
     Overdue(usize),
@@ -218,20 +221,20 @@
         let waits = matches!(self.requests[request].client, Client::Waits(_));
         self.expect(waits, "a second answer to one request");
         self.requests[request].client = client;
-        let settled = self.requests[request].way.state() == State::Settled;
+        let settled = self.requests[request].way.state() == RequestState::Completed;
         self.expect(settled, "told, and not settled");
         self.drop_leg(request);
     }
 
     /// What follows where no backend's answer goes on.
-    fn follow(&mut self, request: usize, next: Next) {
+    fn follow(&mut self, request: usize, next: NextStep) {
         match next {
-            Next::Refuse(status) => {
+            NextStep::Reject(status) => {
                 let partly = matches!(self.requests[request].client, Client::Waits(Some(_)));
                 self.expect(!partly, "an answer behind the beginning of another");
                 self.tell(request, Client::Has(status));
             }
-            Next::BreakOff => self.tell(request, Client::BrokenOff),
+            NextStep::Abort => self.tell(request, Client::BrokenOff),
             _ => {}
         }
     }
@@ -241,14 +244,14 @@
         let request = self.lines[line].leg.map(usize::from);
         self.drop_line(line);
         if let Some(request) = request {
-            let next = self.requests[request].way.lost();
+            let next = self.requests[request].way.attempt_failed();
             self.follow(request, next);
         }
     }
 
     fn read(&mut self, at: usize, number: usize, end: bool) {
         let line = &mut self.lines[at];
-        let tail = if end { line.tail } else { Tail::Open };
+        let tail = if end { line.tail } else { InputState::Open };
         let new: Vec<Piece> = line.out.drain(..number).collect();
         let Some(request) = line.leg.map(usize::from) else {
             if number > 0 || end {
@@ -257,28 +260,33 @@
             return;
         };
         let id = request.to_string();
-        let asked = Asked { id: id.as_bytes(), to_head: false, headed: false, long: LONG };
+        let asked = ResponseContext {
+            request_id: id.as_bytes(),
+            is_head_request: false,
+            has_carried_head: false,
+            max_buffered_bytes: LONG,
+        };
         // What it has read so far, as it stands now.
-        let (mut answer, mut input) = (Answer::default(), Vec::new());
+        let (mut answer, mut input) = (ResponseReader::default(), Vec::new());
         line.read.iter().for_each(|old| input.extend(piece(*old)));
-        answer.read(Asked { long: 1 << 20, ..asked }, &mut input, Tail::Open);
-        answer.got.drain(..line.gone);
+        answer.read(ResponseContext { max_buffered_bytes: 1 << 20, ..asked }, &mut input, InputState::Open);
+        answer.body.drain(..line.gone);
         new.iter().for_each(|new| input.extend(piece(*new)));
         line.read.extend(new);
         let came = answer.read(asked, &mut input, tail);
-        let repeats = self.requests[request].way.is_repeatable();
+        let repeats = self.requests[request].way.is_idempotent();
         match came {
-            Came::Part => {}
-            Came::Nothing(_) => self.lose(at),
-            Came::Long => {
-                let verdict = Verdict::of(answer.head.as_ref().expect("begun"), repeats);
-                let next = self.requests[request].way.is_long(verdict);
+            ReadProgress::Partial => {}
+            ReadProgress::Failed(_) => self.lose(at),
+            ReadProgress::BufferFull => {
+                let class = ResponseClass::of(answer.head.as_ref().expect("begun"), repeats);
+                let next = self.requests[request].way.response_exceeds_buffer(class);
                 match (next, &mut self.requests[request].client) {
-                    (Next::PassFirst | Next::PassOn, Client::Waits(heard)) => {
-                        self.lines[at].gone += answer.got.len();
+                    (NextStep::StreamFirst | NextStep::StreamMore, Client::Waits(heard)) => {
+                        self.lines[at].gone += answer.body.len();
                         heard
                             .get_or_insert_default()
-                            .push_str(std::str::from_utf8(&answer.got).expect("text"));
+                            .push_str(std::str::from_utf8(&answer.body).expect("text"));
                     }
                     (next, _) => {
                         self.drop_line(at);
@@ -286,7 +294,7 @@
                     }
                 }
             }
-            Came::Whole => self.answered(at, request, answer, input.len(), tail, repeats),
+            ReadProgress::Complete => self.answered(at, request, answer, input.len(), tail, repeats),
         }
     }
 
@@ -294,35 +302,44 @@
         &mut self,
         at: usize,
         request: usize,
-        answer: Answer,
+        answer: ResponseReader,
         unread: usize,
-        tail: Tail,
+        tail: InputState,
         repeats: bool,
     ) {
         let head = answer.head.expect("whole");
-        let asked = matches!(self.requests[request].way.state(), State::Written | State::Answering);
-        let verdict = if asked { Verdict::of(&head, repeats) } else { Verdict::Spoilt };
-        let next = self.requests[request].way.answered(verdict);
+        let asked =
+            matches!(self.requests[request].way.state(), RequestState::Sent | RequestState::Responding);
+        let class = if asked { ResponseClass::of(&head, repeats) } else { ResponseClass::Invalid };
+        let next = self.requests[request].way.response_complete(class);
         let line = &mut self.lines[at];
         line.leg = None;
         let finished = self.requests[request].whole;
         // What the other side still has of this request it may yet run, where it has not answered it.
         let unsent = usize::from(2 - line.written);
         (line.gone, _) = (0, line.read.clear());
-        if !may_rest(verdict, tail, unread, unsent, finished) {
+        if !may_keep_connection(
+            class,
+            ConnectionRemains {
+                input_state: tail,
+                unread_bytes: unread,
+                unsent_bytes: unsent,
+                is_request_finished: finished,
+            },
+        ) {
             self.drop_line(at);
         }
-        let said = String::from_utf8(answer.got).expect("text");
+        let said = String::from_utf8(answer.body).expect("text");
         match next {
-            Next::Deliver => self.check(request, &head, &said, request),
-            Next::PassEnd => {
+            NextStep::Deliver => self.check(request, &head, &said, request),
+            NextStep::StreamLast => {
                 let Client::Waits(Some(heard)) = &self.requests[request].client else {
                     return self.wrong = Some("an end without a beginning");
                 };
                 let said = heard.clone() + &said;
                 self.check(request, &head, &said, request);
             }
-            Next::AgainOrDeliver => self.requests[request].failed = true,
+            NextStep::RetryOrDeliver => self.requests[request].failed = true,
             next => self.follow(request, next),
         }
     }
@@ -347,7 +364,7 @@
 
     fn init_states(&self) -> Vec<World> {
         let request = Request {
-            way: Way::new(self.repeats, 2),
+            way: RequestLifecycle::new(self.repeats, 2),
             client: Client::Away,
             whole: !self.long,
             failed: false,
@@ -374,12 +391,12 @@
             if !request.whole {
                 actions.push(Action::Rest(r));
             }
-            if request.way.is_out() {
+            if request.way.is_in_flight() {
                 actions.push(Action::Overdue(r));
             }
-            if request.way.state() == State::Held {
+            if request.way.state() == RequestState::Pending {
                 actions.push(Action::Nobody(r));
-                if request.way.may_follow() {
+                if request.way.may_attempt() {
                     // No backend gets a second leg of a request, whose id a late answer to the first would bear.
                     let other = |line: &Service| line.leg.is_none() && !line.said.contains(&(r as u8));
                     let resting = world.lines.iter().enumerate().filter(|(_, line)| other(line));
@@ -396,7 +413,7 @@
             if let Some(r) = line.leg {
                 let most = if world.requests[usize::from(r)].whole { 2 } else { 1 };
                 actions.extend((line.written + 1..=most).map(|to| Action::Writes(l, to)));
-                if line.tail == Tail::Broken && line.written < 2 {
+                if line.tail == InputState::Broken && line.written < 2 {
                     actions.push(Action::WriteFails(l));
                 }
             } else {
@@ -408,30 +425,30 @@
                 if !runs {
                     actions.push(Action::Runs(l));
                 }
-                if line.tail == Tail::Open && line.said.len() < 2 && !endless {
+                if line.tail == InputState::Open && line.said.len() < 2 && !endless {
                     let may = |says: &&Says| **says != Says::NotRun || !runs;
                     actions.extend(ALL.iter().filter(may).map(|says| Action::Says(l, *says)));
                 }
             }
-            if line.tail == Tail::Open && line.said.len() < 2 && !endless {
+            if line.tail == InputState::Open && line.said.len() < 2 && !endless {
                 let due = line.has.map(|(r, _)| r);
                 let earlier = line.said.iter().copied().filter(|r| Some(*r) != due && *r < 2);
                 actions.extend(earlier.chain([9]).map(|r| Action::SaysTooMuch(l, r)));
             }
-            if line.tail == Tail::Open {
-                actions.push(Action::Ends(l, Tail::Ended, true));
-                actions.push(Action::Ends(l, Tail::Broken, true));
+            if line.tail == InputState::Open {
+                actions.push(Action::Ends(l, InputState::Ended, true));
+                actions.push(Action::Ends(l, InputState::Broken, true));
                 if !line.out.is_empty() {
-                    actions.push(Action::Ends(l, Tail::Broken, false));
+                    actions.push(Action::Ends(l, InputState::Broken, false));
                     // A body that goes to the connection's end has none that is too soon.
                     if !endless {
-                        actions.push(Action::Ends(l, Tail::Ended, false));
+                        actions.push(Action::Ends(l, InputState::Ended, false));
                     }
                 }
             }
             let all = line.out.len();
             actions.extend((1..=all).map(|n| Action::Reads(l, n, false)));
-            if line.tail != Tail::Open {
+            if line.tail != InputState::Open {
                 actions.push(Action::Reads(l, all, true));
             }
         }
@@ -450,12 +467,12 @@
             Action::Takes(r, line) => {
                 let request = &mut world.requests[r];
                 request.failed = false;
-                if !request.way.begin(line.is_some()) {
+                if !request.way.begin_attempt(line.is_some()) {
                     world.wrong = Some("a leg that may go does not");
                     return Some(world);
                 }
                 if self.long {
-                    request.way.passed();
+                    request.way.body_dropped();
                 }
                 match line {
                     Some(line) => (world.lines[line].leg, world.lines[line].written) = (Some(r as u8), 0),
@@ -468,33 +485,33 @@
                         has: None,
                         said: Vec::new(),
                         out: Vec::new(),
-                        tail: Tail::Open,
+                        tail: InputState::Open,
                     }),
                 }
             }
             Action::Nobody(r) => {
-                if world.requests[r].failed && world.requests[r].way.deliver() {
+                if world.requests[r].failed && world.requests[r].way.deliver_error_response() {
                     world.tell(r, Client::Has(500));
                 } else {
-                    let status = world.requests[r].way.refusal();
-                    let next = world.requests[r].way.refuse(status);
+                    let status = world.requests[r].way.rejection_status();
+                    let next = world.requests[r].way.reject(status);
                     world.follow(r, next);
                 }
             }
             Action::Made(l) => {
                 world.lines[l].made = true;
                 let r = world.lines[l].leg?;
-                world.requests[usize::from(r)].way.made();
+                world.requests[usize::from(r)].way.connected();
             }
             Action::Unreached(l) => world.lose(l),
             Action::Writes(l, to) => {
                 let line = &mut world.lines[l];
                 let r = line.leg?;
                 line.written = to;
-                world.requests[usize::from(r)].way.wrote();
+                world.requests[usize::from(r)].way.bytes_written();
                 // A backend whose end has broken gets nothing.
                 if line.has.is_none_or(|(had, _)| had != r)
-                    && line.tail != Tail::Broken
+                    && line.tail != InputState::Broken
                     && to > 0
                     && !line.said.contains(&r)
                 {
@@ -540,18 +557,18 @@
             }
             Action::Reads(l, number, end) => world.read(l, number, end),
             Action::Overdue(r) => {
-                if world.requests[r].way.may_follow() && world.requests[r].way.overdue() {
+                if world.requests[r].way.may_attempt() && world.requests[r].way.abandon_overdue_attempt() {
                     world.drop_leg(r);
                 }
             }
             Action::Deadline(r) => {
-                let next = world.requests[r].way.deadline();
+                let next = world.requests[r].way.deadline_expired();
                 world.follow(r, next);
                 let over = !matches!(world.requests[r].client, Client::Waits(_));
                 world.expect(over, "a request that waits beyond its deadline");
             }
             Action::Leaves(r) => {
-                world.requests[r].way.gone();
+                world.requests[r].way.client_gone();
                 world.tell(r, Client::Left);
             }
             Action::Rested(l) => world.drop_line(l),
@@ -559,7 +576,7 @@
                 world.ended = true;
                 for r in 0..world.requests.len() {
                     if matches!(world.requests[r].client, Client::Waits(_)) {
-                        let next = world.requests[r].way.end();
+                        let next = world.requests[r].way.shut_down();
                         world.follow(r, next);
                         let over = !matches!(world.requests[r].client, Client::Waits(_));
                         world.expect(over, "a request that outlives the process");
@@ -586,11 +603,17 @@
             Property::always("a leg is out on one connection, or none", |_, world: &World| {
                 world.requests.iter().enumerate().all(|(r, request)| {
                     let on = world.lines.iter().filter(|line| line.leg == Some(r as u8)).count();
-                    on == usize::from(request.way.is_out() || request.way.state() == State::Answering)
+                    on == usize::from(
+                        request.way.is_in_flight() || request.way.state() == RequestState::Responding,
+                    )
                 })
             }),
             Property::sometimes("a request is answered by its second leg", |stand: &Stand, world: &World| {
-                stand.long || world.requests.iter().any(|r| r.client == Client::Has(200) && r.way.sent() == 2)
+                stand.long
+                    || world
+                        .requests
+                        .iter()
+                        .any(|r| r.client == Client::Has(200) && r.way.attempts_sent() == 2)
             }),
             Property::sometimes("a connection rests and is taken again", |_, world: &World| {
                 world.lines.iter().any(|line| line.leg == Some(1) && line.said.contains(&0))
