--- a/crates/data-plane/examples/tables.rs
+++ b/crates/data-plane/examples/tables.rs
@@ -286,7 +286,7 @@
     time("Link::said, a beat", 1_000, |_| drop(hear(&mut link, at(2), &beat)));
     time("Link::said, the living, and LoadBalancer::live", 100, |_| {
         let brought = hear(&mut link, at(2), &live);
-        pick.set_live_gateways(brought.live.expect("told").1);
+        pick.set_live_gateways(brought.live.expect("told").node_ids);
     });
     time("Ledger::digest", 1_000, |_| {
         std::hint::black_box(link.item_store.digest());
--- /dev/null
+++ b/crates/data-plane/src/control_session/directory.rs
@@ -0,0 +1,209 @@
+//! The control processes that a gateway knows, and which of them it opens a session with.
+
+use kitepass_config::ItemStore;
+use kitepass_coordination::membership::{ReplicaSet, CURRENT};
+use kitepass_time::{Duration, Timestamp};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// After a failed attempt a control process is left alone for so long, times the number of failures in a row.
+const RETRY_INTERVAL: Duration = Duration::from_micros(350_000);
+/// Failures in a row that lengthen the interval at most.
+const MAX_BACKOFF_FAILURES: u32 = 6;
+/// A control process that was found isolated from the quorum is avoided for so long, times how often it was found so
+/// in a row, up to [`MAX_AVOIDANCE`].
+///
+/// Invariant: where all are isolated, gateways do not go round among them without end.
+const AVOIDANCE_INTERVAL: Duration = Duration::from_micros(10_000_000);
+/// Longest time for which an isolated control process is avoided.
+const MAX_AVOIDANCE: Duration = Duration::from_micros(20_000_000);
+/// A nearer control process is gone over to no sooner than this after it was last tried or found isolated.
+const NEARER_RETRY_INTERVAL: Duration = Duration::from_micros(12_000_000);
+
+/// Attempts to open a session with a control process.
+#[derive(Clone, Copy, Debug, Default)]
+struct Attempts {
+    last: Timestamp,
+    /// Attempts since the last that was followed by a complete synchronization.
+    failures: u32,
+}
+
+/// A control process that was isolated from the quorum when it was last heard.
+#[derive(Clone, Copy, Debug)]
+struct IsolationRecord {
+    found_at: Timestamp,
+    /// How often in a row.
+    times: u32,
+}
+
+/// How near a control process is; a nearer one is preferred.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Proximity {
+    SameZone,
+    SameRegion,
+    OtherRegion,
+}
+
+/// What makes one control process preferable to another: fewer failures first, then one that is in contact with the
+/// quorum, then a near one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Preference {
+    failures: u32,
+    is_avoided: bool,
+    proximity: Proximity,
+}
+
+/// The control processes that are known, by address.
+pub(super) struct Directory {
+    own_zone: String,
+    own_region: String,
+    /// The region of each zone.
+    regions: BTreeMap<String, String>,
+    /// Addresses from the settings.
+    bootstrap: Vec<String>,
+    /// The zone of each live control process.
+    zones: BTreeMap<String, String>,
+    attempts: BTreeMap<String, Attempts>,
+    isolated: BTreeMap<String, IsolationRecord>,
+    /// The control process of the present session, or of the last.
+    current: String,
+}
+
+impl Directory {
+    pub(super) fn new(
+        own_zone: String,
+        own_region: String,
+        regions: BTreeMap<String, String>,
+        bootstrap: Vec<String>,
+    ) -> Directory {
+        Directory {
+            own_zone,
+            own_region,
+            regions,
+            bootstrap,
+            zones: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            isolated: BTreeMap::new(),
+            current: String::new(),
+        }
+    }
+
+    pub(super) fn set_bootstrap(&mut self, bootstrap: Vec<String>) {
+        self.bootstrap = bootstrap;
+    }
+
+    /// The control process of the present session, or of the last.
+    pub(super) fn current(&self) -> &str {
+        &self.current
+    }
+
+    /// Takes the zone that a control process gives in its hello.
+    pub(super) fn add(&mut self, address: String, zone: String) {
+        self.zones.insert(address, zone);
+    }
+
+    /// Takes all live control processes, as the membership has them.
+    pub(super) fn replace(&mut self, zones: BTreeMap<String, String>) {
+        self.zones = zones;
+    }
+
+    /// The current control process is isolated from the quorum. `is_new` if it was in contact before.
+    pub(super) fn mark_isolated(&mut self, now: Timestamp, is_new: bool) {
+        let times = self.isolated.get(&self.current).map_or(0, |record| record.times) + u32::from(is_new);
+        self.isolated.insert(self.current.clone(), IsolationRecord { found_at: now, times });
+    }
+
+    /// The current control process is in contact with the quorum.
+    pub(super) fn mark_in_contact(&mut self) {
+        self.isolated.remove(&self.current);
+    }
+
+    /// A session has synchronized. One that is isolated says nothing of the others' failures.
+    pub(super) fn reset_failures(&mut self, is_isolated: bool) {
+        for (address, attempts) in &mut self.attempts {
+            if !is_isolated || *address == self.current {
+                attempts.failures = 0;
+            }
+        }
+    }
+
+    fn proximity(&self, address: &str) -> Proximity {
+        match self.zones.get(address) {
+            Some(zone) if *zone == self.own_zone => Proximity::SameZone,
+            Some(zone) if self.regions.get(zone) == Some(&self.own_region) => Proximity::SameRegion,
+            _ => Proximity::OtherRegion,
+        }
+    }
+
+    /// All control processes that are known, by the settings, the membership or the replica set.
+    fn all(&self, item_store: &ItemStore) -> BTreeSet<String> {
+        let mut all: BTreeSet<String> = self.bootstrap.iter().chain(self.zones.keys()).cloned().collect();
+        if let Some(replica_set) = ReplicaSet::load(item_store, CURRENT) {
+            all.extend(replica_set.replicas.into_iter().map(|replica| replica.address));
+        }
+        all
+    }
+
+    /// Whether a control process was isolated when it was last heard, and is not to be tried again yet.
+    fn is_avoided(&self, now: Timestamp, address: &str) -> bool {
+        self.isolated.get(address).is_some_and(|record| {
+            let avoidance = AVOIDANCE_INTERVAL * i64::from(record.times.max(1));
+            now - record.found_at < avoidance.min(MAX_AVOIDANCE)
+        })
+    }
+
+    /// Whether there is another control process that may be in contact with the quorum.
+    pub(super) fn has_alternative(&self, now: Timestamp, item_store: &ItemStore) -> bool {
+        let has_failed_lately = |address: &str| {
+            self.attempts
+                .get(address)
+                .is_some_and(|attempts| attempts.failures > 0 && now - attempts.last < MAX_AVOIDANCE)
+        };
+        self.all(item_store).iter().any(|address| {
+            *address != self.current && !self.is_avoided(now, address) && !has_failed_lately(address)
+        })
+    }
+
+    /// Whether there is a live control process nearer than the current one that is worth a try.
+    pub(super) fn has_nearer(&self, now: Timestamp) -> bool {
+        let is_long_ago = |at: Timestamp| now - at > NEARER_RETRY_INTERVAL;
+        self.zones.keys().any(|address| {
+            self.proximity(address) < self.proximity(&self.current)
+                && self.isolated.get(address).is_none_or(|record| is_long_ago(record.found_at))
+                && self.attempts.get(address).is_none_or(|attempts| is_long_ago(attempts.last))
+        })
+    }
+
+    /// Whether a control process was tried so lately that it is left alone.
+    fn is_backing_off(&self, now: Timestamp, address: &str) -> bool {
+        self.attempts.get(address).is_some_and(|attempts| {
+            let failures = attempts.failures.min(MAX_BACKOFF_FAILURES);
+            let factor = failures.max(u32::from(self.is_avoided(now, address)));
+            now - attempts.last < RETRY_INTERVAL * i64::from(factor)
+        })
+    }
+
+    fn preference(&self, now: Timestamp, address: &str) -> Preference {
+        Preference {
+            failures: self.attempts.get(address).map_or(0, |attempts| attempts.failures),
+            is_avoided: self.is_avoided(now, address),
+            proximity: self.proximity(address),
+        }
+    }
+
+    /// Selects the control process to open a session with, if any may be tried now. `draw` is a random number that
+    /// decides among equally preferable ones. The attempt counts as failed until the session has synchronized.
+    pub(super) fn select(&mut self, now: Timestamp, item_store: &ItemStore, draw: u64) -> Option<String> {
+        let all = self.all(item_store);
+        let may_be_tried: Vec<&String> =
+            all.iter().filter(|address| !self.is_backing_off(now, address)).collect();
+        let best = may_be_tried.iter().map(|address| self.preference(now, address)).min()?;
+        let equally_good: Vec<&String> =
+            may_be_tried.into_iter().filter(|address| self.preference(now, address) == best).collect();
+        let address = equally_good[(draw % equally_good.len() as u64) as usize].clone();
+        let attempts = self.attempts.entry(address.clone()).or_default();
+        attempts.last = now;
+        attempts.failures += 1;
+        self.current = address.clone();
+        Some(address)
+    }
+}
--- /dev/null
+++ b/crates/data-plane/src/control_session/mod.rs
@@ -0,0 +1,437 @@
+//! A gateway's session with a control process, over which all that it knows of the system comes.
+//!
+//! No input or output: the owner opens connections to the addresses that [`ControlSession::next`] names, hands in the
+//! messages that come, and sends those in [`ControlSession::out`] and [`ControlSession::out_items`].
+
+mod directory;
+
+use directory::Directory;
+use kitepass_config::{Item, ItemStore, Kind};
+use kitepass_coordination::protocol::{
+    BucketDigests, Heartbeat, Hello, ItemMessage, Items, MembershipUpdate, Message, PurgeTombstones,
+    UsageTotals,
+};
+use kitepass_time::{Duration, Timestamp};
+use log::{debug, info, warn};
+use std::collections::BTreeMap;
+
+/// How often the gateway sends a heartbeat.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_micros(500_000);
+/// A control process that sends nothing for so long is left for another.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_micros(1_600_000);
+/// Deleted backends that are remembered at most.
+const MAX_BACKEND_TOMBSTONES: usize = 4_096;
+/// A session that is not established by then is given up.
+const CONNECT_TIMEOUT: Duration = Duration::from_micros(1_400_000);
+/// A session that is established and brings nothing of what is missing for so long is given up; it is long, as many
+/// gateways may wait for their turn.
+const SYNC_TIMEOUT: Duration = Duration::from_micros(10_000_000);
+/// A gateway that has not synchronized for so long with a control process in contact with the quorum starts again
+/// from nothing.
+///
+/// Invariant: tombstones are purged no sooner than twice this after all of the control plane knew them. A gateway that
+/// stayed away longer could keep what was deleted meanwhile, and nobody would tell it.
+const MAX_UNSYNCED: Duration = Duration::from_micros(1_800_000_000);
+/// After so many repairs in a row that left a difference the gateway starts again from nothing: it holds something
+/// that the control plane has purged.
+const MAX_FAILED_REPAIRS: u32 = 8;
+/// A control process that becomes isolated from the quorum is stayed with for so long, if another may be better, so
+/// that a short partition moves no gateway. One that is isolated from the start is left as soon as it has synchronized.
+const ISOLATION_GRACE: Duration = Duration::from_micros(1_500_000);
+/// A nearer control process is gone over to no sooner than this after the session was opened.
+const MIN_SESSION_TIME: Duration = Duration::from_micros(3_000_000);
+
+/// How far the session has come. [`ControlSession::transition`] alone changes it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SessionState {
+    /// There is no session.
+    Disconnected,
+    /// A connection is being opened since then.
+    Connecting(Timestamp),
+    /// The session is established, and brings what is missing here; since the last of it.
+    Syncing(Timestamp),
+    /// All that the control process holds has come.
+    Synced,
+}
+
+impl SessionState {
+    /// The state's name as it is logged.
+    fn name(self) -> &'static str {
+        match self {
+            SessionState::Disconnected => "disconnected",
+            SessionState::Connecting(_) => "connecting",
+            SessionState::Syncing(_) => "syncing",
+            SessionState::Synced => "synced",
+        }
+    }
+}
+
+/// The gateways that count as live.
+#[derive(Clone, Debug, Default)]
+pub struct LiveGateways {
+    /// How many there are.
+    pub count: usize,
+    /// Their node ids, in order.
+    pub node_ids: Vec<String>,
+}
+
+/// What messages of the control process have brought.
+#[derive(Debug, Default)]
+pub struct SessionUpdates {
+    /// Items that are new or changed.
+    pub items: Vec<Item>,
+    /// The gateways that count as live, if that was told.
+    pub live: Option<LiveGateways>,
+    /// Answers to usage reports.
+    pub totals: Vec<UsageTotals>,
+    /// Whether the session is to be closed.
+    pub close: bool,
+}
+
+/// A synchronization from nothing, in progress.
+struct Resync {
+    item_store: ItemStore,
+    began_at: Timestamp,
+}
+
+/// The session of a gateway with one control process at a time.
+pub struct ControlSession {
+    hello: Hello,
+    state: SessionState,
+    /// The items that the gateway serves by.
+    pub item_store: ItemStore,
+    /// A new item store that takes the place of the present one once it is complete.
+    resync: Option<Resync>,
+    /// When the gateway last held the same as a control process in contact with the quorum.
+    last_synced: Timestamp,
+    max_unsynced: Duration,
+    /// The control process is to be asked again for what is missing.
+    wants_digests: bool,
+    failed_repairs: u32,
+    directory: Directory,
+    last_heard: Timestamp,
+    opened_at: Timestamp,
+    last_heartbeat: Timestamp,
+    /// Set while the control process is isolated from the quorum: after this moment it is left, if another may be in
+    /// contact.
+    isolation_deadline: Option<Timestamp>,
+    /// Whether the gateway has synchronized once: from then on it may serve.
+    has_synced: bool,
+    has_membership: bool,
+    /// Whether the gateway takes requests, which its heartbeats tell.
+    pub ready: bool,
+    announced_ready: bool,
+    /// Messages to send.
+    pub out: Vec<Message>,
+    /// Items to send.
+    pub out_items: Vec<Item>,
+}
+
+impl ControlSession {
+    /// A gateway without a session. `bootstrap` are the addresses of the settings, `regions` the region of each zone.
+    pub fn new(hello: Hello, bootstrap: Vec<String>, regions: BTreeMap<String, String>) -> ControlSession {
+        ControlSession {
+            directory: Directory::new(hello.zone.clone(), hello.region.clone(), regions, bootstrap),
+            hello,
+            state: SessionState::Disconnected,
+            item_store: ItemStore::new(),
+            resync: None,
+            last_synced: Timestamp::default(),
+            max_unsynced: MAX_UNSYNCED,
+            wants_digests: false,
+            failed_repairs: 0,
+            last_heard: Timestamp::default(),
+            opened_at: Timestamp::default(),
+            last_heartbeat: Timestamp::default(),
+            isolation_deadline: None,
+            has_synced: false,
+            has_membership: false,
+            ready: false,
+            announced_ready: false,
+            out: Vec::new(),
+            out_items: Vec::new(),
+        }
+    }
+
+    /// How far the session has come.
+    pub fn state(&self) -> SessionState {
+        self.state
+    }
+
+    /// For tests: the longest time without synchronization, in place of [`MAX_UNSYNCED`].
+    pub fn set_alone(&mut self, max_unsynced: Duration) {
+        self.max_unsynced = max_unsynced;
+    }
+
+    /// Takes the addresses of the settings.
+    pub fn set_bootstrap_addresses(&mut self, addresses: Vec<String>) {
+        self.directory.set_bootstrap(addresses);
+    }
+
+    /// Whether the gateway has synchronized once, and knows the other gateways.
+    pub fn is_caught_up(&self) -> bool {
+        self.has_synced && self.has_membership
+    }
+
+    /// Whether any backend is known.
+    pub fn has_backends(&self) -> bool {
+        self.item_store.items_of(Kind::Backend).any(|item| item.value.is_some())
+    }
+
+    /// Whether the gateway has synchronized, and is not starting again from nothing.
+    fn is_complete(&self) -> bool {
+        self.has_synced && self.resync.is_none()
+    }
+
+    fn is_isolated(&self) -> bool {
+        self.isolation_deadline.is_some()
+    }
+
+    fn transition(&mut self, to: SessionState) {
+        if let (SessionState::Syncing(since), SessionState::Syncing(now)) = (&mut self.state, to) {
+            *since = now;
+        } else if self.state != to {
+            debug!("event=control-session state={} control={}", to.name(), self.directory.current());
+            self.state = to;
+        }
+    }
+
+    /// The item store that the session fills: that of a synchronization from nothing, or the present one.
+    fn synced_store(&self) -> &ItemStore {
+        self.resync.as_ref().map_or(&self.item_store, |resync| &resync.item_store)
+    }
+
+    fn begin_resync(&mut self, now: Timestamp, why: &str) {
+        info!("event=resync why={why} items={}", self.item_store.len());
+        self.resync = Some(Resync { item_store: ItemStore::new(), began_at: now });
+        self.failed_repairs = 0;
+    }
+
+    /// A synchronization from nothing is complete: its items take the place of the present ones. What is not among
+    /// them is deleted.
+    fn finish_resync(&mut self, updates: &mut SessionUpdates) {
+        let Some(resync) = self.resync.take() else { return };
+        let old = std::mem::replace(&mut self.item_store, resync.item_store);
+        let is_new = |item: &&Item| old.get(item.kind, &item.name) != Some(*item);
+        updates.items.extend(self.item_store.items().filter(is_new).cloned());
+        let is_gone = |item: &&Item| item.is_set() && self.item_store.get(item.kind, &item.name).is_none();
+        updates.items.extend(old.items().filter(is_gone).map(|item| Item { value: None, ..item.clone() }));
+    }
+
+    /// The control process says whether it is in contact with the quorum. One that is not is left after `grace`.
+    fn update_contact(&mut self, now: Timestamp, is_in_contact: bool, grace: Duration) {
+        if is_in_contact {
+            self.isolation_deadline = None;
+            self.directory.mark_in_contact();
+            return;
+        }
+        let is_new = !self.is_isolated();
+        if is_new {
+            self.isolation_deadline = Some(now + grace);
+            info!("event=control-isolated control={}", self.directory.current());
+        }
+        self.directory.mark_isolated(now, is_new);
+    }
+
+    /// The control process to open a session with now, if any. `draw` is a random number.
+    pub fn next(&mut self, now: Timestamp, draw: u64) -> Option<String> {
+        if self.state != SessionState::Disconnected {
+            return None;
+        }
+        let address = self.directory.select(now, &self.item_store, draw)?;
+        let unsynced_since = self.resync.as_ref().map_or(self.last_synced, |resync| resync.began_at);
+        if self.has_synced && now - unsynced_since > self.max_unsynced {
+            self.begin_resync(now, "unsynced");
+        }
+        self.wants_digests = false;
+        self.transition(SessionState::Connecting(now));
+        self.last_heard = now;
+        self.opened_at = now;
+        self.isolation_deadline = None;
+        let hello = Hello { is_serving: self.is_complete(), ..self.hello.clone() };
+        self.out = vec![Message::Hello(hello), self.digests()];
+        self.announced_ready = !self.ready;
+        Some(address)
+    }
+
+    /// The digests of what is held here, by which the control process finds what is missing.
+    fn digests(&self) -> Message {
+        let digests = self.synced_store().buckets().to_vec();
+        Message::BucketDigests(BucketDigests { digests, wants_reply: false })
+    }
+
+    /// The connection is closed, or could not be opened.
+    pub fn lost(&mut self, why: &str) {
+        let control = self.directory.current();
+        match self.state {
+            SessionState::Disconnected => {}
+            // Ordinary: one that has not caught up yet, or that is left for a better one.
+            _ if matches!(why, "not-current" | "left") => {
+                debug!("event=control-session-lost control={control} why={why}")
+            }
+            _ => warn!("event=control-session-lost control={control} why={why}"),
+        }
+        self.out.clear();
+        self.out_items.clear();
+        self.transition(SessionState::Disconnected);
+    }
+
+    /// To be called about ten times a second. True if the session is to be closed.
+    pub fn tick(&mut self, now: Timestamp) -> bool {
+        self.item_store.purge_dropped(Kind::Backend, MAX_BACKEND_TOMBSTONES);
+        if self.state == SessionState::Disconnected {
+            return false;
+        }
+        if self.is_timed_out(now) || self.should_leave(now) {
+            return true;
+        }
+        if std::mem::take(&mut self.wants_digests) {
+            let digests = self.digests();
+            self.out.push(digests);
+        }
+        if now - self.last_heartbeat >= HEARTBEAT_INTERVAL || self.ready != self.announced_ready {
+            self.last_heartbeat = now;
+            self.announced_ready = self.ready;
+            self.out.push(Message::Heartbeat(Heartbeat {
+                digest: self.synced_store().digest(),
+                is_ready: self.ready,
+                is_serving: self.is_complete(),
+                ..Heartbeat::default()
+            }));
+        }
+        false
+    }
+
+    fn is_timed_out(&self, now: Timestamp) -> bool {
+        match self.state {
+            SessionState::Connecting(since) if now - since > CONNECT_TIMEOUT => true,
+            SessionState::Syncing(since) if now - since > SYNC_TIMEOUT => true,
+            _ => now - self.last_heard > HEARTBEAT_TIMEOUT,
+        }
+    }
+
+    /// Whether the control process is to be left for one that is in contact with the quorum, or nearer.
+    fn should_leave(&self, now: Timestamp) -> bool {
+        if self.state != SessionState::Synced {
+            return false;
+        }
+        let is_isolated_too_long = self.isolation_deadline.is_some_and(|deadline| now >= deadline);
+        is_isolated_too_long && self.directory.has_alternative(now, &self.item_store)
+            || now - self.opened_at > MIN_SESSION_TIME && self.directory.has_nearer(now)
+    }
+
+    /// Bytes have come that are no complete message yet.
+    ///
+    /// Invariant: over a slow connection a message of many MiB takes longer than [`HEARTBEAT_TIMEOUT`].
+    pub fn bytes_received(&mut self, now: Timestamp) {
+        self.last_heard = now;
+    }
+
+    /// Takes a message of the control process.
+    pub fn said(&mut self, now: Timestamp, message: Message, updates: &mut SessionUpdates) {
+        self.last_heard = now;
+        match &message {
+            Message::Hello(hello) => {
+                self.directory.add(hello.address.clone(), hello.zone.clone());
+                self.update_contact(now, hello.is_serving, Duration::ZERO);
+                self.transition(SessionState::Syncing(now));
+            }
+            Message::Heartbeat(heartbeat) => self.receive_heartbeat(now, heartbeat),
+            _ => {}
+        }
+        // Invariant: an old configuration is never taken for the newest. A gateway that has synchronized once does no
+        // worse by staying a while.
+        if self.is_isolated() && !self.is_complete() {
+            updates.close = true;
+            return;
+        }
+        match message {
+            Message::Items(items) => self.receive_items(now, items, updates),
+            Message::BucketDigests(digests) => self.receive_digests(now, &digests, updates),
+            Message::MembershipUpdate(membership) => self.receive_membership(membership, updates),
+            Message::PurgeTombstones(purge) => self.purge_tombstones(purge),
+            Message::UsageTotals(totals) => updates.totals.push(totals),
+            _ => {}
+        }
+    }
+
+    fn receive_heartbeat(&mut self, now: Timestamp, heartbeat: &Heartbeat) {
+        self.update_contact(now, heartbeat.is_serving, ISOLATION_GRACE);
+        // Messages come in order, so that an equal digest tells that nothing is missing.
+        let is_equal = heartbeat.digest == self.item_store.digest();
+        if !self.is_isolated() && self.resync.is_none() && is_equal {
+            self.last_synced = now;
+        }
+    }
+
+    fn receive_items(&mut self, now: Timestamp, items: Items, updates: &mut SessionUpdates) {
+        if matches!(self.state, SessionState::Syncing(_)) {
+            self.transition(SessionState::Syncing(now));
+        }
+        for item in items.items.into_iter().filter_map(ItemMessage::into_item) {
+            match &mut self.resync {
+                Some(resync) => _ = resync.item_store.merge(item),
+                None if self.item_store.merge(item.clone()) => updates.items.push(item),
+                None => {}
+            }
+        }
+    }
+
+    /// The control process tells the digests of all that it holds, at the end of a synchronization or as a question.
+    fn receive_digests(&mut self, now: Timestamp, theirs: &BucketDigests, updates: &mut SessionUpdates) {
+        // Backends that the control process has lost are sent back; whoever reads the list corrects what is wrong in
+        // it. Invariant: no item of the configuration is, for an old one could come back that way. The control plane
+        // has all of them: it tells them here only once they are committed.
+        let differing = self.synced_store().differing(&theirs.digests);
+        let sent_back: Vec<Item> = differing.filter(|item| item.kind == Kind::Backend).cloned().collect();
+        self.out_items.extend(sent_back);
+        if theirs.wants_reply {
+            self.sync_finished(now, theirs.digests == self.synced_store().buckets(), updates);
+        } else {
+            let digests = self.digests();
+            self.out.push(digests);
+        }
+    }
+
+    fn receive_membership(&mut self, membership: MembershipUpdate, updates: &mut SessionUpdates) {
+        self.has_membership = true;
+        let addresses = membership.control_addresses.iter().cloned();
+        self.directory.replace(addresses.zip(membership.control_districts.iter().cloned()).collect());
+        updates.live =
+            Some(LiveGateways { count: membership.gateway_count as usize, node_ids: membership.node_ids });
+    }
+
+    fn purge_tombstones(&mut self, purge: PurgeTombstones) {
+        for (kind, name, version) in purge.into_expired() {
+            self.item_store.purge(kind, &name, version);
+            if let Some(resync) = &mut self.resync {
+                resync.item_store.purge(kind, &name, version);
+            }
+        }
+    }
+
+    /// The control process has sent all that it holds. `is_equal` if the gateway holds the same and nothing else.
+    fn sync_finished(&mut self, now: Timestamp, is_equal: bool, updates: &mut SessionUpdates) {
+        self.failed_repairs = if is_equal { 0 } else { self.failed_repairs + 1 };
+        // Invariant: a gateway that served by a part of the items would serve by less than was acknowledged.
+        if !self.is_complete() && !is_equal {
+            info!("event=sync-differs control={} times={}", self.directory.current(), self.failed_repairs);
+            self.wants_digests = true;
+            return;
+        }
+        self.finish_resync(updates);
+        if self.state != SessionState::Synced {
+            info!("event=synced control={} items={}", self.directory.current(), self.item_store.len());
+        }
+        self.has_synced = true;
+        self.transition(SessionState::Synced);
+        self.directory.reset_failures(self.is_isolated());
+        if !self.is_isolated() {
+            self.last_synced = if is_equal { now } else { self.last_synced };
+            if self.failed_repairs >= MAX_FAILED_REPAIRS {
+                self.begin_resync(now, "differs");
+                self.wants_digests = true;
+            }
+        }
+    }
+}
--- a/crates/data-plane/src/server/mod.rs
+++ b/crates/data-plane/src/server/mod.rs
@@ -4,7 +4,7 @@
     self, ConnectionRemains, InputState, NextStep, ReadProgress, RequestState, ResponseClass,
     ResponseContext, ResponseFailure, ResponseReader,
 };
-use crate::control_session::{ControlSession, SessionUpdates};
+use crate::control_session::{ControlSession, LiveGateways, SessionUpdates};
 use crate::load_balancer::{AttemptOutcome, LoadBalancer, SelectionRequest};
 use crate::quota::{Admission, Decision, Quota, PERIOD};
 use crate::request::{Request, RequestInfo, MAX_BUFFERED_BODY_BYTES};
@@ -285,8 +285,9 @@
             Some(Ok(settings)) if settings == self.settings => {}
             Some(Ok(settings)) => {
                 info!("event=settings");
-                self.link
-                    .stops(settings.bootstrap_addresses.iter().map(|stop| stop.ip().to_string()).collect());
+                self.link.set_bootstrap_addresses(
+                    settings.bootstrap_addresses.iter().map(|stop| stop.ip().to_string()).collect(),
+                );
                 self.retry_budget.set_limits(retry_limits(&settings));
                 self.quota.set_tolerance(tolerance(&settings));
                 self.settings = settings;
@@ -503,7 +504,7 @@
         while let Ok(false) = read {
             read = session.wire.fill(&mut self.piece, MOST_FRAME + 4);
             if !session.wire.input.is_empty() {
-                self.link.alive(now);
+                self.link.bytes_received(now);
             }
             let mut at = 0;
             garbled = loop {
@@ -525,7 +526,7 @@
                 _ => self.changed = true,
             }
         }
-        if let Some((live, node_ids)) = brought.live {
+        if let Some(LiveGateways { count: live, node_ids }) = brought.live {
             self.live = live.max(1);
             self.quota.set_live_gateways(live);
             self.load_balancer.set_live_gateways(node_ids);
--- a/crates/data-plane/tests/control_session.rs
+++ b/crates/data-plane/tests/control_session.rs
@@ -8,7 +8,7 @@
 use kitepass_coordination::protocol::{
     BucketDigests, Heartbeat, Hello, ItemMessage, Items, MembershipUpdate, Message,
 };
-use kitepass_data_plane::control_session::{ControlSession, SessionUpdates, State};
+use kitepass_data_plane::control_session::{ControlSession, SessionState, SessionUpdates};
 use kitepass_time::Timestamp;
 use std::collections::BTreeMap;
 
@@ -103,7 +103,7 @@
     let (mut left, mut seen) = (Vec::new(), vec![address]);
     for now in (200..9_000).step_by(100) {
         match link.state() {
-            State::Away => {
+            SessionState::Disconnected => {
                 let address = link.next(at(now), 0).expect("one is left");
                 say(&mut link, now, vec![hello(&address, false), back(None)]);
                 seen.push(address);
