--- a/crates/data-plane/examples/tables.rs
+++ b/crates/data-plane/examples/tables.rs
@@ -3,10 +3,6 @@
 //! The true [`ControlSession`], [`RoutingTable`], [`LoadBalancer`] and [`Quota`] at three sizes, each in a process of its own so that memory is
 //! told apart: microseconds a call, and resident memory. docs/CAPACITY.md uses what it prints.
 
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
-
 use kitepass_config::{Item, Kind, RoutingTable};
 use kitepass_coordination::protocol::*;
 use kitepass_coordination::usage::{QuotaTolerance, RateLimit};
--- a/crates/data-plane/src/attempt/lifecycle.rs
+++ b/crates/data-plane/src/attempt/lifecycle.rs
@@ -5,7 +5,7 @@
 /// Statuses of this gateway's own that promise the client that its request was not and will not be executed.
 const NEVER_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// The state of a request. [`RequestLifecycle::transition`] alone changes it.
+/// The state of a request. `RequestLifecycle::transition` alone changes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequestState {
     /// Its body is still arriving, or it waits for an attempt.
@@ -252,7 +252,7 @@
 
     /// The request gets a response of this gateway's own.
     ///
-    /// Invariant: a status of [`NEVER_EXECUTED_STATUSES`] is never given to what may have been executed.
+    /// Invariant: a status that promises that the request was not executed is never given to what may have been executed.
     pub fn reject(&mut self, status: u16) -> NextStep {
         match self.state {
             RequestState::Completed => NextStep::Wait,
--- a/crates/data-plane/src/cli.rs
+++ b/crates/data-plane/src/cli.rs
@@ -1,7 +1,9 @@
 //! The command line.
 
-use crate::server::Server;
-use lexopt::prelude::*;
+use crate::server::{self, Server};
+use lexopt::Arg::{Long, Short, Value};
+use lexopt::ValueExt;
+use snafu::{OptionExt, Snafu};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -17,57 +19,82 @@
 SIGTERM has it finish what it took and end; SIGHUP has it read the settings file again.
 ";
 
+/// The exit code where the gateway cannot start or go on.
+const EXIT_FAILED: u8 = 1;
+/// The exit code where the command line cannot be taken.
+const EXIT_USAGE: u8 = 2;
+
+/// Runs the program by its command line.
 pub fn main() -> ExitCode {
-    let (why, code) = match run() {
-        Ok(()) => return ExitCode::SUCCESS,
-        Err(Fault::Usage(why)) => (why, 2),
-        Err(Fault::Ended(why)) => (why, 1),
-    };
-    eprintln!("kitepass-data-plane: {why}");
-    ExitCode::from(code)
+    match run() {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("kitepass-data-plane: {error}");
+            error.exit_code()
+        }
+    }
 }
 
-enum Fault {
-    /// The command line cannot be taken.
-    Usage(String),
-    /// The gateway could not start, or ended.
-    Ended(String),
+/// Why the program ends with an error.
+#[derive(Debug, Snafu)]
+enum CliError {
+    #[snafu(context(false), display("{source}"))]
+    Usage { source: lexopt::Error },
+    #[snafu(display("no settings file: name one with --settings or KITEPASS_NODE_FILE"))]
+    NoSettings,
+    #[snafu(display("no such command: {command}; see kitepass-data-plane --help"))]
+    UnknownCommand { command: String },
+    #[snafu(context(false), display("{source}"))]
+    Server { source: server::Error },
 }
 
-impl From<lexopt::Error> for Fault {
-    fn from(error: lexopt::Error) -> Fault {
-        Fault::Usage(error.to_string())
+impl CliError {
+    fn exit_code(&self) -> ExitCode {
+        ExitCode::from(match self {
+            CliError::Usage { .. } | CliError::NoSettings | CliError::UnknownCommand { .. } => EXIT_USAGE,
+            CliError::Server { .. } => EXIT_FAILED,
+        })
     }
 }
 
-fn run() -> Result<(), Fault> {
+/// What the command line asks for.
+enum Command {
+    Help,
+    Version,
+    Serve { settings_path: Option<PathBuf> },
+}
+
+fn parse_command_line() -> Result<Command, CliError> {
     let mut parser = lexopt::Parser::from_env();
-    let (mut settings, mut verb) = (None, None);
+    let (mut settings_path, mut command) = (None, None);
     while let Some(arg) = parser.next()? {
         match arg {
-            Long("help") | Short('h') => {
-                print!("{HELP}");
-                return Ok(());
-            }
-            Long("version") | Short('V') => {
-                println!("kitepass-data-plane {}", env!("CARGO_PKG_VERSION"));
-                return Ok(());
-            }
-            Long("settings") => settings = Some(PathBuf::from(parser.value()?)),
-            Value(message) if verb.is_none() => verb = Some(message.string()?),
+            Long("help") | Short('h') => return Ok(Command::Help),
+            Long("version") | Short('V') => return Ok(Command::Version),
+            Long("settings") => settings_path = Some(PathBuf::from(parser.value()?)),
+            Value(value) if command.is_none() => command = Some(value.string()?),
             other => return Err(other.unexpected().into()),
         }
     }
-    match verb.as_deref().unwrap_or("serve") {
-        "serve" => {
-            kitepass_node::log_to_stderr(kitepass_node::level_from_env());
-            let path =
-                settings.or_else(|| std::env::var_os(kitepass_node::SETTINGS_VARIABLE).map(PathBuf::from));
-            let none =
-                || Fault::Usage("no settings file: name one with --settings or KITEPASS_NODE_FILE".into());
-            let path = path.ok_or_else(none)?;
-            Server::open(path).and_then(Server::run).map_err(|e| Fault::Ended(e.to_string()))
-        }
-        other => Err(Fault::Usage(format!("no such command: {other}; see kitepass-data-plane --help"))),
+    match command.as_deref().unwrap_or("serve") {
+        "serve" => Ok(Command::Serve { settings_path }),
+        command => UnknownCommandSnafu { command }.fail(),
     }
 }
+
+fn run() -> Result<(), CliError> {
+    match parse_command_line()? {
+        Command::Help => print!("{HELP}"),
+        Command::Version => println!("kitepass-data-plane {}", env!("CARGO_PKG_VERSION")),
+        Command::Serve { settings_path } => serve(settings_path)?,
+    }
+    Ok(())
+}
+
+fn serve(settings_path: Option<PathBuf>) -> Result<(), CliError> {
+    kitepass_node::log_to_stderr(kitepass_node::level_from_env());
+    let from_environment = || std::env::var_os(kitepass_node::SETTINGS_VARIABLE).map(PathBuf::from);
+    let path = settings_path.or_else(from_environment).context(NoSettingsSnafu)?;
+    Server::open(path)?.run()?;
+    Ok(())
+}
--- a/crates/data-plane/src/control_session/mod.rs
+++ b/crates/data-plane/src/control_session/mod.rs
@@ -41,7 +41,7 @@
 /// A nearer control process is gone over to no sooner than this after the session was opened.
 const MIN_SESSION_TIME: Duration = Duration::from_micros(3_000_000);
 
-/// How far the session has come. [`ControlSession::transition`] alone changes it.
+/// How far the session has come. `ControlSession::transition` alone changes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionState {
     /// There is no session.
@@ -158,7 +158,7 @@
         self.state
     }
 
-    /// For tests: the longest time without synchronization, in place of [`MAX_UNSYNCED`].
+    /// For tests: the longest time without synchronization, in place of the usual one.
     pub fn set_alone(&mut self, max_unsynced: Duration) {
         self.max_unsynced = max_unsynced;
     }
@@ -322,7 +322,7 @@
 
     /// Bytes have come that are no complete message yet.
     ///
-    /// Invariant: over a slow connection a message of many MiB takes longer than [`HEARTBEAT_TIMEOUT`].
+    /// Invariant: over a slow connection a message of many MiB takes longer than the heartbeat time-out.
     pub fn bytes_received(&mut self, now: Timestamp) {
         self.last_heard = now;
     }
--- a/crates/data-plane/src/load_balancer/mod.rs
+++ b/crates/data-plane/src/load_balancer/mod.rs
@@ -186,7 +186,7 @@
         };
         let drawn = candidates.draw(&draws);
         let selected = drawn.into_iter().min_by(|a, b| cost(a).total_cmp(&cost(b)))?.clone();
-        let backend = self.backends.get_mut(&selected).expect("drawn from the known backends");
+        let backend = self.backends.get_mut(&selected)?;
         backend.in_flight += 1;
         if backend.is_warming_up(now) {
             backend.last_slow_start_attempt = Some(now);
--- a/crates/data-plane/src/quota/mod.rs
+++ b/crates/data-plane/src/quota/mod.rs
@@ -8,7 +8,7 @@
 //! Departures, behind the draw. What passes it takes one of the tenant's grants, which the owner of the count hands
 //! out: in advance where a gateway is offered many requests, one by one where it is offered few. They act where the
 //! ratio cannot know yet, as when a demand many times the usual begins between two periods. While the count does not
-//! answer, the last ratio stays valid for a while, and behind it stands this gateway's [`LocalShare`] of the limit.
+//! answer, the last ratio stays valid for a while, and behind it stands this gateway's own share of the limit.
 
 mod local_share;
 mod tenant;
@@ -110,14 +110,10 @@
             return Admission::Admitted;
         }
         let isolation = self.isolation(now);
-        if !self.tenants.contains_key(tenant) {
-            if self.tenants.len() >= MAX_TENANTS {
-                return Admission::Rejected; // fail closed: what is not counted would pass without limit
-            }
-            let local_share = LocalShare::new(now, rate_limit, self.tolerance, self.live_gateways);
-            self.tenants.insert(tenant.clone(), TenantQuota::new(now, rate_limit, local_share));
-        }
-        let tenant_quota = self.tenants.get_mut(tenant).expect("put in above");
+        self.ensure_tenant(now, tenant, rate_limit);
+        let Some(tenant_quota) = self.tenants.get_mut(tenant) else {
+            return Admission::Rejected; // fail closed: what is not counted would pass without limit
+        };
         tenant_quota.record_request(now, rate_limit);
         if tenant_quota.is_ratio_valid(now) && self.rng.rand_float() < tenant_quota.rejection_ratio {
             return Admission::Rejected;
@@ -138,6 +134,15 @@
         }
     }
 
+    /// Counts a tenant from now on, unless there are too many.
+    fn ensure_tenant(&mut self, now: Timestamp, tenant: &Arc<str>, rate_limit: RateLimit) {
+        if self.tenants.contains_key(tenant) || self.tenants.len() >= MAX_TENANTS {
+            return;
+        }
+        let local_share = LocalShare::new(now, rate_limit, self.tolerance, self.live_gateways);
+        self.tenants.insert(tenant.clone(), TenantQuota::new(now, rate_limit, local_share));
+    }
+
     /// Ends a period: the usage to report to the count.
     pub fn close_period(&mut self, now: Timestamp) -> Vec<TenantUsage> {
         self.tenants.retain(|_, tenant_quota| tenant_quota.is_in_use(now));
--- a/crates/data-plane/src/request.rs
+++ b/crates/data-plane/src/request.rs
@@ -1,6 +1,7 @@
 //! A client's request, from the arrival of its head to its final response.
 
 use crate::attempt::RequestLifecycle;
+use crate::ids::{ClientId, UpstreamId};
 use kitepass_config::{RequestSafety, Route, RoutingTable, Tenant};
 use kitepass_net::http::body::Head;
 use kitepass_time::Timestamp;
@@ -17,7 +18,7 @@
 #[derive(Debug)]
 pub struct RequestInfo {
     /// The connection of the client.
-    pub client: u64,
+    pub client: ClientId,
     /// The request's head.
     pub head: Head,
     /// The route that it takes.
@@ -50,7 +51,7 @@
     /// Backends that had an attempt.
     pub tried_backends: SmallVec<[Arc<str>; 2]>,
     /// The connection that its attempt is on.
-    pub attempt_connection: Option<u64>,
+    pub upstream: Option<UpstreamId>,
     /// Its state, and what may follow.
     pub lifecycle: RequestLifecycle,
     /// Whether it waits for a grant of its tenant's quota.
@@ -68,7 +69,7 @@
             body_offset: 0,
             is_body_complete: false,
             tried_backends: SmallVec::new(),
-            attempt_connection: None,
+            upstream: None,
             awaits_quota: false,
         }
     }
--- /dev/null
+++ b/crates/data-plane/src/server/request_head.rs
@@ -0,0 +1,164 @@
+//! What becomes of a request once its head is complete: it is checked, counted against its quota and taken on.
+
+use super::{Server, Timer};
+use crate::ids::{ClientId, RequestId};
+use crate::quota::Admission;
+use crate::request::{Request, RequestInfo};
+use kitepass_config::{Route, Tenant};
+use kitepass_coordination::usage::RateLimit;
+use kitepass_net::http::body::{Framing, Head};
+use kitepass_net::http::digits;
+use kitepass_time::{Duration, Timestamp};
+use std::sync::Arc;
+
+/// Milliseconds after which a client may retry what came before the gateway had a configuration.
+const NOT_READY_RETRY_MS: u64 = 500;
+/// Milliseconds after which a client may retry what is beyond its quota.
+pub(super) const QUOTA_RETRY_MS: u64 = 1000;
+
+/// Why a request is not taken on: the response that its client gets.
+struct Rejection {
+    status: u16,
+    retry_after_ms: Option<u64>,
+    /// The connection is closed behind the response.
+    closes_connection: bool,
+}
+
+impl Rejection {
+    fn of(status: u16) -> Rejection {
+        Rejection { status, retry_after_ms: None, closes_connection: false }
+    }
+}
+
+/// What the configuration says of a request.
+struct Destination {
+    route: Arc<Route>,
+    tenant: Option<Arc<Tenant>>,
+}
+
+impl Server {
+    /// Takes a request on whose head has been read, or responds to it at once.
+    pub(super) fn receive_head(&mut self, now: Timestamp, id: ClientId, head: Head, framing: Framing) {
+        let client = self.clients.get_mut(&id).expect("its head was just read");
+        client.discards_body = true; // until a request takes the body
+        if client.is_readiness_check {
+            let status = self.readiness_status();
+            return self.respond(id, status, None);
+        }
+        let content_length = match framing {
+            Framing::Empty => Some(0),
+            Framing::Sized(length) => Some(length),
+            Framing::Chunked | Framing::ToTheEnd => None,
+        };
+        let accepted = self.check_head(&head, content_length).and_then(|destination| {
+            let request = RequestId(self.allocate_id());
+            let admission = self.admit(now, &destination, request)?;
+            Ok((destination, request, admission))
+        });
+        match accepted {
+            Ok((destination, request, admission)) => {
+                let info = self.request_info(now, id, head, content_length, destination);
+                self.take_on(request, info, admission == Admission::Pending);
+            }
+            Err(rejection) => {
+                let client = self.clients.get_mut(&id).expect("its head was just read");
+                client.wants_close |= rejection.closes_connection;
+                self.respond(id, rejection.status, rejection.retry_after_ms);
+            }
+        }
+    }
+
+    /// Checks a request against the configuration.
+    fn check_head(&self, head: &Head, content_length: Option<u64>) -> Result<Destination, Rejection> {
+        let routing_table = &self.routing_table;
+        if !self.control_session.is_caught_up() {
+            return Err(Rejection { retry_after_ms: Some(NOT_READY_RETRY_MS), ..Rejection::of(503) });
+        }
+        if content_length.is_some_and(|length| length > routing_table.limits.body_bytes) {
+            return Err(Rejection { closes_connection: true, ..Rejection::of(413) });
+        }
+        let host = head.field("host").unwrap_or_default();
+        let route = routing_table.route(host, head.start(1)).cloned().ok_or(Rejection::of(404))?;
+        let mut tenant = None;
+        if routing_table.has_tenants() && !route.allows_no_key {
+            let key = head.field("authorization").and_then(|value| value.strip_prefix(b"Bearer "));
+            let found = key.and_then(|key| routing_table.tenant_of(key.trim_ascii()));
+            tenant = Some(routing_table.tenants[found.ok_or(Rejection::of(401))?].clone());
+        }
+        if head.field("x-try-id").is_none_or(<[u8]>::is_empty) {
+            return Err(Rejection::of(400));
+        }
+        Ok(Destination { route, tenant })
+    }
+
+    /// Counts a request against its tenant's quota.
+    fn admit(
+        &mut self,
+        now: Timestamp,
+        destination: &Destination,
+        request: RequestId,
+    ) -> Result<Admission, Rejection> {
+        let Some(tenant) = &destination.tenant else { return Ok(Admission::Admitted) };
+        let rate_limit = RateLimit { rate: tenant.rate, burst: tenant.burst };
+        match self.quota.admit(now, &tenant.name, rate_limit, request.0) {
+            Admission::Rejected => {
+                Err(Rejection { retry_after_ms: Some(QUOTA_RETRY_MS), ..Rejection::of(429) })
+            }
+            admission => Ok(admission),
+        }
+    }
+
+    fn request_info(
+        &mut self,
+        now: Timestamp,
+        client: ClientId,
+        head: Head,
+        content_length: Option<u64>,
+        destination: Destination,
+    ) -> RequestInfo {
+        let Destination { route, tenant } = destination;
+        let max_time_ms = u64::from(route.deadline_ms);
+        let time_left_ms = head.field("x-time-left-ms").and_then(digits).unwrap_or(max_time_ms);
+        let time_left = Duration::from_micros(time_left_ms.min(max_time_ms) as i64 * 1000);
+        RequestInfo {
+            client,
+            head,
+            service: self.draw_service(&route),
+            route,
+            tenant,
+            routing_table: self.routing_table.clone(),
+            arrived_at: now,
+            deadline: now + time_left,
+            content_length,
+        }
+    }
+
+    /// Draws one of a route's services, by their weights.
+    fn draw_service(&mut self, route: &Route) -> Arc<str> {
+        let total_weight: f64 = route.services.iter().map(|(_, weight)| weight).sum();
+        let mut drawn = self.rng.rand_float() * total_weight;
+        for (service, weight) in &route.services {
+            if drawn < *weight {
+                return service.clone();
+            }
+            drawn -= weight;
+        }
+        let last = route.services.iter().rev().find(|(_, weight)| *weight > 0.0);
+        last.map_or_else(|| "".into(), |(service, _)| service.clone())
+    }
+
+    /// A request begins; its body is still to be read.
+    fn take_on(&mut self, id: RequestId, info: RequestInfo, awaits_quota: bool) {
+        let client = self.clients.get_mut(&info.client).expect("its head was just read");
+        if info.head.expects_a_word() {
+            client.connection.output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
+        }
+        client.discards_body = false;
+        client.request = Some(id);
+        self.retry_budget.record_request(info.arrived_at, &info.service);
+        self.timers.set(info.deadline, Timer::Deadline(id));
+        let mut request = Request::new(info);
+        request.awaits_quota = awaits_quota;
+        self.requests.insert(id, request);
+    }
+}
--- /dev/null
+++ b/crates/data-plane/src/server/response.rs
@@ -0,0 +1,150 @@
+//! Responses of backends, on their way to clients.
+
+use super::upstream::{Attempt, Upstream};
+use super::Server;
+use crate::attempt::{self, ConnectionRemains, InputState, NextStep, RequestState, ResponseClass};
+use crate::ids::{ClientId, RequestId, UpstreamId};
+use crate::load_balancer::AttemptOutcome;
+use kitepass_net::http::body::Head;
+use kitepass_time::Timestamp;
+
+impl Server {
+    /// The response to the attempt on a connection is complete.
+    pub(super) fn response_complete(&mut self, now: Timestamp, id: UpstreamId, input_state: InputState) {
+        let Some(upstream) = self.upstreams.get_mut(&id) else { return };
+        let Some(mut attempt) = upstream.attempt.take() else { return };
+        if let Some(timer) = attempt.overdue_timer {
+            self.timers.take_back(timer);
+        }
+        let Some(request) = self.requests.get_mut(&attempt.request) else { return };
+        let head = attempt.response.head.take().expect("complete with its body");
+        let was_sent = matches!(request.lifecycle.state(), RequestState::Sent | RequestState::Responding);
+        let class = if was_sent {
+            ResponseClass::of(&head, request.lifecycle.is_idempotent())
+        } else {
+            ResponseClass::Invalid
+        };
+        let next = request.lifecycle.response_complete(class);
+        request.upstream = None;
+        let took = now - attempt.began_at;
+        self.load_balancer.attempt_ended(now, &upstream.backend_id, class.outcome(), took);
+        if head.ends_here(b"close") {
+            self.load_balancer.backend_is_closing(now, &upstream.backend_id);
+        }
+        let remains = remains(upstream, &attempt, input_state);
+        if attempt::may_keep_connection(class, remains) {
+            self.keep_upstream(now, id, &head);
+        } else {
+            self.close_upstream(id);
+        }
+        let (request, body) = (attempt.request, attempt.response.body);
+        match next {
+            NextStep::StreamLast => self.stream_last(now, request, &body),
+            NextStep::Deliver => self.deliver(now, request, &head, &body),
+            NextStep::RetryOrDeliver => self.retry_or_deliver(now, request, &head, &body),
+            next => self.continue_request(now, request, next),
+        }
+    }
+
+    /// A backend's error response goes to the client where no further attempt is made.
+    fn retry_or_deliver(&mut self, now: Timestamp, id: RequestId, head: &Head, body: &[u8]) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let time_left = request.info.deadline - now;
+        let has_time = time_left > self.load_balancer.service_latency(&request.info.service);
+        let backend = if has_time { self.select_backend(now, id) } else { None };
+        if backend.is_some() {
+            self.start_attempt(now, id, backend);
+        } else if self.requests.get_mut(&id).is_some_and(|r| r.lifecycle.deliver_error_response()) {
+            self.deliver(now, id, head, body);
+        }
+    }
+
+    /// A complete response goes to the client as the backend gave it.
+    fn deliver(&mut self, now: Timestamp, id: RequestId, head: &Head, body: &[u8]) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let client_id = request.info.client;
+        let has_no_body = request.is_head_request() || matches!(head.status(), 204 | 304);
+        let framing = if has_no_body { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
+        self.remove_request(id, AttemptOutcome::Abandoned);
+        self.write_response_head(client_id, head, framing);
+        self.release_client(now, client_id);
+        let Some(client) = self.clients.get_mut(&client_id) else { return };
+        client.connection.output.extend_from_slice(body);
+        self.flush_client(client_id);
+        self.serve_next_request(client_id);
+    }
+
+    /// Writes the head of a backend's response, with framing and connection fields of this gateway's own.
+    fn write_response_head(&mut self, id: ClientId, head: &Head, framing: String) {
+        let Some(client) = self.clients.get_mut(&id) else { return };
+        client.wants_close |= client.body_reader.is_some();
+        let output = &mut client.connection.output;
+        output.extend_from_slice(b"HTTP/1.1 ");
+        for part in [head.start(1), b" ", head.start(2), b"\r\n"] {
+            output.extend_from_slice(part);
+        }
+        head.pass_on(&[], output);
+        self.finish_head(id, framing);
+    }
+
+    /// The head and what there is of a long response go to the client; from here on it cannot be taken back.
+    pub(super) fn stream_response(&mut self, now: Timestamp, id: UpstreamId) {
+        let Some(Upstream { attempt: Some(attempt), .. }) = self.upstreams.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&attempt.request) else { return };
+        let head = attempt.response.head.as_ref().expect("its body has begun");
+        let class = ResponseClass::of(head, request.lifecycle.is_idempotent());
+        let next = request.lifecycle.response_exceeds_buffer(class);
+        let client_id = request.info.client;
+        let body = std::mem::take(&mut attempt.response.body);
+        match next {
+            NextStep::StreamFirst => {
+                let head = attempt.response.head.take().expect("its body has begun");
+                self.write_response_head(client_id, &head, "Transfer-Encoding: chunked\r\n".to_owned());
+                let attempt = self.upstreams.get_mut(&id).and_then(|upstream| upstream.attempt.as_mut());
+                attempt.expect("the attempt is in flight").response.head = Some(head);
+            }
+            NextStep::StreamMore => {}
+            // The response is not for the client. The request is not continued here: it ends at its deadline.
+            _ => {
+                self.fail_attempt(now, id, AttemptOutcome::Broken, "invalid-response");
+                return;
+            }
+        }
+        if let Some(client) = self.clients.get_mut(&client_id) {
+            write_chunk(&body, &mut client.connection.output);
+        }
+        self.flush_client(client_id);
+    }
+
+    /// The end of a long response goes to the client.
+    fn stream_last(&mut self, now: Timestamp, id: RequestId, body: &[u8]) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let client_id = request.info.client;
+        self.remove_request(id, AttemptOutcome::Abandoned);
+        self.release_client(now, client_id);
+        let Some(client) = self.clients.get_mut(&client_id) else { return };
+        write_chunk(body, &mut client.connection.output);
+        client.connection.output.extend_from_slice(b"0\r\n\r\n");
+        self.flush_client(client_id);
+        self.serve_next_request(client_id);
+    }
+}
+
+/// What stands on a connection behind the response to an attempt.
+fn remains(upstream: &Upstream, attempt: &Attempt, input_state: InputState) -> ConnectionRemains {
+    ConnectionRemains {
+        input_state,
+        unread_bytes: upstream.connection.input.len(),
+        unsent_bytes: upstream.connection.unsent(),
+        is_request_finished: attempt.is_request_finished,
+    }
+}
+
+/// Appends bytes as a chunk; none for no bytes, as an empty chunk ends a body.
+pub(super) fn write_chunk(bytes: &[u8], output: &mut Vec<u8>) {
+    if !bytes.is_empty() {
+        output.extend_from_slice(format!("{:x}\r\n", bytes.len()).as_bytes());
+        output.extend_from_slice(bytes);
+        output.extend_from_slice(b"\r\n");
+    }
+}
--- /dev/null
+++ b/crates/data-plane/src/server/usage_reports.rs
@@ -0,0 +1,77 @@
+//! Usage reports to the shared count, and the decisions that its answers bring.
+
+use super::Server;
+use crate::ids::RequestId;
+use crate::quota::{Decision, PERIOD};
+use kitepass_coordination::protocol::{Message, TenantUsage, UsageReport, UsageTotals};
+use kitepass_time::{Duration, Timestamp};
+
+/// A report that is not answered is forgotten after so long.
+const REPORT_TIMEOUT: Duration = Duration::from_micros(PERIOD.micros() * 3);
+
+impl Server {
+    /// Reports the usage of a period, and asks for the totals.
+    pub(super) fn report_period(&mut self, now: Timestamp) {
+        let usage = self.quota.close_period(now);
+        self.send_usage_report(now, usage, false);
+    }
+
+    /// Sends a report. One without usage is a sign of life: without it the count's owner reserves no share for this
+    /// gateway.
+    fn send_usage_report(&mut self, now: Timestamp, tenants: Vec<TenantUsage>, is_mid_period: bool) {
+        if self.control_connection.is_none() {
+            return;
+        }
+        self.last_report_id += 1;
+        self.pending_reports.insert(self.last_report_id, now);
+        self.pending_reports.retain(|_, sent_at| now - *sent_at < REPORT_TIMEOUT);
+        self.control_session.out.push(Message::UsageReport(UsageReport {
+            request_id: self.last_report_id,
+            node_id: self.settings.node_id.clone(),
+            tenants,
+            incarnation: self.incarnation,
+            is_mid_period,
+        }));
+    }
+
+    /// Takes the answer to a report of this incarnation.
+    pub(super) fn receive_totals(&mut self, now: Timestamp, totals: &UsageTotals) {
+        if totals.incarnation != self.incarnation {
+            return;
+        }
+        if let Some(sent_at) = self.pending_reports.remove(&totals.request_id) {
+            self.quota.apply_totals(now, sent_at, totals);
+        }
+    }
+
+    /// Requests that waited for their quota go on, or are rejected; those that now wait have grants requested.
+    pub(super) fn apply_quota_decisions(&mut self, now: Timestamp) {
+        loop {
+            let decisions = self.quota.take_decisions();
+            if decisions.is_empty() {
+                break;
+            }
+            for decision in decisions {
+                self.apply_quota_decision(now, decision);
+            }
+        }
+        let grant_requests = self.quota.take_grant_requests();
+        if !grant_requests.is_empty() {
+            self.send_usage_report(now, grant_requests, true);
+        }
+    }
+
+    fn apply_quota_decision(&mut self, now: Timestamp, decision: Decision) {
+        let id = RequestId(decision.request_id);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.awaits_quota = false;
+        if !decision.is_admitted {
+            self.reject(now, id, 429);
+        } else if request.is_ready_to_send() {
+            let client = request.info.client;
+            self.start_next_attempt(now, id);
+            // No further event tells of what waited in the client's socket.
+            self.serve_client(client, None);
+        }
+    }
+}
--- a/crates/data-plane/tests/control_session.rs
+++ b/crates/data-plane/tests/control_session.rs
@@ -1,9 +1,5 @@
 //! The link's own defences against a control process that is out of contact with the core, told what it would hear.
 
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
-
 use kitepass_config::{Item, ItemStore, Kind};
 use kitepass_coordination::protocol::{
     BucketDigests, Heartbeat, Hello, ItemMessage, Items, MembershipUpdate, Message,
--- a/crates/data-plane/tests/golden.rs
+++ b/crates/data-plane/tests/golden.rs
@@ -1,10 +1,6 @@
 //! What the program prints, and the messages that go to clients and backends, byte by byte as they were when the golden
 //! files were made. Log lines are not part of it.
 
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
-
 #[path = "../../control-plane/tests/support/golden.rs"]
 mod golden_files;
 #[path = "sockets/stand.rs"]
--- a/crates/data-plane/tests/sockets/main.rs
+++ b/crates/data-plane/tests/sockets/main.rs
@@ -1,9 +1,5 @@
 //! The program as it is started, spoken to over sockets.
 
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
-
 mod bodies;
 mod incarnation;
 mod legs;
