--- a/crates/data-plane/tests/golden.rs
+++ b/crates/data-plane/tests/golden.rs
@@ -2,15 +2,16 @@
 //! files were made. Log lines are not part of it.
 
 #[path = "../../control-plane/tests/support/golden.rs"]
+#[allow(unreachable_pub)] // other crates' tests use it, too
 mod golden_files;
-#[path = "sockets/stand.rs"]
+#[path = "sockets/harness.rs"]
 #[allow(dead_code)] // the tests of sockets use the rest
-mod stand;
+mod harness;
 
 use golden_files::{mask_after, GoldenFiles};
+use harness::{answer, change_request, get, ok, publish_all, request, serving, waiting, HttpMessage};
 use rstest::rstest;
 use rustix::process::Signal;
-use stand::*;
 use std::path::Path;
 use std::process::Command;
 
@@ -66,7 +67,7 @@
 /// The connection stays open after some of them and ends after others, as the head says.
 #[test]
 fn answers_to_requests_that_go_to_no_backend() {
-    let (gateway, _control, stand) = serving(1);
+    let (gateway, _control, backends) = serving(1);
     let requests = [
         ("error-400-no-attempt-id.txt", get("/once/", "t").replace("X-Try-Id", "X-Other")),
         ("error-400-not-a-request.txt", "GET /once/\r\n\r\n".to_owned()),
@@ -84,90 +85,90 @@
         ("error-431-head.txt", request("GET", "/once/", "t") + "X-Long: " + &"a".repeat(4096) + "\r\n\r\n"),
     ];
     for (name, request) in requests {
-        let mut client = gateway.line();
-        let answer = client.say(request).hear();
+        let mut client = gateway.connect();
+        let answer = client.send(request).receive();
         assert_golden(name, &text(&answer));
         if answer.field("Connection") == Some("close") {
-            assert!(client.ends(), "{name}");
+            assert!(client.is_closed(), "{name}");
         }
     }
-    let answer = gateway.line().say(get("/void/", "t")).hear();
+    let answer = gateway.connect().send(get("/void/", "t")).receive();
     let answer = mask_after(&text(&answer), "Retry-After: ", &['\r'], "{SECONDS}");
     assert_golden("error-503-no-backend.txt", &answer);
-    assert!(stand.is_untouched());
+    assert!(backends.is_untouched());
 }
 
 #[test]
 fn answers_beyond_configured_limits() {
-    let (gateway, control, stand) = serving(1);
+    let (gateway, control, backends) = serving(1);
     let limits = r#"{"deliver":{"weight-limits":
         {"envelope-bytes":4096,"body-bytes":8,"envelope-ms":1000,"idle-ms":5000,"edition":"r6"}}}"#;
-    control.tell(&call(limits));
-    control.agrees();
+    control.publish(&change_request(limits));
+    control.wait_until_synced();
     let chunked = request("POST", "/once/", "t") + "Transfer-Encoding: chunked\r\n\r\n9\r\n123456789\r\n";
-    assert_golden("error-413-chunked.txt", &text(&gateway.line().say(chunked).hear()));
-    let mut client = gateway.line();
-    assert_golden("error-408-head.txt", &text(&client.say("GET /once/ HTTP/1.1\r\nHost").hear()));
-    assert!(client.ends() && stand.is_untouched());
+    assert_golden("error-413-chunked.txt", &text(&gateway.connect().send(chunked).receive()));
+    let mut client = gateway.connect();
+    assert_golden("error-408-head.txt", &text(&client.send("GET /once/ HTTP/1.1\r\nHost").receive()));
+    assert!(client.is_closed() && backends.is_untouched());
 }
 
 #[test]
 fn answer_beyond_the_quota() {
-    let (gateway, control, stand) = serving(1);
-    control.counts();
+    let (gateway, control, backends) = serving(1);
+    control.wait_until_counted();
     control.grant(1);
     let tiny = |id| get("/once/", id).replace("key-of-town", "key-of-tiny");
-    let mut client = gateway.line();
-    client.say(tiny("t1"));
-    let mut backend = stand.line();
-    assert_golden("forwarded-get-limited-customer.txt", &forwarded(&backend.hear()));
-    backend.say(ok("t1", ""));
-    assert_eq!(client.hear().status(), 200);
-    assert_golden("error-429.txt", &text(&client.say(tiny("t2")).hear()));
+    let mut client = gateway.connect();
+    client.send(tiny("t1"));
+    let mut backend = backends.accept();
+    assert_golden("forwarded-get-limited-customer.txt", &forwarded(&backend.receive()));
+    backend.send(ok("t1", ""));
+    assert_eq!(client.receive().status(), 200);
+    assert_golden("error-429.txt", &text(&client.send(tiny("t2")).receive()));
 }
 
 #[test]
 fn answers_in_place_of_a_backends() {
-    let (gateway, _control, stand) = serving(1);
-    let mut client = gateway.line();
-    client.say(get("/once/", "t1"));
-    let mut backend = stand.line();
-    backend.hear();
-    backend.end();
-    assert_golden("error-502.txt", &text(&client.hear()));
+    let (gateway, _control, backends) = serving(1);
+    let mut client = gateway.connect();
+    client.send(get("/once/", "t1"));
+    let mut backend = backends.accept();
+    backend.receive();
+    backend.close();
+    assert_golden("error-502.txt", &text(&client.receive()));
 
-    client.say(get("/once/", "t2").replace("Left-Ms: 20000", "Left-Ms: 1000"));
-    let mut backend = stand.line();
-    backend.hear();
-    assert_golden("error-504.txt", &text(&client.hear()));
+    client.send(get("/once/", "t2").replace("Left-Ms: 20000", "Left-Ms: 1000"));
+    let mut backend = backends.accept();
+    backend.receive();
+    assert_golden("error-504.txt", &text(&client.receive()));
 }
 
 #[test]
 fn answers_before_it_is_ready_and_during_shutdown() {
-    let (gateway, control, stand) = waiting();
+    let (gateway, control, backends) = waiting();
     let ready = "GET /v1/ready HTTP/1.1\r\nHost: g\r\n\r\n";
-    assert_golden("readiness-not-ready.txt", &text(&gateway.readiness_line().say(ready).hear()));
-    assert_golden("error-503-not-ready.txt", &text(&gateway.line().say(get("/once/", "t1")).hear()));
-    tell_all(&control, &stand.addresses);
-    control.agrees();
-    assert_golden("readiness-ready.txt", &text(&gateway.readiness_line().say(ready).hear()));
+    assert_golden("readiness-not-ready.txt", &text(&gateway.connect_readiness().send(ready).receive()));
+    assert_golden("error-503-not-ready.txt", &text(&gateway.connect().send(get("/once/", "t1")).receive()));
+    publish_all(&control, &backends.addresses);
+    control.wait_until_synced();
+    assert_golden("readiness-ready.txt", &text(&gateway.connect_readiness().send(ready).receive()));
 
-    let mut client = gateway.line();
-    client.say(get("/once/", "t2"));
-    let mut backend = stand.line();
-    backend.hear();
+    let mut client = gateway.connect();
+    client.send(get("/once/", "t2"));
+    let mut backend = backends.accept();
+    backend.receive();
     gateway.signal(Signal::TERM);
-    gateway.logs("event=leaving");
-    assert_golden("readiness-shutting-down.txt", &text(&gateway.readiness_line().say(ready).hear()));
-    let refused = gateway.line().say(get("/none/", "t3")).hear();
+    gateway.wait_for_log("event=leaving");
+    assert_golden("readiness-shutting-down.txt", &text(&gateway.connect_readiness().send(ready).receive()));
+    let refused = gateway.connect().send(get("/none/", "t3")).receive();
     assert_golden("error-404-shutting-down.txt", &text(&refused));
-    backend.say(ok("t2", "body"));
-    assert_golden("answer-shutting-down.txt", &text(&client.hear()));
+    backend.send(ok("t2", "body"));
+    assert_golden("answer-shutting-down.txt", &text(&client.receive()));
 }
 
 #[test]
 fn requests_as_a_backend_gets_them() {
-    let (gateway, _control, stand) = serving(1);
+    let (gateway, _control, backends) = serving(1);
     let fields =
         "X-Sender: king\r\nX-Deliver-To: b9\r\nX-Own: 1\r\nX-Own: 2\r\nConnection: X-Hop\r\nX-Hop: 1\r\n\
                   Keep-Alive: timeout=9\r\nTE: trailers\r\nProxy-Authorization: a\r\nUser-Agent: client\r\n";
@@ -185,42 +186,42 @@
         ("forwarded-without-key.txt", with("GET", "/free/", "\r\n")),
     ];
     for (name, request) in requests {
-        let mut client = gateway.line();
-        client.say(request);
-        let mut backend = stand.line();
-        assert_golden(name, &forwarded(&backend.hear()));
-        backend.say(answer("200 OK", "t1", "X-Postmark: p\r\nConnection: close\r\n", ""));
-        assert_eq!(client.hear().status(), 200, "{name}");
+        let mut client = gateway.connect();
+        client.send(request);
+        let mut backend = backends.accept();
+        assert_golden(name, &forwarded(&backend.receive()));
+        backend.send(answer("200 OK", "t1", "X-Postmark: p\r\nConnection: close\r\n", ""));
+        assert_eq!(client.receive().status(), 200, "{name}");
     }
 
-    let mut client = gateway.line();
-    client.say(with("POST", "/once/", "Expect: 100-continue\r\nContent-Length: 5\r\n\r\n"));
-    assert_golden("answer-100-continue.txt", &text(&client.hear()));
-    client.say("abcde");
-    let mut backend = stand.line();
-    assert_golden("forwarded-post-expect-continue.txt", &forwarded(&backend.hear()));
-    backend.say(answer("200 OK", "t1", "X-Postmark: p\r\nConnection: close\r\n", ""));
-    assert_eq!(client.hear().status(), 200);
+    let mut client = gateway.connect();
+    client.send(with("POST", "/once/", "Expect: 100-continue\r\nContent-Length: 5\r\n\r\n"));
+    assert_golden("answer-100-continue.txt", &text(&client.receive()));
+    client.send("abcde");
+    let mut backend = backends.accept();
+    assert_golden("forwarded-post-expect-continue.txt", &forwarded(&backend.receive()));
+    backend.send(answer("200 OK", "t1", "X-Postmark: p\r\nConnection: close\r\n", ""));
+    assert_eq!(client.receive().status(), 200);
 
-    let (mut client, body) = (gateway.line(), "b".repeat(LONG_BODY));
-    let mut hand = client.hand();
+    let (mut client, body) = (gateway.connect(), "b".repeat(LONG_BODY));
+    let mut handle = client.handle();
     std::thread::scope(|scope| {
         let head = with("POST", "/once/", "Transfer-Encoding: chunked\r\n\r\n");
-        scope.spawn(move || hand.say(format!("{head}{LONG_BODY:x}\r\n{body}\r\n0\r\n\r\n")).backend);
-        let mut backend = stand.line();
-        let request = backend.hear();
+        scope.spawn(move || handle.send(format!("{head}{LONG_BODY:x}\r\n{body}\r\n0\r\n\r\n")).number);
+        let mut backend = backends.accept();
+        let request = backend.receive();
         assert_eq!(request.body.len(), LONG_BODY);
         // Where its chunks end depends on when they come.
         let head = HttpMessage { head: request.head, body: Vec::new() };
         assert_golden("forwarded-post-long-chunked-head.txt", &forwarded(&head));
-        backend.say(ok("t1", ""));
-        assert_eq!(client.hear().status(), 200);
+        backend.send(ok("t1", ""));
+        assert_eq!(client.receive().status(), 200);
     });
 }
 
 #[test]
 fn answers_as_a_client_gets_them() {
-    let (gateway, _control, stand) = serving(1);
+    let (gateway, _control, backends) = serving(1);
     let head = "X-Try-Id: t1\r\nX-Postmark: 3e1b.07\r\nX-More: y\r\nX-More: z\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\n\
                 Keep-Alive: timeout=9\r\nServer: backend\r\nContent-Type: text/plain\r\n";
     let ok = format!("HTTP/1.1 200 OK\r\n{head}");
@@ -243,13 +244,13 @@
         ("answer-http-1-0.txt", "GET", format!("HTTP/1.0 200 OK\r\n{head}\r\nabcde")),
     ];
     for (name, method, answer) in answers {
-        let mut client = gateway.line();
-        client.say(request(method, "/once/", "t1") + "\r\n");
-        let mut backend = stand.line();
-        backend.hear();
-        backend.say(answer);
-        backend.end();
-        assert_golden(name, &text(&client.hear()));
+        let mut client = gateway.connect();
+        client.send(request(method, "/once/", "t1") + "\r\n");
+        let mut backend = backends.accept();
+        backend.receive();
+        backend.send(answer);
+        backend.close();
+        assert_golden(name, &text(&client.receive()));
     }
 
     let body = "b".repeat(2 * LONGEST_KEPT_ANSWER);
@@ -260,17 +261,17 @@
             format!("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n", body.len()),
         ),
     ] {
-        let mut client = gateway.line();
-        client.say(get("/once/", "t1"));
-        let mut backend = stand.line();
-        backend.hear();
+        let mut client = gateway.connect();
+        client.send(get("/once/", "t1"));
+        let mut backend = backends.accept();
+        backend.receive();
         let answer = std::thread::scope(|scope| {
             let ok = &ok;
             scope.spawn(move || {
-                backend.say(format!("{ok}{framing}"));
-                backend.end();
+                backend.send(format!("{ok}{framing}"));
+                backend.close();
             });
-            client.hear()
+            client.receive()
         });
         assert!(answer.body == body.as_bytes(), "{name}");
         // Where its chunks end depends on when they come.
