--- a/crates/data-plane/tests/attempt/calls.rs
+++ b/crates/data-plane/tests/attempt/calls.rs
@@ -1,4 +1,4 @@
-//! All orders of calls to a way, also such as no server makes: each of its answers holds by itself, whoever asks.
+//! All orders of calls to a lifecycle, also such as no server makes: each of its answers holds by itself.
 
 use kitepass_data_plane::attempt::{
     may_keep_connection, ConnectionRemains, InputState, NextStep, RequestLifecycle, RequestState,
@@ -8,7 +8,8 @@
 use rstest::rstest;
 use std::collections::BTreeSet;
 
-const VERDICTS: [ResponseClass; 5] = [
+const MAX_ATTEMPTS: u32 = 2;
+const CLASSES: [ResponseClass; 5] = [
     ResponseClass::Success,
     ResponseClass::ServerError,
     ResponseClass::Other,
@@ -16,196 +17,270 @@
     ResponseClass::Invalid,
 ];
 
-/// What is true of a request, kept beside its way.
+/// A call to a lifecycle.
+#[derive(Clone, Copy, Debug)]
+enum Call {
+    BeginAttempt { is_connected: bool },
+    Connected,
+    BytesWritten,
+    BodyDropped,
+    AttemptFailed,
+    ResponseComplete(ResponseClass),
+    ResponseExceedsBuffer(ResponseClass),
+    DeliverErrorResponse,
+    AbandonOverdueAttempt,
+    DeadlineExpired,
+    Reject(u16),
+    ShutDown,
+    ClientGone,
+}
+
+fn all_calls() -> Vec<Call> {
+    let mut calls = vec![
+        Call::BeginAttempt { is_connected: false },
+        Call::BeginAttempt { is_connected: true },
+        Call::Connected,
+        Call::BytesWritten,
+        Call::BodyDropped,
+        Call::AttemptFailed,
+        Call::DeliverErrorResponse,
+        Call::AbandonOverdueAttempt,
+        Call::DeadlineExpired,
+        Call::ShutDown,
+        Call::ClientGone,
+    ];
+    calls.extend(CLASSES.map(Call::ResponseComplete));
+    calls.extend(CLASSES.map(Call::ResponseExceedsBuffer));
+    calls.extend([413, 429, 503].map(Call::Reject));
+    calls
+}
+
+/// What is true of a request, kept beside its lifecycle.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 struct Truth {
-    /// A leg is out; its bytes were written.
-    out: bool,
-    written: bool,
-    /// Legs whose connection was there, and that may run or have run.
-    made: u32,
-    may_run: u32,
-    passed: bool,
-    begun_answer: bool,
-    finals: u32,
+    is_in_flight: bool,
+    /// Bytes of the attempt in flight were written.
+    is_written: bool,
+    /// Attempts whose connection was established.
+    attempts_sent: u32,
+    /// Attempts that ended and may have been executed.
+    maybe_executed: u32,
+    is_body_dropped: bool,
+    has_response_begun: bool,
+    final_responses: u32,
 }
 
 impl Truth {
-    fn leg_over(&mut self, ran: bool) {
-        self.may_run += u32::from(self.written && ran);
-        (self.out, self.written) = (false, false);
+    fn end_attempt(&mut self, may_have_executed: bool) {
+        self.maybe_executed += u32::from(self.is_written && may_have_executed);
+        self.is_in_flight = false;
+        self.is_written = false;
     }
 
-    fn runs(&self) -> bool {
-        self.may_run > 0 || self.written
+    fn may_have_executed(&self) -> bool {
+        self.maybe_executed > 0 || self.is_written
     }
 }
 
-fn step(way: &mut RequestLifecycle, truth: &mut Truth, call: usize, repeats: bool) {
-    let (was, settled) = (truth.clone(), way.state() == RequestState::Completed);
-    let next = match call {
-        0 | 1 => {
-            if way.begin_attempt(call == 1) {
-                assert!(!settled && !was.out && !was.passed && was.made < 2, "{truth:?}");
-                assert!(repeats || !was.runs(), "sent twice: {truth:?}");
-                truth.out = true;
-                truth.made += u32::from(call == 1);
+/// A lifecycle, and what is true of its request.
+#[derive(Clone)]
+struct Subject {
+    lifecycle: RequestLifecycle,
+    truth: Truth,
+    is_idempotent: bool,
+}
+
+impl Subject {
+    fn is_completed(&self) -> bool {
+        self.lifecycle.state() == RequestState::Completed
+    }
+
+    /// Makes a call, and checks what it answers.
+    fn make(&mut self, call: Call) {
+        let before = self.truth.clone();
+        let was_completed = self.is_completed();
+        let next = match call {
+            Call::BeginAttempt { is_connected } => self.begin_attempt(is_connected),
+            Call::Connected => {
+                let was_connecting = self.lifecycle.state() == RequestState::Connecting;
+                self.truth.attempts_sent += u32::from(was_connecting);
+                self.lifecycle.connected();
+                NextStep::Wait
             }
-            NextStep::Wait
-        }
-        2 => {
-            truth.made += u32::from(way.state() == RequestState::Connecting);
-            way.connected();
-            NextStep::Wait
-        }
-        3 => {
-            truth.written |= way.state() == RequestState::Connected;
-            way.bytes_written();
-            NextStep::Wait
-        }
-        4 => {
-            way.body_dropped();
-            truth.passed = true;
-            NextStep::Wait
-        }
-        5 => {
-            let next = way.attempt_failed();
-            truth.leg_over(true);
-            next
-        }
-        6..=10 => {
-            let class = VERDICTS[call - 6];
-            let next = way.response_complete(class);
-            let delivers =
-                matches!(next, NextStep::Deliver | NextStep::RetryOrDeliver | NextStep::StreamLast);
-            assert!(!delivers || was.written, "an answer to what was not sent: {truth:?}");
-            assert!(
-                next != NextStep::Deliver || matches!(class, ResponseClass::Success | ResponseClass::Other)
-            );
-            assert!((next == NextStep::StreamLast) == was.begun_answer || settled);
-            truth.leg_over(!matches!(class, ResponseClass::NotExecuted(_)));
-            next
-        }
-        11..=15 => {
-            let class = VERDICTS[call - 11];
-            let next = way.response_exceeds_buffer(class);
-            match next {
-                NextStep::StreamFirst => {
-                    assert!(was.written && !was.begun_answer);
-                    assert!(
-                        matches!(class, ResponseClass::Success | ResponseClass::Other),
-                        "{class:?} passes"
-                    );
-                    truth.begun_answer = true;
+            Call::BytesWritten => {
+                self.truth.is_written |= self.lifecycle.state() == RequestState::Connected;
+                self.lifecycle.bytes_written();
+                NextStep::Wait
+            }
+            Call::BodyDropped => {
+                self.lifecycle.body_dropped();
+                self.truth.is_body_dropped = true;
+                NextStep::Wait
+            }
+            Call::AttemptFailed => {
+                let next = self.lifecycle.attempt_failed();
+                self.truth.end_attempt(true);
+                next
+            }
+            Call::ResponseComplete(class) => self.response_complete(class),
+            Call::ResponseExceedsBuffer(class) => self.response_exceeds_buffer(class),
+            Call::DeliverErrorResponse => {
+                if self.lifecycle.deliver_error_response() {
+                    assert!(!before.is_in_flight && !was_completed);
+                    self.truth.final_responses += 1;
                 }
-                NextStep::StreamMore => assert!(was.begun_answer),
-                _ => truth.leg_over(true),
+                NextStep::Wait
             }
-            next
-        }
-        16 => {
-            if way.deliver_error_response() {
-                assert!(!was.out && !settled);
-                truth.finals += 1;
+            Call::AbandonOverdueAttempt => self.abandon_overdue_attempt(),
+            Call::DeadlineExpired => {
+                let next = self.lifecycle.deadline_expired();
+                assert!(was_completed || next != NextStep::Wait, "it waits beyond its deadline");
+                next
             }
-            NextStep::Wait
-        }
-        17 => {
-            if way.abandon_overdue_attempt() {
-                assert!(was.out && repeats && !was.passed && was.made < 2, "left for nothing: {truth:?}");
-                truth.leg_over(true);
+            Call::Reject(status) => self.lifecycle.reject(status),
+            Call::ShutDown => {
+                let next = self.lifecycle.shut_down();
+                let expected =
+                    if before.may_have_executed() { NextStep::Abort } else { NextStep::Reject(503) };
+                assert!(was_completed || next == expected, "{next:?}: {before:?}");
+                next
             }
-            NextStep::Wait
-        }
-        18 => {
-            let next = way.deadline_expired();
-            assert!(settled || next != NextStep::Wait, "it waits beyond its deadline");
-            next
-        }
-        19..=21 => way.reject([413, 429, 503][call - 19]),
-        22 => {
-            let next = way.shut_down();
-            let ends = if was.runs() { NextStep::Abort } else { NextStep::Reject(503) };
-            assert!(settled || next == ends, "{next:?}: {truth:?}");
-            next
+            Call::ClientGone => {
+                self.lifecycle.client_gone();
+                self.truth.final_responses += u32::from(!was_completed);
+                NextStep::Wait
+            }
+        };
+        self.check_next_step(&before, next);
+        self.check_state();
+    }
+
+    fn begin_attempt(&mut self, is_connected: bool) -> NextStep {
+        let before = self.truth.clone();
+        let was_completed = self.is_completed();
+        if self.lifecycle.begin_attempt(is_connected) {
+            let is_first = !was_completed && !before.is_in_flight;
+            assert!(is_first && !before.is_body_dropped && before.attempts_sent < MAX_ATTEMPTS, "{before:?}");
+            assert!(self.is_idempotent || !before.may_have_executed(), "sent twice: {before:?}");
+            self.truth.is_in_flight = true;
+            self.truth.attempts_sent += u32::from(is_connected);
         }
-        _ => {
-            way.client_gone();
-            truth.finals += u32::from(!settled);
-            NextStep::Wait
+        NextStep::Wait
+    }
+
+    fn response_complete(&mut self, class: ResponseClass) -> NextStep {
+        let before = self.truth.clone();
+        let was_completed = self.is_completed();
+        let next = self.lifecycle.response_complete(class);
+        let delivers = matches!(next, NextStep::Deliver | NextStep::RetryOrDeliver | NextStep::StreamLast);
+        assert!(!delivers || before.is_written, "a response to what was not sent: {before:?}");
+        let is_for_client = matches!(class, ResponseClass::Success | ResponseClass::Other);
+        assert!(next != NextStep::Deliver || is_for_client);
+        assert!((next == NextStep::StreamLast) == before.has_response_begun || was_completed);
+        self.truth.end_attempt(!matches!(class, ResponseClass::NotExecuted(_)));
+        next
+    }
+
+    fn response_exceeds_buffer(&mut self, class: ResponseClass) -> NextStep {
+        let before = self.truth.clone();
+        let next = self.lifecycle.response_exceeds_buffer(class);
+        match next {
+            NextStep::StreamFirst => {
+                assert!(before.is_written && !before.has_response_begun);
+                let is_for_client = matches!(class, ResponseClass::Success | ResponseClass::Other);
+                assert!(is_for_client, "{class:?} is streamed");
+                self.truth.has_response_begun = true;
+            }
+            NextStep::StreamMore => assert!(before.has_response_begun),
+            _ => self.truth.end_attempt(true),
         }
-    };
-    match next {
-        NextStep::Reject(status) => {
-            assert!(!was.begun_answer, "an answer behind the beginning of another");
-            let promise = matches!(status, 408 | 421 | 429 | 503);
-            assert!(!promise || !was.runs(), "{status} for what may have run: {truth:?}");
-            truth.finals += 1;
+        next
+    }
+
+    fn abandon_overdue_attempt(&mut self) -> NextStep {
+        let before = self.truth.clone();
+        if self.lifecycle.abandon_overdue_attempt() {
+            let may_retry = !before.is_body_dropped && before.attempts_sent < MAX_ATTEMPTS;
+            assert!(before.is_in_flight && self.is_idempotent && may_retry, "for nothing: {before:?}");
+            self.truth.end_attempt(true);
         }
-        NextStep::Deliver | NextStep::StreamLast => truth.finals += 1,
-        NextStep::Abort => {
-            assert!(was.begun_answer || was.runs(), "broken off for nothing: {truth:?}");
-            truth.finals += 1;
+        NextStep::Wait
+    }
+
+    /// What the client gets is true of its request.
+    fn check_next_step(&mut self, before: &Truth, next: NextStep) {
+        match next {
+            NextStep::Reject(status) => {
+                assert!(!before.has_response_begun, "a response behind the beginning of another");
+                let is_promise = matches!(status, 408 | 421 | 429 | 503);
+                let may_have_executed = before.may_have_executed();
+                assert!(!is_promise || !may_have_executed, "{status} may be false: {before:?}");
+                self.truth.final_responses += 1;
+            }
+            NextStep::Deliver | NextStep::StreamLast => self.truth.final_responses += 1,
+            NextStep::Abort => {
+                let has_reason = before.has_response_begun || before.may_have_executed();
+                assert!(has_reason, "aborted for nothing: {before:?}");
+                self.truth.final_responses += 1;
+            }
+            _ => {}
         }
-        _ => {}
     }
-    assert!(truth.finals <= 1, "a second end: {truth:?}");
-    assert_eq!(truth.finals == 1, way.state() == RequestState::Completed, "{way:?} {truth:?}");
-    assert!(!way.may_attempt() || repeats || !truth.runs(), "{way:?} {truth:?}");
-    let over = way.state() == RequestState::Completed;
-    assert!(over || (way.rejection_status() == 503) != truth.runs(), "{way:?} {truth:?}");
+
+    /// What the lifecycle says of itself is true of its request.
+    fn check_state(&self) {
+        let Subject { lifecycle, truth, is_idempotent } = self;
+        let is_completed = self.is_completed();
+        let may_have_executed = truth.may_have_executed();
+        assert!(truth.final_responses <= 1, "a second end: {truth:?}");
+        assert_eq!(truth.final_responses == 1, is_completed, "{lifecycle:?} {truth:?}");
+        assert!(!lifecycle.may_attempt() || *is_idempotent || !may_have_executed, "{lifecycle:?} {truth:?}");
+        let promises = lifecycle.rejection_status() == 503;
+        assert!(is_completed || promises != may_have_executed, "{lifecycle:?} {truth:?}");
+    }
 }
 
 #[rstest]
-#[case::once(false)]
-#[case::safe(true)]
-fn every_call_is_answered_by_what_is_true(#[case] repeats: bool) {
+#[case::non_idempotent(false)]
+#[case::idempotent(true)]
+fn every_call_is_answered_by_what_is_true(#[case] is_idempotent: bool) {
+    let lifecycle = RequestLifecycle::new(is_idempotent, MAX_ATTEMPTS);
     let mut seen = BTreeSet::new();
-    let mut edge = vec![(RequestLifecycle::new(repeats, 2), Truth::default())];
+    let mut frontier = vec![Subject { lifecycle, truth: Truth::default(), is_idempotent }];
     let mut calls = 0u64;
-    while !edge.is_empty() {
+    while !frontier.is_empty() {
         let mut next = Vec::new();
-        for (way, truth) in edge {
-            for call in 0..24 {
-                let (mut way, mut truth) = (way.clone(), truth.clone());
+        for subject in frontier {
+            for call in all_calls() {
+                let mut subject = subject.clone();
                 calls += 1;
-                step(&mut way, &mut truth, call, repeats);
-                if seen.insert((format!("{way:?}"), truth.clone())) {
-                    next.push((way, truth));
+                subject.make(call);
+                if seen.insert((format!("{:?}", subject.lifecycle), subject.truth.clone())) {
+                    next.push(subject);
                 }
             }
         }
-        edge = next;
+        frontier = next;
     }
-    println!("repeats={repeats}: calls={calls} states={}", seen.len());
+    println!("is_idempotent={is_idempotent}: calls={calls} states={}", seen.len());
 }
 
 #[rstest]
 #[case::clean(ResponseClass::Success, InputState::Open, 0, 0, true, true)]
-#[case::spoilt(ResponseClass::Invalid, InputState::Open, 0, 0, true, false)]
+#[case::invalid(ResponseClass::Invalid, InputState::Open, 0, 0, true, false)]
 #[case::ended(ResponseClass::Success, InputState::Ended, 0, 0, true, false)]
 #[case::broken(ResponseClass::Success, InputState::Broken, 0, 0, true, false)]
-#[case::bytes_behind(ResponseClass::Success, InputState::Open, 1, 0, true, false)]
-#[case::unsent(ResponseClass::Success, InputState::Open, 0, 1, true, false)]
-#[case::body_not_whole(ResponseClass::Success, InputState::Open, 0, 0, false, false)]
-fn only_a_clean_connection_rests(
+#[case::unread_bytes(ResponseClass::Success, InputState::Open, 1, 0, true, false)]
+#[case::unsent_bytes(ResponseClass::Success, InputState::Open, 0, 1, true, false)]
+#[case::body_not_finished(ResponseClass::Success, InputState::Open, 0, 0, false, false)]
+fn only_a_clean_connection_is_kept(
     #[case] class: ResponseClass,
-    #[case] tail: InputState,
-    #[case] unread: usize,
-    #[case] unsent: usize,
-    #[case] finished: bool,
-    #[case] rests: bool,
+    #[case] input_state: InputState,
+    #[case] unread_bytes: usize,
+    #[case] unsent_bytes: usize,
+    #[case] is_request_finished: bool,
+    #[case] is_kept: bool,
 ) {
-    assert_eq!(
-        may_keep_connection(
-            class,
-            ConnectionRemains {
-                input_state: tail,
-                unread_bytes: unread,
-                unsent_bytes: unsent,
-                is_request_finished: finished
-            }
-        ),
-        rests
-    );
+    let remains = ConnectionRemains { input_state, unread_bytes, unsent_bytes, is_request_finished };
+    assert_eq!(may_keep_connection(class, remains), is_kept);
 }
--- a/crates/data-plane/tests/attempt/main.rs
+++ b/crates/data-plane/tests/attempt/main.rs
@@ -1,5 +1,7 @@
-//! A request's way, [`kitepass_data_plane::attempt`], tried in all orders of what may happen to it.
+//! The lifecycle of a request, [`kitepass_data_plane::attempt`], in all orders of what may happen to it.
 
+mod backend_responses;
 mod calls;
 mod model;
 mod reading;
+mod world;
--- a/crates/data-plane/tests/attempt/model.rs
+++ b/crates/data-plane/tests/attempt/model.rs
@@ -1,640 +1,404 @@
-//! Requests, connections and backends around the way, explored in all orders. The gateway's side is the real
-//! [`RequestLifecycle`] and the real [`ResponseReader`]; around them stands what the server does with sockets, in a few lines each. Backends
-//! count what they run, also on connections that the gateway has dropped; clients count what they are told.
+//! Requests, connections and backends around the lifecycle, explored in all orders. Backends count what they execute,
+//! also on connections that the gateway has closed; clients count what they receive.
 
-use kitepass_data_plane::attempt::{
-    may_keep_connection, ConnectionRemains, InputState, NextStep, ReadProgress, RequestLifecycle,
-    RequestState, ResponseClass, ResponseContext, ResponseReader,
-};
+use crate::backend_responses::{Piece, ResponseKind, RESPONSES};
+use crate::world::{Client, Connection, Request, Work, World, REQUEST_PARTS};
+use kitepass_data_plane::attempt::{InputState, RequestLifecycle, RequestState};
 use rstest::rstest;
 use stateright::{Checker, Model, Property};
 
-/// Steps from the start that are tried in all orders, where one request comes after the other and where they come
-/// together. LEG_DEPTH adds to them, for the long form.
-const DEPTH: [usize; 2] = [16, 12];
-/// A longer body passes through.
-const LONG: usize = 3;
-
-/// What a backend says.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Says {
-    Short,
-    Long,
-    /// A body that goes to the connection's end.
-    ToTheEnd,
-    /// Turned away, or the address is somebody else's.
-    NotRun,
-    Own500,
-    Own503,
-    Unstamped,
-    Garbled,
-    Nameless,
-    /// An answer to another request, which was answered before.
-    Surplus,
-}
-
-const ALL: [Says; 9] = [
-    Says::Short,
-    Says::Long,
-    Says::ToTheEnd,
-    Says::NotRun,
-    Says::Own500,
-    Says::Own503,
-    Says::Unstamped,
-    Says::Garbled,
-    Says::Nameless,
-];
-
-fn body(request: u8, says: Says) -> &'static str {
-    match (says, request) {
-        (Says::Short | Says::Surplus, 0) => "a0",
-        (Says::Short | Says::Surplus, 1) => "b1",
-        (Says::Short | Says::Surplus, _) => "x9",
-        (Says::Long | Says::ToTheEnd, 0) => "a0a0a0",
-        (Says::Long | Says::ToTheEnd, _) => "b1b1b1",
-        _ => "",
-    }
-}
-
-fn bytes(request: u8, says: Says) -> String {
-    let body = body(request, says);
-    let (status, more) = match says {
-        Says::Short | Says::Long | Says::Surplus => (200, format!("X-Postmark: {request}\r\n")),
-        Says::ToTheEnd => {
-            return format!("HTTP/1.1 200 OK\r\nX-Try-Id: {request}\r\nX-Postmark: {request}\r\n\r\n{body}")
-        }
-        Says::NotRun => (503, "X-Not-Delivered: full\r\n".to_owned()),
-        Says::Own500 => (500, String::new()),
-        Says::Own503 => (503, String::new()),
-        Says::Unstamped => (200, String::new()),
-        Says::Garbled => return "\0\r\n\r\n".to_owned(),
-        Says::Nameless => return "HTTP/1.1 200 OK\r\nX-Postmark: 0\r\nContent-Length: 0\r\n\r\n".to_owned(),
-    };
-    format!(
-        "HTTP/1.1 {status} X\r\nX-Try-Id: {request}\r\n{more}Content-Length: {}\r\n\r\n{body}",
-        body.len()
-    )
-}
-
-/// A part of what a backend says, as it comes at once.
-type Piece = (u8, Says, u8);
-
-/// In how many pieces it comes: cut in its head, and in its body.
-fn pieces(says: Says) -> u8 {
-    match says {
-        Says::Short | Says::Surplus => 2,
-        Says::Long | Says::ToTheEnd => 3,
-        _ => 1,
-    }
-}
-
-fn piece((request, says, part): Piece) -> Vec<u8> {
-    let (all, number) = (bytes(request, says).into_bytes(), pieces(says));
-    let cuts = match number {
-        1 => vec![0, all.len()],
-        2 => vec![0, all.len() - 1, all.len()],
-        _ => vec![0, 20, all.len() - 2, all.len()],
-    };
-    all[cuts[usize::from(part)]..cuts[usize::from(part) + 1]].to_vec()
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Client {
-    /// It has not come yet.
-    Away,
-    /// It waits, and has heard so much of a long answer.
-    Waits(Option<String>),
-    Has(u16),
-    BrokenOff,
-    Left,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Request {
-    way: RequestLifecycle,
-    client: Client,
-    /// All of its body has come from the client.
-    whole: bool,
-    /// A failure of the backend's own is there to be delivered.
-    failed: bool,
-    runs: u8,
-    /// Legs on dropped connections that may still run.
-    loose: u8,
-}
-
-/// A connection between the gateway and a backend.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Service {
-    made: bool,
-    /// The request whose leg is on it.
-    leg: Option<u8>,
-    /// Parts of the request that were written, of two.
-    written: u8,
-    /// Pieces that were read for the leg.
-    read: Vec<Piece>,
-    /// Bytes of its answer's body that have gone on.
-    gone: usize,
-    /// The request that the backend has and has not answered, and whether it works on it.
-    has: Option<(u8, bool)>,
-    /// Answers that it has given here.
-    said: Vec<u8>,
-    /// What is on the way to the gateway, and how it ends.
-    out: Vec<Piece>,
-    tail: InputState,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
-    requests: Vec<Request>,
-    lines: Vec<Service>,
-    ended: bool,
-    wrong: Option<&'static str>,
-}
+/// Steps from the start that are explored where one request comes after the other. The variable [`EXTRA_DEPTH`] adds
+/// to them, for the long form.
+const DEPTH: usize = 16;
+/// Steps from the start that are explored where both requests come together.
+const CONCURRENT_DEPTH: usize = 12;
+/// The variable that adds to the depth.
+const EXTRA_DEPTH: &str = "LEG_DEPTH";
+const MAX_ATTEMPTS: u32 = 2;
+/// Responses that a backend sends on a connection at most.
+const MAX_RESPONSES: usize = 2;
+/// Names a request that none of the clients made.
+const UNKNOWN_REQUEST: u8 = 9;
 
+/// What may happen next. Requests and connections are given by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    Comes(usize),
+    RequestComes(usize),
     /// The rest of a request's body comes.
-    Rest(usize),
-    /// A leg goes over a resting connection, or a new one.
-    Takes(usize, Option<usize>),
-    /// No backend can take it, or the budget is spent.
-    Nobody(usize),
-    Made(usize),
-    Unreached(usize),
+    BodyCompletes(usize),
+    /// An attempt begins, over an idle connection or a new one.
+    AttemptBegins(usize, Option<usize>),
+    /// No backend can take the request, or the retry budget is spent.
+    NoBackend(usize),
+    Established(usize),
+    Unreachable(usize),
     /// So many parts of the request are written.
-    Writes(usize, u8),
+    PartsWritten(usize, u8),
     /// The connection breaks as it is written to.
     WriteFails(usize),
-    Runs(usize),
-    RunsLoose(usize),
-    Says(usize, Says),
-    SaysTooMuch(usize, u8),
-    /// The backend ends its sending, or the connection breaks, with what is on the way or without.
-    Ends(usize, InputState, bool),
-    /// The gateway reads so many pieces, and the end behind them.
-    Reads(usize, usize, bool),
+    Executes(usize),
+    /// A backend executes a request whose connection was closed.
+    ExecutesLoose(usize),
+    Responds(usize, ResponseKind),
+    RespondsToAnother(usize, u8),
+    /// The backend ends its sending, or the connection breaks, with what is in transit or without.
+    InputEnds {
+        connection: usize,
+        input_state: InputState,
+        keeps_in_transit: bool,
+    },
+    Reads {
+        connection: usize,
+        pieces: usize,
+        with_end: bool,
+    },
     Overdue(usize),
     Deadline(usize),
-    Leaves(usize),
-    Rested(usize),
-    /// The process ends, after SIGTERM.
-    End,
+    ClientLeaves(usize),
+    IdleTimeout(usize),
+    ShutDown,
 }
 
-/// What a request of the model is like.
+/// What the requests of the model are like.
 #[derive(Clone, Copy, Debug)]
-struct Stand {
-    repeats: bool,
-    /// Its body is too long to be kept, and comes in two parts.
-    long: bool,
+struct Scenario {
+    is_idempotent: bool,
+    /// The body is too long to be buffered, and comes in two parts.
+    has_long_body: bool,
     /// Both requests may be under way at once.
-    together: bool,
+    is_concurrent: bool,
 }
 
-impl World {
-    fn line_of(&self, request: usize) -> Option<usize> {
-        self.lines.iter().position(|line| line.leg == Some(request as u8))
+impl Scenario {
+    fn request_actions(&self, world: &World, at: usize, actions: &mut Vec<Action>) {
+        let request = &world.requests[at];
+        if request.loose_attempts > 0 {
+            actions.push(Action::ExecutesLoose(at));
+        }
+        let first = &world.requests[0];
+        let is_previous_over = !first.is_waiting() && first.client != Client::NotCome;
+        let may_overlap = self.is_concurrent && first.client != Client::NotCome;
+        let may_come = at == 0 || may_overlap || is_previous_over;
+        if request.client == Client::NotCome && !world.has_shut_down && may_come {
+            actions.push(Action::RequestComes(at));
+        }
+        if !request.is_waiting() {
+            return;
+        }
+        actions.extend([Action::Deadline(at), Action::ClientLeaves(at)]);
+        if !request.is_body_complete {
+            actions.push(Action::BodyCompletes(at));
+        }
+        if request.lifecycle.is_in_flight() {
+            actions.push(Action::Overdue(at));
+        }
+        if request.lifecycle.state() == RequestState::Pending {
+            actions.push(Action::NoBackend(at));
+            if request.lifecycle.may_attempt() {
+                attempt_actions(world, at, actions);
+            }
+        }
     }
 
-    fn drop_line(&mut self, line: usize) {
-        let line = self.lines.remove(line);
-        if let Some((request, false)) = line.has {
-            self.requests[usize::from(request)].loose += 1; // it may run all the same
+    fn begin_attempt(&self, world: &mut World, at: usize, idle: Option<usize>) {
+        let request = &mut world.requests[at];
+        request.has_error_response = false;
+        if !request.lifecycle.begin_attempt(idle.is_some()) {
+            world.violation = Some("an attempt that may be made does not begin");
+            return;
+        }
+        if self.has_long_body {
+            request.lifecycle.body_dropped();
+        }
+        match idle {
+            Some(idle) => {
+                world.connections[idle].attempt = Some(at as u8);
+                world.connections[idle].parts_written = 0;
+            }
+            None => world.connections.push(Connection::opening(at as u8)),
         }
     }
+}
+
+fn attempt_actions(world: &World, at: usize, actions: &mut Vec<Action>) {
+    // No backend gets a second attempt of a request, whose id a late response to the first would bear.
+    let is_usable = |connection: &Connection| {
+        connection.attempt.is_none() && !connection.responded_to.contains(&(at as u8))
+    };
+    let usable = world.connections.iter().enumerate().filter(|(_, connection)| is_usable(connection));
+    actions.extend(usable.map(|(idle, _)| Action::AttemptBegins(at, Some(idle))));
+    actions.push(Action::AttemptBegins(at, None));
+}
 
-    fn drop_leg(&mut self, request: usize) {
-        if let Some(line) = self.line_of(request) {
-            self.drop_line(line);
+fn connection_actions(world: &World, at: usize, actions: &mut Vec<Action>) {
+    let connection = &world.connections[at];
+    if !connection.is_established {
+        actions.extend([Action::Established(at), Action::Unreachable(at)]);
+        return;
+    }
+    if let Some(request) = connection.attempt {
+        let is_body_complete = world.requests[usize::from(request)].is_body_complete;
+        let max_parts = if is_body_complete { REQUEST_PARTS } else { 1 };
+        let parts = connection.parts_written + 1..=max_parts;
+        actions.extend(parts.map(|parts| Action::PartsWritten(at, parts)));
+        if connection.input_state == InputState::Broken && connection.parts_written < REQUEST_PARTS {
+            actions.push(Action::WriteFails(at));
         }
+    } else {
+        actions.push(Action::IdleTimeout(at));
+    }
+    backend_actions(connection, at, actions);
+    let in_transit = connection.in_transit.len();
+    let reads = |pieces, with_end| Action::Reads { connection: at, pieces, with_end };
+    actions.extend((1..=in_transit).map(|pieces| reads(pieces, false)));
+    if connection.input_state != InputState::Open {
+        actions.push(reads(in_transit, true));
     }
+}
 
-    fn expect(&mut self, holds: bool, what: &'static str) {
-        if !holds {
-            self.wrong = Some(what);
+/// What the backend at the other end may do.
+fn backend_actions(connection: &Connection, at: usize, actions: &mut Vec<Action>) {
+    let is_open = connection.input_state == InputState::Open;
+    // What is sent behind a body that ends with the connection is a part of it.
+    let mut pieces = connection.in_transit.iter().chain(&connection.read_pieces);
+    let is_endless = pieces.any(|piece| piece.kind == ResponseKind::UntilClose);
+    let may_respond = is_open && connection.responded_to.len() < MAX_RESPONSES && !is_endless;
+    if let Some(work) = connection.work {
+        if !work.is_executed {
+            actions.push(Action::Executes(at));
+        }
+        if may_respond {
+            let is_true = |kind: &&ResponseKind| **kind != ResponseKind::NotExecuted || !work.is_executed;
+            actions.extend(RESPONSES.iter().filter(is_true).map(|kind| Action::Responds(at, *kind)));
         }
     }
-
-    /// A client's request is over.
-    fn tell(&mut self, request: usize, client: Client) {
-        let waits = matches!(self.requests[request].client, Client::Waits(_));
-        self.expect(waits, "a second answer to one request");
-        self.requests[request].client = client;
-        let settled = self.requests[request].way.state() == RequestState::Completed;
-        self.expect(settled, "told, and not settled");
-        self.drop_leg(request);
+    if may_respond {
+        let present = connection.work.map(|work| work.request);
+        let earlier = connection.responded_to.iter().copied();
+        let earlier = earlier.filter(|request| Some(*request) != present && *request < 2);
+        let requests = earlier.chain([UNKNOWN_REQUEST]);
+        actions.extend(requests.map(|request| Action::RespondsToAnother(at, request)));
     }
-
-    /// What follows where no backend's answer goes on.
-    fn follow(&mut self, request: usize, next: NextStep) {
-        match next {
-            NextStep::Reject(status) => {
-                let partly = matches!(self.requests[request].client, Client::Waits(Some(_)));
-                self.expect(!partly, "an answer behind the beginning of another");
-                self.tell(request, Client::Has(status));
-            }
-            NextStep::Abort => self.tell(request, Client::BrokenOff),
-            _ => {}
+    if !is_open {
+        return;
+    }
+    let ends =
+        |input_state, keeps_in_transit| Action::InputEnds { connection: at, input_state, keeps_in_transit };
+    actions.extend([ends(InputState::Ended, true), ends(InputState::Broken, true)]);
+    if !connection.in_transit.is_empty() {
+        actions.push(ends(InputState::Broken, false));
+        // A body that ends with the connection is complete wherever it ends.
+        if !is_endless {
+            actions.push(ends(InputState::Ended, false));
         }
     }
+}
 
-    /// The connection of a leg is lost.
-    fn lose(&mut self, line: usize) {
-        let request = self.lines[line].leg.map(usize::from);
-        self.drop_line(line);
-        if let Some(request) = request {
-            let next = self.requests[request].way.attempt_failed();
-            self.follow(request, next);
-        }
+fn no_backend(world: &mut World, at: usize) {
+    let request = &mut world.requests[at];
+    if request.has_error_response && request.lifecycle.deliver_error_response() {
+        return world.finish(at, Client::Responded(500));
     }
+    let status = request.lifecycle.rejection_status();
+    let next = request.lifecycle.reject(status);
+    world.follow(at, next);
+}
 
-    fn read(&mut self, at: usize, number: usize, end: bool) {
-        let line = &mut self.lines[at];
-        let tail = if end { line.tail } else { InputState::Open };
-        let new: Vec<Piece> = line.out.drain(..number).collect();
-        let Some(request) = line.leg.map(usize::from) else {
-            if number > 0 || end {
-                self.drop_line(at);
-            }
-            return;
-        };
-        let id = request.to_string();
-        let asked = ResponseContext {
-            request_id: id.as_bytes(),
-            is_head_request: false,
-            has_carried_head: false,
-            max_buffered_bytes: LONG,
-        };
-        // What it has read so far, as it stands now.
-        let (mut answer, mut input) = (ResponseReader::default(), Vec::new());
-        line.read.iter().for_each(|old| input.extend(piece(*old)));
-        answer.read(ResponseContext { max_buffered_bytes: 1 << 20, ..asked }, &mut input, InputState::Open);
-        answer.body.drain(..line.gone);
-        new.iter().for_each(|new| input.extend(piece(*new)));
-        line.read.extend(new);
-        let came = answer.read(asked, &mut input, tail);
-        let repeats = self.requests[request].way.is_idempotent();
-        match came {
-            ReadProgress::Partial => {}
-            ReadProgress::Failed(_) => self.lose(at),
-            ReadProgress::BufferFull => {
-                let class = ResponseClass::of(answer.head.as_ref().expect("begun"), repeats);
-                let next = self.requests[request].way.response_exceeds_buffer(class);
-                match (next, &mut self.requests[request].client) {
-                    (NextStep::StreamFirst | NextStep::StreamMore, Client::Waits(heard)) => {
-                        self.lines[at].gone += answer.body.len();
-                        heard
-                            .get_or_insert_default()
-                            .push_str(std::str::from_utf8(&answer.body).expect("text"));
-                    }
-                    (next, _) => {
-                        self.drop_line(at);
-                        self.follow(request, next);
-                    }
-                }
-            }
-            ReadProgress::Complete => self.answered(at, request, answer, input.len(), tail, repeats),
-        }
+fn write_parts(world: &mut World, at: usize, parts: u8) {
+    let connection = &mut world.connections[at];
+    let Some(request) = connection.attempt else { return };
+    connection.parts_written = parts;
+    world.requests[usize::from(request)].lifecycle.bytes_written();
+    let is_new = connection.work.is_none_or(|work| work.request != request);
+    let is_answered = connection.responded_to.contains(&request);
+    // A backend whose side has broken receives nothing.
+    if is_new && connection.input_state != InputState::Broken && parts > 0 && !is_answered {
+        connection.work = Some(Work { request, is_executed: false });
     }
+}
 
-    fn answered(
-        &mut self,
-        at: usize,
-        request: usize,
-        answer: ResponseReader,
-        unread: usize,
-        tail: InputState,
-        repeats: bool,
-    ) {
-        let head = answer.head.expect("whole");
-        let asked =
-            matches!(self.requests[request].way.state(), RequestState::Sent | RequestState::Responding);
-        let class = if asked { ResponseClass::of(&head, repeats) } else { ResponseClass::Invalid };
-        let next = self.requests[request].way.response_complete(class);
-        let line = &mut self.lines[at];
-        line.leg = None;
-        let finished = self.requests[request].whole;
-        // What the other side still has of this request it may yet run, where it has not answered it.
-        let unsent = usize::from(2 - line.written);
-        (line.gone, _) = (0, line.read.clear());
-        if !may_keep_connection(
-            class,
-            ConnectionRemains {
-                input_state: tail,
-                unread_bytes: unread,
-                unsent_bytes: unsent,
-                is_request_finished: finished,
-            },
-        ) {
-            self.drop_line(at);
-        }
-        let said = String::from_utf8(answer.body).expect("text");
-        match next {
-            NextStep::Deliver => self.check(request, &head, &said, request),
-            NextStep::StreamLast => {
-                let Client::Waits(Some(heard)) = &self.requests[request].client else {
-                    return self.wrong = Some("an end without a beginning");
-                };
-                let said = heard.clone() + &said;
-                self.check(request, &head, &said, request);
-            }
-            NextStep::RetryOrDeliver => self.requests[request].failed = true,
-            next => self.follow(request, next),
-        }
+fn execute(world: &mut World, at: usize) {
+    let Some(work) = &mut world.connections[at].work else { return };
+    work.is_executed = true;
+    world.requests[usize::from(work.request)].executions += 1;
+}
+
+fn respond(world: &mut World, at: usize, kind: ResponseKind) {
+    let connection = &mut world.connections[at];
+    let Some(Work { request, is_executed }) = connection.work else { return };
+    // An invalid response says nothing of whether the request is executed.
+    let is_executed_by_it = matches!(
+        kind,
+        ResponseKind::Short | ResponseKind::Long | ResponseKind::UntilClose | ResponseKind::Own500
+    );
+    if is_executed_by_it || kind == ResponseKind::NotExecuted {
+        connection.work = None;
     }
+    connection.responded_to.push(request);
+    connection.in_transit.extend(Piece::all_of(request, kind));
+    world.requests[usize::from(request)].executions += u8::from(is_executed_by_it && !is_executed);
+}
 
-    /// A whole answer has gone to a client.
-    fn check(&mut self, request: usize, head: &kitepass_net::http::body::Head, said: &str, of: usize) {
-        let own = head.field("x-try-id") == Some(of.to_string().as_bytes());
-        self.expect(own, "another request's answer");
-        let status = head.status();
-        if status < 300 {
-            let whole = [Says::Short, Says::Long].iter().any(|says| body(of as u8, *says) == said);
-            self.expect(whole, "a body that is not whole, or another's");
-            self.expect(self.requests[of].runs > 0, "an answer of nobody's");
+fn respond_to_another(world: &mut World, at: usize, request: u8) {
+    let connection = &mut world.connections[at];
+    connection.responded_to.push(UNKNOWN_REQUEST);
+    connection.in_transit.extend(Piece::all_of(request, ResponseKind::Surplus));
+}
+
+fn deadline_expired(world: &mut World, at: usize) {
+    let next = world.requests[at].lifecycle.deadline_expired();
+    world.follow(at, next);
+    world.expect(!world.requests[at].is_waiting(), "a request that waits beyond its deadline");
+}
+
+fn shut_down(world: &mut World) {
+    world.has_shut_down = true;
+    for at in 0..world.requests.len() {
+        if world.requests[at].is_waiting() {
+            let next = world.requests[at].lifecycle.shut_down();
+            world.follow(at, next);
+            world.expect(!world.requests[at].is_waiting(), "a request that outlives the process");
         }
-        self.tell(request, Client::Has(status));
+    }
+    while !world.connections.is_empty() {
+        world.close_connection(0);
     }
 }
 
-impl Model for Stand {
+impl Model for Scenario {
     type State = World;
     type Action = Action;
 
     fn init_states(&self) -> Vec<World> {
         let request = Request {
-            way: RequestLifecycle::new(self.repeats, 2),
-            client: Client::Away,
-            whole: !self.long,
-            failed: false,
-            runs: 0,
-            loose: 0,
+            lifecycle: RequestLifecycle::new(self.is_idempotent, MAX_ATTEMPTS),
+            client: Client::NotCome,
+            is_body_complete: !self.has_long_body,
+            has_error_response: false,
+            executions: 0,
+            loose_attempts: 0,
         };
-        vec![World { requests: vec![request; 2], lines: Vec::new(), ended: false, wrong: None }]
+        let requests = vec![request; 2];
+        vec![World { requests, connections: Vec::new(), has_shut_down: false, violation: None }]
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Action>) {
-        for (r, request) in world.requests.iter().enumerate() {
-            if request.loose > 0 {
-                actions.push(Action::RunsLoose(r));
-            }
-            let first = r == 0 || self.together && world.requests[0].client != Client::Away;
-            let after = r == 0 || !matches!(world.requests[0].client, Client::Away | Client::Waits(_));
-            if request.client == Client::Away && !world.ended && (first || after) {
-                actions.push(Action::Comes(r));
-            }
-            if !matches!(request.client, Client::Waits(_)) {
-                continue;
-            }
-            actions.extend([Action::Deadline(r), Action::Leaves(r)]);
-            if !request.whole {
-                actions.push(Action::Rest(r));
-            }
-            if request.way.is_in_flight() {
-                actions.push(Action::Overdue(r));
-            }
-            if request.way.state() == RequestState::Pending {
-                actions.push(Action::Nobody(r));
-                if request.way.may_attempt() {
-                    // No backend gets a second leg of a request, whose id a late answer to the first would bear.
-                    let other = |line: &Service| line.leg.is_none() && !line.said.contains(&(r as u8));
-                    let resting = world.lines.iter().enumerate().filter(|(_, line)| other(line));
-                    actions.extend(resting.map(|(l, _)| Action::Takes(r, Some(l))));
-                    actions.push(Action::Takes(r, None));
-                }
-            }
+        for at in 0..world.requests.len() {
+            self.request_actions(world, at, actions);
         }
-        for (l, line) in world.lines.iter().enumerate() {
-            if !line.made {
-                actions.extend([Action::Made(l), Action::Unreached(l)]);
-                continue;
-            }
-            if let Some(r) = line.leg {
-                let most = if world.requests[usize::from(r)].whole { 2 } else { 1 };
-                actions.extend((line.written + 1..=most).map(|to| Action::Writes(l, to)));
-                if line.tail == InputState::Broken && line.written < 2 {
-                    actions.push(Action::WriteFails(l));
-                }
-            } else {
-                actions.push(Action::Rested(l));
-            }
-            // What is said behind a body that goes to the connection's end is a part of it.
-            let endless = line.out.iter().chain(&line.read).any(|(_, says, _)| *says == Says::ToTheEnd);
-            if let Some((_, runs)) = line.has {
-                if !runs {
-                    actions.push(Action::Runs(l));
-                }
-                if line.tail == InputState::Open && line.said.len() < 2 && !endless {
-                    let may = |says: &&Says| **says != Says::NotRun || !runs;
-                    actions.extend(ALL.iter().filter(may).map(|says| Action::Says(l, *says)));
-                }
-            }
-            if line.tail == InputState::Open && line.said.len() < 2 && !endless {
-                let due = line.has.map(|(r, _)| r);
-                let earlier = line.said.iter().copied().filter(|r| Some(*r) != due && *r < 2);
-                actions.extend(earlier.chain([9]).map(|r| Action::SaysTooMuch(l, r)));
-            }
-            if line.tail == InputState::Open {
-                actions.push(Action::Ends(l, InputState::Ended, true));
-                actions.push(Action::Ends(l, InputState::Broken, true));
-                if !line.out.is_empty() {
-                    actions.push(Action::Ends(l, InputState::Broken, false));
-                    // A body that goes to the connection's end has none that is too soon.
-                    if !endless {
-                        actions.push(Action::Ends(l, InputState::Ended, false));
-                    }
-                }
-            }
-            let all = line.out.len();
-            actions.extend((1..=all).map(|n| Action::Reads(l, n, false)));
-            if line.tail != InputState::Open {
-                actions.push(Action::Reads(l, all, true));
-            }
+        for at in 0..world.connections.len() {
+            connection_actions(world, at, actions);
         }
-        if !world.ended {
-            actions.push(Action::End);
+        if !world.has_shut_down {
+            actions.push(Action::ShutDown);
         }
     }
 
     fn next_state(&self, last: &World, action: Action) -> Option<World> {
         let mut world = last.clone();
         match action {
-            Action::Comes(r) => {
-                world.requests[r].client = Client::Waits(None);
+            Action::RequestComes(at) => world.requests[at].client = Client::Waiting(None),
+            Action::BodyCompletes(at) => world.requests[at].is_body_complete = true,
+            Action::AttemptBegins(at, idle) => self.begin_attempt(&mut world, at, idle),
+            Action::NoBackend(at) => no_backend(&mut world, at),
+            Action::Established(at) => {
+                world.connections[at].is_established = true;
+                let request = world.connections[at].attempt?;
+                world.requests[usize::from(request)].lifecycle.connected();
             }
-            Action::Rest(r) => world.requests[r].whole = true,
-            Action::Takes(r, line) => {
-                let request = &mut world.requests[r];
-                request.failed = false;
-                if !request.way.begin_attempt(line.is_some()) {
-                    world.wrong = Some("a leg that may go does not");
-                    return Some(world);
-                }
-                if self.long {
-                    request.way.body_dropped();
-                }
-                match line {
-                    Some(line) => (world.lines[line].leg, world.lines[line].written) = (Some(r as u8), 0),
-                    None => world.lines.push(Service {
-                        made: false,
-                        leg: Some(r as u8),
-                        written: 0,
-                        read: Vec::new(),
-                        gone: 0,
-                        has: None,
-                        said: Vec::new(),
-                        out: Vec::new(),
-                        tail: InputState::Open,
-                    }),
-                }
+            Action::Unreachable(at) => world.lose_connection(at),
+            Action::PartsWritten(at, parts) => write_parts(&mut world, at, parts),
+            Action::WriteFails(at) => {
+                let in_transit = world.connections[at].in_transit.len();
+                world.read(at, in_transit, true);
             }
-            Action::Nobody(r) => {
-                if world.requests[r].failed && world.requests[r].way.deliver_error_response() {
-                    world.tell(r, Client::Has(500));
-                } else {
-                    let status = world.requests[r].way.rejection_status();
-                    let next = world.requests[r].way.reject(status);
-                    world.follow(r, next);
-                }
-            }
-            Action::Made(l) => {
-                world.lines[l].made = true;
-                let r = world.lines[l].leg?;
-                world.requests[usize::from(r)].way.connected();
+            Action::Executes(at) => execute(&mut world, at),
+            Action::ExecutesLoose(at) => {
+                world.requests[at].loose_attempts -= 1;
+                world.requests[at].executions += 1;
             }
-            Action::Unreached(l) => world.lose(l),
-            Action::Writes(l, to) => {
-                let line = &mut world.lines[l];
-                let r = line.leg?;
-                line.written = to;
-                world.requests[usize::from(r)].way.bytes_written();
-                // A backend whose end has broken gets nothing.
-                if line.has.is_none_or(|(had, _)| had != r)
-                    && line.tail != InputState::Broken
-                    && to > 0
-                    && !line.said.contains(&r)
-                {
-                    line.has = Some((r, false));
+            Action::Responds(at, kind) => respond(&mut world, at, kind),
+            Action::RespondsToAnother(at, request) => respond_to_another(&mut world, at, request),
+            Action::InputEnds { connection, input_state, keeps_in_transit } => {
+                let connection = &mut world.connections[connection];
+                if !keeps_in_transit {
+                    connection.in_transit.clear();
                 }
+                connection.input_state = input_state;
             }
-            Action::WriteFails(l) => {
-                let all = world.lines[l].out.len();
-                world.read(l, all, true);
-            }
-            Action::Runs(l) => {
-                let (r, runs) = world.lines[l].has.as_mut()?;
-                *runs = true;
-                world.requests[usize::from(*r)].runs += 1;
-            }
-            Action::RunsLoose(r) => {
-                world.requests[r].loose -= 1;
-                world.requests[r].runs += 1;
-            }
-            Action::Says(l, says) => {
-                let line = &mut world.lines[l];
-                let (r, runs) = line.has?;
-                // What is no answer of its own says nothing of whether it runs.
-                let own = matches!(says, Says::Short | Says::Long | Says::ToTheEnd | Says::Own500);
-                if own || says == Says::NotRun {
-                    line.has = None;
-                }
-                world.requests[usize::from(r)].runs += u8::from(own && !runs);
-                line.said.push(r);
-                line.out.extend((0..pieces(says)).map(|part| (r, says, part)));
-            }
-            Action::SaysTooMuch(l, r) => {
-                let line = &mut world.lines[l];
-                line.said.push(9);
-                line.out.extend((0..pieces(Says::Surplus)).map(|part| (r, Says::Surplus, part)));
-            }
-            Action::Ends(l, tail, all) => {
-                let line = &mut world.lines[l];
-                if !all {
-                    line.out.clear();
-                }
-                line.tail = tail;
-            }
-            Action::Reads(l, number, end) => world.read(l, number, end),
-            Action::Overdue(r) => {
-                if world.requests[r].way.may_attempt() && world.requests[r].way.abandon_overdue_attempt() {
-                    world.drop_leg(r);
+            Action::Reads { connection, pieces, with_end } => world.read(connection, pieces, with_end),
+            Action::Overdue(at) => {
+                let lifecycle = &mut world.requests[at].lifecycle;
+                if lifecycle.may_attempt() && lifecycle.abandon_overdue_attempt() {
+                    world.close_attempt(at);
                 }
             }
-            Action::Deadline(r) => {
-                let next = world.requests[r].way.deadline_expired();
-                world.follow(r, next);
-                let over = !matches!(world.requests[r].client, Client::Waits(_));
-                world.expect(over, "a request that waits beyond its deadline");
-            }
-            Action::Leaves(r) => {
-                world.requests[r].way.client_gone();
-                world.tell(r, Client::Left);
-            }
-            Action::Rested(l) => world.drop_line(l),
-            Action::End => {
-                world.ended = true;
-                for r in 0..world.requests.len() {
-                    if matches!(world.requests[r].client, Client::Waits(_)) {
-                        let next = world.requests[r].way.shut_down();
-                        world.follow(r, next);
-                        let over = !matches!(world.requests[r].client, Client::Waits(_));
-                        world.expect(over, "a request that outlives the process");
-                    }
-                }
-                while !world.lines.is_empty() {
-                    world.drop_line(0);
-                }
+            Action::Deadline(at) => deadline_expired(&mut world, at),
+            Action::ClientLeaves(at) => {
+                world.requests[at].lifecycle.client_gone();
+                world.finish(at, Client::Left);
             }
+            Action::IdleTimeout(at) => world.close_connection(at),
+            Action::ShutDown => shut_down(&mut world),
         }
         Some(world)
     }
 
-    fn properties(&self) -> Vec<Property<Stand>> {
+    fn properties(&self) -> Vec<Property<Scenario>> {
         vec![
-            Property::always("as the rules have it", |_, world: &World| world.wrong.is_none()),
-            Property::always("once-only requests run once", |stand: &Stand, world: &World| {
-                stand.repeats || world.requests.iter().all(|request| request.runs <= 1)
-            }),
-            Property::always("what is promised not to run never runs", |_, world: &World| {
-                let promised = |r: &&Request| matches!(r.client, Client::Has(408 | 421 | 429 | 503));
-                world.requests.iter().filter(promised).all(|r| r.runs == 0 && r.loose == 0)
+            Property::always("nothing is violated", |_, world: &World| world.violation.is_none()),
+            Property::always(
+                "a non-idempotent request is executed once",
+                |scenario: &Scenario, world: &World| {
+                    scenario.is_idempotent || world.requests.iter().all(|request| request.executions <= 1)
+                },
+            ),
+            Property::always("what is promised not to be executed never is", |_, world: &World| {
+                let is_promised =
+                    |request: &&Request| matches!(request.client, Client::Responded(408 | 421 | 429 | 503));
+                let mut promised = world.requests.iter().filter(is_promised);
+                promised.all(|request| request.executions == 0 && request.loose_attempts == 0)
             }),
-            Property::always("a leg is out on one connection, or none", |_, world: &World| {
-                world.requests.iter().enumerate().all(|(r, request)| {
-                    let on = world.lines.iter().filter(|line| line.leg == Some(r as u8)).count();
-                    on == usize::from(
-                        request.way.is_in_flight() || request.way.state() == RequestState::Responding,
-                    )
+            Property::always("an attempt is on one connection, or none", |_, world: &World| {
+                world.requests.iter().enumerate().all(|(at, request)| {
+                    let has_attempt = |connection: &&Connection| connection.attempt == Some(at as u8);
+                    let count = world.connections.iter().filter(has_attempt).count();
+                    let is_responding = request.lifecycle.state() == RequestState::Responding;
+                    count == usize::from(request.lifecycle.is_in_flight() || is_responding)
                 })
             }),
-            Property::sometimes("a request is answered by its second leg", |stand: &Stand, world: &World| {
-                stand.long
-                    || world
-                        .requests
-                        .iter()
-                        .any(|r| r.client == Client::Has(200) && r.way.attempts_sent() == 2)
-            }),
-            Property::sometimes("a connection rests and is taken again", |_, world: &World| {
-                world.lines.iter().any(|line| line.leg == Some(1) && line.said.contains(&0))
+            Property::sometimes(
+                "a request is answered by its second attempt",
+                |scenario: &Scenario, world: &World| {
+                    let is_answered_by_second = |request: &Request| {
+                        request.client == Client::Responded(200) && request.lifecycle.attempts_sent() == 2
+                    };
+                    scenario.has_long_body || world.requests.iter().any(is_answered_by_second)
+                },
+            ),
+            Property::sometimes("an idle connection is used again", |_, world: &World| {
+                world
+                    .connections
+                    .iter()
+                    .any(|connection| connection.attempt == Some(1) && connection.responded_to.contains(&0))
             }),
         ]
     }
 }
 
 #[rstest]
-#[case::once(Stand { repeats: false, long: false, together: false })]
-#[case::safe(Stand { repeats: true, long: false, together: false })]
-#[case::once_long(Stand { repeats: false, long: true, together: false })]
-#[case::safe_long(Stand { repeats: true, long: true, together: false })]
-#[case::once_together(Stand { repeats: false, long: false, together: true })]
-#[case::safe_together(Stand { repeats: true, long: false, together: true })]
-fn in_every_order_a_request_runs_and_is_answered_as_promised(#[case] stand: Stand) {
-    let more = std::env::var("LEG_DEPTH").map_or(0, |more| more.parse().expect("a number"));
-    let depth = DEPTH[usize::from(stand.together)] + more;
-    let checker = stand.checker().threads(3).target_max_depth(depth).spawn_bfs().join();
+#[case::non_idempotent(Scenario { is_idempotent: false, has_long_body: false, is_concurrent: false })]
+#[case::idempotent(Scenario { is_idempotent: true, has_long_body: false, is_concurrent: false })]
+#[case::non_idempotent_long(Scenario { is_idempotent: false, has_long_body: true, is_concurrent: false })]
+#[case::idempotent_long(Scenario { is_idempotent: true, has_long_body: true, is_concurrent: false })]
+#[case::non_idempotent_concurrent(Scenario { is_idempotent: false, has_long_body: false, is_concurrent: true })]
+#[case::idempotent_concurrent(Scenario { is_idempotent: true, has_long_body: false, is_concurrent: true })]
+fn in_every_order_a_request_is_executed_and_answered_as_promised(#[case] scenario: Scenario) {
+    let extra = std::env::var(EXTRA_DEPTH).map_or(0, |extra| extra.parse().expect("a number"));
+    let depth = extra + if scenario.is_concurrent { CONCURRENT_DEPTH } else { DEPTH };
+    let checker = scenario.checker().threads(3).target_max_depth(depth).spawn_bfs().join();
     println!(
-        "{stand:?}: states={} unique={} depth={}",
+        "{scenario:?}: states={} unique={} depth={}",
         checker.state_count(),
         checker.unique_state_count(),
         checker.max_depth()
--- /dev/null
+++ b/crates/data-plane/tests/attempt/world.rs
@@ -0,0 +1,282 @@
+//! The state of the model: requests, the gateway's connections, and what the gateway does with what it reads.
+//!
+//! The lifecycle and the reader are the real ones; around them stands what the server does with sockets, in a few
+//! lines each.
+
+use crate::backend_responses::{body, Piece, ResponseKind};
+use kitepass_data_plane::attempt::{
+    may_keep_connection, ConnectionRemains, InputState, NextStep, ReadProgress, RequestLifecycle,
+    RequestState, ResponseClass, ResponseContext, ResponseReader,
+};
+
+/// A longer body is streamed.
+const MAX_BUFFERED_BYTES: usize = 3;
+/// More than any response is long.
+const UNLIMITED_BYTES: usize = 1 << 20;
+/// In how many parts a request is written.
+pub(crate) const REQUEST_PARTS: u8 = 2;
+
+/// What a client has come to.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) enum Client {
+    /// Its request has not come yet.
+    NotCome,
+    /// It waits, and has received so much of a long response.
+    Waiting(Option<String>),
+    /// It has a complete response with this status.
+    Responded(u16),
+    /// Its connection was closed by the gateway.
+    Aborted,
+    /// It closed its connection.
+    Left,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct Request {
+    pub(crate) lifecycle: RequestLifecycle,
+    pub(crate) client: Client,
+    /// All of its body has come from the client.
+    pub(crate) is_body_complete: bool,
+    /// A backend's error response is there to be delivered.
+    pub(crate) has_error_response: bool,
+    /// How often a backend executed it.
+    pub(crate) executions: u8,
+    /// Attempts on closed connections that a backend may still execute.
+    pub(crate) loose_attempts: u8,
+}
+
+impl Request {
+    pub(crate) fn is_waiting(&self) -> bool {
+        matches!(self.client, Client::Waiting(_))
+    }
+}
+
+/// A request that a backend has and has not answered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct Work {
+    pub(crate) request: u8,
+    pub(crate) is_executed: bool,
+}
+
+/// A connection between the gateway and a backend.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct Connection {
+    pub(crate) is_established: bool,
+    /// The request whose attempt is on it.
+    pub(crate) attempt: Option<u8>,
+    /// Parts of the request that were written, of [`REQUEST_PARTS`].
+    pub(crate) parts_written: u8,
+    /// Pieces that were read for the attempt.
+    pub(crate) read_pieces: Vec<Piece>,
+    /// Bytes of its response's body that were streamed.
+    pub(crate) streamed_bytes: usize,
+    pub(crate) work: Option<Work>,
+    /// Requests that its backend has responded to here.
+    pub(crate) responded_to: Vec<u8>,
+    /// What is in transit to the gateway, and how it ends.
+    pub(crate) in_transit: Vec<Piece>,
+    pub(crate) input_state: InputState,
+}
+
+impl Connection {
+    /// A connection that is being opened for a request.
+    pub(crate) fn opening(request: u8) -> Connection {
+        Connection {
+            is_established: false,
+            attempt: Some(request),
+            parts_written: 0,
+            read_pieces: Vec::new(),
+            streamed_bytes: 0,
+            work: None,
+            responded_to: Vec::new(),
+            in_transit: Vec::new(),
+            input_state: InputState::Open,
+        }
+    }
+
+    /// The response as far as it was read before, without what was streamed.
+    fn reader(&self, context: ResponseContext) -> (ResponseReader, Vec<u8>) {
+        let (mut reader, mut input) = (ResponseReader::default(), Vec::new());
+        for piece in &self.read_pieces {
+            input.extend(piece.bytes());
+        }
+        let context = ResponseContext { max_buffered_bytes: UNLIMITED_BYTES, ..context };
+        reader.read(context, &mut input, InputState::Open);
+        reader.body.drain(..self.streamed_bytes);
+        (reader, input)
+    }
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct World {
+    pub(crate) requests: Vec<Request>,
+    pub(crate) connections: Vec<Connection>,
+    pub(crate) has_shut_down: bool,
+    /// The first thing that was not as it should be.
+    pub(crate) violation: Option<&'static str>,
+}
+
+impl World {
+    fn connection_of(&self, request: usize) -> Option<usize> {
+        self.connections.iter().position(|connection| connection.attempt == Some(request as u8))
+    }
+
+    pub(crate) fn close_connection(&mut self, at: usize) {
+        let connection = self.connections.remove(at);
+        if let Some(Work { request, is_executed: false }) = connection.work {
+            self.requests[usize::from(request)].loose_attempts += 1; // it may be executed all the same
+        }
+    }
+
+    pub(crate) fn close_attempt(&mut self, request: usize) {
+        if let Some(at) = self.connection_of(request) {
+            self.close_connection(at);
+        }
+    }
+
+    pub(crate) fn expect(&mut self, holds: bool, what: &'static str) {
+        if !holds {
+            self.violation = Some(what);
+        }
+    }
+
+    /// A client's request is over.
+    pub(crate) fn finish(&mut self, request: usize, client: Client) {
+        self.expect(self.requests[request].is_waiting(), "a second response to one request");
+        self.requests[request].client = client;
+        let is_completed = self.requests[request].lifecycle.state() == RequestState::Completed;
+        self.expect(is_completed, "finished, and not completed");
+        self.close_attempt(request);
+    }
+
+    /// What follows where no backend's response goes to the client.
+    pub(crate) fn follow(&mut self, request: usize, next: NextStep) {
+        match next {
+            NextStep::Reject(status) => {
+                let has_begun = matches!(self.requests[request].client, Client::Waiting(Some(_)));
+                self.expect(!has_begun, "a response behind the beginning of another");
+                self.finish(request, Client::Responded(status));
+            }
+            NextStep::Abort => self.finish(request, Client::Aborted),
+            _ => {}
+        }
+    }
+
+    /// A connection is lost, with the attempt on it.
+    pub(crate) fn lose_connection(&mut self, at: usize) {
+        let request = self.connections[at].attempt.map(usize::from);
+        self.close_connection(at);
+        if let Some(request) = request {
+            let next = self.requests[request].lifecycle.attempt_failed();
+            self.follow(request, next);
+        }
+    }
+
+    /// The gateway reads so many pieces, and the end of the input behind them.
+    pub(crate) fn read(&mut self, at: usize, pieces: usize, with_end: bool) {
+        let connection = &mut self.connections[at];
+        let input_state = if with_end { connection.input_state } else { InputState::Open };
+        let new: Vec<Piece> = connection.in_transit.drain(..pieces).collect();
+        let Some(request) = connection.attempt.map(usize::from) else {
+            if pieces > 0 || with_end {
+                self.close_connection(at);
+            }
+            return;
+        };
+        let id = request.to_string();
+        let context = ResponseContext {
+            request_id: id.as_bytes(),
+            is_head_request: false,
+            has_carried_head: false,
+            max_buffered_bytes: MAX_BUFFERED_BYTES,
+        };
+        let (mut reader, mut input) = connection.reader(context);
+        for piece in &new {
+            input.extend(piece.bytes());
+        }
+        connection.read_pieces.extend(new);
+        match reader.read(context, &mut input, input_state) {
+            ReadProgress::Partial => {}
+            ReadProgress::Failed(_) => self.lose_connection(at),
+            ReadProgress::BufferFull => self.stream(at, request, &reader),
+            ReadProgress::Complete => self.response_complete(at, request, reader, input.len(), input_state),
+        }
+    }
+
+    fn stream(&mut self, at: usize, request: usize, reader: &ResponseReader) {
+        let lifecycle = &mut self.requests[request].lifecycle;
+        let head = reader.head.as_ref().expect("its body has begun");
+        let next = lifecycle.response_exceeds_buffer(ResponseClass::of(head, lifecycle.is_idempotent()));
+        match (next, &mut self.requests[request].client) {
+            (NextStep::StreamFirst | NextStep::StreamMore, Client::Waiting(received)) => {
+                self.connections[at].streamed_bytes += reader.body.len();
+                let text = std::str::from_utf8(&reader.body).expect("text");
+                received.get_or_insert_default().push_str(text);
+            }
+            (next, _) => {
+                self.close_connection(at);
+                self.follow(request, next);
+            }
+        }
+    }
+
+    fn response_complete(
+        &mut self,
+        at: usize,
+        request: usize,
+        reader: ResponseReader,
+        unread_bytes: usize,
+        input_state: InputState,
+    ) {
+        let head = reader.head.expect("complete");
+        let lifecycle = &mut self.requests[request].lifecycle;
+        let was_sent = matches!(lifecycle.state(), RequestState::Sent | RequestState::Responding);
+        let class = if was_sent {
+            ResponseClass::of(&head, lifecycle.is_idempotent())
+        } else {
+            ResponseClass::Invalid
+        };
+        let next = lifecycle.response_complete(class);
+        let connection = &mut self.connections[at];
+        connection.attempt = None;
+        connection.streamed_bytes = 0;
+        connection.read_pieces.clear();
+        let remains = ConnectionRemains {
+            input_state,
+            unread_bytes,
+            // The backend may yet execute the request by what it still gets, where it has not answered it.
+            unsent_bytes: usize::from(REQUEST_PARTS - connection.parts_written),
+            is_request_finished: self.requests[request].is_body_complete,
+        };
+        if !may_keep_connection(class, remains) {
+            self.close_connection(at);
+        }
+        let body = String::from_utf8(reader.body).expect("text");
+        match next {
+            NextStep::Deliver => self.deliver(request, &head, &body),
+            NextStep::StreamLast => {
+                let Client::Waiting(Some(received)) = &self.requests[request].client else {
+                    return self.violation = Some("an end without a beginning");
+                };
+                let body = received.clone() + &body;
+                self.deliver(request, &head, &body);
+            }
+            NextStep::RetryOrDeliver => self.requests[request].has_error_response = true,
+            next => self.follow(request, next),
+        }
+    }
+
+    /// A complete response has gone to a client.
+    fn deliver(&mut self, request: usize, head: &kitepass_net::http::body::Head, received: &str) {
+        let is_own = head.field("x-try-id") == Some(request.to_string().as_bytes());
+        self.expect(is_own, "another request's response");
+        let status = head.status();
+        if status < 300 {
+            let kinds = [ResponseKind::Short, ResponseKind::Long];
+            let is_complete = kinds.iter().any(|kind| body(request as u8, *kind) == received);
+            self.expect(is_complete, "a body that is not complete, or another's");
+            self.expect(self.requests[request].executions > 0, "a response of nobody's");
+        }
+        self.finish(request, Client::Responded(status));
+    }
+}
