--- a/crates/data-plane/tests/attempt/main.rs
+++ b/crates/data-plane/tests/attempt/main.rs
@@ -3,5 +3,5 @@
 mod backend_responses;
 mod calls;
 mod model;
-mod reading;
+mod response_reader;
 mod world;
--- a/crates/data-plane/tests/control_session.rs
+++ b/crates/data-plane/tests/control_session.rs
@@ -1,4 +1,5 @@
-//! The link's own defences against a control process that is out of contact with the core, told what it would hear.
+//! The control session's own defences against a control process that is isolated from the quorum: the messages are
+//! given to it as such a control process would send them.
 
 use kitepass_config::{Item, ItemStore, Kind};
 use kitepass_coordination::protocol::{
@@ -12,12 +13,12 @@
     Timestamp::from_micros(millis * 1000)
 }
 
-fn hello(address: &str, current: bool) -> Message {
+fn hello(address: &str, is_serving: bool) -> Message {
     Message::Hello(Hello {
         node_id: address.into(),
         address: address.into(),
         is_control_plane: true,
-        is_serving: current,
+        is_serving,
         ..Hello::default()
     })
 }
@@ -30,88 +31,109 @@
     Message::Items(Items { items: vec![ItemMessage::from(&item(version))] })
 }
 
-/// The control process has told all, which is this version of the item, or nothing.
-fn back(version: Option<u64>) -> Message {
+/// The control process has sent all that it holds, which is this version of the item, or nothing.
+fn sync_finished(version: Option<u64>) -> Message {
     let mut item_store = ItemStore::new();
     version.into_iter().for_each(|version| _ = item_store.merge(item(version)));
     Message::BucketDigests(BucketDigests { digests: item_store.buckets().to_vec(), wants_reply: true })
 }
 
-/// A link that has opened a session with the first control process that it draws.
-fn link(now: i64, first: &[&str]) -> (ControlSession, String) {
+/// A gateway that opens a session with the control process that it draws.
+fn session(now: i64, bootstrap: &[&str]) -> (ControlSession, String) {
     let hello = Hello { node_id: "g".into(), ..Hello::default() };
-    let mut link =
-        ControlSession::new(hello, first.iter().map(ToString::to_string).collect(), BTreeMap::new());
-    let address = link.next(at(now), 0).expect("one is known");
-    (link, address)
+    let mut session =
+        ControlSession::new(hello, bootstrap.iter().map(ToString::to_string).collect(), BTreeMap::new());
+    let address = session.next(at(now), 0).expect("one is known");
+    (session, address)
 }
 
-fn say(link: &mut ControlSession, now: i64, messages: Vec<Message>) -> SessionUpdates {
-    let mut brought = SessionUpdates::default();
-    messages.into_iter().for_each(|message| link.said(at(now), message, &mut brought));
-    brought
+fn receive(session: &mut ControlSession, now: i64, messages: Vec<Message>) -> SessionUpdates {
+    let mut updates = SessionUpdates::default();
+    messages.into_iter().for_each(|message| session.said(at(now), message, &mut updates));
+    updates
 }
 
 #[test]
-fn a_first_configuration_is_taken_from_none_that_is_out_of_contact() {
-    // It says so in its hello, or in a beat before all has come.
-    let live = || Message::MembershipUpdate(MembershipUpdate::default());
-    let hello_says = |address: &str| vec![hello(address, false), items(3), back(Some(3)), live()];
-    let beat_says = |address: &str| {
-        vec![hello(address, true), Message::Heartbeat(Heartbeat::default()), items(3), back(Some(3)), live()]
+fn a_first_configuration_is_not_taken_from_an_isolated_control_process() {
+    // It says so in its hello, or in a heartbeat before all items have come.
+    let membership = || Message::MembershipUpdate(MembershipUpdate::default());
+    let from_hello =
+        |address: &str| vec![hello(address, false), items(3), sync_finished(Some(3)), membership()];
+    let from_heartbeat = |address: &str| {
+        vec![
+            hello(address, true),
+            Message::Heartbeat(Heartbeat::default()),
+            items(3),
+            sync_finished(Some(3)),
+            membership(),
+        ]
     };
-    for messages in [&hello_says as &dyn Fn(&str) -> Vec<Message>, &beat_says] {
-        let (mut link, address) = link(0, &["a"]);
-        let brought = say(&mut link, 100, messages(&address));
-        assert!(brought.close && brought.items.is_empty() && !link.is_caught_up());
-        assert_eq!(link.item_store.len(), 0);
+    for messages in [&from_hello as &dyn Fn(&str) -> Vec<Message>, &from_heartbeat] {
+        let (mut session, address) = session(0, &["a"]);
+        let updates = receive(&mut session, 100, messages(&address));
+        assert!(updates.close && updates.items.is_empty() && !session.is_caught_up());
+        assert_eq!(session.item_store.len(), 0);
     }
-    let (mut link, address) = link(0, &["a"]);
-    let brought = say(&mut link, 100, vec![hello(&address, true), items(3), back(Some(3)), live()]);
-    assert!(!brought.close && link.is_caught_up() && brought.items.len() == 1);
-    // Once it has caught up it says so, and stays where all are out of contact.
-    let brought = say(&mut link, 200, vec![Message::Heartbeat(Heartbeat::default()), items(4)]);
-    assert!(!brought.close && brought.items.len() == 1);
+    let (mut session, address) = session(0, &["a"]);
+    let updates = receive(
+        &mut session,
+        100,
+        vec![hello(&address, true), items(3), sync_finished(Some(3)), membership()],
+    );
+    assert!(!updates.close && session.is_caught_up() && updates.items.len() == 1);
+    // Once it has synchronized it says so, and stays where all are isolated.
+    let updates = receive(&mut session, 200, vec![Message::Heartbeat(Heartbeat::default()), items(4)]);
+    assert!(!updates.close && updates.items.len() == 1);
     (2..40).for_each(|n| {
-        say(&mut link, n * 100, vec![Message::Heartbeat(Heartbeat::default())]);
-        assert!(!link.tick(at(n * 100)), "nobody else is known");
+        receive(&mut session, n * 100, vec![Message::Heartbeat(Heartbeat::default())]);
+        assert!(!session.tick(at(n * 100)), "no other is known");
     });
-    assert!(link.out.iter().any(|message| matches!(message, Message::Heartbeat(beat) if beat.is_serving)));
-    // So long alone that it begins anew, it is as one that has never caught up, and goes by what it has.
-    link.lost("closed");
+    assert!(session
+        .out
+        .iter()
+        .any(|message| matches!(message, Message::Heartbeat(heartbeat) if heartbeat.is_serving)));
+    // After so long without synchronization that it starts from nothing, it is as one that has never synchronized, and
+    // serves by what it has.
+    session.lost("closed");
     let later = 4_000_000;
-    let address = link.next(at(later), 0).expect("one is known");
-    assert!(matches!(&link.out[0], Message::Hello(hello) if !hello.is_serving));
-    let brought = say(&mut link, later, hello_says(&address));
-    assert!(brought.close && link.item_store.get(Kind::Service, "l").is_some_and(|item| item.version == 4));
+    let address = session.next(at(later), 0).expect("one is known");
+    assert!(matches!(&session.out[0], Message::Hello(hello) if !hello.is_serving));
+    let updates = receive(&mut session, later, from_hello(&address));
+    assert!(
+        updates.close && session.item_store.get(Kind::Service, "l").is_some_and(|item| item.version == 4)
+    );
 }
 
-/// It leaves one that falls out of contact after a while, and one that it finds so as soon as it is synced, looks in on
-/// each once, and then stays for a time.
+/// It leaves one that becomes isolated after a while, and one that it finds isolated as soon as it has synchronized; it
+/// tries each once, and then stays for a time.
 #[test]
-fn all_are_looked_in_on_once_and_then_one_is_stayed_with() {
-    let (mut link, address) = link(0, &["a", "b", "c"]);
-    say(
-        &mut link,
+fn each_isolated_control_process_is_tried_once_and_then_one_is_kept() {
+    let (mut session, address) = session(0, &["a", "b", "c"]);
+    receive(
+        &mut session,
         100,
-        vec![hello(&address, true), back(None), Message::MembershipUpdate(MembershipUpdate::default())],
+        vec![
+            hello(&address, true),
+            sync_finished(None),
+            Message::MembershipUpdate(MembershipUpdate::default()),
+        ],
     );
-    let (mut left, mut seen) = (Vec::new(), vec![address]);
+    let (mut closed_at, mut tried) = (Vec::new(), vec![address]);
     for now in (200..9_000).step_by(100) {
-        match link.state() {
+        match session.state() {
             SessionState::Disconnected => {
-                let address = link.next(at(now), 0).expect("one is left");
-                say(&mut link, now, vec![hello(&address, false), back(None)]);
-                seen.push(address);
+                let address = session.next(at(now), 0).expect("one is left");
+                receive(&mut session, now, vec![hello(&address, false), sync_finished(None)]);
+                tried.push(address);
             }
-            _ => _ = say(&mut link, now, vec![Message::Heartbeat(Heartbeat::default())]),
+            _ => _ = receive(&mut session, now, vec![Message::Heartbeat(Heartbeat::default())]),
         }
-        if link.tick(at(now)) {
-            left.push(now);
-            link.lost("left");
+        if session.tick(at(now)) {
+            closed_at.push(now);
+            session.lost("left");
         }
     }
-    assert_eq!(left.first(), Some(&1_700), "{left:?}");
-    seen.sort();
-    assert_eq!((left.len(), seen), (2, vec!["a".to_owned(), "b".into(), "c".into()]));
+    assert_eq!(closed_at.first(), Some(&1_700), "{closed_at:?}");
+    tried.sort();
+    assert_eq!((closed_at.len(), tried), (2, vec!["a".to_owned(), "b".into(), "c".into()]));
 }
