--- a/crates/data-plane/examples/tables/gateway.rs
+++ b/crates/data-plane/examples/tables/gateway.rs
@@ -9,6 +9,7 @@
 use kitepass_coordination::protocol::{Message, UsageReport};
 use kitepass_coordination::usage::{QuotaTolerance, RateLimit};
 use kitepass_data_plane::control_session::{ControlSession, SessionUpdates};
+use kitepass_data_plane::ids::RequestId;
 use kitepass_data_plane::load_balancer::LoadBalancer;
 use kitepass_data_plane::quota::{Admission, Decision, Quota};
 use kitepass_time::Timestamp;
@@ -20,6 +21,7 @@
 const COPIES: usize = 4;
 /// Periods that a gateway has served before it is measured.
 const WARM_UP_PERIODS: i64 = 40;
+const REQUEST: RequestId = RequestId(1);
 const SEED: u64 = 7;
 const TOLERANCE: QuotaTolerance = QuotaTolerance { window: 5.0, excess: 0.1, margin: 20.0 };
 const RATE_LIMIT: RateLimit = RateLimit { rate: 314.0, burst: 314.0 };
@@ -41,7 +43,7 @@
     /// One request is admitted; where it has to wait, what requesting a grant and the grant itself cost here.
     pub(crate) fn admit(&mut self, now: Timestamp, tenant: usize) {
         let tenant = &self.tenants[tenant];
-        if self.quota.admit(now, tenant, RATE_LIMIT, 1) != Admission::Pending {
+        if self.quota.admit(now, tenant, RATE_LIMIT, REQUEST) != Admission::Pending {
             return;
         }
         let report = UsageReport {
@@ -55,7 +57,7 @@
         packed(Message::UsageReport(report));
         let updates = receive(&mut self.session, now, &answer);
         self.apply_totals(now, &updates);
-        assert_eq!(self.quota.take_decisions(), [Decision { request_id: 1, is_admitted: true }]);
+        assert_eq!(self.quota.take_decisions(), [Decision { request: REQUEST, is_admitted: true }]);
     }
 
     /// One gateway's second of requests; all tenants send alike often.
--- a/crates/data-plane/src/attempt/lifecycle.rs
+++ b/crates/data-plane/src/attempt/lifecycle.rs
@@ -57,7 +57,7 @@
     /// An attempt has ended that the backend may have executed.
     has_maybe_executed: bool,
     /// Every byte of the body that has arrived is still buffered.
-    has_whole_body: bool,
+    is_body_buffered: bool,
 }
 
 impl RequestLifecycle {
@@ -70,7 +70,7 @@
             max_attempts,
             attempts_sent: 0,
             has_maybe_executed: false,
-            has_whole_body: true,
+            is_body_buffered: true,
         }
     }
 
@@ -115,7 +115,7 @@
     pub fn may_attempt(&self) -> bool {
         let is_open = !matches!(self.state, RequestState::Responding | RequestState::Completed);
         let is_safe = self.is_idempotent || !self.may_have_executed();
-        is_open && self.has_whole_body && self.attempts_sent < self.max_attempts && is_safe
+        is_open && self.is_body_buffered && self.attempts_sent < self.max_attempts && is_safe
     }
 
     /// The status that the client gets where no further attempt is made.
@@ -159,7 +159,7 @@
 
     /// A part of the body was dropped from the buffer.
     pub fn body_dropped(&mut self) {
-        self.has_whole_body = false;
+        self.is_body_buffered = false;
     }
 
     /// The attempt ended without a response: its connection was not established, was closed or broke, or brought
@@ -280,7 +280,7 @@
     }
 
     /// The client's connection is gone: nobody waits for a response.
-    pub fn client_gone(&mut self) {
+    pub fn client_disconnected(&mut self) {
         if self.state != RequestState::Completed {
             self.transition(RequestState::Completed);
         }
--- a/crates/data-plane/src/control_session/directory.rs
+++ b/crates/data-plane/src/control_session/directory.rs
@@ -30,7 +30,7 @@
 /// A control process that was isolated from the quorum when it was last heard.
 #[derive(Clone, Copy, Debug)]
 struct IsolationRecord {
-    found_at: Timestamp,
+    recorded_at: Timestamp,
     /// How often in a row.
     times: u32,
 }
@@ -107,13 +107,13 @@
     }
 
     /// The current control process is isolated from the quorum. `is_new` if it was in contact before.
-    pub(super) fn mark_isolated(&mut self, now: Timestamp, is_new: bool) {
+    pub(super) fn record_isolation(&mut self, now: Timestamp, is_new: bool) {
         let times = self.isolated.get(&self.current).map_or(0, |record| record.times) + u32::from(is_new);
-        self.isolated.insert(self.current.clone(), IsolationRecord { found_at: now, times });
+        self.isolated.insert(self.current.clone(), IsolationRecord { recorded_at: now, times });
     }
 
     /// The current control process is in contact with the quorum.
-    pub(super) fn mark_in_contact(&mut self) {
+    pub(super) fn record_contact(&mut self) {
         self.isolated.remove(&self.current);
     }
 
@@ -147,7 +147,7 @@
     fn is_avoided(&self, now: Timestamp, address: &str) -> bool {
         self.isolated.get(address).is_some_and(|record| {
             let avoidance = AVOIDANCE_INTERVAL * i64::from(record.times.max(1));
-            now - record.found_at < avoidance.min(MAX_AVOIDANCE)
+            now - record.recorded_at < avoidance.min(MAX_AVOIDANCE)
         })
     }
 
@@ -168,7 +168,7 @@
         let is_long_ago = |at: Timestamp| now - at > NEARER_RETRY_INTERVAL;
         self.zones.keys().any(|address| {
             self.proximity(address) < self.proximity(&self.current)
-                && self.isolated.get(address).is_none_or(|record| is_long_ago(record.found_at))
+                && self.isolated.get(address).is_none_or(|record| is_long_ago(record.recorded_at))
                 && self.attempts.get(address).is_none_or(|attempts| is_long_ago(attempts.last))
         })
     }
--- a/crates/data-plane/src/control_session/mod.rs
+++ b/crates/data-plane/src/control_session/mod.rs
@@ -4,12 +4,14 @@
 //! messages that come, and sends those in [`ControlSession::out`] and [`ControlSession::out_items`].
 
 mod directory;
+mod updates;
+
+pub use updates::{LiveGateways, SessionState, SessionUpdates};
 
 use directory::Directory;
 use kitepass_config::{Item, ItemStore, Kind};
 use kitepass_coordination::protocol::{
     BucketDigests, Heartbeat, Hello, ItemMessage, Items, MembershipUpdate, Message, PurgeTombstones,
-    UsageTotals,
 };
 use kitepass_time::{Duration, Timestamp};
 use log::{debug, info, warn};
@@ -41,53 +43,6 @@
 /// A nearer control process is gone over to no sooner than this after the session was opened.
 const MIN_SESSION_TIME: Duration = Duration::from_micros(3_000_000);
 
-/// How far the session has come. `ControlSession::transition` alone changes it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SessionState {
-    /// There is no session.
-    Disconnected,
-    /// A connection is being opened since then.
-    Connecting(Timestamp),
-    /// The session is established, and brings what is missing here; since the last of it.
-    Syncing(Timestamp),
-    /// All that the control process holds has come.
-    Synced,
-}
-
-impl SessionState {
-    /// The state's name as it is logged.
-    fn name(self) -> &'static str {
-        match self {
-            SessionState::Disconnected => "disconnected",
-            SessionState::Connecting(_) => "connecting",
-            SessionState::Syncing(_) => "syncing",
-            SessionState::Synced => "synced",
-        }
-    }
-}
-
-/// The gateways that count as live.
-#[derive(Clone, Debug, Default)]
-pub struct LiveGateways {
-    /// How many there are.
-    pub count: usize,
-    /// Their node ids, in order.
-    pub node_ids: Vec<String>,
-}
-
-/// What messages of the control process have brought.
-#[derive(Debug, Default)]
-pub struct SessionUpdates {
-    /// Items that are new or changed.
-    pub items: Vec<Item>,
-    /// The gateways that count as live, if that was told.
-    pub live: Option<LiveGateways>,
-    /// Answers to usage reports.
-    pub totals: Vec<UsageTotals>,
-    /// Whether the session is to be closed.
-    pub close: bool,
-}
-
 /// A synchronization from nothing, in progress.
 struct Resync {
     item_store: ItemStore,
@@ -109,7 +64,7 @@
     wants_digests: bool,
     failed_repairs: u32,
     directory: Directory,
-    last_heard: Timestamp,
+    last_received: Timestamp,
     opened_at: Timestamp,
     last_heartbeat: Timestamp,
     /// Set while the control process is isolated from the quorum: after this moment it is left, if another may be in
@@ -140,7 +95,7 @@
             max_unsynced: MAX_UNSYNCED,
             wants_digests: false,
             failed_repairs: 0,
-            last_heard: Timestamp::default(),
+            last_received: Timestamp::default(),
             opened_at: Timestamp::default(),
             last_heartbeat: Timestamp::default(),
             isolation_deadline: None,
@@ -222,7 +177,7 @@
     fn update_contact(&mut self, now: Timestamp, is_in_contact: bool, grace: Duration) {
         if is_in_contact {
             self.isolation_deadline = None;
-            self.directory.mark_in_contact();
+            self.directory.record_contact();
             return;
         }
         let is_new = !self.is_isolated();
@@ -230,7 +185,7 @@
             self.isolation_deadline = Some(now + grace);
             info!("event=control-isolated control={}", self.directory.current());
         }
-        self.directory.mark_isolated(now, is_new);
+        self.directory.record_isolation(now, is_new);
     }
 
     /// The control process to open a session with now, if any. `draw` is a random number.
@@ -245,7 +200,7 @@
         }
         self.wants_digests = false;
         self.transition(SessionState::Connecting(now));
-        self.last_heard = now;
+        self.last_received = now;
         self.opened_at = now;
         self.isolation_deadline = None;
         let hello = Hello { is_serving: self.is_complete(), ..self.hello.clone() };
@@ -306,7 +261,7 @@
         match self.state {
             SessionState::Connecting(since) if now - since > CONNECT_TIMEOUT => true,
             SessionState::Syncing(since) if now - since > SYNC_TIMEOUT => true,
-            _ => now - self.last_heard > HEARTBEAT_TIMEOUT,
+            _ => now - self.last_received > HEARTBEAT_TIMEOUT,
         }
     }
 
@@ -324,12 +279,12 @@
     ///
     /// Invariant: over a slow connection a message of many MiB takes longer than the heartbeat time-out.
     pub fn bytes_received(&mut self, now: Timestamp) {
-        self.last_heard = now;
+        self.last_received = now;
     }
 
     /// Takes a message of the control process.
     pub fn said(&mut self, now: Timestamp, message: Message, updates: &mut SessionUpdates) {
-        self.last_heard = now;
+        self.last_received = now;
         match &message {
             Message::Hello(hello) => {
                 self.directory.add(hello.address.clone(), hello.zone.clone());
--- a/crates/data-plane/src/quota/local_share.rs
+++ b/crates/data-plane/src/quota/local_share.rs
@@ -26,7 +26,7 @@
 struct ReservedShare {
     /// A fraction of the tenant's limit.
     fraction: f64,
-    told_at: Timestamp,
+    reserved_at: Timestamp,
 }
 
 /// The token bucket of a gateway's share.
@@ -52,12 +52,12 @@
 
     /// Takes the share that the count's owner told.
     pub(super) fn reserve(&mut self, now: Timestamp, fraction: f64) {
-        self.reserved = Some(ReservedShare { fraction, told_at: now });
+        self.reserved = Some(ReservedShare { fraction, reserved_at: now });
     }
 
     /// Takes one token, if there is one, out of a bucket that fills since this gateway is isolated.
     pub(super) fn try_take(&mut self, now: Timestamp, isolation: Isolation, rate_limit: RateLimit) -> bool {
-        let reserved = self.reserved.filter(|reserved| now - reserved.told_at < SHARE_VALIDITY);
+        let reserved = self.reserved.filter(|reserved| now - reserved.reserved_at < SHARE_VALIDITY);
         let fraction = reserved.map_or(1.0 / isolation.live_gateways, |reserved| reserved.fraction);
         let capacity = (max_tokens(rate_limit, isolation.tolerance) * fraction).max(1.0);
         if self.filled_at < isolation.since {
--- a/crates/data-plane/src/quota/mod.rs
+++ b/crates/data-plane/src/quota/mod.rs
@@ -1,5 +1,5 @@
 //! Per-tenant quotas: probabilistic admission against a shared usage count. No input or output; `docs/system.md` has
-//! the design and its departures from the paper.
+//! the design and the departures from it.
 //!
 //! The ordinary path: each second, on its own timer, a gateway reports to the shared count what each tenant offered
 //! it, and reads the totals. `ratio = (actual - limit) / actual`, where `limit = rate x period + remaining burst`.
@@ -15,6 +15,7 @@
 #[cfg(test)]
 mod tests;
 
+use crate::ids::RequestId;
 use kitepass_coordination::protocol::{TenantTotal, TenantUsage, UsageTotals};
 use kitepass_coordination::usage::{QuotaTolerance, RateLimit, ALONE};
 use kitepass_time::{Duration, Timestamp};
@@ -46,8 +47,8 @@
 /// What became of a request that waited for a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Decision {
-    /// The request, as [`Quota::admit`] was told it.
-    pub request_id: u64,
+    /// The request.
+    pub request: RequestId,
     /// Whether it goes on; else it is rejected.
     pub is_admitted: bool,
 }
@@ -104,7 +105,7 @@
         now: Timestamp,
         tenant: &Arc<str>,
         rate_limit: RateLimit,
-        request_id: u64,
+        request: RequestId,
     ) -> Admission {
         if rate_limit.rate <= 0.0 {
             return Admission::Admitted;
@@ -123,7 +124,7 @@
             Some(isolation) => tenant_quota.take_local(now, isolation),
             None if tenant_quota.is_exhausted(now) => false,
             None => {
-                self.grant_requests.extend(tenant_quota.wait_for_grant(now, tenant, request_id));
+                self.grant_requests.extend(tenant_quota.wait_for_grant(now, tenant, request));
                 return Admission::Pending;
             }
         };
--- a/crates/data-plane/src/quota/tenant.rs
+++ b/crates/data-plane/src/quota/tenant.rs
@@ -2,6 +2,7 @@
 
 use super::local_share::{Isolation, LocalShare};
 use super::{Decision, GRANT_TIMEOUT, IDLE_TENANT_TIMEOUT, PERIOD};
+use crate::ids::RequestId;
 use kitepass_coordination::protocol::{TenantTotal, TenantUsage};
 use kitepass_coordination::usage::RateLimit;
 use kitepass_gateway_policy::excess;
@@ -48,7 +49,7 @@
     grants: u32,
     grant_request: Option<GrantRequest>,
     /// Requests that wait for a grant, in the order in which they came.
-    waiting: VecDeque<u64>,
+    waiting: VecDeque<RequestId>,
     exhausted_until: Timestamp,
     /// Requests expected in a period, by the recent ones.
     expected: f64,
@@ -123,9 +124,9 @@
         &mut self,
         now: Timestamp,
         tenant: &str,
-        request_id: u64,
+        request: RequestId,
     ) -> Option<TenantUsage> {
-        self.waiting.push_back(request_id);
+        self.waiting.push_back(request);
         self.grant_request.is_none().then(|| self.request_grants(now, tenant))
     }
 
@@ -187,9 +188,9 @@
     /// Admits those that wait, first come first served, as far as there are grants.
     pub(super) fn serve_waiting(&mut self, decisions: &mut Vec<Decision>) {
         while self.grants > 0 {
-            let Some(request_id) = self.waiting.pop_front() else { return };
+            let Some(request) = self.waiting.pop_front() else { return };
             self.take_grant();
-            decisions.push(Decision { request_id, is_admitted: true });
+            decisions.push(Decision { request, is_admitted: true });
         }
     }
 
@@ -206,7 +207,7 @@
     pub(super) fn reject_waiting(&mut self, now: Timestamp, decisions: &mut Vec<Decision>) {
         self.exhausted_until = now + EXHAUSTED_TIME;
         let rejected = self.waiting.drain(..);
-        decisions.extend(rejected.map(|request_id| Decision { request_id, is_admitted: false }));
+        decisions.extend(rejected.map(|request| Decision { request, is_admitted: false }));
     }
 
     /// Whether a request for grants has been without an answer for too long.
@@ -222,9 +223,9 @@
         decisions: &mut Vec<Decision>,
     ) {
         self.grant_request = None;
-        while let Some(request_id) = self.waiting.pop_front() {
+        while let Some(request) = self.waiting.pop_front() {
             let is_admitted = isolation.is_some_and(|isolation| self.take_local(now, isolation));
-            decisions.push(Decision { request_id, is_admitted });
+            decisions.push(Decision { request, is_admitted });
         }
     }
 
--- a/crates/data-plane/src/quota/tests.rs
+++ b/crates/data-plane/src/quota/tests.rs
@@ -91,7 +91,7 @@
             let share = if gateway == 0 { first } else { (1.0 - first) / (gateways - 1) as f64 };
             if rng.rand_float() < demand * share / 1000.0 {
                 (offered, request) = (offered + 1.0, request + 1);
-                if quota.admit(at(now), &tenant, rate_limit, request) == Admission::Admitted {
+                if quota.admit(at(now), &tenant, rate_limit, RequestId(request)) == Admission::Admitted {
                     admitted.push(now);
                 }
             }
@@ -102,12 +102,12 @@
     Outcome { admitted, offered }
 }
 
-fn admitted(request_id: u64) -> Decision {
-    Decision { request_id, is_admitted: true }
+fn admitted(request: u64) -> Decision {
+    Decision { request: RequestId(request), is_admitted: true }
 }
 
-fn rejected(request_id: u64) -> Decision {
-    Decision { request_id, is_admitted: false }
+fn rejected(request: u64) -> Decision {
+    Decision { request: RequestId(request), is_admitted: false }
 }
 
 const ALWAYS: fn(u64, i64) -> bool = |_, _| true;
@@ -172,19 +172,22 @@
     let (tenant, rate_limit) = ("t".into(), RateLimit { rate: 100.0, burst: 0.0 });
     let total =
         TenantTotal { tenant: "t".into(), offered: 400.0, forwarded: 100.0, granted: 1_000_000, share: 1.0 };
-    quota.admit(at(0), &tenant, rate_limit, 0);
+    quota.admit(at(0), &tenant, rate_limit, RequestId(0));
     quota.apply_totals(at(1), at(0), &UsageTotals { tenants: vec![total], ..UsageTotals::default() });
     let tenant_quota = &quota.tenants["t"];
     assert!((tenant_quota.rejection_ratio - 0.75).abs() < 1e-6, "{}", tenant_quota.rejection_ratio);
-    let admitted =
-        (0..4_000).filter(|n| quota.admit(at(1 + n), &tenant, rate_limit, 0) == Admission::Admitted).count();
+    let admitted = (0..4_000)
+        .filter(|n| quota.admit(at(1 + n), &tenant, rate_limit, RequestId(0)) == Admission::Admitted)
+        .count();
     assert!(
         (1_650..1_850).contains(&admitted),
         "{admitted}: a quarter for the 3 s that the ratio is valid, then all"
     );
     assert_eq!(quota.close_period(at(4_100))[0].offered, 4_001);
     let free = RateLimit { rate: 0.0, burst: 0.0 };
-    assert!(quota.admit(at(1), &"free".into(), free, 0) == Admission::Admitted && quota.len() == 1);
+    assert!(
+        quota.admit(at(1), &"free".into(), free, RequestId(0)) == Admission::Admitted && quota.len() == 1
+    );
 }
 
 /// The answer to a request for grants that was given up decides nothing for those that wait for a later one; what it
@@ -207,14 +210,14 @@
     };
     quota.apply_totals(at(0), at(0), &UsageTotals::default());
     assert_eq!(
-        (quota.admit(at(10), &tenant, rate_limit, 1), quota.take_grant_requests().len()),
+        (quota.admit(at(10), &tenant, rate_limit, RequestId(1)), quota.take_grant_requests().len()),
         (Admission::Pending, 1)
     );
     quota.tick(at(500));
     assert_eq!(quota.take_decisions().len(), 1, "given up");
     quota.apply_totals(at(510), at(505), &UsageTotals::default());
     for request in [2, 3] {
-        assert_eq!(quota.admit(at(520), &tenant, rate_limit, request), Admission::Pending);
+        assert_eq!(quota.admit(at(520), &tenant, rate_limit, RequestId(request)), Admission::Pending);
     }
     assert_eq!(quota.take_grant_requests().len(), 1);
     quota.apply_totals(at(600), at(10), &answer(granted));
@@ -234,7 +237,8 @@
     let mut quota = Quota::new(at(-9_000), 1, TOLERANCE);
     let (tenant, rate_limit) = ("t".into(), RateLimit { rate: 10.0, burst: 10.0 });
     quota.apply_totals(at(0), at(0), &UsageTotals::default());
-    let waits: Vec<Admission> = (0..3).map(|n| quota.admit(at(10), &tenant, rate_limit, n)).collect();
+    let waits: Vec<Admission> =
+        (0..3).map(|n| quota.admit(at(10), &tenant, rate_limit, RequestId(n))).collect();
     assert_eq!((waits, quota.take_grant_requests().len()), (vec![Admission::Pending; 3], 1));
     let total = TenantTotal { tenant: "t".into(), granted: 0, ..TenantTotal::default() };
     quota.apply_totals(
@@ -243,8 +247,8 @@
         &UsageTotals { tenants: vec![total], is_mid_period: true, ..UsageTotals::default() },
     );
     assert_eq!(quota.take_decisions(), [rejected(0), rejected(1), rejected(2)]);
-    assert_eq!(quota.admit(at(60), &tenant, rate_limit, 4), Admission::Rejected);
-    assert_eq!(quota.admit(at(400), &tenant, rate_limit, 5), Admission::Pending);
+    assert_eq!(quota.admit(at(60), &tenant, rate_limit, RequestId(4)), Admission::Rejected);
+    assert_eq!(quota.admit(at(400), &tenant, rate_limit, RequestId(5)), Admission::Pending);
     quota.tick(at(500));
     assert!(quota.take_decisions().is_empty());
     quota.tick(at(900));
--- a/crates/data-plane/src/server/forwarding.rs
+++ b/crates/data-plane/src/server/forwarding.rs
@@ -120,7 +120,7 @@
     pub(super) fn remove_request(&mut self, id: RequestId, outcome: AttemptOutcome) {
         let now = self.clock.now();
         let Some(mut request) = self.requests.remove(&id) else { return };
-        request.lifecycle.client_gone();
+        request.lifecycle.client_disconnected();
         self.buffered_body_bytes -= request.body.len().min(self.buffered_body_bytes);
         if let Some(upstream) = request.upstream {
             self.abandon_attempt(now, upstream, outcome);
--- a/crates/data-plane/src/server/request_head.rs
+++ b/crates/data-plane/src/server/request_head.rs
@@ -100,7 +100,7 @@
     ) -> Result<Admission, Rejection> {
         let Some(tenant) = &destination.tenant else { return Ok(Admission::Admitted) };
         let rate_limit = RateLimit { rate: tenant.rate, burst: tenant.burst };
-        match self.quota.admit(now, &tenant.name, rate_limit, request.0) {
+        match self.quota.admit(now, &tenant.name, rate_limit, request) {
             Admission::Rejected => {
                 Err(Rejection { retry_after_ms: Some(QUOTA_RETRY_MS), ..Rejection::of(429) })
             }
--- a/crates/data-plane/src/server/response.rs
+++ b/crates/data-plane/src/server/response.rs
@@ -33,7 +33,7 @@
         }
         let remains = remains(upstream, &attempt, input_state);
         if attempt::may_keep_connection(class, remains) {
-            self.keep_upstream(now, id, &head);
+            self.make_idle(now, id, &head);
         } else {
             self.close_upstream(id);
         }
--- a/crates/data-plane/src/server/upstream.rs
+++ b/crates/data-plane/src/server/upstream.rs
@@ -261,7 +261,7 @@
     }
 
     /// Keeps a connection idle behind a complete response, unless it is to be closed by its head, or there are enough.
-    pub(super) fn keep_upstream(&mut self, now: Timestamp, id: UpstreamId, head: &Head) {
+    pub(super) fn make_idle(&mut self, now: Timestamp, id: UpstreamId, head: &Head) {
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
         let idle_time = head.keep_alive_secs().map_or(IDLE_TIMEOUT, |secs| {
             IDLE_TIMEOUT.min(Duration::from_micros(secs as i64 * 1_000_000) - KEEP_ALIVE_MARGIN)
--- a/crates/data-plane/src/server/usage_reports.rs
+++ b/crates/data-plane/src/server/usage_reports.rs
@@ -1,7 +1,6 @@
 //! Usage reports to the shared count, and the decisions that its answers bring.
 
 use super::Server;
-use crate::ids::RequestId;
 use crate::quota::{Decision, PERIOD};
 use kitepass_coordination::protocol::{Message, TenantUsage, UsageReport, UsageTotals};
 use kitepass_time::{Duration, Timestamp};
@@ -62,7 +61,7 @@
     }
 
     fn apply_quota_decision(&mut self, now: Timestamp, decision: Decision) {
-        let id = RequestId(decision.request_id);
+        let id = decision.request;
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.awaits_quota = false;
         if !decision.is_admitted {
--- a/crates/data-plane/tests/attempt/calls.rs
+++ b/crates/data-plane/tests/attempt/calls.rs
@@ -32,7 +32,7 @@
     DeadlineExpired,
     Reject(u16),
     ShutDown,
-    ClientGone,
+    ClientDisconnected,
 }
 
 fn all_calls() -> Vec<Call> {
@@ -47,7 +47,7 @@
         Call::AbandonOverdueAttempt,
         Call::DeadlineExpired,
         Call::ShutDown,
-        Call::ClientGone,
+        Call::ClientDisconnected,
     ];
     calls.extend(CLASSES.map(Call::ResponseComplete));
     calls.extend(CLASSES.map(Call::ResponseExceedsBuffer));
@@ -145,8 +145,8 @@
                 assert!(was_completed || next == expected, "{next:?}: {before:?}");
                 next
             }
-            Call::ClientGone => {
-                self.lifecycle.client_gone();
+            Call::ClientDisconnected => {
+                self.lifecycle.client_disconnected();
                 self.truth.final_responses += u32::from(!was_completed);
                 NextStep::Wait
             }
--- a/crates/data-plane/tests/attempt/model.rs
+++ b/crates/data-plane/tests/attempt/model.rs
@@ -335,7 +335,7 @@
             }
             Action::Deadline(at) => deadline_expired(&mut world, at),
             Action::ClientLeaves(at) => {
-                world.requests[at].lifecycle.client_gone();
+                world.requests[at].lifecycle.client_disconnected();
                 world.finish(at, Client::Left);
             }
             Action::IdleTimeout(at) => world.close_connection(at),
