--- a/crates/data-plane/src/server/response.rs
+++ b/crates/data-plane/src/server/response.rs
@@ -104,7 +104,8 @@
                 attempt.expect("the attempt is in flight").response.head = Some(head);
             }
             NextStep::StreamMore => {}
-            // The response is not for the client. The request is not continued here: it ends at its deadline.
+            // The response is not for the client. Known fault: the request is not continued with `next` and stays
+            // pending until its deadline, where it could be retried or rejected at once.
             _ => {
                 self.fail_attempt(now, id, AttemptOutcome::Broken, "invalid-response");
                 return;
