--- a/crates/simulation/examples/confirm.rs
+++ b/crates/simulation/examples/confirm.rs
@@ -6,10 +6,10 @@
 #![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
 
 use kitepass_config::Kind;
-use kitepass_simulation::history::Verdict;
-use kitepass_simulation::run::script;
+use kitepass_simulation::history::AnswerStatus;
+use kitepass_simulation::run::scenario;
 use kitepass_simulation::scenario::{Layout, MILLI, SECOND};
-use kitepass_simulation::simulation::World;
+use kitepass_simulation::simulation::Simulation;
 
 const CHANGES: usize = 400;
 
@@ -23,42 +23,44 @@
         for callers in [1usize, 8] {
             let layout =
                 Layout { gates: 0, delay, jitter: delay / 20, disk: (4_900, 5_100), ..Layout::six() };
-            let mut world = World::new(&script(7, layout, Vec::new()));
-            world.run_to(8 * SECOND);
+            let mut simulation = Simulation::new(&scenario(7, layout, Vec::new()));
+            simulation.run_to(8 * SECOND);
             // What goes between seats without any change is not a change's cost.
-            let (messages, bytes, from) = (world.tally.of("word"), world.tally.of("word-bytes"), world.now);
-            world.run(8 * SECOND);
+            let (messages, bytes, from) =
+                (simulation.coverage.of("word"), simulation.coverage.of("word-bytes"), simulation.now);
+            simulation.run(8 * SECOND);
             let rate = |count: u64, since: u64, span: i64| (count - since) as f64 / span as f64;
             let idle = (
-                rate(world.tally.of("word"), messages, world.now - from),
-                rate(world.tally.of("word-bytes"), bytes, world.now - from),
+                rate(simulation.coverage.of("word"), messages, simulation.now - from),
+                rate(simulation.coverage.of("word-bytes"), bytes, simulation.now - from),
             );
-            let (messages, bytes, from) = (world.tally.of("word"), world.tally.of("word-bytes"), world.now);
+            let (messages, bytes, from) =
+                (simulation.coverage.of("word"), simulation.coverage.of("word-bytes"), simulation.now);
             let (mut open, mut times, mut sent): (Vec<(u64, i64)>, Vec<i64>, usize) =
                 (Vec::new(), Vec::new(), 0);
-            while times.len() < CHANGES && world.now - from < 200 * SECOND {
+            while times.len() < CHANGES && simulation.now - from < 200 * SECOND {
                 while open.len() < callers && sent < CHANGES {
                     sent += 1;
                     let item = [((Kind::Service, format!("l{}", sent % 40)), 100 + sent as u64, true)];
-                    let node = world.replica(sent % 6);
-                    open.push((world.change(node, &item).1, world.now));
+                    let node = simulation.replica(sent % 6);
+                    open.push((simulation.change(node, &item).1, simulation.now));
                 }
-                world.run(MILLI / 10);
-                let now = world.now;
+                simulation.run(MILLI / 10);
+                let now = simulation.now;
                 open.retain(|(sending, since)| {
-                    let done = world.verdict(*sending) == Some(Verdict::Confirmed);
+                    let done = simulation.status(*sending) == Some(AnswerStatus::Confirmed);
                     if done {
                         times.push(now - since);
                     }
                     !done
                 });
             }
-            let span = (world.now - from) as f64;
+            let span = (simulation.now - from) as f64;
             let cost =
                 |now: u64, was: u64, idle: f64| ((now - was) as f64 - idle * span) / times.len() as f64;
             let costs = (
-                cost(world.tally.of("word"), messages, idle.0),
-                cost(world.tally.of("word-bytes"), bytes, idle.1),
+                cost(simulation.coverage.of("word"), messages, idle.0),
+                cost(simulation.coverage.of("word-bytes"), bytes, idle.1),
             );
             times.sort_unstable();
             let (p50, p99, most) =
--- a/crates/simulation/src/coverage.rs
+++ b/crates/simulation/src/coverage.rs
@@ -4,9 +4,9 @@
 use std::fmt::{self, Display};
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally(BTreeMap<String, u64>);
+pub struct Coverage(BTreeMap<String, u64>);
 
-impl Tally {
+impl Coverage {
     pub fn count(&mut self, what: &str) {
         self.add(what, 1);
     }
@@ -28,7 +28,7 @@
         self.0.get(what).copied().unwrap_or_default()
     }
 
-    pub fn join(&mut self, other: &Tally) {
+    pub fn join(&mut self, other: &Coverage) {
         for (what, times) in &other.0 {
             match what.strip_prefix("most:") {
                 Some(what) => self.most(what, *times),
@@ -38,7 +38,7 @@
     }
 }
 
-impl Display for Tally {
+impl Display for Coverage {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         self.0.iter().try_for_each(|(what, times)| writeln!(f, "came={what} times={times}"))
     }
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -3,7 +3,7 @@
 //! It covers primitive values only: numbers, the names and zones that go over the wire, and the explicit numbers below
 //! in place of enum variants. Renaming a type, a field, a variant or a message text therefore leaves it as it is.
 
-use crate::history::{Content, Name, Part, Seen, Verdict};
+use crate::history::{AnswerStatus, Content, HistoryEvent, ItemName, Write};
 
 /// 64-bit FNV-1a, as it is published: the hash must not change with a dependency.
 #[derive(Clone, Copy, Debug)]
@@ -64,7 +64,7 @@
 }
 
 /// The digest of a history in its order, and of the traffic.
-pub fn digest(history: &[Seen], traffic: &Traffic) -> u64 {
+pub fn digest(history: &[HistoryEvent], traffic: &Traffic) -> u64 {
     let mut hash = Fnv1a::default();
     hash.index(history.len());
     for event in history {
@@ -77,47 +77,47 @@
 }
 
 /// Each kind of event has a number of its own: never renumber.
-fn add_event(hash: &mut Fnv1a, event: &Seen) {
+fn add_event(hash: &mut Fnv1a, event: &HistoryEvent) {
     match event {
-        Seen::Call { call, parts } => {
+        HistoryEvent::Call { call, parts } => {
             hash.unsigned(1);
             hash.unsigned(*call);
             hash.index(parts.len());
             parts.iter().for_each(|part| add_part(hash, part));
         }
-        Seen::Sent { sending, call } => {
+        HistoryEvent::Sent { sending, call } => {
             hash.unsigned(2);
             hash.unsigned(*sending);
             hash.unsigned(*call);
         }
-        Seen::Unsent { sending } => {
+        HistoryEvent::Unsent { sending } => {
             hash.unsigned(3);
             hash.unsigned(*sending);
         }
-        Seen::Began { at, sending } => {
+        HistoryEvent::Began { at, sending } => {
             hash.unsigned(4);
             hash.signed(*at);
             hash.unsigned(*sending);
         }
-        Seen::Answered { at, sending, call, node, verdict } => {
+        HistoryEvent::Answered { at, sending, call, node, status } => {
             hash.unsigned(5);
             hash.signed(*at);
             hash.unsigned(*sending);
             hash.unsigned(*call);
             hash.index(*node);
-            hash.unsigned(verdict_number(*verdict));
+            hash.unsigned(verdict_number(*status));
         }
-        Seen::Heard { sending } => {
+        HistoryEvent::Heard { sending } => {
             hash.unsigned(6);
             hash.unsigned(*sending);
         }
-        Seen::ReadBegan { at, read, node } => {
+        HistoryEvent::ReadBegan { at, read, node } => {
             hash.unsigned(7);
             hash.signed(*at);
             hash.unsigned(*read);
             hash.index(*node);
         }
-        Seen::ReadEnded { at, read, shown } => {
+        HistoryEvent::ReadEnded { at, read, shown } => {
             hash.unsigned(8);
             hash.signed(*at);
             hash.unsigned(*read);
@@ -126,17 +126,17 @@
                 add_version(hash, name, *version, *content);
             }
         }
-        Seen::InForce { at, gate, part } => {
+        HistoryEvent::InForce { at, gate, part } => {
             hash.unsigned(9);
             hash.signed(*at);
             hash.index(*gate);
             add_part(hash, part);
         }
-        Seen::GateBegan { gate } => {
+        HistoryEvent::GateBegan { gate } => {
             hash.unsigned(10);
             hash.index(*gate);
         }
-        Seen::ReplicaSet { at, node, name, version, mark } => {
+        HistoryEvent::ReplicaSet { at, node, name, version, mark } => {
             hash.unsigned(11);
             hash.signed(*at);
             hash.index(*node);
@@ -144,26 +144,26 @@
             hash.unsigned(*version);
             hash.unsigned(*mark);
         }
-        Seen::Duty { at, nodes } => {
+        HistoryEvent::Duty { at, nodes } => {
             hash.unsigned(12);
             hash.signed(*at);
             hash.index(nodes.len());
             nodes.iter().for_each(|node| hash.index(*node));
         }
-        Seen::ZoneBegan { at, order, zone, on } => {
+        HistoryEvent::ZoneBegan { at, order, zone, on } => {
             hash.unsigned(13);
             hash.signed(*at);
             hash.unsigned(*order);
             hash.text(zone);
             hash.flag(*on);
         }
-        Seen::ZoneEnded { at, order, taken } => {
+        HistoryEvent::ZoneEnded { at, order, taken } => {
             hash.unsigned(14);
             hash.signed(*at);
             hash.unsigned(*order);
             hash.flag(*taken);
         }
-        Seen::ZoneIs { at, node, zone, on } => {
+        HistoryEvent::ZoneIs { at, node, zone, on } => {
             hash.unsigned(15);
             hash.signed(*at);
             hash.index(*node);
@@ -171,18 +171,18 @@
             hash.flag(*on);
         }
         // Its text is for people and names states of the program.
-        Seen::Late { at, what: _ } => {
+        HistoryEvent::Late { at, what: _ } => {
             hash.unsigned(16);
             hash.signed(*at);
         }
     }
 }
 
-fn add_part(hash: &mut Fnv1a, part: &Part) {
+fn add_part(hash: &mut Fnv1a, part: &Write) {
     add_version(hash, &part.name, part.version, part.content);
 }
 
-fn add_version(hash: &mut Fnv1a, (kind, name): &Name, version: u64, content: Content) {
+fn add_version(hash: &mut Fnv1a, (kind, name): &ItemName, version: u64, content: Content) {
     hash.unsigned(u64::from(*kind as u8));
     hash.text(name);
     hash.unsigned(version);
@@ -195,11 +195,11 @@
     }
 }
 
-fn verdict_number(verdict: Verdict) -> u64 {
-    match verdict {
-        Verdict::Confirmed => 1,
-        Verdict::Invalid => 2,
-        Verdict::Taken => 3,
-        Verdict::Unclear => 4,
+fn verdict_number(status: AnswerStatus) -> u64 {
+    match status {
+        AnswerStatus::Confirmed => 1,
+        AnswerStatus::Invalid => 2,
+        AnswerStatus::Taken => 3,
+        AnswerStatus::Unclear => 4,
     }
 }
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -3,12 +3,12 @@
 //! a log is cut off before its first entry that is missing or torn.
 
 use crate::process::Records;
-use crate::rng::Chance;
+use crate::rng::Rng;
 use std::collections::BTreeMap;
 
 /// What a disk does to what it is given.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Mood {
+pub struct DiskFaults {
     /// Each sync takes so much longer, until a moment.
     pub slow: (i64, i64),
     /// No sync ends before then.
@@ -27,7 +27,7 @@
     /// Under way to the disk, and what waits in the process meanwhile.
     syncing: Vec<Put>,
     waiting: Vec<Put>,
-    pub mood: Mood,
+    pub faults: DiskFaults,
     /// Microseconds that a sync takes, least and most.
     takes: (i64, i64),
     /// Danger that a log excludes, and a trial may ask for: what was not synced survives each put by itself.
@@ -50,7 +50,7 @@
     }
 
     /// Records are to be kept. If a sync begins with them, the moment of its end comes back.
-    pub fn put(&mut self, now: i64, request_id: u64, records: Records, chance: &mut Chance) -> Option<i64> {
+    pub fn put(&mut self, now: i64, request_id: u64, records: Records, chance: &mut Rng) -> Option<i64> {
         if !self.syncing.is_empty() {
             self.waiting.push((request_id, records));
             return None;
@@ -59,15 +59,15 @@
         Some(self.end(now, chance))
     }
 
-    fn end(&self, now: i64, chance: &mut Chance) -> i64 {
-        let slow = if self.mood.slow.1 > now { self.mood.slow.0 } else { 0 };
+    fn end(&self, now: i64, chance: &mut Rng) -> i64 {
+        let slow = if self.faults.slow.1 > now { self.faults.slow.0 } else { 0 };
         now + chance.among(self.takes.0, self.takes.1) + slow
     }
 
     /// A sync is to end now: either it does not yet, and the moment to look again comes back, or its tickets do, with
     /// the end of the next sync.
-    pub fn sync(&mut self, now: i64, chance: &mut Chance) -> Result<(Vec<u64>, Option<i64>), i64> {
-        let held = self.mood.hangs.max(self.mood.refuses);
+    pub fn sync(&mut self, now: i64, chance: &mut Rng) -> Result<(Vec<u64>, Option<i64>), i64> {
+        let held = self.faults.hangs.max(self.faults.refuses);
         if held > now {
             return Err(held + chance.among(0, 50_000));
         }
@@ -83,9 +83,9 @@
     }
 
     /// The process has died, or the machine's power is gone.
-    pub fn fall(&mut self, now: i64, power: bool, chance: &mut Chance) {
+    pub fn fall(&mut self, now: i64, power: bool, chance: &mut Rng) {
         self.waiting.clear();
-        let refused = self.mood.refuses > now;
+        let refused = self.faults.refuses > now;
         let part = [0, 50, 90, 100][chance.below(4)];
         let mut unsynced: Vec<Records> = self.written.drain(..).collect();
         unsynced.extend(std::mem::take(&mut self.syncing).into_iter().map(|(_, records)| records));
@@ -109,7 +109,7 @@
     pub fn open(&mut self, now: i64) -> Records {
         let mut all = self.synced.clone();
         self.written.iter().for_each(|records| lay(&mut all, records.clone()));
-        if self.mood.refuses.max(self.mood.hangs) <= now {
+        if self.faults.refuses.max(self.faults.hangs) <= now {
             self.written.clear();
             self.synced.clone_from(&all);
         }
@@ -118,7 +118,7 @@
 
     /// The folder is empty.
     pub fn wipe(&mut self) {
-        *self = Disk { mood: self.mood, takes: self.takes, loose: self.loose, ..Disk::default() };
+        *self = Disk { faults: self.faults, takes: self.takes, loose: self.loose, ..Disk::default() };
     }
 
     pub fn is_empty(&self) -> bool {
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -1,6 +1,6 @@
 //! A gateway: its true link, and what it has in force.
 
-use crate::history::Part;
+use crate::history::Write;
 use crate::process::{part_of, words_of};
 use kitepass_config::{ItemStore, Kind};
 use kitepass_coordination::protocol::{Hello, Message};
@@ -8,7 +8,7 @@
 use kitepass_time::Timestamp;
 use std::collections::BTreeMap;
 
-pub struct Gate {
+pub struct Gateway {
     hello: Hello,
     link: ControlSession,
     /// The session that it has or is coming to: the connection's number and the control process' machine.
@@ -24,16 +24,16 @@
     pub opens: Option<String>,
 }
 
-impl Gate {
-    pub fn new(hello: Hello, first: Vec<String>, regions: BTreeMap<String, String>) -> Gate {
+impl Gateway {
+    pub fn new(hello: Hello, first: Vec<String>, regions: BTreeMap<String, String>) -> Gateway {
         let link = ControlSession::new(hello.clone(), first, regions);
-        Gate { hello, link, at: None }
+        Gateway { hello, link, at: None }
     }
 
     /// Its process begins anew, with nothing.
     pub fn renew(&mut self, incarnation: u64, first: Vec<String>, regions: BTreeMap<String, String>) {
         self.hello.incarnation = incarnation;
-        *self = Gate::new(self.hello.clone(), first, regions);
+        *self = Gateway::new(self.hello.clone(), first, regions);
     }
 
     pub fn turn(&mut self, now: Timestamp, draw: u64) -> Turn {
@@ -63,7 +63,7 @@
     }
 
     /// What is in force by this word, and whether the session is to be closed.
-    pub fn said(&mut self, now: Timestamp, message: Message) -> (Vec<Part>, bool) {
+    pub fn said(&mut self, now: Timestamp, message: Message) -> (Vec<Write>, bool) {
         let mut brought = SessionUpdates::default();
         self.link.said(now, message, &mut brought);
         (brought.items.iter().filter_map(part_of).collect(), brought.close)
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -8,7 +8,7 @@
 use std::fmt::{self, Display};
 
 /// An item by kind and name.
-pub type Name = (Kind, String);
+pub type ItemName = (Kind, String);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Content {
@@ -19,14 +19,14 @@
 
 /// What a call does to one item.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Part {
-    pub name: Name,
+pub struct Write {
+    pub name: ItemName,
     pub version: u64,
     pub content: Content,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Verdict {
+pub enum AnswerStatus {
     Confirmed,
     /// 400
     Invalid,
@@ -38,9 +38,9 @@
 
 /// One thing that was seen. Times are microseconds of the world.
 #[derive(Clone, Debug)]
-pub enum Seen {
+pub enum HistoryEvent {
     /// A call is made up: its parts, by its number.
-    Call { call: u64, parts: Vec<Part> },
+    Call { call: u64, parts: Vec<Write> },
     /// A call is sent to a process.
     Sent { sending: u64, call: u64 },
     /// No process is there for a sending.
@@ -48,15 +48,15 @@
     /// A process takes a sending up.
     Began { at: i64, sending: u64 },
     /// A process gave its answer to a sending, whether or not it reached the caller.
-    Answered { at: i64, sending: u64, call: u64, node: usize, verdict: Verdict },
+    Answered { at: i64, sending: u64, call: u64, node: usize, status: AnswerStatus },
     /// The answer to a sending reached its caller, who was waiting for it.
     Heard { sending: u64 },
     /// A `Get` reached a process.
     ReadBegan { at: i64, read: u64, node: usize },
     /// What it shows; of an item that is not there nothing.
-    ReadEnded { at: i64, read: u64, shown: BTreeMap<Name, (u64, Content)> },
+    ReadEnded { at: i64, read: u64, shown: BTreeMap<ItemName, (u64, Content)> },
     /// A gateway has an item in force from now on.
-    InForce { at: i64, gate: usize, part: Part },
+    InForce { at: i64, gate: usize, part: Write },
     /// A gateway's process began anew, with nothing.
     GateBegan { gate: usize },
     /// A process holds a cast under this name and edition.
@@ -74,7 +74,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rule {
+pub enum Invariant {
     /// What was confirmed, shown or in force is not shown by a read that began later.
     Lost,
     /// Two contents under one number.
@@ -100,15 +100,15 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    pub rule: Rule,
+pub struct Violation {
+    pub invariant: Invariant,
     pub at: i64,
     pub what: String,
 }
 
-impl Display for Fault {
+impl Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "fault={:?} t={:.6} what={:?}", self.rule, self.at as f64 / 1e6, self.what)
+        write!(f, "fault={:?} t={:.6} what={:?}", self.invariant, self.at as f64 / 1e6, self.what)
     }
 }
 
@@ -118,15 +118,15 @@
 struct Sending {
     call: u64,
     began: i64,
-    verdict: Option<Verdict>,
+    status: Option<AnswerStatus>,
 }
 
 #[derive(Default)]
-struct Judge<'a> {
-    calls: BTreeMap<u64, &'a [Part]>,
+struct Checker<'a> {
+    calls: BTreeMap<u64, &'a [Write]>,
     /// Calls that say a part.
-    sayers: BTreeMap<&'a Part, Vec<u64>>,
-    verdicts: BTreeMap<u64, BTreeSet<Verdict>>,
+    sayers: BTreeMap<&'a Write, Vec<u64>>,
+    verdicts: BTreeMap<u64, BTreeSet<AnswerStatus>>,
     /// Sendings by number, and those of each call.
     sendings: BTreeMap<u64, Sending>,
     of_call: BTreeMap<u64, Vec<u64>>,
@@ -135,32 +135,32 @@
     /// Calls that were refused for good.
     refused: BTreeSet<u64>,
     /// The one content of a number, and by what it was seen first.
-    contents: BTreeMap<(&'a Name, u64), (Content, String)>,
+    contents: BTreeMap<(&'a ItemName, u64), (Content, String)>,
     /// The highest version of each item that was confirmed, shown or in force.
-    floors: BTreeMap<&'a Name, u64>,
+    floors: BTreeMap<&'a ItemName, u64>,
     /// Drops that were sent, the highest version of each.
-    drops: BTreeMap<&'a Name, u64>,
-    reads: BTreeMap<u64, (i64, BTreeMap<&'a Name, u64>)>,
+    drops: BTreeMap<&'a ItemName, u64>,
+    reads: BTreeMap<u64, (i64, BTreeMap<&'a ItemName, u64>)>,
     /// Parts that were shown or in force, and where first.
-    there: BTreeMap<Part, (i64, String)>,
-    gates: BTreeMap<usize, BTreeMap<&'a Name, u64>>,
+    there: BTreeMap<Write, (i64, String)>,
+    gates: BTreeMap<usize, BTreeMap<&'a ItemName, u64>>,
     replica_sets: BTreeMap<(&'static str, u64), (u64, usize)>,
     zones: BTreeMap<u64, (&'a str, bool, i64, Option<i64>, bool)>,
-    faults: Vec<Fault>,
+    violations: Vec<Violation>,
 }
 
-fn name_of(name: &Name) -> String {
+fn name_of(name: &ItemName) -> String {
     format!("{:?}/{}", name.0, name.1)
 }
 
-impl<'a> Judge<'a> {
-    fn fault(&mut self, rule: Rule, at: i64, what: String) {
-        if self.faults.iter().filter(|fault| fault.rule == rule).count() < MOST_FAULTS {
-            self.faults.push(Fault { rule, at, what });
+impl<'a> Checker<'a> {
+    fn violation(&mut self, invariant: Invariant, at: i64, what: String) {
+        if self.violations.iter().filter(|violation| violation.invariant == invariant).count() < MOST_FAULTS {
+            self.violations.push(Violation { invariant, at, what });
         }
     }
 
-    fn witness(&mut self, at: i64, part: &'a Part, by: String) {
+    fn witness(&mut self, at: i64, part: &'a Write, by: String) {
         let known = self.contents.entry((&part.name, part.version)).or_insert((part.content, by.clone()));
         if known.0 != part.content {
             let what = format!(
@@ -171,20 +171,20 @@
                 known.1,
                 part.content
             );
-            self.fault(Rule::TwoContents, at, what);
+            self.violation(Invariant::TwoContents, at, what);
         }
     }
 
-    fn raise(&mut self, name: &'a Name, version: u64) {
+    fn raise(&mut self, name: &'a ItemName, version: u64) {
         let floor = self.floors.entry(name).or_default();
         *floor = (*floor).max(version);
     }
 
     /// A part is shown or in force.
-    fn seen(&mut self, at: i64, part: &Part, by: &str) {
+    fn seen(&mut self, at: i64, part: &Write, by: &str) {
         let Some((said, _)) = self.sayers.get_key_value(part) else {
             let what = format!("{} r{} {:?} at {by}", name_of(&part.name), part.version, part.content);
-            return self.fault(Rule::OutOfNowhere, at, what);
+            return self.violation(Invariant::OutOfNowhere, at, what);
         };
         let said = *said;
         self.there.entry(part.clone()).or_insert_with(|| (at, by.to_owned()));
@@ -192,44 +192,45 @@
         self.raise(&said.name, said.version);
     }
 
-    fn answered(&mut self, at: i64, sending: u64, call: u64, node: usize, verdict: Verdict) {
-        self.verdicts.entry(call).or_default().insert(verdict);
+    fn answered(&mut self, at: i64, sending: u64, call: u64, node: usize, status: AnswerStatus) {
+        self.verdicts.entry(call).or_default().insert(status);
         let began = self.sendings.get_mut(&sending).map_or(at, |sending| {
-            sending.verdict = Some(verdict);
+            sending.status = Some(status);
             sending.began
         });
-        match verdict {
-            Verdict::Confirmed => {
+        match status {
+            AnswerStatus::Confirmed => {
                 self.confirmed.entry(call).or_insert(at);
                 for part in self.calls.get(&call).copied().unwrap_or_default() {
                     self.witness(at, part, format!("call {call} confirmed at s{node}"));
                     self.raise(&part.name, part.version);
                 }
             }
-            Verdict::Taken => _ = self.refused.insert(call),
-            Verdict::Invalid => {
+            AnswerStatus::Taken => _ = self.refused.insert(call),
+            AnswerStatus::Invalid => {
                 if let Some(since) = self.confirmed.get(&call).filter(|since| **since < began) {
                     let since = *since as f64 / 1e6;
                     let what = format!("call {call} was confirmed at {since:.6}, and is refused at s{node}");
-                    self.fault(Rule::RefusedYetThere, at, what);
+                    self.violation(Invariant::RefusedYetThere, at, what);
                 }
             }
-            Verdict::Unclear => {}
+            AnswerStatus::Unclear => {}
         }
     }
 
     fn heard(&mut self, sending: u64) {
-        let Some(Sending { call, verdict: Some(Verdict::Invalid), .. }) = self.sendings.get(&sending) else {
+        let Some(Sending { call, status: Some(AnswerStatus::Invalid), .. }) = self.sendings.get(&sending)
+        else {
             return;
         };
         let sendings = self.of_call.get(call).into_iter().flatten();
         let mut others = sendings.filter_map(|sending| self.sendings.get(sending));
-        if others.all(|other| other.verdict == Some(Verdict::Invalid)) {
+        if others.all(|other| other.status == Some(AnswerStatus::Invalid)) {
             self.refused.insert(*call);
         }
     }
 
-    fn read(&mut self, at: i64, read: u64, shown: &'a BTreeMap<Name, (u64, Content)>) {
+    fn read(&mut self, at: i64, read: u64, shown: &'a BTreeMap<ItemName, (u64, Content)>) {
         let Some((began, floors)) = self.reads.remove(&read) else { return };
         for (name, floor) in floors {
             let known = shown.get(name).map_or(0, |(version, _)| *version);
@@ -242,14 +243,14 @@
                     name_of(name),
                     began as f64 / 1e6
                 );
-                self.fault(Rule::Lost, at, what);
+                self.violation(Invariant::Lost, at, what);
             }
         }
         let mut callers = BTreeSet::new();
         for (name, (version, content)) in shown {
             self.seen(
                 at,
-                &Part { name: name.clone(), version: *version, content: *content },
+                &Write { name: name.clone(), version: *version, content: *content },
                 &format!("read {read}"),
             );
             if let Content::Set(call) = content {
@@ -267,17 +268,17 @@
                         name_of(&part.name),
                         part.version
                     );
-                    self.fault(Rule::NotWhole, at, what);
+                    self.violation(Invariant::NotWhole, at, what);
                 }
             }
         }
     }
 
-    fn in_force(&mut self, at: i64, gate: usize, part: &'a Part) {
+    fn in_force(&mut self, at: i64, gate: usize, part: &'a Write) {
         let before = self.gates.entry(gate).or_default().insert(&part.name, part.version).unwrap_or(0);
         if part.version < before {
             let what = format!("g{gate}: {} from r{before} to r{}", name_of(&part.name), part.version);
-            self.fault(Rule::WentBack, at, what);
+            self.violation(Invariant::WentBack, at, what);
         }
         self.seen(at, part, &format!("g{gate}"));
     }
@@ -286,7 +287,7 @@
         let (known, by) = *self.replica_sets.entry((name, version)).or_insert((mark, node));
         if known != mark {
             let what = format!("{name} edition {version} at s{by} and s{node}");
-            self.fault(Rule::TwoCasts, at, what);
+            self.violation(Invariant::TwoCasts, at, what);
         }
     }
 
@@ -300,7 +301,7 @@
         let ends = orders.iter().filter(|order| order.1 == on);
         let ends = ends.map(|(.., ended, taken)| if *taken { ended.unwrap_or(i64::MAX) } else { i64::MAX });
         if ends.chain(first).all(overruled) {
-            self.fault(Rule::ZoneUndone, at, format!("zone {zone} is on={on} at s{node}"));
+            self.violation(Invariant::ZoneUndone, at, format!("zone {zone} is on={on} at s{node}"));
         }
     }
 
@@ -308,7 +309,7 @@
         for call in std::mem::take(&mut self.refused) {
             if self.confirmed.contains_key(&call) {
                 let what = format!("call {call}: {:?}", self.verdicts.get(&call));
-                self.fault(Rule::RefusedYetThere, self.confirmed[&call], what);
+                self.violation(Invariant::RefusedYetThere, self.confirmed[&call], what);
             }
             self.refused.insert(call);
         }
@@ -316,67 +317,69 @@
             let sayers = &self.sayers[&part];
             if sayers.iter().all(|call| self.refused.contains(call)) {
                 let what = format!("{} r{} of calls {sayers:?} at {by}", name_of(&part.name), part.version);
-                self.fault(Rule::RefusedYetThere, at, what);
+                self.violation(Invariant::RefusedYetThere, at, what);
             }
         }
     }
 }
 
 /// All that is wrong with a history, in its order.
-pub fn judge(history: &[Seen]) -> Vec<Fault> {
-    let mut judge = Judge::default();
+pub fn check_history(history: &[HistoryEvent]) -> Vec<Violation> {
+    let mut check_history = Checker::default();
     for seen in history {
         match seen {
-            Seen::Call { call, parts } => {
-                judge.calls.insert(*call, parts);
+            HistoryEvent::Call { call, parts } => {
+                check_history.calls.insert(*call, parts);
                 for part in parts {
-                    judge.sayers.entry(part).or_default().push(*call);
+                    check_history.sayers.entry(part).or_default().push(*call);
                     if part.content == Content::Dropped {
-                        let drop = judge.drops.entry(&part.name).or_default();
+                        let drop = check_history.drops.entry(&part.name).or_default();
                         *drop = (*drop).max(part.version);
                     }
                 }
             }
-            Seen::Sent { sending, call } => {
-                judge.sendings.insert(*sending, Sending { call: *call, began: i64::MAX, verdict: None });
-                judge.of_call.entry(*call).or_default().push(*sending);
+            HistoryEvent::Sent { sending, call } => {
+                check_history
+                    .sendings
+                    .insert(*sending, Sending { call: *call, began: i64::MAX, status: None });
+                check_history.of_call.entry(*call).or_default().push(*sending);
             }
-            Seen::Unsent { sending } => _ = judge.sendings.remove(sending),
-            Seen::Began { at, sending } => {
-                if let Some(sending) = judge.sendings.get_mut(sending) {
+            HistoryEvent::Unsent { sending } => _ = check_history.sendings.remove(sending),
+            HistoryEvent::Began { at, sending } => {
+                if let Some(sending) = check_history.sendings.get_mut(sending) {
                     sending.began = *at;
                 }
             }
-            Seen::Answered { at, sending, call, node, verdict } => {
-                judge.answered(*at, *sending, *call, *node, *verdict);
+            HistoryEvent::Answered { at, sending, call, node, status } => {
+                check_history.answered(*at, *sending, *call, *node, *status);
             }
-            Seen::Heard { sending } => judge.heard(*sending),
-            Seen::ReadBegan { at, read, .. } => {
-                let floors = judge.floors.clone();
-                judge.reads.insert(*read, (*at, floors));
+            HistoryEvent::Heard { sending } => check_history.heard(*sending),
+            HistoryEvent::ReadBegan { at, read, .. } => {
+                let floors = check_history.floors.clone();
+                check_history.reads.insert(*read, (*at, floors));
             }
-            Seen::ReadEnded { at, read, shown } => judge.read(*at, *read, shown),
-            Seen::InForce { at, gate, part } => judge.in_force(*at, *gate, part),
-            Seen::GateBegan { gate } => _ = judge.gates.remove(gate),
-            Seen::ReplicaSet { at, node, name, version, mark } => {
-                judge.replica_set(*at, *node, name, *version, *mark)
+            HistoryEvent::ReadEnded { at, read, shown } => check_history.read(*at, *read, shown),
+            HistoryEvent::InForce { at, gate, part } => check_history.in_force(*at, *gate, part),
+            HistoryEvent::GateBegan { gate } => _ = check_history.gates.remove(gate),
+            HistoryEvent::ReplicaSet { at, node, name, version, mark } => {
+                check_history.replica_set(*at, *node, name, *version, *mark)
             }
-            Seen::Duty { at, nodes } if nodes.len() > 1 => {
-                judge.fault(Rule::TwoDoTheDuty, *at, format!("{nodes:?}"));
+            HistoryEvent::Duty { at, nodes } if nodes.len() > 1 => {
+                check_history.violation(Invariant::TwoDoTheDuty, *at, format!("{nodes:?}"));
             }
-            Seen::Duty { .. } => {}
-            Seen::ZoneBegan { at, order, zone, on } => {
-                judge.zones.insert(*order, (zone, *on, *at, None, false));
+            HistoryEvent::Duty { .. } => {}
+            HistoryEvent::ZoneBegan { at, order, zone, on } => {
+                check_history.zones.insert(*order, (zone, *on, *at, None, false));
             }
-            Seen::ZoneEnded { at, order, taken } => {
-                if let Some(order) = judge.zones.get_mut(order) {
+            HistoryEvent::ZoneEnded { at, order, taken } => {
+                if let Some(order) = check_history.zones.get_mut(order) {
                     (order.3, order.4) = (Some(*at), *taken);
                 }
             }
-            Seen::ZoneIs { at, node, zone, on } => judge.zone(*at, *node, zone, *on),
-            Seen::Late { at, what } => judge.fault(Rule::Late, *at, what.clone()),
+            HistoryEvent::ZoneIs { at, node, zone, on } => check_history.zone(*at, *node, zone, *on),
+            HistoryEvent::Late { at, what } => check_history.violation(Invariant::Late, *at, what.clone()),
         }
     }
-    judge.end();
-    judge.faults
+    check_history.end();
+    check_history.violations
 }
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -4,10 +4,10 @@
 #![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 #![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
 
-use kitepass_simulation::coverage::Tally;
-use kitepass_simulation::run::{note_panics, play, shorten, Outcome};
-use kitepass_simulation::scenario::{Plan, Script};
-use kitepass_simulation::simulation::Logs;
+use kitepass_simulation::coverage::Coverage;
+use kitepass_simulation::run::{note_panics, play, shorten, RunResult};
+use kitepass_simulation::scenario::{Plan, Scenario};
+use kitepass_simulation::simulation::ProcessLogger;
 use lexopt::prelude::*;
 use snafu::{ResultExt, Snafu};
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
 }
 
 #[derive(Default)]
-struct Asked {
+struct Arguments {
     verb: String,
     plan: Option<Plan>,
     seeds: Option<u64>,
@@ -50,17 +50,17 @@
     digests: bool,
 }
 
-impl Asked {
+impl Arguments {
     fn begin_logs(&self) {
-        if self.logs && log::set_logger(&Logs).is_ok() {
+        if self.logs && log::set_logger(&ProcessLogger).is_ok() {
             log::set_max_level(log::LevelFilter::Debug);
         }
     }
 
-    fn script(&self, plan: Plan, seed: u64) -> Script {
-        let script = plan.script(seed);
-        let ways = if self.no_rivals { script.ways.without_rivals() } else { script.ways };
-        Script { ways, ..script }
+    fn scenario(&self, plan: Plan, seed: u64) -> Scenario {
+        let scenario = plan.scenario(seed);
+        let workload = if self.no_rivals { scenario.workload.without_rivals() } else { scenario.workload };
+        Scenario { workload, ..scenario }
     }
 }
 
@@ -68,9 +68,9 @@
     parser.value().and_then(|value| value.parse()).context(ArgumentsSnafu)
 }
 
-fn asked() -> Result<Asked, Error> {
+fn asked() -> Result<Arguments, Error> {
     let mut parser = lexopt::Parser::from_env();
-    let mut asked = Asked::default();
+    let mut asked = Arguments::default();
     while let Some(arg) = parser.next().context(ArgumentsSnafu)? {
         match arg {
             Value(verb) if asked.verb.is_empty() => asked.verb = verb.to_string_lossy().into_owned(),
@@ -92,40 +92,40 @@
     Ok(asked)
 }
 
-fn tell(seed: u64, plan: Plan, outcome: &Outcome) {
-    for fault in &outcome.faults {
-        println!("seed={seed} plan={} {fault}", plan.name());
+fn tell(seed: u64, plan: Plan, outcome: &RunResult) {
+    for violation in &outcome.violations {
+        println!("seed={seed} plan={} {violation}", plan.name());
     }
 }
 
 /// The outcomes of all seeds of a run.
 #[derive(Default)]
-struct Sum {
-    tally: Tally,
+struct Summary {
+    coverage: Coverage,
     /// Seeds that broke each rule.
-    rules: BTreeMap<String, u64>,
+    invariants: BTreeMap<String, u64>,
     failed: u64,
     /// By seed, so that they come in order whatever the number of jobs.
     digests: BTreeMap<u64, u64>,
 }
 
-impl Sum {
-    fn add(&mut self, seed: u64, outcome: &Outcome) {
-        self.tally.join(&outcome.tally);
-        self.failed += u64::from(!outcome.faults.is_empty());
+impl Summary {
+    fn add(&mut self, seed: u64, outcome: &RunResult) {
+        self.coverage.join(&outcome.coverage);
+        self.failed += u64::from(!outcome.violations.is_empty());
         self.digests.insert(seed, outcome.digest);
-        for rule in outcome.rules() {
-            *self.rules.entry(format!("{rule:?}")).or_default() += 1;
+        for invariant in outcome.invariants() {
+            *self.invariants.entry(format!("{invariant:?}")).or_default() += 1;
         }
     }
 }
 
 /// True if no seed broke a rule.
-fn run(asked: &Asked, plan: Plan) -> bool {
+fn run(asked: &Arguments, plan: Plan) -> bool {
     let seeds = asked.seeds.unwrap_or(100);
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let next = AtomicU64::new(asked.from);
-    let sum = Mutex::new(Sum::default());
+    let sum = Mutex::new(Summary::default());
     std::thread::scope(|scope| {
         for _ in 0..asked.jobs.unwrap_or(cores).max(1) {
             scope.spawn(|| loop {
@@ -133,23 +133,23 @@
                 if seed >= asked.from + seeds {
                     return;
                 }
-                let outcome = play(&asked.script(plan, seed), false);
+                let outcome = play(&asked.scenario(plan, seed), false);
                 let mut sum = sum.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
                 tell(seed, plan, &outcome);
                 sum.add(seed, &outcome);
             });
         }
     });
-    let Sum { tally, rules, failed, digests } =
+    let Summary { coverage, invariants, failed, digests } =
         sum.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
     if asked.digests {
         for (seed, digest) in digests {
             println!("plan={} seed={seed} digest={digest:016x}", plan.name());
         }
     }
-    print!("{tally}");
-    for (rule, times) in rules {
-        println!("broken={rule} seeds={times}");
+    print!("{coverage}");
+    for (invariant, times) in invariants {
+        println!("broken={invariant} seeds={times}");
     }
     println!("plan={} seeds={seeds} from={} failed={failed}", plan.name(), asked.from);
     failed == 0
@@ -165,28 +165,28 @@
     };
     note_panics();
     let plan = asked.plan.unwrap_or(Plan::All);
-    let script = asked.script(plan, asked.seed);
+    let scenario = asked.scenario(plan, asked.seed);
     let well = match asked.verb.as_str() {
         "run" => run(&asked, plan),
         "replay" => {
             asked.begin_logs();
-            println!("layout={:?}", script.layout);
-            let outcome = play(&script, true);
-            print!("{}", outcome.tally);
+            println!("layout={:?}", scenario.layout);
+            let outcome = play(&scenario, true);
+            print!("{}", outcome.coverage);
             tell(asked.seed, plan, &outcome);
-            outcome.faults.is_empty()
+            outcome.violations.is_empty()
         }
         "shorten" => {
-            let rules = play(&script, false).rules();
-            let short = if rules.is_empty() { script } else { shorten(&script, &rules) };
+            let invariants = play(&scenario, false).invariants();
+            let short = if invariants.is_empty() { scenario } else { shorten(&scenario, &invariants) };
             println!("layout={:?}", short.layout);
-            for (at, trouble) in &short.troubles {
-                println!("t={:.6} {trouble}", *at as f64 / 1e6);
+            for (at, fault) in &short.faults {
+                println!("t={:.6} {fault}", *at as f64 / 1e6);
             }
             asked.begin_logs();
             let outcome = play(&short, asked.logs);
             tell(asked.seed, plan, &outcome);
-            outcome.faults.is_empty()
+            outcome.violations.is_empty()
         }
         _ => {
             eprintln!("{HELP}");
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -2,7 +2,7 @@
 //! order between them. A direction that is cut holds what is said; a connection that gets nothing through for long is
 //! reset by whoever speaks, unless the cut is one that no end can tell from silence.
 
-use crate::rng::Chance;
+use crate::rng::Rng;
 use kitepass_coordination::protocol::Message;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -38,29 +38,29 @@
 
 /// A direction between two machines that is cut.
 #[derive(Clone, Copy, Debug)]
-pub struct Cut {
+pub struct Partition {
     pub until: i64,
     /// Connections outlast it.
     pub silent: bool,
 }
 
 #[derive(Default)]
-pub struct Net {
+pub struct Network {
     pub channels: BTreeMap<u64, Channel>,
     next: u64,
     /// Directions that are cut, by machines.
-    cuts: BTreeMap<(usize, usize), Cut>,
+    cuts: BTreeMap<(usize, usize), Partition>,
     /// Extra microseconds on a direction, until a moment.
     slow: BTreeMap<(usize, usize), (i64, i64)>,
 }
 
-impl Net {
+impl Network {
     pub fn number(&mut self) -> u64 {
         self.next += 1;
         self.next
     }
 
-    pub fn cut(&mut self, from: usize, to: usize, cut: Cut) {
+    pub fn cut(&mut self, from: usize, to: usize, cut: Partition) {
         let known = self.cuts.entry((from, to)).or_insert(cut);
         if known.until < cut.until {
             *known = cut;
@@ -72,7 +72,7 @@
         self.slow.clear();
     }
 
-    pub fn is_cut(&self, now: i64, from: usize, to: usize) -> Option<Cut> {
+    pub fn is_cut(&self, now: i64, from: usize, to: usize) -> Option<Partition> {
         self.cuts.get(&(from, to)).copied().filter(|cut| cut.until > now)
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// A connection breaks: what is on its way still comes up to a drawn point, nothing more is taken.
-    pub fn reset(&mut self, now: i64, id: u64, chance: &mut Chance) {
+    pub fn reset(&mut self, now: i64, id: u64, chance: &mut Rng) {
         if let Some(channel) = self.channels.get_mut(&id).filter(|channel| !channel.closed) {
             channel.closed = true;
             channel.held.clear();
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -1,6 +1,6 @@
 //! The one place that touches the core's interface: a life of a control process.
 
-use crate::history::{Content, Name, Part, Verdict};
+use crate::history::{AnswerStatus, Content, ItemName, Write};
 use bytes::Bytes;
 use kitepass_config::{Item, ItemStore, Kind};
 use kitepass_control_plane::endpoints::Endpoint;
@@ -20,7 +20,7 @@
 
 /// Where a machine stands, and under which name.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
-pub struct Place {
+pub struct Location {
     pub node_id: String,
     pub address: String,
     pub zone: String,
@@ -28,8 +28,8 @@
 }
 
 /// How a life begins.
-pub struct Birth {
-    pub place: Place,
+pub struct ProcessStart {
+    pub location: Location,
     pub incarnation: u64,
     pub maiden: bool,
     pub founder: bool,
@@ -38,7 +38,7 @@
 
 /// What an operator asks for.
 #[derive(Clone, Debug)]
-pub enum Wish {
+pub enum OperatorRequest {
     Read,
     Change(Vec<Item>),
     Zone { zone: String, on: bool },
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug)]
 pub enum Answer {
     Done,
-    Shown(BTreeMap<Name, (u64, Content)>),
+    Shown(BTreeMap<ItemName, (u64, Content)>),
     Invalid(String),
     Taken(String),
     /// Elsewhere, at an address if one is named.
@@ -56,18 +56,18 @@
 }
 
 impl Answer {
-    pub fn verdict(&self) -> Verdict {
+    pub fn status(&self) -> AnswerStatus {
         match self {
-            Answer::Done | Answer::Shown(_) => Verdict::Confirmed,
-            Answer::Invalid(_) => Verdict::Invalid,
-            Answer::Taken(_) => Verdict::Taken,
-            Answer::Elsewhere(_) => Verdict::Unclear,
+            Answer::Done | Answer::Shown(_) => AnswerStatus::Confirmed,
+            Answer::Invalid(_) => AnswerStatus::Invalid,
+            Answer::Taken(_) => AnswerStatus::Taken,
+            Answer::Elsewhere(_) => AnswerStatus::Unclear,
         }
     }
 }
 
 /// What a process wants done.
-pub enum Deed {
+pub enum ProcessAction {
     /// To a control process, by its station.
     Peer(String, Message),
     /// To a gateway, by its session.
@@ -83,10 +83,10 @@
 }
 
 impl Process {
-    pub fn start(now: Timestamp, birth: Birth) -> Process {
-        let Place { node_id, address, zone, region } = birth.place;
+    pub fn start(now: Timestamp, birth: ProcessStart) -> Process {
+        let Location { node_id, address, zone, region } = birth.location;
         let me = Replica { node_id, address, zone, region, ..Replica::default() };
-        let Birth { incarnation, maiden, founder, records, .. } = birth;
+        let ProcessStart { incarnation, maiden, founder, records, .. } = birth;
         Process {
             core: StateMachine::new(
                 now,
@@ -132,11 +132,11 @@
         self.core.records_persisted(now, request_id);
     }
 
-    pub fn wish(&mut self, now: Timestamp, caller: u64, wish: &Wish) {
+    pub fn wish(&mut self, now: Timestamp, caller: u64, wish: &OperatorRequest) {
         let order = match wish {
-            Wish::Read => Request::Get,
-            Wish::Change(items) => Request::Patch(items.clone()),
-            Wish::Zone { zone, on } => Request::Evacuate { zone: zone.clone(), on: *on },
+            OperatorRequest::Read => Request::Get,
+            OperatorRequest::Change(items) => Request::Patch(items.clone()),
+            OperatorRequest::Zone { zone, on } => Request::Evacuate { zone: zone.clone(), on: *on },
         };
         self.core.handle_request(now, caller, order);
     }
@@ -211,21 +211,29 @@
     }
 
     /// What it wants done since it was asked last.
-    pub fn deeds(&mut self) -> Vec<Deed> {
-        let mut deeds = Vec::new();
+    pub fn take_actions(&mut self) -> Vec<ProcessAction> {
+        let mut take_actions = Vec::new();
         for act in std::mem::take(&mut self.core.active_term) {
             match act {
-                Action::SendToPeer(node_id, message) => deeds.push(Deed::Peer(node_id, message)),
-                Action::SendToSession(id, message) => deeds.push(Deed::Session(id, message)),
-                Action::SendItems(id, items) => deeds.extend(
-                    items.chunks(BATCH).map(|items| Deed::Session(id, Message::Items(words_of(items)))),
+                Action::SendToPeer(node_id, message) => {
+                    take_actions.push(ProcessAction::Peer(node_id, message))
+                }
+                Action::SendToSession(id, message) => take_actions.push(ProcessAction::Session(id, message)),
+                Action::SendItems(id, items) => take_actions.extend(
+                    items
+                        .chunks(BATCH)
+                        .map(|items| ProcessAction::Session(id, Message::Items(words_of(items)))),
                 ),
-                Action::Respond(caller, response) => deeds.push(Deed::Answer(caller, answer(response))),
-                Action::Persist(request_id, records) => deeds.push(Deed::Keep(request_id, records)),
-                Action::CloseSession(id) => deeds.push(Deed::Close(id)),
+                Action::Respond(caller, response) => {
+                    take_actions.push(ProcessAction::Answer(caller, answer(response)))
+                }
+                Action::Persist(request_id, records) => {
+                    take_actions.push(ProcessAction::Keep(request_id, records))
+                }
+                Action::CloseSession(id) => take_actions.push(ProcessAction::Close(id)),
             }
         }
-        deeds
+        take_actions
     }
 }
 
@@ -245,8 +253,8 @@
 }
 
 /// The items of an operator's call, as its body would be read.
-pub fn items_of(parts: &[Part]) -> Vec<Item> {
-    let item = |part: &Part| Item {
+pub fn items_of(parts: &[Write]) -> Vec<Item> {
+    let item = |part: &Write| Item {
         kind: part.name.0,
         name: part.name.1.as_str().into(),
         version: part.version,
@@ -260,7 +268,7 @@
 
 /// The text of an item that carries the number of its call. Keys are sorted, as `read_call` leaves them. A route goes to
 /// the service that its name ends with; a tenant whose name begins so shares a key with its like.
-fn text_of(name: &Name, call: u64) -> String {
+fn text_of(name: &ItemName, call: u64) -> String {
     match name.0 {
         Kind::Route => {
             let line = name.1.rsplit('-').next().unwrap_or_default();
@@ -288,7 +296,7 @@
 }
 
 /// What an item of the configuration says; none for other kinds.
-pub fn part_of(item: &Item) -> Option<Part> {
+pub fn part_of(item: &Item) -> Option<Write> {
     if !matches!(item.kind, Kind::Service | Kind::Route | Kind::Tenant) {
         return None;
     }
@@ -296,11 +304,11 @@
         None => Content::Dropped,
         Some(value) => content_of(item.kind, &serde_json::from_slice(value).ok()?)?,
     };
-    Some(Part { name: (item.kind, item.name.to_string()), version: item.version, content })
+    Some(Write { name: (item.kind, item.name.to_string()), version: item.version, content })
 }
 
 /// The body of a `Get`, read back.
-fn shown(body: &[u8]) -> BTreeMap<Name, (u64, Content)> {
+fn shown(body: &[u8]) -> BTreeMap<ItemName, (u64, Content)> {
     let whole: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
     let mut shown = BTreeMap::new();
     let lists = [("itineraries", Kind::Route), ("customers", Kind::Tenant), ("carrier-lines", Kind::Service)];
--- a/crates/simulation/src/rng.rs
+++ b/crates/simulation/src/rng.rs
@@ -1,10 +1,10 @@
 //! What is drawn. Each use has its own stream, so that a trouble that is left out moves no other trouble.
 
-pub struct Chance(oorandom::Rand64);
+pub struct Rng(oorandom::Rand64);
 
-impl Chance {
-    pub fn new(seed: u64, stream: u64) -> Chance {
-        Chance(oorandom::Rand64::new(u128::from(stream) << 64 | u128::from(seed)))
+impl Rng {
+    pub fn new(seed: u64, stream: u64) -> Rng {
+        Rng(oorandom::Rand64::new(u128::from(stream) << 64 | u128::from(seed)))
     }
 
     pub fn draw(&mut self) -> u64 {
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -1,10 +1,10 @@
 //! A seed played whole, judged, and, if it fails, shortened.
 
-use crate::coverage::Tally;
+use crate::coverage::Coverage;
 use crate::digest::digest;
-use crate::history::{judge, Fault, Rule};
-use crate::scenario::{Script, Trouble, MILLI, SECOND};
-use crate::simulation::World;
+use crate::history::{check_history, Invariant, Violation};
+use crate::scenario::{Fault, Scenario, MILLI, SECOND};
+use crate::simulation::Simulation;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 
@@ -15,18 +15,18 @@
 /// Seeds of a shortening that are played at most.
 const MOST_PLAYS: usize = 400;
 
-pub struct Outcome {
-    pub faults: Vec<Fault>,
-    pub tally: Tally,
+pub struct RunResult {
+    pub violations: Vec<Violation>,
+    pub coverage: Coverage,
     /// Microseconds from the end of all troubles until all was whole.
     pub whole: Option<i64>,
     /// Of the history and the traffic; 0 for a run that ended by a panic.
     pub digest: u64,
 }
 
-impl Outcome {
-    pub fn rules(&self) -> BTreeSet<Rule> {
-        self.faults.iter().map(|fault| fault.rule).collect()
+impl RunResult {
+    pub fn invariants(&self) -> BTreeSet<Invariant> {
+        self.violations.iter().map(|violation| violation.invariant).collect()
     }
 }
 
@@ -41,62 +41,63 @@
 }
 
 /// Plays a script to its end. A process that panics ends it, as a fault.
-pub fn play(script: &Script, tells: bool) -> Outcome {
-    std::panic::catch_unwind(|| play_out(script, tells)).unwrap_or_else(|_| {
-        let fault = Fault { rule: Rule::Panicked, at: 0, what: PANICKED.take() };
-        Outcome { faults: vec![fault], tally: Tally::default(), whole: None, digest: 0 }
+pub fn play(scenario: &Scenario, tells: bool) -> RunResult {
+    std::panic::catch_unwind(|| play_out(scenario, tells)).unwrap_or_else(|_| {
+        let violation = Violation { invariant: Invariant::Panicked, at: 0, what: PANICKED.take() };
+        RunResult { violations: vec![violation], coverage: Coverage::default(), whole: None, digest: 0 }
     })
 }
 
-fn play_out(script: &Script, tells: bool) -> Outcome {
-    let mut world = World::new(script);
-    world.tells = tells;
-    world.run_to(script.until);
-    world.calm();
-    let (calm, mut whole) = (world.now, None);
+fn play_out(scenario: &Scenario, tells: bool) -> RunResult {
+    let mut simulation = Simulation::new(scenario);
+    simulation.tells = tells;
+    simulation.run_to(scenario.until);
+    simulation.calm();
+    let (calm, mut whole) = (simulation.now, None);
     // Callers end what they have under way meanwhile.
-    while world.now < calm + WHOLE {
-        world.run(100 * MILLI);
-        match world.unsettled() {
-            None if whole.is_none() => whole = Some(world.now - calm),
+    while simulation.now < calm + WHOLE {
+        simulation.run(100 * MILLI);
+        match simulation.unsettled() {
+            None if whole.is_none() => whole = Some(simulation.now - calm),
             Some(_) => whole = None,
             None => {}
         }
     }
-    if let Some(why) = world.unsettled() {
-        world.late(format!("not whole {} s after the last trouble: {why}", WHOLE / SECOND));
+    if let Some(why) = simulation.unsettled() {
+        simulation.late(format!("not whole {} s after the last trouble: {why}", WHOLE / SECOND));
     }
-    let reads = world.read_back();
-    world.run(READ);
+    let reads = simulation.read_back();
+    simulation.run(READ);
     let unread = reads
         .iter()
-        .filter(|read| !matches!(world.verdict(**read), Some(crate::history::Verdict::Confirmed)));
+        .filter(|read| !matches!(simulation.status(**read), Some(crate::history::AnswerStatus::Confirmed)));
     let unread = unread.count();
     if unread > 0 {
-        world.late(format!("{unread} of {} reads in the calm were not answered", reads.len()));
+        simulation.late(format!("{unread} of {} reads in the calm were not answered", reads.len()));
     }
-    world.note_zones();
-    let mut tally = std::mem::take(&mut world.tally);
+    simulation.note_zones();
+    let mut coverage = std::mem::take(&mut simulation.coverage);
     if let Some(whole) = whole {
-        tally.most("ms-until-whole", whole as u64 / 1000);
+        coverage.most("ms-until-whole", whole as u64 / 1000);
     }
-    let digest = digest(&world.history, &world.traffic);
-    Outcome { faults: judge(&world.history), tally, whole, digest }
+    let digest = digest(&simulation.history, &simulation.traffic);
+    RunResult { violations: check_history(&simulation.history), coverage, whole, digest }
 }
 
 /// Leaves out troubles one by one, as long as it breaks one of the same rules.
-pub fn shorten(script: &Script, rules: &BTreeSet<Rule>) -> Script {
-    let mut short = script.clone();
-    let fails = |script: &Script| play(script, false).rules().intersection(rules).next().is_some();
+pub fn shorten(scenario: &Scenario, invariants: &BTreeSet<Invariant>) -> Scenario {
+    let mut short = scenario.clone();
+    let fails =
+        |scenario: &Scenario| play(scenario, false).invariants().intersection(invariants).next().is_some();
     let mut plays = 0;
     // From the end first: what came after the fault had no part in it.
-    let mut piece = short.troubles.len().div_ceil(2).max(1);
+    let mut piece = short.faults.len().div_ceil(2).max(1);
     loop {
-        let (mut at, mut any) = (short.troubles.len(), false);
+        let (mut at, mut any) = (short.faults.len(), false);
         while at > 0 && plays < MOST_PLAYS {
             let begin = at.saturating_sub(piece);
             let mut next = short.clone();
-            next.troubles.drain(begin..at);
+            next.faults.drain(begin..at);
             plays += 1;
             if fails(&next) {
                 (short, any) = (next, true);
@@ -107,12 +108,12 @@
             return short;
         }
         piece = if any { piece } else { (piece / 2).max(1) };
-        piece = piece.min(short.troubles.len().max(1));
+        piece = piece.min(short.faults.len().max(1));
     }
 }
 
 /// A script of no troubles but these, on a layout.
-pub fn script(seed: u64, layout: crate::scenario::Layout, troubles: Vec<(i64, Trouble)>) -> Script {
-    let ways = crate::scenario::Ways { callers: 0, ..crate::scenario::Ways::calm() };
-    Script { seed, layout, ways, troubles, until: i64::MAX / 4 }
+pub fn scenario(seed: u64, layout: crate::scenario::Layout, faults: Vec<(i64, Fault)>) -> Scenario {
+    let workload = crate::scenario::Workload { callers: 0, ..crate::scenario::Workload::calm() };
+    Scenario { seed, layout, workload, faults, until: i64::MAX / 4 }
 }
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,6 +1,6 @@
 //! What a seed brings, drawn before anything runs: the layout, the troubles with their moments, the operators' ways.
 
-use crate::rng::Chance;
+use crate::rng::Rng;
 use std::fmt::{self, Display};
 
 pub const MILLI: i64 = 1_000;
@@ -43,7 +43,7 @@
     }
 
     /// Three to nine seats over one to three regions and two to six zones.
-    pub fn drawn(chance: &mut Chance) -> Layout {
+    pub fn drawn(chance: &mut Rng) -> Layout {
         let replicas = chance.among(3, 10) as usize;
         let regions = chance.among(1, 4) as usize;
         let zones = chance.among(regions.max(2) as i64, replicas.min(6) as i64 + 1) as usize;
@@ -75,19 +75,19 @@
     }
 
     /// The seats in the same district or province as this one, or itself alone.
-    pub fn like(&self, replica: usize, breadth: Breadth) -> Vec<usize> {
+    pub fn like(&self, replica: usize, domain: FailureDomain) -> Vec<usize> {
         let (zone, region) = (self.replicas[replica], self.regions[self.replicas[replica]]);
-        let within = |other: &usize| match breadth {
-            Breadth::Replica => *other == replica,
-            Breadth::Zone => self.replicas[*other] == zone,
-            Breadth::Region => self.regions[self.replicas[*other]] == region,
+        let within = |other: &usize| match domain {
+            FailureDomain::Replica => *other == replica,
+            FailureDomain::Zone => self.replicas[*other] == zone,
+            FailureDomain::Region => self.regions[self.replicas[*other]] == region,
         };
         (0..self.replicas.len()).filter(within).collect()
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Breadth {
+pub enum FailureDomain {
     Replica,
     Zone,
     Region,
@@ -95,7 +95,7 @@
 
 /// Which way a cut goes, seen from the side that is named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     Both,
     /// Nobody hears it.
     Out,
@@ -105,7 +105,7 @@
 
 /// What befalls. Seats are positions of the layout: whatever machine stands there then. Spans are microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     Kill {
         replicas: Vec<usize>,
         power: bool,
@@ -118,7 +118,7 @@
     /// Disks are lost, within what is to be borne; at times all others lose power at once, gateways too.
     DiskLost {
         replica: usize,
-        breadth: Breadth,
+        domain: FailureDomain,
         others: bool,
         back: i64,
     },
@@ -126,16 +126,16 @@
         replica: usize,
         span: i64,
     },
-    Cut {
+    Partition {
         side: Vec<usize>,
-        way: Way,
+        way: Direction,
         gates: bool,
         silent: bool,
         span: i64,
     },
     /// Whoever does the duty is cut off.
     CutSteward {
-        way: Way,
+        way: Direction,
         silent: bool,
         span: i64,
     },
@@ -196,38 +196,38 @@
     },
 }
 
-impl Trouble {
+impl Fault {
     pub fn name(&self) -> &'static str {
         match self {
-            Trouble::Kill { power: false, .. } => "kill",
-            Trouble::Kill { power: true, .. } => "power",
-            Trouble::Dark { .. } => "dark",
-            Trouble::DiskLost { others: true, .. } => "disks-lost-and-dark",
-            Trouble::DiskLost { breadth: Breadth::Replica, .. } => "disk-lost",
-            Trouble::DiskLost { breadth: Breadth::Zone, .. } => "disks-lost-zone",
-            Trouble::DiskLost { breadth: Breadth::Region, .. } => "disks-lost-region",
-            Trouble::Freeze { .. } => "freeze",
-            Trouble::Cut { way: Way::Both, .. } => "cut",
-            Trouble::Cut { way: Way::Out, .. } => "cut-mute",
-            Trouble::Cut { way: Way::In, .. } => "cut-deaf",
-            Trouble::CutSteward { .. } => "cut-steward",
-            Trouble::Reset { .. } => "reset",
-            Trouble::SlowLink { .. } => "slow-link",
-            Trouble::SlowDisks { .. } => "slow-disks",
-            Trouble::DiskHangs { .. } => "disk-hangs",
-            Trouble::DiskRefuses { .. } => "disk-refuses",
-            Trouble::Leave { .. } => "leave",
-            Trouble::Replace { leaves: true, .. } => "replace-leaving",
-            Trouble::Replace { leaves: false, .. } => "replace-lost",
-            Trouble::FallAtAnswer { .. } => "fall-at-answer",
-            Trouble::FallAtEvent { .. } => "fall-at-event",
-            Trouble::GateFalls { .. } => "gate-falls",
-            Trouble::AnswersLost { .. } => "answers-lost",
+            Fault::Kill { power: false, .. } => "kill",
+            Fault::Kill { power: true, .. } => "power",
+            Fault::Dark { .. } => "dark",
+            Fault::DiskLost { others: true, .. } => "disks-lost-and-dark",
+            Fault::DiskLost { domain: FailureDomain::Replica, .. } => "disk-lost",
+            Fault::DiskLost { domain: FailureDomain::Zone, .. } => "disks-lost-zone",
+            Fault::DiskLost { domain: FailureDomain::Region, .. } => "disks-lost-region",
+            Fault::Freeze { .. } => "freeze",
+            Fault::Partition { way: Direction::Both, .. } => "cut",
+            Fault::Partition { way: Direction::Out, .. } => "cut-mute",
+            Fault::Partition { way: Direction::In, .. } => "cut-deaf",
+            Fault::CutSteward { .. } => "cut-steward",
+            Fault::Reset { .. } => "reset",
+            Fault::SlowLink { .. } => "slow-link",
+            Fault::SlowDisks { .. } => "slow-disks",
+            Fault::DiskHangs { .. } => "disk-hangs",
+            Fault::DiskRefuses { .. } => "disk-refuses",
+            Fault::Leave { .. } => "leave",
+            Fault::Replace { leaves: true, .. } => "replace-leaving",
+            Fault::Replace { leaves: false, .. } => "replace-lost",
+            Fault::FallAtAnswer { .. } => "fall-at-answer",
+            Fault::FallAtEvent { .. } => "fall-at-event",
+            Fault::GateFalls { .. } => "gate-falls",
+            Fault::AnswersLost { .. } => "answers-lost",
         }
     }
 }
 
-impl Display for Trouble {
+impl Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "trouble={} what={:?}", self.name(), format!("{self:?}"))
     }
@@ -235,7 +235,7 @@
 
 /// How operators behave. Parts in a hundred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ways {
+pub struct Workload {
     pub callers: usize,
     /// Microseconds between two calls of one, at most.
     pub pause: i64,
@@ -248,14 +248,14 @@
     pub answers_lost: u64,
 }
 
-impl Ways {
+impl Workload {
     /// Each version is used once, and the newest is above all others.
-    pub fn without_rivals(self) -> Ways {
-        Ways { races: 0, old: 0, ..self }
+    pub fn without_rivals(self) -> Workload {
+        Workload { races: 0, old: 0, ..self }
     }
 
-    pub fn calm() -> Ways {
-        Ways {
+    pub fn calm() -> Workload {
+        Workload {
             callers: 3,
             pause: 600_000,
             races: 0,
@@ -267,8 +267,8 @@
         }
     }
 
-    pub fn eager() -> Ways {
-        Ways {
+    pub fn eager() -> Workload {
+        Workload {
             callers: 8,
             pause: 400_000,
             races: 25,
@@ -283,11 +283,11 @@
 
 /// A whole seed.
 #[derive(Clone, Debug)]
-pub struct Script {
+pub struct Scenario {
     pub seed: u64,
     pub layout: Layout,
-    pub ways: Ways,
-    pub troubles: Vec<(i64, Trouble)>,
+    pub workload: Workload,
+    pub faults: Vec<(i64, Fault)>,
     /// Troubles are over by then, and operators begin nothing new.
     pub until: i64,
 }
@@ -351,18 +351,18 @@
         }
     }
 
-    pub fn script(self, seed: u64) -> Script {
-        let chance = &mut Chance::new(seed, 1);
+    pub fn scenario(self, seed: u64) -> Scenario {
+        let chance = &mut Rng::new(seed, 1);
         let layout = if seed.is_multiple_of(2) {
             Layout { delay: [200, 900, 55_000][chance.below(3)], ..Layout::six() }
         } else {
             Layout::drawn(chance)
         };
-        let ways = match self {
-            Plan::Calm => Ways::calm(),
-            Plan::Races => Ways::eager(),
-            Plan::Away => Ways { callers: 8, pause: 150_000, races: 5, ..Ways::calm() },
-            _ => Ways { races: 6, answers_lost: 4, ..Ways::calm() },
+        let workload = match self {
+            Plan::Calm => Workload::calm(),
+            Plan::Races => Workload::eager(),
+            Plan::Away => Workload { callers: 8, pause: 150_000, races: 5, ..Workload::calm() },
+            _ => Workload { races: 6, answers_lost: 4, ..Workload::calm() },
         };
         let lasts = match self {
             Plan::Away => 60,
@@ -371,24 +371,24 @@
         };
         let until = FOUNDED + lasts * SECOND;
         let (weights, pause) = self.weights();
-        let mut troubles = Vec::new();
+        let mut faults = Vec::new();
         let mut at = FOUNDED + chance.among(0, SECOND);
         while at < until && weights.iter().any(|weight| *weight > 0) {
-            troubles.push((at, draw(self, &layout, &weights, chance)));
+            faults.push((at, draw(self, &layout, &weights, chance)));
             at += chance.among(pause.0, pause.1);
             // At times they are pressed together.
             if chance.percent(15) {
                 at -= chance.among(0, pause.0);
             }
         }
-        troubles.sort_by_key(|(at, _)| *at);
-        Script { seed, layout, ways, troubles, until }
+        faults.sort_by_key(|(at, _)| *at);
+        Scenario { seed, layout, workload, faults, until }
     }
 }
 
 const KINDS: usize = 18;
 
-fn draw(plan: Plan, layout: &Layout, weights: &[u32; KINDS], chance: &mut Chance) -> Trouble {
+fn draw(plan: Plan, layout: &Layout, weights: &[u32; KINDS], chance: &mut Rng) -> Fault {
     let all = layout.replicas.len();
     let mut left = chance.below(weights.iter().sum::<u32>() as usize) as u32;
     let mut kind = 0;
@@ -409,7 +409,7 @@
         1 => 20 * SECOND,
         _ => chance.among(SECOND, 8 * SECOND),
     };
-    let some = |chance: &mut Chance| {
+    let some = |chance: &mut Rng| {
         let part = chance.among(15, 70) as u64;
         let mut some: Vec<usize> = (0..all).filter(|_| chance.percent(part)).collect();
         if some.is_empty() {
@@ -417,51 +417,52 @@
         }
         some
     };
-    let way = [Way::Both, Way::Both, Way::Out, Way::In][chance.below(4)];
+    let way = [Direction::Both, Direction::Both, Direction::Out, Direction::In][chance.below(4)];
     let silent = chance.percent(40);
     match kind {
-        0 => Trouble::Kill { replicas: vec![replica], power: false, back },
-        1 => Trouble::Kill { replicas: some(chance), power: true, back },
+        0 => Fault::Kill { replicas: vec![replica], power: false, back },
+        1 => Fault::Kill { replicas: some(chance), power: true, back },
         2 => {
             let back = back.min(3 * SECOND);
             if chance.percent(50) {
-                Trouble::Dark { back }
+                Fault::Dark { back }
             } else {
-                Trouble::Kill { replicas: (0..all).collect(), power: false, back }
+                Fault::Kill { replicas: (0..all).collect(), power: false, back }
             }
         }
         3 => {
-            let breadth = [Breadth::Replica, Breadth::Zone, Breadth::Region][chance.below(3)];
-            Trouble::DiskLost { replica, breadth, others: chance.percent(40), back: back.min(4 * SECOND) }
+            let domain =
+                [FailureDomain::Replica, FailureDomain::Zone, FailureDomain::Region][chance.below(3)];
+            Fault::DiskLost { replica, domain, others: chance.percent(40), back: back.min(4 * SECOND) }
         }
-        4 => Trouble::Freeze { replica, span: span.min(8 * SECOND) },
+        4 => Fault::Freeze { replica, span: span.min(8 * SECOND) },
         5 => {
             let side = match chance.below(3) {
                 0 => vec![replica],
                 1 => vec![replica, other],
                 _ => some(chance),
             };
-            Trouble::Cut { side, way, gates: chance.percent(50), silent, span }
+            Fault::Partition { side, way, gates: chance.percent(50), silent, span }
         }
-        6 => Trouble::CutSteward { way, silent, span },
-        7 => Trouble::Reset { a: replica, b: other },
-        8 => Trouble::SlowLink { a: replica, b: other, extra: chance.among(20 * MILLI, 2 * SECOND), span },
+        6 => Fault::CutSteward { way, silent, span },
+        7 => Fault::Reset { a: replica, b: other },
+        8 => Fault::SlowLink { a: replica, b: other, extra: chance.among(20 * MILLI, 2 * SECOND), span },
         9 => {
             let extra = [200 * MILLI, 800 * MILLI, 3_500 * MILLI][chance.below(3)];
-            Trouble::SlowDisks { replicas: some(chance), extra, span }
+            Fault::SlowDisks { replicas: some(chance), extra, span }
         }
-        10 => Trouble::DiskHangs { replica, span: span.min(8 * SECOND) },
-        11 => Trouble::DiskRefuses { replica, span: span.min(8 * SECOND) },
-        12 => Trouble::Leave { replica, back },
-        13 => Trouble::Replace { replica, leaves: chance.percent(50), back: back.min(3 * SECOND) },
-        14 => Trouble::FallAtAnswer { power: chance.percent(60), back },
-        15 => Trouble::FallAtEvent {
+        10 => Fault::DiskHangs { replica, span: span.min(8 * SECOND) },
+        11 => Fault::DiskRefuses { replica, span: span.min(8 * SECOND) },
+        12 => Fault::Leave { replica, back },
+        13 => Fault::Replace { replica, leaves: chance.percent(50), back: back.min(3 * SECOND) },
+        14 => Fault::FallAtAnswer { power: chance.percent(60), back },
+        15 => Fault::FallAtEvent {
             replica,
             events: chance.below(60) as u32,
             power: chance.percent(60),
             back: back.min(4 * SECOND),
         },
-        16 => Trouble::GateFalls { gate: chance.below(layout.gates) },
-        _ => Trouble::AnswersLost { percent: 50, span },
+        16 => Fault::GateFalls { gate: chance.below(layout.gates) },
+        _ => Fault::AnswersLost { percent: 50, span },
     }
 }
--- a/crates/simulation/src/simulation/mod.rs
+++ b/crates/simulation/src/simulation/mod.rs
@@ -1,15 +1,15 @@
 //! The world: machines, their processes, disks and links, gateways and operators, moved from event to event by seed.
 
-use crate::coverage::Tally;
+use crate::coverage::Coverage;
 use crate::digest::{Fnv1a, Traffic};
 use crate::disk::Disk;
-use crate::gateway::Gate;
-use crate::history::{Part, Seen, Verdict};
-use crate::network::{Channel, Cut, Net, PATIENCE, QUIET};
-use crate::operator::{Book, Caller, Task, SILENCE};
-use crate::process::{Answer, Birth, Deed, Place, Process, Records};
-use crate::rng::Chance;
-use crate::scenario::{Breadth, Layout, Script, Trouble, Way, Ways, MILLI, SECOND};
+use crate::gateway::Gateway;
+use crate::history::{AnswerStatus, HistoryEvent, Write};
+use crate::network::{Channel, Network, Partition, PATIENCE, QUIET};
+use crate::operator::{ChangeRegistry, Operation, Operator, SILENCE};
+use crate::process::{Answer, Location, Process, ProcessAction, ProcessStart, Records};
+use crate::rng::Rng;
+use crate::scenario::{Direction, FailureDomain, Fault, Layout, Scenario, Workload, MILLI, SECOND};
 use kitepass_control_plane::endpoints::Endpoint;
 use kitepass_coordination::protocol::{Hello, Message};
 use kitepass_time::Timestamp;
@@ -36,9 +36,9 @@
 }
 
 /// Prints what processes log, with the world's time and the machine.
-pub struct Logs;
+pub struct ProcessLogger;
 
-impl log::Log for Logs {
+impl log::Log for ProcessLogger {
     fn enabled(&self, _: &log::Metadata) -> bool {
         true
     }
@@ -66,8 +66,8 @@
     GateLost(usize, u64),
     GateTurn(usize),
     Thaw(usize),
-    Trouble(usize),
-    Caller(usize),
+    Fault(usize),
+    Operator(usize),
     Request(u64),
     Answer(u64, Answer),
     Silence(u64),
@@ -77,7 +77,7 @@
 
 /// A control process' machine.
 pub struct Node {
-    pub place: Place,
+    pub location: Location,
     replica: usize,
     pub process: Option<Process>,
     /// Which life of it this is; no other machine's life has the same.
@@ -106,26 +106,26 @@
 /// A sending of a call to a process.
 struct Sending {
     caller: usize,
-    task: Task,
+    task: Operation,
     node: usize,
     sent: i64,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: i64,
     layout: Layout,
-    ways: Ways,
-    troubles: Vec<(i64, Trouble)>,
+    workload: Workload,
+    faults: Vec<(i64, Fault)>,
     until: i64,
     events: BTreeMap<(i64, u64), Event>,
     sequence: u64,
     pub nodes: Vec<Node>,
     /// The machine that has each seat now.
     replicas: Vec<usize>,
-    sites: Vec<Gate>,
-    net: Net,
-    callers: Vec<Caller>,
-    pub book: Book,
+    gateways: Vec<Gateway>,
+    net: Network,
+    callers: Vec<Operator>,
+    pub registry: ChangeRegistry,
     sendings: BTreeMap<u64, Sending>,
     lost_answers: (u64, i64),
     /// The next that confirms a change falls.
@@ -134,11 +134,11 @@
     troubled: i64,
     lives: u64,
     /// Draws of the network, of disks, of operators.
-    chance: Chance,
-    asks: Chance,
+    chance: Rng,
+    asks: Rng,
     list: Vec<Endpoint>,
-    pub history: Vec<Seen>,
-    pub tally: Tally,
+    pub history: Vec<HistoryEvent>,
+    pub coverage: Coverage,
     pub traffic: Traffic,
     /// Events are told as they come, if wanted.
     pub tells: bool,
@@ -152,33 +152,33 @@
     hash.value()
 }
 
-impl World {
-    pub fn new(script: &Script) -> World {
-        let layout = script.layout.clone();
-        let mut chance = Chance::new(script.seed, 2);
+impl Simulation {
+    pub fn new(scenario: &Scenario) -> Simulation {
+        let layout = scenario.layout.clone();
+        let mut chance = Rng::new(scenario.seed, 2);
         let zones: Vec<String> = (0..layout.regions.len()).map(|zone| format!("z{zone}")).collect();
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 0,
-            ways: script.ways,
-            troubles: script.troubles.clone(),
-            until: script.until,
+            workload: scenario.workload,
+            faults: scenario.faults.clone(),
+            until: scenario.until,
             events: BTreeMap::new(),
             sequence: 0,
             nodes: Vec::new(),
             replicas: Vec::new(),
-            sites: Vec::new(),
-            net: Net::default(),
-            callers: (0..script.ways.callers).map(|_| Caller::default()).collect(),
-            book: Book::default(),
+            gateways: Vec::new(),
+            net: Network::default(),
+            callers: (0..scenario.workload.callers).map(|_| Operator::default()).collect(),
+            registry: ChangeRegistry::default(),
             sendings: BTreeMap::new(),
             lost_answers: (0, 0),
             at_answer: None,
             troubled: 0,
             lives: chance.draw() >> 16 << 8,
-            asks: Chance::new(script.seed, 3),
+            asks: Rng::new(scenario.seed, 3),
             list: (0..layout.regions.len() * 2).map(|n| entry(n, &zones)).collect(),
             history: Vec::new(),
-            tally: Tally::default(),
+            coverage: Coverage::default(),
             traffic: Traffic::default(),
             tells: false,
             answers: BTreeMap::new(),
@@ -186,35 +186,35 @@
             chance,
             layout,
         };
-        for replica in 0..world.layout.replicas.len() {
-            let node = world.machine(replica);
-            world.replicas.push(node);
-            let at = world.chance.among(0, 300 * MILLI);
-            world.at(at, Event::Start(node));
-        }
-        for gate in 0..world.layout.gates {
-            let zone = gate % world.layout.regions.len();
+        for replica in 0..simulation.layout.replicas.len() {
+            let node = simulation.machine(replica);
+            simulation.replicas.push(node);
+            let at = simulation.chance.among(0, 300 * MILLI);
+            simulation.at(at, Event::Start(node));
+        }
+        for gate in 0..simulation.layout.gates {
+            let zone = gate % simulation.layout.regions.len();
             let hello = Hello {
                 node_id: format!("g{gate}"),
                 zone: format!("z{zone}"),
-                region: format!("p{}", world.layout.regions[zone]),
-                incarnation: world.chance.draw(),
+                region: format!("p{}", simulation.layout.regions[zone]),
+                incarnation: simulation.chance.draw(),
                 client_address: format!("10.1.0.{gate}:80"),
                 ..Hello::default()
             };
-            let site = Gate::new(hello, world.first(), world.regions());
-            world.sites.push(site);
-            let at = world.chance.among(0, 300 * MILLI);
-            world.at(at, Event::GateTurn(gate));
+            let site = Gateway::new(hello, simulation.first(), simulation.regions());
+            simulation.gateways.push(site);
+            let at = simulation.chance.among(0, 300 * MILLI);
+            simulation.at(at, Event::GateTurn(gate));
         }
-        (0..world.troubles.len()).for_each(|n| world.at(world.troubles[n].0, Event::Trouble(n)));
-        for caller in 0..world.callers.len() {
-            let at = crate::scenario::FOUNDED - SECOND + world.asks.among(0, SECOND);
-            world.at(at, Event::Caller(caller));
+        (0..simulation.faults.len()).for_each(|n| simulation.at(simulation.faults[n].0, Event::Fault(n)));
+        for caller in 0..simulation.callers.len() {
+            let at = crate::scenario::FOUNDED - SECOND + simulation.asks.among(0, SECOND);
+            simulation.at(at, Event::Operator(caller));
         }
-        world.at(SECOND, Event::List);
-        world.at(SECOND, Event::Sweep);
-        world
+        simulation.at(SECOND, Event::List);
+        simulation.at(SECOND, Event::Sweep);
+        simulation
     }
 
     fn regions(&self) -> BTreeMap<String, String> {
@@ -230,7 +230,7 @@
     /// A new machine for a seat, with an empty disk.
     fn machine(&mut self, replica: usize) -> usize {
         let (node, zone) = (self.nodes.len(), self.layout.replicas[replica]);
-        let place = Place {
+        let location = Location {
             node_id: format!("s{node}"),
             address: format!("10.0.0.{node}"),
             zone: format!("z{zone}"),
@@ -239,7 +239,7 @@
         let clock = (self.chance.among(10 * SECOND, 1_000 * SECOND), self.chance.among(-200, 201));
         let disk = Disk::new(self.layout.disk, self.layout.loose);
         self.nodes.push(Node {
-            place,
+            location,
             replica,
             process: None,
             incarnation: 0,
@@ -330,8 +330,8 @@
                 }
             }
             Event::GateLost(gate, session) => {
-                if self.sites[gate].at.is_some_and(|(id, _)| id == session) {
-                    self.sites[gate].lost("closed");
+                if self.gateways[gate].at.is_some_and(|(id, _)| id == session) {
+                    self.gateways[gate].lost("closed");
                 }
             }
             Event::GateTurn(gate) => self.gate_turn(gate),
@@ -341,11 +341,11 @@
                     waiting.into_iter().for_each(|event| self.at(self.now, event));
                 }
             }
-            Event::Trouble(number) => {
-                let trouble = self.troubles[number].1.clone();
-                self.trouble(&trouble);
+            Event::Fault(number) => {
+                let fault = self.faults[number].1.clone();
+                self.fault(&fault);
             }
-            Event::Caller(caller) => self.caller(caller),
+            Event::Operator(caller) => self.caller(caller),
             Event::Request(sending) => self.request(sending),
             Event::Answer(sending, answer) => self.heard(sending, answer),
             Event::Silence(sending) => self.silent(sending),
@@ -373,23 +373,23 @@
         }
         for (name, seen) in news {
             self.nodes[node].replica_sets.insert(name, seen);
-            self.tally.count(&format!("cast-{name}-seen"));
+            self.coverage.count(&format!("cast-{name}-seen"));
             self.tell(format_args!(
                 "event=cast node=s{node} name={name} edition={} mark={:x}",
                 seen.0, seen.1
             ));
             let (version, mark) = seen;
-            self.history.push(Seen::ReplicaSet { at: self.now, node, name, version, mark });
+            self.history.push(HistoryEvent::ReplicaSet { at: self.now, node, name, version, mark });
         }
         let holders: Vec<usize> = (0..self.nodes.len()).filter(|node| self.does_the_duty(*node)).collect();
         if holders.len() > 1 {
-            self.history.push(Seen::Duty { at: self.now, nodes: holders });
+            self.history.push(HistoryEvent::Duty { at: self.now, nodes: holders });
         }
         match &mut self.nodes[node].falls {
             Some((0, power, back)) => {
                 let (power, back) = (*power, *back);
                 self.nodes[node].falls = None;
-                self.tally.count("fell-at-event");
+                self.coverage.count("fell-at-event");
                 self.fall(node, power, back);
             }
             Some((left, ..)) => *left -= 1,
@@ -418,11 +418,11 @@
         let incarnation = self.lives;
         let maiden = node.incarnation == 0 && self.now < SECOND;
         let founder = self.layout.first[0] == node.replica && number < self.layout.replicas.len();
-        let place = node.place.clone();
+        let location = node.location.clone();
         let node = &mut self.nodes[number];
         let records: Records = node.disk.open(self.now);
-        let birth = Birth {
-            place,
+        let birth = ProcessStart {
+            location,
             incarnation: incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15),
             maiden,
             founder,
@@ -432,7 +432,7 @@
         node.incarnation = incarnation;
         (node.out, node.tried, node.stops, node.ips) = Default::default();
         (node.leaves, node.frozen) = (None, 0);
-        self.tally.count("life");
+        self.coverage.count("life");
         self.tell(format_args!("event=start node=s{number} life={incarnation}"));
         let at = self.now + self.chance.among(0, TICK);
         self.at(at, Event::Tick(number, incarnation));
@@ -470,10 +470,10 @@
         self.act(number);
         let now = self.now;
         self.tell(format_args!("event=fall node=s{number} power={power} back={:.3}", back as f64 / 1e6));
-        self.tally.count(if power { "fell-by-power" } else { "fell" });
+        self.coverage.count(if power { "fell-by-power" } else { "fell" });
         // One that goes for good stops counting with its successor.
         if !self.nodes[number].gone {
-            self.troubles(back);
+            self.faults(back);
         }
         let node = &mut self.nodes[number];
         node.process = None;
@@ -605,7 +605,7 @@
     fn by_ip(&self, address: &str) -> Option<usize> {
         self.nodes
             .iter()
-            .position(|node| node.place.address == address && (!node.gone || node.process.is_some()))
+            .position(|node| node.location.address == address && (!node.gone || node.process.is_some()))
     }
 
     /// Puts a word on a connection.
@@ -621,8 +621,8 @@
         let bytes = message.encoded_len() as u64;
         self.traffic.messages += 1;
         self.traffic.message_bytes += bytes;
-        self.tally.count("word");
-        self.tally.add("word-bytes", bytes);
+        self.coverage.count("word");
+        self.coverage.add("word-bytes", bytes);
         self.at(due, Event::Message(id, message));
     }
 
@@ -630,7 +630,7 @@
         let now = self.now;
         let Some(channel) = self.net.channels.get(&id) else { return };
         if now > channel.until {
-            return self.tally.count("word-lost-by-reset");
+            return self.coverage.count("word-lost-by-reset");
         }
         let (from, to) = (channel.from, channel.to);
         let cut = self.net.is_cut(now, from, to);
@@ -655,7 +655,7 @@
         let (from, to) = (channel.from, channel.to);
         if let Some(cut) = self.net.is_cut(now, from, to) {
             if !cut.silent && now - channel.held_since >= PATIENCE {
-                self.tally.count("reset-by-cut");
+                self.coverage.count("reset-by-cut");
                 return self.break_channel(id);
             }
             let until = if cut.silent { cut.until } else { cut.until.min(channel.held_since + PATIENCE) };
@@ -663,7 +663,7 @@
         }
         let channel = self.net.channels.get_mut(&id).expect("found above");
         let held = std::mem::take(&mut channel.held);
-        self.tally.add("word-held-then-came", held.len() as u64);
+        self.coverage.add("word-held-then-came", held.len() as u64);
         held.into_iter().for_each(|message| self.at(now, Event::Message(id, message)));
     }
 
@@ -697,7 +697,8 @@
             return;
         };
         let (up, down) = (self.delay(gate + GATES, node), self.delay(node, gate + GATES));
-        let last = |net: &Net, id: u64| net.channels.get(&id).map_or(now, |c| c.last.min(c.until).max(now));
+        let last =
+            |net: &Network, id: u64| net.channels.get(&id).map_or(now, |c| c.last.min(c.until).max(now));
         let (up, down) = (up + last(&self.net, session), down + last(&self.net, session + 1));
         self.at(up, Event::SessionLost(node, incarnation, session));
         self.at(down, Event::GateLost(gate, session));
@@ -745,12 +746,12 @@
         }
         let now = self.moment(to);
         if self.nodes[to].incarnation != to_life || self.nodes[to].process.is_none() {
-            return self.tally.count("word-to-dead-life");
+            return self.coverage.count("word-to-dead-life");
         }
         if from < GATES && (self.nodes[from].incarnation != from_life || self.nodes[from].process.is_none()) {
-            self.tally.count("word-of-dead-life");
+            self.coverage.count("word-of-dead-life");
             if self.nodes[from].process.is_some() {
-                self.tally.count("word-of-dead-life-after-next-began");
+                self.coverage.count("word-of-dead-life-after-next-began");
             }
         }
         let (node_id, session) = (channel.node_id.clone(), channel.session);
@@ -773,7 +774,7 @@
             (None, Some((node_id, incarnation)), message) => {
                 if !process.knows(&node_id, incarnation) {
                     // One that was given up has to say again who it is.
-                    self.tally.count("word-of-one-given-up");
+                    self.coverage.count("word-of-one-given-up");
                     return self.hang_up(id);
                 }
                 for address in process.peer_said(now, &node_id, message) {
@@ -788,29 +789,29 @@
     fn act(&mut self, number: usize) {
         loop {
             let Some(process) = &mut self.nodes[number].process else { return };
-            let deeds = process.deeds();
-            if deeds.is_empty() {
+            let take_actions = process.take_actions();
+            if take_actions.is_empty() {
                 return;
             }
-            for deed in deeds {
+            for deed in take_actions {
                 self.deed(number, deed);
             }
         }
     }
 
-    fn deed(&mut self, number: usize, deed: Deed) {
+    fn deed(&mut self, number: usize, deed: ProcessAction) {
         match deed {
-            Deed::Peer(node_id, message) => {
+            ProcessAction::Peer(node_id, message) => {
                 let address = self.nodes[number].ips.get(&node_id).cloned();
                 let other = address
-                    .and_then(|address| self.nodes.iter().position(|node| node.place.address == address));
+                    .and_then(|address| self.nodes.iter().position(|node| node.location.address == address));
                 if let Some(id) = other.and_then(|other| self.nodes[number].out.get(&other)).copied() {
                     self.say(id, message);
                 }
             }
-            Deed::Session(session, message) => self.say(session + 1, message),
-            Deed::Close(session) => self.close_session(session, false),
-            Deed::Keep(request_id, records) => {
+            ProcessAction::Session(session, message) => self.say(session + 1, message),
+            ProcessAction::Close(session) => self.close_session(session, false),
+            ProcessAction::Keep(request_id, records) => {
                 let (now, incarnation) = (self.now, self.nodes[number].incarnation);
                 let bytes: usize = records.iter().map(|(key, value)| key.len() + value.len()).sum();
                 self.traffic.records += records.len() as u64;
@@ -819,7 +820,7 @@
                     self.at(at, Event::Synced(number, incarnation));
                 }
             }
-            Deed::Answer(sending, answer) => self.answered(number, sending, answer),
+            ProcessAction::Answer(sending, answer) => self.answered(number, sending, answer),
         }
     }
 
@@ -828,12 +829,12 @@
     fn gate_turn(&mut self, number: usize) {
         let now = Timestamp::from_micros(self.now + 5 * SECOND);
         let draw = self.chance.draw();
-        let site = &mut self.sites[number];
+        let site = &mut self.gateways[number];
         let had = site.at;
         let turn = site.turn(now, draw);
         if turn.leaves {
             if let Some((session, _)) = had {
-                self.sites[number].at = None;
+                self.gateways[number].at = None;
                 self.close_session(session, false);
             }
         }
@@ -841,13 +842,13 @@
             let (from, now) = (number + GATES, self.now);
             let cut = self.net.is_cut(now, from, other).or(self.net.is_cut(now, other, from));
             if self.nodes[other].process.is_none() {
-                self.sites[number].lost("refused");
+                self.gateways[number].lost("refused");
             } else if cut.is_none() {
                 let (up, down) = (self.net.number(), self.net.number());
                 let incarnation = self.nodes[other].incarnation;
                 self.channel(up, from, other, (0, incarnation), Some(true));
                 self.channel(down, other, from, (incarnation, 0), Some(false));
-                self.sites[number].at = Some((up, other));
+                self.gateways[number].at = Some((up, other));
                 self.net.channels.get_mut(&up).expect("made above").last =
                     now + self.delay(other, from) + self.delay(from, other);
             }
@@ -858,24 +859,24 @@
     }
 
     fn gate_says(&mut self, number: usize) {
-        let messages = self.sites[number].says();
-        if let Some((session, _)) = self.sites[number].at {
+        let messages = self.gateways[number].says();
+        if let Some((session, _)) = self.gateways[number].at {
             messages.into_iter().for_each(|message| self.say(session, message));
         }
     }
 
     fn gate_hears(&mut self, number: usize, session: u64, message: Message) {
         let now = Timestamp::from_micros(self.now + 5 * SECOND);
-        let site = &mut self.sites[number];
+        let site = &mut self.gateways[number];
         if site.at.is_none_or(|(id, _)| id != session) {
             return;
         }
         let (parts, closes) = site.said(now, message);
         for part in parts {
-            self.history.push(Seen::InForce { at: self.now, gate: number, part });
+            self.history.push(HistoryEvent::InForce { at: self.now, gate: number, part });
         }
         if closes {
-            self.sites[number].lost("not-current");
+            self.gateways[number].lost("not-current");
             self.close_session(session, false);
         }
         self.gate_says(number);
@@ -910,20 +911,20 @@
                 return;
             }
             let zones: Vec<String> = (0..self.layout.regions.len()).map(|zone| format!("z{zone}")).collect();
-            let known = self.book.calls.len();
-            let (task, what) = self.book.next(&self.ways, &zones, &mut self.asks);
-            for call in known + 1..=self.book.calls.len() {
+            let known = self.registry.calls.len();
+            let (task, what) = self.registry.next(&self.workload, &zones, &mut self.asks);
+            for call in known + 1..=self.registry.calls.len() {
                 let call = call as u64;
-                self.history.push(Seen::Call { call, parts: self.book.calls[&call].clone() });
+                self.history.push(HistoryEvent::Call { call, parts: self.registry.calls[&call].clone() });
             }
-            self.tally.count(&format!("task-{what}"));
+            self.coverage.count(&format!("task-{what}"));
             let caller = &mut self.callers[number];
             (caller.task, caller.tries, caller.awaits) = (Some(task), 0, None);
             // Rivals come together.
-            for other in 0..self.callers.len().min(self.book.waiting.len() * 4) {
+            for other in 0..self.callers.len().min(self.registry.waiting.len() * 4) {
                 if self.callers[other].task.is_none() {
                     let at = self.now + self.asks.among(0, 2 * MILLI);
-                    self.at(at, Event::Caller(other));
+                    self.at(at, Event::Operator(other));
                 }
             }
         } else if self.callers[number].awaits.is_some() {
@@ -936,14 +937,14 @@
     fn send(&mut self, number: usize, node: usize) {
         let Some(task) = self.callers[number].task.clone() else { return };
         if self.callers[number].tries > 0 {
-            self.tally.count("resent");
+            self.coverage.count("resent");
         }
         let sending = self.net.number();
         self.tell(format_args!("event=send caller={number} sending={sending} node=s{node} task={task:?}"));
         self.callers[number].awaits = Some(sending);
         let sent = self.now;
-        if let Task::Change(call) = &task {
-            self.history.push(Seen::Sent { sending, call: *call });
+        if let Operation::Change(call) = &task {
+            self.history.push(HistoryEvent::Sent { sending, call: *call });
         }
         self.sendings.insert(sending, Sending { caller: number, task, node, sent });
         let at = self.now + self.asks.among(200, 3 * MILLI);
@@ -952,11 +953,11 @@
     }
 
     /// Sends an order of its own, outside of all callers; its answer is in `answers`.
-    pub fn ask(&mut self, node: usize, task: Task) -> u64 {
+    pub fn ask(&mut self, node: usize, task: Operation) -> u64 {
         let sending = self.net.number();
         let sent = self.now;
-        if let Task::Change(call) = &task {
-            self.history.push(Seen::Sent { sending, call: *call });
+        if let Operation::Change(call) = &task {
+            self.history.push(HistoryEvent::Sent { sending, call: *call });
         }
         self.sendings.insert(sending, Sending { caller: usize::MAX, task, node, sent });
         self.request(sending);
@@ -971,20 +972,25 @@
         if self.nodes[node].process.is_none() {
             // Refused, or no way: it goes elsewhere at once.
             self.sendings.remove(&sending);
-            self.history.push(Seen::Unsent { sending });
+            self.history.push(HistoryEvent::Unsent { sending });
             if caller < self.callers.len() && self.callers[caller].awaits == Some(sending) {
                 self.retry(caller, None);
             }
             return;
         }
-        let wish = self.book.wish(&task);
+        let wish = self.registry.wish(&task);
         let at = self.now;
         match &task {
-            Task::Read => self.history.push(Seen::ReadBegan { at, read: sending, node }),
-            Task::Zone { zone, on } => {
-                self.history.push(Seen::ZoneBegan { at, order: sending, zone: zone.clone(), on: *on });
+            Operation::Read => self.history.push(HistoryEvent::ReadBegan { at, read: sending, node }),
+            Operation::Zone { zone, on } => {
+                self.history.push(HistoryEvent::ZoneBegan {
+                    at,
+                    order: sending,
+                    zone: zone.clone(),
+                    on: *on,
+                });
             }
-            Task::Change(_) => self.history.push(Seen::Began { at, sending }),
+            Operation::Change(_) => self.history.push(HistoryEvent::Began { at, sending }),
         }
         let process = self.nodes[node].process.as_mut().expect("found above");
         process.wish(now, sending, &wish);
@@ -994,46 +1000,46 @@
     fn answered(&mut self, node: usize, number: u64, answer: Answer) {
         let Some(sending) = self.sendings.get(&number) else { return };
         let at = self.now;
-        let verdict = answer.verdict();
+        let status = answer.status();
         let took = (at - sending.sent) as u64 / 1000;
         if !self.ended.insert(number) {
-            self.history.push(Seen::Late { at, what: format!("sending {number} answered twice") });
+            self.history.push(HistoryEvent::Late { at, what: format!("sending {number} answered twice") });
         }
         self.tell(format_args!(
-            "event=answer node=s{node} sending={number} task={:?} verdict={verdict:?} ms={took}",
+            "event=answer node=s{node} sending={number} task={:?} verdict={status:?} ms={took}",
             sending.task
         ));
-        self.tally.count(&format!("answer-{verdict:?}").to_lowercase());
-        self.tally.most(&format!("ms-to-{verdict:?}").to_lowercase(), took);
+        self.coverage.count(&format!("answer-{status:?}").to_lowercase());
+        self.coverage.most(&format!("ms-to-{status:?}").to_lowercase(), took);
         let mut falls = None;
         match &sending.task {
-            Task::Read => {
+            Operation::Read => {
                 if let Answer::Shown(shown) = &answer {
-                    self.history.push(Seen::ReadEnded { at, read: number, shown: shown.clone() });
+                    self.history.push(HistoryEvent::ReadEnded { at, read: number, shown: shown.clone() });
                 }
             }
-            Task::Zone { .. } => {
-                let taken = verdict == Verdict::Confirmed;
-                self.history.push(Seen::ZoneEnded { at, order: number, taken });
+            Operation::Zone { .. } => {
+                let taken = status == AnswerStatus::Confirmed;
+                self.history.push(HistoryEvent::ZoneEnded { at, order: number, taken });
             }
-            Task::Change(call) => {
-                self.history.push(Seen::Answered { at, sending: number, call: *call, node, verdict });
-                if verdict == Verdict::Confirmed {
+            Operation::Change(call) => {
+                self.history.push(HistoryEvent::Answered { at, sending: number, call: *call, node, status });
+                if status == AnswerStatus::Confirmed {
                     falls = self.at_answer.take();
                 }
             }
         }
         self.answers.insert(number, (node, answer.clone()));
         let lost = (self.lost_answers.1 > at && self.asks.percent(self.lost_answers.0))
-            || self.asks.percent(self.ways.answers_lost);
+            || self.asks.percent(self.workload.answers_lost);
         if lost && sending.caller < self.callers.len() {
-            self.tally.count("answer-lost");
+            self.coverage.count("answer-lost");
         } else {
             let due = at + self.asks.among(200, 3 * MILLI);
             self.at(due, Event::Answer(number, answer));
         }
         if let Some((power, back)) = falls {
-            self.tally.count("fell-at-answer");
+            self.coverage.count("fell-at-answer");
             self.fall(node, power, back);
         }
     }
@@ -1043,14 +1049,14 @@
         if caller >= self.callers.len() || self.callers[caller].awaits != Some(number) {
             return;
         }
-        if let Task::Change(_) = task {
-            self.history.push(Seen::Heard { sending: number });
+        if let Operation::Change(_) = task {
+            self.history.push(HistoryEvent::Heard { sending: number });
         }
         match answer {
             Answer::Elsewhere(to) => return self.retry(caller, to),
             Answer::Done => {
-                if let Task::Change(call) = task {
-                    self.book.confirmed.push(call);
+                if let Operation::Change(call) = task {
+                    self.registry.confirmed.push(call);
                 }
             }
             Answer::Shown(_) | Answer::Invalid(_) | Answer::Taken(_) => {}
@@ -1059,16 +1065,16 @@
     }
 
     fn rest(&mut self, number: usize) {
-        self.callers[number] = Caller::default();
-        let at = self.now + self.asks.among(0, self.ways.pause);
-        self.at(at, Event::Caller(number));
+        self.callers[number] = Operator::default();
+        let at = self.now + self.asks.among(0, self.workload.pause);
+        self.at(at, Event::Operator(number));
     }
 
     fn silent(&mut self, number: u64) {
         let Some(sending) = self.sendings.get(&number) else { return };
         let caller = sending.caller;
         if caller < self.callers.len() && self.callers[caller].awaits == Some(number) {
-            self.tally.count("caller-goes-elsewhere");
+            self.coverage.count("caller-goes-elsewhere");
             self.retry(caller, None);
         }
     }
@@ -1076,16 +1082,16 @@
     fn retry(&mut self, number: usize, to: Option<String>) {
         self.callers[number].awaits = None;
         if !self.callers[number].goes_on() {
-            self.tally.count("caller-gave-up");
+            self.coverage.count("caller-gave-up");
             return self.rest(number);
         }
         if let Some(node) = to.and_then(|address| self.by_ip(&address)) {
-            self.tally.count("redirected");
+            self.coverage.count("redirected");
             return self.send(number, node);
         }
         let grows = 50 * MILLI * i64::from(self.callers[number].tries.min(8));
         let at = self.now + self.asks.among(grows / 2, grows + 1);
-        self.at(at, Event::Caller(number));
+        self.at(at, Event::Operator(number));
     }
 
     // Troubles.
@@ -1100,49 +1106,49 @@
     }
 
     /// A core machine, or a link between two, is in trouble until then.
-    fn troubles(&mut self, span: i64) {
+    fn faults(&mut self, span: i64) {
         self.troubled = self.troubled.max(self.now + span);
     }
 
-    pub fn trouble(&mut self, trouble: &Trouble) {
+    pub fn fault(&mut self, fault: &Fault) {
         let now = self.now;
-        self.tell(format_args!("event=trouble {trouble}"));
+        self.tell(format_args!("event=trouble {fault}"));
         let mut came = true;
-        match trouble {
-            Trouble::Kill { replicas, power, back } => {
+        match fault {
+            Fault::Kill { replicas, power, back } => {
                 for replica in replicas {
                     // They do not come back in one moment.
                     let back = back + self.chance.among(0, 100 * MILLI);
                     self.fall(self.replicas[*replica], *power, back);
                 }
             }
-            Trouble::Dark { back } => {
+            Fault::Dark { back } => {
                 for replica in 0..self.replicas.len() {
                     let back = back + self.chance.among(0, 100 * MILLI);
                     self.fall(self.replicas[replica], true, back);
                 }
-                (0..self.sites.len()).for_each(|gate| self.gate_falls(gate));
+                (0..self.gateways.len()).for_each(|gate| self.gate_falls(gate));
             }
-            Trouble::DiskLost { replica, breadth, others, back } => {
-                let replicas = self.layout.like(*replica, *breadth);
+            Fault::DiskLost { replica, domain, others, back } => {
+                let replicas = self.layout.like(*replica, *domain);
                 came = self.may_lose(&replicas);
                 if came {
                     self.lose_disks(&replicas, *others, *back);
                 }
             }
-            Trouble::Freeze { replica, span } => self.freeze(self.replicas[*replica], *span),
-            Trouble::Cut { side, way, gates, silent, span } => {
+            Fault::Freeze { replica, span } => self.freeze(self.replicas[*replica], *span),
+            Fault::Partition { side, way, gates, silent, span } => {
                 let side: Vec<usize> = side.iter().map(|replica| self.replicas[*replica]).collect();
                 self.cut(&side, *way, *gates, *silent, *span);
             }
-            Trouble::CutSteward { way, silent, span } => {
+            Fault::CutSteward { way, silent, span } => {
                 let holder = self.replicas.iter().copied().find(|node| self.does_the_duty(*node));
                 came = holder.is_some();
                 if let Some(holder) = holder {
                     self.cut(&[holder], *way, false, *silent, *span);
                 }
             }
-            Trouble::Reset { a, b } => {
+            Fault::Reset { a, b } => {
                 let (a, b) = (self.replicas[*a], self.replicas[*b]);
                 let between = |c: &Channel| (c.from, c.to) == (a, b) || (c.from, c.to) == (b, a);
                 let ids: Vec<u64> = self
@@ -1155,42 +1161,42 @@
                 came = !ids.is_empty();
                 ids.into_iter().for_each(|id| self.break_channel(id));
             }
-            Trouble::SlowLink { a, b, extra, span } => {
+            Fault::SlowLink { a, b, extra, span } => {
                 let (a, b) = (self.replicas[*a], self.replicas[*b]);
-                self.troubles(*span);
+                self.faults(*span);
                 self.net.slow(a, b, *extra, now + span);
                 self.net.slow(b, a, *extra, now + span);
             }
-            Trouble::SlowDisks { replicas, extra, span } => {
-                self.troubles(*span);
+            Fault::SlowDisks { replicas, extra, span } => {
+                self.faults(*span);
                 for replica in replicas {
                     let node = self.replicas[*replica];
-                    self.nodes[node].disk.mood.slow = (*extra, now + span);
+                    self.nodes[node].disk.faults.slow = (*extra, now + span);
                 }
             }
-            Trouble::DiskHangs { replica, span } => {
-                self.troubles(*span);
-                self.nodes[self.replicas[*replica]].disk.mood.hangs = now + span;
+            Fault::DiskHangs { replica, span } => {
+                self.faults(*span);
+                self.nodes[self.replicas[*replica]].disk.faults.hangs = now + span;
             }
-            Trouble::DiskRefuses { replica, span } => {
-                self.troubles(*span);
-                self.nodes[self.replicas[*replica]].disk.mood.refuses = now + span;
+            Fault::DiskRefuses { replica, span } => {
+                self.faults(*span);
+                self.nodes[self.replicas[*replica]].disk.faults.refuses = now + span;
             }
-            Trouble::Leave { replica, back } => came = self.leave(self.replicas[*replica], *back),
-            Trouble::Replace { replica, leaves, back } => {
+            Fault::Leave { replica, back } => came = self.leave(self.replicas[*replica], *back),
+            Fault::Replace { replica, leaves, back } => {
                 came = self.may_lose(&[*replica]);
                 if came {
                     self.replace(*replica, *leaves, *back);
                 }
             }
-            Trouble::FallAtAnswer { power, back } => self.at_answer = Some((*power, *back)),
-            Trouble::FallAtEvent { replica, events, power, back } => {
+            Fault::FallAtAnswer { power, back } => self.at_answer = Some((*power, *back)),
+            Fault::FallAtEvent { replica, events, power, back } => {
                 self.nodes[self.replicas[*replica]].falls = Some((*events, *power, *back));
             }
-            Trouble::GateFalls { gate } => self.gate_falls(*gate),
-            Trouble::AnswersLost { percent, span } => self.lost_answers = (*percent, now + span),
+            Fault::GateFalls { gate } => self.gate_falls(*gate),
+            Fault::AnswersLost { percent, span } => self.lost_answers = (*percent, now + span),
         }
-        self.tally.count(&format!("{}-{}", if came { "trouble" } else { "passed-over" }, trouble.name()));
+        self.coverage.count(&format!("{}-{}", if came { "trouble" } else { "passed-over" }, fault.name()));
     }
 
     /// Machines lose their disks; at the same moment all others lose power, if they do, gateways too.
@@ -1206,22 +1212,22 @@
             }
         }
         if others {
-            (0..self.sites.len()).for_each(|gate| self.gate_falls(gate));
+            (0..self.gateways.len()).for_each(|gate| self.gate_falls(gate));
         }
     }
 
     fn gate_falls(&mut self, gate: usize) {
-        if let Some((session, _)) = self.sites[gate].at.take() {
+        if let Some((session, _)) = self.gateways[gate].at.take() {
             self.close_session(session, false);
         }
         let (first, regions, incarnation) = (self.first(), self.regions(), self.chance.draw());
-        self.sites[gate].renew(incarnation, first, regions);
-        self.history.push(Seen::GateBegan { gate });
+        self.gateways[gate].renew(incarnation, first, regions);
+        self.history.push(HistoryEvent::GateBegan { gate });
     }
 
     pub fn freeze(&mut self, node: usize, span: i64) {
         if self.nodes[node].process.is_some() {
-            self.troubles(span);
+            self.faults(span);
             let until = self.now + span;
             self.nodes[node].frozen = until;
             self.at(until, Event::Thaw(node));
@@ -1254,26 +1260,26 @@
         }
         self.tell(format_args!("event=replace seat={replica} old=s{old} new=s{new}"));
         self.at(self.now + back, Event::Start(new));
-        self.troubles(back);
+        self.faults(back);
     }
 
     /// Cuts some machines off from all others.
-    pub fn cut(&mut self, side: &[usize], way: Way, gates: bool, silent: bool, span: i64) {
-        self.troubles(span);
-        let cut = Cut { until: self.now + span, silent };
+    pub fn cut(&mut self, side: &[usize], way: Direction, gates: bool, silent: bool, span: i64) {
+        self.faults(span);
+        let cut = Partition { until: self.now + span, silent };
         let zones: BTreeSet<usize> = side.iter().map(|node| self.zone(*node)).collect();
-        let machines: Vec<usize> = (0..self.nodes.len()).chain(GATES..GATES + self.sites.len()).collect();
+        let machines: Vec<usize> = (0..self.nodes.len()).chain(GATES..GATES + self.gateways.len()).collect();
         // Gateways of the cut zones go along, or all stay outside.
-        let inside = |world: &World, machine: &usize| {
-            side.contains(machine) || gates && *machine >= GATES && zones.contains(&world.zone(*machine))
+        let inside = |simulation: &Simulation, machine: &usize| {
+            side.contains(machine) || gates && *machine >= GATES && zones.contains(&simulation.zone(*machine))
         };
         let (inner, outer): (Vec<usize>, Vec<usize>) = machines.iter().partition(|m| inside(self, m));
         for a in inner {
             for b in &outer {
-                if way != Way::In {
+                if way != Direction::In {
                     self.net.cut(a, *b, cut);
                 }
-                if way != Way::Out {
+                if way != Direction::Out {
                     self.net.cut(*b, a, cut);
                 }
             }
@@ -1288,8 +1294,8 @@
         self.net.join_all();
         (self.at_answer, self.lost_answers) = (None, (0, 0));
         for node in 0..self.nodes.len() {
-            let mood = &mut self.nodes[node].disk.mood;
-            (mood.slow.1, mood.hangs, mood.refuses) = (0, 0, 0);
+            let faults = &mut self.nodes[node].disk.faults;
+            (faults.slow.1, faults.hangs, faults.refuses) = (0, 0, 0);
             self.nodes[node].falls = None;
             if self.nodes[node].frozen > self.now {
                 self.nodes[node].frozen = self.now;
@@ -1314,7 +1320,7 @@
             }
         }
         let seated: BTreeSet<String> =
-            self.replicas.iter().map(|n| self.nodes[*n].place.node_id.clone()).collect();
+            self.replicas.iter().map(|n| self.nodes[*n].location.node_id.clone()).collect();
         let first = self.nodes[self.replicas[0]].process.as_ref()?;
         let replica_set: BTreeSet<String> = first.seated().into_iter().collect();
         if !seated.is_subset(&replica_set) {
@@ -1326,7 +1332,7 @@
                 return Some(format!("s{node} holds other items than s{}", self.replicas[0]));
             }
         }
-        for (number, site) in self.sites.iter().enumerate() {
+        for (number, site) in self.gateways.iter().enumerate() {
             if !site.is_caught_up() {
                 return Some(format!("g{number} has not caught up"));
             }
@@ -1343,7 +1349,7 @@
         let mut reads = Vec::new();
         for node in self.replicas.clone() {
             if self.nodes[node].process.is_some() {
-                reads.push(self.ask(node, Task::Read));
+                reads.push(self.ask(node, Operation::Read));
             }
         }
         reads
@@ -1356,13 +1362,13 @@
             let evacuated = process.evacuated();
             for zone in &zones {
                 let (zone, on) = (zone.clone(), evacuated.contains(zone));
-                self.history.push(Seen::ZoneIs { at: self.now, node, zone, on });
+                self.history.push(HistoryEvent::ZoneIs { at: self.now, node, zone, on });
             }
         }
     }
 
     pub fn late(&mut self, what: String) {
-        self.history.push(Seen::Late { at: self.now, what });
+        self.history.push(HistoryEvent::Late { at: self.now, what });
     }
 
     // For tests that bring about one thing.
@@ -1377,15 +1383,15 @@
     }
 
     /// Makes a call up and sends it to a machine; its number, and that of the sending.
-    pub fn change(&mut self, node: usize, items: &[(crate::history::Name, u64, bool)]) -> (u64, u64) {
-        let call = self.book.call(items);
-        let parts: Vec<Part> = self.book.calls[&call].clone();
-        self.history.push(Seen::Call { call, parts });
-        (call, self.ask(node, Task::Change(call)))
+    pub fn change(&mut self, node: usize, items: &[(crate::history::ItemName, u64, bool)]) -> (u64, u64) {
+        let call = self.registry.call(items);
+        let parts: Vec<Write> = self.registry.calls[&call].clone();
+        self.history.push(HistoryEvent::Call { call, parts });
+        (call, self.ask(node, Operation::Change(call)))
     }
 
-    pub fn verdict(&self, sending: u64) -> Option<Verdict> {
-        self.answers.get(&sending).map(|(_, answer)| answer.verdict())
+    pub fn status(&self, sending: u64) -> Option<AnswerStatus> {
+        self.answers.get(&sending).map(|(_, answer)| answer.status())
     }
 
     pub fn current(&self) -> usize {
@@ -1393,12 +1399,12 @@
         self.replicas.iter().filter(process).count()
     }
 
-    pub fn gate_holds(&self, gate: usize, name: &crate::history::Name) -> Option<u64> {
-        self.sites[gate].item_store().get(name.0, &name.1).map(|item| item.version)
+    pub fn gate_holds(&self, gate: usize, name: &crate::history::ItemName) -> Option<u64> {
+        self.gateways[gate].item_store().get(name.0, &name.1).map(|item| item.version)
     }
 
-    pub fn tells_of(&self, breadth: Breadth, replica: usize) -> Vec<usize> {
-        self.layout.like(replica, breadth).into_iter().map(|replica| self.replicas[replica]).collect()
+    pub fn tells_of(&self, domain: FailureDomain, replica: usize) -> Vec<usize> {
+        self.layout.like(replica, domain).into_iter().map(|replica| self.replicas[replica]).collect()
     }
 }
 
--- a/crates/simulation/tests/golden.rs
+++ b/crates/simulation/tests/golden.rs
@@ -20,7 +20,7 @@
 }
 
 fn line_of(plan: Plan, seed: u64) -> String {
-    let digest = play(&plan.script(seed), false).digest;
+    let digest = play(&plan.scenario(seed), false).digest;
     format!("plan={} seed={seed} digest={digest:016x}", plan.name())
 }
 
--- a/crates/simulation/tests/requirements.rs
+++ b/crates/simulation/tests/requirements.rs
@@ -5,11 +5,11 @@
 #![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
 
 use kitepass_config::Kind;
-use kitepass_simulation::history::{judge, Verdict};
-use kitepass_simulation::operator::Task;
-use kitepass_simulation::run::{play, script};
-use kitepass_simulation::scenario::{Layout, Plan, Script, Trouble, MILLI, SECOND};
-use kitepass_simulation::simulation::World;
+use kitepass_simulation::history::{check_history, AnswerStatus};
+use kitepass_simulation::operator::Operation;
+use kitepass_simulation::run::{play, scenario};
+use kitepass_simulation::scenario::{Fault, Layout, Plan, Scenario, MILLI, SECOND};
+use kitepass_simulation::simulation::Simulation;
 use rstest::rstest;
 
 /// Two calls with one item, one version and other contents, sent together to two processes: at most one is confirmed,
@@ -18,21 +18,23 @@
 fn of_two_contents_under_one_number_at_most_one_is_confirmed() {
     let mut both = 0;
     for seed in 0..20 {
-        let mut world = World::new(&script(seed, Layout::six(), Vec::new()));
-        world.run_to(5 * SECOND);
+        let mut simulation = Simulation::new(&scenario(seed, Layout::six(), Vec::new()));
+        simulation.run_to(5 * SECOND);
         let item = [((Kind::Service, "l".to_owned()), 7, true)];
-        let (a, b) =
-            (world.replica(seed as usize % 6), world.replica((seed as usize + 1 + seed as usize / 6) % 6));
-        let (_, one) = world.change(a, &item);
-        let (_, two) = world.change(b, &item);
-        world.run(3 * SECOND);
-        let verdicts = [world.verdict(one), world.verdict(two)];
-        both += usize::from(verdicts == [Some(Verdict::Confirmed); 2]);
-        world.read_back();
-        world.run(SECOND);
-        let faults = judge(&world.history);
-        assert!(faults.is_empty() || both > 0, "seed {seed}: {faults:?}");
-        assert!(both > 0 || verdicts.contains(&Some(Verdict::Taken)), "seed {seed}: {verdicts:?}");
+        let (a, b) = (
+            simulation.replica(seed as usize % 6),
+            simulation.replica((seed as usize + 1 + seed as usize / 6) % 6),
+        );
+        let (_, one) = simulation.change(a, &item);
+        let (_, two) = simulation.change(b, &item);
+        simulation.run(3 * SECOND);
+        let verdicts = [simulation.status(one), simulation.status(two)];
+        both += usize::from(verdicts == [Some(AnswerStatus::Confirmed); 2]);
+        simulation.read_back();
+        simulation.run(SECOND);
+        let violations = check_history(&simulation.history);
+        assert!(violations.is_empty() || both > 0, "seed {seed}: {violations:?}");
+        assert!(both > 0 || verdicts.contains(&Some(AnswerStatus::Taken)), "seed {seed}: {verdicts:?}");
     }
     assert_eq!(both, 0, "both were confirmed in {both} of 20 seeds");
 }
@@ -45,36 +47,45 @@
     for seed in 0..10 {
         // Without gateways: they would give back what they were told.
         let layout = Layout { gates: 0, ..Layout::six() };
-        let mut world = World::new(&script(seed, layout, Vec::new()));
-        world.run_to(5 * SECOND);
-        let slow =
-            Trouble::SlowDisks { replicas: (1..6).collect(), extra: 3_500 * MILLI, span: 100 * SECOND };
-        world.trouble(&slow);
+        let mut simulation = Simulation::new(&scenario(seed, layout, Vec::new()));
+        simulation.run_to(5 * SECOND);
+        let slow = Fault::SlowDisks { replicas: (1..6).collect(), extra: 3_500 * MILLI, span: 100 * SECOND };
+        simulation.fault(&slow);
         let (mut version, mut sent) = (0, Vec::new());
         for incarnation in 0..2 {
             for _ in 0..150 {
                 version += 1;
                 let item = [((Kind::Service, format!("l{version}")), version, true)];
-                sent.push(world.change(world.replica(0), &item).1);
-                world.run(20 * MILLI);
+                sent.push(simulation.change(simulation.replica(0), &item).1);
+                simulation.run(20 * MILLI);
                 // The worst moment: a copy is said to be there, and no other disk has got so far.
-                if incarnation == 1 && sent.iter().any(|s| world.verdict(*s) == Some(Verdict::Confirmed)) {
+                if incarnation == 1
+                    && sent.iter().any(|s| simulation.status(*s) == Some(AnswerStatus::Confirmed))
+                {
                     break;
                 }
             }
             if incarnation == 0 {
-                world.trouble(&Trouble::Kill { replicas: vec![0], power: false, back: 100 * MILLI });
-                world.run(1_500 * MILLI);
+                simulation.fault(&Fault::Kill { replicas: vec![0], power: false, back: 100 * MILLI });
+                simulation.run(1_500 * MILLI);
             }
         }
-        confirmed += sent.iter().filter(|s| world.verdict(**s) == Some(Verdict::Confirmed)).count();
-        world.lose_disks(&[0], true, SECOND);
-        world.calm();
-        world.run(12 * SECOND);
-        let read = world.ask(world.replica(3), Task::Read);
-        world.run(2 * SECOND);
-        assert_eq!(world.verdict(read), Some(Verdict::Confirmed), "seed {seed}: nothing is read back");
-        lost.extend(judge(&world.history).into_iter().map(|fault| format!("seed {seed}: {fault}")));
+        confirmed += sent.iter().filter(|s| simulation.status(**s) == Some(AnswerStatus::Confirmed)).count();
+        simulation.lose_disks(&[0], true, SECOND);
+        simulation.calm();
+        simulation.run(12 * SECOND);
+        let read = simulation.ask(simulation.replica(3), Operation::Read);
+        simulation.run(2 * SECOND);
+        assert_eq!(
+            simulation.status(read),
+            Some(AnswerStatus::Confirmed),
+            "seed {seed}: nothing is read back"
+        );
+        lost.extend(
+            check_history(&simulation.history)
+                .into_iter()
+                .map(|violation| format!("seed {seed}: {violation}")),
+        );
     }
     assert!(lost.is_empty(), "{confirmed} confirmed in all: {lost:#?}");
 }
@@ -82,13 +93,18 @@
 /// What a gateway acts on never goes away: nothing is in force that a later `Get` does not show.
 #[test]
 fn what_is_in_force_at_a_gateway_is_shown_by_every_later_read() {
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for seed in [1, 7, 9, 10] {
-        let script = Plan::Away.script(seed);
-        let script = Script { ways: script.ways.without_rivals(), ..script };
-        faults.extend(play(&script, false).faults.into_iter().map(|fault| format!("seed {seed}: {fault}")));
+        let scenario = Plan::Away.scenario(seed);
+        let scenario = Scenario { workload: scenario.workload.without_rivals(), ..scenario };
+        violations.extend(
+            play(&scenario, false)
+                .violations
+                .into_iter()
+                .map(|violation| format!("seed {seed}: {violation}")),
+        );
     }
-    assert!(faults.is_empty(), "{faults:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
 /// Rivals, lost answers and repeated calls under each plan's troubles.
@@ -101,10 +117,11 @@
 #[case(Plan::Disks)]
 #[case(Plan::All)]
 fn with_rivals_no_rule_is_broken(#[case] plan: Plan) {
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for seed in 0..2 {
-        let outcome = play(&plan.script(seed), false);
-        faults.extend(outcome.faults.into_iter().map(|fault| format!("seed {seed}: {fault}")));
+        let outcome = play(&plan.scenario(seed), false);
+        violations
+            .extend(outcome.violations.into_iter().map(|violation| format!("seed {seed}: {violation}")));
     }
-    assert!(faults.is_empty(), "{faults:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -4,14 +4,14 @@
 #![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 #![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
 
-use kitepass_simulation::coverage::Tally;
+use kitepass_simulation::coverage::Coverage;
 use kitepass_simulation::run::play;
-use kitepass_simulation::scenario::{Plan, Script};
+use kitepass_simulation::scenario::{Plan, Scenario};
 use rstest::rstest;
 
-fn without_rivals(plan: Plan, seed: u64) -> Script {
-    let script = plan.script(seed);
-    Script { ways: script.ways.without_rivals(), ..script }
+fn without_rivals(plan: Plan, seed: u64) -> Scenario {
+    let scenario = plan.scenario(seed);
+    Scenario { workload: scenario.workload.without_rivals(), ..scenario }
 }
 
 /// No two callers use one version of an item.
@@ -24,15 +24,15 @@
 fn without_rivals_no_rule_is_broken(#[case] plan: Plan) {
     for seed in 0..3 {
         let outcome = play(&without_rivals(plan, seed), false);
-        assert_eq!(outcome.faults, [], "seed {seed}");
+        assert_eq!(outcome.violations, [], "seed {seed}");
     }
 }
 
 /// One seed is one run.
 #[test]
 fn a_seed_plays_the_same_each_time() {
-    let [one, two] = [0, 1].map(|_| play(&Plan::All.script(3), false));
-    assert_eq!((one.tally, one.faults), (two.tally, two.faults));
+    let [one, two] = [0, 1].map(|_| play(&Plan::All.scenario(3), false));
+    assert_eq!((one.coverage, one.violations), (two.coverage, two.violations));
 }
 
 /// Danger: a plan that brings nothing about passes. Each kind of trouble comes in a few seeds, and what it leads to.
@@ -77,16 +77,16 @@
         "word-lost-by-reset",
         "cast-next-seen",
     ];
-    let mut tally = Tally::default();
+    let mut coverage = Coverage::default();
     let mut missing: Vec<&str> = wanted.into();
     let losses = [10, 22, 0].map(|seed| (Plan::Losses, seed));
     let rest =
         [Plan::Cuts, Plan::Races, Plan::Disks, Plan::All].map(|plan| [(plan, 0), (plan, 1), (plan, 2)]);
     for (plan, seed) in losses.into_iter().chain(rest.into_iter().flatten()) {
         if !missing.is_empty() {
-            tally.join(&play(&plan.script(seed), false).tally);
-            missing.retain(|what| tally.of(what) == 0);
+            coverage.join(&play(&plan.scenario(seed), false).coverage);
+            missing.retain(|what| coverage.of(what) == 0);
         }
     }
-    assert!(missing.is_empty(), "{missing:?} never came: {tally}");
+    assert!(missing.is_empty(), "{missing:?} never came: {coverage}");
 }
