--- a/crates/simulation/tests/requirements.rs
+++ b/crates/simulation/tests/requirements.rs
@@ -1,113 +1,117 @@
-//! What the core owes: faults that were found by the emulator, each as the case that brings it about.
-
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
+//! Faults of the control plane that the simulation found, each as the case that brings it about.
 
 use kitepass_config::Kind;
-use kitepass_simulation::history::{check_history, AnswerStatus};
-use kitepass_simulation::operator::Operation;
-use kitepass_simulation::run::{play, scenario};
-use kitepass_simulation::scenario::{Fault, Layout, Plan, Scenario, MILLI, SECOND};
+use kitepass_simulation::checker::{check_history, Violation};
+use kitepass_simulation::history::{AnswerStatus, AttemptId};
+use kitepass_simulation::operator::{Operation, PlannedWrite};
+use kitepass_simulation::run::run_scenario;
+use kitepass_simulation::scenario::{Fault, Layout, Plan, Scenario, MILLISECOND, SECOND};
 use kitepass_simulation::simulation::Simulation;
 use rstest::rstest;
 
-/// Two calls with one item, one version and other contents, sent together to two processes: at most one is confirmed,
-/// and the other is told so for good.
+/// Fault-free time in which the system is founded.
+const FOUNDING: i64 = 5 * SECOND;
+
+fn simulate(seed: u64, layout: Layout) -> Simulation {
+    let mut simulation = Simulation::new(&Scenario::without_operators(seed, layout, Vec::new()));
+    simulation.run_until(FOUNDING);
+    simulation
+}
+
+fn is_confirmed(simulation: &Simulation, attempt: AttemptId) -> bool {
+    simulation.status_of(attempt) == Some(AnswerStatus::Confirmed)
+}
+
+/// The violations of a history or a run, with the seed, for people.
+fn describe(seed: u64, violations: Vec<Violation>) -> impl Iterator<Item = String> {
+    violations.into_iter().map(move |violation| format!("seed {seed}: {violation}"))
+}
+
+/// Two changes of one version of an item with different contents are sent at once to two processes: at most one is
+/// confirmed, and the other is rejected for good.
 #[test]
-fn of_two_contents_under_one_number_at_most_one_is_confirmed() {
+fn at_most_one_of_two_contents_of_a_version_is_confirmed() {
     let mut both = 0;
     for seed in 0..20 {
-        let mut simulation = Simulation::new(&scenario(seed, Layout::six(), Vec::new()));
-        simulation.run_to(5 * SECOND);
-        let item = [((Kind::Service, "l".to_owned()), 7, true)];
-        let (a, b) = (
-            simulation.replica(seed as usize % 6),
-            simulation.replica((seed as usize + 1 + seed as usize / 6) % 6),
-        );
-        let (_, one) = simulation.change(a, &item);
-        let (_, two) = simulation.change(b, &item);
-        simulation.run(3 * SECOND);
-        let verdicts = [simulation.status(one), simulation.status(two)];
-        both += usize::from(verdicts == [Some(AnswerStatus::Confirmed); 2]);
-        simulation.read_back();
-        simulation.run(SECOND);
+        let mut simulation = simulate(seed, Layout::six_replicas());
+        let write = [PlannedWrite::set(Kind::Service, "l", 7)];
+        let first_node = simulation.node_of(seed as usize % 6);
+        let second_node = simulation.node_of((seed as usize + 1 + seed as usize / 6) % 6);
+        let first = simulation.request_change(first_node, &write);
+        let second = simulation.request_change(second_node, &write);
+        simulation.run_for(3 * SECOND);
+        let statuses = [simulation.status_of(first), simulation.status_of(second)];
+        both += usize::from(statuses == [Some(AnswerStatus::Confirmed); 2]);
+        simulation.read_all_nodes();
+        simulation.run_for(SECOND);
         let violations = check_history(&simulation.history);
         assert!(violations.is_empty() || both > 0, "seed {seed}: {violations:?}");
-        assert!(both > 0 || verdicts.contains(&Some(AnswerStatus::Taken)), "seed {seed}: {verdicts:?}");
+        assert!(both > 0 || statuses.contains(&Some(AnswerStatus::Conflict)), "seed {seed}: {statuses:?}");
     }
     assert_eq!(both, 0, "both were confirmed in {both} of 20 seeds");
 }
 
-/// A process is killed and begins anew while the others' disks take 3.5 s: what they kept for its earlier life is no
-/// copy of what it writes now. Power is lost everywhere then, and its disk with it.
+/// Sends 150 changes to the first replica, each with a version of its own, or fewer: until one of all is confirmed.
+fn send_changes(simulation: &mut Simulation, attempts: &mut Vec<AttemptId>, until_confirmed: bool) {
+    for _ in 0..150 {
+        let version = attempts.len() as u64 + 1;
+        let write = [PlannedWrite::set(Kind::Service, format!("l{version}"), version)];
+        attempts.push(simulation.request_change(simulation.node_of(0), &write));
+        simulation.run_for(20 * MILLISECOND);
+        if until_confirmed && attempts.iter().any(|attempt| is_confirmed(simulation, *attempt)) {
+            break;
+        }
+    }
+}
+
+/// A process is killed and restarts while the others' disks take 3.5 s for a sync: what they persist for its earlier
+/// incarnation does not count as replicas of what it writes now. Then power is lost everywhere, and its disk with it.
 #[test]
-fn copies_for_an_earlier_life_are_no_copies_of_what_the_next_one_writes() {
-    let (mut confirmed, mut lost) = (0, Vec::new());
+fn replicas_for_an_earlier_incarnation_do_not_count_for_the_next_one() {
+    let (mut confirmed, mut violations) = (0, Vec::new());
     for seed in 0..10 {
-        // Without gateways: they would give back what they were told.
-        let layout = Layout { gates: 0, ..Layout::six() };
-        let mut simulation = Simulation::new(&scenario(seed, layout, Vec::new()));
-        simulation.run_to(5 * SECOND);
-        let slow = Fault::SlowDisks { replicas: (1..6).collect(), extra: 3_500 * MILLI, span: 100 * SECOND };
-        simulation.fault(&slow);
-        let (mut version, mut sent) = (0, Vec::new());
-        for incarnation in 0..2 {
-            for _ in 0..150 {
-                version += 1;
-                let item = [((Kind::Service, format!("l{version}")), version, true)];
-                sent.push(simulation.change(simulation.replica(0), &item).1);
-                simulation.run(20 * MILLI);
-                // The worst moment: a copy is said to be there, and no other disk has got so far.
-                if incarnation == 1
-                    && sent.iter().any(|s| simulation.status(*s) == Some(AnswerStatus::Confirmed))
-                {
-                    break;
-                }
-            }
-            if incarnation == 0 {
-                simulation.fault(&Fault::Kill { replicas: vec![0], power: false, back: 100 * MILLI });
-                simulation.run(1_500 * MILLI);
-            }
-        }
-        confirmed += sent.iter().filter(|s| simulation.status(**s) == Some(AnswerStatus::Confirmed)).count();
+        // Without gateways: they would give back what they were sent.
+        let layout = Layout { gateway_count: 0, ..Layout::six_replicas() };
+        let mut simulation = simulate(seed, layout);
+        simulation.inject(&Fault::SlowDisks {
+            replicas: (1..6).collect(),
+            extra_latency: 3_500 * MILLISECOND,
+            duration: 100 * SECOND,
+        });
+        let mut attempts = Vec::new();
+        send_changes(&mut simulation, &mut attempts, false);
+        simulation.inject(&Fault::Crash {
+            replicas: vec![0],
+            is_power_loss: false,
+            restart_after: 100 * MILLISECOND,
+        });
+        simulation.run_for(1_500 * MILLISECOND);
+        // The worst moment: a replica is said to be persisted, and no other disk has got so far.
+        send_changes(&mut simulation, &mut attempts, true);
+        confirmed += attempts.iter().filter(|attempt| is_confirmed(&simulation, **attempt)).count();
         simulation.lose_disks(&[0], true, SECOND);
-        simulation.calm();
-        simulation.run(12 * SECOND);
-        let read = simulation.ask(simulation.replica(3), Operation::Read);
-        simulation.run(2 * SECOND);
-        assert_eq!(
-            simulation.status(read),
-            Some(AnswerStatus::Confirmed),
-            "seed {seed}: nothing is read back"
-        );
-        lost.extend(
-            check_history(&simulation.history)
-                .into_iter()
-                .map(|violation| format!("seed {seed}: {violation}")),
-        );
+        simulation.heal();
+        simulation.run_for(12 * SECOND);
+        let read = simulation.request(simulation.node_of(3), Operation::Read);
+        simulation.run_for(2 * SECOND);
+        assert!(is_confirmed(&simulation, read), "seed {seed}: nothing is read back");
+        violations.extend(describe(seed, check_history(&simulation.history)));
     }
-    assert!(lost.is_empty(), "{confirmed} confirmed in all: {lost:#?}");
+    assert!(violations.is_empty(), "{confirmed} confirmed in all: {violations:#?}");
 }
 
-/// What a gateway acts on never goes away: nothing is in force that a later `Get` does not show.
+/// What a gateway acts on never goes away: every later read shows it.
 #[test]
-fn what_is_in_force_at_a_gateway_is_shown_by_every_later_read() {
+fn what_a_gateway_acts_on_is_shown_by_every_later_read() {
     let mut violations = Vec::new();
     for seed in [1, 7, 9, 10] {
-        let scenario = Plan::Away.scenario(seed);
-        let scenario = Scenario { workload: scenario.workload.without_rivals(), ..scenario };
-        violations.extend(
-            play(&scenario, false)
-                .violations
-                .into_iter()
-                .map(|violation| format!("seed {seed}: {violation}")),
-        );
+        let result = run_scenario(&Plan::Away.scenario(seed).without_rivals(), false);
+        violations.extend(describe(seed, result.violations));
     }
     assert!(violations.is_empty(), "{violations:#?}");
 }
 
-/// Rivals, lost answers and repeated calls under each plan's troubles.
+/// Races, lost answers and changes that are sent again, under the faults of each plan.
 #[rstest]
 #[case(Plan::Calm)]
 #[case(Plan::Cuts)]
@@ -116,12 +120,11 @@
 #[case(Plan::Away)]
 #[case(Plan::Disks)]
 #[case(Plan::All)]
-fn with_rivals_no_rule_is_broken(#[case] plan: Plan) {
+fn with_rivals_no_invariant_is_violated(#[case] plan: Plan) {
     let mut violations = Vec::new();
     for seed in 0..2 {
-        let outcome = play(&plan.scenario(seed), false);
-        violations
-            .extend(outcome.violations.into_iter().map(|violation| format!("seed {seed}: {violation}")));
+        let result = run_scenario(&plan.scenario(seed), false);
+        violations.extend(describe(seed, result.violations));
     }
     assert!(violations.is_empty(), "{violations:#?}");
 }
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -1,17 +1,12 @@
-//! A short form of each plan. The long one is the program: `kitepass-simulation run --seeds 10000`.
-
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
+//! A few seeds of each plan. The long one is the program: `kitepass-simulation run --seeds 10000`.
 
 use kitepass_simulation::coverage::Coverage;
-use kitepass_simulation::run::play;
+use kitepass_simulation::run::run_scenario;
 use kitepass_simulation::scenario::{Plan, Scenario};
 use rstest::rstest;
 
 fn without_rivals(plan: Plan, seed: u64) -> Scenario {
-    let scenario = plan.scenario(seed);
-    Scenario { workload: scenario.workload.without_rivals(), ..scenario }
+    plan.scenario(seed).without_rivals()
 }
 
 /// No two callers use one version of an item.
@@ -21,72 +16,72 @@
 #[case(Plan::Losses)]
 #[case(Plan::Disks)]
 #[case(Plan::All)]
-fn without_rivals_no_rule_is_broken(#[case] plan: Plan) {
+fn without_rivals_no_invariant_is_violated(#[case] plan: Plan) {
     for seed in 0..3 {
-        let outcome = play(&without_rivals(plan, seed), false);
-        assert_eq!(outcome.violations, [], "seed {seed}");
+        let result = run_scenario(&without_rivals(plan, seed), false);
+        assert_eq!(result.violations, [], "seed {seed}");
     }
 }
 
-/// One seed is one run.
 #[test]
-fn a_seed_plays_the_same_each_time() {
-    let [one, two] = [0, 1].map(|_| play(&Plan::All.scenario(3), false));
+fn a_seed_is_the_same_run_each_time() {
+    let [one, two] = [0, 1].map(|_| run_scenario(&Plan::All.scenario(3), false));
     assert_eq!((one.coverage, one.violations), (two.coverage, two.violations));
 }
 
-/// Danger: a plan that brings nothing about passes. Each kind of trouble comes in a few seeds, and what it leads to.
+/// A plan in which nothing happens would pass all other tests: in a few seeds each kind of fault comes up, and what it
+/// leads to.
 #[test]
-fn what_the_plans_are_for_comes_about() {
-    let wanted = [
-        "trouble-kill",
-        "trouble-power",
-        "trouble-dark",
-        "trouble-disk-lost",
-        "trouble-disks-lost-zone",
-        "trouble-disks-lost-region",
-        "trouble-disks-lost-and-dark",
-        "trouble-freeze",
-        "trouble-cut",
-        "trouble-cut-mute",
-        "trouble-cut-deaf",
-        "trouble-cut-steward",
-        "trouble-reset",
-        "trouble-slow-link",
-        "trouble-slow-disks",
-        "trouble-disk-hangs",
-        "trouble-disk-refuses",
-        "trouble-leave",
-        "trouble-replace-leaving",
-        "trouble-replace-lost",
-        "trouble-gate-falls",
-        "trouble-answers-lost",
-        "fell-at-answer",
-        "fell-at-event",
+fn plans_cover_what_they_are_for() {
+    let expected = [
+        "fault-crash",
+        "fault-power-loss",
+        "fault-power-outage",
+        "fault-disk-loss",
+        "fault-disk-loss-zone",
+        "fault-disk-loss-region",
+        "fault-disk-loss-with-power-outage",
+        "fault-pause",
+        "fault-partition",
+        "fault-partition-outgoing",
+        "fault-partition-incoming",
+        "fault-lease-holder-partition",
+        "fault-connection-reset",
+        "fault-slow-link",
+        "fault-slow-disks",
+        "fault-disk-hang",
+        "fault-disk-refusal",
+        "fault-graceful-shutdown",
+        "fault-graceful-replacement",
+        "fault-replacement",
+        "fault-gateway-restart",
+        "fault-answer-loss",
+        "crashed-at-confirmation",
+        "crashed-after-events",
         "answer-confirmed",
         "answer-invalid",
-        "answer-unclear",
+        "answer-unknown",
         "answer-lost",
-        "resent",
-        "task-race",
-        "task-resend",
-        "task-zone",
-        "word-of-dead-life-after-next-began",
-        "word-to-dead-life",
-        "word-held-then-came",
-        "word-lost-by-reset",
-        "cast-next-seen",
+        "request-retried",
+        "operation-race",
+        "operation-resend",
+        "operation-evacuation",
+        "message-from-dead-process-after-restart",
+        "message-to-dead-process",
+        "blocked-message-delivered",
+        "message-lost-by-reset",
+        "replica-set-next-seen",
     ];
     let mut coverage = Coverage::default();
-    let mut missing: Vec<&str> = wanted.into();
+    let mut missing: Vec<&str> = expected.into();
     let losses = [10, 22, 0].map(|seed| (Plan::Losses, seed));
-    let rest =
+    let others =
         [Plan::Cuts, Plan::Races, Plan::Disks, Plan::All].map(|plan| [(plan, 0), (plan, 1), (plan, 2)]);
-    for (plan, seed) in losses.into_iter().chain(rest.into_iter().flatten()) {
+    for (plan, seed) in losses.into_iter().chain(others.into_iter().flatten()) {
         if !missing.is_empty() {
-            coverage.join(&play(&plan.scenario(seed), false).coverage);
-            missing.retain(|what| coverage.of(what) == 0);
+            coverage.merge(&run_scenario(&plan.scenario(seed), false).coverage);
+            missing.retain(|name| coverage.get(name) == 0);
         }
     }
-    assert!(missing.is_empty(), "{missing:?} never came: {coverage}");
+    assert!(missing.is_empty(), "{missing:?} never came up: {coverage}");
 }
