--- a/crates/simulation/examples/change_latency.rs
+++ b/crates/simulation/examples/change_latency.rs
@@ -81,7 +81,7 @@
         gateway_count: 0,
         link_delay,
         link_jitter: link_delay / 20,
-        sync_duration: (4_900, 5_100),
+        sync_duration: 4_900..5_100,
         ..Layout::six_replicas()
     };
     let mut simulation = Simulation::new(&Scenario::without_operators(SEED, layout, Vec::new()));
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -5,6 +5,7 @@
 use crate::process::Records;
 use crate::rng::Rng;
 use std::collections::BTreeMap;
+use std::ops::Range;
 
 /// A sync that a fault blocked ends within this time after the fault, in microseconds.
 const MAX_RECHECK_DELAY: i64 = 50_000;
@@ -60,7 +61,6 @@
 }
 
 /// The content of a machine's disk, and the writes on their way to it.
-#[derive(Default)]
 pub struct Disk {
     synced: BTreeMap<Vec<u8>, Vec<u8>>,
     /// Written by a process that was killed, and not synced yet.
@@ -71,8 +71,8 @@
     waiting: Vec<PendingWrite>,
     /// What is wrong with the disk.
     pub faults: DiskFaults,
-    /// Microseconds that a sync takes, from the least to below the most.
-    sync_duration: (i64, i64),
+    /// Microseconds that a sync takes.
+    sync_duration: Range<i64>,
     /// Each unsynced write survives a loss of power independently of those before it. A log excludes this; a test may
     /// ask for it.
     loses_writes_independently: bool,
@@ -91,8 +91,16 @@
 
 impl Disk {
     /// An empty disk.
-    pub fn new(sync_duration: (i64, i64), loses_writes_independently: bool) -> Disk {
-        Disk { sync_duration, loses_writes_independently, ..Disk::default() }
+    pub fn new(sync_duration: Range<i64>, loses_writes_independently: bool) -> Disk {
+        Disk {
+            synced: BTreeMap::new(),
+            written: Vec::new(),
+            syncing: Vec::new(),
+            waiting: Vec::new(),
+            faults: DiskFaults::default(),
+            sync_duration,
+            loses_writes_independently,
+        }
     }
 
     /// Takes records to persist. If a sync starts with them, returns when it ends.
@@ -109,14 +117,14 @@
     /// When a sync that starts now ends.
     fn sync_end(&self, now: i64, rng: &mut Rng) -> i64 {
         let extra = if self.faults.slow_until > now { self.faults.extra_latency } else { 0 };
-        now + rng.in_range(self.sync_duration.0, self.sync_duration.1) + extra
+        now + rng.in_range(self.sync_duration.clone()) + extra
     }
 
     /// Ends the sync that is due now, unless the disk is blocked.
     pub fn complete_sync(&mut self, now: i64, rng: &mut Rng) -> SyncResult {
         let blocked_until = self.faults.blocked_until();
         if blocked_until > now {
-            return SyncResult::Blocked { retry_at: blocked_until + rng.in_range(0, MAX_RECHECK_DELAY) };
+            return SyncResult::Blocked { retry_at: blocked_until + rng.in_range(0..MAX_RECHECK_DELAY) };
         }
         for records in self.written.drain(..) {
             apply(&mut self.synced, records);
@@ -169,11 +177,7 @@
 
     /// Loses all content; faults stay.
     pub fn wipe(&mut self) {
-        *self = Disk {
-            faults: self.faults,
-            sync_duration: self.sync_duration,
-            loses_writes_independently: self.loses_writes_independently,
-            ..Disk::default()
-        };
+        let empty = Disk::new(self.sync_duration.clone(), self.loses_writes_independently);
+        *self = Disk { faults: self.faults, ..empty };
     }
 }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -53,6 +53,15 @@
     }
 }
 
+/// A process at one end of a channel.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ChannelEnd {
+    /// Its machine.
+    pub host: Host,
+    /// Its incarnation, as the simulation numbers them; 0 for gateways.
+    pub incarnation: u64,
+}
+
 /// What a channel is part of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChannelKind {
@@ -75,14 +84,10 @@
 
 /// The state of one direction of a connection. Times are microseconds.
 pub struct Channel {
-    /// The sender's machine.
-    pub from: Host,
-    /// The receiver's machine.
-    pub to: Host,
-    /// Which process of the sender's machine opened it; 0 for gateways.
-    pub from_incarnation: u64,
-    /// Which process of the receiver's machine it leads to; another one has no such connection.
-    pub to_incarnation: u64,
+    /// The process that sends on it.
+    pub from: ChannelEnd,
+    /// The process that it leads to; another one on the same machine has no such connection.
+    pub to: ChannelEnd,
     /// What it is part of.
     pub kind: ChannelKind,
     /// Messages that a partition holds back.
@@ -103,17 +108,10 @@
 
 impl Channel {
     /// An open channel without traffic.
-    pub fn new(
-        now: i64,
-        (from, from_incarnation): (Host, u64),
-        (to, to_incarnation): (Host, u64),
-        kind: ChannelKind,
-    ) -> Channel {
+    pub fn new(now: i64, from: ChannelEnd, to: ChannelEnd, kind: ChannelKind) -> Channel {
         Channel {
             from,
             to,
-            from_incarnation,
-            to_incarnation,
             kind,
             blocked: VecDeque::new(),
             blocked_since: 0,
@@ -211,7 +209,7 @@
             channel.is_closed = true;
             channel.blocked.clear();
             if rng.percent(50) {
-                channel.lost_after = rng.in_range(now, channel.last_delivery.max(now) + 1);
+                channel.lost_after = rng.in_range(now..channel.last_delivery.max(now) + 1);
             }
         }
     }
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -231,7 +231,7 @@
         let service = format!("l{number}");
         let route = format!("r{}-l{number}", rng.below(2));
         let tenant = format!("t{}-k{number}", rng.below(2));
-        let mut version = self.newest_version + rng.in_range(1, 4) as u64;
+        let mut version = self.newest_version + rng.in_range(1..4) as u64;
         if rng.percent(workload.stale_version_percent) {
             let versions = self.recent_versions.get(&ItemName::new(Kind::Service, service.as_str()));
             let recent = versions.and_then(|versions| rng.choose(versions)).copied();
--- a/crates/simulation/src/rng.rs
+++ b/crates/simulation/src/rng.rs
@@ -1,6 +1,8 @@
 //! Seeded random numbers. Each user draws from a stream of its own, so that leaving out one fault changes no draw
 //! that the others depend on.
 
+use std::ops::Range;
+
 /// Which part of a run draws its random numbers from a generator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RandomStream {
@@ -42,9 +44,9 @@
         self.0.rand_range(0..end.max(1) as u64) as usize
     }
 
-    /// A number from `start` to below `end`; `start` if the range is empty.
-    pub fn in_range(&mut self, start: i64, end: i64) -> i64 {
-        start + self.0.rand_range(0..(end - start).max(1) as u64) as i64
+    /// A number in a range; its start if the range is empty.
+    pub fn in_range(&mut self, range: Range<i64>) -> i64 {
+        range.start + self.0.rand_range(0..(range.end - range.start).max(1) as u64) as i64
     }
 
     /// True with the given probability in percent.
--- a/crates/simulation/src/scenario/layout.rs
+++ b/crates/simulation/src/scenario/layout.rs
@@ -1,13 +1,14 @@
 //! The machines of a simulation, and what lies between them.
 
 use crate::rng::Rng;
+use std::ops::Range;
 
 /// Latencies between zones of which one is drawn, in microseconds: a building, a city, a continent.
 const LINK_DELAYS: [i64; 3] = [200, 900, 55_000];
 /// Jitters of which one is drawn, in microseconds.
 const LINK_JITTERS: [i64; 3] = [500, 5_000, 60_000];
-/// Durations of a sync of which one is drawn, from least to most, in microseconds.
-const SYNC_DURATIONS: [(i64, i64); 2] = [(300, 4_000), (1_000, 20_000)];
+/// Durations of a sync of which one is drawn, in microseconds.
+const SYNC_DURATIONS: [Range<i64>; 2] = [300..4_000, 1_000..20_000];
 /// Addresses that each process knows at first.
 const MAX_INITIAL_REPLICAS: usize = 3;
 
@@ -27,8 +28,8 @@
     pub link_delay: i64,
     /// Up to so much is drawn for each message in addition, in microseconds.
     pub link_jitter: i64,
-    /// Microseconds that a sync of a disk takes, from the least to below the most.
-    pub sync_duration: (i64, i64),
+    /// Microseconds that a sync of a disk takes.
+    pub sync_duration: Range<i64>,
     /// Each unsynced write survives a loss of power independently of those before it.
     pub loses_writes_independently: bool,
 }
@@ -65,7 +66,7 @@
             initial_replicas: vec![0, 2, 4],
             link_delay: 900,
             link_jitter: 2_000,
-            sync_duration: (300, 4_000),
+            sync_duration: 300..4_000,
             loses_writes_independently: false,
         }
     }
@@ -77,9 +78,9 @@
 
     /// Draws three to nine replicas in one to three regions and two to six zones.
     pub(super) fn draw(rng: &mut Rng) -> Layout {
-        let replicas = rng.in_range(3, 10) as usize;
-        let regions = rng.in_range(1, 4) as usize;
-        let zones = rng.in_range(regions.max(2) as i64, replicas.min(6) as i64 + 1) as usize;
+        let replicas = rng.in_range(3..10) as usize;
+        let regions = rng.in_range(1..4) as usize;
+        let zones = rng.in_range(regions.max(2) as i64..replicas.min(6) as i64 + 1) as usize;
         // Each region has a zone and each zone a replica; the others are drawn.
         let zone_regions = spread(zones, regions, rng);
         let mut replica_zones = spread(replicas, zones, rng);
@@ -89,10 +90,10 @@
             initial_replicas.remove(rng.below(initial_replicas.len()));
         }
         // Invariant: the order of the draws is part of what a seed means.
-        let gateway_count = rng.in_range(2, 9) as usize;
+        let gateway_count = rng.in_range(2..9) as usize;
         let link_delay = LINK_DELAYS[rng.below(LINK_DELAYS.len())];
         let link_jitter = LINK_JITTERS[rng.below(LINK_JITTERS.len())];
-        let sync_duration = SYNC_DURATIONS[rng.below(SYNC_DURATIONS.len())];
+        let sync_duration = SYNC_DURATIONS[rng.below(SYNC_DURATIONS.len())].clone();
         Layout {
             replica_zones,
             zone_regions,
--- a/crates/simulation/src/scenario/plan.rs
+++ b/crates/simulation/src/scenario/plan.rs
@@ -5,6 +5,7 @@
     FOUNDING_PERIOD, MILLISECOND, SECOND,
 };
 use crate::rng::{RandomStream, Rng};
+use std::ops::Range;
 
 /// A kind of scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -109,16 +110,16 @@
         }
     }
 
-    /// Microseconds between two faults, from the least to below the most.
-    fn fault_interval(self) -> (i64, i64) {
+    /// Microseconds between two faults.
+    fn fault_interval(self) -> Range<i64> {
         match self {
-            Plan::Calm => (SECOND, 2 * SECOND),
-            Plan::Cuts => (300 * MILLISECOND, 9 * SECOND),
-            Plan::Races => (200 * MILLISECOND, 3 * SECOND),
-            Plan::Losses => (2 * SECOND, 9 * SECOND),
-            Plan::Away => (SECOND, 8 * SECOND),
-            Plan::Disks => (300 * MILLISECOND, 4 * SECOND),
-            Plan::All => (200 * MILLISECOND, 5 * SECOND),
+            Plan::Calm => SECOND..2 * SECOND,
+            Plan::Cuts => 300 * MILLISECOND..9 * SECOND,
+            Plan::Races => 200 * MILLISECOND..3 * SECOND,
+            Plan::Losses => 2 * SECOND..9 * SECOND,
+            Plan::Away => SECOND..8 * SECOND,
+            Plan::Disks => 300 * MILLISECOND..4 * SECOND,
+            Plan::All => 200 * MILLISECOND..5 * SECOND,
         }
     }
 
@@ -153,15 +154,15 @@
 
     fn draw_faults(self, layout: &Layout, until: i64, rng: &mut Rng) -> Vec<ScheduledFault> {
         let weights = self.weights();
-        let (shortest, longest) = self.fault_interval();
+        let interval = self.fault_interval();
         let mut faults = Vec::new();
-        let mut at = FOUNDING_PERIOD + rng.in_range(0, SECOND);
+        let mut at = FOUNDING_PERIOD + rng.in_range(0..SECOND);
         while at < until && weights.iter().any(|weight| *weight > 0) {
             faults.push(ScheduledFault { at, fault: draw_fault(self, layout, &weights, rng) });
-            at += rng.in_range(shortest, longest);
+            at += rng.in_range(interval.clone());
             // At times faults come close together, or in another order.
             if rng.percent(15) {
-                at -= rng.in_range(0, shortest);
+                at -= rng.in_range(0..interval.start);
             }
         }
         faults.sort_by_key(|scheduled| scheduled.at);
@@ -186,15 +187,15 @@
         let replica = rng.below(replicas);
         let other = (replica + 1 + rng.below(replicas - 1)) % replicas;
         let restart_after = match rng.below(4) {
-            0 => rng.in_range(20 * MILLISECOND, 300 * MILLISECOND),
-            3 if plan == Plan::Away => rng.in_range(15 * SECOND, 40 * SECOND),
-            3 => rng.in_range(3 * SECOND, 12 * SECOND),
-            _ => rng.in_range(300 * MILLISECOND, 3 * SECOND),
+            0 => rng.in_range(20 * MILLISECOND..300 * MILLISECOND),
+            3 if plan == Plan::Away => rng.in_range(15 * SECOND..40 * SECOND),
+            3 => rng.in_range(3 * SECOND..12 * SECOND),
+            _ => rng.in_range(300 * MILLISECOND..3 * SECOND),
         };
         let duration = match rng.below(4) {
-            0 => rng.in_range(50 * MILLISECOND, SECOND),
+            0 => rng.in_range(50 * MILLISECOND..SECOND),
             1 => 20 * SECOND,
-            _ => rng.in_range(SECOND, 8 * SECOND),
+            _ => rng.in_range(SECOND..8 * SECOND),
         };
         let direction = match rng.below(4) {
             0 | 1 => PartitionDirection::Both,
@@ -223,7 +224,7 @@
 
 /// Draws a part of the replicas: this one alone, if no other is drawn.
 fn draw_replicas(replicas: usize, fallback: usize, rng: &mut Rng) -> Vec<usize> {
-    let percent = rng.in_range(15, 70) as u64;
+    let percent = rng.in_range(15..70) as u64;
     let mut drawn: Vec<usize> = (0..replicas).filter(|_| rng.percent(percent)).collect();
     if drawn.is_empty() {
         drawn.push(fallback);
@@ -251,7 +252,7 @@
         }
         FaultKind::ConnectionReset => Fault::ConnectionReset { a: replica, b: other },
         FaultKind::SlowLink => {
-            let extra_latency = rng.in_range(20 * MILLISECOND, 2 * SECOND);
+            let extra_latency = rng.in_range(20 * MILLISECOND..2 * SECOND);
             Fault::SlowLink { a: replica, b: other, extra_latency, duration }
         }
         FaultKind::SlowDisks => {
--- a/crates/simulation/src/simulation/connections.rs
+++ b/crates/simulation/src/simulation/connections.rs
@@ -2,7 +2,7 @@
 
 use super::events::Event;
 use super::Simulation;
-use crate::network::{Channel, ChannelId, ChannelKind, Host, SessionId, IDLE_TIMEOUT};
+use crate::network::{Channel, ChannelEnd, ChannelId, ChannelKind, Host, SessionId, IDLE_TIMEOUT};
 use crate::scenario::{MILLISECOND, SECOND};
 use kitepass_coordination::protocol::Message;
 use std::collections::BTreeSet;
@@ -36,11 +36,16 @@
             self.layout.link_delay
         };
         let spike =
-            if self.rng.percent(DELAY_SPIKE_PERCENT) { self.rng.in_range(0, MAX_DELAY_SPIKE) } else { 0 };
-        let jitter = self.rng.in_range(0, self.layout.link_jitter + 1);
+            if self.rng.percent(DELAY_SPIKE_PERCENT) { self.rng.in_range(0..MAX_DELAY_SPIKE) } else { 0 };
+        let jitter = self.rng.in_range(0..self.layout.link_jitter + 1);
         base + jitter + spike + self.network.extra_latency(self.now, from, to)
     }
 
+    /// A node's process, as the end of a channel.
+    pub(super) fn node_end(&self, node: usize) -> ChannelEnd {
+        ChannelEnd { host: Host::Node(node), incarnation: self.nodes[node].incarnation }
+    }
+
     /// The node that is reached by an address.
     pub(super) fn node_by_address(&self, address: &str) -> Option<usize> {
         self.nodes.iter().position(|node| {
@@ -79,10 +84,8 @@
             return;
         }
         let id = ChannelId(self.network.next_id());
-        let (from_incarnation, to_incarnation) =
-            (self.nodes[number].incarnation, self.nodes[other].incarnation);
         let mut channel =
-            Channel::new(self.now, (from, from_incarnation), (to, to_incarnation), ChannelKind::Peer);
+            Channel::new(self.now, self.node_end(number), self.node_end(other), ChannelKind::Peer);
         self.nodes[number].peer_channels.insert(other, id);
         self.log(format_args!("event=connect node={from} to={to} channel={}", id.0));
         // A round trip for the connection, then the message.
@@ -96,13 +99,14 @@
         let session = SessionId(self.network.next_id());
         // The session's second channel has the next number.
         self.network.next_id();
-        let gateway_end = (Host::Gateway(gateway), 0);
-        let node_end = (Host::Node(node), self.nodes[node].incarnation);
+        let gateway_end = ChannelEnd { host: Host::Gateway(gateway), incarnation: 0 };
+        let node_end = self.node_end(node);
         let mut to_node = Channel::new(self.now, gateway_end, node_end, ChannelKind::SessionToNode(session));
         let to_gateway =
             Channel::new(self.now, node_end, gateway_end, ChannelKind::SessionToGateway(session));
-        to_node.last_delivery =
-            self.now + self.delay(node_end.0, gateway_end.0) + self.delay(gateway_end.0, node_end.0);
+        to_node.last_delivery = self.now
+            + self.delay(node_end.host, gateway_end.host)
+            + self.delay(gateway_end.host, node_end.host);
         self.network.channels.insert(session.to_node(), to_node);
         self.network.channels.insert(session.to_gateway(), to_gateway);
         session
@@ -111,9 +115,9 @@
     /// A connection is reset; whoever sends on it, or has the session, notices.
     pub(super) fn reset_channel(&mut self, id: ChannelId) {
         let Some(channel) = self.network.channels.get(&id) else { return };
-        let (from, incarnation, kind) = (channel.from, channel.from_incarnation, channel.kind);
+        let (ChannelEnd { host, incarnation }, kind) = (channel.from, channel.kind);
         self.network.reset(self.now, id, &mut self.rng);
-        match (kind, from) {
+        match (kind, host) {
             (ChannelKind::Peer, Host::Node(node)) => {
                 self.schedule(self.now + 1, Event::PeerConnectionLost { node, incarnation, channel: id });
             }
@@ -138,8 +142,8 @@
             self.network.close(id);
         }
         let Some(channel) = self.network.channels.get(&session.to_node()) else { return };
-        let (Host::Gateway(gateway), Host::Node(node)) = (channel.from, channel.to) else { return };
-        let incarnation = channel.to_incarnation;
+        let (Host::Gateway(gateway), Host::Node(node)) = (channel.from.host, channel.to.host) else { return };
+        let incarnation = channel.to.incarnation;
         let delay_to_node = self.delay(Host::Gateway(gateway), Host::Node(node));
         let delay_to_gateway = self.delay(Host::Node(node), Host::Gateway(gateway));
         let lost_at_node = delay_to_node + self.last_arrival(session.to_node());
@@ -177,11 +181,11 @@
 
     /// A process closes peers' connections on which nothing has come for long.
     pub(super) fn close_idle_connections(&mut self, number: usize) {
-        let receiver = (Host::Node(number), self.nodes[number].incarnation);
+        let receiver = self.node_end(number);
         let now = self.now;
         let ids = self.network.channels_where(|channel| {
             let is_open_peer = channel.kind == ChannelKind::Peer && !channel.is_closed;
-            let is_received = (channel.to, channel.to_incarnation) == receiver;
+            let is_received = channel.to == receiver;
             is_open_peer && is_received && now - channel.last_received > IDLE_TIMEOUT
         });
         for id in ids {
@@ -201,7 +205,7 @@
     /// The sender learns that its connection is closed, once a message can reach it.
     pub(super) fn hung_up(&mut self, id: ChannelId) {
         let Some(channel) = self.network.channels.get(&id) else { return };
-        let (from, to, incarnation) = (channel.from, channel.to, channel.from_incarnation);
+        let (from, to, incarnation) = (channel.from.host, channel.to.host, channel.from.incarnation);
         if self.network.partition_of(self.now, to, from).is_some() {
             return self.schedule(self.now + HANG_UP_RETRY_INTERVAL, Event::HungUp { channel: id });
         }
--- a/crates/simulation/src/simulation/delivery.rs
+++ b/crates/simulation/src/simulation/delivery.rs
@@ -2,7 +2,9 @@
 
 use super::events::Event;
 use super::Simulation;
-use crate::network::{ChannelId, ChannelKind, Host, Partition, PeerIdentity, SessionId, SEND_TIMEOUT};
+use crate::network::{
+    ChannelEnd, ChannelId, ChannelKind, Host, Partition, PeerIdentity, SessionId, SEND_TIMEOUT,
+};
 use kitepass_coordination::protocol::{Hello, Message};
 
 /// When to look again at what a partition blocks: at its end, or earlier, when a sender that can tell the
@@ -21,7 +23,7 @@
         let Some(channel) = self.network.channels.get(&id).filter(|channel| !channel.is_closed) else {
             return;
         };
-        let due = self.now + self.delay(channel.from, channel.to);
+        let due = self.now + self.delay(channel.from.host, channel.to.host);
         let Some(channel) = self.network.channels.get_mut(&id) else { return };
         channel.last_delivery = channel.last_delivery.max(due);
         let due = channel.last_delivery;
@@ -55,7 +57,7 @@
         if now > channel.lost_after {
             return self.coverage.count("message-lost-by-reset");
         }
-        let partition = self.network.partition_of(now, channel.from, channel.to);
+        let partition = self.network.partition_of(now, channel.from.host, channel.to.host);
         let Some(channel) = self.network.channels.get_mut(&id) else { return };
         // What is blocked already goes first.
         let is_first_blocked = channel.blocked.is_empty();
@@ -74,7 +76,7 @@
     pub(super) fn release_blocked(&mut self, id: ChannelId) {
         let now = self.now;
         let Some(channel) = self.network.channels.get(&id) else { return };
-        if let Some(partition) = self.network.partition_of(now, channel.from, channel.to) {
+        if let Some(partition) = self.network.partition_of(now, channel.from.host, channel.to.host) {
             if !partition.keeps_connections && now - channel.blocked_since >= SEND_TIMEOUT {
                 self.coverage.count("reset-by-partition");
                 return self.reset_channel(id);
@@ -93,7 +95,7 @@
     fn deliver(&mut self, id: ChannelId, message: Message) {
         let Some(channel) = self.network.channels.get_mut(&id) else { return };
         channel.last_received = self.now;
-        match (channel.to, channel.kind) {
+        match (channel.to.host, channel.kind) {
             (Host::Gateway(gateway), ChannelKind::SessionToGateway(session)) => {
                 self.gateway_message(gateway, session, message);
             }
@@ -104,12 +106,12 @@
 
     fn deliver_to_node(&mut self, id: ChannelId, node: usize, kind: ChannelKind, message: Message) {
         let channel = &self.network.channels[&id];
-        let (from, from_incarnation) = (channel.from, channel.from_incarnation);
+        let from = channel.from;
         let sender = channel.sender.clone();
-        if !self.is_running(node, channel.to_incarnation) {
+        if !self.is_running(node, channel.to.incarnation) {
             return self.coverage.count("message-to-dead-process");
         }
-        self.count_message_from_dead(from, from_incarnation);
+        self.count_message_from_dead(from);
         match (kind, sender, message) {
             (ChannelKind::Peer, None, Message::Hello(hello)) => self.peer_hello(id, node, hello),
             (ChannelKind::Peer, None, _) => {}
@@ -124,9 +126,9 @@
         }
     }
 
-    fn count_message_from_dead(&mut self, from: Host, incarnation: u64) {
-        let Host::Node(sender) = from else { return };
-        if !self.is_running(sender, incarnation) {
+    fn count_message_from_dead(&mut self, from: ChannelEnd) {
+        let Host::Node(sender) = from.host else { return };
+        if !self.is_running(sender, from.incarnation) {
             self.coverage.count("message-from-dead-process");
             if self.nodes[sender].process.is_some() {
                 self.coverage.count("message-from-dead-process-after-restart");
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -144,7 +144,7 @@
 
     /// Draws when a machine that crashes together with others comes back.
     fn draw_restart(&mut self, crash: Crash) -> Crash {
-        let restart_after = crash.restart_after + self.rng.in_range(0, RESTART_SPREAD);
+        let restart_after = crash.restart_after + self.rng.in_range(0..RESTART_SPREAD);
         Crash { restart_after, ..crash }
     }
 
@@ -218,7 +218,7 @@
     fn reset_connections(&mut self, a: usize, b: usize) -> bool {
         let (a, b) = (Host::Node(a), Host::Node(b));
         let ids = self.network.channels_where(|channel| {
-            let ends = (channel.from, channel.to);
+            let ends = (channel.from.host, channel.to.host);
             (ends == (a, b) || ends == (b, a)) && channel.kind == ChannelKind::Peer && !channel.is_closed
         });
         let is_any = !ids.is_empty();
--- a/crates/simulation/src/simulation/machines.rs
+++ b/crates/simulation/src/simulation/machines.rs
@@ -9,9 +9,10 @@
 use crate::scenario::{zone_name, SECOND};
 use kitepass_time::Timestamp;
 use std::collections::BTreeMap;
+use std::ops::Range;
 
 /// The bounds of a steady clock's time at the start of the simulation.
-const CLOCK_OFFSETS: (i64, i64) = (10 * SECOND, 1_000 * SECOND);
+const CLOCK_OFFSETS: Range<i64> = 10 * SECOND..1_000 * SECOND;
 /// How much a steady clock runs too fast or too slow at most, in parts per million.
 const MAX_CLOCK_DRIFT: i64 = 200;
 
@@ -105,15 +106,15 @@
             region: self.layout.region_name(zone),
         };
         let clock = SteadyClock {
-            offset: self.rng.in_range(CLOCK_OFFSETS.0, CLOCK_OFFSETS.1),
-            drift: self.rng.in_range(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT + 1),
+            offset: self.rng.in_range(CLOCK_OFFSETS),
+            drift: self.rng.in_range(-MAX_CLOCK_DRIFT..MAX_CLOCK_DRIFT + 1),
         };
         self.nodes.push(Node {
             location,
             replica,
             process: None,
             incarnation: 0,
-            disk: Disk::new(self.layout.sync_duration, self.layout.loses_writes_independently),
+            disk: Disk::new(self.layout.sync_duration.clone(), self.layout.loses_writes_independently),
             paused_until: 0,
             inbox: Vec::new(),
             clock,
--- a/crates/simulation/src/simulation/mod.rs
+++ b/crates/simulation/src/simulation/mod.rs
@@ -131,7 +131,7 @@
         for replica in 0..self.layout.replica_count() {
             let node = self.add_node(replica);
             self.replicas.push(node);
-            let at = self.rng.in_range(0, START_SPREAD);
+            let at = self.rng.in_range(0..START_SPREAD);
             self.schedule(at, Event::StartProcess { node });
         }
         for gateway in 0..self.layout.gateway_count {
@@ -145,7 +145,7 @@
                 ..Hello::default()
             };
             self.gateways.push(Gateway::new(hello, self.initial_addresses(), self.regions_by_zone()));
-            let at = self.rng.in_range(0, START_SPREAD);
+            let at = self.rng.in_range(0..START_SPREAD);
             self.schedule(at, Event::GatewayTick { gateway });
         }
     }
@@ -155,7 +155,7 @@
             self.schedule(self.scheduled_faults[index].at, Event::InjectFault { index });
         }
         for operator in 0..self.operators.len() {
-            let at = FOUNDING_PERIOD - SECOND + self.operator_rng.in_range(0, SECOND);
+            let at = FOUNDING_PERIOD - SECOND + self.operator_rng.in_range(0..SECOND);
             self.schedule(at, Event::OperatorTurn { operator });
         }
         self.schedule(SECOND, Event::ListEndpoints);
@@ -204,7 +204,7 @@
             | Event::SyncDue { node, .. }
             | Event::SessionLostAtNode { node, .. }
             | Event::PeerConnectionLost { node, .. } => Some(*node),
-            Event::MessageDue { channel, .. } => match self.network.channels.get(channel)?.to {
+            Event::MessageDue { channel, .. } => match self.network.channels.get(channel)?.to.host {
                 Host::Node(node) => Some(node),
                 Host::Gateway(_) => None,
             },
--- a/crates/simulation/src/simulation/operators.rs
+++ b/crates/simulation/src/simulation/operators.rs
@@ -6,9 +6,10 @@
 use crate::operator::{Operation, Operator, PlannedWrite, ANSWER_TIMEOUT};
 use crate::process::OperatorAnswer;
 use crate::scenario::MILLISECOND;
+use std::ops::Range;
 
 /// Bounds of the time that a request or an answer takes.
-const REQUEST_DELAYS: (i64, i64) = (200, 3 * MILLISECOND);
+const REQUEST_DELAYS: Range<i64> = 200..3 * MILLISECOND;
 /// Operators that race start within this time of each other.
 const RACE_SPREAD: i64 = 2 * MILLISECOND;
 /// Operators that are asked to race with each rival.
@@ -56,7 +57,7 @@
         let racing = self.operators.len().min(self.registry.rival_count() * OPERATORS_PER_RIVAL);
         for operator in 0..racing {
             if self.operators[operator].operation.is_none() {
-                let at = self.now + self.operator_rng.in_range(0, RACE_SPREAD);
+                let at = self.now + self.operator_rng.in_range(0..RACE_SPREAD);
                 self.schedule(at, Event::OperatorTurn { operator });
             }
         }
@@ -71,7 +72,7 @@
         }
         let attempt = self.add_attempt(Some(number), operation, node);
         self.operators[number].awaited = Some(attempt);
-        let at = self.now + self.operator_rng.in_range(REQUEST_DELAYS.0, REQUEST_DELAYS.1);
+        let at = self.now + self.operator_rng.in_range(REQUEST_DELAYS);
         self.schedule(at, Event::RequestDue { attempt });
         self.schedule(self.now + ANSWER_TIMEOUT, Event::AnswerTimeout { attempt });
     }
@@ -184,7 +185,7 @@
         if self.draw_answer_loss() && has_operator {
             self.coverage.count("answer-lost");
         } else {
-            let due = at + self.operator_rng.in_range(REQUEST_DELAYS.0, REQUEST_DELAYS.1);
+            let due = at + self.operator_rng.in_range(REQUEST_DELAYS);
             self.schedule(due, Event::AnswerDue { attempt: id, answer });
         }
         if let Some(crash) = crash {
@@ -246,7 +247,7 @@
     /// An operator has ended its operation, and begins another one after a pause.
     fn end_operation(&mut self, operator: usize) {
         self.operators[operator] = Operator::default();
-        let at = self.now + self.operator_rng.in_range(0, self.workload.max_pause);
+        let at = self.now + self.operator_rng.in_range(0..self.workload.max_pause);
         self.schedule(at, Event::OperatorTurn { operator });
     }
 
@@ -271,7 +272,7 @@
         }
         let attempts = self.operators[operator].failed_attempts.min(MAX_BACKOFF_ATTEMPTS);
         let backoff = BACKOFF * i64::from(attempts);
-        let at = self.now + self.operator_rng.in_range(backoff / 2, backoff + 1);
+        let at = self.now + self.operator_rng.in_range(backoff / 2..backoff + 1);
         self.schedule(at, Event::OperatorTurn { operator });
     }
 }
--- a/crates/simulation/src/simulation/processes.rs
+++ b/crates/simulation/src/simulation/processes.rs
@@ -42,7 +42,7 @@
         node.paused_until = 0;
         self.coverage.count("process-started");
         self.log(format_args!("event=process-started node=s{number} incarnation={incarnation}"));
-        let at = self.now + self.rng.in_range(0, TICK_INTERVAL);
+        let at = self.now + self.rng.in_range(0..TICK_INTERVAL);
         self.schedule(at, Event::Tick { node: number, incarnation });
         self.perform_actions(number);
     }
@@ -209,31 +209,30 @@
     /// What a crash does to one channel.
     fn end_channel_of_crashed(&mut self, id: ChannelId, node: usize, crash: Crash) {
         let channel = &self.network.channels[&id];
-        let Channel { from, to, from_incarnation, to_incarnation, kind, last_delivery, is_closed, .. } =
-            *channel;
+        let Channel { from, to, kind, last_delivery, is_closed, .. } = *channel;
         if is_closed {
             return;
         }
         // Invariant: the delay is drawn for every open channel, also of other nodes: the run of a seed depends on it.
-        let delay = self.delay(from, to);
-        let crashed = (Host::Node(node), self.nodes[node].incarnation);
-        if (from, from_incarnation) == crashed {
+        let delay = self.delay(from.host, to.host);
+        let crashed = self.node_end(node);
+        if from == crashed {
             // What it had sent is on its way, and arrives though it is dead.
             self.network.close(id);
-            if let (ChannelKind::SessionToGateway(session), Host::Gateway(gateway)) = (kind, to) {
+            if let (ChannelKind::SessionToGateway(session), Host::Gateway(gateway)) = (kind, to.host) {
                 if !crash.is_power_loss {
                     let last_arrival = last_delivery.max(self.now) + 1;
                     let event = Event::SessionLostAtGateway { gateway, session };
                     self.schedule(last_arrival + delay, event);
                 }
             }
-        } else if (to, to_incarnation) == crashed {
+        } else if to == crashed {
             // Without power nobody says so: the sender notices that nothing is taken.
             let notice =
                 if crash.is_power_loss { SEND_TIMEOUT.min(crash.restart_after.max(delay)) } else { delay };
             self.network.reset(self.now, id, &mut self.rng);
-            if let Host::Node(node) = from {
-                let event = Event::PeerConnectionLost { node, incarnation: from_incarnation, channel: id };
+            if let Host::Node(node) = from.host {
+                let event = Event::PeerConnectionLost { node, incarnation: from.incarnation, channel: id };
                 self.schedule(self.now + notice, event);
             }
         }
