--- a/crates/simulation/src/items.rs
+++ b/crates/simulation/src/items.rs
@@ -13,6 +13,14 @@
 const ITEM_LISTS: [(&str, Kind); 3] =
     [("itineraries", Kind::Route), ("customers", Kind::Tenant), ("carrier-lines", Kind::Service)];
 
+/// Services that operators write and endpoints belong to.
+pub const SERVICE_COUNT: usize = 5;
+
+/// The name of a service.
+pub fn service_name(number: usize) -> String {
+    format!("l{number}")
+}
+
 /// Items as they travel.
 pub fn to_message(items: &[Item]) -> Items {
     Items { items: items.iter().map(ItemMessage::from).collect() }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -4,7 +4,7 @@
 //! connections: then no end can tell it from a quiet peer.
 
 use crate::rng::Rng;
-use kitepass_coordination::protocol::Message;
+use kitepass_coordination::protocol::{Hello, Message};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::{self, Display};
 
@@ -82,6 +82,12 @@
     pub incarnation: u64,
 }
 
+impl From<&Hello> for PeerIdentity {
+    fn from(hello: &Hello) -> PeerIdentity {
+        PeerIdentity { node_id: hello.node_id.clone(), incarnation: hello.incarnation }
+    }
+}
+
 /// The state of one direction of a connection. Times are microseconds.
 pub struct Channel {
     /// The process that sends on it.
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -1,7 +1,7 @@
 //! Operators: what they ask for next, and when they give up.
 
 use crate::history::{AttemptId, ChangeId, Content, ItemName, Write};
-use crate::items::to_items;
+use crate::items::{service_name, to_items, SERVICE_COUNT};
 use crate::process::OperatorRequest;
 use crate::rng::Rng;
 use crate::scenario::Workload;
@@ -16,8 +16,6 @@
 const MAX_REMEMBERED_VERSIONS: usize = 6;
 /// Zones that operators evacuate: the first ones.
 const EVACUATED_ZONES: usize = 2;
-/// Services that operators write, each with two routes and two tenants.
-const SERVICES: usize = 5;
 /// A change has an identical rival so often, and else one that writes its first item. Percent.
 const IDENTICAL_RIVAL_PERCENT: u64 = 70;
 
@@ -225,11 +223,11 @@
         }
     }
 
-    /// Draws the writes of a change: one or two items of one service.
+    /// Draws the writes of a change: one or two items of one service, which has two routes and two tenants.
     fn plan_writes(&self, workload: &Workload, rng: &mut Rng) -> Vec<PlannedWrite> {
-        let number = rng.below(SERVICES);
-        let service = format!("l{number}");
-        let route = format!("r{}-l{number}", rng.below(2));
+        let number = rng.below(SERVICE_COUNT);
+        let service = service_name(number);
+        let route = format!("r{}-{service}", rng.below(2));
         let tenant = format!("t{}-k{number}", rng.below(2));
         let mut version = self.newest_version + rng.in_range(1..4) as u64;
         if rng.percent(workload.stale_version_percent) {
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -1,8 +1,9 @@
 //! A control process: one incarnation of a node's state machine. The one place that touches the state machine's
 //! interface.
 
-use crate::history::{AnswerStatus, ItemName, ItemState};
+use crate::history::{AnswerStatus, AttemptId, ItemName, ItemState};
 use crate::items::{items_from_body, to_message};
+use crate::network::SessionId;
 use bytes::Bytes;
 use kitepass_config::{Item, ItemStore, Kind};
 use kitepass_control_plane::endpoints::Endpoint;
@@ -111,13 +112,13 @@
     /// Send to the control process of this node id.
     SendToPeer(String, Message),
     /// Send to the gateway of this session.
-    SendToSession(u64, Message),
-    /// Answer the operator's request of this number.
-    Answer(u64, OperatorAnswer),
+    SendToSession(SessionId, Message),
+    /// Answer an operator's request.
+    Answer(AttemptId, OperatorAnswer),
     /// Persist records, and notify the process by this number.
     Persist(u64, Records),
     /// Close this session.
-    CloseSession(u64),
+    CloseSession(SessionId),
 }
 
 /// A replica set that a process knows.
@@ -186,7 +187,7 @@
     }
 
     /// An operator's request arrived.
-    pub fn handle_request(&mut self, now: Timestamp, request_id: u64, request: OperatorRequest) {
+    pub fn handle_request(&mut self, now: Timestamp, attempt: AttemptId, request: OperatorRequest) {
         let request = match request {
             OperatorRequest::Read => Request::Get,
             OperatorRequest::Change(items) => Request::Patch(items),
@@ -194,22 +195,22 @@
                 Request::Evacuate { zone, on: is_evacuated }
             }
         };
-        self.state_machine.handle_request(now, request_id, request);
+        self.state_machine.handle_request(now, attempt.0, request);
     }
 
     /// A gateway introduced itself on its session.
-    pub fn session_opened(&mut self, now: Timestamp, session: u64, hello: Hello) {
-        self.state_machine.session_opened(now, session, hello);
+    pub fn session_opened(&mut self, now: Timestamp, session: SessionId, hello: Hello) {
+        self.state_machine.session_opened(now, session.0, hello);
     }
 
     /// A gateway sent a message.
-    pub fn session_message(&mut self, now: Timestamp, session: u64, message: Message) {
-        self.state_machine.session_message(now, session, message);
+    pub fn session_message(&mut self, now: Timestamp, session: SessionId, message: Message) {
+        self.state_machine.session_message(now, session.0, message);
     }
 
     /// A session is over.
-    pub fn session_closed(&mut self, now: Timestamp, session: u64, reason: &str) {
-        self.state_machine.session_closed(now, session, reason);
+    pub fn session_closed(&mut self, now: Timestamp, session: SessionId, reason: &str) {
+        self.state_machine.session_closed(now, session.0, reason);
     }
 
     /// The platform's list of endpoints was read.
@@ -281,19 +282,23 @@
                     actions.push(ProcessAction::SendToPeer(node_id, message));
                 }
                 Action::SendToSession(session, message) => {
-                    actions.push(ProcessAction::SendToSession(session, message));
+                    actions.push(ProcessAction::SendToSession(SessionId(session), message));
                 }
                 Action::SendItems(session, items) => {
                     let messages = items.chunks(MAX_ITEMS_PER_MESSAGE).map(to_message).map(Message::Items);
-                    actions.extend(messages.map(|message| ProcessAction::SendToSession(session, message)));
+                    actions.extend(
+                        messages.map(|message| ProcessAction::SendToSession(SessionId(session), message)),
+                    );
                 }
                 Action::Respond(request_id, response) => {
-                    actions.push(ProcessAction::Answer(request_id, response.into()));
+                    actions.push(ProcessAction::Answer(AttemptId(request_id), response.into()));
                 }
                 Action::Persist(request_id, records) => {
                     actions.push(ProcessAction::Persist(request_id, records));
                 }
-                Action::CloseSession(session) => actions.push(ProcessAction::CloseSession(session)),
+                Action::CloseSession(session) => {
+                    actions.push(ProcessAction::CloseSession(SessionId(session)))
+                }
             }
         }
         actions
--- a/crates/simulation/src/simulation/connections.rs
+++ b/crates/simulation/src/simulation/connections.rs
@@ -78,11 +78,12 @@
             return;
         }
         node.connect_attempts.insert(other, self.now);
-        let Some(hello) = node.process.as_ref().map(|process| process.hello()) else { return };
         let (from, to) = (Host::Node(number), Host::Node(other));
         if self.network.is_unreachable(self.now, from, to) || self.nodes[other].process.is_none() {
             return;
         }
+        let Some(process) = &self.nodes[number].process else { return };
+        let hello = process.hello();
         let id = ChannelId(self.network.next_id());
         let mut channel =
             Channel::new(self.now, self.node_end(number), self.node_end(other), ChannelKind::Peer);
@@ -128,11 +129,6 @@
         }
     }
 
-    /// A control process closes a session.
-    pub(super) fn close_session_of_node(&mut self, session: u64) {
-        self.close_session(SessionId(session), false);
-    }
-
     /// Both ends of a session notice that it is over. One that is reset loses what is on its way.
     pub(super) fn close_session(&mut self, session: SessionId, is_reset: bool) {
         for id in [session.to_node(), session.to_gateway()] {
@@ -168,7 +164,7 @@
     pub(super) fn session_lost_at_node(&mut self, node: usize, incarnation: u64, session: SessionId) {
         let now = self.steady_time(node);
         if let Some(process) = self.process_of(node, incarnation) {
-            process.session_closed(now, session.0, "closed");
+            process.session_closed(now, session, "closed");
         }
     }
 
--- a/crates/simulation/src/simulation/delivery.rs
+++ b/crates/simulation/src/simulation/delivery.rs
@@ -47,8 +47,8 @@
     }
 
     /// A process sends to the gateway of a session.
-    pub(super) fn send_to_gateway(&mut self, session: u64, message: Message) {
-        self.send(SessionId(session).to_gateway(), message);
+    pub(super) fn send_to_gateway(&mut self, session: SessionId, message: Message) {
+        self.send(session.to_gateway(), message);
     }
 
     pub(super) fn message_due(&mut self, id: ChannelId, message: Message) {
@@ -60,12 +60,12 @@
         let partition = self.network.partition_of(now, channel.from.host, channel.to.host);
         let Some(channel) = self.network.channels.get_mut(&id) else { return };
         // What is blocked already goes first.
-        let is_first_blocked = channel.blocked.is_empty();
-        if partition.is_none() && is_first_blocked {
+        let was_unblocked = channel.blocked.is_empty();
+        if partition.is_none() && was_unblocked {
             return self.deliver(id, message);
         }
         channel.blocked.push_back(message);
-        if is_first_blocked {
+        if was_unblocked {
             channel.blocked_since = now;
             let until = partition.map_or(now, |partition| release_time(partition, now));
             self.schedule(until + 1, Event::ReleaseBlocked { channel: id });
@@ -99,30 +99,46 @@
             (Host::Gateway(gateway), ChannelKind::SessionToGateway(session)) => {
                 self.gateway_message(gateway, session, message);
             }
-            (Host::Gateway(_), _) => {}
-            (Host::Node(node), kind) => self.deliver_to_node(id, node, kind, message),
+            (Host::Node(node), ChannelKind::SessionToNode(session)) => {
+                self.deliver_session_message(id, session, node, message);
+            }
+            (Host::Node(node), ChannelKind::Peer) => self.deliver_peer_message(id, node, message),
+            // No other channel leads there.
+            (Host::Gateway(_), _) | (Host::Node(_), ChannelKind::SessionToGateway(_)) => {}
         }
     }
 
-    fn deliver_to_node(&mut self, id: ChannelId, node: usize, kind: ChannelKind, message: Message) {
+    /// A message on a session arrives at a node.
+    fn deliver_session_message(&mut self, id: ChannelId, session: SessionId, node: usize, message: Message) {
         let channel = &self.network.channels[&id];
-        let from = channel.from;
-        let sender = channel.sender.clone();
+        let has_introduced = channel.sender.is_some();
         if !self.is_running(node, channel.to.incarnation) {
             return self.coverage.count("message-to-dead-process");
         }
-        self.count_message_from_dead(from);
-        match (kind, sender, message) {
-            (ChannelKind::Peer, None, Message::Hello(hello)) => self.peer_hello(id, node, hello),
-            (ChannelKind::Peer, None, _) => {}
-            (ChannelKind::Peer, Some(sender), message) => self.peer_message(id, node, sender, message),
-            (_, None, Message::Hello(hello)) => self.session_hello(id, node, hello),
-            (_, _, message) => {
-                let now = self.steady_time(node);
-                if let Some(process) = &mut self.nodes[node].process {
-                    process.session_message(now, id.0, message);
-                }
+        let now = self.steady_time(node);
+        let Some(process) = &mut self.nodes[node].process else { return };
+        match message {
+            Message::Hello(hello) if !has_introduced => {
+                let sender = PeerIdentity::from(&hello);
+                process.session_opened(now, session, hello);
+                self.set_sender(id, sender);
             }
+            message => process.session_message(now, session, message),
+        }
+    }
+
+    /// A message on a peer's connection arrives at a node.
+    fn deliver_peer_message(&mut self, id: ChannelId, node: usize, message: Message) {
+        let channel = &self.network.channels[&id];
+        let (from, sender) = (channel.from, channel.sender.clone());
+        if !self.is_running(node, channel.to.incarnation) {
+            return self.coverage.count("message-to-dead-process");
+        }
+        self.count_message_from_dead(from);
+        match (sender, message) {
+            (None, Message::Hello(hello)) => self.peer_hello(id, node, hello),
+            (None, _) => {}
+            (Some(sender), message) => self.peer_message(id, node, sender, message),
         }
     }
 
@@ -137,15 +153,14 @@
     }
 
     /// Remembers who introduced itself on a channel.
-    fn set_sender(&mut self, id: ChannelId, hello: &Hello) {
+    fn set_sender(&mut self, id: ChannelId, sender: PeerIdentity) {
         if let Some(channel) = self.network.channels.get_mut(&id) {
-            let (node_id, incarnation) = (hello.node_id.clone(), hello.incarnation);
-            channel.sender = Some(PeerIdentity { node_id, incarnation });
+            channel.sender = Some(sender);
         }
     }
 
     fn peer_hello(&mut self, id: ChannelId, node: usize, hello: Hello) {
-        self.set_sender(id, &hello);
+        self.set_sender(id, PeerIdentity::from(&hello));
         let now = self.steady_time(node);
         let node = &mut self.nodes[node];
         node.peer_addresses.insert(hello.node_id.clone(), hello.address.clone());
@@ -168,12 +183,4 @@
             node.learned_addresses.entry(address).or_insert(self.now);
         }
     }
-
-    fn session_hello(&mut self, id: ChannelId, node: usize, hello: Hello) {
-        self.set_sender(id, &hello);
-        let now = self.steady_time(node);
-        if let Some(process) = &mut self.nodes[node].process {
-            process.session_opened(now, id.0, hello);
-        }
-    }
 }
--- a/crates/simulation/src/simulation/endpoints.rs
+++ b/crates/simulation/src/simulation/endpoints.rs
@@ -2,13 +2,12 @@
 
 use super::events::Event;
 use super::Simulation;
+use crate::items::{service_name, SERVICE_COUNT};
 use crate::scenario::{Layout, MILLISECOND};
 use kitepass_control_plane::endpoints::Endpoint;
 
 /// Endpoints in the list for each zone.
 const ENDPOINTS_PER_ZONE: usize = 2;
-/// Services that the endpoints belong to.
-const SERVICES: usize = 5;
 /// Time between two looks at which processes are to read the list.
 const LISTING_CHECK_INTERVAL: i64 = 100 * MILLISECOND;
 /// A lease holder reads the list so often.
@@ -21,7 +20,7 @@
     let zones = layout.zone_names();
     let endpoint = |number: usize| Endpoint {
         call_sign: format!("b{number}"),
-        line: format!("l{}", number % SERVICES),
+        line: service_name(number % SERVICE_COUNT),
         address: format!("10.2.0.{number}:80"),
         zone: zones[number % zones.len()].clone(),
         berths: 4,
--- a/crates/simulation/src/simulation/operators.rs
+++ b/crates/simulation/src/simulation/operators.rs
@@ -48,9 +48,7 @@
         let zones = self.layout.zone_names();
         let known_changes = self.registry.change_count();
         let (operation, kind) = self.registry.next_operation(&self.workload, &zones, &mut self.operator_rng);
-        for (change, writes) in self.registry.changes_since(known_changes) {
-            self.history.push(HistoryEvent::ChangeCreated { change, writes: writes.to_vec() });
-        }
+        self.record_new_changes(known_changes);
         self.coverage.count(&format!("operation-{}", kind.name()));
         self.operators[number] = Operator { operation: Some(operation), failed_attempts: 0, awaited: None };
         // Rivals are sent at about the same time.
@@ -63,6 +61,13 @@
         }
     }
 
+    /// Records the changes that were made up since there were so many.
+    fn record_new_changes(&mut self, known_changes: usize) {
+        for (change, writes) in self.registry.changes_since(known_changes) {
+            self.history.push(HistoryEvent::ChangeCreated { change, writes: writes.to_vec() });
+        }
+    }
+
     /// An operator sends its operation to a node.
     fn send_request(&mut self, number: usize, node: usize) {
         let operator = &self.operators[number];
@@ -104,9 +109,7 @@
     pub fn request_change(&mut self, node: usize, writes: &[PlannedWrite]) -> AttemptId {
         let known_changes = self.registry.change_count();
         let change = self.registry.add_change(writes);
-        for (change, writes) in self.registry.changes_since(known_changes) {
-            self.history.push(HistoryEvent::ChangeCreated { change, writes: writes.to_vec() });
-        }
+        self.record_new_changes(known_changes);
         self.request(node, Operation::Change(change))
     }
 
@@ -151,7 +154,7 @@
         });
         let request = self.registry.to_request(&operation);
         if let Some(process) = &mut self.nodes[node].process {
-            process.handle_request(now, id.0, request);
+            process.handle_request(now, id, request);
         }
     }
 
@@ -161,8 +164,7 @@
     }
 
     /// A process has answered, whether or not that reaches the operator.
-    pub(super) fn process_answered(&mut self, node: usize, request_id: u64, answer: OperatorAnswer) {
-        let id = AttemptId(request_id);
+    pub(super) fn process_answered(&mut self, node: usize, id: AttemptId, answer: OperatorAnswer) {
         let Some(attempt) = self.attempts.get(&id) else { return };
         let at = self.now;
         let status = answer.status();
--- a/crates/simulation/src/simulation/processes.rs
+++ b/crates/simulation/src/simulation/processes.rs
@@ -138,9 +138,9 @@
         match action {
             ProcessAction::SendToPeer(node_id, message) => self.send_to_peer(node, &node_id, message),
             ProcessAction::SendToSession(session, message) => self.send_to_gateway(session, message),
-            ProcessAction::CloseSession(session) => self.close_session_of_node(session),
+            ProcessAction::CloseSession(session) => self.close_session(session, false),
             ProcessAction::Persist(request_id, records) => self.persist(node, request_id, records),
-            ProcessAction::Answer(request_id, answer) => self.process_answered(node, request_id, answer),
+            ProcessAction::Answer(attempt, answer) => self.process_answered(node, attempt, answer),
         }
     }
 
