--- a/crates/simulation/src/checker/mod.rs
+++ b/crates/simulation/src/checker/mod.rs
@@ -36,7 +36,8 @@
 /// When and where a write was shown or applied first.
 struct FirstSeen {
     at: i64,
-    place: String,
+    /// A read or a gateway.
+    source: String,
 }
 
 /// A read that is under way.
@@ -243,15 +244,15 @@
     }
 
     /// A write is shown by a read, or applied at a gateway.
-    fn write_visible(&mut self, at: i64, write: &Write, place: &str) {
+    fn write_visible(&mut self, at: i64, write: &Write, source: &str) {
         let Some((sent, _)) = self.changes_by_write.get_key_value(write) else {
-            let description = format!("{} r{} {:?} at {place}", write.item, write.version, write.content);
+            let description = format!("{} r{} {:?} at {source}", write.item, write.version, write.content);
             return self.report(Invariant::KnownOrigin, at, description);
         };
         let sent = *sent;
-        let first_seen = || FirstSeen { at, place: place.to_owned() };
+        let first_seen = || FirstSeen { at, source: source.to_owned() };
         self.visible.entry(write.clone()).or_insert_with(first_seen);
-        self.check_content(at, sent, place.to_owned());
+        self.check_content(at, sent, source.to_owned());
         self.raise_floor(&sent.item, sent.version);
     }
 
@@ -361,7 +362,7 @@
             if changes.iter().all(|change| rejected.contains(change)) {
                 let description = format!(
                     "{} r{} of changes {changes:?} at {}",
-                    write.item, write.version, first_seen.place
+                    write.item, write.version, first_seen.source
                 );
                 self.report(Invariant::RejectedStaysOut, first_seen.at, description);
             }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -8,9 +8,9 @@
 //! scenario to its end, and [`shrink`] removes the faults that a failing one does not need. [`coverage`] counts what came
 //! up, and [`digest`] sums a run up in one number.
 //!
-//! [`process`] is the one place that touches the state machine's interface. A process is told what its sockets, its disk
-//! and its steady clock would tell it. There is no time of day in that interface, so that a step of it could change
-//! nothing; each machine's steady clock starts at another time and runs a little fast or slow.
+//! [`process`] is the one place that touches the state machine's interface. A process gets what its sockets, its disk and
+//! its steady clock would deliver. There is no time of day in that interface, so a step of it could change nothing; each
+//! machine's steady clock starts at another time and runs a little fast or slow.
 
 pub mod checker;
 pub mod coverage;
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -37,7 +37,7 @@
   kitepass-simulation shorten --seed 17 --plan losses    the faults that make a failing seed fail
   kitepass-simulation replay --seed 17 --plan losses --logs
 
-Ends with 0 if no invariant was violated, with 1 if one was, and with 2 if the arguments are wrong.
+Ends with 0 if no invariant was violated, with 1 if one was, and with 2 if the arguments are wrong or --help is given.
 ";
 
 /// Seeds of a run, unless another number is given.
--- a/crates/simulation/src/scenario/fault.rs
+++ b/crates/simulation/src/scenario/fault.rs
@@ -113,7 +113,7 @@
         /// For how long.
         duration: i64,
     },
-    /// A process is told to end (SIGTERM), and is started again later.
+    /// A process is asked to shut down (SIGTERM), and is started again later.
     GracefulShutdown {
         /// Whose process.
         replica: usize,
@@ -124,7 +124,7 @@
     Replacement {
         /// Whose machine.
         replica: usize,
-        /// Whether the old process is told to end, or loses power.
+        /// Whether the old process is asked to shut down, or loses power.
         is_graceful: bool,
         /// When the new machine starts.
         restart_after: i64,
--- a/crates/simulation/src/simulation/connections.rs
+++ b/crates/simulation/src/simulation/connections.rs
@@ -7,7 +7,7 @@
 use kitepass_coordination::protocol::Message;
 use std::collections::BTreeSet;
 
-/// Addresses that a process was told of are tried for so long.
+/// Addresses that messages of peers named are tried for so long.
 const LEARNED_ADDRESS_LIFETIME: i64 = 30 * SECOND;
 /// Time between two attempts to connect to a node.
 const RECONNECT_INTERVAL: i64 = 400 * MILLISECOND;
--- a/crates/simulation/src/simulation/convergence.rs
+++ b/crates/simulation/src/simulation/convergence.rs
@@ -22,25 +22,19 @@
         }
     }
 
+    /// Ends a node's faults, and resumes or starts its process.
     fn heal_node(&mut self, number: usize) {
-        let now = self.now;
-        let is_replica = self.replicas.contains(&number);
         let node = &mut self.nodes[number];
         node.disk.faults.clear();
         node.scheduled_crash = None;
-        let was_paused = node.is_paused(now);
-        let is_down = is_replica && node.process.is_none();
-        if was_paused {
-            node.paused_until = now;
+        if node.is_paused(self.now) {
+            node.paused_until = self.now;
+            self.schedule(self.now, Event::Resume { node: number });
         }
-        if is_down {
-            node.restart_at = now;
-        }
-        if was_paused {
-            self.schedule(now, Event::Resume { node: number });
-        }
-        if is_down {
-            self.schedule(now, Event::StartProcess { node: number });
+        let node = &mut self.nodes[number];
+        if node.process.is_none() && self.replicas.contains(&number) {
+            node.restart_at = self.now;
+            self.schedule(self.now, Event::StartProcess { node: number });
         }
     }
 
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! How faults are injected.
+//! How faults are injected: each one changes machines, links or disks, and ends by itself.
 
 use super::events::Event;
 use super::processes::SHUTDOWN_TIMEOUT;
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Tells a process to end. False if it cannot be told, or was told before.
+    /// Asks a process to shut down. False if it cannot be asked, or was asked before.
     fn shut_down(&mut self, number: usize, restart_after: i64) -> bool {
         let now = self.steady_time(number);
         let node = &mut self.nodes[number];
--- a/crates/simulation/src/simulation/machines.rs
+++ b/crates/simulation/src/simulation/machines.rs
@@ -56,9 +56,9 @@
     pub(super) peer_addresses: BTreeMap<String, String>,
     /// When it tried to connect to a node last.
     pub(super) connect_attempts: BTreeMap<usize, i64>,
-    /// Addresses that it was told of, and when.
+    /// Addresses that messages of peers named, and when.
     pub(super) learned_addresses: BTreeMap<String, i64>,
-    /// When it was told to end.
+    /// When it was asked to shut down.
     pub(super) shutdown_requested_at: Option<i64>,
     /// When its next process may start.
     pub(super) restart_at: i64,
@@ -67,7 +67,7 @@
     /// When it read the platform's list last.
     pub(super) last_listing: i64,
     pub(super) scheduled_crash: Option<ScheduledCrash>,
-    /// The replica sets that its processes held last, by name.
+    /// The replica sets that its processes had last, by name.
     pub(super) replica_sets: BTreeMap<&'static str, ObservedReplicaSet>,
 }
 
--- a/crates/simulation/src/simulation/mod.rs
+++ b/crates/simulation/src/simulation/mod.rs
@@ -48,7 +48,7 @@
 
 /// The state of a run.
 pub struct Simulation {
-    /// Microseconds since the start.
+    /// The time.
     pub now: i64,
     layout: Layout,
     workload: Workload,
--- a/crates/simulation/src/simulation/processes.rs
+++ b/crates/simulation/src/simulation/processes.rs
@@ -11,7 +11,7 @@
 use crate::process::{Process, ProcessAction, ProcessStart, Records};
 use crate::scenario::SECOND;
 
-/// A process that was told to end does so within this time.
+/// A process that was asked to shut down ends within this time.
 pub(super) const SHUTDOWN_TIMEOUT: i64 = 2 * SECOND;
 /// A process that starts within this time may be its node's first.
 const FIRST_START_PERIOD: i64 = SECOND;
