--- a/crates/control-plane/src/state_machine/coordinator.rs
+++ b/crates/control-plane/src/state_machine/coordinator.rs
@@ -1,293 +1,240 @@
-//! The duty and what it covers: the lease, the cast, the platform's list, the counts.
-
-use super::*;
-
-impl StateMachine {
-    pub(super) fn replica_set(&self) -> Option<ReplicaSet> {
-        ReplicaSet::load(&self.item_store, CURRENT)
-    }
-
-    pub(super) fn epoch(&self) -> Option<JointReplicaSets> {
-        JointReplicaSets::load(&self.item_store)
-    }
+//! The coordinator role: the lease under which one process holds it, and what that process does with it, which is
+//! counting usage and reading the platform's list of backends.
+
+use super::configuration::Configuration;
+use super::records::RecordedVote;
+use crate::endpoints::{Endpoint, EndpointList};
+use kitepass_config::{Item, ItemStore};
+use kitepass_coordination::lease::{LeaseCandidate, LeaseVoter};
+use kitepass_coordination::membership::{JointReplicaSets, ReplicaSet};
+use kitepass_coordination::protocol::{LeaseRequest, LeaseVote, UsageReport, UsageTotals};
+use kitepass_coordination::usage::{QuotaTolerance, UsageCounts};
+use kitepass_time::{Duration, Timestamp};
+use log::{info, warn};
+
+/// The one singleton role, by its name on the wire: whoever holds its lease reads the platform's list, holds the usage
+/// counts and changes the replica set.
+pub const COORDINATOR_ROLE: &str = "steward";
+
+/// How far this process has come with the role. [`Coordinator::set_state`] alone changes it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CoordinatorState {
+    /// Another process holds the lease, or nobody.
+    Follower,
+    /// It won the lease under a term, and has yet to read what a majority holds.
+    ///
+    /// Invariant: it does not act in this state. By what it knew before it would bring back an older list, count or
+    /// replica set.
+    Recovering(u64),
+    /// It has read, under that term, what a majority holds, and acts.
+    Active(u64),
+}
 
-    pub(super) fn is_safe(&self, copies: &BTreeSet<String>) -> bool {
-        self.epoch().is_some_and(|epoch| epoch.is_write_quorum(copies))
-    }
+/// How a lease request is answered.
+pub(super) enum VoteDecision {
+    /// The answer may leave at once.
+    Ready(LeaseVote),
+    /// The answer may leave once the vote is on disk: a voter that restarts would otherwise grant to another what it had
+    /// granted.
+    AfterRecord(RecordedVote, LeaseVote),
+}
 
-    /// `whole` is the highest cast that any of these has accepted to be in force. That one of them has all that was decided
-    /// under the cast before, and nothing more is decided under that one alone: so its own readings are not needed. Danger:
-    /// a loss right after the repair of another leaves too few of the cast before for a reading of it, ever.
-    pub(super) fn is_read(&self, heard: &BTreeSet<String>, whole: u64) -> bool {
-        self.epoch().is_some_and(|epoch| match &epoch.incoming {
-            Some(next) if next.version == whole => next.is_read_quorum(heard),
-            _ => epoch.is_read_quorum(heard),
-        })
-    }
+/// What a voter must know to answer a lease request.
+pub(super) struct VoterView<'a> {
+    /// The replica sets in force and coming.
+    pub(super) replica_sets: Option<&'a JointReplicaSets>,
+    /// The epoch that fences off requests of earlier ones, by what this replica has accepted.
+    pub(super) fencing_epoch: u64,
+    /// Whether this replica's vote counts.
+    pub(super) may_grant: bool,
+}
 
-    /// `who` is the claimant's seat, at `node_id`.
-    pub(super) fn vote(&mut self, now: Timestamp, node_id: &str, who: &str, claim: &LeaseRequest) {
-        let epoch = self.epoch();
-        let newest = epoch.as_ref().map_or(0, |epoch| epoch.newest().version);
-        if let Some(epoch) = &epoch {
-            self.voter.observe_replica_set(now, epoch.newest());
-        }
-        // Danger: a cast that was accepted here may be decided; a holder that counts by the one before would be granted on.
-        let fence = self.undecided_cast().map_or(0, |_| self.epoch_number() | 1);
-        let number = epoch.as_ref().map_or(0, JointReplicaSets::epoch).max(fence);
-        let mut grant = self.voter.vote(now, who, claim, number);
-        // Danger: a seat that lost its disk may have been replaced; only those of the cast count, and only full.
-        grant.is_granted &= self.full && epoch.as_ref().is_some_and(|epoch| epoch.contains(&self.name));
-        let vote = (who.to_owned(), newest);
-        if grant.is_granted && self.recorded != vote {
-            // Danger: a voter that came back would grant to another what it had granted.
-            let record = (VOTE.to_vec(), record_vote(&vote));
-            let node_id = node_id.to_owned();
-            return self.keep_records(vec![record], Kept::Vote { node_id, vote, grant });
-        }
-        self.voted(now, node_id, grant);
-    }
+/// This process' part in the election, and what it keeps for the role.
+pub(super) struct Coordinator {
+    voter: LeaseVoter,
+    recorded_vote: RecordedVote,
+    state: CoordinatorState,
+    candidate: LeaseCandidate,
+    usage: Option<UsageCounts>,
+    tolerance: QuotaTolerance,
+    endpoints: EndpointList,
+}
 
-    pub(super) fn voted(&mut self, now: Timestamp, node_id: &str, grant: LeaseVote) {
-        if node_id == self.me.node_id {
-            self.granted(now, &self.name.clone(), &grant);
-        } else {
-            self.send(node_id, Message::LeaseVote(grant));
-        }
+impl Coordinator {
+    /// `has_never_voted`: this disk has never held a vote. `recorded_vote` is the one on disk; `newest` is the newest
+    /// replica set that is known; `first_request_id` is drawn anew for each incarnation.
+    pub(super) fn new(
+        now: Timestamp,
+        has_never_voted: bool,
+        recorded_vote: RecordedVote,
+        newest: Option<ReplicaSet>,
+        first_request_id: u64,
+        tolerance: QuotaTolerance,
+    ) -> Coordinator {
+        // Invariant: a recorded vote counts only with the replica set that it was given under. Of a later set a majority
+        // may have granted the lease to another since.
+        let is_valid = newest.as_ref().is_some_and(|set| set.version == recorded_vote.replica_set_version);
+        let vote = is_valid.then(|| (COORDINATOR_ROLE.to_owned(), recorded_vote.candidate.clone()));
+        Coordinator {
+            voter: LeaseVoter::new(now, has_never_voted, vote.into_iter().collect(), newest),
+            recorded_vote,
+            state: CoordinatorState::Follower,
+            candidate: LeaseCandidate::new(COORDINATOR_ROLE, first_request_id),
+            usage: None,
+            tolerance,
+            endpoints: EndpointList::default(),
+        }
+    }
+
+    pub(super) fn state(&self) -> CoordinatorState {
+        self.state
+    }
+
+    /// The term under which this process holds the lease now.
+    pub(super) fn lease_term(&self, now: Timestamp) -> Option<u64> {
+        self.candidate.held_term(now)
     }
 
-    /// `from` is the voter's seat.
-    pub(super) fn granted(&mut self, now: Timestamp, from: &str, grant: &LeaseVote) {
-        let Some(epoch) = self.epoch() else { return };
-        if self.candidate.receive_vote(now, from, grant, epoch.epoch(), |votes| epoch.is_lease_quorum(votes))
-        {
-            let term = self.candidate.held_term(now).unwrap_or_default();
-            info!("event=duty term={term} era={}", epoch.epoch());
-            self.serve(CoordinatorState::Recovering(term));
-            self.begin(now, None, Request::Survey);
-            self.beat(now);
-        }
+    /// The term under which this process is coordinator now and has read what a majority holds.
+    pub(super) fn active_term(&self, now: Timestamp) -> Option<u64> {
+        self.lease_term(now).filter(|term| self.state == CoordinatorState::Active(*term))
     }
 
-    fn serve(&mut self, to: CoordinatorState) {
-        if self.service == to {
+    fn set_state(&mut self, to: CoordinatorState) {
+        if self.state == to {
             return;
         }
         match to {
             CoordinatorState::Follower => {
-                warn!("event=duty-lost");
-                self.counts = None;
+                warn!("event=lease-lost");
+                self.usage = None;
             }
-            CoordinatorState::Recovering(_) => self.counts = None,
+            CoordinatorState::Recovering(_) => self.usage = None,
             CoordinatorState::Active(term) => {
-                info!("event=duty-acts term={term}");
-                self.roster.start_term(term);
-                self.counts = Some((term, UsageCounts::new(self.tolerance)));
+                info!("event=coordinator-active term={term}");
+                self.endpoints.start_term(term);
+                self.usage = Some(UsageCounts::new(self.tolerance));
             }
         }
-        self.service = to;
-    }
-
-    /// It has read what a majority holds. Danger: one that acted as soon as the votes are in would go by what was in
-    /// force before its term.
-    pub(super) fn surveyed(&mut self, now: Timestamp) {
-        if let (CoordinatorState::Recovering(term), Some(held)) = (self.service, self.lease_term(now)) {
-            if term == held {
-                self.serve(CoordinatorState::Active(term));
-                self.beat(now);
-            }
-        }
-    }
-
-    /// The term under which this process does the duty now, and has read a majority.
-    pub fn active_term(&self, now: Timestamp) -> Option<u64> {
-        self.lease_term(now).filter(|term| self.service == CoordinatorState::Active(*term))
-    }
-
-    /// The term under which this process holds the duty's lease now.
-    pub fn lease_term(&self, now: Timestamp) -> Option<u64> {
-        self.candidate.held_term(now)
+        self.state = to;
     }
 
-    /// Who does the duty, by its own word: a vote that went to another tells nothing of who holds it.
-    pub(super) fn holder(&self) -> Option<String> {
-        let (node_id, _) =
-            self.peers.iter().filter(|(_, peer)| peer.role > 0).max_by_key(|(_, peer)| peer.role)?;
-        Some(node_id.clone())
+    /// The lease is lost, or was given back.
+    pub(super) fn step_down(&mut self) {
+        self.set_state(CoordinatorState::Follower);
     }
 
-    /// A whole reading of the platform's list.
-    pub fn endpoints_listed(&mut self, now: Timestamp, entries: Vec<crate::endpoints::Endpoint>) {
-        if self.active_term(now).is_none() {
-            return;
-        }
-        let news = self.roster.update(now, entries, &self.item_store);
-        if !news.is_empty() {
-            debug!("event=list news={}", news.len());
-            let items = news.iter().map(ItemMessage::from).collect();
-            self.take(news.into_iter().map(|item| (item, Vec::new())).collect());
-            self.send_all(&Message::Items(Items { items }));
+    /// What a majority holds has been read; true if this process acts as coordinator from now on.
+    pub(super) fn recovered(&mut self, now: Timestamp) -> bool {
+        match self.state {
+            CoordinatorState::Recovering(term) if self.lease_term(now) == Some(term) => {
+                self.set_state(CoordinatorState::Active(term));
+                true
+            }
+            _ => false,
         }
     }
 
-    pub(super) fn add(&mut self, now: Timestamp, adds: &UsageReport) -> Option<UsageTotals> {
-        self.active_term(now)?;
-        let (rate_limit, live) = (&self.rate_limit, &self.live);
-        let (_, counts) = self.counts.as_mut()?;
-        Some(counts.record(now, adds, live, |tenant| rate_limit.get(tenant).copied()))
+    /// A new replica set may have become known to the voter.
+    pub(super) fn observe_replica_set(&mut self, now: Timestamp, newest: &ReplicaSet) {
+        self.voter.observe_replica_set(now, newest);
     }
 
-    pub(super) fn totals(&mut self, totals: UsageTotals) {
-        // Danger: a gateway that has come anew may be held to be on its old connection too for a while; what went
-        // there would be lost. Numbers of connections grow.
-        let session = self
-            .sessions
-            .iter()
-            .rev()
-            .find(|(_, s)| s.hello.incarnation == totals.incarnation)
-            .map(|(id, _)| *id);
-        if let Some(id) = session {
-            self.active_term.push(Action::SendToSession(id, Message::UsageTotals(totals)));
-        }
+    /// Whether, as far as this voter granted it, nobody but `own_name` holds the lease.
+    pub(super) fn is_lease_free_for(&self, now: Timestamp, own_name: &str) -> bool {
+        self.voter.holder(now, COORDINATOR_ROLE).is_none_or(|holder| holder == own_name)
     }
 
-    pub(super) fn claim(&mut self, now: Timestamp) {
-        let Some(epoch) = self.epoch() else { return };
-        self.voter.observe_replica_set(now, epoch.newest());
-        let free = self.voter.holder(now, COORDINATOR_ROLE).is_none_or(|holder| holder == self.name)
-            && self.holder().is_none();
-        if self.lease_term(now).is_none() {
-            self.serve(CoordinatorState::Follower);
-        }
-        match self.replica_state {
-            ReplicaState::ShuttingDown => return self.depart(now),
-            ReplicaState::Serving if self.full => self.end_change(now, &epoch),
-            _ => return,
-        }
-        if !epoch.current.contains(&self.name) {
-            return;
+    /// Votes on the request of the replica `candidate`.
+    pub(super) fn vote(
+        &mut self,
+        now: Timestamp,
+        candidate: &str,
+        request: &LeaseRequest,
+        view: &VoterView,
+    ) -> VoteDecision {
+        let newest = view.replica_sets.map(JointReplicaSets::newest);
+        if let Some(newest) = newest {
+            self.voter.observe_replica_set(now, newest);
         }
-        let wait = Duration::from_micros(self.chance.rand_range(0..400_000) as i64);
-        if let Some(claim) = self.candidate.tick(now, free, wait, epoch.epoch()) {
-            self.send_all(&Message::LeaseRequest(claim.clone()));
-            let (node_id, name) = (self.me.node_id.clone(), self.name.clone());
-            self.vote(now, &node_id, &name, &claim);
-        }
-        match (self.lease_term(now), self.service) {
-            (None, _) => {}
-            (Some(_), CoordinatorState::Active(_)) => self.recast(now),
-            // The reading was cut short.
-            (Some(_), CoordinatorState::Recovering(_))
-                if !self.work.values().any(|w| w.order == Request::Survey) =>
-            {
-                self.begin(now, None, Request::Survey);
-            }
-            _ => {}
+        let epoch = view.replica_sets.map_or(0, JointReplicaSets::epoch).max(view.fencing_epoch);
+        let mut vote = self.voter.vote(now, candidate, request, epoch);
+        vote.is_granted &= view.may_grant;
+        let replica_set_version = newest.map_or(0, |set| set.version);
+        let recorded = RecordedVote { candidate: candidate.to_owned(), replica_set_version };
+        if vote.is_granted && self.recorded_vote != recorded {
+            VoteDecision::AfterRecord(recorded, vote)
+        } else {
+            VoteDecision::Ready(vote)
         }
     }
 
-    /// What it sees of the stations, for the next cast.
-    fn sight(&mut self, now: Timestamp, replica_set: &ReplicaSet) -> ReplicaObservations {
-        let full =
-            self.peers.values().filter(|peer| peer.hello.is_complete).map(|peer| Replica::from(&peer.hello));
-        let full: BTreeSet<Replica> = full.chain(self.full.then(|| self.me.clone())).collect();
-        let leaves = |peer: &&Peer| peer.leaving;
-        self.leaving.extend(self.peers.values().filter(leaves).map(|peer| peer.name.clone()));
-        self.leaving.retain(|name| replica_set.contains(name));
-        self.lost.retain(|name, _| replica_set.contains(name));
-        let unheard: Vec<String> =
-            replica_set.replicas.iter().map(Replica::name).filter(|name| !self.hears(name)).collect();
-        // Of one that it has never heard it knows the silence from its own start on.
-        let since = |name: &String| self.lost.get(name).copied().unwrap_or(self.begun);
-        let silent = unheard.into_iter().filter(|name| now - since(name) > GONE).collect();
-        ReplicaObservations { complete: full, shutting_down: self.leaving.clone(), unresponsive: silent }
+    /// A vote is on disk.
+    pub(super) fn vote_recorded(&mut self, recorded: RecordedVote) {
+        self.recorded_vote = recorded;
     }
 
-    /// A change of the cast that its holder left half-way is ended by whoever sees that, as its content is decided. Danger:
-    /// while both casts decide, the loss of either one's majority stops all, elections too.
-    fn end_change(&mut self, now: Timestamp, epoch: &JointReplicaSets) {
-        let Some(next) = &epoch.incoming else {
-            self.odd = None;
-            return;
-        };
-        let mut pause =
-            |least: i64| now + Duration::from_micros(least + self.chance.rand_range(0..1_500_000) as i64);
-        match self.odd {
-            Some((version, due)) if version == next.version && now < due => {}
-            Some((version, _)) if version == next.version => {
-                self.odd = Some((version, pause(HALF_WAY)));
-                if !self.recasts() {
-                    info!("event=cast-taken-up edition={version}");
-                    self.begin(now, None, Request::Fill(next.clone()));
-                }
-            }
-            _ => self.odd = Some((next.version, pause(HALF_WAY))),
+    /// The vote of the replica `voter`. Gives the term if the lease is held from now on and was not before.
+    pub(super) fn receive_vote(
+        &mut self,
+        now: Timestamp,
+        voter: &str,
+        vote: &LeaseVote,
+        replica_sets: &JointReplicaSets,
+    ) -> Option<u64> {
+        let is_quorum = |votes: &_| replica_sets.is_lease_quorum(votes);
+        if !self.candidate.receive_vote(now, voter, vote, replica_sets.epoch(), is_quorum) {
+            return None;
         }
+        let term = self.candidate.held_term(now).unwrap_or_default();
+        info!("event=lease-won term={term} epoch={}", replica_sets.epoch());
+        self.set_state(CoordinatorState::Recovering(term));
+        Some(term)
     }
 
-    /// Whether a cast is being brought in or put in force from here.
-    pub(super) fn recasts(&self) -> bool {
-        let brings = |order: &Request| matches!(order, Request::Next(_) | Request::Fill(_) | Request::Now(_));
-        self.work.values().any(|work| brings(&work.order))
+    /// The request for the lease, or for its renewal, that is due now. `wait` is drawn.
+    pub(super) fn lease_request(
+        &mut self,
+        now: Timestamp,
+        is_free: bool,
+        wait: Duration,
+        epoch: u64,
+    ) -> Option<LeaseRequest> {
+        self.candidate.tick(now, is_free, wait, epoch)
     }
 
-    /// Whoever does the duty brings in what follows from what it sees: newcomers come, and seats go that are
-    /// superseded, leave, or were replaced in their silence.
-    pub(super) fn recast(&mut self, now: Timestamp) {
-        let Some(epoch) = self.epoch().filter(|_| !self.recasts()) else { return };
-        if let Some(next) = epoch.incoming {
-            return self.begin(now, None, Request::Fill(next)); // an earlier one was cut short
-        }
-        let sight = self.sight(now, &epoch.current);
-        if let Some(next) = epoch.current.successor(&sight) {
-            info!("event=recast seats={} edition={}", next.replicas.len(), next.version);
-            self.begin(now, None, Request::Next(next));
-        }
-    }
-
-    /// The process ends: nothing new is taken, and the others are told, so that its seat and its duty go.
-    pub fn shut_down(&mut self, now: Timestamp) {
-        self.shift(ReplicaState::ShuttingDown);
-        let ids: Vec<u64> = self.sessions.keys().copied().collect();
-        ids.into_iter().for_each(|id| self.active_term.push(Action::CloseSession(id)));
-        self.beat(now);
-        self.leaving.insert(self.name.clone());
-        self.depart(now);
+    /// The request that gives a held lease back.
+    pub(super) fn release(&mut self, now: Timestamp) -> Option<LeaseRequest> {
+        self.candidate.release(now)
     }
 
-    /// Whether its own seat would go at the next change of the cast, or is going.
-    fn goes(&self) -> bool {
-        let alone = ReplicaObservations {
-            shutting_down: [self.name.clone()].into(),
-            ..ReplicaObservations::default()
-        };
-        let goes = |epoch: JointReplicaSets| {
-            epoch.contains(&self.name)
-                && (epoch.incoming.is_some() || epoch.current.successor(&alone).is_some())
-        };
-        self.epoch().is_some_and(goes)
+    /// Adds a gateway's usage, if this process is coordinator; gives the totals.
+    pub(super) fn record_usage(
+        &mut self,
+        now: Timestamp,
+        report: &UsageReport,
+        live_node_ids: &[String],
+        configuration: &Configuration,
+    ) -> Option<UsageTotals> {
+        self.active_term(now)?;
+        let usage = self.usage.as_mut()?;
+        Some(usage.record(now, report, live_node_ids, |tenant| configuration.rate_limit(tenant)))
     }
 
-    /// One that leaves while it acts takes its own seat out first: quicker than by another, who has to be elected and to
-    /// read. Then, and if it did not act, the duty is free at once.
-    fn depart(&mut self, now: Timestamp) {
-        if self.active_term(now).is_some() && self.goes() {
-            return self.recast(now);
-        }
-        if let Some(claim) = self.candidate.release(now) {
-            self.send_all(&Message::LeaseRequest(claim.clone()));
-            let (node_id, name) = (self.me.node_id.clone(), self.name.clone());
-            self.vote(now, &node_id, &name, &claim);
+    /// Forgets usage that is long past.
+    pub(super) fn expire_usage(&mut self, now: Timestamp) {
+        if let Some(usage) = &mut self.usage {
+            usage.expire(now);
         }
-        self.serve(CoordinatorState::Follower);
     }
 
-    /// Whether one that leaves may end: what it took on is through, and its seat is gone, or will not go.
-    pub fn is_shut_down(&self) -> bool {
-        self.replica_state == ReplicaState::ShuttingDown
-            && self.work.is_empty()
-            && self.keeping.is_empty()
-            && self.service == CoordinatorState::Follower
-            && !self.goes()
+    /// A complete reading of the platform's list; gives the items that are new by it.
+    pub(super) fn update_endpoints(
+        &mut self,
+        now: Timestamp,
+        endpoints: Vec<Endpoint>,
+        item_store: &ItemStore,
+    ) -> Vec<Item> {
+        self.endpoints.update(now, endpoints, item_store)
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/state_machine/handlers/accept.rs
@@ -0,0 +1,176 @@
+//! The accept phase: a proposal, or the rejection of one, is brought to enough replicas' disks.
+
+use crate::request::{Request, Response};
+use crate::state_machine::persistence::PendingWrite;
+use crate::state_machine::proposals::{activated_replica_set, PendingId, Phase};
+use crate::state_machine::StateMachine;
+use bytes::Bytes;
+use kitepass_coordination::consensus::{AcceptError, Ballot, Proposal};
+use kitepass_coordination::protocol::{AcceptRequest, AcceptResponse, Commit, Message};
+use kitepass_time::Timestamp;
+use log::info;
+use std::collections::BTreeSet;
+
+impl StateMachine {
+    /// Asks all replicas to accept a proposal.
+    pub(in crate::state_machine) fn propose(&mut self, now: Timestamp, id: PendingId, proposal: &Proposal) {
+        let Some(pending) = self.proposals.pending.get(id) else { return };
+        info!("event=propose request={} items={}", pending.request.name(), proposal.items().len());
+        // Invariant: who accepts that a replica set is in force holds all that the proposer does: it compares these digests.
+        let bucket_digests = match activated_replica_set(proposal) {
+            Some(_) => self.item_store().history_buckets().to_vec(),
+            None => Vec::new(),
+        };
+        let request = AcceptRequest {
+            items: proposal.to_messages(),
+            bucket_digests,
+            was_accepted_before: matches!(pending.request, Request::Settle(_)),
+            ..AcceptRequest::default()
+        };
+        self.send_accept_requests(now, id, Phase::Accepting(BTreeSet::new()), request);
+    }
+
+    /// Asks all replicas to accept the rejection of a proposal; the caller is told the reason.
+    pub(in crate::state_machine) fn propose_rejection(
+        &mut self,
+        now: Timestamp,
+        id: PendingId,
+        proposal: &Proposal,
+        reason: String,
+    ) {
+        info!("event=proposal-rejected why={reason:?}");
+        let request = AcceptRequest {
+            rejects: Bytes::copy_from_slice(&proposal.proposal_id().0),
+            keys: proposal.keys().to_vec(),
+            ..AcceptRequest::default()
+        };
+        let phase = Phase::Rejecting(BTreeSet::new(), Response::Invalid(reason));
+        self.send_accept_requests(now, id, phase, request);
+    }
+
+    /// Sends an accept request to all, this process too, under the ballot that was promised.
+    fn send_accept_requests(&mut self, now: Timestamp, id: PendingId, phase: Phase, request: AcceptRequest) {
+        let Some(pending) = self.proposals.pending.get_mut(id) else { return };
+        pending.phase = phase;
+        let request = AcceptRequest {
+            request_id: pending.attempt_id,
+            incarnation: self.identity.incarnation,
+            epoch: pending.ballot.epoch,
+            ballot: Some(pending.ballot),
+            ..request
+        };
+        self.send_all(&Message::AcceptRequest(request.clone()));
+        let own_node_id = self.identity.replica.node_id.clone();
+        self.handle_accept_request(now, &own_node_id, request);
+    }
+
+    /// Accepts a proposal, or its rejection, if nothing forbids it. It counts only once it is on disk, and only if this
+    /// disk is complete.
+    pub(in crate::state_machine) fn handle_accept_request(
+        &mut self,
+        now: Timestamp,
+        node_id: &str,
+        request: AcceptRequest,
+    ) {
+        let Some(ballot) = request.ballot else { return };
+        self.proposals.observe_ballot(ballot);
+        let mut response = AcceptResponse {
+            request_id: request.request_id,
+            incarnation: request.incarnation,
+            answered_ballot: Some(ballot),
+            ..AcceptResponse::default()
+        };
+        let is_rejection = !request.rejects.is_empty();
+        let proposal = if is_rejection { None } else { Proposal::from_messages(request.items.clone()) };
+        let keys = proposal.as_ref().map_or(&request.keys[..], |proposal| proposal.keys());
+        if self.proposals.is_fenced(request.epoch, keys, &self.configuration) {
+            response.is_rejected = true;
+            return self.deliver_accept_response(now, node_id, response);
+        }
+        if self.lacks_items_of_proposer(&request) {
+            return self.delay_accept(now, node_id, request);
+        }
+        if let Some(proposal) = &proposal {
+            self.watch(now, ballot, proposal);
+        }
+        match self.proposals.accept(ballot, proposal, &request, &self.configuration) {
+            Some(Ok(acceptance)) => {
+                let (node_id, reservation) = (node_id.to_owned(), acceptance.reservation);
+                let accept = PendingWrite::Accept { node_id, response, reservation };
+                self.persist(acceptance.records, accept);
+            }
+            Some(Err(error)) => {
+                response.is_rejected = true;
+                response.ballot = promised_ballot(&error);
+                self.deliver_accept_response(now, node_id, response);
+            }
+            None => {} // of a kind that this version does not know
+        }
+    }
+
+    /// Whether the proposer compares what it holds with what is held here, and that differs.
+    ///
+    /// Invariant: such a request waits until this replica has read what it lacks. Otherwise a replica set would be in force
+    /// whose members lack what was committed under the one before.
+    fn lacks_items_of_proposer(&self, request: &AcceptRequest) -> bool {
+        let mut digests = request.bucket_digests.iter().zip(self.item_store().history_buckets());
+        digests.any(|(theirs, own)| theirs != own)
+    }
+
+    /// Sends an answer to an accept request, or takes it where this process asked.
+    pub(in crate::state_machine) fn deliver_accept_response(
+        &mut self,
+        now: Timestamp,
+        node_id: &str,
+        response: AcceptResponse,
+    ) {
+        if node_id == self.identity.replica.node_id {
+            let name = self.identity.name.clone();
+            self.handle_accept_response(now, &name, &response);
+        } else {
+            self.send(node_id, Message::AcceptResponse(response));
+        }
+    }
+
+    /// The replica of this name, this one too, has answered an accept request.
+    pub(in crate::state_machine) fn handle_accept_response(
+        &mut self,
+        now: Timestamp,
+        name: &str,
+        response: &AcceptResponse,
+    ) {
+        let id = self.proposals.pending.of_ballot(response.request_id, response.answered_ballot);
+        let Some(id) = id else { return };
+        if response.is_rejected {
+            self.proposals.observe_ballot(response.ballot.unwrap_or_default());
+            return self.back_off(now, id);
+        }
+        // Invariant: a replica whose disk is not complete counts for nothing. It would pass for a copy of what it never held.
+        if !response.is_complete {
+            return;
+        }
+        let phase = self.proposals.pending.get_mut(id).map(|pending| &mut pending.phase);
+        if let Some(Phase::Accepting(replicas) | Phase::Rejecting(replicas, _)) = phase {
+            replicas.insert(name.to_owned());
+            self.advance(now, id);
+        }
+    }
+
+    /// Enough replicas have accepted a proposal under one ballot: it is chosen.
+    pub(in crate::state_machine) fn commit(&mut self, now: Timestamp, id: PendingId) {
+        let pending = self.proposals.pending.get(id);
+        let Some(proposal) = pending.and_then(|pending| pending.proposal.clone()) else { return };
+        let proposal_id = Bytes::copy_from_slice(&proposal.proposal_id().0);
+        self.send_all(&Message::Commit(Commit { proposal_id }));
+        self.apply_items(proposal.items());
+        self.finish_change(now, id);
+    }
+}
+
+/// The higher ballot that was promised, if that is why a proposal was not accepted.
+fn promised_ballot(error: &AcceptError) -> Option<Ballot> {
+    match error {
+        AcceptError::Promised { to } => Some(*to),
+        AcceptError::Taken { .. } | AcceptError::Full => None,
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/state_machine/handlers/commit.rs
@@ -0,0 +1,79 @@
+//! Committed items: taken in, written, and distributed to the gateways; and the founding of the first replica set.
+
+use crate::state_machine::configuration::ItemWithHistory;
+use crate::state_machine::persistence::PendingWrite;
+use crate::state_machine::{records, ReplicaState, StateMachine};
+use kitepass_config::Item;
+use kitepass_coordination::consensus::ProposalId;
+use kitepass_coordination::membership::{Replica, ReplicaSet, CURRENT};
+use kitepass_coordination::protocol::{Commit, Items, Message};
+use kitepass_time::Timestamp;
+use log::info;
+
+/// The items of a proposal, which have no history.
+fn without_history(items: &[Item]) -> Vec<ItemWithHistory> {
+    items.iter().map(|item| (item.clone(), Vec::new())).collect()
+}
+
+impl StateMachine {
+    /// Takes committed items in, with their older versions. Those that are news go to all sessions, and to disk.
+    pub(in crate::state_machine) fn apply_committed(&mut self, items: Vec<ItemWithHistory>) {
+        let merged = self.configuration.merge(items);
+        if merged.changed.is_empty() {
+            return;
+        }
+        // A committed proposal is on enough disks as accepted already, so that it is committed can wait for the next write.
+        // A write of its own would hold the next proposal's up for as long as a disk takes.
+        let item_store = self.configuration.items();
+        let entries = merged.changed.iter().filter_map(|item| item_store.entry(item.kind, &item.name));
+        self.persistence.defer(entries.map(kitepass_config::encode_record));
+        let settled = self.proposals.items_committed(&self.configuration, &merged.changed);
+        self.persistence.defer(settled);
+        let actions = self.sessions.items_to_all(&merged.newer);
+        self.extend(actions);
+        self.note_founding();
+    }
+
+    /// As [`StateMachine::apply_committed`], for items without a history.
+    pub(in crate::state_machine) fn apply_items(&mut self, items: &[Item]) {
+        self.apply_committed(without_history(items));
+    }
+
+    /// A peer says that a proposal is chosen. If it is accepted here, its items are known and taken in.
+    pub(in crate::state_machine) fn handle_commit(&mut self, commit: &Commit) {
+        let id = ProposalId::from_bytes(&commit.proposal_id);
+        if let Some(items) = id.and_then(|id| self.proposals.accepted_items(id)) {
+            self.apply_items(&items);
+        }
+    }
+
+    /// Leaves [`ReplicaState::Uninitialized`] once a replica set is known. Where that is the first one of all, the empty
+    /// disk of each of its members is complete as it is.
+    fn note_founding(&mut self) {
+        let Some(replica_set) = self.configuration.replica_set() else { return };
+        if self.replica_state() == ReplicaState::Uninitialized {
+            self.change_state(ReplicaState::CatchingUp);
+            let is_founder = replica_set.contains(&self.identity.name) && replica_set.version == 1;
+            if self.founding.is_first_start() && is_founder {
+                self.persist(vec![records::complete()], PendingWrite::Completeness);
+            }
+        }
+        self.founding.finish();
+    }
+
+    /// The bootstrap node makes the first replica set of all who have come.
+    pub(in crate::state_machine) fn found_replica_set(&mut self, now: Timestamp) {
+        let is_uninitialized = self.replica_state() == ReplicaState::Uninitialized;
+        if !is_uninitialized || !self.founding.is_due(now, self.quorum.has_peers()) {
+            return;
+        }
+        let mut replicas: Vec<Replica> = self.quorum.peers().map(|peer| Replica::from(&peer.hello)).collect();
+        replicas.push(self.identity.replica.clone());
+        replicas.sort();
+        let replica_set = ReplicaSet { replicas, version: 1 };
+        info!("event=replica-set-founded replicas={}", replica_set.replicas.len());
+        let item = replica_set.to_item(CURRENT);
+        self.send_all(&Message::Items(Items { items: vec![(&item).into()] }));
+        self.apply_items(&[item]);
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/state_machine/handlers/election.rs
@@ -0,0 +1,149 @@
+//! The lease of the coordinator role: requests for it, votes, and what its holder begins with.
+
+use crate::endpoints::Endpoint;
+use crate::request::Request;
+use crate::state_machine::coordinator::{CoordinatorState, VoteDecision, VoterView};
+use crate::state_machine::persistence::PendingWrite;
+use crate::state_machine::{ReplicaState, StateMachine};
+use kitepass_coordination::protocol::{ItemMessage, Items, LeaseRequest, LeaseVote, Message};
+use kitepass_time::{Duration, Timestamp};
+use log::debug;
+
+/// Bound of the time drawn between two requests for the lease, in microseconds.
+const MAX_LEASE_REQUEST_DELAY: u64 = 400_000;
+
+impl StateMachine {
+    /// The replica `candidate`, at `node_id`, asks for the lease.
+    pub(in crate::state_machine) fn handle_lease_request(
+        &mut self,
+        now: Timestamp,
+        node_id: &str,
+        candidate: &str,
+        request: &LeaseRequest,
+    ) {
+        let replica_sets = self.configuration.joint_replica_sets();
+        // Invariant: a replica set that is accepted here may be chosen, so a candidate that counts by the one before is
+        // rejected from then on.
+        let undecided = self.proposals.undecided_replica_set(&self.configuration);
+        let fencing_epoch = undecided.map_or(0, |_| self.configuration.epoch() | 1);
+        // Invariant: only members with a complete disk vote. One that lost its disk may have been replaced.
+        let is_member = replica_sets.as_ref().is_some_and(|sets| sets.contains(&self.identity.name));
+        let may_grant = self.lifecycle.is_complete() && is_member;
+        let view = VoterView { replica_sets: replica_sets.as_ref(), fencing_epoch, may_grant };
+        match self.coordinator.vote(now, candidate, request, &view) {
+            VoteDecision::Ready(vote) => self.deliver_lease_vote(now, node_id, vote),
+            VoteDecision::AfterRecord(recorded, vote) => {
+                let record = recorded.to_record();
+                let node_id = node_id.to_owned();
+                self.persist(vec![record], PendingWrite::Vote { node_id, recorded, vote });
+            }
+        }
+    }
+
+    /// Sends a vote, or takes it where this process is the candidate.
+    pub(in crate::state_machine) fn deliver_lease_vote(
+        &mut self,
+        now: Timestamp,
+        node_id: &str,
+        vote: LeaseVote,
+    ) {
+        if node_id == self.identity.replica.node_id {
+            let name = self.identity.name.clone();
+            self.handle_lease_vote(now, &name, &vote);
+        } else {
+            self.send(node_id, Message::LeaseVote(vote));
+        }
+    }
+
+    /// The vote of the replica `voter`.
+    pub(in crate::state_machine) fn handle_lease_vote(
+        &mut self,
+        now: Timestamp,
+        voter: &str,
+        vote: &LeaseVote,
+    ) {
+        let Some(replica_sets) = self.configuration.joint_replica_sets() else { return };
+        if self.coordinator.receive_vote(now, voter, vote, &replica_sets).is_some() {
+            self.start_request(now, None, Request::Survey);
+            self.send_heartbeats(now);
+        }
+    }
+
+    /// What a majority holds has been read under the lease's term: this process acts as coordinator.
+    pub(in crate::state_machine) fn activate_coordinator(&mut self, now: Timestamp) {
+        if self.coordinator.recovered(now) {
+            self.send_heartbeats(now);
+        }
+    }
+
+    /// The term under which this process is coordinator now, and has read what a majority holds.
+    pub fn active_term(&self, now: Timestamp) -> Option<u64> {
+        self.coordinator.active_term(now)
+    }
+
+    /// The term under which this process holds the coordinator's lease now.
+    pub fn lease_term(&self, now: Timestamp) -> Option<u64> {
+        self.coordinator.lease_term(now)
+    }
+
+    /// Asks for the lease where it is free, renews it where it is held, and does what its holder has to.
+    pub(in crate::state_machine) fn tick_lease(&mut self, now: Timestamp) {
+        let Some(replica_sets) = self.configuration.joint_replica_sets() else { return };
+        self.coordinator.observe_replica_set(now, replica_sets.newest());
+        let is_free = self.coordinator.is_lease_free_for(now, &self.identity.name)
+            && self.quorum.coordinator().is_none();
+        if self.lease_term(now).is_none() {
+            self.coordinator.step_down();
+        }
+        match self.replica_state() {
+            ReplicaState::ShuttingDown => return self.leave(now),
+            ReplicaState::Serving if self.lifecycle.is_complete() => {
+                self.take_over_change(now, replica_sets.incoming.as_ref());
+            }
+            _ => return,
+        }
+        if !replica_sets.current.contains(&self.identity.name) {
+            return;
+        }
+        let wait = Duration::from_micros(self.random.rand_range(0..MAX_LEASE_REQUEST_DELAY) as i64);
+        if let Some(request) = self.coordinator.lease_request(now, is_free, wait, replica_sets.epoch()) {
+            self.send_lease_request(now, &request);
+        }
+        self.tick_coordinator(now);
+    }
+
+    fn tick_coordinator(&mut self, now: Timestamp) {
+        if self.lease_term(now).is_none() {
+            return;
+        }
+        match self.coordinator.state() {
+            CoordinatorState::Active(_) => self.change_replica_set(now),
+            // The reading was cut short.
+            CoordinatorState::Recovering(_) if !self.proposals.pending.is_recovering() => {
+                self.start_request(now, None, Request::Survey);
+            }
+            _ => {}
+        }
+    }
+
+    /// Sends a lease request to all, this process too.
+    pub(in crate::state_machine) fn send_lease_request(&mut self, now: Timestamp, request: &LeaseRequest) {
+        self.send_all(&Message::LeaseRequest(request.clone()));
+        let (node_id, name) = (self.identity.replica.node_id.clone(), self.identity.name.clone());
+        self.handle_lease_request(now, &node_id, &name, request);
+    }
+
+    /// A complete reading of the platform's list.
+    pub fn endpoints_listed(&mut self, now: Timestamp, endpoints: Vec<Endpoint>) {
+        if self.active_term(now).is_none() {
+            return;
+        }
+        let news = self.coordinator.update_endpoints(now, endpoints, self.configuration.items());
+        if !news.is_empty() {
+            debug!("event=endpoints-changed items={}", news.len());
+            self.apply_items(&news);
+            let items = news.iter().map(ItemMessage::from).collect();
+            self.send_all(&Message::Items(Items { items }));
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/state_machine/handlers/heartbeat.rs
@@ -0,0 +1,85 @@
+//! What is sent, and looked through, at every heartbeat.
+
+use crate::state_machine::persistence::PendingWrite;
+use crate::state_machine::{records, ReplicaState, StateMachine};
+use kitepass_coordination::protocol::{Heartbeat, MembershipUpdate, Message};
+use kitepass_time::Timestamp;
+
+impl StateMachine {
+    /// Sends heartbeats to peers and sessions, and gives up those that are unresponsive.
+    pub(in crate::state_machine) fn send_heartbeats(&mut self, now: Timestamp) {
+        let to_gateways = Heartbeat {
+            is_serving: self.replica_state() == ReplicaState::Serving,
+            is_complete: self.lifecycle.is_complete(),
+            coordinator_term: self.active_term(now).unwrap_or(0),
+            ..Heartbeat::default()
+        };
+        let to_peers = Heartbeat {
+            digest: self.item_store().history_digest(),
+            is_shutting_down: self.replica_state() == ReplicaState::ShuttingDown,
+            is_persisted: self.is_persisted(),
+            ..to_gateways.clone()
+        };
+        let actions = self.quorum.heartbeats(now, &to_peers);
+        self.extend(actions);
+        self.collect_tombstones(now);
+        self.give_up_unresponsive(now);
+        self.announce_sessions(now);
+        self.expire(now);
+        self.refresh_live_gateways();
+        let heartbeat = Heartbeat { digest: self.item_store().digest(), ..to_gateways };
+        let actions = self.sessions.to_all(&Message::Heartbeat(heartbeat));
+        self.extend(actions);
+    }
+
+    fn give_up_unresponsive(&mut self, now: Timestamp) {
+        for node_id in self.quorum.unresponsive(now) {
+            self.disconnect_peer(now, &node_id, "unresponsive");
+        }
+        for id in self.sessions.unresponsive(now) {
+            self.close_session(now, id, "unresponsive");
+        }
+    }
+
+    fn expire(&mut self, now: Timestamp) {
+        self.configuration.purge_dropped_backends();
+        self.sessions.expire(now);
+        self.coordinator.expire_usage(now);
+    }
+
+    /// Tells the peers the sessions here, if they are not what was told last or that was long ago.
+    pub(in crate::state_machine) fn announce_sessions(&mut self, now: Timestamp) {
+        let (node_id, incarnation) = (&self.identity.replica.node_id, self.identity.incarnation);
+        if let Some(list) = self.sessions.announcement(now, node_id, incarnation) {
+            self.send_all(&Message::SessionList(list));
+        }
+    }
+
+    /// Reckons anew which gateways count as live. A change is written, and told to the gateways.
+    fn refresh_live_gateways(&mut self) {
+        if !self.sessions.refresh_live() {
+            return;
+        }
+        let record = records::live_gateways(self.sessions.live_node_ids());
+        self.persist(vec![record], PendingWrite::Nothing);
+        let message = Message::MembershipUpdate(self.membership_update());
+        let actions = self.sessions.to_all(&message);
+        self.extend(actions);
+    }
+
+    /// What gateways are told of the others: at a session's start, and when it changes.
+    pub(in crate::state_machine) fn membership_update(&self) -> MembershipUpdate {
+        let own = &self.identity.replica;
+        let peers = self.quorum.peers().map(|peer| (&peer.hello.address, &peer.hello.zone));
+        let control_planes = peers.chain([(&own.address, &own.zone)]);
+        let (control_addresses, control_districts) =
+            control_planes.map(|(address, zone)| (address.clone(), zone.clone())).unzip();
+        let live = self.sessions.live_node_ids();
+        MembershipUpdate {
+            gateway_count: live.len() as u32,
+            node_ids: live.to_vec(),
+            control_addresses,
+            control_districts,
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/state_machine/handlers/peers.rs
@@ -0,0 +1,142 @@
+//! Other control processes: their connections and their messages.
+
+use crate::state_machine::StateMachine;
+use kitepass_config::Kind;
+use kitepass_coordination::membership::Replica;
+use kitepass_coordination::protocol::{Heartbeat, Hello, ItemMessage, Items, MembershipUpdate, Message};
+use kitepass_time::Timestamp;
+use log::info;
+
+/// Who sent a message.
+struct Sender<'a> {
+    node_id: &'a str,
+    /// Its replica's name.
+    name: String,
+    incarnation: u64,
+}
+
+impl StateMachine {
+    /// Another control process has connected.
+    pub fn peer_connected(&mut self, now: Timestamp, hello: &Hello) {
+        let node_id = &hello.node_id;
+        if !self.knows_peer(node_id) {
+            self.founding.peer_joined(now);
+            info!(
+                "event=peer-connected node-id={node_id} address={} incarnation={:x}",
+                hello.address, hello.incarnation
+            );
+        }
+        self.catch_up.forget_peer(node_id);
+        self.membership.replica_connected(&Replica::from(hello).name());
+        if let Some(replaced) = self.quorum.connect(now, hello) {
+            self.membership.replica_lost(now, replaced);
+        }
+        self.sessions.announce_again();
+        self.catch_up.retry_soon();
+        let control_addresses = self.known_addresses().into_iter().collect();
+        let update = MembershipUpdate { control_addresses, ..MembershipUpdate::default() };
+        self.send(node_id, Message::MembershipUpdate(update));
+    }
+
+    /// Whether this peer is connected. One that was given up as unresponsive has to say again who it is.
+    pub fn knows_peer(&self, node_id: &str) -> bool {
+        self.quorum.get(node_id).is_some()
+    }
+
+    /// Whether the connected peer is this incarnation of it.
+    pub fn knows_incarnation(&self, node_id: &str, incarnation: u64) -> bool {
+        self.quorum.get(node_id).is_some_and(|peer| peer.hello.incarnation == incarnation)
+    }
+
+    /// Bytes have come of a peer that are no complete message yet.
+    pub fn peer_alive(&mut self, now: Timestamp, node_id: &str) {
+        self.quorum.heard(now, node_id);
+    }
+
+    pub(in crate::state_machine) fn disconnect_peer(&mut self, now: Timestamp, node_id: &str, why: &str) {
+        self.catch_up.forget_peer(node_id);
+        if let Some(peer) = self.quorum.remove(node_id) {
+            info!("event=peer-lost node-id={node_id} why={why}");
+            self.membership.replica_lost(now, peer.name);
+        }
+    }
+
+    /// A message of another control process. Gives the addresses of control processes that it tells of.
+    pub fn peer_message(&mut self, now: Timestamp, node_id: &str, message: Message) -> Vec<String> {
+        let Some(peer) = self.quorum.heard(now, node_id) else { return Vec::new() };
+        let sender = Sender { node_id, name: peer.name.clone(), incarnation: peer.hello.incarnation };
+        self.note_proof_of_contact(now, &sender, &message);
+        if !self.knows_peer(node_id) {
+            return Vec::new(); // it was given up for what the message showed
+        }
+        if let Message::MembershipUpdate(update) = message {
+            return update.control_addresses;
+        }
+        self.dispatch(now, &sender, message);
+        self.resume_requests(now);
+        Vec::new()
+    }
+
+    /// Notes that the sender has proved that it heard this process, and reckons the contact anew.
+    fn note_proof_of_contact(&mut self, now: Timestamp, sender: &Sender, message: &Message) {
+        match message {
+            Message::Heartbeat(heartbeat) => self.quorum.note_echo(now, &sender.name, heartbeat),
+            Message::PrepareResponse(response) => {
+                let is_own_answer = response.incarnation == self.identity.incarnation;
+                if is_own_answer && self.catch_up.is_current_round(response.request_id) {
+                    self.quorum.note_response(now, &sender.name, self.catch_up.round_started_at());
+                }
+            }
+            _ => return,
+        }
+        self.evaluate_contact(now);
+    }
+
+    fn dispatch(&mut self, now: Timestamp, sender: &Sender, message: Message) {
+        let (node_id, name) = (sender.node_id, sender.name.as_str());
+        match message {
+            Message::Heartbeat(heartbeat) => self.handle_heartbeat(now, sender, &heartbeat),
+            Message::Items(items) => self.handle_items(items),
+            Message::AcceptRequest(request) => self.handle_accept_request(now, node_id, request),
+            Message::Commit(commit) => self.handle_commit(&commit),
+            Message::PurgeTombstones(purge) if self.configuration.is_member_or_unknown(name) => {
+                self.purge_tombstones(purge.into_expired());
+            }
+            // Invariant: an answer to an earlier incarnation doesn't count for what this one asked.
+            Message::AcceptResponse(response) if response.incarnation == self.identity.incarnation => {
+                self.handle_accept_response(now, name, &response);
+            }
+            Message::PrepareRequest(request) => self.handle_prepare_request(now, node_id, &request),
+            Message::PrepareResponse(response) => self.handle_prepare_response(now, node_id, name, response),
+            Message::LeaseRequest(request) => self.handle_lease_request(now, node_id, name, &request),
+            Message::LeaseVote(vote) => self.handle_lease_vote(now, name, &vote),
+            Message::SessionList(list) => self.sessions.receive_list(now, node_id, sender.incarnation, &list),
+            Message::UsageReport(report) => {
+                if let Some(totals) = self.record_usage(now, &report) {
+                    self.send(node_id, Message::UsageTotals(totals));
+                }
+            }
+            Message::UsageTotals(totals) => self.forward_usage_totals(totals),
+            _ => {}
+        }
+    }
+
+    fn handle_heartbeat(&mut self, now: Timestamp, sender: &Sender, heartbeat: &Heartbeat) {
+        let digest = self.item_store().history_digest();
+        let is_stale = self.quorum.receive_heartbeat(sender.node_id, heartbeat, digest);
+        self.note_persisted_replica(now, &sender.name, heartbeat);
+        self.sessions.peer_heartbeat(now, sender.node_id, sender.incarnation);
+        if is_stale {
+            self.repair(now, sender.node_id, &sender.name);
+        }
+    }
+
+    /// Backends as the coordinator reads them, and the first replica set.
+    ///
+    /// Invariant: nothing else is taken in unasked. It could be what was dropped, and the drop forgotten.
+    fn handle_items(&mut self, items: Items) {
+        let items = items.items.into_iter().filter_map(ItemMessage::into_entry);
+        let items = items.filter(|(item, _)| matches!(item.kind, Kind::Backend | Kind::ReplicaSet));
+        self.apply_committed(items.collect());
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/state_machine/handlers/persisted.rs
@@ -0,0 +1,43 @@
+//! Records on their way to disk, and what follows once they are there.
+
+use crate::state_machine::persistence::PendingWrite;
+use crate::state_machine::records::Record;
+use crate::state_machine::StateMachine;
+use kitepass_coordination::protocol::AcceptResponse;
+use kitepass_time::Timestamp;
+use log::info;
+
+impl StateMachine {
+    /// Sends records to disk, behind those that could wait.
+    pub(in crate::state_machine) fn persist(&mut self, records: Vec<Record>, then: PendingWrite) {
+        let request_id = self.next_request_id();
+        let action = self.persistence.write(request_id, records, then);
+        self.push(action);
+    }
+
+    /// The records of the [`Action::Persist`](crate::state_machine::Action::Persist) with this request id are on disk.
+    pub fn records_persisted(&mut self, now: Timestamp, request_id: u64) {
+        match self.persistence.written(request_id) {
+            Some(PendingWrite::Accept { node_id, response, reservation }) => {
+                reservation.into_iter().for_each(|it| self.proposals.reservation_persisted(it));
+                let response = AcceptResponse { is_complete: self.lifecycle.is_complete(), ..response };
+                self.deliver_accept_response(now, &node_id, response);
+            }
+            Some(PendingWrite::Promise { node_id, response, reservation }) => {
+                self.proposals.reservation_persisted(reservation);
+                self.deliver_prepare_response(now, &node_id, response);
+            }
+            Some(PendingWrite::Vote { node_id, recorded, vote }) => {
+                self.coordinator.vote_recorded(recorded);
+                self.deliver_lease_vote(now, &node_id, vote);
+            }
+            Some(PendingWrite::Completeness) => {
+                self.lifecycle.set_complete(true);
+                info!("event=disk-complete");
+                self.finish_catch_up(now);
+            }
+            Some(PendingWrite::Nothing) | None => {}
+        }
+        self.resume_requests(now);
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/state_machine/proposals/acceptor.rs
@@ -0,0 +1,80 @@
+//! The acceptor's side: what this replica answers to prepare and accept requests.
+
+use super::Proposals;
+use crate::state_machine::configuration::Configuration;
+use bytes::Bytes;
+use kitepass_coordination::consensus::{
+    AcceptError, AcceptReason, Acceptance, Ballot, BallotReservation, Proposal, ProposalId, ProposalMessage,
+};
+use kitepass_coordination::protocol::{AcceptRequest, PrepareRequest, PrepareResponse, RejectedProposal};
+
+/// Bytes of accepted proposals that one prepare response tells; one proposal at least.
+const MAX_TOLD_BYTES: usize = 4 * 1024 * 1024;
+
+impl Proposals {
+    /// Answers the first request of a reading in `response`: promises the ballot, if there is one, and tells which
+    /// proposals are accepted here. A reservation that is given must be on disk before the answer leaves.
+    pub(in crate::state_machine) fn prepare(
+        &mut self,
+        request: &PrepareRequest,
+        configuration: &Configuration,
+        response: &mut PrepareResponse,
+    ) -> Option<BallotReservation> {
+        let (mut accepted, mut reservation) = (Vec::new(), None);
+        if response.is_bootstrapped && self.is_fenced(request.epoch, &request.keys, configuration) {
+            response.is_rejected = true;
+            accepted.extend(self.undecided_replica_set(configuration));
+        } else if let Some(ballot) = request.ballot {
+            self.observe_ballot(ballot);
+            match self.acceptor.prepare(ballot, &request.keys) {
+                Ok(promise) => (accepted, reservation) = (promise.accepted, promise.reservation),
+                Err(higher) => (response.is_rejected, response.ballot) = (true, Some(higher)),
+            }
+            let rejections = self.acceptor.rejections(&request.keys);
+            response.rejected = rejections
+                .map(|(id, ballot)| RejectedProposal { ballot, proposal_id: Bytes::copy_from_slice(&id.0) })
+                .collect();
+        } else if request.wants_all_undecided {
+            accepted = self.accepted();
+            // Invariant: what is accepted here under an earlier epoch is accepted before this answer. Later it could be
+            // chosen without being read.
+            reservation = self.acceptor.fence(request.epoch);
+        }
+        tell_accepted(&accepted, response);
+        reservation
+    }
+
+    /// Accepts a proposal or, where there is none, the rejection of one. None for what this version does not know.
+    pub(in crate::state_machine) fn accept(
+        &mut self,
+        ballot: Ballot,
+        proposal: Option<Proposal>,
+        request: &AcceptRequest,
+        configuration: &Configuration,
+    ) -> Option<Result<Acceptance, AcceptError>> {
+        let Some(proposal) = proposal else {
+            let rejected = ProposalId::from_bytes(&request.rejects)?;
+            return Some(self.acceptor.reject(ballot, rejected, &request.keys));
+        };
+        let reason = if request.was_accepted_before { AcceptReason::Resolve } else { AcceptReason::New };
+        Some(self.acceptor.accept(ballot, proposal, reason, configuration.items()))
+    }
+
+    /// A reservation is on disk.
+    pub(in crate::state_machine) fn reservation_persisted(&mut self, reservation: BallotReservation) {
+        self.acceptor.reservation_persisted(reservation);
+    }
+}
+
+/// Tells the accepted proposals, as far as they fit into one message. A proposer that is not told all of them settles
+/// these and reads again.
+fn tell_accepted(accepted: &[(Ballot, Proposal)], response: &mut PrepareResponse) {
+    let mut bytes = 0;
+    let fits = accepted.iter().take_while(|(_, proposal)| {
+        let is_first = bytes == 0;
+        bytes += proposal.bytes();
+        is_first || bytes <= MAX_TOLD_BYTES
+    });
+    response.accepted = fits.map(|(ballot, proposal)| ProposalMessage::new(*ballot, proposal)).collect();
+    response.is_rejected |= response.accepted.len() < accepted.len();
+}
--- /dev/null
+++ b/crates/control-plane/src/state_machine/proposals/judge.rs
@@ -0,0 +1,124 @@
+//! What follows once a read quorum has answered a request: every commit that came before is known here by then, or was
+//! told as accepted.
+
+use super::pending::{activated_replica_set, PendingRequest};
+use super::watch::{is_settled, WatchList};
+use crate::request::Request;
+use crate::state_machine::configuration::Configuration;
+use kitepass_config::Item;
+use kitepass_coordination::consensus::{
+    possibly_chosen, proposal_status, ObservedProposals, Proposal, ProposalId, ProposalStatus,
+};
+use std::collections::BTreeSet;
+
+/// What is to be done with a request that a read quorum has answered.
+pub(in crate::state_machine) enum Verdict {
+    /// Something has changed meanwhile: another attempt begins.
+    Retry,
+    /// The request only reads, and has.
+    ReadComplete,
+    /// These proposals have to be settled first.
+    BlockedBy(BTreeSet<ProposalId>),
+    /// All that it proposes is committed already.
+    Committed,
+    /// Another content has taken the version of this item.
+    Conflict(Item),
+    /// It is proposed.
+    Propose(Proposal),
+    /// It is invalid; the rejection is proposed in its place.
+    Reject { proposal: Proposal, reason: String },
+    /// There is nothing left to do.
+    NotNeeded,
+}
+
+/// Judges a request; `watch_list` knows which proposals are rejected.
+pub(in crate::state_machine) fn judge(
+    pending: &PendingRequest,
+    configuration: &Configuration,
+    watch_list: &WatchList,
+) -> Verdict {
+    if pending.ballot.epoch < configuration.epoch() {
+        return Verdict::Retry; // another replica set has come meanwhile
+    }
+    let observed = possibly_chosen(&pending.observed, watch_list.rejections());
+    let Some(proposal) = &pending.proposal else { return judge_read(pending, &observed, configuration) };
+    if let Request::Evacuate { zone, on } = &pending.request {
+        if proposal.items()[0].version != configuration.evacuation(zone, *on).version {
+            return Verdict::Retry;
+        }
+    }
+    match proposal_status(proposal, &observed, configuration.items()) {
+        ProposalStatus::Committed => Verdict::Committed,
+        // Two that evacuate one zone draw the same version: the later one takes the next.
+        ProposalStatus::Conflicting(_) if matches!(pending.request, Request::Evacuate { .. }) => {
+            Verdict::Retry
+        }
+        ProposalStatus::Conflicting(item) => Verdict::Conflict(item),
+        ProposalStatus::BlockedBy(proposal_id) => Verdict::BlockedBy([proposal_id].into()),
+        ProposalStatus::AlreadyAccepted => Verdict::Propose(proposal.clone()),
+        ProposalStatus::New => judge_new(&pending.request, proposal, configuration, watch_list),
+    }
+}
+
+/// A reading is complete once all proposals that it met are settled.
+///
+/// The proposal that puts a replica set in force is not waited for by the reading that precedes it: it waits for that
+/// reading. Where a replica has accepted it already, nothing is waited for: what the earlier replica set may have chosen
+/// was settled then. Otherwise, where too few of the earlier set are left, nothing could be settled until the incoming
+/// set alone decides.
+fn judge_read(
+    pending: &PendingRequest,
+    observed: &ObservedProposals,
+    configuration: &Configuration,
+) -> Verdict {
+    let incoming = configuration.joint_replica_sets().and_then(|sets| sets.incoming);
+    let is_activated = incoming.is_some_and(|incoming| incoming.version == pending.activated_version);
+    let precedes_activation = matches!(pending.request, Request::Fill(_));
+    let is_passed_over = |proposal: &Proposal| {
+        precedes_activation && (is_activated || activated_replica_set(proposal).is_some())
+    };
+    let proposals = observed.values().map(|(_, proposal)| proposal);
+    let open = proposals
+        .filter(|proposal| !is_settled(proposal, configuration.items()) && !is_passed_over(proposal))
+        .map(Proposal::proposal_id);
+    let open: BTreeSet<ProposalId> = open.collect();
+    if open.is_empty() {
+        Verdict::ReadComplete
+    } else {
+        Verdict::BlockedBy(open)
+    }
+}
+
+/// A proposal that no replica heard of here has accepted: it is chosen nowhere, and may be turned down.
+fn judge_new(
+    request: &Request,
+    proposal: &Proposal,
+    configuration: &Configuration,
+    watch_list: &WatchList,
+) -> Verdict {
+    match request {
+        // Invariant: an evacuation that stands already is answered only now that all that others accepted for the zone is
+        // settled. Answered before, it could be undone by what came before it.
+        Request::Evacuate { zone, on } if configuration.is_evacuated(zone) == *on => Verdict::NotNeeded,
+        Request::Patch(items) => match kitepass_config::validate(configuration.items(), items) {
+            Ok(()) => Verdict::Propose(proposal.clone()),
+            Err(error) => Verdict::Reject { proposal: proposal.clone(), reason: error.to_string() },
+        },
+        // Invariant: a rejection that is known goes to all. A replica that has accepted the proposal and has not heard of
+        // its rejection would bring it up for as long as that is remembered, and in force after that.
+        Request::Settle(_) if watch_list.is_rejected(proposal.proposal_id()) => {
+            Verdict::Reject { proposal: proposal.clone(), reason: "denied before".into() }
+        }
+        // It is not chosen, and whoever wants it will see to it.
+        Request::Settle(_) => Verdict::NotNeeded,
+        Request::Next(incoming) => {
+            let current = configuration.replica_set();
+            if current.is_none_or(|current| current.version + 1 != incoming.version) {
+                Verdict::NotNeeded
+            } else {
+                Verdict::Propose(proposal.clone())
+            }
+        }
+        _ => Verdict::Propose(proposal.clone()),
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/state_machine/proposals/watch.rs
@@ -0,0 +1,119 @@
+//! Proposals that are accepted somewhere and not known to be settled: somebody has to bring them to an end.
+
+use kitepass_config::ItemStore;
+use kitepass_coordination::consensus::{conflicting_item, is_committed, Ballot, Proposal, ProposalId};
+use kitepass_time::Timestamp;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Proposals that are watched, and rejections that are remembered.
+const MAX_WATCHED: usize = 1_024;
+/// Proposals of others that are begun to be settled at one tick.
+const MAX_SETTLED_PER_TICK: usize = 8;
+
+struct Watched {
+    proposal: Proposal,
+    /// The highest ballot that it was heard of with.
+    ballot: Ballot,
+    /// From then on this process settles it.
+    due_at: Timestamp,
+    attempts: u32,
+}
+
+/// A proposal that is to be settled now.
+pub(in crate::state_machine) struct DueProposal {
+    pub(in crate::state_machine) proposal: Proposal,
+    /// How often this process has tried, this time counted.
+    pub(in crate::state_machine) attempts: u32,
+}
+
+/// Proposals that are accepted somewhere, and those that are rejected.
+#[derive(Default)]
+pub(in crate::state_machine) struct WatchList {
+    watched: BTreeMap<ProposalId, Watched>,
+    /// Rejected proposals, and the ballot of each rejection.
+    rejected: BTreeMap<ProposalId, Ballot>,
+}
+
+/// Whether a proposal is beyond any change: committed, or never to be.
+pub(in crate::state_machine) fn is_settled(proposal: &Proposal, item_store: &ItemStore) -> bool {
+    is_committed(proposal, item_store) || conflicting_item(proposal, item_store).is_some()
+}
+
+impl WatchList {
+    /// Whether another proposal can be watched.
+    pub(in crate::state_machine) fn has_room(&self) -> bool {
+        self.watched.len() < MAX_WATCHED
+    }
+
+    /// Watches a proposal that was heard of with a ballot. One that is watched already keeps its time.
+    pub(in crate::state_machine) fn add(&mut self, ballot: Ballot, proposal: &Proposal, due_at: Timestamp) {
+        let watched = || Watched { proposal: proposal.clone(), ballot, due_at, attempts: 0 };
+        let watched = self.watched.entry(proposal.proposal_id()).or_insert_with(watched);
+        watched.ballot = watched.ballot.max(ballot);
+    }
+
+    pub(in crate::state_machine) fn remove(&mut self, id: ProposalId) {
+        self.watched.remove(&id);
+    }
+
+    pub(in crate::state_machine) fn contains(&self, id: ProposalId) -> bool {
+        self.watched.contains_key(&id)
+    }
+
+    /// The highest ballot that a watched proposal was heard of with.
+    pub(in crate::state_machine) fn ballot(&self, id: ProposalId) -> Option<Ballot> {
+        self.watched.get(&id).map(|watched| watched.ballot)
+    }
+
+    /// Takes settled proposals out, and keeps the rejections in bounds: prepare responses tell them again.
+    pub(in crate::state_machine) fn expire(&mut self, item_store: &ItemStore) {
+        self.watched.retain(|_, watched| !is_settled(&watched.proposal, item_store));
+        if self.rejected.len() > MAX_WATCHED {
+            self.rejected.clear();
+        }
+    }
+
+    /// Proposals that are to be settled now: only that one, if `only` is given, and none of `busy`.
+    pub(in crate::state_machine) fn due(
+        &self,
+        now: Timestamp,
+        only: Option<ProposalId>,
+        busy: &BTreeSet<ProposalId>,
+    ) -> Vec<DueProposal> {
+        let is_due = |id: &ProposalId, watched: &Watched| {
+            watched.due_at <= now && only.is_none_or(|only| only == *id) && !busy.contains(id)
+        };
+        let due = self.watched.iter().filter(|(id, watched)| is_due(id, watched)).take(MAX_SETTLED_PER_TICK);
+        due.map(|(_, watched)| DueProposal {
+            proposal: watched.proposal.clone(),
+            attempts: watched.attempts + 1,
+        })
+        .collect()
+    }
+
+    /// A proposal is being settled; should that fail, it is due again at `due_at`.
+    pub(in crate::state_machine) fn attempted(&mut self, id: ProposalId, attempts: u32, due_at: Timestamp) {
+        if let Some(watched) = self.watched.get_mut(&id) {
+            (watched.attempts, watched.due_at) = (attempts, due_at);
+        }
+    }
+
+    /// A proposal is rejected under a ballot.
+    pub(in crate::state_machine) fn note_rejection(&mut self, id: ProposalId, ballot: Ballot) {
+        let known = self.rejected.entry(id).or_insert(ballot);
+        *known = ballot.max(*known);
+    }
+
+    pub(in crate::state_machine) fn is_rejected(&self, id: ProposalId) -> bool {
+        self.rejected.contains_key(&id)
+    }
+
+    pub(in crate::state_machine) fn rejections(&self) -> &BTreeMap<ProposalId, Ballot> {
+        &self.rejected
+    }
+
+    pub(in crate::state_machine) fn clear(&mut self) {
+        self.watched.clear();
+        self.rejected.clear();
+    }
+}
--- a/crates/control-plane/src/state_machine/quorum.rs
+++ b/crates/control-plane/src/state_machine/quorum.rs
@@ -1,292 +1,214 @@
-//! Contact with the core: who is heard, who heard this process, what follows when that is lost, and what each is told at
-//! every beat.
+//! The other control processes, and contact with a majority of the replicas: who is heard, and who is known to have
+//! heard this process.
+
+use super::{Action, HEARTBEAT_INTERVAL, UNRESPONSIVE_TIMEOUT};
+use kitepass_coordination::membership::{Replica, ReplicaSet};
+use kitepass_coordination::protocol::{Heartbeat, Hello, Message};
+use kitepass_coordination::quorum_contact::{ContactState, QuorumContact};
+use kitepass_time::{Duration, Timestamp};
+use log::info;
+use std::collections::BTreeMap;
+
+/// After the last contact a look-up is answered for this long: what is known of the gateways is no older.
+const LOOK_UP_TIMEOUT: Duration = Duration::from_micros(4_000_000);
+/// Heartbeats in a row that must tell another digest before a peer's copy is read: one may have crossed with an update.
+const DIFFERING_HEARTBEATS: u32 = 2;
+
+/// Another control process that is connected.
+pub(super) struct Peer {
+    pub(super) hello: Hello,
+    /// Its replica's name.
+    pub(super) name: String,
+    /// The term of the lease under which it says that it is coordinator, or 0.
+    coordinator_term: u64,
+    pub(super) is_shutting_down: bool,
+    heard_at: Timestamp,
+    differing_heartbeats: u32,
+}
 
-use super::*;
+impl Peer {
+    fn is_responsive(&self, now: Timestamp) -> bool {
+        now - self.heard_at <= UNRESPONSIVE_TIMEOUT
+    }
+}
 
-/// What operators are shown of a seat's contact.
-pub struct ReplicaContact {
-    pub replica: Replica,
-    /// It said something lately.
-    pub heard: bool,
-    /// How long ago it is known to have heard this process.
-    pub age: Option<Duration>,
+/// The peers by node id, and the contact with a majority.
+pub(super) struct Quorum {
+    contact: QuorumContact,
+    peers: BTreeMap<String, Peer>,
+    heartbeat_at: Timestamp,
 }
 
-impl StateMachine {
-    /// Reckons the contact anew, and parts from the core where it is lost.
-    pub(super) fn judge_contact(&mut self, now: Timestamp) {
-        // Once the next cast is decided nothing is decided without a majority of it; where the one before has lost its own by
-        // disks, contact with the next one is what ends the change.
-        let replica_sets: Vec<ReplicaSet> =
-            self.epoch().map(|epoch| epoch.incoming.unwrap_or(epoch.current)).into_iter().collect();
-        if let Some(state) = self.contact.evaluate(now, &replica_sets) {
-            let age = self.contact.age(now).map_or("none".to_owned(), |age| millis(age).to_string());
-            info!("event=contact state={state:?} age-ms={age}");
-        }
-        if self.contact.state() == ContactState::Disconnected && self.replica_state == ReplicaState::Serving {
-            self.part(now);
-        }
+impl Quorum {
+    /// `name` is this process' replica's; `first_sequence` is drawn, so that echoes to an earlier incarnation don't count.
+    pub(super) fn new(now: Timestamp, name: &str, first_sequence: u32) -> Quorum {
+        let contact = QuorumContact::new(name, first_sequence);
+        Quorum { contact, peers: BTreeMap::new(), heartbeat_at: now }
     }
 
-    /// Contact is lost. Danger: cut off from the rest of the core, it would hold its gateways on an old configuration, and
-    /// let its callers wait for an answer that cannot come.
-    fn part(&mut self, now: Timestamp) {
-        self.shift(ReplicaState::Isolated);
-        let ids: Vec<u64> = self.work.keys().copied().collect();
-        let response = self.elsewhere(now);
-        ids.into_iter().for_each(|id| self.end(id, response.clone()));
-        // Danger: a gateway that has never caught up would take an old configuration for the newest.
-        let news: Vec<u64> =
-            self.sessions.iter().filter(|(_, s)| !s.hello.is_serving).map(|(id, _)| *id).collect();
-        for id in news {
-            self.active_term.push(Action::CloseSession(id));
-            self.session_closed(now, id, "apart");
+    /// Whether the next heartbeat is to be sent; that time is noted.
+    pub(super) fn start_heartbeat(&mut self, now: Timestamp) -> bool {
+        let is_due = now - self.heartbeat_at >= HEARTBEAT_INTERVAL;
+        if is_due {
+            self.heartbeat_at = now;
         }
-        self.beat(now);
-        self.ask_core(now);
+        is_due
     }
 
-    /// Asks all of the core for what they hold. Danger: what was heard before contact was lost, or by one that is cut off
-    /// alike, may be old by now; without contact each asking begins anew.
-    pub(super) fn ask_core(&mut self, now: Timestamp) {
-        if self.contact.state() == ContactState::Disconnected {
-            self.caught.clear();
-            self.caught_whole = 0;
-            self.inquiry = 0;
+    /// Reckons the contact anew; a majority of each of these replica sets is needed for it.
+    pub(super) fn evaluate(&mut self, now: Timestamp, replica_sets: &[ReplicaSet]) {
+        if let Some(state) = self.contact.evaluate(now, replica_sets) {
+            let age = self.contact.age(now).map_or("none".to_owned(), |age| super::millis(age).to_string());
+            info!("event=quorum-contact state={state:?} age-ms={age}");
         }
-        self.inquired = now;
-        self.inquire(now);
     }
 
-    /// Whether an order may be taken, gone on with and answered now.
-    pub fn has_quorum(&self, now: Timestamp) -> bool {
+    /// Whether a majority has proved, no longer ago than it may be, that it heard this process.
+    pub(super) fn is_connected(&self, now: Timestamp) -> bool {
         self.contact.is_connected(now)
     }
 
-    /// Whether a look-up may be answered: what is known of the gateways is no older than a stated time.
-    pub fn can_look_up(&self, now: Timestamp) -> bool {
-        matches!(self.replica_state, ReplicaState::Serving | ReplicaState::Isolated)
-            && self.contact.age(now).is_some_and(|age| age <= LOOKUP)
+    /// Whether contact was there, and counted, at the last evaluation.
+    pub(super) fn was_connected(&self) -> bool {
+        self.contact.state() == ContactState::Connected
+    }
+
+    /// Whether contact was lost by the last evaluation.
+    pub(super) fn is_lost(&self) -> bool {
+        self.contact.state() == ContactState::Disconnected
     }
 
     /// How long ago a majority is known to have heard this process.
-    pub fn contact_age(&self, now: Timestamp) -> Option<Duration> {
+    pub(super) fn contact_age(&self, now: Timestamp) -> Option<Duration> {
         self.contact.age(now)
     }
 
-    /// What a caller is told whose order is not for this process now: another one that is heard and says that it is in
-    /// contact, if there is any. Danger: one that was in contact long ago may be as cut off as this one.
-    pub(super) fn elsewhere(&self, now: Timestamp) -> Response {
-        let may = |peer: &&Peer| peer.hello.is_serving && now - peer.heard <= SILENT;
-        match self.peers.values().filter(may).max_by_key(|peer| peer.heard) {
-            Some(peer) => Response::Redirect(peer.hello.address.clone()),
-            None => Response::Unavailable("out of contact with the core"),
-        }
+    /// When the replica of this name is known to have heard this process last.
+    pub(super) fn last_contact(&self, name: &str) -> Option<Timestamp> {
+        self.contact.last_contact(name)
     }
 
-    /// Why an order cannot be taken at this moment, if so.
-    pub(super) fn not_now(&self, now: Timestamp) -> Option<Response> {
-        match self.replica_state {
-            ReplicaState::Serving if self.has_quorum(now) => None,
-            ReplicaState::Uninitialized | ReplicaState::CatchingUp if self.has_quorum(now) => {
-                Some(Response::Unavailable("not caught up with the core"))
-            }
-            _ => Some(self.elsewhere(now)),
-        }
+    /// Whether what is known of the gateways is recent enough for a look-up.
+    pub(super) fn can_look_up(&self, now: Timestamp) -> bool {
+        self.contact.age(now).is_some_and(|age| age <= LOOK_UP_TIMEOUT)
     }
 
-    /// Whether an order may be judged by what is known here.
-    pub fn accepts_requests(&self, now: Timestamp) -> bool {
-        self.not_now(now).is_none()
+    /// A peer has connected. Gives the name of the replica that was known at its node id, if it is another now.
+    pub(super) fn connect(&mut self, now: Timestamp, hello: &Hello) -> Option<String> {
+        let name = Replica::from(hello).name();
+        self.contact.peer_connected(now, &name, hello.incarnation);
+        let peer = Peer {
+            hello: hello.clone(),
+            name: name.clone(),
+            coordinator_term: 0,
+            is_shutting_down: false,
+            heard_at: now,
+            differing_heartbeats: 0,
+        };
+        let before = self.peers.insert(hello.node_id.clone(), peer)?;
+        (before.name != name).then_some(before.name)
     }
 
-    /// Seats of the cast, and the contact with each.
-    pub fn replica_contacts(&self, now: Timestamp) -> Vec<ReplicaContact> {
-        let of = |replica: Replica| {
-            let name = replica.name();
-            let own = name == self.name;
-            let said = |peer: &Peer| peer.name == name && now - peer.heard <= SILENT;
-            let heard = own || self.peers.values().any(said);
-            let as_of = if own { Some(now) } else { self.contact.last_contact(&name) };
-            ReplicaContact { replica, heard, age: as_of.map(|as_of| now - as_of) }
-        };
-        self.replica_set()
-            .map_or(Vec::new(), |replica_set| replica_set.replicas.into_iter().map(of).collect())
+    pub(super) fn remove(&mut self, node_id: &str) -> Option<Peer> {
+        self.peers.remove(node_id)
+    }
+
+    /// Something has come of a peer. Gives it, if it is known.
+    pub(super) fn heard(&mut self, now: Timestamp, node_id: &str) -> Option<&Peer> {
+        let peer = self.peers.get_mut(node_id)?;
+        peer.heard_at = now;
+        Some(peer)
     }
 
-    /// Addresses of control processes that this one knows of, its own left out.
-    pub fn known_addresses(&self) -> BTreeSet<String> {
-        let replicas =
-            [CURRENT, INCOMING].into_iter().filter_map(|name| ReplicaSet::load(&self.item_store, name));
-        let replicas = replicas.flat_map(|replica_set| replica_set.replicas).map(|replica| replica.address);
-        let mut stops: BTreeSet<String> =
-            replicas.chain(self.peers.values().map(|p| p.hello.address.clone())).collect();
-        stops.remove(&self.me.address);
-        stops
+    /// A heartbeat of the replica of this name proves what it echoes.
+    pub(super) fn note_echo(&mut self, now: Timestamp, name: &str, heartbeat: &Heartbeat) {
+        self.contact.heartbeat_received(now, name, heartbeat.sequence, heartbeat.echoed_sequence);
     }
 
-    pub fn peer_connected(&mut self, now: Timestamp, hello: &Hello) {
-        let node_id = hello.node_id.clone();
-        if !self.peers.contains_key(&node_id) {
-            self.newest = now;
-            info!("event=peer station={node_id} ip={} life={:x}", hello.address, hello.incarnation);
+    /// An answer of the replica of this name to what was sent at `sent_at` proves that it heard that.
+    pub(super) fn note_response(&mut self, now: Timestamp, name: &str, sent_at: Timestamp) {
+        self.contact.response_received(now, name, sent_at);
+    }
+
+    /// Takes over what a peer's heartbeat says of it; `digest` is that of all that is held here. True if the peer's copy
+    /// differs for some time and is to be read.
+    pub(super) fn receive_heartbeat(&mut self, node_id: &str, heartbeat: &Heartbeat, digest: u64) -> bool {
+        let Some(peer) = self.peers.get_mut(node_id) else { return false };
+        peer.hello.is_serving = heartbeat.is_serving;
+        peer.hello.is_complete = heartbeat.is_complete;
+        peer.coordinator_term = heartbeat.coordinator_term;
+        peer.is_shutting_down = heartbeat.is_shutting_down;
+        peer.differing_heartbeats =
+            if heartbeat.digest == digest { 0 } else { peer.differing_heartbeats + 1 };
+        let is_stale = peer.differing_heartbeats >= DIFFERING_HEARTBEATS;
+        if is_stale {
+            peer.differing_heartbeats = 0;
         }
-        self.unread(&node_id);
-        let name = Replica::from(hello).name();
-        self.lost.remove(&name);
-        self.leaving.remove(&name);
-        self.contact.peer_connected(now, &name, hello.incarnation);
-        let peer =
-            Peer { hello: hello.clone(), name, heard: now, digest: 0, differs: 0, role: 0, leaving: false };
-        if let Some(before) = self.peers.insert(node_id.clone(), peer) {
-            if before.name != self.peers[&node_id].name {
-                self.lost.insert(before.name, now);
-            }
+        is_stale
+    }
+
+    /// The heartbeat to each peer: `template`, with the sequence numbers of the contact with that peer.
+    pub(super) fn heartbeats(&mut self, now: Timestamp, template: &Heartbeat) -> Vec<Action> {
+        let mut actions = Vec::new();
+        for (node_id, peer) in &self.peers {
+            let (sequence, echoed_sequence) = self.contact.next_heartbeat(now, &peer.name);
+            let heartbeat = Heartbeat { sequence, echoed_sequence, ..template.clone() };
+            actions.push(Action::SendToPeer(node_id.clone(), Message::Heartbeat(heartbeat)));
         }
-        self.told.1 = Timestamp::default(); // it is to be told of the sessions here
-        self.inquired = Timestamp::default();
-        let controls = self.known_addresses().into_iter().collect();
-        self.send(
-            &node_id,
-            Message::MembershipUpdate(MembershipUpdate {
-                control_addresses: controls,
-                ..MembershipUpdate::default()
-            }),
-        );
+        self.contact.sweep(now);
+        actions
     }
 
-    /// One that was given up for its silence has to say again who it is.
-    pub fn knows_peer(&self, node_id: &str) -> bool {
-        self.peers.contains_key(node_id)
+    /// A message to every peer.
+    pub(super) fn to_all(&self, message: &Message) -> Vec<Action> {
+        self.peers.keys().map(|node_id| Action::SendToPeer(node_id.clone(), message.clone())).collect()
     }
 
-    /// Whether this life of it is the one that is known.
-    pub fn knows_incarnation(&self, node_id: &str, incarnation: u64) -> bool {
-        self.peers.get(node_id).is_some_and(|peer| peer.hello.incarnation == incarnation)
+    pub(super) fn get(&self, node_id: &str) -> Option<&Peer> {
+        self.peers.get(node_id)
     }
 
-    /// Bytes have come of a peer that are no whole word yet.
-    pub fn peer_alive(&mut self, now: Timestamp, node_id: &str) {
-        if let Some(peer) = self.peers.get_mut(node_id) {
-            peer.heard = now;
-        }
+    pub(super) fn has_peers(&self) -> bool {
+        !self.peers.is_empty()
     }
 
-    pub(super) fn peer_lost(&mut self, now: Timestamp, node_id: &str, why: &str) {
-        self.unread(node_id);
-        if let Some(peer) = self.peers.remove(node_id) {
-            info!("event=peer-lost station={node_id} why={why}");
-            self.lost.insert(peer.name, now);
-        }
+    pub(super) fn peers(&self) -> impl Iterator<Item = &Peer> {
+        self.peers.values()
     }
 
-    pub(super) fn buckets(&self, back: bool) -> BucketDigests {
-        BucketDigests { digests: self.item_store.buckets().to_vec(), wants_reply: back }
+    pub(super) fn node_ids(&self) -> Vec<String> {
+        self.peers.keys().cloned().collect()
     }
 
-    /// Tells the others the sessions here, if they are not what was told last or that was long ago.
-    pub(super) fn tell(&mut self, now: Timestamp) {
-        let members: Vec<Member> = self
-            .sessions
-            .values()
-            .map(|Session { hello, ready, .. }| Member {
-                node_id: hello.node_id.clone(),
-                incarnation: hello.incarnation,
-                client_address: hello.client_address.clone(),
-                zone: hello.zone.clone(),
-                is_ready: *ready,
-            })
-            .collect();
-        let changed = members != self.told.2;
-        if !changed && now - self.told.1 < BEAT * 8 {
-            return;
-        }
-        let number = self.told.0 + u64::from(changed);
-        self.told = (number, now, members.clone());
-        let sessions = SessionList { sequence: number, members };
-        let me = (self.me.node_id.clone(), self.incarnation);
-        self.table.update(now, &me.0, me.1, &sessions);
-        self.send_all(&Message::SessionList(sessions));
+    /// Whether the replica of this name is connected.
+    pub(super) fn is_peer_connected(&self, name: &str) -> bool {
+        self.peers.values().any(|peer| peer.name == name)
     }
 
-    /// What gateways are told of the others: at a session's start, and when it changes.
-    pub(super) fn live_word(&self) -> MembershipUpdate {
-        let mut controls: Vec<(&str, &str)> =
-            self.peers.values().map(|p| (p.hello.address.as_str(), p.hello.zone.as_str())).collect();
-        controls.push((&self.me.address, &self.me.zone));
-        let (controls, control_districts) =
-            controls.into_iter().map(|(address, d)| (address.to_owned(), d.to_owned())).unzip();
-        MembershipUpdate {
-            gateway_count: self.live.len() as u32,
-            node_ids: self.live.clone(),
-            control_addresses: controls,
-            control_districts,
-        }
+    /// Whether the replica of this name has said something lately.
+    pub(super) fn is_responsive(&self, now: Timestamp, name: &str) -> bool {
+        self.peers.values().any(|peer| peer.name == name && peer.is_responsive(now))
     }
 
-    /// Whether the seat of this name is heard; its own always is.
-    pub(super) fn hears(&self, name: &str) -> bool {
-        name == self.name || self.peers.values().any(|peer| peer.name == name)
+    /// Node ids of the peers that have said nothing for too long.
+    pub(super) fn unresponsive(&self, now: Timestamp) -> Vec<String> {
+        let unresponsive = self.peers.iter().filter(|(_, peer)| !peer.is_responsive(now));
+        unresponsive.map(|(node_id, _)| node_id.clone()).collect()
     }
 
-    pub(super) fn beat(&mut self, now: Timestamp) {
-        let current = self.replica_state == ReplicaState::Serving;
-        let role = self.active_term(now).unwrap_or(0);
-        let beat = Heartbeat {
-            digest: self.item_store.digest(),
-            is_serving: current,
-            is_complete: self.full,
-            coordinator_term: role,
-            ..Heartbeat::default()
-        };
-        let leaving = self.replica_state == ReplicaState::ShuttingDown;
-        let (digest, kept) = (self.item_store.history_digest(), self.is_kept());
-        for (node_id, peer) in &self.peers {
-            let (number, yours) = self.contact.next_heartbeat(now, &peer.name);
-            let message = Message::Heartbeat(Heartbeat {
-                digest,
-                is_shutting_down: leaving,
-                sequence: number,
-                echoed_sequence: yours,
-                is_persisted: kept,
-                ..beat.clone()
-            });
-            self.active_term.push(Action::SendToPeer(node_id.clone(), message));
-        }
-        self.contact.sweep(now);
-        self.bury(now);
-        let silent = |heard: Timestamp| now - heard > SILENT;
-        let lost: Vec<String> =
-            self.peers.iter().filter(|(_, p)| silent(p.heard)).map(|(s, _)| s.clone()).collect();
-        lost.iter().for_each(|node_id| self.peer_lost(now, node_id, "silent"));
-        let lost: Vec<u64> =
-            self.sessions.iter().filter(|(_, s)| silent(s.heard)).map(|(id, _)| *id).collect();
-        for id in lost {
-            self.active_term.push(Action::CloseSession(id));
-            self.session_closed(now, id, "silent");
-        }
-        self.tell(now);
-        self.item_store.purge_dropped(Kind::Backend, MOST_DROPPED);
-        self.table.expire(now);
-        if let Some((_, counts)) = &mut self.counts {
-            counts.expire(now);
-        }
-        let live = self.table.live_node_ids();
-        if live != self.live {
-            self.keep_records(vec![(LIVE.to_vec(), live.join(",").into_bytes())], Kept::Nothing);
-            self.live = live;
-            let message = Message::MembershipUpdate(self.live_word());
-            let ids: Vec<u64> = self.sessions.keys().copied().collect();
-            ids.into_iter().for_each(|id| self.active_term.push(Action::SendToSession(id, message.clone())));
-        }
-        for id in self.sessions.keys() {
-            let digest = self.item_store.digest();
-            self.active_term
-                .push(Action::SendToSession(*id, Message::Heartbeat(Heartbeat { digest, ..beat.clone() })));
-        }
+    /// Address of the peer heard last that says that it serves.
+    ///
+    /// Invariant: only a peer that is heard now is named. One that was in contact long ago may be as cut off as this
+    /// process, and callers would be sent in circles.
+    pub(super) fn serving_address(&self, now: Timestamp) -> Option<&str> {
+        let serving = self.peers.values().filter(|peer| peer.hello.is_serving && peer.is_responsive(now));
+        serving.max_by_key(|peer| peer.heard_at).map(|peer| peer.hello.address.as_str())
     }
-}
 
-pub fn millis(span: Duration) -> i64 {
-    span.micros() / 1000
+    /// Node id of the peer that says that it is coordinator. A lease vote that went to another tells nothing of who holds
+    /// the lease, so only a peer's own word counts.
+    pub(super) fn coordinator(&self) -> Option<&str> {
+        let coordinators = self.peers.iter().filter(|(_, peer)| peer.coordinator_term > 0);
+        coordinators.max_by_key(|(_, peer)| peer.coordinator_term).map(|(node_id, _)| node_id.as_str())
+    }
 }
--- a/crates/control-plane/src/state_machine/sessions.rs
+++ b/crates/control-plane/src/state_machine/sessions.rs
@@ -1,137 +1,255 @@
-//! Gateways' sessions, and what is told of them to clients and operators.
-
-use super::*;
-
-impl StateMachine {
-    /// A gateway asks for a session. Danger: one that has not caught up would tell it an old configuration.
-    pub fn session_opened(&mut self, now: Timestamp, id: u64, hello: Hello) {
-        self.active_term.push(Action::SendToSession(id, Message::Hello(self.hello())));
-        let may = match self.replica_state {
-            ReplicaState::Serving => self.has_quorum(now) || hello.is_serving,
-            // It had caught up once itself, and does no worse here while nobody better is to be found.
-            ReplicaState::Isolated => hello.is_serving,
-            ReplicaState::Uninitialized | ReplicaState::CatchingUp | ReplicaState::ShuttingDown => false,
-        };
-        if !may {
-            return self.active_term.push(Action::CloseSession(id));
+//! Gateways' sessions with this process, what each lacks of the configuration, and what is known of the gateways that
+//! have their sessions elsewhere.
+
+use super::{Action, HEARTBEAT_INTERVAL, UNRESPONSIVE_TIMEOUT};
+use kitepass_config::{Item, ItemStore, BUCKETS};
+use kitepass_coordination::catch_up_queue::CatchUpQueue;
+use kitepass_coordination::protocol::{BucketDigests, Heartbeat, Hello, Member, Message, SessionList};
+use kitepass_coordination::sessions::SessionTable;
+use kitepass_time::{Duration, Timestamp};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// Bytes of items in flight to catching-up gateways, all together.
+const MAX_CATCH_UP_BYTES: usize = 8 * 1024 * 1024;
+/// Bytes of items in one chunk to a gateway, about.
+const CHUNK_BYTES: usize = 256 * 1024;
+/// A session list that has not changed is announced again after this time.
+const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_micros(8 * HEARTBEAT_INTERVAL.micros());
+/// Heartbeats in a row that must tell another digest before a gateway's copy is compared: one may have crossed with an
+/// update.
+const DIFFERING_HEARTBEATS: u32 = 2;
+
+struct Session {
+    hello: Hello,
+    is_ready: bool,
+    heard_at: Timestamp,
+    differing_heartbeats: u32,
+}
+
+/// The session list that the peers were told last.
+#[derive(Default)]
+struct Announcement {
+    sequence: u64,
+    sent_at: Timestamp,
+    members: Vec<Member>,
+}
+
+/// What follows from a gateway's heartbeat.
+#[derive(Default)]
+pub(super) struct HeartbeatOutcome {
+    /// Its copy of the configuration differs for some time.
+    pub(super) is_stale: bool,
+    /// It has become ready, or ceased to be.
+    pub(super) is_readiness_changed: bool,
+}
+
+/// The sessions of this process, by connection number, and the table of all gateways.
+pub(super) struct Sessions {
+    open: BTreeMap<u64, Session>,
+    queue: CatchUpQueue,
+    table: SessionTable,
+    announced: Announcement,
+    live_node_ids: Vec<String>,
+}
+
+impl Sessions {
+    /// `table` holds the gateways that counted as live before a restart.
+    pub(super) fn new(table: SessionTable) -> Sessions {
+        Sessions {
+            open: BTreeMap::new(),
+            queue: CatchUpQueue::new(MAX_CATCH_UP_BYTES),
+            table,
+            announced: Announcement::default(),
+            live_node_ids: Vec::new(),
         }
-        info!("event=session station={} life={:x}", hello.node_id, hello.incarnation);
-        self.sessions.insert(id, Session { hello, ready: false, heard: now, differs: 0 });
-        let message = Message::MembershipUpdate(self.live_word());
-        self.active_term.push(Action::SendToSession(id, message));
     }
 
-    /// Bytes have come of a gateway that are no whole word yet.
-    pub fn session_alive(&mut self, now: Timestamp, id: u64) {
-        if let Some(session) = self.sessions.get_mut(&id) {
-            session.heard = now;
+    pub(super) fn open(&mut self, now: Timestamp, id: u64, hello: Hello) {
+        self.open.insert(id, Session { hello, is_ready: false, heard_at: now, differing_heartbeats: 0 });
+    }
+
+    /// Closes a session; gives the gateway's node id if it was open.
+    pub(super) fn close(&mut self, id: u64) -> Option<String> {
+        let session = self.open.remove(&id)?;
+        self.queue.remove(id);
+        Some(session.hello.node_id)
+    }
+
+    pub(super) fn is_open(&self, id: u64) -> bool {
+        self.open.contains_key(&id)
+    }
+
+    pub(super) fn ids(&self) -> Vec<u64> {
+        self.open.keys().copied().collect()
+    }
+
+    /// Something has come of a gateway.
+    pub(super) fn heard(&mut self, now: Timestamp, id: u64) {
+        if let Some(session) = self.open.get_mut(&id) {
+            session.heard_at = now;
         }
     }
 
-    pub fn session_closed(&mut self, now: Timestamp, id: u64, why: &str) {
-        if let Some(session) = self.sessions.remove(&id) {
-            info!("event=session-lost station={} why={why}", session.hello.node_id);
-            self.feeds.remove(id);
-            self.feed(now);
-            self.tell(now);
+    /// A gateway's heartbeat; `digest` is that of the configuration here.
+    pub(super) fn receive_heartbeat(
+        &mut self,
+        id: u64,
+        heartbeat: &Heartbeat,
+        digest: u64,
+    ) -> HeartbeatOutcome {
+        let Some(session) = self.open.get_mut(&id) else { return HeartbeatOutcome::default() };
+        let was_ready = std::mem::replace(&mut session.is_ready, heartbeat.is_ready);
+        session.hello.is_serving |= heartbeat.is_serving;
+        let agrees = heartbeat.digest == digest || self.queue.contains(id);
+        session.differing_heartbeats = if agrees { 0 } else { session.differing_heartbeats + 1 };
+        let is_stale = session.differing_heartbeats >= DIFFERING_HEARTBEATS;
+        if is_stale {
+            session.differing_heartbeats = 0;
         }
+        HeartbeatOutcome { is_stale, is_readiness_changed: was_ready != heartbeat.is_ready }
     }
 
-    pub fn session_message(&mut self, now: Timestamp, id: u64, message: Message) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
-        session.heard = now;
-        match message {
-            Message::Heartbeat(beat) => {
-                let was = std::mem::replace(&mut session.ready, beat.is_ready);
-                session.hello.is_serving |= beat.is_serving;
-                let agrees = beat.digest == self.item_store.digest() || self.feeds.contains(id);
-                session.differs = if agrees { 0 } else { session.differs + 1 };
-                // One beat may have crossed with news.
-                if session.differs >= 2 {
-                    session.differs = 0;
-                    self.active_term
-                        .push(Action::SendToSession(id, Message::BucketDigests(self.buckets(false))));
-                }
-                if was != beat.is_ready {
-                    self.tell(now);
-                }
-            }
-            Message::BucketDigests(buckets) => {
-                self.feeds.enqueue(id, buckets.digests, !buckets.wants_reply);
-                self.feed(now);
-            }
-            // Repair: what a gateway was told by one that is lost. Danger: of the configuration a gateway that was away
-            // would bring back what has been dropped, and the drop forgotten.
-            Message::Items(items) => {
-                let items = items.items.into_iter().filter_map(ItemMessage::into_entry);
-                self.take(items.filter(|(item, _)| item.kind == Kind::Backend).collect());
-            }
-            Message::UsageReport(adds) => match self.add(now, &adds) {
-                Some(totals) => self.totals(totals),
-                None => {
-                    if let Some(holder) = self.holder() {
-                        self.send(&holder, Message::UsageReport(adds));
-                    }
-                }
-            },
-            _ => {}
+    /// Sessions of gateways that have never caught up.
+    pub(super) fn never_caught_up(&self) -> Vec<u64> {
+        self.open.iter().filter(|(_, session)| !session.hello.is_serving).map(|(id, _)| *id).collect()
+    }
+
+    pub(super) fn unresponsive(&self, now: Timestamp) -> Vec<u64> {
+        let is_unresponsive = |session: &Session| now - session.heard_at > UNRESPONSIVE_TIMEOUT;
+        self.open.iter().filter(|(_, session)| is_unresponsive(session)).map(|(id, _)| *id).collect()
+    }
+
+    /// The newest session of this incarnation of a gateway.
+    ///
+    /// Invariant: connection numbers grow, so the highest is the newest. A gateway that has reconnected may be held to be
+    /// on its old connection too for a while; what went there would be lost.
+    pub(super) fn newest_of(&self, incarnation: u64) -> Option<u64> {
+        let mut newest_first = self.open.iter().rev();
+        newest_first.find(|(_, session)| session.hello.incarnation == incarnation).map(|(id, _)| *id)
+    }
+
+    /// A message to every session.
+    pub(super) fn to_all(&self, message: &Message) -> Vec<Action> {
+        self.open.keys().map(|id| Action::SendToSession(*id, message.clone())).collect()
+    }
+
+    /// Items to every session, which share them.
+    pub(super) fn items_to_all(&self, items: &[Item]) -> Vec<Action> {
+        if items.is_empty() || self.open.is_empty() {
+            return Vec::new();
         }
+        let items: Arc<[Item]> = items.into();
+        self.open.keys().map(|id| Action::SendItems(*id, items.clone())).collect()
+    }
+
+    /// A gateway has told the digests of what it holds: it is told what it lacks when its turn comes.
+    pub(super) fn enqueue(&mut self, id: u64, digests: BucketDigests) {
+        self.queue.enqueue(id, digests.digests, !digests.wants_reply);
     }
 
-    /// Whether something is on its way to a session that [`StateMachine::left`] is to be told of.
-    pub fn is_session_catching_up(&self, id: u64) -> bool {
-        self.feeds.is_in_flight(id)
+    pub(super) fn is_catching_up(&self, id: u64) -> bool {
+        self.queue.is_in_flight(id)
     }
 
-    /// What was on its way to a session has left, or nearly.
-    pub fn session_drained(&mut self, now: Timestamp, id: u64) {
-        self.feeds.chunk_delivered(id);
-        self.feed(now);
+    pub(super) fn chunk_delivered(&mut self, id: u64) {
+        self.queue.chunk_delivered(id);
     }
 
-    /// Tells the next of those that came what they lack, as far as there is room.
-    pub(super) fn feed(&mut self, now: Timestamp) {
-        while let Some(turn) = self.feeds.next_turn(now) {
-            let piece = self.item_store.chunk(&turn.bucket_digests, turn.first_bucket, FED);
-            let goes_on = (piece.next_bucket < BUCKETS).then_some(piece.next_bucket);
-            let items: Arc<[Item]> = piece.items.into_iter().cloned().collect();
-            let (id, back, bytes) = (turn.id, turn.wants_reply, items.iter().map(Item::wire_bytes).sum());
-            self.feeds.chunk_sent(now, turn, bytes, goes_on);
+    /// The next chunks for gateways that wait for what they lack, as far as there is room.
+    pub(super) fn send_chunks(&mut self, now: Timestamp, item_store: &ItemStore) -> Vec<Action> {
+        let mut actions = Vec::new();
+        while let Some(turn) = self.queue.next_turn(now) {
+            let chunk = item_store.chunk(&turn.bucket_digests, turn.first_bucket, CHUNK_BYTES);
+            let next_bucket = (chunk.next_bucket < BUCKETS).then_some(chunk.next_bucket);
+            let items: Arc<[Item]> = chunk.items.into_iter().cloned().collect();
+            let bytes = items.iter().map(Item::wire_bytes).sum();
+            let (id, wants_reply) = (turn.id, turn.wants_reply);
+            self.queue.chunk_sent(now, turn, bytes, next_bucket);
             if !items.is_empty() {
-                self.active_term.push(Action::SendItems(id, items));
+                actions.push(Action::SendItems(id, items));
             }
-            if goes_on.is_none() && back {
-                self.active_term.push(Action::SendToSession(id, Message::BucketDigests(self.buckets(true))));
+            if next_bucket.is_none() && wants_reply {
+                let digests = BucketDigests { digests: item_store.buckets().to_vec(), wants_reply: true };
+                actions.push(Action::SendToSession(id, Message::BucketDigests(digests)));
             }
         }
+        actions
     }
 
-    /// Gateways that a client may be sent to.
-    pub fn look_up(&self, region: &str, zone: &str, zones: &BTreeMap<String, String>) -> Vec<String> {
-        let ready: Vec<&Member> = self.table.members().into_values().filter(|m| m.is_ready).collect();
-        let near = |of: &dyn Fn(&Member) -> bool| -> Vec<String> {
-            ready.iter().filter(|m| of(m)).map(|m| m.client_address.clone()).take(64).collect()
+    fn open_members(&self) -> Vec<Member> {
+        let sessions = self.open.values();
+        let member = |Session { hello, is_ready, .. }: &Session| Member {
+            node_id: hello.node_id.clone(),
+            incarnation: hello.incarnation,
+            client_address: hello.client_address.clone(),
+            zone: hello.zone.clone(),
+            is_ready: *is_ready,
         };
-        let here = near(&|m| m.zone == zone);
-        if here.len() > 1 {
-            return here;
-        }
-        let there = near(&|m| zones.get(&m.zone).is_some_and(|p| p == region));
-        if there.len() > 1 {
-            return there;
+        sessions.map(member).collect()
+    }
+
+    /// The list to announce to the peers, if it has changed or was announced long ago. It is entered in the table here
+    /// under `node_id` and `incarnation`, this process' own.
+    pub(super) fn announcement(
+        &mut self,
+        now: Timestamp,
+        node_id: &str,
+        incarnation: u64,
+    ) -> Option<SessionList> {
+        let members = self.open_members();
+        let is_changed = members != self.announced.members;
+        if !is_changed && now - self.announced.sent_at < ANNOUNCEMENT_INTERVAL {
+            return None;
         }
-        // Danger: a client with a single address has nowhere to turn once that one is lost.
-        near(&|_| true)
+        let sequence = self.announced.sequence + u64::from(is_changed);
+        self.announced = Announcement { sequence, sent_at: now, members: members.clone() };
+        let list = SessionList { sequence, members };
+        self.table.update(now, node_id, incarnation, &list);
+        Some(list)
+    }
+
+    /// Somebody has come who was not told of the sessions here: they are announced at the next heartbeat.
+    pub(super) fn announce_again(&mut self) {
+        self.announced.sent_at = Timestamp::default();
+    }
+
+    /// The sessions of a peer.
+    pub(super) fn receive_list(
+        &mut self,
+        now: Timestamp,
+        node_id: &str,
+        incarnation: u64,
+        list: &SessionList,
+    ) {
+        self.table.update(now, node_id, incarnation, list);
+    }
+
+    /// A heartbeat of a peer: the list that it told last still stands.
+    pub(super) fn peer_heartbeat(&mut self, now: Timestamp, node_id: &str, incarnation: u64) {
+        self.table.heartbeat_received(now, node_id, incarnation);
+    }
+
+    /// Forgets gateways that are long gone.
+    pub(super) fn expire(&mut self, now: Timestamp) {
+        self.table.expire(now);
+    }
+
+    /// Gateways that count as live, reckoned once a heartbeat.
+    pub(super) fn live_node_ids(&self) -> &[String] {
+        &self.live_node_ids
     }
 
-    /// All members, for the operator.
-    pub fn members(&self) -> Vec<Member> {
-        self.table.members().into_values().cloned().collect()
+    /// Reckons anew which gateways count as live; true if that has changed.
+    pub(super) fn refresh_live(&mut self) -> bool {
+        let live = self.table.live_node_ids();
+        let is_changed = live != self.live_node_ids;
+        self.live_node_ids = live;
+        is_changed
     }
 
-    /// Zones that are evacuated.
-    pub fn evacuated_zones(&self) -> Vec<String> {
-        let stands = self.item_store.items_of(Kind::Evacuation).filter(|item| item.value.is_some());
-        stands.map(|item| item.name.to_string()).collect()
+    /// All gateways, wherever their sessions are.
+    pub(super) fn members(&self) -> impl Iterator<Item = &Member> {
+        self.table.members().into_values()
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/state_machine/startup.rs
@@ -0,0 +1,158 @@
+//! The start of a state machine: what its disk holds is read back, and the parts are built from it.
+
+use super::catch_up::CatchUp;
+use super::configuration::Configuration;
+use super::coordinator::Coordinator;
+use super::founding::Founding;
+use super::lifecycle::{Lifecycle, ReplicaState};
+use super::membership::Membership;
+use super::persistence::{PendingWrite, Persistence};
+use super::proposals::Proposals;
+use super::quorum::Quorum;
+use super::records::{self, OwnRecord, Record, RecordedVote};
+use super::sessions::Sessions;
+use super::tombstones::Tombstones;
+use super::{Identity, RequestIds, StateMachine};
+use kitepass_config::ItemStore;
+use kitepass_coordination::consensus::{Acceptor, Restored};
+use kitepass_coordination::membership::{JointReplicaSets, Replica, ReplicaSet, CURRENT};
+use kitepass_coordination::sessions::SessionTable;
+use kitepass_coordination::usage::QuotaTolerance;
+use kitepass_time::Timestamp;
+use log::{error, info};
+
+/// What a process is at its start.
+pub struct Start {
+    /// This process' replica. Its replica id is taken from the records, or drawn if there are none.
+    pub me: Replica,
+    /// Drawn anew at each start.
+    pub incarnation: u64,
+    /// The first start of the whole system, with an empty disk.
+    pub is_first_start: bool,
+    /// Whether this process gathers the first replica set.
+    pub is_bootstrap_node: bool,
+    /// All records on its disk.
+    pub records: Vec<(Vec<u8>, Vec<u8>)>,
+    /// What is borne beyond a quota.
+    pub tolerance: QuotaTolerance,
+}
+
+/// What a disk's records say.
+#[derive(Default)]
+struct RestoredRecords {
+    item_store: ItemStore,
+    acceptor: Acceptor,
+    sessions: SessionTable,
+    vote: RecordedVote,
+    is_complete: bool,
+    /// 0 where there is no such record.
+    replica_id: u64,
+    /// Whether there is anything but a replica id.
+    has_state: bool,
+    /// Removals of records that can't be read.
+    removals: Vec<Record>,
+}
+
+impl RestoredRecords {
+    fn read(now: Timestamp, records: &[Record]) -> RestoredRecords {
+        let mut restored = RestoredRecords::default();
+        for (key, value) in records {
+            restored.add(now, key, value);
+        }
+        // What is garbled may have been chosen by being accepted here: it is as good as lost, and comes anew.
+        restored.is_complete &= restored.removals.is_empty();
+        restored
+    }
+
+    fn add(&mut self, now: Timestamp, key: &[u8], value: &[u8]) {
+        let own = records::decode(key, value);
+        self.has_state |= !matches!(own, Some(OwnRecord::ReplicaId(_)));
+        match own {
+            Some(OwnRecord::Complete) => self.is_complete = true,
+            Some(OwnRecord::ReplicaId(id)) => self.replica_id = id,
+            Some(OwnRecord::Vote(vote)) => self.vote = vote,
+            Some(OwnRecord::LiveGateways(node_ids)) => {
+                node_ids.iter().for_each(|node_id| self.sessions.restore(now, node_id));
+            }
+            None => self.add_item_or_proposal(key, value),
+        }
+    }
+
+    fn add_item_or_proposal(&mut self, key: &[u8], value: &[u8]) {
+        if let Some((item, history)) = kitepass_config::decode_record(key, value) {
+            self.item_store.merge_with_history(item, &history);
+        } else if self.acceptor.restore(key, value) == Restored::Garbled {
+            error!("event=record-garbled key={:?}", String::from_utf8_lossy(key));
+            self.removals.push((key.to_owned(), Vec::new()));
+        }
+    }
+}
+
+impl StateMachine {
+    /// Builds a state machine from what its disk holds. The first actions may be waiting when it returns.
+    pub fn new(now: Timestamp, start: Start) -> StateMachine {
+        let mut restored = RestoredRecords::read(now, &start.records);
+        let is_garbled = !restored.removals.is_empty();
+        // The disk of a version that had no replica ids stays the replica that it was, with id 0.
+        let is_new_replica = start.records.is_empty() || is_garbled;
+        let new_replica_id = is_new_replica.then(|| start.incarnation.max(1));
+        let replica_id = new_replica_id.unwrap_or(restored.replica_id);
+        let identity = Identity::new(Replica { replica_id, ..start.me.clone() }, start.incarnation);
+        let mut removals = std::mem::take(&mut restored.removals);
+        removals.extend(restored.acceptor.commit_all(&restored.item_store));
+
+        let mut state_machine = StateMachine::from_parts(now, &start, identity, restored);
+        if let Some(id) = new_replica_id {
+            // The first record of all, so that whatever else is on disk is on disk under this id.
+            state_machine.persist(vec![records::replica_id(id)], PendingWrite::Nothing);
+        }
+        if !removals.is_empty() {
+            state_machine.persist(removals, PendingWrite::Nothing);
+        }
+        state_machine.discard_if_outsider(now);
+        state_machine
+    }
+
+    fn from_parts(
+        now: Timestamp,
+        start: &Start,
+        identity: Identity,
+        restored: RestoredRecords,
+    ) -> StateMachine {
+        let RestoredRecords { item_store, is_complete, .. } = restored;
+        let is_initialized = ReplicaSet::load(&item_store, CURRENT).is_some();
+        let state = if is_initialized { ReplicaState::CatchingUp } else { ReplicaState::Uninitialized };
+        info!(
+            "event=start replica={} state={state:?} complete={is_complete} items={}",
+            identity.name,
+            item_store.len()
+        );
+        let is_first_start = start.is_first_start && !restored.has_state;
+        let newest = JointReplicaSets::load(&item_store).map(|sets| sets.newest().clone());
+        let mut random = oorandom::Rand64::new(u128::from(start.incarnation));
+        StateMachine {
+            lifecycle: Lifecycle::new(state, is_complete),
+            founding: Founding::new(now, is_first_start, start.is_bootstrap_node),
+            quorum: Quorum::new(now, &identity.name, random.rand_u64() as u32),
+            catch_up: CatchUp::new(now),
+            membership: Membership::default(),
+            coordinator: Coordinator::new(
+                now,
+                is_first_start,
+                restored.vote,
+                newest,
+                start.incarnation,
+                start.tolerance,
+            ),
+            sessions: Sessions::new(restored.sessions),
+            proposals: Proposals::new(restored.acceptor),
+            tombstones: Tombstones::new(now, !item_store.is_empty()),
+            persistence: Persistence::default(),
+            configuration: Configuration::new(item_store),
+            request_ids: RequestIds::default(),
+            random,
+            identity,
+            active_term: Vec::new(),
+        }
+    }
+}
--- a/crates/control-plane/src/state_machine/tombstones.rs
+++ b/crates/control-plane/src/state_machine/tombstones.rs
@@ -1,142 +1,91 @@
-//! Drops that are forgotten, and beginning anew: what keeps a folder, a copy or a gateway that was away from bringing back
-//! what was dropped and forgotten meanwhile.
+//! Tombstones: the record of a drop, kept until every replica holds it, and the doubt about what a process holds that
+//! was away for so long that tombstones may have been forgotten meanwhile.
 
-use super::*;
-use kitepass_config::encode_key;
-use kitepass_coordination::tombstones::ExpiredTombstone;
+use kitepass_config::ItemStore;
+use kitepass_coordination::tombstones::{ExpiredTombstone, TombstoneCollector};
+use kitepass_time::{Duration, Timestamp};
+use std::collections::BTreeSet;
 
-/// Drops are looked through no more often.
-const LOOK: Duration = Duration::from_micros(2_000_000);
+/// A tombstone is forgotten once every replica has held it on disk for this time.
+const TOMBSTONE_AGE: Duration = Duration::from_micros(3_600_000_000);
+/// Tombstones are looked through no more often.
+const COLLECTION_INTERVAL: Duration = Duration::from_micros(2_000_000);
 
-impl StateMachine {
-    /// For tests: drops are forgotten after so long, and half of it is as long as a process may be away.
-    pub fn set_tombstone_age(&mut self, age: Duration) {
+/// When tombstones may be forgotten, and whether what is held here is still to be trusted.
+pub(super) struct Tombstones {
+    collector: TombstoneCollector,
+    age: Duration,
+    last_collection_at: Timestamp,
+    last_contact_at: Timestamp,
+    is_unproven: bool,
+}
+
+impl Tombstones {
+    /// `holds_items`: whether anything is held from before this start.
+    pub(super) fn new(now: Timestamp, holds_items: bool) -> Tombstones {
+        Tombstones {
+            collector: TombstoneCollector::new(TOMBSTONE_AGE),
+            age: TOMBSTONE_AGE,
+            last_collection_at: now,
+            last_contact_at: now,
+            is_unproven: holds_items,
+        }
+    }
+
+    pub(super) fn set_age(&mut self, age: Duration) {
         self.age = age;
-        self.tombs = TombstoneCollector::new(age);
+        self.collector = TombstoneCollector::new(age);
     }
 
-    /// All that is held here is on disk, and nothing is accepted and undecided. Danger: a loss of power would take the drop
-    /// from a seat that was counted on; an old version that waits in the register would be brought in force after it.
-    pub(super) fn is_kept(&self) -> bool {
-        self.full && self.keeping.is_empty() && self.acceptor.pending().next().is_none()
+    /// The replica of this name has all that this one holds on disk.
+    pub(super) fn replica_persisted(&mut self, now: Timestamp, name: &str) {
+        self.collector.replica_persisted(now, name);
     }
 
-    /// A seat told its digest at a beat.
-    pub(super) fn agreed(&mut self, now: Timestamp, name: &str, beat: &Heartbeat) {
-        if beat.is_persisted
-            && beat.digest == self.item_store.history_digest()
-            && self.active_term(now).is_some()
-        {
-            self.tombs.replica_persisted(now, name);
-        }
+    /// Another process is coordinator, or nobody: what was seen so far counts no longer.
+    pub(super) fn clear(&mut self) {
+        self.collector.clear();
     }
 
-    /// Whoever does the duty forgets what all have held long enough.
-    pub(super) fn bury(&mut self, now: Timestamp) {
-        if self.active_term(now).is_none() {
-            return self.tombs.clear();
-        }
-        if self.is_kept() {
-            let name = self.name.clone();
-            self.tombs.replica_persisted(now, &name);
-        }
-        if now - self.looked < LOOK {
-            return;
-        }
-        self.looked = now;
-        let Some(epoch) = self.epoch() else { return };
-        let replicas = [Some(epoch.current), epoch.incoming]
-            .into_iter()
-            .flatten()
-            .flat_map(|replica_set| replica_set.replicas);
-        let due =
-            self.tombs.expired(now, &self.item_store, &replicas.map(|replica| replica.name()).collect());
-        if !due.is_empty() {
-            self.send_all(&Message::PurgeTombstones(PurgeTombstones::from_expired(&due)));
-            self.forget(due);
+    /// Whether tombstones are to be looked through now; that time is noted.
+    pub(super) fn start_collection(&mut self, now: Timestamp) -> bool {
+        let is_due = now - self.last_collection_at >= COLLECTION_INTERVAL;
+        if is_due {
+            self.last_collection_at = now;
         }
+        is_due
     }
 
-    /// Takes drops out for good, here and at the gateways. One of another version stays.
-    pub(super) fn forget(&mut self, due: Vec<ExpiredTombstone>) {
-        let gone = |(kind, name, version): &ExpiredTombstone| self.item_store.purge(*kind, name, *version);
-        let due: Vec<ExpiredTombstone> = due.into_iter().filter(gone).collect();
-        if due.is_empty() {
-            return;
-        }
-        info!("event=forgot drops={}", due.len());
-        let records = due.iter().map(|(kind, name, _)| (encode_key(*kind, name), Vec::new())).collect();
-        self.keep_records(records, Kept::Nothing);
-        let message = Message::PurgeTombstones(PurgeTombstones::from_expired(&due));
-        for id in self.sessions.keys() {
-            self.active_term.push(Action::SendToSession(*id, message.clone()));
-        }
+    /// Tombstones that all these replicas have held for long enough.
+    pub(super) fn expired(
+        &mut self,
+        now: Timestamp,
+        item_store: &ItemStore,
+        replicas: &BTreeSet<String>,
+    ) -> Vec<ExpiredTombstone> {
+        self.collector.expired(now, item_store, replicas)
     }
 
-    /// Whether what a process at this seat holds may be taken in here: it has a seat, by all that is known. The cast itself
-    /// is taken of anybody, as only a newer one has an effect.
-    pub(super) fn trusts(&self, name: &str) -> bool {
-        self.epoch().is_none_or(|epoch| epoch.contains(name))
+    /// This process serves and is in contact with a majority: what it holds is what all hold.
+    pub(super) fn note_contact(&mut self, now: Timestamp) {
+        self.last_contact_at = now;
+        self.is_unproven = false;
     }
 
-    /// Notes that this process is in touch with the core, or has been away for too long.
-    pub(super) fn touch(&mut self, now: Timestamp) {
-        if self.replica_state == ReplicaState::Serving && self.contact.state() == ContactState::Connected {
-            self.touched = now;
-            self.unproven = false;
-        } else if (now - self.touched).micros() > self.age.micros() / 2 {
-            self.unproven |= !self.item_store.is_empty();
+    /// This process is not in contact. After half a tombstone's age what it holds is in doubt.
+    pub(super) fn note_absence(&mut self, now: Timestamp, holds_items: bool) {
+        if (now - self.last_contact_at).micros() > self.age.micros() / 2 {
+            self.is_unproven |= holds_items;
         }
-        self.prove(now);
     }
 
-    /// What this process holds from before counts only if it has a seat: what has a seat is waited for before a drop is
-    /// forgotten. Danger: whoever stood outside meanwhile holds what was dropped, and nobody knows any more that it was.
-    /// True if it begins anew.
-    pub(super) fn prove(&mut self, now: Timestamp) -> bool {
-        let outside = self.unproven && self.epoch().is_some_and(|epoch| !epoch.contains(&self.name));
-        // Danger: a cast in which it sits may be chosen by what it accepted, and not be known to be.
-        let sits = |item: &Item| {
-            ReplicaSet::from_item(item).is_some_and(|replica_set| replica_set.contains(&self.name))
-        };
-        let accepts = || {
-            let mut replica_sets = self.acceptor.pending().flat_map(|(_, call)| call.items().iter());
-            replica_sets.any(|item| item.kind == Kind::ReplicaSet && sits(item))
-        };
-        if !outside || accepts() || self.replica_state == ReplicaState::ShuttingDown {
-            return false;
-        }
-        warn!("event=anew items={} full={}", self.item_store.len(), self.full);
-        self.unproven = false;
-        let mut records: Vec<(Vec<u8>, Vec<u8>)> = vec![(FULL.to_vec(), Vec::new())];
-        let (replica_set, old): (Vec<&Item>, Vec<&Item>) =
-            self.item_store.items().partition(|i| i.kind == Kind::ReplicaSet);
-        records.extend(old.iter().map(|item| (encode_key(item.kind, &item.name), Vec::new())));
-        records.extend(self.acceptor.discard_accepted());
-        let mut item_store = ItemStore::new();
-        for item in replica_set {
-            let past = self.item_store.older_versions(item.kind, &item.name);
-            item_store.merge_with_history(item.clone(), past);
-        }
-        self.item_store = item_store;
-        self.keep_records(records, Kept::Nothing);
-        self.full = false;
-        self.rate_limit.clear();
-        (self.caught, self.caught_whole, self.inquiry) = (BTreeSet::new(), 0, 0);
-        self.readers.clear();
-        self.pulls.clear();
-        self.watch.clear();
-        self.denied.clear();
-        let response = self.elsewhere(now);
-        let ids: Vec<u64> = self.work.keys().copied().collect();
-        ids.into_iter().for_each(|id| self.end(id, response.clone()));
-        let ids: Vec<u64> = self.sessions.keys().copied().collect();
-        for id in ids {
-            self.active_term.push(Action::CloseSession(id));
-            self.session_closed(now, id, "anew");
-        }
-        self.shift(ReplicaState::CatchingUp);
-        self.inquired = Timestamp::default();
-        true
+    /// Whether this process holds what it held before it was away for long, and has yet to be found a member.
+    pub(super) fn is_unproven(&self) -> bool {
+        self.is_unproven
+    }
+
+    /// What was in doubt is discarded.
+    pub(super) fn discarded(&mut self) {
+        self.is_unproven = false;
     }
 }
