--- a/crates/control-plane/src/state_machine/founding.rs
+++ b/crates/control-plane/src/state_machine/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The founding of a system: at its very first start one process, the bootstrap node, gathers those that come and
+//! The bootstrap of a system: at its very first start one process, the bootstrap node, gathers those that come and
 //! makes them the first replica set.
 
 use kitepass_time::{Duration, Timestamp};
@@ -8,18 +8,18 @@
 /// A bootstrap node that nobody has joined founds a replica set alone after this time.
 const MAX_GATHER_ALONE: Duration = Duration::from_micros(4_000_000);
 
-/// What a process knows of the founding that it takes part in.
-pub(super) struct Founding {
+/// What a process knows of the bootstrap that it takes part in.
+pub(super) struct Bootstrap {
     is_first_start: bool,
     is_bootstrap_node: bool,
     started_at: Timestamp,
     newest_peer_at: Timestamp,
 }
 
-impl Founding {
+impl Bootstrap {
     /// `is_first_start` must be false for a process that holds any record.
-    pub(super) fn new(now: Timestamp, is_first_start: bool, is_bootstrap_node: bool) -> Founding {
-        Founding {
+    pub(super) fn new(now: Timestamp, is_first_start: bool, is_bootstrap_node: bool) -> Bootstrap {
+        Bootstrap {
             is_first_start,
             is_bootstrap_node: is_bootstrap_node && is_first_start,
             started_at: now,
@@ -32,12 +32,12 @@
         self.started_at
     }
 
-    /// Whether this process takes part in the founding: its empty disk is complete as it is.
+    /// Whether this process takes part in the bootstrap: its empty disk is complete as it is.
     pub(super) fn is_first_start(&self) -> bool {
         self.is_first_start
     }
 
-    /// A replica set is known: whatever comes now is no founding.
+    /// A replica set is known: whatever comes now is no bootstrap.
     pub(super) fn finish(&mut self) {
         self.is_first_start = false;
     }
@@ -48,7 +48,7 @@
     }
 
     /// Whether this process is to make the first replica set now, if there is none.
-    pub(super) fn is_due(&self, now: Timestamp, has_peers: bool) -> bool {
+    pub(super) fn should_bootstrap(&self, now: Timestamp, has_peers: bool) -> bool {
         let is_waiting_alone = !has_peers && now - self.started_at < MAX_GATHER_ALONE;
         self.is_bootstrap_node && !is_waiting_alone && now - self.newest_peer_at >= GATHER_QUIET
     }
--- a/crates/control-plane/src/state_machine/catch_up/mod.rs
+++ b/crates/control-plane/src/state_machine/catch_up/mod.rs
@@ -39,11 +39,11 @@
     /// The highest version of a replica set that one of these has accepted as the one in force.
     activated_version: u64,
     /// The id under which all are asked, or 0 where nobody has been asked yet.
-    round_id: u64,
+    catch_up_id: u64,
     /// When somebody was asked first under it.
-    round_started_at: Timestamp,
+    first_asked_at: Timestamp,
     /// When all were asked last.
-    last_round_at: Timestamp,
+    last_asked_at: Timestamp,
     readings: BTreeMap<ReadingKey, Reading>,
     /// By the node id of the proposer.
     delayed_accepts: BTreeMap<String, DelayedAccept>,
@@ -54,28 +54,28 @@
         CatchUp {
             completed: BTreeSet::new(),
             activated_version: 0,
-            round_id: 0,
-            round_started_at: now,
-            last_round_at: Timestamp::default(),
+            catch_up_id: 0,
+            first_asked_at: now,
+            last_asked_at: Timestamp::default(),
             readings: BTreeMap::new(),
             delayed_accepts: BTreeMap::new(),
         }
     }
 
-    pub(super) fn last_round_at(&self) -> Timestamp {
-        self.last_round_at
+    pub(super) fn last_asked_at(&self) -> Timestamp {
+        self.last_asked_at
     }
 
     /// All are to be asked again at the next tick.
     pub(super) fn retry_soon(&mut self) {
-        self.last_round_at = Timestamp::default();
+        self.last_asked_at = Timestamp::default();
     }
 
     /// Whom this process has read so far counts no longer; all are asked under a new id.
     pub(super) fn restart(&mut self) {
         self.completed.clear();
         self.activated_version = 0;
-        self.round_id = 0;
+        self.catch_up_id = 0;
     }
 
     /// As [`CatchUp::restart`]; readings under way and what waits for them are given up, too.
@@ -85,29 +85,29 @@
         self.delayed_accepts.clear();
     }
 
-    pub(super) fn note_round(&mut self, now: Timestamp) {
-        self.last_round_at = now;
+    pub(super) fn mark_asked(&mut self, now: Timestamp) {
+        self.last_asked_at = now;
     }
 
     /// The id under which all are asked; `next_id` gives one where there is none.
     ///
     /// Replicas that were read stay read: copies merge, and nothing known is forgotten. Without contact that is not so,
     /// and [`CatchUp::restart`] makes for a new id.
-    pub(super) fn round_id(&mut self, now: Timestamp, next_id: impl FnOnce() -> u64) -> u64 {
-        if self.round_id == 0 {
-            (self.round_id, self.round_started_at) = (next_id(), now);
+    pub(super) fn catch_up_id(&mut self, now: Timestamp, next_id: impl FnOnce() -> u64) -> u64 {
+        if self.catch_up_id == 0 {
+            (self.catch_up_id, self.first_asked_at) = (next_id(), now);
         }
-        self.round_id
+        self.catch_up_id
     }
 
-    pub(super) fn is_current_round(&self, request_id: u64) -> bool {
-        request_id == self.round_id
+    pub(super) fn is_catch_up_id(&self, request_id: u64) -> bool {
+        request_id == self.catch_up_id
     }
 
     /// When an answer to the current round proves, at least, that the other heard this process: it may be the answer to
     /// the first request under that id.
-    pub(super) fn round_started_at(&self) -> Timestamp {
-        self.round_started_at
+    pub(super) fn first_asked_at(&self) -> Timestamp {
+        self.first_asked_at
     }
 
     /// The replica of this name has been read. `activated_version` is what it told.
@@ -180,11 +180,11 @@
 
     /// Forgets overdue readings that nothing waits for. `is_waited_for` says whether a pending request does.
     pub(super) fn expire_readings(&mut self, now: Timestamp, is_waited_for: impl Fn(u64) -> bool) {
-        let (delayed_accepts, round_id) = (&self.delayed_accepts, self.round_id);
+        let (delayed_accepts, catch_up_id) = (&self.delayed_accepts, self.catch_up_id);
         let is_delaying = |id: u64| delayed_accepts.values().any(|delayed| delayed.request_id == id);
         self.readings.retain(|key, reading| {
             let id = key.request_id;
-            !reading.is_overdue(now) || id == round_id || is_waited_for(id) || is_delaying(id)
+            !reading.is_overdue(now) || id == catch_up_id || is_waited_for(id) || is_delaying(id)
         });
     }
 
--- a/crates/control-plane/src/state_machine/catch_up/reading.rs
+++ b/crates/control-plane/src/state_machine/catch_up/reading.rs
@@ -70,7 +70,8 @@
         let (first_bucket, next_bucket) = (response.first_bucket as usize, response.next_bucket as usize);
         let digest = self.digest_of(items, &response);
         let is_chunk_complete = next_bucket > first_bucket && digest == response.digest;
-        let (request_id, incarnation, told) = (response.request_id, response.incarnation, response.digest);
+        let (request_id, incarnation, expected) =
+            (response.request_id, response.incarnation, response.digest);
         let first_response = self.first_response.take().unwrap_or(response);
         if first_response.is_rejected {
             return ReadingOutcome::Complete(first_response);
@@ -82,7 +83,7 @@
             self.incomplete_chunks += 1;
             warn!(
                 "event=chunk-incomplete node-id={node_id} first-bucket={first_bucket} next-bucket={next_bucket} \
-                 told={told:x} here={digest:x}"
+                 expected-digest={expected:x} digest={digest:x}"
             );
             if self.incomplete_chunks > MAX_INCOMPLETE_CHUNKS {
                 return ReadingOutcome::Abandoned;
--- a/crates/control-plane/src/state_machine/configuration.rs
+++ b/crates/control-plane/src/state_machine/configuration.rs
@@ -34,7 +34,7 @@
         let mut configuration =
             Configuration { item_store, schema: SchemaValidator::new(), rate_limits: BTreeMap::new() };
         let tenants: Vec<Item> = configuration.item_store.items_of(Kind::Tenant).cloned().collect();
-        configuration.learn_rate_limits(&tenants);
+        configuration.update_rate_limits(&tenants);
         configuration
     }
 
@@ -61,11 +61,11 @@
             }
             merged.changed.push(item);
         }
-        self.learn_rate_limits(&merged.newer);
+        self.update_rate_limits(&merged.newer);
         merged
     }
 
-    fn learn_rate_limits(&mut self, items: &[Item]) {
+    fn update_rate_limits(&mut self, items: &[Item]) {
         for item in items.iter().filter(|item| item.kind == Kind::Tenant) {
             match Tenant::from_item(item) {
                 Some(tenant) => {
--- a/crates/control-plane/src/state_machine/handlers/catch_up.rs
+++ b/crates/control-plane/src/state_machine/handlers/catch_up.rs
@@ -20,12 +20,12 @@
         if self.quorum.is_lost() {
             self.catch_up.restart();
         }
-        self.catch_up.note_round(now);
+        self.catch_up.mark_asked(now);
         let request_ids = &mut self.request_ids;
-        let round_id = self.catch_up.round_id(now, || request_ids.next());
-        let request = self.catch_up_request(round_id, self.configuration.epoch());
+        let catch_up_id = self.catch_up.catch_up_id(now, || request_ids.next());
+        let request = self.catch_up_request(catch_up_id, self.configuration.epoch());
         for node_id in self.quorum.node_ids() {
-            if !self.catch_up.is_reading(now, round_id, &node_id) {
+            if !self.catch_up.is_reading(now, catch_up_id, &node_id) {
                 self.start_reading(now, &node_id, request.clone());
             }
         }
@@ -125,7 +125,7 @@
         if is_delayed_accept || !response.is_complete || !response.is_bootstrapped {
             return;
         }
-        if !self.catch_up.is_current_round(response.request_id) {
+        if !self.catch_up.is_catch_up_id(response.request_id) {
             self.handle_attempt_response(now, name, response);
         } else if response.is_rejected {
             self.catch_up.retry_soon(); // it is of a newer epoch, which has come with the answer
--- a/crates/control-plane/src/state_machine/handlers/commit.rs
+++ b/crates/control-plane/src/state_machine/handlers/commit.rs
@@ -1,4 +1,4 @@
-//! Committed items: taken in, written, and distributed to the gateways; and the founding of the first replica set.
+//! Committed items: taken in, written, and distributed to the gateways; and the bootstrap of the first replica set.
 
 use crate::state_machine::configuration::ItemWithHistory;
 use crate::state_machine::persistence::PendingWrite;
@@ -27,11 +27,11 @@
         let item_store = self.configuration.items();
         let entries = merged.changed.iter().filter_map(|item| item_store.entry(item.kind, &item.name));
         self.persistence.defer(entries.map(kitepass_config::encode_record));
-        let settled = self.proposals.items_committed(&self.configuration, &merged.changed);
-        self.persistence.defer(settled);
+        let resolved = self.proposals.items_committed(&self.configuration, &merged.changed);
+        self.persistence.defer(resolved);
         let actions = self.sessions.items_to_all(&merged.newer);
         self.extend(actions);
-        self.note_founding();
+        self.finish_bootstrap();
     }
 
     /// As [`StateMachine::apply_committed`], for items without a history.
@@ -49,29 +49,29 @@
 
     /// Leaves [`ReplicaState::Uninitialized`] once a replica set is known. Where that is the first one of all, the empty
     /// disk of each of its members is complete as it is.
-    fn note_founding(&mut self) {
+    fn finish_bootstrap(&mut self) {
         let Some(replica_set) = self.configuration.replica_set() else { return };
         if self.replica_state() == ReplicaState::Uninitialized {
             self.change_state(ReplicaState::CatchingUp);
-            let is_founder = replica_set.contains(&self.identity.name) && replica_set.version == 1;
-            if self.founding.is_first_start() && is_founder {
+            let is_first_member = replica_set.contains(&self.identity.name) && replica_set.version == 1;
+            if self.bootstrap.is_first_start() && is_first_member {
                 self.persist(vec![records::complete()], PendingWrite::Completeness);
             }
         }
-        self.founding.finish();
+        self.bootstrap.finish();
     }
 
     /// The bootstrap node makes the first replica set of all who have come.
-    pub(in crate::state_machine) fn found_replica_set(&mut self, now: Timestamp) {
+    pub(in crate::state_machine) fn bootstrap_replica_set(&mut self, now: Timestamp) {
         let is_uninitialized = self.replica_state() == ReplicaState::Uninitialized;
-        if !is_uninitialized || !self.founding.is_due(now, self.quorum.has_peers()) {
+        if !is_uninitialized || !self.bootstrap.should_bootstrap(now, self.quorum.has_peers()) {
             return;
         }
         let mut replicas: Vec<Replica> = self.quorum.peers().map(|peer| Replica::from(&peer.hello)).collect();
         replicas.push(self.identity.replica.clone());
         replicas.sort();
         let replica_set = ReplicaSet { replicas, version: 1 };
-        info!("event=replica-set-founded replicas={}", replica_set.replicas.len());
+        info!("event=bootstrap replicas={}", replica_set.replicas.len());
         let item = replica_set.to_item(CURRENT);
         self.send_all(&Message::Items(Items { items: vec![(&item).into()] }));
         self.apply_items(&[item]);
--- a/crates/control-plane/src/state_machine/handlers/gateways.rs
+++ b/crates/control-plane/src/state_machine/handlers/gateways.rs
@@ -34,7 +34,7 @@
 
     /// Bytes have come of a gateway that are no complete message yet.
     pub fn session_alive(&mut self, now: Timestamp, id: u64) {
-        self.sessions.heard(now, id);
+        self.sessions.message_received(now, id);
     }
 
     /// A session's connection is closed.
@@ -57,7 +57,7 @@
         if !self.sessions.is_open(id) {
             return;
         }
-        self.sessions.heard(now, id);
+        self.sessions.message_received(now, id);
         match message {
             Message::Heartbeat(heartbeat) => self.handle_gateway_heartbeat(now, id, &heartbeat),
             Message::BucketDigests(digests) => {
--- a/crates/control-plane/src/state_machine/handlers/mod.rs
+++ b/crates/control-plane/src/state_machine/handlers/mod.rs
@@ -13,5 +13,5 @@
 mod prepare;
 mod replica_set_change;
 mod requests;
-mod settle;
+mod resolve;
 mod tombstones;
--- a/crates/control-plane/src/state_machine/handlers/peers.rs
+++ b/crates/control-plane/src/state_machine/handlers/peers.rs
@@ -20,7 +20,7 @@
     pub fn peer_connected(&mut self, now: Timestamp, hello: &Hello) {
         let node_id = &hello.node_id;
         if !self.knows_peer(node_id) {
-            self.founding.peer_joined(now);
+            self.bootstrap.peer_joined(now);
             info!(
                 "event=peer-connected node-id={node_id} address={} incarnation={:x}",
                 hello.address, hello.incarnation
@@ -50,7 +50,7 @@
 
     /// Bytes have come of a peer that are no complete message yet.
     pub fn peer_alive(&mut self, now: Timestamp, node_id: &str) {
-        self.quorum.heard(now, node_id);
+        self.quorum.message_received(now, node_id);
     }
 
     pub(in crate::state_machine) fn disconnect_peer(&mut self, now: Timestamp, node_id: &str, why: &str) {
@@ -63,9 +63,9 @@
 
     /// A message of another control process. Gives the addresses of control processes that it tells of.
     pub fn peer_message(&mut self, now: Timestamp, node_id: &str, message: Message) -> Vec<String> {
-        let Some(peer) = self.quorum.heard(now, node_id) else { return Vec::new() };
+        let Some(peer) = self.quorum.message_received(now, node_id) else { return Vec::new() };
         let sender = Sender { node_id, name: peer.name.clone(), incarnation: peer.hello.incarnation };
-        self.note_proof_of_contact(now, &sender, &message);
+        self.record_contact_proof(now, &sender, &message);
         if !self.knows_peer(node_id) {
             return Vec::new(); // it was given up for what the message showed
         }
@@ -78,13 +78,13 @@
     }
 
     /// Notes that the sender has proved that it heard this process, and reckons the contact anew.
-    fn note_proof_of_contact(&mut self, now: Timestamp, sender: &Sender, message: &Message) {
+    fn record_contact_proof(&mut self, now: Timestamp, sender: &Sender, message: &Message) {
         match message {
-            Message::Heartbeat(heartbeat) => self.quorum.note_echo(now, &sender.name, heartbeat),
+            Message::Heartbeat(heartbeat) => self.quorum.echo_received(now, &sender.name, heartbeat),
             Message::PrepareResponse(response) => {
                 let is_own_answer = response.incarnation == self.identity.incarnation;
-                if is_own_answer && self.catch_up.is_current_round(response.request_id) {
-                    self.quorum.note_response(now, &sender.name, self.catch_up.round_started_at());
+                if is_own_answer && self.catch_up.is_catch_up_id(response.request_id) {
+                    self.quorum.response_received(now, &sender.name, self.catch_up.first_asked_at());
                 }
             }
             _ => return,
@@ -124,7 +124,7 @@
     fn handle_heartbeat(&mut self, now: Timestamp, sender: &Sender, heartbeat: &Heartbeat) {
         let digest = self.item_store().history_digest();
         let is_stale = self.quorum.receive_heartbeat(sender.node_id, heartbeat, digest);
-        self.note_persisted_replica(now, &sender.name, heartbeat);
+        self.track_persisted_replica(now, &sender.name, heartbeat);
         self.sessions.peer_heartbeat(now, sender.node_id, sender.incarnation);
         if is_stale {
             self.repair(now, sender.node_id, &sender.name);
--- a/crates/control-plane/src/state_machine/handlers/prepare.rs
+++ b/crates/control-plane/src/state_machine/handlers/prepare.rs
@@ -4,7 +4,7 @@
 use super::requests::conflict_text;
 use crate::request::{Request, Response};
 use crate::state_machine::persistence::PendingWrite;
-use crate::state_machine::proposals::{judge, PendingId, Phase, Verdict};
+use crate::state_machine::proposals::{decide, Decision, PendingId, Phase};
 use crate::state_machine::StateMachine;
 use kitepass_coordination::consensus::{observe, Ballot, Proposal, ProposalId, ProposalMessage};
 use kitepass_coordination::protocol::{Message, PrepareRequest, PrepareResponse, RejectedProposal};
@@ -17,7 +17,7 @@
     pub(in crate::state_machine) fn start_attempt(&mut self, now: Timestamp, id: PendingId) {
         let Some(pending) = self.proposals.pending.get(id) else { return };
         let keys = pending.keys();
-        // What may be the incoming replica set is settled first: nothing else counts before.
+        // What may be the incoming replica set is resolved first: nothing else counts before.
         let fence = self.proposals.undecided_replica_set(&self.configuration);
         let is_other = |proposal: &Proposal| !proposal.keys().iter().any(|key| keys.contains(key));
         if let Some((ballot, replica_set)) = fence.filter(|(_, replica_set)| is_other(replica_set)) {
@@ -121,7 +121,7 @@
         }
         for RejectedProposal { ballot, proposal_id } in response.rejected {
             if let Some(proposal_id) = ProposalId::from_bytes(&proposal_id) {
-                self.proposals.watch_list.note_rejection(proposal_id, ballot);
+                self.proposals.watch_list.add_rejection(proposal_id, ballot);
             }
         }
         let Some(pending) = self.proposals.pending.get_mut(id) else { return };
@@ -131,8 +131,8 @@
             return self.back_off(now, id);
         }
         pending.activated_version = pending.activated_version.max(response.activated_version);
-        if let Phase::Preparing(heard) = &mut pending.phase {
-            heard.insert(name.to_owned());
+        if let Phase::Preparing(responders) = &mut pending.phase {
+            responders.insert(name.to_owned());
             self.advance(now, id);
         }
     }
@@ -144,7 +144,7 @@
             return;
         }
         if matches!(pending.request, Request::Settle(_)) {
-            // Another process is settling it. If that comes to nothing, it becomes due here again.
+            // Another process is resolving it. If that comes to nothing, it becomes due here again.
             return self.finish_request(id, Response::Done);
         }
         let max_pause = pending.max_pause();
@@ -168,10 +168,10 @@
             return self.start_attempt(now, id);
         }
         match &pending.phase {
-            Phase::Preparing(heard)
-                if self.configuration.is_read_quorum(heard, pending.activated_version) =>
+            Phase::Preparing(responders)
+                if self.configuration.is_read_quorum(responders, pending.activated_version) =>
             {
-                self.decide(now, id);
+                self.finish_prepare(now, id);
             }
             Phase::Accepting(accepted_by)
                 if self.proposals.is_chosen(pending, accepted_by, &self.configuration) =>
@@ -187,17 +187,17 @@
     }
 
     /// A read quorum has answered an attempt.
-    fn decide(&mut self, now: Timestamp, id: PendingId) {
+    fn finish_prepare(&mut self, now: Timestamp, id: PendingId) {
         let Some(pending) = self.proposals.pending.get(id) else { return };
-        let verdict = judge(pending, &self.configuration, &self.proposals.watch_list);
+        let decision = decide(pending, &self.configuration, &self.proposals.watch_list);
         let proposal_id = pending.proposal.as_ref().map(Proposal::proposal_id);
-        let settled_id = proposal_id.filter(|_| matches!(pending.request, Request::Settle(_)));
-        match verdict {
-            Verdict::Retry => self.start_attempt(now, id),
-            Verdict::ReadComplete => self.finish_read(now, id),
-            Verdict::BlockedBy(ids) => self.proposals.pending.set_phase(id, Phase::Blocked(ids)),
-            Verdict::Committed => self.finish_change(now, id),
-            Verdict::Conflict(item) => {
+        let resolved_id = proposal_id.filter(|_| matches!(pending.request, Request::Settle(_)));
+        match decision {
+            Decision::Retry => self.start_attempt(now, id),
+            Decision::ReadComplete => self.finish_read(now, id),
+            Decision::BlockedBy(ids) => self.proposals.pending.set_phase(id, Phase::Blocked(ids)),
+            Decision::Committed => self.finish_change(now, id),
+            Decision::Conflict(item) => {
                 info!(
                     "event=version-conflict request={} kind={:?} name={:?} version=r{}",
                     pending.request.name(),
@@ -208,13 +208,13 @@
                 proposal_id.into_iter().for_each(|it| self.proposals.watch_list.remove(it));
                 self.finish_request(id, Response::Conflict(conflict_text(&item)));
             }
-            Verdict::Propose(proposal) => self.propose(now, id, &proposal),
-            Verdict::Reject { proposal, reason } => {
-                settled_id.into_iter().for_each(|it| self.proposals.watch_list.remove(it));
+            Decision::Propose(proposal) => self.propose(now, id, &proposal),
+            Decision::Reject { proposal, reason } => {
+                resolved_id.into_iter().for_each(|it| self.proposals.watch_list.remove(it));
                 self.propose_rejection(now, id, &proposal, reason);
             }
-            Verdict::NotNeeded => {
-                settled_id.into_iter().for_each(|it| self.proposals.watch_list.remove(it));
+            Decision::NotNeeded => {
+                resolved_id.into_iter().for_each(|it| self.proposals.watch_list.remove(it));
                 self.finish_request(id, Response::Done);
             }
         }
--- a/crates/control-plane/src/state_machine/handlers/replica_set_change.rs
+++ b/crates/control-plane/src/state_machine/handlers/replica_set_change.rs
@@ -19,7 +19,7 @@
     ) {
         let Some(incoming) = incoming else { return self.membership.change_finished() };
         let random = &mut self.random;
-        let is_due = self.membership.is_take_over_due(now, incoming, |max| random.rand_range(0..max));
+        let is_due = self.membership.should_take_over(now, incoming, |max| random.rand_range(0..max));
         if is_due && !self.proposals.pending.is_changing_replica_set() {
             info!("event=replica-set-change-taken-over version={}", incoming.version);
             self.start_request(now, None, Request::Fill(incoming.clone()));
@@ -46,7 +46,7 @@
 
     fn observe_replicas(&mut self, now: Timestamp, replica_set: &ReplicaSet) -> ReplicaObservations {
         let myself = self.lifecycle.is_complete().then(|| self.identity.replica.clone());
-        let started_at = self.founding.started_at();
+        let started_at = self.bootstrap.started_at();
         self.membership.observe(now, replica_set, &self.quorum, &self.identity.name, myself, started_at)
     }
 
--- a/crates/control-plane/src/state_machine/handlers/requests.rs
+++ b/crates/control-plane/src/state_machine/handlers/requests.rs
@@ -109,7 +109,7 @@
         let epoch = self.configuration.epoch();
         for id in resumable {
             let Some(pending) = self.proposals.pending.get(id) else { continue };
-            // A reading whose proposals are all settled is complete: others that came meanwhile came after it.
+            // A reading whose proposals are all resolved is complete: others that came meanwhile came after it.
             let was_blocked = matches!(pending.phase, Phase::Blocked(_));
             if pending.is_read_only() && was_blocked && pending.ballot.epoch == epoch {
                 self.finish_read(now, id);
@@ -119,7 +119,7 @@
         }
     }
 
-    /// A reading is complete, and all proposals that it told of are settled.
+    /// A reading is complete, and all proposals that it told of are resolved.
     pub(in crate::state_machine) fn finish_read(&mut self, now: Timestamp, id: PendingId) {
         if !self.has_quorum(now) {
             return;
@@ -157,11 +157,11 @@
         }
     }
 
-    /// Begins to settle a proposal of another.
+    /// Begins to resolve a proposal of another.
     ///
     /// Invariant: one that puts a replica set in force isn't proposed again as it is, by a process that has not read all
     /// that was committed under the earlier set. It would be in force on replicas that lack some of that.
-    pub(in crate::state_machine) fn settle(&mut self, now: Timestamp, proposal: Proposal) {
+    pub(in crate::state_machine) fn resolve(&mut self, now: Timestamp, proposal: Proposal) {
         match activated_replica_set(&proposal) {
             Some(_) if self.proposals.pending.is_changing_replica_set() => {}
             Some(replica_set) => self.start_request(now, None, Request::Fill(replica_set)),
--- a/crates/control-plane/src/state_machine/handlers/settle.rs
+++ b/crates/control-plane/src/state_machine/handlers/resolve.rs
@@ -1,31 +1,31 @@
-//! Proposals that were accepted somewhere are watched until they are settled.
+//! Proposals that were accepted somewhere are watched until they are resolved.
 //!
 //! Assumption: a proposer may die after its proposal was chosen, and even confirmed, and before anybody was told.
-//! Invariant: every proposal that is accepted anywhere is settled by somebody. Otherwise it would never come in force.
+//! Invariant: every proposal that is accepted anywhere is resolved by somebody. Otherwise it would never come in force.
 
-use crate::state_machine::proposals::{is_settled, transfer_time, MAX_FIRST_PAUSE, MAX_PAUSE_DOUBLINGS};
+use crate::state_machine::proposals::{is_resolved, transfer_time, MAX_FIRST_PAUSE, MAX_PAUSE_DOUBLINGS};
 use crate::state_machine::{ReplicaState, StateMachine};
 use kitepass_coordination::consensus::{Ballot, Proposal, ProposalId};
 use kitepass_time::{Duration, Timestamp};
 use log::debug;
 
 /// A proposal that was accepted and not heard of again is left to its proposer for this long. Then the coordinator
-/// settles it, and others a drawn time later, or a drawn time that widens where nobody is coordinator.
+/// resolves it, and others a drawn time later, or a drawn time that widens where nobody is coordinator.
 ///
 /// Invariant: processes don't all push one proposal together, as they would take each other's promises away.
-const SETTLE_TIMEOUT: Duration = Duration::from_micros(250_000);
+const RESOLVE_TIMEOUT: Duration = Duration::from_micros(250_000);
 /// Bound of the time that others than the coordinator draw, in microseconds.
-const MAX_SETTLE_DELAY: u64 = 1_000_000;
+const MAX_RESOLVE_DELAY: u64 = 1_000_000;
 
 impl StateMachine {
     /// Watches a proposal that was heard of with a ballot.
     pub(in crate::state_machine) fn watch(&mut self, now: Timestamp, ballot: Ballot, proposal: &Proposal) {
-        if is_settled(proposal, self.configuration.items()) || !self.proposals.watch_list.has_room() {
+        if is_resolved(proposal, self.configuration.items()) || !self.proposals.watch_list.has_room() {
             return;
         }
         // A time is drawn also where the proposal is watched already: the order of draws is part of a recorded run.
-        let due_at = self.draw_settle_time(now, proposal, 0);
-        self.proposals.watch_list.add(ballot, proposal, due_at);
+        let resolve_at = self.draw_resolve_time(now, proposal, 0);
+        self.proposals.watch_list.add(ballot, proposal, resolve_at);
     }
 
     /// Watches what an earlier incarnation accepted.
@@ -35,25 +35,25 @@
         }
     }
 
-    /// When this process settles a proposal that was heard of now, or that it has tried to settle so often.
-    fn draw_settle_time(&mut self, now: Timestamp, proposal: &Proposal, attempts: u32) -> Timestamp {
+    /// When this process resolves a proposal that was heard of now, or that it has tried to resolve so often.
+    fn draw_resolve_time(&mut self, now: Timestamp, proposal: &Proposal, attempts: u32) -> Timestamp {
         let delay = if self.active_term(now).is_some() {
             self.random.rand_range(0..MAX_FIRST_PAUSE)
         } else if self.quorum.coordinator().is_some() {
-            MAX_SETTLE_DELAY / 2 + self.random.rand_range(0..MAX_SETTLE_DELAY / 2)
+            MAX_RESOLVE_DELAY / 2 + self.random.rand_range(0..MAX_RESOLVE_DELAY / 2)
         } else {
-            self.random.rand_range(0..MAX_SETTLE_DELAY << attempts.min(MAX_PAUSE_DOUBLINGS))
+            self.random.rand_range(0..MAX_RESOLVE_DELAY << attempts.min(MAX_PAUSE_DOUBLINGS))
         };
-        now + SETTLE_TIMEOUT + transfer_time(proposal.bytes()) + Duration::from_micros(delay as i64)
+        now + RESOLVE_TIMEOUT + transfer_time(proposal.bytes()) + Duration::from_micros(delay as i64)
     }
 
-    /// Begins to settle the proposals that are due.
-    pub(in crate::state_machine) fn settle_due(&mut self, now: Timestamp) {
+    /// Begins to resolve the proposals that are due.
+    pub(in crate::state_machine) fn resolve_overdue(&mut self, now: Timestamp) {
         let undecided = self.proposals.undecided_replica_set(&self.configuration);
         let undecided_id = undecided.as_ref().map(|(_, proposal)| proposal.proposal_id());
         let only = match self.replica_state() {
             ReplicaState::Serving => None,
-            _ => match undecided_id.filter(|_| self.may_settle_replica_set(now)) {
+            _ => match undecided_id.filter(|_| self.may_resolve_replica_set(now)) {
                 Some(id) => Some(id),
                 None => return,
             },
@@ -61,29 +61,29 @@
         if let Some((ballot, proposal)) = &undecided {
             self.watch(now, *ballot, proposal);
         }
-        self.settle_watched(now, only);
+        self.resolve_watched(now, only);
     }
 
-    /// Whether this process settles an incoming replica set before it serves.
+    /// Whether this process resolves an incoming replica set before it serves.
     ///
     /// Where all lost power while a replica set was brought in, each refuses the others what they need to catch up, for its
-    /// sake. If none settled it before it has caught up, none ever would.
-    fn may_settle_replica_set(&self, now: Timestamp) -> bool {
+    /// sake. If none resolved it before it has caught up, none ever would.
+    fn may_resolve_replica_set(&self, now: Timestamp) -> bool {
         let is_catching_up =
             matches!(self.replica_state(), ReplicaState::CatchingUp | ReplicaState::Isolated);
         is_catching_up && self.lifecycle.is_complete() && self.has_quorum(now)
     }
 
-    fn settle_watched(&mut self, now: Timestamp, only: Option<ProposalId>) {
+    fn resolve_watched(&mut self, now: Timestamp, only: Option<ProposalId>) {
         let busy = self.proposals.pending.proposal_ids();
-        let due = self.proposals.watch_list.due(now, only, &busy);
-        for it in &due {
-            let due_at = self.draw_settle_time(now, &it.proposal, it.attempts);
-            self.proposals.watch_list.attempted(it.proposal.proposal_id(), it.attempts, due_at);
+        let overdue = self.proposals.watch_list.overdue(now, only, &busy);
+        for it in &overdue {
+            let resolve_at = self.draw_resolve_time(now, &it.proposal, it.attempts);
+            self.proposals.watch_list.attempted(it.proposal.proposal_id(), it.attempts, resolve_at);
         }
-        for it in due {
-            debug!("event=settle-proposal items={}", it.proposal.items().len());
-            self.settle(now, it.proposal);
+        for it in overdue {
+            debug!("event=resolve-proposal items={}", it.proposal.items().len());
+            self.resolve(now, it.proposal);
         }
     }
 }
--- a/crates/control-plane/src/state_machine/handlers/tombstones.rs
+++ b/crates/control-plane/src/state_machine/handlers/tombstones.rs
@@ -25,7 +25,7 @@
     }
 
     /// A replica told its digest with a heartbeat.
-    pub(in crate::state_machine) fn note_persisted_replica(
+    pub(in crate::state_machine) fn track_persisted_replica(
         &mut self,
         now: Timestamp,
         name: &str,
@@ -75,11 +75,11 @@
     }
 
     /// Notes that this process is in contact with a majority, or has been away for too long.
-    pub(in crate::state_machine) fn note_presence(&mut self, now: Timestamp) {
+    pub(in crate::state_machine) fn track_contact(&mut self, now: Timestamp) {
         if self.replica_state() == ReplicaState::Serving && self.quorum.was_connected() {
-            self.tombstones.note_contact(now);
+            self.tombstones.contact_confirmed(now);
         } else {
-            self.tombstones.note_absence(now, !self.configuration.items().is_empty());
+            self.tombstones.contact_missing(now, !self.configuration.items().is_empty());
         }
         self.discard_if_outsider(now);
     }
--- a/crates/control-plane/src/state_machine/membership.rs
+++ b/crates/control-plane/src/state_machine/membership.rs
@@ -74,7 +74,7 @@
 
     /// Whether this process is to bring the incoming replica set in force itself, as its coordinator has taken too long.
     /// `draw` gives a number below its argument.
-    pub(super) fn is_take_over_due(
+    pub(super) fn should_take_over(
         &mut self,
         now: Timestamp,
         incoming: &ReplicaSet,
--- a/crates/control-plane/src/state_machine/mod.rs
+++ b/crates/control-plane/src/state_machine/mod.rs
@@ -6,7 +6,7 @@
 //! | part | what it owns |
 //! | --- | --- |
 //! | `lifecycle` | how far this process may be relied on |
-//! | `founding` | the making of the first replica set |
+//! | `bootstrap` | the making of the first replica set |
 //! | `configuration` | committed items, the replica sets in force, rate limits |
 //! | `quorum` | the peers, and contact with a majority |
 //! | `catch_up` | readings of what other replicas hold |
@@ -20,10 +20,10 @@
 //! `handlers` holds what is done with each kind of event; `startup` reads a disk's records back, and `records` has their
 //! keys and encodings.
 
+mod bootstrap;
 mod catch_up;
 mod configuration;
 mod coordinator;
-mod founding;
 mod handlers;
 mod lifecycle;
 mod membership;
@@ -33,13 +33,15 @@
 mod records;
 mod sessions;
 mod startup;
+#[cfg(test)]
+mod tests;
 mod tombstones;
 
 use crate::request::Response;
+use bootstrap::Bootstrap;
 use catch_up::CatchUp;
 use configuration::Configuration;
 use coordinator::Coordinator;
-use founding::Founding;
 use kitepass_config::{Item, ItemStore};
 use kitepass_coordination::membership::Replica;
 use kitepass_coordination::protocol::{Hello, Message};
@@ -121,7 +123,7 @@
 pub struct StateMachine {
     identity: Identity,
     lifecycle: Lifecycle,
-    founding: Founding,
+    bootstrap: Bootstrap,
     configuration: Configuration,
     quorum: Quorum,
     catch_up: CatchUp,
@@ -173,10 +175,10 @@
         self.evaluate_contact(now);
         self.tick_catch_up(now);
         self.expire_readings(now);
-        self.note_presence(now);
+        self.track_contact(now);
         self.send_chunks(now);
         self.tick_lease(now);
-        self.settle_due(now);
+        self.resolve_overdue(now);
         self.resume_requests(now);
         if self.persistence.has_deferred() {
             self.persist(Vec::new(), PendingWrite::Nothing);
@@ -190,9 +192,9 @@
             self.replica_state(),
             ReplicaState::Uninitialized | ReplicaState::CatchingUp | ReplicaState::Isolated
         );
-        if is_behind && now - self.catch_up.last_round_at() > HEARTBEAT_INTERVAL {
+        if is_behind && now - self.catch_up.last_asked_at() > HEARTBEAT_INTERVAL {
             self.read_all_peers(now);
-            self.found_replica_set(now);
+            self.bootstrap_replica_set(now);
         }
     }
 
--- a/crates/control-plane/src/state_machine/proposals/acceptor.rs
+++ b/crates/control-plane/src/state_machine/proposals/acceptor.rs
@@ -9,7 +9,7 @@
 use kitepass_coordination::protocol::{AcceptRequest, PrepareRequest, PrepareResponse, RejectedProposal};
 
 /// Bytes of accepted proposals that one prepare response tells; one proposal at least.
-const MAX_TOLD_BYTES: usize = 4 * 1024 * 1024;
+const MAX_ACCEPTED_BYTES: usize = 4 * 1024 * 1024;
 
 impl Proposals {
     /// Answers the first request of a reading in `response`: promises the ballot, if there is one, and tells which
@@ -40,7 +40,7 @@
             // chosen without being read.
             reservation = self.acceptor.fence(request.epoch);
         }
-        tell_accepted(&accepted, response);
+        report_accepted(&accepted, response);
         reservation
     }
 
@@ -66,14 +66,14 @@
     }
 }
 
-/// Tells the accepted proposals, as far as they fit into one message. A proposer that is not told all of them settles
+/// Tells the accepted proposals, as far as they fit into one message. A proposer that is not told all of them resolves
 /// these and reads again.
-fn tell_accepted(accepted: &[(Ballot, Proposal)], response: &mut PrepareResponse) {
+fn report_accepted(accepted: &[(Ballot, Proposal)], response: &mut PrepareResponse) {
     let mut bytes = 0;
     let fits = accepted.iter().take_while(|(_, proposal)| {
         let is_first = bytes == 0;
         bytes += proposal.bytes();
-        is_first || bytes <= MAX_TOLD_BYTES
+        is_first || bytes <= MAX_ACCEPTED_BYTES
     });
     response.accepted = fits.map(|(ballot, proposal)| ProposalMessage::new(*ballot, proposal)).collect();
     response.is_rejected |= response.accepted.len() < accepted.len();
--- a/crates/control-plane/src/state_machine/proposals/judge.rs
+++ b/crates/control-plane/src/state_machine/proposals/decision.rs
@@ -2,7 +2,7 @@
 //! told as accepted.
 
 use super::pending::{activated_replica_set, PendingRequest};
-use super::watch::{is_settled, WatchList};
+use super::watch::{is_resolved, WatchList};
 use crate::request::Request;
 use crate::state_machine::configuration::Configuration;
 use kitepass_config::Item;
@@ -12,12 +12,12 @@
 use std::collections::BTreeSet;
 
 /// What is to be done with a request that a read quorum has answered.
-pub(in crate::state_machine) enum Verdict {
+pub(in crate::state_machine) enum Decision {
     /// Something has changed meanwhile: another attempt begins.
     Retry,
     /// The request only reads, and has.
     ReadComplete,
-    /// These proposals have to be settled first.
+    /// These proposals have to be resolved first.
     BlockedBy(BTreeSet<ProposalId>),
     /// All that it proposes is committed already.
     Committed,
@@ -32,45 +32,45 @@
 }
 
 /// Judges a request; `watch_list` knows which proposals are rejected.
-pub(in crate::state_machine) fn judge(
+pub(in crate::state_machine) fn decide(
     pending: &PendingRequest,
     configuration: &Configuration,
     watch_list: &WatchList,
-) -> Verdict {
+) -> Decision {
     if pending.ballot.epoch < configuration.epoch() {
-        return Verdict::Retry; // another replica set has come meanwhile
+        return Decision::Retry; // another replica set has come meanwhile
     }
     let observed = possibly_chosen(&pending.observed, watch_list.rejections());
-    let Some(proposal) = &pending.proposal else { return judge_read(pending, &observed, configuration) };
+    let Some(proposal) = &pending.proposal else { return decide_read(pending, &observed, configuration) };
     if let Request::Evacuate { zone, on } = &pending.request {
         if proposal.items()[0].version != configuration.evacuation(zone, *on).version {
-            return Verdict::Retry;
+            return Decision::Retry;
         }
     }
     match proposal_status(proposal, &observed, configuration.items()) {
-        ProposalStatus::Committed => Verdict::Committed,
+        ProposalStatus::Committed => Decision::Committed,
         // Two that evacuate one zone draw the same version: the later one takes the next.
         ProposalStatus::Conflicting(_) if matches!(pending.request, Request::Evacuate { .. }) => {
-            Verdict::Retry
+            Decision::Retry
         }
-        ProposalStatus::Conflicting(item) => Verdict::Conflict(item),
-        ProposalStatus::BlockedBy(proposal_id) => Verdict::BlockedBy([proposal_id].into()),
-        ProposalStatus::AlreadyAccepted => Verdict::Propose(proposal.clone()),
-        ProposalStatus::New => judge_new(&pending.request, proposal, configuration, watch_list),
+        ProposalStatus::Conflicting(item) => Decision::Conflict(item),
+        ProposalStatus::BlockedBy(proposal_id) => Decision::BlockedBy([proposal_id].into()),
+        ProposalStatus::AlreadyAccepted => Decision::Propose(proposal.clone()),
+        ProposalStatus::New => decide_new(&pending.request, proposal, configuration, watch_list),
     }
 }
 
-/// A reading is complete once all proposals that it met are settled.
+/// A reading is complete once all proposals that it met are resolved.
 ///
 /// The proposal that puts a replica set in force is not waited for by the reading that precedes it: it waits for that
 /// reading. Where a replica has accepted it already, nothing is waited for: what the earlier replica set may have chosen
-/// was settled then. Otherwise, where too few of the earlier set are left, nothing could be settled until the incoming
+/// was resolved then. Otherwise, where too few of the earlier set are left, nothing could be resolved until the incoming
 /// set alone decides.
-fn judge_read(
+fn decide_read(
     pending: &PendingRequest,
     observed: &ObservedProposals,
     configuration: &Configuration,
-) -> Verdict {
+) -> Decision {
     let incoming = configuration.joint_replica_sets().and_then(|sets| sets.incoming);
     let is_activated = incoming.is_some_and(|incoming| incoming.version == pending.activated_version);
     let precedes_activation = matches!(pending.request, Request::Fill(_));
@@ -79,46 +79,46 @@
     };
     let proposals = observed.values().map(|(_, proposal)| proposal);
     let open = proposals
-        .filter(|proposal| !is_settled(proposal, configuration.items()) && !is_passed_over(proposal))
+        .filter(|proposal| !is_resolved(proposal, configuration.items()) && !is_passed_over(proposal))
         .map(Proposal::proposal_id);
     let open: BTreeSet<ProposalId> = open.collect();
     if open.is_empty() {
-        Verdict::ReadComplete
+        Decision::ReadComplete
     } else {
-        Verdict::BlockedBy(open)
+        Decision::BlockedBy(open)
     }
 }
 
 /// A proposal that no replica heard of here has accepted: it is chosen nowhere, and may be turned down.
-fn judge_new(
+fn decide_new(
     request: &Request,
     proposal: &Proposal,
     configuration: &Configuration,
     watch_list: &WatchList,
-) -> Verdict {
+) -> Decision {
     match request {
         // Invariant: an evacuation that stands already is answered only now that all that others accepted for the zone is
-        // settled. Answered before, it could be undone by what came before it.
-        Request::Evacuate { zone, on } if configuration.is_evacuated(zone) == *on => Verdict::NotNeeded,
+        // resolved. Answered before, it could be undone by what came before it.
+        Request::Evacuate { zone, on } if configuration.is_evacuated(zone) == *on => Decision::NotNeeded,
         Request::Patch(items) => match kitepass_config::validate(configuration.items(), items) {
-            Ok(()) => Verdict::Propose(proposal.clone()),
-            Err(error) => Verdict::Reject { proposal: proposal.clone(), reason: error.to_string() },
+            Ok(()) => Decision::Propose(proposal.clone()),
+            Err(error) => Decision::Reject { proposal: proposal.clone(), reason: error.to_string() },
         },
         // Invariant: a rejection that is known goes to all. A replica that has accepted the proposal and has not heard of
         // its rejection would bring it up for as long as that is remembered, and in force after that.
         Request::Settle(_) if watch_list.is_rejected(proposal.proposal_id()) => {
-            Verdict::Reject { proposal: proposal.clone(), reason: "denied before".into() }
+            Decision::Reject { proposal: proposal.clone(), reason: "denied before".into() }
         }
         // It is not chosen, and whoever wants it will see to it.
-        Request::Settle(_) => Verdict::NotNeeded,
+        Request::Settle(_) => Decision::NotNeeded,
         Request::Next(incoming) => {
             let current = configuration.replica_set();
             if current.is_none_or(|current| current.version + 1 != incoming.version) {
-                Verdict::NotNeeded
+                Decision::NotNeeded
             } else {
-                Verdict::Propose(proposal.clone())
+                Decision::Propose(proposal.clone())
             }
         }
-        _ => Verdict::Propose(proposal.clone()),
+        _ => Decision::Propose(proposal.clone()),
     }
 }
--- a/crates/control-plane/src/state_machine/proposals/mod.rs
+++ b/crates/control-plane/src/state_machine/proposals/mod.rs
@@ -4,10 +4,11 @@
 //! A change is one proposal: all its items are committed together or not at all. Its proposer has a read quorum promise
 //! a ballot for the items' keys and hears which proposals were accepted for them; then a write quorum accepts the
 //! proposal under that ballot. Only then is it chosen, and only what is chosen enters the item store, is read back, and
-//! goes to gateways. This is Paxos with one instance for each key and version (docs/control-register.md).
+//! goes to gateways. The ballots follow Paxos (Lamport, "Paxos Made Simple", 2001); docs/control-register.md says what is
+//! particular here.
 
 mod acceptor;
-mod judge;
+mod decision;
 mod pending;
 mod watch;
 
@@ -18,12 +19,12 @@
 use kitepass_coordination::membership::{ReplicaSet, INCOMING};
 use std::collections::BTreeSet;
 
-pub(super) use judge::{judge, Verdict};
+pub(super) use decision::{decide, Decision};
 pub(super) use pending::{
     activated_replica_set, transfer_time, PendingId, PendingRequest, PendingRequests, Phase, MAX_FIRST_PAUSE,
     MAX_PAUSE_DOUBLINGS,
 };
-pub(super) use watch::{is_settled, WatchList};
+pub(super) use watch::{is_resolved, WatchList};
 
 /// Proposer and acceptor of this replica.
 pub(super) struct Proposals {
@@ -56,7 +57,7 @@
         ballot
     }
 
-    /// Proposals that are accepted here and not known to be settled, and the ballot of each.
+    /// Proposals that are accepted here and not known to be resolved, and the ballot of each.
     pub(super) fn accepted(&self) -> Vec<(Ballot, Proposal)> {
         self.acceptor.pending().map(|(ballot, proposal)| (ballot, proposal.clone())).collect()
     }
@@ -77,7 +78,7 @@
         self.acceptor.get(id).map(|(_, proposal)| proposal.items().to_vec())
     }
 
-    /// Takes out accepted proposals that are settled by these committed items; gives the records of that.
+    /// Takes out accepted proposals that are resolved by these committed items; gives the records of that.
     pub(super) fn items_committed(&mut self, configuration: &Configuration, items: &[Item]) -> Vec<Record> {
         self.acceptor.commit(configuration.items(), items)
     }
@@ -95,7 +96,7 @@
         };
         let mut accepted = self.acceptor.pending();
         let undecided = accepted.find(|(_, proposal)| {
-            proposal.items().iter().any(is_incoming) && !is_settled(proposal, configuration.items())
+            proposal.items().iter().any(is_incoming) && !is_resolved(proposal, configuration.items())
         });
         undecided.map(|(ballot, proposal)| (ballot, proposal.clone()))
     }
@@ -110,7 +111,7 @@
     /// Whether a request of this epoch, about these keys, is to be rejected.
     ///
     /// Invariant: whoever knows only of an earlier replica set is rejected, as it would meet no majority of the later one.
-    /// An incoming replica set that is accepted here and may be chosen fences off all else than its own settling.
+    /// An incoming replica set that is accepted here and may be chosen fences off all else than its own resolving.
     pub(super) fn is_fenced(&self, epoch: u64, keys: &[u64], configuration: &Configuration) -> bool {
         let is_other = |proposal: &Proposal| !proposal.keys().iter().any(|key| keys.contains(key));
         epoch < configuration.epoch()
--- a/crates/control-plane/src/state_machine/proposals/pending.rs
+++ b/crates/control-plane/src/state_machine/proposals/pending.rs
@@ -36,7 +36,7 @@
     Preparing(BTreeSet<String>),
     /// Another attempt begins at that time.
     Paused(Timestamp),
-    /// Proposals that may be chosen already have to be settled first.
+    /// Proposals that may be chosen already have to be resolved first.
     Blocked(BTreeSet<ProposalId>),
     /// Waiting for enough replicas to have accepted the proposal on disk.
     Accepting(BTreeSet<String>),
@@ -105,7 +105,7 @@
 
     fn timeout(&self) -> Duration {
         match &self.request {
-            // No caller waits, and all proposals that it meets have to be settled first.
+            // No caller waits, and all proposals that it meets have to be resolved first.
             Request::Fill(_) | Request::Survey => REQUEST_TIMEOUT * 2,
             request => REQUEST_TIMEOUT + transfer_time(request.bytes()),
         }
--- a/crates/control-plane/src/state_machine/proposals/watch.rs
+++ b/crates/control-plane/src/state_machine/proposals/watch.rs
@@ -1,4 +1,4 @@
-//! Proposals that are accepted somewhere and not known to be settled: somebody has to bring them to an end.
+//! Proposals that are accepted somewhere and not known to be resolved: somebody has to bring them to an end.
 
 use kitepass_config::ItemStore;
 use kitepass_coordination::consensus::{conflicting_item, is_committed, Ballot, Proposal, ProposalId};
@@ -7,20 +7,20 @@
 
 /// Proposals that are watched, and rejections that are remembered.
 const MAX_WATCHED: usize = 1_024;
-/// Proposals of others that are begun to be settled at one tick.
-const MAX_SETTLED_PER_TICK: usize = 8;
+/// Proposals of others that are begun to be resolved at one tick.
+const MAX_RESOLVED_PER_TICK: usize = 8;
 
 struct Watched {
     proposal: Proposal,
     /// The highest ballot that it was heard of with.
     ballot: Ballot,
-    /// From then on this process settles it.
-    due_at: Timestamp,
+    /// From then on this process resolves it.
+    resolve_at: Timestamp,
     attempts: u32,
 }
 
-/// A proposal that is to be settled now.
-pub(in crate::state_machine) struct DueProposal {
+/// A proposal that is to be resolved now.
+pub(in crate::state_machine) struct OverdueProposal {
     pub(in crate::state_machine) proposal: Proposal,
     /// How often this process has tried, this time counted.
     pub(in crate::state_machine) attempts: u32,
@@ -35,7 +35,7 @@
 }
 
 /// Whether a proposal is beyond any change: committed, or never to be.
-pub(in crate::state_machine) fn is_settled(proposal: &Proposal, item_store: &ItemStore) -> bool {
+pub(in crate::state_machine) fn is_resolved(proposal: &Proposal, item_store: &ItemStore) -> bool {
     is_committed(proposal, item_store) || conflicting_item(proposal, item_store).is_some()
 }
 
@@ -46,8 +46,13 @@
     }
 
     /// Watches a proposal that was heard of with a ballot. One that is watched already keeps its time.
-    pub(in crate::state_machine) fn add(&mut self, ballot: Ballot, proposal: &Proposal, due_at: Timestamp) {
-        let watched = || Watched { proposal: proposal.clone(), ballot, due_at, attempts: 0 };
+    pub(in crate::state_machine) fn add(
+        &mut self,
+        ballot: Ballot,
+        proposal: &Proposal,
+        resolve_at: Timestamp,
+    ) {
+        let watched = || Watched { proposal: proposal.clone(), ballot, resolve_at, attempts: 0 };
         let watched = self.watched.entry(proposal.proposal_id()).or_insert_with(watched);
         watched.ballot = watched.ballot.max(ballot);
     }
@@ -65,41 +70,48 @@
         self.watched.get(&id).map(|watched| watched.ballot)
     }
 
-    /// Takes settled proposals out, and keeps the rejections in bounds: prepare responses tell them again.
+    /// Takes resolved proposals out, and keeps the rejections in bounds: prepare responses tell them again.
     pub(in crate::state_machine) fn expire(&mut self, item_store: &ItemStore) {
-        self.watched.retain(|_, watched| !is_settled(&watched.proposal, item_store));
+        self.watched.retain(|_, watched| !is_resolved(&watched.proposal, item_store));
         if self.rejected.len() > MAX_WATCHED {
             self.rejected.clear();
         }
     }
 
-    /// Proposals that are to be settled now: only that one, if `only` is given, and none of `busy`.
-    pub(in crate::state_machine) fn due(
+    /// Proposals that are to be resolved now: only that one, if `only` is given, and none of `busy`.
+    pub(in crate::state_machine) fn overdue(
         &self,
         now: Timestamp,
         only: Option<ProposalId>,
         busy: &BTreeSet<ProposalId>,
-    ) -> Vec<DueProposal> {
-        let is_due = |id: &ProposalId, watched: &Watched| {
-            watched.due_at <= now && only.is_none_or(|only| only == *id) && !busy.contains(id)
+    ) -> Vec<OverdueProposal> {
+        let is_overdue = |id: &ProposalId, watched: &Watched| {
+            watched.resolve_at <= now && only.is_none_or(|only| only == *id) && !busy.contains(id)
         };
-        let due = self.watched.iter().filter(|(id, watched)| is_due(id, watched)).take(MAX_SETTLED_PER_TICK);
-        due.map(|(_, watched)| DueProposal {
-            proposal: watched.proposal.clone(),
-            attempts: watched.attempts + 1,
-        })
-        .collect()
+        let overdue =
+            self.watched.iter().filter(|(id, watched)| is_overdue(id, watched)).take(MAX_RESOLVED_PER_TICK);
+        overdue
+            .map(|(_, watched)| OverdueProposal {
+                proposal: watched.proposal.clone(),
+                attempts: watched.attempts + 1,
+            })
+            .collect()
     }
 
-    /// A proposal is being settled; should that fail, it is due again at `due_at`.
-    pub(in crate::state_machine) fn attempted(&mut self, id: ProposalId, attempts: u32, due_at: Timestamp) {
+    /// A proposal is being resolved; should that fail, it is due again at `resolve_at`.
+    pub(in crate::state_machine) fn attempted(
+        &mut self,
+        id: ProposalId,
+        attempts: u32,
+        resolve_at: Timestamp,
+    ) {
         if let Some(watched) = self.watched.get_mut(&id) {
-            (watched.attempts, watched.due_at) = (attempts, due_at);
+            (watched.attempts, watched.resolve_at) = (attempts, resolve_at);
         }
     }
 
     /// A proposal is rejected under a ballot.
-    pub(in crate::state_machine) fn note_rejection(&mut self, id: ProposalId, ballot: Ballot) {
+    pub(in crate::state_machine) fn add_rejection(&mut self, id: ProposalId, ballot: Ballot) {
         let known = self.rejected.entry(id).or_insert(ballot);
         *known = ballot.max(*known);
     }
--- a/crates/control-plane/src/state_machine/quorum.rs
+++ b/crates/control-plane/src/state_machine/quorum.rs
@@ -22,13 +22,13 @@
     /// The term of the lease under which it says that it is coordinator, or 0.
     coordinator_term: u64,
     pub(super) is_shutting_down: bool,
-    heard_at: Timestamp,
+    last_received_at: Timestamp,
     differing_heartbeats: u32,
 }
 
 impl Peer {
     fn is_responsive(&self, now: Timestamp) -> bool {
-        now - self.heard_at <= UNRESPONSIVE_TIMEOUT
+        now - self.last_received_at <= UNRESPONSIVE_TIMEOUT
     }
 }
 
@@ -102,7 +102,7 @@
             name: name.clone(),
             coordinator_term: 0,
             is_shutting_down: false,
-            heard_at: now,
+            last_received_at: now,
             differing_heartbeats: 0,
         };
         let before = self.peers.insert(hello.node_id.clone(), peer)?;
@@ -114,19 +114,19 @@
     }
 
     /// Something has come of a peer. Gives it, if it is known.
-    pub(super) fn heard(&mut self, now: Timestamp, node_id: &str) -> Option<&Peer> {
+    pub(super) fn message_received(&mut self, now: Timestamp, node_id: &str) -> Option<&Peer> {
         let peer = self.peers.get_mut(node_id)?;
-        peer.heard_at = now;
+        peer.last_received_at = now;
         Some(peer)
     }
 
     /// A heartbeat of the replica of this name proves what it echoes.
-    pub(super) fn note_echo(&mut self, now: Timestamp, name: &str, heartbeat: &Heartbeat) {
+    pub(super) fn echo_received(&mut self, now: Timestamp, name: &str, heartbeat: &Heartbeat) {
         self.contact.heartbeat_received(now, name, heartbeat.sequence, heartbeat.echoed_sequence);
     }
 
     /// An answer of the replica of this name to what was sent at `sent_at` proves that it heard that.
-    pub(super) fn note_response(&mut self, now: Timestamp, name: &str, sent_at: Timestamp) {
+    pub(super) fn response_received(&mut self, now: Timestamp, name: &str, sent_at: Timestamp) {
         self.contact.response_received(now, name, sent_at);
     }
 
@@ -202,7 +202,7 @@
     /// process, and callers would be sent in circles.
     pub(super) fn serving_address(&self, now: Timestamp) -> Option<&str> {
         let serving = self.peers.values().filter(|peer| peer.hello.is_serving && peer.is_responsive(now));
-        serving.max_by_key(|peer| peer.heard_at).map(|peer| peer.hello.address.as_str())
+        serving.max_by_key(|peer| peer.last_received_at).map(|peer| peer.hello.address.as_str())
     }
 
     /// Node id of the peer that says that it is coordinator. A lease vote that went to another tells nothing of who holds
--- a/crates/control-plane/src/state_machine/sessions.rs
+++ b/crates/control-plane/src/state_machine/sessions.rs
@@ -23,7 +23,7 @@
 struct Session {
     hello: Hello,
     is_ready: bool,
-    heard_at: Timestamp,
+    last_received_at: Timestamp,
     differing_heartbeats: u32,
 }
 
@@ -66,7 +66,8 @@
     }
 
     pub(super) fn open(&mut self, now: Timestamp, id: u64, hello: Hello) {
-        self.open.insert(id, Session { hello, is_ready: false, heard_at: now, differing_heartbeats: 0 });
+        self.open
+            .insert(id, Session { hello, is_ready: false, last_received_at: now, differing_heartbeats: 0 });
     }
 
     /// Closes a session; gives the gateway's node id if it was open.
@@ -85,9 +86,9 @@
     }
 
     /// Something has come of a gateway.
-    pub(super) fn heard(&mut self, now: Timestamp, id: u64) {
+    pub(super) fn message_received(&mut self, now: Timestamp, id: u64) {
         if let Some(session) = self.open.get_mut(&id) {
-            session.heard_at = now;
+            session.last_received_at = now;
         }
     }
 
@@ -116,7 +117,7 @@
     }
 
     pub(super) fn unresponsive(&self, now: Timestamp) -> Vec<u64> {
-        let is_unresponsive = |session: &Session| now - session.heard_at > UNRESPONSIVE_TIMEOUT;
+        let is_unresponsive = |session: &Session| now - session.last_received_at > UNRESPONSIVE_TIMEOUT;
         self.open.iter().filter(|(_, session)| is_unresponsive(session)).map(|(id, _)| *id).collect()
     }
 
--- a/crates/control-plane/src/state_machine/startup.rs
+++ b/crates/control-plane/src/state_machine/startup.rs
@@ -1,9 +1,9 @@
 //! The start of a state machine: what its disk holds is read back, and the parts are built from it.
 
+use super::bootstrap::Bootstrap;
 use super::catch_up::CatchUp;
 use super::configuration::Configuration;
 use super::coordinator::Coordinator;
-use super::founding::Founding;
 use super::lifecycle::{Lifecycle, ReplicaState};
 use super::membership::Membership;
 use super::persistence::{PendingWrite, Persistence};
@@ -101,7 +101,7 @@
         let mut removals = std::mem::take(&mut restored.removals);
         removals.extend(restored.acceptor.commit_all(&restored.item_store));
 
-        let mut state_machine = StateMachine::from_parts(now, &start, identity, restored);
+        let mut state_machine = StateMachine::assemble(now, &start, identity, restored);
         if let Some(id) = new_replica_id {
             // The first record of all, so that whatever else is on disk is on disk under this id.
             state_machine.persist(vec![records::replica_id(id)], PendingWrite::Nothing);
@@ -113,7 +113,7 @@
         state_machine
     }
 
-    fn from_parts(
+    fn assemble(
         now: Timestamp,
         start: &Start,
         identity: Identity,
@@ -132,7 +132,7 @@
         let mut random = oorandom::Rand64::new(u128::from(start.incarnation));
         StateMachine {
             lifecycle: Lifecycle::new(state, is_complete),
-            founding: Founding::new(now, is_first_start, start.is_bootstrap_node),
+            bootstrap: Bootstrap::new(now, is_first_start, start.is_bootstrap_node),
             quorum: Quorum::new(now, &identity.name, random.rand_u64() as u32),
             catch_up: CatchUp::new(now),
             membership: Membership::default(),
--- /dev/null
+++ b/crates/control-plane/src/state_machine/tests/membership.rs
@@ -0,0 +1,79 @@
+use super::{at, peer, replica};
+use crate::state_machine::membership::Membership;
+use crate::state_machine::quorum::Quorum;
+use kitepass_coordination::membership::{ReplicaObservations, ReplicaSet};
+use kitepass_coordination::protocol::{Heartbeat, Hello};
+use std::collections::BTreeSet;
+
+fn replica_set() -> ReplicaSet {
+    ReplicaSet { replicas: (0..3).map(replica).collect(), version: 4 }
+}
+
+fn quorum(numbers: impl IntoIterator<Item = u64>) -> Quorum {
+    let mut quorum = Quorum::new(at(0), &replica(0).name(), 1);
+    for number in numbers {
+        quorum.connect(at(0), &Hello { is_complete: true, ..peer(number) });
+    }
+    quorum
+}
+
+fn observe(membership: &mut Membership, quorum: &Quorum, millis: i64) -> ReplicaObservations {
+    membership.observe(at(millis), &replica_set(), quorum, &replica(0).name(), Some(replica(0)), at(0))
+}
+
+fn names(numbers: &[u64]) -> BTreeSet<String> {
+    numbers.iter().map(|number| replica(*number).name()).collect()
+}
+
+#[test]
+fn a_replica_never_heard_is_unresponsive_some_time_after_the_start() {
+    let (mut membership, quorum) = (Membership::default(), quorum([1]));
+    let observations = observe(&mut membership, &quorum, 1_000);
+    assert_eq!(observations.complete, [replica(0), replica(1)].into());
+    assert!(observations.unresponsive.is_empty());
+    assert_eq!(observe(&mut membership, &quorum, 1_001).unresponsive, names(&[2]));
+}
+
+#[test]
+fn a_lost_replica_is_unresponsive_some_time_after_its_loss_until_it_is_back() {
+    let (mut membership, mut quorum) = (Membership::default(), quorum([1, 2]));
+    let lost = quorum.remove("s2").expect("it was connected");
+    membership.replica_lost(at(5_000), lost.name);
+    assert!(observe(&mut membership, &quorum, 6_000).unresponsive.is_empty());
+    assert_eq!(observe(&mut membership, &quorum, 6_001).unresponsive, names(&[2]));
+    quorum.connect(at(6_002), &peer(2));
+    membership.replica_connected(&replica(2).name());
+    assert!(observe(&mut membership, &quorum, 9_000).unresponsive.is_empty());
+}
+
+#[test]
+fn a_replica_that_said_that_it_shuts_down_stays_known_after_it_is_gone() {
+    let (mut membership, mut quorum) = (Membership::default(), quorum([1, 2]));
+    let heartbeat = Heartbeat { is_shutting_down: true, ..Heartbeat::default() };
+    quorum.receive_heartbeat("s2", &heartbeat, 0);
+    assert_eq!(observe(&mut membership, &quorum, 100).shutting_down, names(&[2]));
+    quorum.remove("s2");
+    assert_eq!(observe(&mut membership, &quorum, 200).shutting_down, names(&[2]));
+}
+
+#[test]
+fn an_unfinished_change_is_taken_over_after_a_time_out_and_a_drawn_time() {
+    let mut membership = Membership::default();
+    let incoming = replica_set();
+    let mut is_due = |millis: i64| membership.should_take_over(at(millis), &incoming, |_| 200_000);
+    assert!(!is_due(0), "it has just been seen");
+    assert!(!is_due(1_699));
+    assert!(is_due(1_700));
+    assert!(!is_due(1_800), "the next time is as far away again");
+    assert!(is_due(3_400));
+}
+
+#[test]
+fn another_change_is_left_to_its_coordinator_first() {
+    let mut membership = Membership::default();
+    assert!(!membership.should_take_over(at(0), &replica_set(), |_| 0));
+    let next = ReplicaSet { version: 5, ..replica_set() };
+    assert!(!membership.should_take_over(at(1_500), &next, |_| 0));
+    membership.change_finished();
+    assert!(!membership.should_take_over(at(9_000), &next, |_| 0));
+}
--- /dev/null
+++ b/crates/control-plane/src/state_machine/tests/sessions.rs
@@ -0,0 +1,115 @@
+use super::at;
+use crate::state_machine::sessions::Sessions;
+use crate::state_machine::Action;
+use kitepass_config::{Item, ItemStore, Kind};
+use kitepass_coordination::protocol::{BucketDigests, Heartbeat, Hello, Message};
+use kitepass_coordination::sessions::SessionTable;
+
+fn gateway(number: u64) -> Hello {
+    Hello { node_id: format!("g{number}"), incarnation: number, ..Hello::default() }
+}
+
+fn sessions(ids: impl IntoIterator<Item = u64>) -> Sessions {
+    let mut sessions = Sessions::new(SessionTable::default());
+    ids.into_iter().for_each(|id| sessions.open(at(0), id, gateway(id)));
+    sessions
+}
+
+fn heartbeat(digest: u64, is_ready: bool) -> Heartbeat {
+    Heartbeat { digest, is_ready, ..Heartbeat::default() }
+}
+
+#[test]
+fn a_gateway_whose_copy_differs_twice_in_a_row_is_stale() {
+    let mut sessions = sessions([1]);
+    let is_stale =
+        [6, 5, 6, 6, 6].map(|digest| sessions.receive_heartbeat(1, &heartbeat(digest, false), 5).is_stale);
+    assert_eq!(is_stale, [false, false, false, true, false]);
+}
+
+#[test]
+fn a_gateway_that_is_catching_up_is_not_stale() {
+    let mut sessions = sessions([1]);
+    sessions.enqueue(1, BucketDigests::default());
+    assert!((0..4).all(|_| !sessions.receive_heartbeat(1, &heartbeat(6, false), 5).is_stale));
+}
+
+#[test]
+fn a_change_of_readiness_is_told_once() {
+    let mut sessions = sessions([1]);
+    let changes = [false, true, true, false]
+        .map(|is_ready| sessions.receive_heartbeat(1, &heartbeat(5, is_ready), 5).is_readiness_changed);
+    assert_eq!(changes, [false, true, false, true]);
+}
+
+#[test]
+fn the_list_is_announced_when_it_changes_and_again_after_some_time() {
+    let mut sessions = sessions([1]);
+    let announce = |sessions: &mut Sessions, millis| {
+        sessions.announcement(at(millis), "s0", 7).map(|list| (list.sequence, list.members.len()))
+    };
+    assert_eq!(announce(&mut sessions, 0), Some((1, 1)));
+    assert_eq!(announce(&mut sessions, 3_999), None);
+    assert_eq!(announce(&mut sessions, 4_000), Some((1, 1)), "the same list");
+    sessions.open(at(4_100), 2, gateway(2));
+    assert_eq!(announce(&mut sessions, 4_100), Some((2, 2)));
+    sessions.announce_again();
+    assert_eq!(announce(&mut sessions, 4_200), Some((2, 2)), "somebody new has to be told");
+}
+
+#[test]
+fn a_gateway_is_reached_on_its_newest_connection() {
+    let mut sessions = sessions([3]);
+    sessions.open(at(10), 8, gateway(3));
+    assert_eq!(sessions.newest_of(3), Some(8));
+    assert_eq!(sessions.close(8).as_deref(), Some("g3"));
+    assert_eq!(sessions.newest_of(3), Some(3));
+    assert_eq!(sessions.newest_of(4), None);
+}
+
+#[test]
+fn a_gateway_that_says_nothing_is_unresponsive() {
+    let mut sessions = sessions([1, 2]);
+    sessions.message_received(at(1_000), 2);
+    assert!(sessions.unresponsive(at(1_500)).is_empty());
+    assert_eq!(sessions.unresponsive(at(1_501)), [1]);
+}
+
+#[test]
+fn a_gateway_is_sent_what_it_lacks_in_chunks_that_wait_for_each_other() {
+    let mut item_store = ItemStore::new();
+    for number in 0..40 {
+        let value = Some(vec![b'x'; 32 * 1024].into());
+        item_store.apply(Item { kind: Kind::Service, name: format!("l{number}").into(), version: 1, value });
+    }
+    let mut sessions = sessions([1]);
+    sessions.enqueue(1, BucketDigests { digests: ItemStore::new().buckets().to_vec(), wants_reply: false });
+    let (mut items, mut chunks) = (0, 0);
+    loop {
+        let actions = sessions.send_chunks(at(0), &item_store);
+        if actions.is_empty() {
+            break;
+        }
+        for action in actions {
+            match action {
+                Action::SendItems(1, sent) => (items, chunks) = (items + sent.len(), chunks + 1),
+                Action::SendToSession(1, Message::BucketDigests(digests)) => assert!(digests.wants_reply),
+                other => panic!("{other:?}"),
+            }
+        }
+        sessions.chunk_delivered(1);
+    }
+    assert_eq!(items, 40);
+    assert!(chunks > 1, "{chunks} chunks");
+    assert!(!sessions.is_catching_up(1));
+}
+
+#[test]
+fn the_live_gateways_change_with_the_table() {
+    let mut sessions = sessions([1]);
+    assert!(!sessions.refresh_live());
+    sessions.announcement(at(0), "s0", 7);
+    assert!(sessions.refresh_live());
+    assert_eq!(sessions.live_node_ids(), ["g1"]);
+    assert!(!sessions.refresh_live());
+}
--- a/crates/control-plane/src/state_machine/tombstones.rs
+++ b/crates/control-plane/src/state_machine/tombstones.rs
@@ -67,13 +67,13 @@
     }
 
     /// This process serves and is in contact with a majority: what it holds is what all hold.
-    pub(super) fn note_contact(&mut self, now: Timestamp) {
+    pub(super) fn contact_confirmed(&mut self, now: Timestamp) {
         self.last_contact_at = now;
         self.is_unproven = false;
     }
 
     /// This process is not in contact. After half a tombstone's age what it holds is in doubt.
-    pub(super) fn note_absence(&mut self, now: Timestamp, holds_items: bool) {
+    pub(super) fn contact_missing(&mut self, now: Timestamp, holds_items: bool) {
         if (now - self.last_contact_at).micros() > self.age.micros() / 2 {
             self.is_unproven |= holds_items;
         }
