--- a/crates/control-plane/src/state_machine/catch_up/mod.rs
+++ b/crates/control-plane/src/state_machine/catch_up/mod.rs
@@ -85,7 +85,7 @@
         self.delayed_accepts.clear();
     }
 
-    pub(super) fn mark_asked(&mut self, now: Timestamp) {
+    pub(super) fn all_asked(&mut self, now: Timestamp) {
         self.last_asked_at = now;
     }
 
--- a/crates/control-plane/src/state_machine/handlers/accept.rs
+++ b/crates/control-plane/src/state_machine/handlers/accept.rs
@@ -149,9 +149,8 @@
         if !response.is_complete {
             return;
         }
-        let phase = self.proposals.pending.get_mut(id).map(|pending| &mut pending.phase);
-        if let Some(Phase::Accepting(replicas) | Phase::Rejecting(replicas, _)) = phase {
-            replicas.insert(name.to_owned());
+        let pending = self.proposals.pending.get_mut(id);
+        if pending.is_some_and(|pending| pending.replica_accepted(name)) {
             self.advance(now, id);
         }
     }
--- a/crates/control-plane/src/state_machine/handlers/catch_up.rs
+++ b/crates/control-plane/src/state_machine/handlers/catch_up.rs
@@ -20,7 +20,7 @@
         if self.quorum.is_lost() {
             self.catch_up.restart();
         }
-        self.catch_up.mark_asked(now);
+        self.catch_up.all_asked(now);
         let request_ids = &mut self.request_ids;
         let catch_up_id = self.catch_up.catch_up_id(now, || request_ids.next());
         let request = self.catch_up_request(catch_up_id, self.configuration.epoch());
--- a/crates/control-plane/src/state_machine/handlers/prepare.rs
+++ b/crates/control-plane/src/state_machine/handlers/prepare.rs
@@ -10,7 +10,6 @@
 use kitepass_coordination::protocol::{Message, PrepareRequest, PrepareResponse, RejectedProposal};
 use kitepass_time::{Duration, Timestamp};
 use log::info;
-use std::collections::BTreeSet;
 
 impl StateMachine {
     /// Begins an attempt at a request.
@@ -42,8 +41,7 @@
         if let Request::Evacuate { zone, on } = &pending.request {
             pending.proposal = Some(Proposal::new(vec![self.configuration.evacuation(zone, *on)]));
         }
-        (pending.attempt_id, pending.ballot) = (attempt_id, ballot);
-        (pending.phase, pending.activated_version) = (Phase::Preparing(BTreeSet::new()), 0);
+        pending.start_attempt(attempt_id, ballot);
         let is_read_only = pending.proposal.is_none();
         Some(PrepareRequest {
             request_id: attempt_id,
@@ -130,9 +128,7 @@
             self.proposals.observe_ballot(response.ballot.unwrap_or_default());
             return self.back_off(now, id);
         }
-        pending.activated_version = pending.activated_version.max(response.activated_version);
-        if let Phase::Preparing(responders) = &mut pending.phase {
-            responders.insert(name.to_owned());
+        if pending.replica_prepared(name, response.activated_version) {
             self.advance(now, id);
         }
     }
@@ -140,7 +136,7 @@
     /// An attempt was rejected: another one begins after a drawn pause.
     pub(in crate::state_machine) fn back_off(&mut self, now: Timestamp, id: PendingId) {
         let Some(pending) = self.proposals.pending.get_mut(id) else { return };
-        if matches!(pending.phase, Phase::Paused(_) | Phase::Blocked(_)) {
+        if pending.is_waiting() {
             return;
         }
         if matches!(pending.request, Request::Settle(_)) {
@@ -148,9 +144,8 @@
             return self.finish_request(id, Response::Done);
         }
         let max_pause = pending.max_pause();
-        pending.rejections += 1;
         let pause = Duration::from_micros(self.random.rand_range(0..max_pause) as i64);
-        pending.phase = Phase::Paused(now + pause);
+        pending.pause_until(now + pause);
     }
 
     /// Goes on with a request if enough replicas have answered.
--- a/crates/control-plane/src/state_machine/proposals/pending.rs
+++ b/crates/control-plane/src/state_machine/proposals/pending.rs
@@ -88,6 +88,41 @@
         }
     }
 
+    /// Begins another attempt, under a request id and a ballot of its own.
+    pub(in crate::state_machine) fn start_attempt(&mut self, attempt_id: u64, ballot: Ballot) {
+        (self.attempt_id, self.ballot) = (attempt_id, ballot);
+        (self.phase, self.activated_version) = (Phase::Preparing(BTreeSet::new()), 0);
+    }
+
+    /// The attempt was rejected: another one begins at that time.
+    pub(in crate::state_machine) fn pause_until(&mut self, time: Timestamp) {
+        self.rejections += 1;
+        self.phase = Phase::Paused(time);
+    }
+
+    /// The replica of this name has promised the attempt's ballot, and told the activated version that it knows. False if
+    /// that is not waited for.
+    pub(in crate::state_machine) fn replica_prepared(&mut self, name: &str, activated_version: u64) -> bool {
+        self.activated_version = self.activated_version.max(activated_version);
+        let Phase::Preparing(replicas) = &mut self.phase else { return false };
+        replicas.insert(name.to_owned());
+        true
+    }
+
+    /// The replica of this name has the proposal, or its rejection, on disk. False if that is not waited for.
+    pub(in crate::state_machine) fn replica_accepted(&mut self, name: &str) -> bool {
+        let (Phase::Accepting(replicas) | Phase::Rejecting(replicas, _)) = &mut self.phase else {
+            return false;
+        };
+        replicas.insert(name.to_owned());
+        true
+    }
+
+    /// Whether it waits for its next attempt already.
+    pub(in crate::state_machine) fn is_waiting(&self) -> bool {
+        matches!(self.phase, Phase::Paused(_) | Phase::Blocked(_))
+    }
+
     /// Keys of the items that it proposes.
     pub(in crate::state_machine) fn keys(&self) -> Vec<u64> {
         self.proposal.as_ref().map(|proposal| proposal.keys().to_vec()).unwrap_or_default()
--- a/crates/control-plane/src/state_machine/tests/catch_up.rs
+++ b/crates/control-plane/src/state_machine/tests/catch_up.rs
@@ -32,7 +32,10 @@
         digest: chunk.digest,
         ..PrepareResponse::default()
     };
-    (chunk.items.into_iter().map(|entry| (entry.item.clone(), entry.older_versions.to_vec())).collect(), response)
+    (
+        chunk.items.into_iter().map(|entry| (entry.item.clone(), entry.older_versions.to_vec())).collect(),
+        response,
+    )
 }
 
 fn reading() -> CatchUp {
--- a/crates/control-plane/src/state_machine/tests/proposals.rs
+++ b/crates/control-plane/src/state_machine/tests/proposals.rs
@@ -129,3 +129,20 @@
     assert!(watch_list.is_rejected(id));
     assert_eq!(watch_list.rejections().get(&id), Some(&ballot(3)));
 }
+
+#[test]
+fn each_attempt_counts_its_own_answers() {
+    let mut request = pending(Request::Get);
+    assert!(request.is_waiting());
+    request.start_attempt(7, ballot(1));
+    assert!(request.replica_prepared("a", 4));
+    assert!(!request.replica_accepted("a"), "nothing is proposed yet");
+    assert_eq!((request.attempt_id, request.activated_version), (7, 4));
+    request.pause_until(at(50));
+    assert!(request.is_waiting());
+    assert!(!request.replica_prepared("b", 0), "the attempt is over");
+    request.start_attempt(8, ballot(2));
+    let Phase::Preparing(replicas) = &request.phase else { panic!("{:?}", request.phase) };
+    assert!(replicas.is_empty());
+    assert_eq!((request.activated_version, request.rejections), (0, 1));
+}
