--- a/crates/control-plane/src/state_machine/tests/mod.rs
+++ b/crates/control-plane/src/state_machine/tests/mod.rs
@@ -2,6 +2,8 @@
 
 mod bootstrap;
 mod catch_up;
+mod coordinator;
+mod decision;
 mod membership;
 mod persistence;
 mod proposals;
