--- a/crates/control-plane/src/state_machine/tests/decision.rs
+++ b/crates/control-plane/src/state_machine/tests/decision.rs
@@ -5,7 +5,6 @@
 use kitepass_config::{Item, ItemStore, Kind};
 use kitepass_coordination::consensus::{observe, Ballot, ObservedProposals, Proposal};
 use kitepass_coordination::membership::{ReplicaSet, CURRENT, INCOMING};
-
 use std::slice::from_ref;
 
 const SERVICE: &str = r#"{"checkpoint":"/c"}"#;
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -1,79 +1,108 @@
-//! Six control processes, and gateways' true links, on a network and disks in memory, all by seed: words are late or
-//! lost, sides are cut off, processes are killed or stand still, power goes with what was not synced.
+//! Six control processes, and gateways' true control sessions, on a network and disks in memory, all by seed: messages
+//! are late or lost, sides are partitioned, processes are killed or frozen, and a loss of power takes what was not synced.
+//!
+//! Times are milliseconds since the beginning; processes are named by their numbers, 0 to 5.
 #![allow(dead_code)] // each test file uses its part
 
+mod gateways;
+
+pub(crate) use gateways::Gateway;
+use gateways::SessionMessage;
 use kitepass_config::{Item, Kind};
 use kitepass_control_plane::request::{Request, Response};
 use kitepass_control_plane::state_machine::{Action, ReplicaState, Start, StateMachine};
 use kitepass_coordination::membership::Replica;
-use kitepass_coordination::protocol::{pack, Hello, ItemMessage, Items, Message};
+use kitepass_coordination::protocol::{pack, ItemMessage, Items, Message};
 use kitepass_coordination::usage::QuotaTolerance;
-use kitepass_data_plane::control_session::{ControlSession, SessionUpdates};
 use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A word on its way: when it comes, from whom, to whom, of which life, when it was sent.
-type Flight = (i64, usize, usize, u64, Message, i64);
+pub(crate) const TOLERANCE: QuotaTolerance = QuotaTolerance { window: 5.0, excess: 0.1, margin: 20.0 };
+/// Connections are made again this often.
+const RECONNECT_INTERVAL: i64 = 400;
+/// A state machine ticks this often.
+const TICK: i64 = 100;
+/// What a message waits longer for a receiver that is frozen.
+const SOCKET_DELAY: i64 = 50;
 
 type Records = Vec<(Vec<u8>, Vec<u8>)>;
 
-pub const SLACK: QuotaTolerance = QuotaTolerance { window: 5.0, excess: 0.1, margin: 20.0 };
+/// A message on its way between two control processes.
+pub(crate) struct InFlight {
+    pub(crate) due_at: i64,
+    pub(crate) from: usize,
+    pub(crate) to: usize,
+    /// The sender's incarnation.
+    pub(crate) incarnation: u64,
+    pub(crate) message: Message,
+    pub(crate) sent_at: i64,
+}
 
-pub struct Node {
-    pub replica: Replica,
-    pub core: Option<StateMachine>,
-    pub incarnation: u64,
-    pub disk: BTreeMap<Vec<u8>, Vec<u8>>,
-    /// Records on the way to the disk, with the moment at which they are synced.
-    pub syncing: Vec<(i64, u64, Records)>,
-    pub back: i64,
+/// Records on their way to a disk.
+pub(crate) struct Sync {
+    due_at: i64,
+    request_id: u64,
+    pub(crate) records: Records,
+}
+
+/// A control process, and its machine while it does not run.
+pub(crate) struct Node {
+    pub(crate) replica: Replica,
+    pub(crate) state_machine: Option<StateMachine>,
+    pub(crate) incarnation: u64,
+    pub(crate) disk: BTreeMap<Vec<u8>, Vec<u8>>,
+    pub(crate) syncing: Vec<Sync>,
+    pub(crate) restarts_at: i64,
     /// Its last end was a loss of power.
-    pub dark: bool,
+    pub(crate) lost_power: bool,
 }
 
-pub struct World {
-    pub now: i64,
-    pub nodes: Vec<Node>,
-    pub wire: Vec<Flight>,
-    /// Pairs that hear nothing of each other, until a moment.
-    pub cuts: BTreeMap<(usize, usize), i64>,
-    /// Ways from one to another on which nothing comes through, until a moment.
-    pub ways: BTreeMap<(usize, usize), i64>,
-    /// Gateways that reach a process no longer, until a moment.
-    pub gate_cuts: BTreeMap<(usize, usize), i64>,
-    /// When the newest word that came from one to another was sent.
-    pub reached: BTreeMap<(usize, usize), i64>,
-    /// When one was heard by another last.
-    pub heard: BTreeMap<(usize, usize), i64>,
-    /// Sessions that control processes have closed.
-    pub closed: BTreeSet<u64>,
-    pub chance: oorandom::Rand64,
-    pub answers: BTreeMap<u64, (usize, Response)>,
-    pub calls: u64,
-    pub loss: u64,
-    pub gates: Vec<Gate>,
-    session_wire: Vec<(i64, u64, bool, Message)>,
-    /// Processes that stand still, until a moment.
-    pub frozen: [i64; 6],
-    /// Disks that take so long for each sync, milliseconds.
-    pub slow: [i64; 6],
-    /// Bytes that a line to a control process carries in a millisecond, if that is bounded, and four times as many to the
-    /// first; signs of life go past what waits, as the server has them do.
-    pub rate: Option<i64>,
-    /// Drops are forgotten after so long, milliseconds, if it is not the usual time.
-    pub age: Option<i64>,
-    /// Sessions that were opened so far.
-    pub conns: u64,
+impl Node {
+    /// The version of a service that it knows, or 0. It must run.
+    pub(crate) fn version(&self, service: &str) -> u64 {
+        let state_machine = self.state_machine.as_ref().expect("it runs");
+        state_machine.item_store().get(Kind::Service, service).map_or(0, |item| item.version)
+    }
 }
 
-/// A gateway: its true link, and the connection that it has to a control process.
-pub struct Gate {
-    pub link: ControlSession,
-    pub at: Option<(usize, u64)>,
+pub(crate) struct Cluster {
+    pub(crate) now: i64,
+    pub(crate) nodes: Vec<Node>,
+    pub(crate) in_flight: Vec<InFlight>,
+    /// Pairs that hear nothing of each other, until a time.
+    pub(crate) partitions: BTreeMap<(usize, usize), i64>,
+    /// From one to another nothing comes through, until a time.
+    pub(crate) one_way_partitions: BTreeMap<(usize, usize), i64>,
+    /// Gateways that don't reach a process, until a time.
+    pub(crate) gateway_partitions: BTreeMap<(usize, usize), i64>,
+    /// When the newest message that came from one to another was sent.
+    pub(crate) reached: BTreeMap<(usize, usize), i64>,
+    /// When one was heard by another last.
+    pub(crate) heard: BTreeMap<(usize, usize), i64>,
+    /// Sessions that control processes have closed.
+    pub(crate) closed: BTreeSet<u64>,
+    pub(crate) random: oorandom::Rand64,
+    /// Answers by request, and who answered.
+    pub(crate) responses: BTreeMap<u64, (usize, Response)>,
+    pub(crate) request_count: u64,
+    pub(crate) loss_percent: u64,
+    pub(crate) gateways: Vec<Gateway>,
+    session_messages: Vec<SessionMessage>,
+    /// Processes that are frozen, until a time.
+    pub(crate) frozen_until: [i64; 6],
+    /// What each sync of a disk takes more.
+    pub(crate) disk_delay: [i64; 6],
+    /// Bytes that a connection to a control process carries in a millisecond, if that is bounded, and four times as many to
+    /// the first; heartbeats go past what waits, as the server has them do.
+    pub(crate) rate: Option<i64>,
+    /// The age at which tombstones are forgotten, if it is not the usual one.
+    pub(crate) tombstone_age: Option<i64>,
+    /// Connections of gateways that were opened so far.
+    pub(crate) connection_count: u64,
 }
 
-/// As the store does: an empty value takes a record away.
-fn take(disk: &mut BTreeMap<Vec<u8>, Vec<u8>>, records: Records) {
+/// As the store does: an empty value removes a record.
+fn write(disk: &mut BTreeMap<Vec<u8>, Vec<u8>>, records: Records) {
     for (key, value) in records {
         if value.is_empty() {
             disk.remove(&key);
@@ -83,392 +112,291 @@
     }
 }
 
-pub fn at(millis: i64) -> Timestamp {
+pub(crate) fn at(millis: i64) -> Timestamp {
     Timestamp::from_micros(millis * 1000)
 }
 
-impl World {
-    pub fn new(seed: u64) -> World {
-        let places = ["a1", "a2", "b1", "b2", "c1", "c2"];
-        let nodes = places.iter().enumerate().map(|(n, zone)| Node {
-            replica: Replica {
-                node_id: format!("s{n}"),
-                address: format!("10.0.0.{n}"),
-                zone: zone.to_string(),
-                region: zone[..1].to_owned(),
-                replica_id: 0,
-            },
-            core: None,
-            incarnation: 0,
-            disk: BTreeMap::new(),
-            syncing: Vec::new(),
-            back: 0,
-            dark: false,
-        });
-        let mut world = World {
+fn new_node(n: usize, zone: &str) -> Node {
+    Node {
+        replica: Replica {
+            node_id: format!("s{n}"),
+            address: format!("10.0.0.{n}"),
+            zone: zone.to_string(),
+            region: zone[..1].to_owned(),
+            replica_id: 0,
+        },
+        state_machine: None,
+        incarnation: 0,
+        disk: BTreeMap::new(),
+        syncing: Vec::new(),
+        restarts_at: 0,
+        lost_power: false,
+    }
+}
+
+impl Cluster {
+    pub(crate) fn new(seed: u64) -> Cluster {
+        let zones = ["a1", "a2", "b1", "b2", "c1", "c2"];
+        let mut cluster = Cluster {
             now: 0,
-            nodes: nodes.collect(),
-            wire: Vec::new(),
-            cuts: BTreeMap::new(),
-            ways: BTreeMap::new(),
-            gate_cuts: BTreeMap::new(),
+            nodes: zones.iter().enumerate().map(|(n, zone)| new_node(n, zone)).collect(),
+            in_flight: Vec::new(),
+            partitions: BTreeMap::new(),
+            one_way_partitions: BTreeMap::new(),
+            gateway_partitions: BTreeMap::new(),
             reached: BTreeMap::new(),
             heard: BTreeMap::new(),
             closed: BTreeSet::new(),
-            chance: oorandom::Rand64::new(u128::from(seed)),
-            answers: BTreeMap::new(),
-            calls: 0,
-            loss: 0,
-            gates: Vec::new(),
-            session_wire: Vec::new(),
-            frozen: [0; 6],
-            slow: [0; 6],
+            random: oorandom::Rand64::new(u128::from(seed)),
+            responses: BTreeMap::new(),
+            request_count: 0,
+            loss_percent: 0,
+            gateways: Vec::new(),
+            session_messages: Vec::new(),
+            frozen_until: [0; 6],
+            disk_delay: [0; 6],
             rate: None,
-            age: None,
-            conns: 0,
+            tombstone_age: None,
+            connection_count: 0,
         };
-        (0..6).for_each(|n| world.start(n, true));
-        world
-    }
-
-    /// Adds gateways, spread over the districts.
-    pub fn gateways(&mut self, number: usize) {
-        let number = self.gates.len() + number;
-        let regions: BTreeMap<String, String> =
-            self.nodes.iter().map(|n| (n.replica.zone.clone(), n.replica.region.clone())).collect();
-        let first: Vec<String> = [0, 2, 4].map(|n| format!("10.0.0.{n}")).into();
-        for gate in self.gates.len()..number {
-            let replica = &self.nodes[gate % 6].replica;
-            let hello = Hello {
-                node_id: format!("g{gate}"),
-                zone: replica.zone.clone(),
-                region: replica.region.clone(),
-                incarnation: gate as u64 + 1,
-                client_address: format!("10.1.0.{gate}:80"),
-                ..Hello::default()
-            };
-            let link = ControlSession::new(hello, first.clone(), regions.clone());
-            self.gates.push(Gate { link, at: None });
-        }
-    }
-
-    fn stands(&self, n: usize) -> bool {
-        self.nodes[n].core.is_some() && self.frozen[n] <= self.now
-    }
-
-    fn drop_session(&mut self, gate: usize, why: &str) {
-        if let Some((node, conn)) = self.gates[gate].at.take() {
-            let now = at(self.now);
-            if let Some(core) = self.nodes[node].core.as_mut() {
-                core.session_closed(now, conn, why);
-            }
-        }
-        self.gates[gate].link.lost(why);
-    }
-
-    /// Gateways' turn, ten times a second, and the words between them and control processes.
-    fn sessions(&mut self) {
-        let now = at(self.now);
-        for gate in 0..self.gates.len() {
-            if self.now % 100 == gate as i64 % 10 * 10 {
-                if self.gates[gate].link.tick(now) {
-                    self.drop_session(gate, "left");
-                }
-                let draw = self.chance.rand_u64();
-                if let Some(address) = self.gates[gate].link.next(now, draw) {
-                    let node: usize = address[7..].parse().unwrap();
-                    self.conns += 1;
-                    self.gates[gate].at = Some((node, self.conns));
-                }
-                self.gates[gate].link.ready = self.gates[gate].link.is_caught_up();
-            }
-            let Some((node, conn)) = self.gates[gate].at else { continue };
-            if self.nodes[node].core.is_none() {
-                self.drop_session(gate, "refused");
-                continue;
-            }
-            let messages = std::mem::take(&mut self.gates[gate].link.out);
-            let items = std::mem::take(&mut self.gates[gate].link.out_items);
-            let items = (!items.is_empty())
-                .then(|| Message::Items(Items { items: items.iter().map(ItemMessage::from).collect() }));
-            for message in messages.into_iter().chain(items) {
-                self.session_send(conn, true, message);
-            }
-        }
-        let due: Vec<_> = self.session_wire.extract_if(.., |message| message.0 <= self.now).collect();
-        for (due, conn, up, message) in due {
-            let Some(gate) = self.gates.iter().position(|g| g.at.is_some_and(|(_, c)| c == conn)) else {
-                continue;
-            };
-            let (node, _) = self.gates[gate].at.unwrap();
-            if self.gate_cut(gate, node) {
-                self.session_wire.push((due + 50, conn, up, message));
-            } else if !up {
-                if let Some(core) =
-                    self.nodes[node].core.as_mut().filter(|_| matches!(message, Message::Items(_)))
-                {
-                    core.session_drained(now, conn);
-                }
-                let mut brought = SessionUpdates::default();
-                self.gates[gate].link.said(now, message, &mut brought);
-                if brought.close {
-                    self.drop_session(gate, "not-current");
-                }
-            } else if !self.stands(node) {
-                self.session_wire.push((due + 50, conn, up, message)); // it waits in the socket
-            } else if let Some(core) = self.nodes[node].core.as_mut() {
-                match message {
-                    Message::Hello(hello) => core.session_opened(now, conn, hello),
-                    message => core.session_message(now, conn, message),
-                }
-            }
-        }
+        (0..6).for_each(|n| cluster.start(n, true));
+        cluster
     }
 
-    /// The words that are on their way between a gateway and its control process, and whether they come from it.
-    pub fn session_words(&mut self, gate: usize) -> impl Iterator<Item = (bool, &mut Message)> {
-        let conn = self.gates[gate].at.map(|(_, conn)| conn);
-        let of = move |message: &&mut (i64, u64, bool, Message)| Some(message.1) == conn;
-        self.session_wire.iter_mut().filter(of).map(|message| (message.2, &mut message.3))
+    /// The state machine of a process that runs.
+    pub(crate) fn state_machine(&self, n: usize) -> &StateMachine {
+        self.nodes[n].state_machine.as_ref().expect("it runs")
     }
 
-    /// Bytes of items that are on their way to gateways.
-    pub fn session_bytes(&self) -> usize {
-        let of = |message: &Message| match message {
-            Message::Items(items) => {
-                items.items.iter().map(|i| i.value.as_ref().map_or(0, |v| v.len()) + 32).sum()
-            }
-            _ => 0,
-        };
-        self.session_wire.iter().filter(|message| !message.2).map(|message| of(&message.3)).sum()
+    /// As [`Cluster::state_machine`].
+    pub(crate) fn state_machine_mut(&mut self, n: usize) -> &mut StateMachine {
+        self.nodes[n].state_machine.as_mut().expect("it runs")
     }
 
-    fn session_send(&mut self, conn: u64, up: bool, message: Message) {
-        let late = self.now + self.chance.rand_range(1..60) as i64;
-        let last = self.session_wire.iter().filter(|w| (w.1, w.2) == (conn, up)).map(|w| w.0).max();
-        self.session_wire.push((late.max(last.unwrap_or(0)), conn, up, message));
+    fn is_running(&self, n: usize) -> bool {
+        self.nodes[n].state_machine.is_some() && self.frozen_until[n] <= self.now
     }
 
-    pub fn start(&mut self, n: usize, maiden: bool) {
+    pub(crate) fn start(&mut self, n: usize, is_first_start: bool) {
         let node = &mut self.nodes[n];
-        node.incarnation = self.chance.rand_u64();
-        let records = node.disk.clone().into_iter().collect();
-        let (me, incarnation) = (node.replica.clone(), node.incarnation);
+        node.incarnation = self.random.rand_u64();
         let start = Start {
-            me,
-            incarnation,
-            is_first_start: maiden,
+            me: node.replica.clone(),
+            incarnation: node.incarnation,
+            is_first_start,
             is_bootstrap_node: n == 0,
-            records,
-            tolerance: SLACK,
+            records: node.disk.clone().into_iter().collect(),
+            tolerance: TOLERANCE,
         };
-        let mut core = StateMachine::new(at(self.now), start);
-        self.age.into_iter().for_each(|age| core.set_tombstone_age(Duration::from_micros(age * 1000)));
-        node.core = Some(core);
+        let mut state_machine = StateMachine::new(at(self.now), start);
+        if let Some(age) = self.tombstone_age {
+            state_machine.set_tombstone_age(Duration::from_micros(age * 1000));
+        }
+        node.state_machine = Some(state_machine);
     }
 
-    /// Drops are forgotten after so long, milliseconds; gateways may be alone for half of it.
-    pub fn set_age(&mut self, age: i64) {
-        self.age = Some(age);
-        let span = Duration::from_micros(age * 1000);
-        self.nodes
-            .iter_mut()
-            .filter_map(|node| node.core.as_mut())
-            .for_each(|core| core.set_tombstone_age(span));
-        let half = Duration::from_micros(age * 500);
-        self.gates.iter_mut().for_each(|gate| gate.link.set_alone(half));
+    /// Tombstones are forgotten at this age; gateways may be without a session for half of it.
+    pub(crate) fn set_tombstone_age(&mut self, age: i64) {
+        self.tombstone_age = Some(age);
+        let duration = Duration::from_micros(age * 1000);
+        let state_machines = self.nodes.iter_mut().filter_map(|node| node.state_machine.as_mut());
+        state_machines.for_each(|state_machine| state_machine.set_tombstone_age(duration));
+        self.set_gateways_alone(Duration::from_micros(age * 500));
     }
 
-    /// A process leaves in order, and stays away for so long.
-    pub fn leave(&mut self, n: usize, away: i64) {
-        let now = at(self.now);
-        if let Some(core) = &mut self.nodes[n].core {
-            core.shut_down(now);
-            self.act(n);
-        }
-        self.run(2_000);
-        self.kill(n, false, false, away);
-    }
-
-    /// A process is killed; with power lost, also what was not synced. It comes back `after` so long.
-    pub fn kill(&mut self, n: usize, power: bool, wipe: bool, after: i64) {
-        let syncing = std::mem::take(&mut self.nodes[n].syncing);
-        for (_, _, records) in syncing {
+    /// A process is killed; with a loss of power it also loses what was not synced. It restarts after so long.
+    pub(crate) fn kill(&mut self, n: usize, loses_power: bool, wipes_disk: bool, restarts_after: i64) {
+        for sync in std::mem::take(&mut self.nodes[n].syncing) {
             // Of what was written and not synced anything may be there after a loss of power, in any part.
-            if !power || self.chance.rand_range(0..2) == 0 {
-                take(&mut self.nodes[n].disk, records);
+            if !loses_power || self.random.rand_range(0..2) == 0 {
+                write(&mut self.nodes[n].disk, sync.records);
             }
         }
         let node = &mut self.nodes[n];
-        node.core = None;
-        node.dark = power;
-        node.back = self.now + after;
-        if wipe {
+        node.state_machine = None;
+        node.lost_power = loses_power;
+        node.restarts_at = self.now + restarts_after;
+        if wipes_disk {
             node.disk.clear();
         }
     }
 
     /// Whether nothing comes through from one to another.
-    pub fn cut(&self, from: usize, to: usize) -> bool {
-        let pair = self.cuts.get(&(from.min(to), from.max(to)));
-        [pair, self.ways.get(&(from, to))].into_iter().flatten().any(|until| *until > self.now)
+    pub(crate) fn is_cut(&self, from: usize, to: usize) -> bool {
+        let pair = self.partitions.get(&(from.min(to), from.max(to)));
+        [pair, self.one_way_partitions.get(&(from, to))].into_iter().flatten().any(|until| *until > self.now)
     }
 
-    fn gate_cut(&self, gate: usize, node: usize) -> bool {
-        self.gate_cuts.get(&(gate, node)).is_some_and(|until| *until > self.now)
-    }
-
-    pub fn step(&mut self) {
+    /// Ten milliseconds pass.
+    pub(crate) fn step(&mut self) {
         self.now += 10;
         for n in 0..6 {
-            if self.nodes[n].core.is_none() && self.now >= self.nodes[n].back {
+            if self.nodes[n].state_machine.is_none() && self.now >= self.nodes[n].restarts_at {
                 self.start(n, false);
             }
         }
-        // Who has not been heard for long says hello again.
-        if self.now % 400 == 0 {
-            for a in 0..6 {
-                for b in 0..6 {
-                    let Some(hello) = self.nodes[a].core.as_ref().map(StateMachine::hello) else { continue };
-                    let cut = self.cut(a, b);
-                    let Some(core) = self.nodes[b].core.as_mut().filter(|_| a != b && !cut) else { continue };
-                    if !core.knows_incarnation(&hello.node_id, hello.incarnation) {
-                        self.heard.insert((a, b), self.now);
-                        core.peer_connected(at(self.now), &hello);
-                    }
+        if self.now % RECONNECT_INTERVAL == 0 {
+            self.reconnect();
+        }
+        let now = self.now;
+        let due: Vec<_> = self.in_flight.extract_if(.., |it| it.due_at <= now).collect();
+        due.into_iter().for_each(|message| self.deliver(message));
+        (0..6).for_each(|n| self.step_node(n));
+        self.step_sessions();
+        let is_holder =
+            |node: &&Node| node.state_machine.as_ref().is_some_and(|it| it.lease_term(at(now)).is_some());
+        let holders = self.nodes.iter().filter(is_holder).count();
+        assert!(holders <= 1, "{holders} hold the lease at {now}");
+    }
+
+    /// Whoever is not connected to another says hello again.
+    fn reconnect(&mut self) {
+        for from in 0..6 {
+            for to in 0..6 {
+                let Some(hello) = self.nodes[from].state_machine.as_ref().map(StateMachine::hello) else {
+                    continue;
+                };
+                let is_cut = self.is_cut(from, to);
+                let receiver = self.nodes[to].state_machine.as_mut().filter(|_| from != to && !is_cut);
+                let Some(receiver) = receiver else { continue };
+                if !receiver.knows_incarnation(&hello.node_id, hello.incarnation) {
+                    self.heard.insert((from, to), self.now);
+                    receiver.peer_connected(at(self.now), &hello);
                 }
             }
         }
-        let due: Vec<_> = self.wire.extract_if(.., |message| message.0 <= self.now).collect();
-        for (due, from, to, incarnation, message, sent) in due {
-            if self.frozen[to] > self.now {
-                self.wire.push((due + 50, from, to, incarnation, message, sent));
-                continue;
-            }
-            // What a process had sent before it was killed still arrives; with its power such words are gone.
-            if self.cut(from, to) || self.nodes[from].incarnation != incarnation && self.nodes[from].dark {
-                continue;
-            }
-            let node_id = self.nodes[from].replica.node_id.clone();
-            // The receiver's connection is of one life: once another has said hello, what the earlier one said is dropped.
-            if let Some(core) =
-                self.nodes[to].core.as_mut().filter(|core| core.knows_incarnation(&node_id, incarnation))
-            {
-                self.reached.insert((from, to), sent);
-                self.heard.insert((from, to), self.now);
-                core.peer_message(at(self.now), &node_id, message);
-            }
+    }
+
+    fn deliver(&mut self, it: InFlight) {
+        if self.frozen_until[it.to] > self.now {
+            return self.in_flight.push(InFlight { due_at: it.due_at + SOCKET_DELAY, ..it });
         }
-        for n in 0..6 {
-            let now = self.now;
-            let synced: Vec<_> = self.nodes[n].syncing.extract_if(.., |s| s.0 <= now).collect();
-            for (_, request_id, records) in synced {
-                take(&mut self.nodes[n].disk, records);
-                if let Some(core) = &mut self.nodes[n].core {
-                    core.records_persisted(at(now), request_id);
-                }
-            }
-            if self.frozen[n] > now {
-                continue;
-            }
-            if let Some(core) = self.nodes[n].core.as_mut().filter(|_| now % 100 == 0) {
-                core.tick(at(now));
+        // What a process had sent before it was killed still arrives; after a loss of power it does not.
+        let sender = &self.nodes[it.from];
+        if self.is_cut(it.from, it.to) || sender.incarnation != it.incarnation && sender.lost_power {
+            return;
+        }
+        let node_id = sender.replica.node_id.clone();
+        // The receiver's connection is of one incarnation: once another has said hello, the earlier one's messages are lost.
+        let receiver = self.nodes[it.to].state_machine.as_mut();
+        if let Some(receiver) = receiver.filter(|to| to.knows_incarnation(&node_id, it.incarnation)) {
+            self.reached.insert((it.from, it.to), it.sent_at);
+            self.heard.insert((it.from, it.to), self.now);
+            receiver.peer_message(at(self.now), &node_id, it.message);
+        }
+    }
+
+    /// Syncs what is due, ticks, and carries out what the process wants done.
+    fn step_node(&mut self, n: usize) {
+        let now = self.now;
+        let synced: Vec<_> = self.nodes[n].syncing.extract_if(.., |sync| sync.due_at <= now).collect();
+        for sync in synced {
+            write(&mut self.nodes[n].disk, sync.records);
+            if let Some(state_machine) = &mut self.nodes[n].state_machine {
+                state_machine.records_persisted(at(now), sync.request_id);
             }
-            self.act(n);
         }
-        self.sessions();
-        let holders = self.nodes.iter().filter_map(|n| n.core.as_ref()?.lease_term(at(self.now))).count();
-        assert!(holders <= 1, "{holders} do the duty at {}", self.now);
+        if self.frozen_until[n] > now {
+            return;
+        }
+        if let Some(state_machine) = self.nodes[n].state_machine.as_mut().filter(|_| now % TICK == 0) {
+            state_machine.tick(at(now));
+        }
+        self.carry_out(n);
     }
 
-    pub fn act(&mut self, n: usize) {
-        let Some(core) = &mut self.nodes[n].core else { return };
-        for act in std::mem::take(&mut core.active_term) {
-            match act {
+    /// Carries out what a process wants done.
+    pub(crate) fn carry_out(&mut self, n: usize) {
+        let Some(state_machine) = &mut self.nodes[n].state_machine else { return };
+        for action in std::mem::take(&mut state_machine.active_term) {
+            match action {
                 Action::SendToPeer(node_id, message) => {
                     let to = node_id[1..].parse().unwrap();
-                    if self.chance.rand_range(0..100) >= self.loss {
-                        let late = self.now + self.chance.rand_range(1..120) as i64;
-                        let slow = self.rate.is_some();
-                        let urgent = |message: &Message| {
-                            slow && matches!(
-                                message,
-                                Message::Heartbeat(_) | Message::LeaseRequest(_) | Message::LeaseVote(_)
-                            )
-                        };
-                        // One connection: words do not overtake each other.
-                        let same = |w: &&Flight| (w.1, w.2) == (n, to) && urgent(&w.4) == urgent(&message);
-                        let last = self.wire.iter().filter(same).map(|w| w.0).max().unwrap_or(0);
-                        let due = match self.rate {
-                            Some(rate) if !urgent(&message) => {
-                                let rate = if to == 0 { rate * 4 } else { rate };
-                                let mut bytes = Vec::new();
-                                pack(message.clone(), &mut bytes);
-                                late.max(last + bytes.len() as i64 / rate)
-                                    .max(self.now + bytes.len() as i64 / rate)
-                            }
-                            _ => late.max(last),
-                        };
-                        self.wire.push((due, n, to, self.nodes[n].incarnation, message, self.now));
-                    }
-                }
-                Action::Persist(request_id, records) => {
-                    let late = self.now + self.slow[n] + self.chance.rand_range(1..20) as i64;
-                    let last = self.nodes[n].syncing.last().map_or(0, |s| s.0);
-                    self.nodes[n].syncing.push((late.max(last), request_id, records));
+                    self.send(n, to, message);
                 }
-                Action::Respond(call, response) => {
-                    self.answers.insert(call, (n, response));
+                Action::Persist(request_id, records) => self.persist(n, request_id, records),
+                Action::Respond(request, response) => {
+                    self.responses.insert(request, (n, response));
                 }
-                Action::SendToSession(conn, message) => self.session_send(conn, false, message),
-                Action::SendItems(conn, items) => {
+                Action::SendToSession(id, message) => self.send_session_message(id, false, message),
+                Action::SendItems(id, items) => {
                     let items = items.iter().map(ItemMessage::from).collect();
-                    self.session_send(conn, false, Message::Items(Items { items }));
-                }
-                Action::CloseSession(conn) => {
-                    self.closed.insert(conn);
-                    let gate = self.gates.iter().position(|g| g.at.is_some_and(|(_, c)| c == conn));
-                    if let Some(gate) = gate {
-                        self.gates[gate].at = None;
-                        self.gates[gate].link.lost("closed");
-                    }
+                    self.send_session_message(id, false, Message::Items(Items { items }));
                 }
+                Action::CloseSession(id) => self.close_session(id),
             }
         }
     }
 
-    pub fn run(&mut self, millis: i64) {
+    fn persist(&mut self, n: usize, request_id: u64, records: Records) {
+        let late = self.now + self.disk_delay[n] + self.random.rand_range(1..20) as i64;
+        let last = self.nodes[n].syncing.last().map_or(0, |sync| sync.due_at);
+        self.nodes[n].syncing.push(Sync { due_at: late.max(last), request_id, records });
+    }
+
+    fn send(&mut self, from: usize, to: usize, message: Message) {
+        if self.random.rand_range(0..100) < self.loss_percent {
+            return;
+        }
+        let late = self.now + self.random.rand_range(1..120) as i64;
+        let is_rate_bounded = self.rate.is_some();
+        let is_urgent = |message: &Message| {
+            let is_short =
+                matches!(message, Message::Heartbeat(_) | Message::LeaseRequest(_) | Message::LeaseVote(_));
+            is_rate_bounded && is_short
+        };
+        // One connection: messages don't overtake each other.
+        let is_same_way =
+            |it: &&InFlight| (it.from, it.to) == (from, to) && is_urgent(&it.message) == is_urgent(&message);
+        let last = self.in_flight.iter().filter(is_same_way).map(|it| it.due_at).max().unwrap_or(0);
+        let due_at = match self.rate {
+            Some(rate) if !is_urgent(&message) => {
+                let rate = if to == 0 { rate * 4 } else { rate };
+                let mut bytes = Vec::new();
+                pack(message.clone(), &mut bytes);
+                let duration = bytes.len() as i64 / rate;
+                late.max(last + duration).max(self.now + duration)
+            }
+            _ => late.max(last),
+        };
+        let (incarnation, sent_at) = (self.nodes[from].incarnation, self.now);
+        self.in_flight.push(InFlight { due_at, from, to, incarnation, message, sent_at });
+    }
+
+    pub(crate) fn run(&mut self, millis: i64) {
         let end = self.now + millis;
         while self.now < end {
             self.step();
         }
     }
 
-    pub fn ask(&mut self, n: usize, order: Request) -> u64 {
-        self.calls += 1;
-        if let Some(core) = &mut self.nodes[n].core {
-            core.handle_request(at(self.now), self.calls, order);
-            self.act(n);
+    /// Sends a request to a process; gives the number under which it is answered.
+    pub(crate) fn request(&mut self, n: usize, request: Request) -> u64 {
+        self.request_count += 1;
+        if let Some(state_machine) = &mut self.nodes[n].state_machine {
+            state_machine.handle_request(at(self.now), self.request_count, request);
+            self.carry_out(n);
         }
-        self.calls
+        self.request_count
     }
 
-    pub fn patch(&mut self, n: usize, name: &str, version: u64, value: Option<&str>) -> u64 {
+    /// As [`Cluster::request`], for the change of one service.
+    pub(crate) fn patch(&mut self, n: usize, name: &str, version: u64, value: Option<&str>) -> u64 {
         let value = value.map(|text| bytes::Bytes::copy_from_slice(text.as_bytes()));
-        self.ask(n, Request::Patch(vec![Item { kind: Kind::Service, name: name.into(), version, value }]))
+        self.request(n, Request::Patch(vec![Item { kind: Kind::Service, name: name.into(), version, value }]))
+    }
+
+    fn is_serving(node: &Node) -> bool {
+        node.state_machine.as_ref().is_some_and(|it| it.replica_state() == ReplicaState::Serving)
     }
 
-    /// One that is current.
-    pub fn current_one(&self) -> usize {
-        let is = |n: &Node| n.core.as_ref().is_some_and(|c| c.replica_state() == ReplicaState::Serving);
-        self.nodes.iter().position(is).expect("one is current")
+    /// A process that serves.
+    pub(crate) fn any_serving(&self) -> usize {
+        self.nodes.iter().position(Cluster::is_serving).expect("one serves")
     }
 
-    /// All that stand by and current.
-    pub fn current(&self) -> usize {
-        self.nodes
-            .iter()
-            .filter(|n| n.core.as_ref().is_some_and(|c| c.replica_state() == ReplicaState::Serving))
-            .count()
+    /// How many processes serve.
+    pub(crate) fn serving_count(&self) -> usize {
+        self.nodes.iter().filter(|node| Cluster::is_serving(node)).count()
     }
 }
--- a/crates/control-plane/tests/incarnations.rs
+++ b/crates/control-plane/tests/incarnations.rs
@@ -1,63 +1,59 @@
-//! A process has several lives. Whatever an earlier one asked for, its answers count for nothing in the next.
-
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
+//! What an earlier incarnation of a process asked for counts for nothing in the next.
 
 mod cluster;
 
-use cluster::World;
+use cluster::Cluster;
 use kitepass_control_plane::request::Response;
 use kitepass_coordination::membership::{ReplicaSet, CURRENT};
 use std::collections::BTreeSet;
 
-const LINE: &str = r#"{"checkpoint":"/c"}"#;
+const SERVICE: &str = r#"{"checkpoint":"/c"}"#;
 
-/// Disks so slow that what a process asked for is answered to its next life. Each confirmed change must be on enough
-/// disks at that moment.
+/// Disks are so slow that what a process asked for is answered to its next incarnation. Each change that is acknowledged must
+/// be on enough disks at that moment.
 #[test]
-fn no_copy_counts_that_was_made_for_an_earlier_life() {
-    let mut confirmed = 0;
+fn no_acceptance_for_an_earlier_incarnation_counts() {
+    let mut acknowledged = 0;
     for seed in 0..30 {
-        let mut world = World::new(seed);
-        world.run(4_000);
+        let mut cluster = Cluster::new(seed);
+        cluster.run(4_000);
         let one = (seed % 6) as usize;
-        (0..6).filter(|n| *n != one).for_each(|n| world.slow[n] = 3_500);
-        let mut calls = Vec::new();
+        (0..6).filter(|n| *n != one).for_each(|n| cluster.disk_delay[n] = 3_500);
+        let mut request_ids = Vec::new();
         for incarnation in 0..3 {
             for n in 0..12 {
                 let name = format!("l{incarnation}-{n}");
-                calls.push((world.patch(one, &name, 7, Some(LINE)), name));
-                world.run(100);
+                request_ids.push((cluster.patch(one, &name, 7, Some(SERVICE)), name));
+                cluster.run(100);
             }
-            world.kill(one, false, false, 300);
-            world.run(1_500);
+            cluster.kill(one, false, false, 300);
+            cluster.run(1_500);
         }
         for _ in 0..600 {
-            world.step();
-            calls.retain(|(call, name)| {
-                if !matches!(world.answers.get(call), Some((_, Response::Done))) {
+            cluster.step();
+            request_ids.retain(|(request_id, name)| {
+                if !matches!(cluster.responses.get(request_id), Some((_, Response::Done))) {
                     return true;
                 }
-                confirmed += 1;
+                acknowledged += 1;
                 let key = [&[3], name.as_bytes()].concat();
                 let holds = |n: &&cluster::Node| n.disk.contains_key(&key);
                 let copies: BTreeSet<String> =
-                    world.nodes.iter().filter(holds).map(|n| n.replica.node_id.clone()).collect();
-                let item_store = world.nodes[(one + 1) % 6].core.as_ref().unwrap().item_store();
+                    cluster.nodes.iter().filter(holds).map(|n| n.replica.node_id.clone()).collect();
+                let item_store = cluster.state_machine((one + 1) % 6).item_store();
                 let replica_set = ReplicaSet::load(item_store, CURRENT).unwrap();
                 assert!(
                     replica_set.is_write_quorum(&copies),
-                    "seed {seed}: {name} was confirmed with copies at {copies:?}"
+                    "seed {seed}: {name} was acknowledged with copies at {copies:?}"
                 );
                 false
             });
         }
-        (0..6).for_each(|n| world.slow[n] = 0);
-        world.run(8_000);
-        let call = world.patch(one, "after", 7, Some(LINE));
-        world.run(1_000);
-        assert_eq!(world.answers[&call].1, Response::Done, "seed {seed}");
+        (0..6).for_each(|n| cluster.disk_delay[n] = 0);
+        cluster.run(8_000);
+        let request_id = cluster.patch(one, "after", 7, Some(SERVICE));
+        cluster.run(1_000);
+        assert_eq!(cluster.responses[&request_id].1, Response::Done, "seed {seed}");
     }
-    println!("{confirmed} changes confirmed while disks were slow");
+    println!("{acknowledged} changes acknowledged while disks were slow");
 }
--- a/crates/control-plane/tests/membership.rs
+++ b/crates/control-plane/tests/membership.rs
@@ -1,14 +1,11 @@
-//! Changes of the cast in the world in memory, by seed, with operators at work all the while: lost disks and the next loss
-//! right after the repair, members that leave and are replaced, stewards that are cut off with a change half-way, and a
-//! seat that comes back after it was taken out. What was confirmed is read back, and of each cast there is one content.
-
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
+//! Changes of the replica set, on six simulated processes by seed, with requests all the while: lost disks and the next
+//! loss right after the repair, members that shut down and are replaced, coordinators that are partitioned during a change,
+//! and a removed replica that comes back. What was acknowledged is read back, and each version of a replica set has one
+//! content.
 
 mod cluster;
 
-use cluster::{at, World};
+use cluster::{at, Cluster};
 use kitepass_config::Kind;
 use kitepass_control_plane::request::{Request, Response};
 use kitepass_control_plane::state_machine::{Action, ReplicaState, StateMachine};
@@ -17,190 +14,208 @@
 use kitepass_coordination::protocol::{AcceptRequest, ItemMessage, Message};
 use std::collections::{BTreeMap, BTreeSet};
 
-const LINE: &str = r#"{"checkpoint":"/c"}"#;
-/// A process that leaves ends within this, milliseconds, and its seat is gone within the other: links here take up to 240
-/// there and back, and it takes six times that.
-const LEAVES: i64 = 2_000;
-const SEAT_GOES: i64 = 4_000;
-/// Within this after the last loss or return the cast has no seat that is gone.
-const REPAIRED: i64 = 15_000;
+const SERVICE: &str = r#"{"checkpoint":"/c"}"#;
+/// Milliseconds until a process that shuts down exits, and until its replica is removed. Messages here take up to 240 there
+/// and back, and a removal takes six times that.
+const SHUTDOWN_BOUND: i64 = 2_000;
+const REMOVAL_BOUND: i64 = 4_000;
+/// Milliseconds from the last loss or restart until the replica set holds only replicas that run.
+const REPAIR_BOUND: i64 = 15_000;
 const NEVER: i64 = i64::MAX / 2;
 
-/// So many seeds, or as many as are asked for.
+/// This many seeds, or as many as `KITEPASS_SEEDS` asks for.
 fn seeds(few: u64) -> std::ops::Range<u64> {
     0..std::env::var("KITEPASS_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(few)
 }
 
-/// A world, its operators, and what was seen of its casts.
-struct Play {
-    world: World,
+/// A cluster, the requests that were made to it, and the replica sets that were seen in it.
+struct Scenario {
+    cluster: Cluster,
     newest: u64,
-    /// What each call set.
-    calls: BTreeMap<u64, (String, u64)>,
+    /// What each request set.
+    request_ids: BTreeMap<u64, (String, u64)>,
     replica_sets: BTreeMap<(&'static str, u64), ReplicaSet>,
-    /// Terms that were won, by process.
+    /// Lease terms that were won, by process.
     won: BTreeSet<(usize, u64)>,
 }
 
-impl Play {
-    fn new(seed: u64) -> Play {
-        let mut play = Play {
-            world: World::new(seed),
+impl Scenario {
+    fn new(seed: u64) -> Scenario {
+        let mut scenario = Scenario {
+            cluster: Cluster::new(seed),
             newest: 0,
-            calls: BTreeMap::new(),
+            request_ids: BTreeMap::new(),
             replica_sets: BTreeMap::new(),
             won: BTreeSet::new(),
         };
-        play.run(5_000, false);
-        assert_eq!(play.world.current(), 6, "seed {seed}");
-        play
+        scenario.run(5_000, false);
+        assert_eq!(scenario.cluster.serving_count(), 6, "seed {seed}");
+        scenario
     }
 
-    fn core(&self, n: usize) -> Option<&StateMachine> {
-        self.world.nodes[n].core.as_ref()
+    fn state_machine(&self, n: usize) -> Option<&StateMachine> {
+        self.cluster.nodes[n].state_machine.as_ref()
     }
 
     fn step(&mut self) {
-        self.world.step();
-        let now = at(self.world.now);
-        for (n, node) in self.world.nodes.iter().enumerate() {
-            let Some(core) = &node.core else { continue };
-            // Whoever has just won the duty has not read yet, which takes a way there and back.
-            if let Some(term) = core.lease_term(now).filter(|term| self.won.insert((n, *term))) {
+        self.cluster.step();
+        let now = at(self.cluster.now);
+        for (n, node) in self.cluster.nodes.iter().enumerate() {
+            let Some(state_machine) = &node.state_machine else { continue };
+            // Whoever has just won the lease has not read what a majority holds, which takes a round trip.
+            if let Some(term) = state_machine.lease_term(now).filter(|term| self.won.insert((n, *term))) {
                 assert_eq!(
-                    core.active_term(now),
+                    state_machine.active_term(now),
                     None,
                     "s{n} acts as it wins term {term}, at {}",
-                    self.world.now
+                    self.cluster.now
                 );
             }
             for name in [CURRENT, INCOMING] {
-                if let Some(replica_set) = ReplicaSet::load(core.item_store(), name) {
+                if let Some(replica_set) = ReplicaSet::load(state_machine.item_store(), name) {
                     let first = self
                         .replica_sets
                         .entry((name, replica_set.version))
                         .or_insert_with(|| replica_set.clone());
-                    assert_eq!(*first, replica_set, "two casts under one number, at {}", self.world.now);
+                    assert_eq!(
+                        *first, replica_set,
+                        "two replica sets with one version, at {}",
+                        self.cluster.now
+                    );
                 }
             }
         }
     }
 
-    fn run(&mut self, millis: i64, orders: bool) {
-        let until = self.world.now + millis;
-        while self.world.now < until {
-            if orders && self.world.now % 250 == 0 {
-                let n = self.world.chance.rand_range(0..6) as usize;
-                self.order(n);
+    fn run(&mut self, millis: i64, with_requests: bool) {
+        let until = self.cluster.now + millis;
+        while self.cluster.now < until {
+            if with_requests && self.cluster.now % 250 == 0 {
+                let n = self.cluster.random.rand_range(0..6) as usize;
+                self.send_change(n);
             }
             self.step();
         }
     }
 
-    fn order(&mut self, n: usize) {
+    fn send_change(&mut self, n: usize) {
         self.newest += 1;
         let name = format!("l{}", self.newest % 5);
-        let call = self.world.patch(n, &name, self.newest, Some(LINE));
-        self.calls.insert(call, (name, self.newest));
+        let request_id = self.cluster.patch(n, &name, self.newest, Some(SERVICE));
+        self.request_ids.insert(request_id, (name, self.newest));
     }
 
-    /// The newest cast in force, by whoever runs.
+    /// The newest replica set in force, as known to any process that runs.
     fn replica_set(&self) -> ReplicaSet {
-        let replica_sets =
-            self.world.nodes.iter().filter_map(|n| ReplicaSet::load(n.core.as_ref()?.item_store(), CURRENT));
-        replica_sets.max_by_key(|replica_set| replica_set.version).expect("one knows of a cast")
+        let replica_sets = self
+            .cluster
+            .nodes
+            .iter()
+            .filter_map(|n| ReplicaSet::load(n.state_machine.as_ref()?.item_store(), CURRENT));
+        replica_sets.max_by_key(|replica_set| replica_set.version).expect("one knows of a replica set")
     }
 
     fn replicas(&self) -> BTreeSet<String> {
         self.replica_set().replicas.iter().map(Replica::name).collect()
     }
 
-    /// The seat of each process that runs.
+    /// The replicas of the processes that run.
     fn running(&self) -> BTreeSet<String> {
-        let names =
-            self.world.nodes.iter().filter_map(|n| Some(Replica::from(&n.core.as_ref()?.hello()).name()));
+        let names = self
+            .cluster
+            .nodes
+            .iter()
+            .filter_map(|n| Some(Replica::from(&n.state_machine.as_ref()?.hello()).name()));
         names.collect()
     }
 
-    /// Until the cast is of all who run, and all are current; how long that takes.
+    /// Runs until the replica set holds all that run, and all serve; gives how long that takes.
     fn repaired(&mut self, what: &str) -> i64 {
         self.repaired_with(what, true)
     }
 
-    fn repaired_with(&mut self, what: &str, orders: bool) -> i64 {
-        let since = self.world.now;
-        let whole = |play: &Play| {
-            play.running().len() == 6 && play.replicas() == play.running() && play.world.current() == 6
+    fn repaired_with(&mut self, what: &str, with_requests: bool) -> i64 {
+        let since = self.cluster.now;
+        let whole = |scenario: &Scenario| {
+            scenario.running().len() == 6
+                && scenario.replicas() == scenario.running()
+                && scenario.cluster.serving_count() == 6
         };
         while !whole(self) {
-            self.run(50, orders);
-            let took = self.world.now - since;
-            assert!(took <= REPAIRED, "{what}: {:?} of {:?}", self.replicas(), self.running());
+            self.run(50, with_requests);
+            let took = self.cluster.now - since;
+            assert!(took <= REPAIR_BOUND, "{what}: {:?} of {:?}", self.replicas(), self.running());
         }
-        self.world.now - since
+        self.cluster.now - since
     }
 
-    fn steward(&self) -> Option<usize> {
-        (0..6).find(|n| self.core(*n).is_some_and(|core| core.active_term(at(self.world.now)).is_some()))
+    fn coordinator(&self) -> Option<usize> {
+        (0..6).find(|n| {
+            self.state_machine(*n)
+                .is_some_and(|state_machine| state_machine.active_term(at(self.cluster.now)).is_some())
+        })
     }
 
-    fn wait_for_steward(&mut self) -> usize {
-        let until = self.world.now + REPAIRED;
+    fn wait_for_coordinator(&mut self) -> usize {
+        let until = self.cluster.now + REPAIR_BOUND;
         loop {
-            if let Some(n) = self.steward() {
+            if let Some(n) = self.coordinator() {
                 return n;
             }
             self.run(10, false);
-            assert!(self.world.now < until, "nobody does the duty");
+            assert!(self.cluster.now < until, "nobody is coordinator");
         }
     }
 
-    /// SIGTERM: the process is told, and ends; how long that takes, and how long until its seat is gone.
+    /// SIGTERM: gives how long a process takes to exit, and how long until its replica is removed.
     fn leave(&mut self, n: usize) -> (i64, i64) {
-        let since = self.world.now;
-        let name = Replica::from(&self.core(n).expect("it runs").hello()).name();
-        self.world.nodes[n].core.as_mut().expect("it runs").shut_down(at(since));
-        self.world.act(n);
-        while !self.core(n).expect("it runs").is_shut_down() && self.world.now - since < LEAVES {
+        let since = self.cluster.now;
+        let name = Replica::from(&self.state_machine(n).expect("it runs").hello()).name();
+        self.cluster.nodes[n].state_machine.as_mut().expect("it runs").shut_down(at(since));
+        self.cluster.carry_out(n);
+        while !self.state_machine(n).expect("it runs").is_shut_down()
+            && self.cluster.now - since < SHUTDOWN_BOUND
+        {
             self.run(10, true);
         }
-        self.world.kill(n, false, false, NEVER);
-        let ended = self.world.now - since;
-        while self.replicas().contains(&name) && self.world.now - since < SEAT_GOES {
+        self.cluster.kill(n, false, false, NEVER);
+        let ended = self.cluster.now - since;
+        while self.replicas().contains(&name) && self.cluster.now - since < REMOVAL_BOUND {
             self.run(10, true);
         }
-        (ended, self.world.now - since)
+        (ended, self.cluster.now - since)
     }
 
-    /// All that was confirmed is read back, from whoever is current.
+    /// Checks that all that was acknowledged is read back from a process that serves.
     fn check(&mut self, what: &str) -> usize {
-        let reader = self.world.current_one();
-        let call = self.world.ask(reader, Request::Get);
+        let reader = self.cluster.any_serving();
+        let request_id = self.cluster.request(reader, Request::Get);
         self.run(2_000, false);
-        let response = self.world.answers.get(&call).map(|(_, response)| response);
+        let response = self.cluster.responses.get(&request_id).map(|(_, response)| response);
         assert!(matches!(response, Some(Response::Body(_))), "{what}: {response:?}");
-        let item_store = self.core(reader).expect("it runs").item_store();
-        let mut confirmed = 0;
-        for (call, (name, version)) in &self.calls {
-            if self.world.answers.get(call).is_some_and(|(_, response)| *response == Response::Done) {
-                confirmed += 1;
+        let item_store = self.state_machine(reader).expect("it runs").item_store();
+        let mut acknowledged = 0;
+        for (request_id, (name, version)) in &self.request_ids {
+            if self.cluster.responses.get(request_id).is_some_and(|(_, response)| *response == Response::Done)
+            {
+                acknowledged += 1;
                 let known = item_store.get(Kind::Service, name).map_or(0, |item| item.version);
-                assert!(known >= *version, "{what}: {name} r{version} was confirmed, r{known} is read");
+                assert!(known >= *version, "{what}: {name} r{version} was acknowledged, r{known} is read");
             }
         }
-        confirmed
+        acknowledged
     }
 }
 
-/// One disk or a region's are lost, while the others lose power or not; they come back under new seats' names, and right
-/// after the repair another region's disks go while all others lose power.
+/// One disk, or a region's, is lost, while the others lose power or not. They come back as new replicas, and right after the
+/// repair another region's disks are lost while all others lose power.
 #[test]
-fn after_a_lost_disk_is_replaced_the_next_loss_is_borne() {
-    let (mut latest, mut confirmed) = (0, 0);
+fn after_a_lost_disk_is_replaced_the_next_loss_is_tolerated() {
+    let (mut latest, mut acknowledged) = (0, 0);
     for seed in seeds(12) {
-        let mut play = Play::new(seed);
-        play.run(1_000, true);
-        let before = play.replicas();
+        let mut scenario = Scenario::new(seed);
+        scenario.run(1_000, true);
+        let before = scenario.replicas();
         let lost: Vec<usize> = match seed % 3 {
             0 => vec![seed as usize % 6],
             1 => vec![2, 3],
@@ -208,179 +223,202 @@
         };
         (0..6).for_each(|n| {
             if lost.contains(&n) || seed % 2 == 0 {
-                play.world.kill(n, true, lost.contains(&n), 500);
+                scenario.cluster.kill(n, true, lost.contains(&n), 500);
             }
         });
-        play.run(600, true);
-        latest = latest.max(play.repaired(&format!("seed {seed}")));
-        let gone: BTreeSet<String> = before.difference(&play.replicas()).cloned().collect();
+        scenario.run(600, true);
+        latest = latest.max(scenario.repaired(&format!("seed {seed}")));
+        let gone: BTreeSet<String> = before.difference(&scenario.replicas()).cloned().collect();
         assert_eq!(gone.len(), lost.len(), "seed {seed}: {gone:?}");
         let again = (lost[0] / 2 * 2 + 2) % 6;
-        (0..6).for_each(|n| play.world.kill(n, true, n == again || n == again + 1, 500));
-        play.run(600, true);
-        latest = latest.max(play.repaired(&format!("seed {seed}, the second loss")));
-        confirmed += play.check(&format!("seed {seed}"));
+        (0..6).for_each(|n| scenario.cluster.kill(n, true, n == again || n == again + 1, 500));
+        scenario.run(600, true);
+        latest = latest.max(scenario.repaired(&format!("seed {seed}, the second loss")));
+        acknowledged += scenario.check(&format!("seed {seed}"));
     }
-    println!("repaired after {latest} ms at the latest; {confirmed} confirmed changes read back");
-    assert!(confirmed > 200, "{confirmed}");
+    println!("repaired after {latest} ms at the latest; {acknowledged} acknowledged changes read back");
+    assert!(acknowledged > 200, "{acknowledged}");
 }
 
-/// One after another leaves in order, and is followed by another station at another address with an empty disk.
+/// One after another shuts down, and is followed by another node at another address with an empty disk.
 #[test]
 fn all_six_are_replaced_by_empty_successors() {
-    let (mut latest, mut slowest, mut replica, mut confirmed) = (0, 0, 0, 0);
+    let (mut latest, mut slowest, mut replica, mut acknowledged) = (0, 0, 0, 0);
     for seed in seeds(6) {
-        let mut play = Play::new(seed);
-        let first = play.replicas();
+        let mut scenario = Scenario::new(seed);
+        let first = scenario.replicas();
         for n in 0..6 {
-            let (ended, gone) = play.leave(n);
+            let (ended, gone) = scenario.leave(n);
             (slowest, replica) = (slowest.max(ended), replica.max(gone));
-            assert!(ended <= LEAVES && gone < SEAT_GOES, "seed {seed}: s{n} {ended} {gone}");
-            assert_eq!(play.replica_set().replicas.len(), 5);
-            let node = &mut play.world.nodes[n];
+            assert!(ended <= SHUTDOWN_BOUND && gone < REMOVAL_BOUND, "seed {seed}: s{n} {ended} {gone}");
+            assert_eq!(scenario.replica_set().replicas.len(), 5);
+            let node = &mut scenario.cluster.nodes[n];
             (node.replica.node_id, node.replica.address) = (format!("s0{n}"), format!("10.0.1.{n}"));
             node.disk.clear();
-            play.run(1_000, true);
-            play.world.start(n, false);
-            latest = latest.max(play.repaired(&format!("seed {seed}: s0{n}")));
+            scenario.run(1_000, true);
+            scenario.cluster.start(n, false);
+            latest = latest.max(scenario.repaired(&format!("seed {seed}: s0{n}")));
         }
-        assert!(play.replicas().is_disjoint(&first) && play.replica_set().replicas.len() == 6);
-        confirmed += play.check(&format!("seed {seed}"));
+        assert!(scenario.replicas().is_disjoint(&first) && scenario.replica_set().replicas.len() == 6);
+        acknowledged += scenario.check(&format!("seed {seed}"));
     }
-    println!("ended after {slowest} ms, seat gone after {replica}, whole after {latest}, at the latest; {confirmed} confirmed");
-    assert!(confirmed > 200, "{confirmed}");
+    println!("ended after {slowest} ms, replica removed after {replica}, repaired after {latest}, at the latest; {acknowledged} acknowledged");
+    assert!(acknowledged > 200, "{acknowledged}");
 }
 
-/// SIGTERM of the steward with orders under way: what it confirmed is kept, it ends in time, also where nobody answers,
-/// and another does the duty.
+/// SIGTERM of the coordinator with requests pending: what it acknowledged is kept, it exits in time, also where nobody
+/// answers, and another becomes coordinator.
 #[test]
-fn a_steward_that_leaves_in_the_middle_of_orders_loses_nothing() {
+fn a_coordinator_that_shuts_down_with_requests_pending_loses_nothing() {
     let (mut latest, mut slowest, mut replica, mut answered) = ([0; 2], 0, 0, 0);
     for seed in seeds(12) {
-        let mut play = Play::new(seed);
-        let steward = play.wait_for_steward();
-        (0..3).for_each(|_| play.order(steward));
-        let calls: Vec<u64> = play.calls.keys().copied().collect();
-        let early = play.world.chance.rand_range(0..12) as i64 * 10;
-        play.run(early, false);
+        let mut scenario = Scenario::new(seed);
+        let coordinator = scenario.wait_for_coordinator();
+        (0..3).for_each(|_| scenario.send_change(coordinator));
+        let request_ids: Vec<u64> = scenario.request_ids.keys().copied().collect();
+        let early = scenario.cluster.random.rand_range(0..12) as i64 * 10;
+        scenario.run(early, false);
         if seed % 3 == 2 {
-            let until = play.world.now + 6_000;
-            for other in (0..6).filter(|other| *other != steward) {
-                play.world.cuts.insert((steward.min(other), steward.max(other)), until);
+            let until = scenario.cluster.now + 6_000;
+            for other in (0..6).filter(|other| *other != coordinator) {
+                scenario.cluster.partitions.insert((coordinator.min(other), coordinator.max(other)), until);
             }
         }
-        let since = play.world.now;
-        let (ended, gone) = play.leave(steward);
-        assert!(ended <= LEAVES, "seed {seed}: ended after {ended} ms");
+        let since = scenario.cluster.now;
+        let (ended, gone) = scenario.leave(coordinator);
+        assert!(ended <= SHUTDOWN_BOUND, "seed {seed}: ended after {ended} ms");
         if seed % 3 != 2 {
             (slowest, replica) = (slowest.max(ended), replica.max(gone));
-            assert!(gone < SEAT_GOES, "seed {seed}: its seat did not go");
+            assert!(gone < REMOVAL_BOUND, "seed {seed}: its replica was not removed");
         }
-        answered += calls.iter().filter(|call| play.world.answers.contains_key(call)).count();
-        let next = play.wait_for_steward();
-        assert_ne!(next, steward);
-        latest[usize::from(seed % 3 == 2)] = latest[usize::from(seed % 3 == 2)].max(play.world.now - since);
-        play.run(4_000, true);
-        play.check(&format!("seed {seed}"));
+        answered += request_ids
+            .iter()
+            .filter(|request_id| scenario.cluster.responses.contains_key(request_id))
+            .count();
+        let next = scenario.wait_for_coordinator();
+        assert_ne!(next, coordinator);
+        latest[usize::from(seed % 3 == 2)] =
+            latest[usize::from(seed % 3 == 2)].max(scenario.cluster.now - since);
+        scenario.run(4_000, true);
+        scenario.check(&format!("seed {seed}"));
     }
-    println!("another acts after {} ms, {} where it is cut off; it ended after {slowest} ms, its seat went after {replica} ms; \
-         {answered} calls answered",
+    println!("another acts after {} ms, {} where it is cut off; it ended after {slowest} ms, its replica was removed after {replica} ms; \
+         {answered} requests answered",
         latest[0], latest[1]
     );
 }
 
-/// A steward is cut off, one way or both, while it brings a cast in, and another one goes on: both work from one base, and
-/// one content comes of it.
+/// A coordinator is partitioned, one way or both, while it brings a replica set in, and another one goes on. Both start from
+/// one replica set, and only one next one comes of it.
 #[test]
-fn a_steward_that_is_cut_off_with_a_change_half_way_brings_no_second_cast() {
+fn a_coordinator_cut_off_during_a_change_brings_in_no_second_replica_set() {
     let (mut cut_midway, mut changes) = (0, 0);
     for seed in seeds(24) {
-        let mut play = Play::new(seed);
-        let steward = play.wait_for_steward();
-        let lost = (steward + 1 + seed as usize % 5) % 6;
-        play.world.kill(lost, true, true, 300);
-        let base = play.replica_set().version;
-        // Until it has worked the next cast out, and at a drawn moment after.
-        let until = play.world.now + 8_000;
-        let full = |play: &Play| play.core(lost).is_some_and(|core| core.hello().is_complete);
-        while !full(&play) && play.world.now < until {
-            play.run(10, true);
+        let mut scenario = Scenario::new(seed);
+        let coordinator = scenario.wait_for_coordinator();
+        let lost = (coordinator + 1 + seed as usize % 5) % 6;
+        scenario.cluster.kill(lost, true, true, 300);
+        let base = scenario.replica_set().version;
+        // Until it has worked the next replica set out, and a drawn time after.
+        let until = scenario.cluster.now + 8_000;
+        let full = |scenario: &Scenario| {
+            scenario.state_machine(lost).is_some_and(|state_machine| state_machine.hello().is_complete)
+        };
+        while !full(&scenario) && scenario.cluster.now < until {
+            scenario.run(10, true);
         }
-        let late = play.world.chance.rand_range(0..250) as i64 * 10;
-        play.run(late, true);
-        let known = play.replica_sets.keys().any(|(name, version)| *name == INCOMING && *version > base);
-        cut_midway += usize::from(known && play.replica_set().version == base);
-        let ends = play.world.now + 7_000;
-        for other in (0..6).filter(|other| *other != steward) {
+        let late = scenario.cluster.random.rand_range(0..250) as i64 * 10;
+        scenario.run(late, true);
+        let known = scenario.replica_sets.keys().any(|(name, version)| *name == INCOMING && *version > base);
+        cut_midway += usize::from(known && scenario.replica_set().version == base);
+        let ends = scenario.cluster.now + 7_000;
+        for other in (0..6).filter(|other| *other != coordinator) {
             match seed % 3 {
-                0 => _ = play.world.cuts.insert((steward.min(other), steward.max(other)), ends),
-                1 => _ = play.world.ways.insert((steward, other), ends),
-                _ => _ = play.world.ways.insert((other, steward), ends),
+                0 => {
+                    _ = scenario
+                        .cluster
+                        .partitions
+                        .insert((coordinator.min(other), coordinator.max(other)), ends)
+                }
+                1 => _ = scenario.cluster.one_way_partitions.insert((coordinator, other), ends),
+                _ => _ = scenario.cluster.one_way_partitions.insert((other, coordinator), ends),
             }
         }
-        play.run(7_000, true);
-        // Another station's disk goes while it is still the last one to know of that.
-        let other = (0..6).find(|n| *n != steward && *n != lost).expect("six");
-        play.world.kill(other, true, true, 300);
-        play.run(600, true);
-        play.repaired(&format!("seed {seed}"));
-        changes += play.replica_set().version - base;
-        play.check(&format!("seed {seed}"));
+        scenario.run(7_000, true);
+        // Another node's disk is lost while the partition ends.
+        let other = (0..6).find(|n| *n != coordinator && *n != lost).expect("six");
+        scenario.cluster.kill(other, true, true, 300);
+        scenario.run(600, true);
+        scenario.repaired(&format!("seed {seed}"));
+        changes += scenario.replica_set().version - base;
+        scenario.check(&format!("seed {seed}"));
     }
-    println!("cut with a change half-way: {cut_midway}; {changes} changes of the cast");
+    println!("cut with a change half-way: {cut_midway}; {changes} changes of the replica set");
     assert!(cut_midway > 2 && changes >= 24, "{cut_midway} {changes}");
 }
 
-/// A seat that was taken out comes back with its old disk after changes, drops and an order that it alone had begun: it
-/// brings nothing old back, and takes its place again.
+/// A removed replica comes back with its old disk after changes, drops and a request that it alone had begun: it brings
+/// nothing old back, and becomes a member again.
 #[test]
-fn a_removed_seat_with_its_old_disk_brings_nothing_old_back() {
+fn a_removed_replica_with_its_old_disk_brings_nothing_old_back() {
     for seed in seeds(6) {
-        let mut play = Play::new(seed);
-        play.run(3_000, true);
+        let mut scenario = Scenario::new(seed);
+        scenario.run(3_000, true);
         let n = seed as usize % 6;
         // Accepted nowhere but on its own disk.
-        let until = play.world.now + 400;
+        let until = scenario.cluster.now + 400;
         for other in (0..6).filter(|other| *other != n) {
-            play.world.cuts.insert((n.min(other), n.max(other)), until);
+            scenario.cluster.partitions.insert((n.min(other), n.max(other)), until);
         }
-        play.world.patch(n, "alone", 7, Some(LINE));
-        play.run(400, false);
-        assert!(play.leave(n).1 < SEAT_GOES, "seed {seed}: its seat did not go");
-        let drop = play.world.patch((n + 1) % 6, "l1", 1_000_000, None);
-        play.run(3_000, true);
-        assert_eq!(play.world.answers[&drop].1, Response::Done, "seed {seed}");
-        let settled = |play: &Play, n: usize| {
-            let item_store = play.core(n).expect("it runs").item_store();
+        scenario.cluster.patch(n, "alone", 7, Some(SERVICE));
+        scenario.run(400, false);
+        assert!(scenario.leave(n).1 < REMOVAL_BOUND, "seed {seed}: its replica was not removed");
+        let drop = scenario.cluster.patch((n + 1) % 6, "l1", 1_000_000, None);
+        scenario.run(3_000, true);
+        assert_eq!(scenario.cluster.responses[&drop].1, Response::Done, "seed {seed}");
+        let settled = |scenario: &Scenario, n: usize| {
+            let item_store = scenario.state_machine(n).expect("it runs").item_store();
             ["l1", "alone"].map(|name| item_store.get(Kind::Service, name).cloned())
         };
-        let before = settled(&play, (n + 1) % 6);
-        play.world.start(n, false);
-        let until = play.world.now + 12_000;
-        while play.world.now < until {
-            play.run(50, true);
+        let before = settled(&scenario, (n + 1) % 6);
+        scenario.cluster.start(n, false);
+        let until = scenario.cluster.now + 12_000;
+        while scenario.cluster.now < until {
+            scenario.run(50, true);
             for other in 0..6 {
-                if play.core(other).is_some_and(|core| core.replica_state() == ReplicaState::Serving) {
-                    assert_eq!(settled(&play, other), before, "seed {seed}: s{other} at {}", play.world.now);
+                if scenario
+                    .state_machine(other)
+                    .is_some_and(|state_machine| state_machine.replica_state() == ReplicaState::Serving)
+                {
+                    assert_eq!(
+                        settled(&scenario, other),
+                        before,
+                        "seed {seed}: s{other} at {}",
+                        scenario.cluster.now
+                    );
                 }
             }
         }
-        assert_eq!((play.replicas(), play.world.current()), (play.running(), 6), "seed {seed}");
-        play.check(&format!("seed {seed}"));
+        assert_eq!(
+            (scenario.replicas(), scenario.cluster.serving_count()),
+            (scenario.running(), 6),
+            "seed {seed}"
+        );
+        scenario.check(&format!("seed {seed}"));
     }
 }
 
-/// Whoever is to be a copy of a cast that comes in force, and lacks some of what its writer holds, asks for that first;
-/// whoever holds the same accepts at once. Each such word on the way says what its writer holds.
+/// A replica that lacks some of what the proposer holds reads that before it accepts that a replica set is in force; one that
+/// holds the same accepts at once. Each such accept request tells what its proposer holds.
 #[test]
-fn a_copy_of_a_cast_in_force_waits_for_all_that_its_writer_holds() {
-    let mut play = Play::new(3);
-    let next = ReplicaSet { version: 2, ..play.replica_set() };
-    let now = at(play.world.now);
+fn a_replica_set_is_accepted_only_with_all_that_its_proposer_holds() {
+    let mut scenario = Scenario::new(3);
+    let next = ReplicaSet { version: 2, ..scenario.replica_set() };
+    let now = at(scenario.cluster.now);
     for (lacks, node) in [(true, 4), (false, 5)] {
-        let incarnation = play.world.nodes[0].incarnation;
-        let core = play.world.nodes[node].core.as_mut().expect("it runs");
-        let mut whole = core.item_store().history_buckets().to_vec();
+        let incarnation = scenario.cluster.nodes[0].incarnation;
+        let state_machine = scenario.cluster.nodes[node].state_machine.as_mut().expect("it runs");
+        let mut whole = state_machine.item_store().history_buckets().to_vec();
         whole[7] ^= u64::from(lacks);
         let ballot = Some(Ballot { epoch: 3, round: 1, proposer: incarnation });
         let items = vec![(&next.to_item(CURRENT)).into()];
@@ -393,25 +431,25 @@
             bucket_digests: whole,
             ..AcceptRequest::default()
         };
-        core.active_term.clear();
-        core.peer_message(now, "s0", Message::AcceptRequest(store));
-        let asks = core
+        state_machine.active_term.clear();
+        state_machine.peer_message(now, "s0", Message::AcceptRequest(store));
+        let asks = state_machine
             .active_term
             .iter()
             .any(|act| matches!(act, Action::SendToPeer(to, Message::PrepareRequest(_)) if to == "s0"));
-        let accepts = core.active_term.iter().any(|act| {
+        let accepts = state_machine.active_term.iter().any(|act| {
             matches!(act, Action::Persist(_, records) if records.iter().any(|(key, _)| key.starts_with(b"call:")))
         });
         assert_eq!((asks, accepts), (lacks, !lacks));
     }
-    let mut play = Play::new(4);
-    play.world.kill(3, true, true, 300);
-    let until = play.world.now + REPAIRED;
+    let mut scenario = Scenario::new(4);
+    scenario.cluster.kill(3, true, true, 300);
+    let until = scenario.cluster.now + REPAIR_BOUND;
     let mut told = 0;
-    while play.replicas() != play.running() {
-        play.run(10, true);
-        for (.., message, _) in &play.world.wire {
-            if let Message::AcceptRequest(store) = message {
+    while scenario.replicas() != scenario.running() {
+        scenario.run(10, true);
+        for flight in &scenario.cluster.in_flight {
+            if let Message::AcceptRequest(store) = &flight.message {
                 let in_force =
                     |item: &ItemMessage| item.kind == Kind::ReplicaSet as u32 && item.name == CURRENT;
                 if store.items.iter().any(in_force) {
@@ -420,41 +458,41 @@
                 }
             }
         }
-        assert!(play.world.now < until);
+        assert!(scenario.cluster.now < until);
     }
     assert!(told > 0);
 }
 
-/// A disk is lost, and as the next cast is decided and nobody has accepted it to be in force, a region's disks go and all
-/// others are killed: of the cast before three of six are left, which elect nobody, but read; the change is ended, as no
-/// call stands open that only the cast before could have decided.
+/// A disk is lost, and as the next replica set is committed and nobody has accepted it as the one in force, a region's disks
+/// are lost and all others are killed. Three of six members of the earlier set are left, which can't elect a coordinator, but
+/// can read: the change is finished, as no proposal is open that only the earlier set could have chosen.
 #[test]
-fn a_change_that_half_of_the_cast_before_is_left_to_end_is_ended() {
+fn a_change_is_finished_where_half_of_the_earlier_set_is_left() {
     let mut latest = 0;
     for seed in seeds(8) {
-        let mut play = Play::new(seed);
-        play.run(1_000, true);
-        play.run(1_500, false);
+        let mut scenario = Scenario::new(seed);
+        scenario.run(1_000, true);
+        scenario.run(1_500, false);
         let lost = seed as usize % 6;
         let region = (lost / 2 * 2 + 2) % 6;
-        play.world.kill(lost, true, true, 300);
-        let knows = |play: &Play, n: usize| {
-            play.core(n).is_some_and(|core| {
-                ReplicaSet::load(core.item_store(), INCOMING)
+        scenario.cluster.kill(lost, true, true, 300);
+        let knows = |scenario: &Scenario, n: usize| {
+            scenario.state_machine(n).is_some_and(|state_machine| {
+                ReplicaSet::load(state_machine.item_store(), INCOMING)
                     .is_some_and(|replica_set| replica_set.version == 2)
             })
         };
         let stays = |n: &usize| ![region, region + 1].contains(n);
-        let until = play.world.now + REPAIRED;
-        while !(0..6).filter(stays).all(|n| knows(&play, n)) {
-            play.run(10, false);
-            assert!(play.world.now < until, "seed {seed}: no change of the cast");
+        let until = scenario.cluster.now + REPAIR_BOUND;
+        while !(0..6).filter(stays).all(|n| knows(&scenario, n)) {
+            scenario.run(10, false);
+            assert!(scenario.cluster.now < until, "seed {seed}: no change of the replica set");
         }
-        assert_eq!(play.replica_set().version, 1, "seed {seed}: too late");
-        (0..6).for_each(|n| play.world.kill(n, false, !stays(&n), 300));
-        play.run(600, false);
-        latest = latest.max(play.repaired_with(&format!("seed {seed}"), false));
-        play.check(&format!("seed {seed}"));
+        assert_eq!(scenario.replica_set().version, 1, "seed {seed}: too late");
+        (0..6).for_each(|n| scenario.cluster.kill(n, false, !stays(&n), 300));
+        scenario.run(600, false);
+        latest = latest.max(scenario.repaired_with(&format!("seed {seed}"), false));
+        scenario.check(&format!("seed {seed}"));
     }
     println!("ended and repaired after {latest} ms at the latest");
 }
