--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test lint run toy system check-system
+.PHONY: build test lint doc run toy system check-system
 
 build:
 	cargo build --release --locked
@@ -10,6 +10,9 @@
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
 
+doc:
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
+
 # One gateway by the example's configuration, or another: make run CONFIG=path
 CONFIG ?= examples/gateway.json
 run: build
