--- a/crates/control-plane/examples/slopes/control_plane.rs
+++ b/crates/control-plane/examples/slopes/control_plane.rs
@@ -78,7 +78,7 @@
         let (now, node) = (timestamp(self.now), &mut self.nodes[n]);
         let begun = Instant::now();
         let result = call(&mut node.state_machine, now);
-        let actions = std::mem::take(&mut node.state_machine.active_term);
+        let actions = std::mem::take(&mut node.state_machine.actions);
         node.load.busy += begun.elapsed();
         actions.into_iter().for_each(|action| self.perform(n, action));
         result
--- a/crates/control-plane/src/server/actions.rs
+++ b/crates/control-plane/src/server/actions.rs
@@ -28,8 +28,8 @@
     /// Carries out all actions, including those that arise meanwhile, and then writes to the connections.
     pub(super) fn perform_actions(&mut self) {
         let mut outgoing = Outgoing::default();
-        while !self.state_machine.active_term.is_empty() {
-            for action in std::mem::take(&mut self.state_machine.active_term) {
+        while !self.state_machine.actions.is_empty() {
+            for action in std::mem::take(&mut self.state_machine.actions) {
                 self.perform(action, &mut outgoing);
             }
         }
--- a/crates/control-plane/src/state_machine/mod.rs
+++ b/crates/control-plane/src/state_machine/mod.rs
@@ -136,7 +136,7 @@
     request_ids: RequestIds,
     random: oorandom::Rand64,
     /// What is to be done, in order. Whoever drives the state machine takes it after each call.
-    pub active_term: Vec<Action>,
+    pub actions: Vec<Action>,
 }
 
 impl StateMachine {
@@ -207,11 +207,11 @@
     }
 
     fn push(&mut self, action: Action) {
-        self.active_term.push(action);
+        self.actions.push(action);
     }
 
     fn extend(&mut self, actions: Vec<Action>) {
-        self.active_term.extend(actions);
+        self.actions.extend(actions);
     }
 
     fn send(&mut self, node_id: &str, message: Message) {
--- a/crates/control-plane/src/state_machine/startup.rs
+++ b/crates/control-plane/src/state_machine/startup.rs
@@ -152,7 +152,7 @@
             request_ids: RequestIds::default(),
             random,
             identity,
-            active_term: Vec::new(),
+            actions: Vec::new(),
         }
     }
 }
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -308,7 +308,7 @@
     /// Carries out what a process wants done.
     pub(crate) fn carry_out(&mut self, n: usize) {
         let Some(state_machine) = &mut self.nodes[n].state_machine else { return };
-        for action in std::mem::take(&mut state_machine.active_term) {
+        for action in std::mem::take(&mut state_machine.actions) {
             match action {
                 Action::SendToPeer(node_id, message) => {
                     let to = node_id[1..].parse().unwrap();
--- a/crates/control-plane/tests/golden_store.rs
+++ b/crates/control-plane/tests/golden_store.rs
@@ -225,8 +225,8 @@
 
     /// Does what the processes want done, until there is nothing more.
     fn act(&mut self) {
-        while let Some(number) = self.cores.iter().position(|core| !core.active_term.is_empty()) {
-            for act in std::mem::take(&mut self.cores[number].active_term) {
+        while let Some(number) = self.cores.iter().position(|core| !core.actions.is_empty()) {
+            for act in std::mem::take(&mut self.cores[number].actions) {
                 self.act_for(number, act);
             }
         }
@@ -344,14 +344,14 @@
 
 /// What the process says to a peer when that has said something.
 fn answer(core: &mut StateMachine, peer: usize, message: Message) -> Message {
-    core.active_term.clear();
+    core.actions.clear();
     core.peer_message(at(TICK), &replica(peer).node_id, message);
     let answer = |act| match act {
         Action::SendToPeer(node_id, message) if node_id == replica(peer).node_id => Some(message),
         _ => None,
     };
     let mut answers: Vec<Message> =
-        std::mem::take(&mut core.active_term).into_iter().filter_map(answer).collect();
+        std::mem::take(&mut core.actions).into_iter().filter_map(answer).collect();
     assert_eq!(answers.len(), 1);
     answers.remove(0)
 }
@@ -445,7 +445,7 @@
 #[test]
 fn a_process_is_restored_from_the_golden_records() {
     let mut core = restored();
-    assert!(core.active_term.is_empty(), "nothing has to be stored or said at first");
+    assert!(core.actions.is_empty(), "nothing has to be stored or said at first");
     assert!(core.replica_state() == ReplicaState::CatchingUp, "it has yet to hear what it missed");
     for peer in [1, 2] {
         core.peer_connected(at(0), &hello(peer));
@@ -477,7 +477,7 @@
     for tick in 1..=6 {
         core.tick(at(tick * TICK));
     }
-    let stored = core.active_term.iter().filter_map(|act| match act {
+    let stored = core.actions.iter().filter_map(|act| match act {
         Action::Persist(_, records) => Some(records),
         _ => None,
     });
@@ -528,7 +528,7 @@
         let incarnation = INCARNATIONS[0] + 2 * SECOND_RUN;
         let core = start(0, incarnation, records);
         assert_eq!((core.hello().is_complete, core.hello().replica_id), (false, incarnation), "{name}");
-        let stored = core.active_term.iter().filter_map(|act| match act {
+        let stored = core.actions.iter().filter_map(|act| match act {
             Action::Persist(_, records) => Some(records.clone()),
             _ => None,
         });
--- a/crates/control-plane/tests/membership.rs
+++ b/crates/control-plane/tests/membership.rs
@@ -431,13 +431,13 @@
             bucket_digests: whole,
             ..AcceptRequest::default()
         };
-        state_machine.active_term.clear();
+        state_machine.actions.clear();
         state_machine.peer_message(now, "s0", Message::AcceptRequest(store));
         let asks = state_machine
-            .active_term
+            .actions
             .iter()
             .any(|act| matches!(act, Action::SendToPeer(to, Message::PrepareRequest(_)) if to == "s0"));
-        let accepts = state_machine.active_term.iter().any(|act| {
+        let accepts = state_machine.actions.iter().any(|act| {
             matches!(act, Action::Persist(_, records) if records.iter().any(|(key, _)| key.starts_with(b"call:")))
         });
         assert_eq!((asks, accepts), (lacks, !lacks));
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -276,7 +276,7 @@
     /// What it wants done since this was called last.
     pub fn take_actions(&mut self) -> Vec<ProcessAction> {
         let mut actions = Vec::new();
-        for action in std::mem::take(&mut self.state_machine.active_term) {
+        for action in std::mem::take(&mut self.state_machine.actions) {
             match action {
                 Action::SendToPeer(node_id, message) => {
                     actions.push(ProcessAction::SendToPeer(node_id, message));
