--- a/crates/config/src/item_store/mod.rs
+++ b/crates/config/src/item_store/mod.rs
@@ -207,7 +207,7 @@
 
     /// Purges the oldest tombstones of a kind where there are more than `max_tombstones`. Three quarters of that many
     /// are left, so that this is rare. Only for kinds whose items are reported again.
-    pub fn purge_dropped(&mut self, kind: Kind, max_tombstones: usize) {
+    pub fn purge_oldest_tombstones(&mut self, kind: Kind, max_tombstones: usize) {
         let items = &self.items[index_of(kind)];
         if items.len() <= max_tombstones {
             return;
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -43,7 +43,7 @@
     /// Whether requests need no key.
     pub allows_no_key: bool,
     /// The regions whose backends may serve the requests; none for any.
-    pub homes: Vec<Arc<str>>,
+    pub home_regions: Vec<Arc<str>>,
 }
 
 /// A customer.
@@ -62,7 +62,7 @@
     /// Requests at once above the rate; 0 for no limit.
     pub burst: f64,
     /// The regions whose backends may serve its requests; none for any.
-    pub homes: Vec<Arc<str>>,
+    pub home_regions: Vec<Arc<str>>,
 }
 
 /// A group of backends that serve the same requests.
@@ -125,7 +125,7 @@
             services: services_of(&json),
             max_attempts: json.max_attempts.map_or(1, |max_attempts| (max_attempts as u32).max(1)),
             allows_no_key: json.allows_no_key.unwrap_or(false),
-            homes: json.home_regions.unwrap_or_default(),
+            home_regions: json.home_regions.unwrap_or_default(),
         })
     }
 }
@@ -153,7 +153,7 @@
             class: json.class.map(|class| class as u8),
             rate: json.rate.unwrap_or(0.0),
             burst: json.burst.unwrap_or(0.0),
-            homes: json.home_regions.unwrap_or_default(),
+            home_regions: json.home_regions.unwrap_or_default(),
         })
     }
 }
--- a/crates/config/src/routing_table.rs
+++ b/crates/config/src/routing_table.rs
@@ -25,7 +25,7 @@
     /// The limits that hold for every request.
     pub limits: Limits,
     /// The zones that are evacuated.
-    pub evacuated: BTreeSet<Arc<str>>,
+    pub evacuated_zones: BTreeSet<Arc<str>>,
     /// By [`host_key`].
     hosts: HashMap<Box<[u8]>, HostRoutes>,
     /// By key: the index in `tenants`.
@@ -94,7 +94,7 @@
         let mut table = RoutingTable {
             services: services.map(|service| (service.name.clone(), Arc::new(service))).collect(),
             limits: item_store.get(Kind::Limits, "").and_then(Limits::from_item).unwrap_or_default(),
-            evacuated: evacuated.map(|item| item.name.clone()).collect(),
+            evacuated_zones: evacuated.map(|item| item.name.clone()).collect(),
             parsed_routes: parse_all(&previous.parsed_routes, item_store, Kind::Route, Route::from_item),
             parsed_tenants: parse_all(&previous.parsed_tenants, item_store, Kind::Tenant, Tenant::from_item),
             ..RoutingTable::default()
@@ -138,7 +138,7 @@
     }
 
     /// The index in `tenants` of the one that has this key.
-    pub fn tenant_of(&self, key: &[u8]) -> Option<usize> {
+    pub fn tenant_index(&self, key: &[u8]) -> Option<usize> {
         self.tenant_indexes.get(std::str::from_utf8(key).ok()?).copied()
     }
 
--- a/crates/config/tests/merge.rs
+++ b/crates/config/tests/merge.rs
@@ -185,7 +185,7 @@
         item_store.merge(item(200, Some("{}")));
     }
     assert_eq!(one.digest(), two.digest());
-    one.purge_dropped(Kind::Backend, 40);
+    one.purge_oldest_tombstones(Kind::Backend, 40);
     assert_eq!((one.digest(), one.len()), (two.digest(), 31));
     assert!(one.get(Kind::Backend, "b99").is_some() && one.get(Kind::Backend, "b0").is_none());
 }
--- a/crates/config/tests/model.rs
+++ b/crates/config/tests/model.rs
@@ -34,7 +34,7 @@
         services: services.into_iter().collect(),
         max_attempts: 3,
         allows_no_key: true,
-        homes: names(&["r1", "r2"]),
+        home_regions: names(&["r1", "r2"]),
     };
     assert_eq!(route, expected);
 }
@@ -49,7 +49,7 @@
     let route = Route::from_item(&item(Kind::Route, &value)).expect("readable");
     assert_eq!((route.safety, route.deadline_ms, route.target_ms), (expected, 10, 10));
     assert_eq!((route.class, route.max_attempts, route.allows_no_key), (1, 1, false));
-    assert_eq!((&route.services[..], &route.homes[..]), (&[(Arc::from("s"), 1.0)][..], &[][..]));
+    assert_eq!((&route.services[..], &route.home_regions[..]), (&[(Arc::from("s"), 1.0)][..], &[][..]));
 }
 
 #[test]
@@ -63,7 +63,7 @@
         class: Some(3),
         rate: 314.0,
         burst: 0.3,
-        homes: names(&["r1"]),
+        home_regions: names(&["r1"]),
     };
     assert_eq!(Tenant::from_item(&item(Kind::Tenant, &value)), Some(expected));
 }
@@ -77,7 +77,7 @@
         class: None,
         rate: 0.0,
         burst: 0.0,
-        homes: vec![],
+        home_regions: vec![],
     };
     assert_eq!(Tenant::from_item(&item(Kind::Tenant, &json!({}))), Some(expected));
 }
--- a/crates/config/tests/routing_table.rs
+++ b/crates/config/tests/routing_table.rs
@@ -59,7 +59,7 @@
 #[case("k4", None)]
 fn the_tenant_of_the_higher_version_has_a_shared_key(#[case] key: &str, #[case] name: Option<&str>) {
     let table = RoutingTable::build(&item_store());
-    let tenant = table.tenant_of(key.as_bytes()).map(|index| &table.tenants[index]);
+    let tenant = table.tenant_index(key.as_bytes()).map(|index| &table.tenants[index]);
     assert_eq!(tenant.map(|tenant| &*tenant.name), name);
 }
 
@@ -67,7 +67,7 @@
 fn a_rebuilt_table_reuses_only_what_has_not_changed() {
     let mut item_store = item_store();
     let first = RoutingTable::build(&item_store);
-    assert_eq!(first.evacuated.iter().map(|zone| &**zone).collect::<Vec<_>>(), ["zone1"]);
+    assert_eq!(first.evacuated_zones.iter().map(|zone| &**zone).collect::<Vec<_>>(), ["zone1"]);
     item_store.merge(route("a", 2, "/z/"));
     item_store.merge(Item { value: None, ..route("newer", 11, "/c/") });
     let second = RoutingTable::rebuild(&first, &item_store);
--- a/crates/control-plane/examples/slopes/control_plane.rs
+++ b/crates/control-plane/examples/slopes/control_plane.rs
@@ -43,7 +43,7 @@
             replica_id: 0,
         };
         let start = Start {
-            me: replica.clone(),
+            replica: replica.clone(),
             incarnation: 1_000 + n as u64,
             is_first_start: true,
             is_bootstrap_node: n == 0,
--- a/crates/control-plane/src/cli/client/exchange.rs
+++ b/crates/control-plane/src/cli/client/exchange.rs
@@ -112,7 +112,7 @@
     /// Whether the response is complete with what has come.
     fn read_input(&mut self) -> Result<bool, TransportError> {
         if self.begun.is_none() {
-            let kind = MessageKind::Answer { to_head: false };
+            let kind = MessageKind::Response { to_head: false };
             let head =
                 self.head_reader.next(kind, &mut self.input, MAX_HEAD_BYTES).context(MalformedSnafu)?;
             let Some((head, framing)) = head else { return Ok(false) };
@@ -134,7 +134,7 @@
 
     /// Whether the end of the connection completes the response.
     fn ends_here(&mut self) -> bool {
-        self.begun.as_mut().is_some_and(|(_, body)| body.ended().is_ok())
+        self.begun.as_mut().is_some_and(|(_, body)| body.end_of_input().is_ok())
     }
 
     fn into_response(self) -> Option<HttpResponse> {
--- a/crates/control-plane/src/endpoints.rs
+++ b/crates/control-plane/src/endpoints.rs
@@ -20,19 +20,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// The backend's id.
-    pub call_sign: String,
+    pub backend_id: String,
     /// The service that it belongs to.
-    pub line: String,
+    pub service: String,
     /// Address and port, as a text.
     pub address: String,
     /// The zone that it stands in.
     pub zone: String,
     /// Requests that it takes at a time.
-    pub berths: u64,
+    pub slots: u64,
     /// It takes no new requests.
-    pub closing: bool,
+    pub is_draining: bool,
     /// Milliseconds for which it still warms up.
-    pub cold_ms: u64,
+    pub warm_up_ms: u64,
 }
 
 impl Endpoint {
@@ -41,20 +41,20 @@
         let text = |name: &str| entry.get(name).and_then(Value::as_str).map(str::to_owned);
         let number = |name: &str| entry.get(name).and_then(Value::as_f64).unwrap_or(0.0).max(0.0) as u64;
         Some(Endpoint {
-            call_sign: text("call-sign")?,
-            line: text("line")?,
+            backend_id: text("call-sign")?,
+            service: text("line")?,
             address: text("address")?,
             zone: text("district").unwrap_or_else(|| listed_zone.to_owned()),
-            berths: number("berths").max(1),
-            closing: text("standing").is_some_and(|standing| standing != "open"),
-            cold_ms: number("cold-left-ms"),
+            slots: number("berths").max(1),
+            is_draining: text("standing").is_some_and(|standing| standing != "open"),
+            warm_up_ms: number("cold-left-ms"),
         })
     }
 
     /// The item's value for this backend.
     fn to_value(&self, warm_up_ms: u64) -> Value {
-        json!({"line": self.line, "address": self.address, "district": self.zone,
-            "berths": self.berths, "closing": self.closing, WARM_UP_FIELD: warm_up_ms})
+        json!({"line": self.service, "address": self.address, "district": self.zone,
+            "berths": self.slots, "closing": self.is_draining, WARM_UP_FIELD: warm_up_ms})
     }
 }
 
@@ -113,8 +113,9 @@
         let mut items = Vec::new();
         for endpoint in &endpoints {
             if self.has_changed(now, endpoint, item_store) {
-                self.warm_until.insert(endpoint.call_sign.clone(), warm_until(now, endpoint));
-                items.push(self.next_item(&endpoint.call_sign, Some(endpoint.to_value(endpoint.cold_ms))));
+                self.warm_until.insert(endpoint.backend_id.clone(), warm_until(now, endpoint));
+                items
+                    .push(self.next_item(&endpoint.backend_id, Some(endpoint.to_value(endpoint.warm_up_ms))));
             }
         }
         items.extend(self.remove_missing(&endpoints, item_store));
@@ -123,20 +124,20 @@
 
     /// Whether the item that is known of a backend tells something else than its entry.
     fn has_changed(&self, now: Timestamp, endpoint: &Endpoint, item_store: &ItemStore) -> bool {
-        let item = item_store.get(Kind::Backend, &endpoint.call_sign);
+        let item = item_store.get(Kind::Backend, &endpoint.backend_id);
         let Some(value) = item.and_then(|item| item.value.as_deref()) else { return true };
         let mut known: Value = serde_json::from_slice(value).unwrap_or_default();
         let was_warming_up = known[WARM_UP_FIELD].as_u64().unwrap_or(0) > 0;
         known[WARM_UP_FIELD] = 0.into();
         known != endpoint.to_value(0)
-            || was_warming_up != (endpoint.cold_ms > 0)
+            || was_warming_up != (endpoint.warm_up_ms > 0)
             || self.warm_up_difference(now, endpoint) >= WARM_UP_TOLERANCE
     }
 
     /// By how much the end of a backend's warm-up differs from the one that its item tells.
     fn warm_up_difference(&self, now: Timestamp, endpoint: &Endpoint) -> Duration {
         // A warm-up that was told and is over is as good as none.
-        let known = self.warm_until.get(&endpoint.call_sign).copied().unwrap_or(now).max(now);
+        let known = self.warm_until.get(&endpoint.backend_id).copied().unwrap_or(now).max(now);
         let listed = warm_until(now, endpoint);
         if listed > known {
             listed - known
@@ -148,7 +149,7 @@
     /// Removes the backends that two readings in a row lacked. One that is missing once may have moved between two pages
     /// that were read one after the other.
     fn remove_missing(&mut self, endpoints: &[Endpoint], item_store: &ItemStore) -> Vec<Item> {
-        let listed: BTreeSet<&str> = endpoints.iter().map(|endpoint| endpoint.call_sign.as_str()).collect();
+        let listed: BTreeSet<&str> = endpoints.iter().map(|endpoint| endpoint.backend_id.as_str()).collect();
         let missing: BTreeSet<String> = item_store
             .items_of(Kind::Backend)
             .filter(|item| item.value.is_some() && !listed.contains(&*item.name))
@@ -173,7 +174,7 @@
 
 /// When a backend's warm-up ends, as the platform lists it.
 fn warm_until(now: Timestamp, endpoint: &Endpoint) -> Timestamp {
-    now + Duration::from_micros(endpoint.cold_ms as i64 * 1000)
+    now + Duration::from_micros(endpoint.warm_up_ms as i64 * 1000)
 }
 
 #[cfg(test)]
@@ -182,13 +183,13 @@
 
     fn entry(name: &str, cold_ms: u64) -> Endpoint {
         Endpoint {
-            call_sign: name.into(),
-            line: "l".into(),
+            backend_id: name.into(),
+            service: "l".into(),
             address: "10.0.0.1:80".into(),
             zone: "d".into(),
-            berths: 2,
-            closing: false,
-            cold_ms,
+            slots: 2,
+            is_draining: false,
+            warm_up_ms: cold_ms,
         }
     }
 
@@ -209,7 +210,7 @@
         assert_eq!(count_updates(4600, &[entry("a", 0), entry("b", 0)], &mut item_store), 2);
         assert_eq!(count_updates(5300, &[entry("a", 0), entry("b", 0)], &mut item_store), 0);
         let mut closing = entry("a", 0);
-        closing.closing = true;
+        closing.is_draining = true;
         assert_eq!(count_updates(6000, &[closing, entry("b", 0)], &mut item_store), 1);
         assert_eq!(count_updates(6700, &[entry("b", 0)], &mut item_store), 0);
         assert_eq!(count_updates(7400, &[entry("b", 0)], &mut item_store), 1);
@@ -233,7 +234,7 @@
         let body = br#"{"backends":{"d":[{"line":"l","address":"10.0.0.1:80","district":"d","edition":"v1","berths":6,
             "standing":"closing","cold-left-ms":12.5,"call-sign":"i-1","new":1}]},"next-token":"p-50"}"#;
         let EndpointPage { endpoints, next_token } = parse_page(body).unwrap();
-        assert!(endpoints[0].closing && endpoints[0].cold_ms == 12 && endpoints[0].berths == 6);
+        assert!(endpoints[0].is_draining && endpoints[0].warm_up_ms == 12 && endpoints[0].slots == 6);
         assert_eq!(next_token.as_deref(), Some("p-50"));
         let empty = EndpointPage { endpoints: vec![], next_token: None };
         assert_eq!(parse_page(br#"{"backends":{},"next-token":null}"#), Some(empty));
--- a/crates/control-plane/src/request.rs
+++ b/crates/control-plane/src/request.rs
@@ -32,15 +32,15 @@
         on: bool,
     },
     /// Completes a proposal that some replica has accepted.
-    Settle(Proposal),
+    ResolveProposal(Proposal),
     /// Reads what a majority holds: a new coordinator does so before it acts.
-    Survey,
+    ReadMajority,
     /// First step of a membership change: the incoming replica set is proposed.
-    Next(ReplicaSet),
+    ProposeReplicaSet(ReplicaSet),
     /// Second step: all that was committed before is read from a majority, so that the incoming set holds it.
-    Fill(ReplicaSet),
+    PrepareActivation(ReplicaSet),
     /// Third step: the incoming replica set becomes the current one.
-    Now(ReplicaSet),
+    ActivateReplicaSet(ReplicaSet),
 }
 
 impl Request {
@@ -48,7 +48,7 @@
     pub fn bytes(&self) -> usize {
         match self {
             Request::Patch(items) => items.iter().map(Item::wire_bytes).sum(),
-            Request::Settle(proposal) => proposal.bytes(),
+            Request::ResolveProposal(proposal) => proposal.bytes(),
             _ => 0,
         }
     }
@@ -60,11 +60,11 @@
             Request::Patch(_) => "patch",
             Request::Evacuate { on: true, .. } => "evacuate-start",
             Request::Evacuate { on: false, .. } => "evacuate-end",
-            Request::Settle(_) => "resolve-proposal",
-            Request::Survey => "read-majority",
-            Request::Next(_) => "propose-replica-set",
-            Request::Fill(_) => "prepare-activation",
-            Request::Now(_) => "activate-replica-set",
+            Request::ResolveProposal(_) => "resolve-proposal",
+            Request::ReadMajority => "read-majority",
+            Request::ProposeReplicaSet(_) => "propose-replica-set",
+            Request::PrepareActivation(_) => "prepare-activation",
+            Request::ActivateReplicaSet(_) => "activate-replica-set",
         }
     }
 }
--- a/crates/control-plane/src/server/api_client.rs
+++ b/crates/control-plane/src/server/api_client.rs
@@ -89,15 +89,15 @@
                 return InvalidHeadSnafu { status: error.status() }.fail();
             }
         };
-        self.closes_after_response = !head.keeps_open();
-        if matches!(framing, Framing::Sized(length) if length > MAX_BODY_BYTES as u64) {
+        self.closes_after_response = !head.is_persistent();
+        if matches!(framing, Framing::ContentLength(length) if length > MAX_BODY_BYTES as u64) {
             return TooLongSnafu.fail();
         }
-        if head.expects_a_word() {
+        if head.expects_continue() {
             transport.output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
-        let call = ApiCall::decode(head.start(0), head.start(1));
-        self.target = head.start(1).to_vec();
+        let call = ApiCall::decode(head.start_line_part(0), head.start_line_part(1));
+        self.target = head.start_line_part(1).to_vec();
         self.pending = Some(PendingBody { call, body: Body::new(framing), bytes: Vec::new() });
         Ok(true)
     }
@@ -144,10 +144,10 @@
     // Invariant: a client that sends requests and reads no responses must not have them pile up here. Once it reads
     // them, this connection is served again.
     let transport = &mut connection.transport;
-    if transport.unsent() > MAX_UNSENT_RESPONSE_BYTES {
+    if transport.unsent_bytes() > MAX_UNSENT_RESPONSE_BYTES {
         transport.flush()?;
     }
-    Ok(transport.unsent() <= MAX_UNSENT_RESPONSE_BYTES)
+    Ok(transport.unsent_bytes() <= MAX_UNSENT_RESPONSE_BYTES)
 }
 
 impl Server {
--- a/crates/control-plane/src/server/connection_io.rs
+++ b/crates/control-plane/src/server/connection_io.rs
@@ -3,15 +3,15 @@
 use super::connections::{CloseReason, ConnectionId, Role, ServerConnection, UNACKNOWLEDGED_TIMEOUT};
 use super::platform_client::PAGE_TIMEOUT;
 use super::{Listener, Server};
-use kitepass_coordination::protocol::framing::MOST_FRAME;
-use kitepass_net::connection::{cause, Connection};
+use kitepass_coordination::protocol::framing::MAX_FRAME_BYTES;
+use kitepass_net::connection::{error_label, Connection};
 use kitepass_net::poller::{self, ReadyEvent};
 use kitepass_net::OwnedFd;
 use kitepass_time::{Duration, Timestamp};
 use log::{debug, warn};
 
 /// Unused bytes that one connection's input may hold; the rest waits in the socket.
-const MAX_INPUT_BYTES: usize = MOST_FRAME + 4;
+const MAX_INPUT_BYTES: usize = MAX_FRAME_BYTES + 4;
 /// Reads of one connection before the others have their turn.
 const MAX_READS_PER_TURN: usize = 16;
 /// Bytes that may wait for a peer or gateway that does not read; beyond that its connection is closed.
@@ -31,7 +31,7 @@
             match poller::accept(socket) {
                 Ok(Some(socket)) => self.add_accepted(listener, socket),
                 Ok(None) => return,
-                Err(error) => return warn!("event=accept-failed why={}", cause(error)),
+                Err(error) => return warn!("event=accept-failed why={}", error_label(error)),
             }
         }
     }
@@ -39,12 +39,13 @@
     fn add_accepted(&mut self, listener: Listener, socket: OwnedFd) {
         let id = self.connections.allocate_id();
         let is_internal = listener == Listener::Peers;
-        let tuned = if is_internal { poller::tune(&socket, UNACKNOWLEDGED_TIMEOUT) } else { Ok(()) };
+        let tuned =
+            if is_internal { poller::set_user_timeout(&socket, UNACKNOWLEDGED_TIMEOUT) } else { Ok(()) };
         if tuned.and_then(|()| self.poller.add(&socket, id.0)).is_err() {
             return;
         }
         let role = if is_internal { Role::Unidentified } else { Role::ApiClient(Box::default()) };
-        let transport = Connection::accepted(socket);
+        let transport = Connection::from_accepted(socket);
         self.connections.insert(id, ServerConnection::new(transport, role, self.clock.now()));
         self.serve_connection(id, None);
     }
@@ -54,7 +55,7 @@
         let now = self.clock.now();
         let Some(connection) = self.connections.get_mut(id) else { return };
         if let Some(ready) = ready {
-            if let Err(error) = connection.transport.note(ready) {
+            if let Err(error) = connection.transport.handle_event(ready) {
                 return self.close(id, CloseReason::Socket(error));
             }
         }
@@ -79,7 +80,7 @@
             let Some(connection) = self.connections.get_mut(id) else { return Ok(false) };
             let has_ended = connection
                 .transport
-                .fill(&mut self.read_buffer, MAX_INPUT_BYTES)
+                .read_available(&mut self.read_buffer, MAX_INPUT_BYTES)
                 .map_err(CloseReason::Socket)?;
             if !connection.transport.input.is_empty() {
                 connection.last_active = now;
@@ -113,7 +114,7 @@
         let Some(connection) = self.connections.get_mut(id) else { return };
         match connection.api_client() {
             Some(client) if client.awaits_response => {}
-            Some(_) if connection.transport.unsent() > 0 => connection.closes_after_flush = true,
+            Some(_) if connection.transport.unsent_bytes() > 0 => connection.closes_after_flush = true,
             _ => self.close(id, CloseReason::Closed),
         }
     }
@@ -128,7 +129,7 @@
         let api_client = connection.api_client();
         if is_all_written && api_client.is_some_and(|client| client.discards_input) {
             // The response is complete: its reader need not wait for more. A failure shows at the next read.
-            let _ = connection.transport.end();
+            let _ = connection.transport.shutdown_write();
         } else if is_all_written && connection.closes_after_flush {
             self.close(id, CloseReason::Completed);
         } else if connection.unsent_bytes() <= DRAINED_BYTES
@@ -177,7 +178,9 @@
             Role::Unidentified => silence > UNACKNOWLEDGED_TIMEOUT * 2,
             // Invariant: a connection that is never established, to a machine that lost its power, must not prevent
             // the next attempt.
-            Role::OutgoingPeer { .. } => !connection.transport.is_made() && silence > UNACKNOWLEDGED_TIMEOUT,
+            Role::OutgoingPeer { .. } => {
+                !connection.transport.is_established() && silence > UNACKNOWLEDGED_TIMEOUT
+            }
             Role::IncomingPeer { .. } | Role::GatewaySession => silence > UNACKNOWLEDGED_TIMEOUT * 4,
             Role::Platform(_) => {
                 self.platform.reading_started().is_some_and(|started| now - started > PAGE_TIMEOUT * 3)
--- a/crates/control-plane/src/server/connections.rs
+++ b/crates/control-plane/src/server/connections.rs
@@ -3,7 +3,7 @@
 use super::api_client::ApiClient;
 use super::platform_client::ResponseReader;
 use kitepass_coordination::protocol::framing::{Assembler, Outbox, Packed};
-use kitepass_net::connection::{cause, Connection};
+use kitepass_net::connection::{error_label, Connection};
 use kitepass_net::poller::Poller;
 use kitepass_net::Errno;
 use kitepass_time::{Duration, Timestamp};
@@ -64,7 +64,7 @@
             CloseReason::Unrequested => "unrequested",
             CloseReason::Unresponsive => "unresponsive",
             CloseReason::SlowReader => "slow-reader",
-            CloseReason::Socket(error) => cause(error),
+            CloseReason::Socket(error) => error_label(error),
         }
     }
 }
@@ -105,12 +105,12 @@
 
     /// Bytes that are still to be sent.
     pub(super) fn unsent_bytes(&self) -> usize {
-        self.transport.unsent() + self.outbox.waiting()
+        self.transport.unsent_bytes() + self.outbox.queued_bytes()
     }
 
     /// Queues a message; an urgent one passes those that are sent in pieces.
     pub(super) fn queue(&mut self, message: Packed, is_urgent: bool) {
-        self.outbox.say(message, is_urgent, &mut self.transport.output);
+        self.outbox.push(message, is_urgent, &mut self.transport.output);
     }
 
     /// Writes as much of the queued output as the socket takes; true if all of it is sent.
@@ -120,10 +120,10 @@
     /// The socket's: the connection is lost.
     pub(super) fn write_queued(&mut self) -> Result<bool, Errno> {
         loop {
-            let unsent = self.transport.unsent();
-            self.outbox.feed(&mut self.transport.output, unsent);
+            let unsent = self.transport.unsent_bytes();
+            self.outbox.append_frames(&mut self.transport.output, unsent);
             let is_all_written = self.transport.flush()?;
-            if !is_all_written || self.outbox.waiting() == 0 {
+            if !is_all_written || self.outbox.queued_bytes() == 0 {
                 return Ok(is_all_written);
             }
         }
@@ -162,7 +162,7 @@
         now: Timestamp,
     ) -> Result<ConnectionId, Errno> {
         let id = self.allocate_id();
-        let transport = Connection::open(poller, address, id.0, UNACKNOWLEDGED_TIMEOUT)?;
+        let transport = Connection::connect(poller, address, id.0, UNACKNOWLEDGED_TIMEOUT)?;
         self.insert(id, ServerConnection::new(transport, role, now));
         Ok(id)
     }
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -197,7 +197,7 @@
     ///
     /// The store or the poller failed: the process cannot go on.
     pub fn run(mut self) -> Result<(), Error> {
-        self.signals.heed().context(SignalsSnafu)?;
+        self.signals.install_handlers().context(SignalsSnafu)?;
         info!("event=serving node-id={} address={}", self.settings.node_id, self.settings.address);
         let mut ready = Vec::new();
         let mut times = LoopTimes {
@@ -260,7 +260,7 @@
             times.last_tick = now;
             self.tick(now);
         }
-        if self.signals.reloads() || now - times.last_settings_check >= SETTINGS_CHECK_INTERVAL {
+        if self.signals.take_reload_request() || now - times.last_settings_check >= SETTINGS_CHECK_INTERVAL {
             times.last_settings_check = now;
             self.reload_settings();
         }
@@ -275,7 +275,7 @@
     }
 
     fn reload_settings(&mut self) {
-        match self.settings_watch.changed() {
+        match self.settings_watch.take_change() {
             Some(Ok(settings)) if settings == self.settings => {}
             Some(Ok(settings)) => {
                 info!("event=settings");
@@ -287,7 +287,7 @@
     }
 
     fn begin_shutdown_if_requested(&mut self, now: Timestamp, times: &mut LoopTimes) {
-        if times.shutdown_started.is_none() && self.signals.ends() {
+        if times.shutdown_started.is_none() && self.signals.is_shutdown_requested() {
             info!("event=leaving");
             self.state_machine.shut_down(now);
             times.shutdown_started = Some(now);
@@ -327,7 +327,7 @@
     let bounds = &settings.bounds;
     let first_bootstrap = settings.bootstrap_addresses.first();
     Start {
-        me: Replica {
+        replica: Replica {
             node_id: settings.node_id.clone(),
             address: settings.address.to_string(),
             zone: settings.zone.clone(),
--- a/crates/control-plane/src/server/operator_api.rs
+++ b/crates/control-plane/src/server/operator_api.rs
@@ -83,7 +83,7 @@
 }
 
 fn replica_json(contact: &ReplicaContact) -> Value {
-    let ReplicaContact { replica, heard, age } = contact;
+    let ReplicaContact { replica, is_responsive: heard, contact_age: age } = contact;
     json!({
         "station": replica.node_id,
         "ip": replica.address,
--- a/crates/control-plane/src/server/packed_messages.rs
+++ b/crates/control-plane/src/server/packed_messages.rs
@@ -46,7 +46,7 @@
             return last.packed.clone();
         }
         let packed = Packed::new(message.clone());
-        if matches!(packed, Packed::Long(_)) {
+        if matches!(packed, Packed::Fragmented(_)) {
             self.last = Some(PackedMessage { message, packed: packed.clone() });
         }
         packed
--- a/crates/control-plane/src/server/peer_connections.rs
+++ b/crates/control-plane/src/server/peer_connections.rs
@@ -3,7 +3,7 @@
 use super::connections::{CloseReason, ConnectionId, Role};
 use super::Server;
 use kitepass_coordination::protocol::{self, Message};
-use kitepass_net::connection::cause;
+use kitepass_net::connection::error_label;
 use kitepass_time::{Duration, Timestamp};
 use log::warn;
 use std::collections::BTreeMap;
@@ -150,7 +150,7 @@
         let opened = self.connections.open(&self.poller, &target, role, now);
         let id = match opened {
             Ok(id) => id,
-            Err(error) => return warn!("event=connect-failed address={address} why={}", cause(error)),
+            Err(error) => return warn!("event=connect-failed address={address} why={}", error_label(error)),
         };
         if let Some(connection) = self.connections.get_mut(id) {
             let hello = Message::Hello(self.state_machine.hello());
--- a/crates/control-plane/src/server/persistence.rs
+++ b/crates/control-plane/src/server/persistence.rs
@@ -20,7 +20,7 @@
 pub(super) fn open(settings: &Settings, poller: &Poller) -> Result<(Store, Vec<Record>), Error> {
     let data_dir = settings.data_dir.as_ref().context(MissingSnafu { field: "archive-dir" })?;
     let (store, records) = Store::open(data_dir, MAX_LOG_BYTES).context(DiskSnafu)?;
-    poller.add(store.wakes(), EventSource::Store.token()).context(SystemSnafu { what: "epoll" })?;
+    poller.add(store.event_fd(), EventSource::Store.token()).context(SystemSnafu { what: "epoll" })?;
     Ok((store, records))
 }
 
@@ -32,7 +32,7 @@
     /// [`Error::Disk`]: nothing that is written from now on would be safe.
     pub(super) fn report_persisted_records(&mut self) -> Result<(), Error> {
         let now = self.clock.now();
-        for request_id in self.store.done().context(DiskSnafu)? {
+        for request_id in self.store.take_completed().context(DiskSnafu)? {
             self.state_machine.records_persisted(now, request_id);
         }
         Ok(())
--- a/crates/control-plane/src/server/platform_client.rs
+++ b/crates/control-plane/src/server/platform_client.rs
@@ -3,7 +3,7 @@
 use super::connections::{CloseReason, ConnectionId, Role, ServerConnection};
 use super::Server;
 use crate::endpoints::{self, Endpoint};
-use kitepass_net::connection::cause;
+use kitepass_net::connection::error_label;
 use kitepass_net::http::body::{Body, HeadReader};
 use kitepass_net::http::{MessageKind, ParseError};
 use kitepass_time::{Duration, Timestamp};
@@ -70,7 +70,7 @@
     /// What came is not HTTP, or the body is longer than [`MAX_PAGE_BYTES`].
     fn next(&mut self, input: &mut Vec<u8>, has_ended: bool) -> Result<Option<PlatformResponse>, ParseError> {
         if self.begun.is_none() {
-            let kind = MessageKind::Answer { to_head: false };
+            let kind = MessageKind::Response { to_head: false };
             let Some((head, framing)) = self.head_reader.next(kind, input, MAX_HEAD_BYTES)? else {
                 return Ok(None);
             };
@@ -79,7 +79,8 @@
         }
         let Some((body, status)) = &mut self.begun else { return Ok(None) };
         let capacity = MAX_PAGE_BYTES - self.bytes.len().min(MAX_PAGE_BYTES);
-        let is_complete = body.read(input, &mut self.bytes, capacity)? || has_ended && body.ended().is_ok();
+        let is_complete =
+            body.read(input, &mut self.bytes, capacity)? || has_ended && body.end_of_input().is_ok();
         if !is_complete {
             return Ok(None);
         }
@@ -104,7 +105,7 @@
                 Ok(id) => self.platform.connection = Some(id),
                 Err(error) => {
                     self.platform.reading = None;
-                    return warn!("event=platform-connect-failed why={}", cause(error));
+                    return warn!("event=platform-connect-failed why={}", error_label(error));
                 }
             }
         }
--- a/crates/control-plane/src/state_machine/configuration.rs
+++ b/crates/control-plane/src/state_machine/configuration.rs
@@ -84,7 +84,7 @@
 
     /// Keeps the number of dropped backends in bounds.
     pub(super) fn purge_dropped_backends(&mut self) {
-        self.item_store.purge_dropped(Kind::Backend, MAX_DROPPED_BACKENDS);
+        self.item_store.purge_oldest_tombstones(Kind::Backend, MAX_DROPPED_BACKENDS);
     }
 
     /// Drops all items but the replica sets, and gives the dropped ones.
--- a/crates/control-plane/src/state_machine/handlers/accept.rs
+++ b/crates/control-plane/src/state_machine/handlers/accept.rs
@@ -24,7 +24,7 @@
         let request = AcceptRequest {
             items: proposal.to_messages(),
             bucket_digests,
-            was_accepted_before: matches!(pending.request, Request::Settle(_)),
+            was_accepted_before: matches!(pending.request, Request::ResolveProposal(_)),
             ..AcceptRequest::default()
         };
         self.send_accept_requests(now, id, Phase::Accepting(BTreeSet::new()), request);
@@ -170,6 +170,6 @@
 fn promised_ballot(error: &AcceptError) -> Option<Ballot> {
     match error {
         AcceptError::Promised { to } => Some(*to),
-        AcceptError::Taken { .. } | AcceptError::Full => None,
+        AcceptError::Conflicting { .. } | AcceptError::CapacityExceeded => None,
     }
 }
--- a/crates/control-plane/src/state_machine/handlers/contact.rs
+++ b/crates/control-plane/src/state_machine/handlers/contact.rs
@@ -86,7 +86,7 @@
         let is_own = name == self.identity.name;
         let heard = is_own || self.quorum.is_responsive(now, &name);
         let last_contact = if is_own { Some(now) } else { self.quorum.last_contact(&name) };
-        ReplicaContact { replica, heard, age: last_contact.map(|at| now - at) }
+        ReplicaContact { replica, is_responsive: heard, contact_age: last_contact.map(|at| now - at) }
     }
 
     /// Addresses of the control processes that this one knows of, its own left out.
--- a/crates/control-plane/src/state_machine/handlers/election.rs
+++ b/crates/control-plane/src/state_machine/handlers/election.rs
@@ -64,7 +64,7 @@
     ) {
         let Some(replica_sets) = self.configuration.joint_replica_sets() else { return };
         if self.coordinator.receive_vote(now, voter, vote, &replica_sets).is_some() {
-            self.start_request(now, None, Request::Survey);
+            self.start_request(now, None, Request::ReadMajority);
             self.send_heartbeats(now);
         }
     }
@@ -120,7 +120,7 @@
             CoordinatorState::Active(_) => self.change_replica_set(now),
             // The reading was cut short.
             CoordinatorState::Recovering(_) if !self.proposals.pending.is_recovering() => {
-                self.start_request(now, None, Request::Survey);
+                self.start_request(now, None, Request::ReadMajority);
             }
             _ => {}
         }
--- a/crates/control-plane/src/state_machine/handlers/heartbeat.rs
+++ b/crates/control-plane/src/state_machine/handlers/heartbeat.rs
@@ -79,7 +79,7 @@
             gateway_count: live.len() as u32,
             node_ids: live.to_vec(),
             control_addresses,
-            control_districts,
+            control_zones: control_districts,
         }
     }
 }
--- a/crates/control-plane/src/state_machine/handlers/prepare.rs
+++ b/crates/control-plane/src/state_machine/handlers/prepare.rs
@@ -139,7 +139,7 @@
         if pending.is_waiting() {
             return;
         }
-        if matches!(pending.request, Request::Settle(_)) {
+        if matches!(pending.request, Request::ResolveProposal(_)) {
             // Another process is resolving it. If that comes to nothing, it becomes due here again.
             return self.finish_request(id, Response::Done);
         }
@@ -186,7 +186,7 @@
         let Some(pending) = self.proposals.pending.get(id) else { return };
         let decision = decide(pending, &self.configuration, &self.proposals.watch_list);
         let proposal_id = pending.proposal.as_ref().map(Proposal::proposal_id);
-        let resolved_id = proposal_id.filter(|_| matches!(pending.request, Request::Settle(_)));
+        let resolved_id = proposal_id.filter(|_| matches!(pending.request, Request::ResolveProposal(_)));
         match decision {
             Decision::Retry => self.start_attempt(now, id),
             Decision::ReadComplete => self.finish_read(now, id),
--- a/crates/control-plane/src/state_machine/handlers/replica_set_change.rs
+++ b/crates/control-plane/src/state_machine/handlers/replica_set_change.rs
@@ -22,7 +22,7 @@
         let is_due = self.membership.should_take_over(now, incoming, |max| random.rand_range(0..max));
         if is_due && !self.proposals.pending.is_changing_replica_set() {
             info!("event=replica-set-change-taken-over version={}", incoming.version);
-            self.start_request(now, None, Request::Fill(incoming.clone()));
+            self.start_request(now, None, Request::PrepareActivation(incoming.clone()));
         }
     }
 
@@ -34,13 +34,14 @@
             return;
         }
         if let Some(incoming) = replica_sets.incoming {
-            return self.start_request(now, None, Request::Fill(incoming)); // an earlier change was cut short
+            return self.start_request(now, None, Request::PrepareActivation(incoming));
+            // an earlier change was cut short
         }
         let observations = self.observe_replicas(now, &replica_sets.current);
         if let Some(next) = replica_sets.current.successor(&observations) {
             let replicas = next.replicas.len();
             info!("event=replica-set-change replicas={replicas} version={}", next.version);
-            self.start_request(now, None, Request::Next(next));
+            self.start_request(now, None, Request::ProposeReplicaSet(next));
         }
     }
 
--- a/crates/control-plane/src/state_machine/handlers/requests.rs
+++ b/crates/control-plane/src/state_machine/handlers/requests.rs
@@ -13,10 +13,12 @@
 fn proposal_of(request: &Request) -> Option<Proposal> {
     match request {
         Request::Patch(items) => Some(Proposal::new(items.clone())),
-        Request::Settle(proposal) => Some(proposal.clone()),
-        Request::Next(replica_set) => Some(Proposal::new(vec![replica_set.to_item(INCOMING)])),
-        Request::Now(replica_set) => Some(Proposal::new(vec![replica_set.to_item(CURRENT)])),
-        Request::Evacuate { .. } | Request::Get | Request::Survey | Request::Fill(_) => None,
+        Request::ResolveProposal(proposal) => Some(proposal.clone()),
+        Request::ProposeReplicaSet(replica_set) => Some(Proposal::new(vec![replica_set.to_item(INCOMING)])),
+        Request::ActivateReplicaSet(replica_set) => Some(Proposal::new(vec![replica_set.to_item(CURRENT)])),
+        Request::Evacuate { .. } | Request::Get | Request::ReadMajority | Request::PrepareActivation(_) => {
+            None
+        }
     }
 }
 
@@ -66,7 +68,7 @@
         let mut observed = ObservedProposals::new();
         // Invariant: what is known of a proposal's acceptance isn't lost by an attempt that misses the one replica which
         // accepted it. Otherwise it would be left for ever to whoever waits behind it.
-        if let Request::Settle(proposal) = &request {
+        if let Request::ResolveProposal(proposal) = &request {
             let ballot = self.proposals.watch_list.ballot(proposal.proposal_id());
             observe(&mut observed, ballot.map(|ballot| (ballot, proposal.clone())));
         }
@@ -129,13 +131,13 @@
                 let body = kitepass_config::to_configuration(self.item_store());
                 self.finish_request(id, Response::Body(body));
             }
-            Some(Request::Survey) => {
+            Some(Request::ReadMajority) => {
                 self.finish_request(id, Response::Done);
                 self.activate_coordinator(now);
             }
-            Some(Request::Fill(replica_set)) => {
+            Some(Request::PrepareActivation(replica_set)) => {
                 self.finish_request(id, Response::Done);
-                self.start_request(now, None, Request::Now(replica_set));
+                self.start_request(now, None, Request::ActivateReplicaSet(replica_set));
             }
             _ => {}
         }
@@ -148,8 +150,10 @@
         self.finish_request(id, Response::Done);
         match request {
             // Both replica sets have it. All that was committed before is read under it, then it is put in force.
-            Request::Next(replica_set) => self.start_request(now, None, Request::Fill(replica_set)),
-            Request::Now(replica_set) => {
+            Request::ProposeReplicaSet(replica_set) => {
+                self.start_request(now, None, Request::PrepareActivation(replica_set))
+            }
+            Request::ActivateReplicaSet(replica_set) => {
                 let replicas = replica_set.replicas.len();
                 info!("event=replica-set-in-force version={} replicas={replicas}", replica_set.version);
             }
@@ -164,8 +168,8 @@
     pub(in crate::state_machine) fn resolve(&mut self, now: Timestamp, proposal: Proposal) {
         match activated_replica_set(&proposal) {
             Some(_) if self.proposals.pending.is_changing_replica_set() => {}
-            Some(replica_set) => self.start_request(now, None, Request::Fill(replica_set)),
-            None => self.start_request(now, None, Request::Settle(proposal)),
+            Some(replica_set) => self.start_request(now, None, Request::PrepareActivation(replica_set)),
+            None => self.start_request(now, None, Request::ResolveProposal(proposal)),
         }
     }
 }
--- a/crates/control-plane/src/state_machine/mod.rs
+++ b/crates/control-plane/src/state_machine/mod.rs
@@ -87,9 +87,9 @@
     /// The replica.
     pub replica: Replica,
     /// It said something lately.
-    pub heard: bool,
+    pub is_responsive: bool,
     /// How long ago it is known to have heard this process.
-    pub age: Option<Duration>,
+    pub contact_age: Option<Duration>,
 }
 
 /// Who this process is.
@@ -230,5 +230,5 @@
 
 /// Whole milliseconds, as logs and operators' calls show them.
 pub fn millis(duration: Duration) -> i64 {
-    duration.micros() / 1000
+    duration.as_micros() / 1000
 }
--- a/crates/control-plane/src/state_machine/proposals/decision.rs
+++ b/crates/control-plane/src/state_machine/proposals/decision.rs
@@ -73,7 +73,7 @@
 ) -> Decision {
     let incoming = configuration.joint_replica_sets().and_then(|sets| sets.incoming);
     let is_activated = incoming.is_some_and(|incoming| incoming.version == pending.activated_version);
-    let precedes_activation = matches!(pending.request, Request::Fill(_));
+    let precedes_activation = matches!(pending.request, Request::PrepareActivation(_));
     let is_passed_over = |proposal: &Proposal| {
         precedes_activation && (is_activated || activated_replica_set(proposal).is_some())
     };
@@ -106,12 +106,12 @@
         },
         // Invariant: a rejection that is known goes to all. A replica that has accepted the proposal and has not heard of
         // its rejection would bring it up for as long as that is remembered, and in force after that.
-        Request::Settle(_) if watch_list.is_rejected(proposal.proposal_id()) => {
+        Request::ResolveProposal(_) if watch_list.is_rejected(proposal.proposal_id()) => {
             Decision::Reject { proposal: proposal.clone(), reason: "denied before".into() }
         }
         // It is not chosen, and whoever wants it will see to it.
-        Request::Settle(_) => Decision::NotNeeded,
-        Request::Next(incoming) => {
+        Request::ResolveProposal(_) => Decision::NotNeeded,
+        Request::ProposeReplicaSet(incoming) => {
             let current = configuration.replica_set();
             if current.is_none_or(|current| current.version + 1 != incoming.version) {
                 Decision::NotNeeded
--- a/crates/control-plane/src/state_machine/proposals/mod.rs
+++ b/crates/control-plane/src/state_machine/proposals/mod.rs
@@ -4,7 +4,7 @@
 //! A change is one proposal: all its items are committed together or not at all. Its proposer has a read quorum promise
 //! a ballot for the items' keys and hears which proposals were accepted for them; then a write quorum accepts the
 //! proposal under that ballot. Only then is it chosen, and only what is chosen enters the item store, is read back, and
-//! goes to gateways. The ballots follow Paxos (Lamport, "Paxos Made Simple", 2001); docs/control-register.md says what is
+//! goes to gateways. The ballots follow Paxos (Lamport, "Paxos Made Simple", 2001); docs/control-consensus.md says what is
 //! particular here.
 
 mod acceptor;
--- a/crates/control-plane/src/state_machine/proposals/pending.rs
+++ b/crates/control-plane/src/state_machine/proposals/pending.rs
@@ -15,14 +15,14 @@
 /// each further rejection, [`MAX_PAUSE_DOUBLINGS`] times at most.
 ///
 /// Invariant: proposers that reject each other come again at different times, or none would ever finish. The pauses stay
-/// bounded, as growing ones would keep callers beyond their time-outs (docs/control-register.md).
+/// bounded, as growing ones would keep callers beyond their time-outs (docs/control-consensus.md).
 pub(in crate::state_machine) const MAX_FIRST_PAUSE: u64 = 100_000;
 /// See [`MAX_FIRST_PAUSE`].
 pub(in crate::state_machine) const MAX_PAUSE_DOUBLINGS: u32 = 2;
 
 /// How much longer a message of so many bytes may take.
 pub(in crate::state_machine) fn transfer_time(bytes: usize) -> Duration {
-    Duration::from_micros(REQUEST_TIMEOUT_PER_MIB.micros() * (bytes >> 20) as i64)
+    Duration::from_micros(REQUEST_TIMEOUT_PER_MIB.as_micros() * (bytes >> 20) as i64)
 }
 
 /// Names a pending request within this process. Attempts at it have request ids of their own, which travel.
@@ -135,13 +135,16 @@
 
     /// Whether it changes the replica set.
     fn changes_replica_set(&self) -> bool {
-        matches!(self.request, Request::Next(_) | Request::Fill(_) | Request::Now(_))
+        matches!(
+            self.request,
+            Request::ProposeReplicaSet(_) | Request::PrepareActivation(_) | Request::ActivateReplicaSet(_)
+        )
     }
 
     fn timeout(&self) -> Duration {
         match &self.request {
             // No caller waits, and all proposals that it meets have to be resolved first.
-            Request::Fill(_) | Request::Survey => REQUEST_TIMEOUT * 2,
+            Request::PrepareActivation(_) | Request::ReadMajority => REQUEST_TIMEOUT * 2,
             request => REQUEST_TIMEOUT + transfer_time(request.bytes()),
         }
     }
@@ -219,7 +222,7 @@
 
     /// Whether what a majority holds is being read for the coordinator.
     pub(in crate::state_machine) fn is_recovering(&self) -> bool {
-        self.requests.values().any(|pending| pending.request == Request::Survey)
+        self.requests.values().any(|pending| pending.request == Request::ReadMajority)
     }
 
     /// Ids of the proposals that are being pushed from here.
--- a/crates/control-plane/src/state_machine/sessions.rs
+++ b/crates/control-plane/src/state_machine/sessions.rs
@@ -15,7 +15,7 @@
 /// Bytes of items in one chunk to a gateway, about.
 const CHUNK_BYTES: usize = 256 * 1024;
 /// A session list that has not changed is announced again after this time.
-const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_micros(8 * HEARTBEAT_INTERVAL.micros());
+const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_micros(8 * HEARTBEAT_INTERVAL.as_micros());
 /// Heartbeats in a row that must tell another digest before a gateway's copy is compared: one may have crossed with an
 /// update.
 const DIFFERING_HEARTBEATS: u32 = 2;
--- a/crates/control-plane/src/state_machine/startup.rs
+++ b/crates/control-plane/src/state_machine/startup.rs
@@ -24,7 +24,7 @@
 /// What a process is at its start.
 pub struct Start {
     /// This process' replica. Its replica id is taken from the records, or drawn if there are none.
-    pub me: Replica,
+    pub replica: Replica,
     /// Drawn anew at each start.
     pub incarnation: u64,
     /// The first start of the whole system, with an empty disk.
@@ -81,7 +81,7 @@
     fn add_item_or_proposal(&mut self, key: &[u8], value: &[u8]) {
         if let Some((item, history)) = kitepass_config::decode_record(key, value) {
             self.item_store.merge_with_history(item, &history);
-        } else if self.acceptor.restore(key, value) == Restored::Garbled {
+        } else if self.acceptor.restore(key, value) == Restored::Malformed {
             error!("event=record-garbled key={:?}", String::from_utf8_lossy(key));
             self.removals.push((key.to_owned(), Vec::new()));
         }
@@ -97,7 +97,7 @@
         let is_new_replica = start.records.is_empty() || is_garbled;
         let new_replica_id = is_new_replica.then(|| start.incarnation.max(1));
         let replica_id = new_replica_id.unwrap_or(restored.replica_id);
-        let identity = Identity::new(Replica { replica_id, ..start.me.clone() }, start.incarnation);
+        let identity = Identity::new(Replica { replica_id, ..start.replica.clone() }, start.incarnation);
         let mut removals = std::mem::take(&mut restored.removals);
         removals.extend(restored.acceptor.commit_all(&restored.item_store));
 
--- a/crates/control-plane/src/state_machine/tests/decision.rs
+++ b/crates/control-plane/src/state_machine/tests/decision.rs
@@ -114,7 +114,7 @@
     let configuration = configuration([]);
     let proposal = Proposal::new(vec![service(1, Some(SERVICE))]);
     let resolve = |accepted: &[Proposal], watch_list: &WatchList| {
-        let request = Request::Settle(proposal.clone());
+        let request = Request::ResolveProposal(proposal.clone());
         let pending = answered(&configuration, request, Some(proposal.clone()), accepted);
         decide(&pending, &configuration, watch_list)
     };
@@ -152,7 +152,7 @@
         pending.replica_prepared("a", activated_version);
         decide(&pending, &configuration, &WatchList::default())
     };
-    let before = || Request::Fill(replica_set(2));
+    let before = || Request::PrepareActivation(replica_set(2));
     assert!(matches!(read(before(), from_ref(&activation), 0), Decision::ReadComplete));
     assert!(matches!(read(Request::Get, &[activation], 0), Decision::BlockedBy(_)));
     assert!(matches!(read(before(), from_ref(&open), 0), Decision::BlockedBy(_)));
@@ -165,7 +165,7 @@
     let bring_in = |version: u64| {
         let incoming = replica_set(version);
         let proposal = Proposal::new(vec![incoming.to_item(INCOMING)]);
-        let pending = answered(&configuration, Request::Next(incoming), Some(proposal), &[]);
+        let pending = answered(&configuration, Request::ProposeReplicaSet(incoming), Some(proposal), &[]);
         decide(&pending, &configuration, &WatchList::default())
     };
     assert!(matches!(bring_in(2), Decision::Propose(_)));
--- a/crates/control-plane/src/state_machine/tests/proposals.rs
+++ b/crates/control-plane/src/state_machine/tests/proposals.rs
@@ -25,7 +25,7 @@
 #[rstest]
 #[case::get(Request::Get, 2_500)]
 #[case::small_change(Request::Patch(vec![item("a", 1)]), 2_500)]
-#[case::nobody_waits(Request::Survey, 5_000)]
+#[case::nobody_waits(Request::ReadMajority, 5_000)]
 fn a_request_has_a_time_out(#[case] request: Request, #[case] timeout: i64) {
     let mut requests = PendingRequests::default();
     requests.insert(PendingId(1), pending(request));
--- a/crates/control-plane/src/state_machine/tombstones.rs
+++ b/crates/control-plane/src/state_machine/tombstones.rs
@@ -74,7 +74,7 @@
 
     /// This process is not in contact. After half a tombstone's age what it holds is in doubt.
     pub(super) fn contact_missing(&mut self, now: Timestamp, holds_items: bool) {
-        if (now - self.last_contact_at).micros() > self.age.micros() / 2 {
+        if (now - self.last_contact_at).as_micros() > self.age.as_micros() / 2 {
             self.is_unproven |= holds_items;
         }
     }
--- a/crates/control-plane/tests/cluster/gateways.rs
+++ b/crates/control-plane/tests/cluster/gateways.rs
@@ -58,7 +58,7 @@
 
     /// Gateways may be without a session for so long.
     pub(super) fn set_gateways_alone(&mut self, alone: Duration) {
-        self.gateways.iter_mut().for_each(|gateway| gateway.session.set_alone(alone));
+        self.gateways.iter_mut().for_each(|gateway| gateway.session.set_max_unsynced(alone));
     }
 
     /// A control process has closed a session.
@@ -66,7 +66,7 @@
         self.closed.insert(connection_id);
         if let Some(gateway) = self.gateway_of(connection_id) {
             self.gateways[gateway].connection = None;
-            self.gateways[gateway].session.lost("closed");
+            self.gateways[gateway].session.connection_lost("closed");
         }
     }
 
@@ -82,7 +82,7 @@
                 state_machine.session_closed(now, id, why);
             }
         }
-        self.gateways[gateway].session.lost(why);
+        self.gateways[gateway].session.connection_lost(why);
     }
 
     /// The gateways' turn, ten times a second, and the messages between them and the control processes.
@@ -104,12 +104,12 @@
             self.drop_session(gateway, "left");
         }
         let draw = self.random.rand_u64();
-        if let Some(address) = self.gateways[gateway].session.next(now, draw) {
+        if let Some(address) = self.gateways[gateway].session.next_control_process(now, draw) {
             let node: usize = address[7..].parse().unwrap();
             self.connection_count += 1;
             self.gateways[gateway].connection = Some(Connection { node, id: self.connection_count });
         }
-        self.gateways[gateway].session.ready = self.gateways[gateway].session.is_caught_up();
+        self.gateways[gateway].session.is_ready = self.gateways[gateway].session.is_caught_up();
     }
 
     /// Sends what a gateway has for its control process.
@@ -118,8 +118,8 @@
         if self.nodes[node].state_machine.is_none() {
             return self.drop_session(gateway, "refused");
         }
-        let messages = std::mem::take(&mut self.gateways[gateway].session.out);
-        let items = std::mem::take(&mut self.gateways[gateway].session.out_items);
+        let messages = std::mem::take(&mut self.gateways[gateway].session.outgoing);
+        let items = std::mem::take(&mut self.gateways[gateway].session.outgoing_items);
         let items = (!items.is_empty())
             .then(|| Message::Items(Items { items: items.iter().map(ItemMessage::from).collect() }));
         for message in messages.into_iter().chain(items) {
@@ -156,8 +156,8 @@
             state_machine.session_drained(now, due.connection_id);
         }
         let mut updates = SessionUpdates::default();
-        self.gateways[gateway].session.said(now, due.message, &mut updates);
-        if updates.close {
+        self.gateways[gateway].session.receive(now, due.message, &mut updates);
+        if updates.should_close {
             self.drop_session(gateway, "not-current");
         }
     }
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -181,7 +181,7 @@
         let node = &mut self.nodes[n];
         node.incarnation = self.random.rand_u64();
         let start = Start {
-            me: node.replica.clone(),
+            replica: node.replica.clone(),
             incarnation: node.incarnation,
             is_first_start,
             is_bootstrap_node: n == 0,
--- a/crates/control-plane/tests/golden_store.rs
+++ b/crates/control-plane/tests/golden_store.rs
@@ -201,7 +201,7 @@
 fn start(number: usize, incarnation: u64, records: Vec<Record>) -> StateMachine {
     let is_first_run = records.is_empty();
     let start = Start {
-        me: Replica { replica_id: 0, ..replica(number) },
+        replica: Replica { replica_id: 0, ..replica(number) },
         incarnation,
         is_first_start: is_first_run,
         is_bootstrap_node: is_first_run && number == 0,
--- a/crates/coordination/src/consensus/acceptor.rs
+++ b/crates/coordination/src/consensus/acceptor.rs
@@ -1,7 +1,7 @@
 //! The acceptor: what one replica has promised and accepted.
 
 use super::accepted::AcceptedProposals;
-use super::error::{AcceptError, FullSnafu, PromisedSnafu, TakenSnafu};
+use super::error::{AcceptError, CapacityExceededSnafu, ConflictingSnafu, PromisedSnafu};
 use super::promises::PromiseTable;
 use super::proposal::{Proposal, ProposalId};
 use super::proposer::{conflicting_item, is_committed};
@@ -88,7 +88,7 @@
             }
             Err(restored) => return restored,
         }
-        Restored::Taken
+        Restored::Applied
     }
 
     /// Invariant: a promise binds the next incarnation too. Which ballots the earlier one promised since the floor was
@@ -153,7 +153,7 @@
         self.check_acceptable(ballot, &proposal, item_store)?;
         let is_committed = is_committed(&proposal, item_store);
         if !is_committed && !self.has_capacity(&proposal, reason) {
-            return FullSnafu.fail();
+            return CapacityExceededSnafu.fail();
         }
         let mut acceptance = self.promise_durably(ballot, proposal.keys());
         if !is_committed {
@@ -180,7 +180,7 @@
         if self.is_enabled(Safeguard::CommittedContent) {
             if let Some(item) = conflicting_item(proposal, item_store) {
                 let (kind, name, version) = (item.kind, item.name.clone(), item.version);
-                return TakenSnafu { kind, name, version }.fail();
+                return ConflictingSnafu { kind, name, version }.fail();
             }
         }
         Ok(())
--- a/crates/coordination/src/consensus/error.rs
+++ b/crates/coordination/src/consensus/error.rs
@@ -17,7 +17,7 @@
     },
     /// An item's version is committed with other content, so that the proposal can never be chosen.
     #[snafu(display("version {version} of {kind:?} {name:?} is committed with other content"))]
-    Taken {
+    Conflicting {
         /// The item's kind.
         kind: Kind,
         /// The item's name.
@@ -27,5 +27,5 @@
     },
     /// The bounds on accepted proposals that are neither committed nor rejected are reached.
     #[snafu(display("too many proposals are accepted and not committed"))]
-    Full,
+    CapacityExceeded,
 }
--- a/crates/coordination/src/consensus/records.rs
+++ b/crates/coordination/src/consensus/records.rs
@@ -43,12 +43,12 @@
     /// It is none of the acceptor's records.
     Other,
     /// It was read and taken over.
-    Taken,
+    Applied,
     /// It cannot be read.
     ///
     /// Invariant: a proposal may have been chosen by the acceptance that it stood for, so that whoever finds it must
     /// not go on with this disk as the same replica.
-    Garbled,
+    Malformed,
 }
 
 /// A record that was read.
@@ -73,7 +73,7 @@
         } else {
             return Err(Restored::Other);
         };
-        record.ok_or(Restored::Garbled)
+        record.ok_or(Restored::Malformed)
     }
 }
 
--- a/crates/coordination/src/consensus/tests.rs
+++ b/crates/coordination/src/consensus/tests.rs
@@ -29,7 +29,7 @@
 fn restarted(disk: &BTreeMap<Vec<u8>, Vec<u8>>) -> Acceptor {
     let mut acceptor = Acceptor::new();
     for (key, value) in disk {
-        assert_eq!(acceptor.restore(key, value), Restored::Taken);
+        assert_eq!(acceptor.restore(key, value), Restored::Applied);
     }
     acceptor
 }
@@ -94,7 +94,7 @@
     let mut next = restarted(&disk);
     assert_eq!(next.get(first.proposal_id()), Some((ballot(0, 1), &first)));
     for (key, value) in &disk {
-        assert_eq!(next.restore(key, &value[..value.len() - 1]), Restored::Garbled);
+        assert_eq!(next.restore(key, &value[..value.len() - 1]), Restored::Malformed);
     }
     assert_eq!(next.restore(b"full", &[1]), Restored::Other);
     assert_eq!(next.restore(&[Kind::Service as u8, b'a'], &[0; 9]), Restored::Other);
@@ -121,7 +121,7 @@
         [other.proposal_id()]
     );
     let refused = acceptor.accept(ballot(0, 9), conflicting, AcceptReason::New, &item_store).unwrap_err();
-    assert!(matches!(refused, AcceptError::Taken { version: 5, .. }), "{refused}");
+    assert!(matches!(refused, AcceptError::Conflicting { version: 5, .. }), "{refused}");
     // What is committed counts as accepted without a further record.
     assert_eq!(acceptor.accept(ballot(0, 10), chosen, AcceptReason::New, &item_store).unwrap().records, []);
     let accepted = &acceptor.accepted;
@@ -138,7 +138,7 @@
     let more = nth(MAX_ACCEPTED);
     assert_eq!(
         acceptor.accept(ballot(0, 1), more.clone(), AcceptReason::New, &item_store),
-        Err(AcceptError::Full)
+        Err(AcceptError::CapacityExceeded)
     );
     assert!(acceptor.accept(ballot(0, 1), more, AcceptReason::Resolve, &item_store).is_ok());
     assert!(
--- a/crates/coordination/src/protocol/framing.rs
+++ b/crates/coordination/src/protocol/framing.rs
@@ -21,9 +21,9 @@
 ///
 /// A peer that lies about a length must not make a receiver keep memory for it, and a message of many MiB in one frame
 /// would hold up all that goes behind it.
-pub const MOST_FRAME: usize = 256 * 1024;
+pub const MAX_FRAME_BYTES: usize = 256 * 1024;
 /// The most bytes of one message. An operator's change of 16 MiB, as items, is well within it.
-pub const MOST_WORD: usize = 24 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 24 * 1024 * 1024;
 
 const HEADER_BYTES: usize = 4;
 const FRAGMENT: u32 = 1 << 31;
@@ -33,21 +33,21 @@
 /// Why what came is not from a process of this system. The connection is of no more use.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum Error {
-    /// A frame is longer than [`MOST_FRAME`].
-    #[snafu(display("a frame of {length} bytes, over the {MOST_FRAME} that are accepted"))]
-    LongFrame {
+    /// A frame is longer than [`MAX_FRAME_BYTES`].
+    #[snafu(display("a frame of {length} bytes, over the {MAX_FRAME_BYTES} that are accepted"))]
+    FrameTooLong {
         /// The length in the header.
         length: usize,
     },
-    /// A message is longer than [`MOST_WORD`].
-    #[snafu(display("a message of over {MOST_WORD} bytes"))]
-    LongWord,
+    /// A message is longer than [`MAX_MESSAGE_BYTES`].
+    #[snafu(display("a message of over {MAX_MESSAGE_BYTES} bytes"))]
+    MessageTooLong,
     /// A fragment that can't stand where it does.
     #[snafu(display("a fragment without bytes, or the end of a message that has not begun"))]
-    Stray,
+    UnexpectedFragment,
     /// The bytes are no message.
     #[snafu(display("a frame that is no message: {source}"))]
-    Garbled {
+    Malformed {
         /// What is wrong with them.
         source: prost::DecodeError,
     },
@@ -57,9 +57,9 @@
 #[derive(Clone, Debug)]
 pub enum Packed {
     /// One frame, with its header.
-    Short(Bytes),
+    SingleFrame(Bytes),
     /// The bytes of a message that goes in fragments, or those of them that are left. Clones share them.
-    Long(Bytes),
+    Fragmented(Bytes),
 }
 
 impl Packed {
@@ -67,30 +67,30 @@
     pub fn new(message: Message) -> Packed {
         let envelope = Envelope { message: Some(message) };
         let length = envelope.encoded_len();
-        if length > MOST_FRAME {
-            return Packed::Long(envelope.encode_to_vec().into());
+        if length > MAX_FRAME_BYTES {
+            return Packed::Fragmented(envelope.encode_to_vec().into());
         }
         let mut frame = Vec::with_capacity(HEADER_BYTES + length);
         frame.extend_from_slice(&(length as u32).to_be_bytes());
         envelope.encode_raw(&mut frame);
-        Packed::Short(frame.into())
+        Packed::SingleFrame(frame.into())
     }
 
     fn len(&self) -> usize {
         match self {
-            Packed::Short(bytes) | Packed::Long(bytes) => bytes.len(),
+            Packed::SingleFrame(bytes) | Packed::Fragmented(bytes) => bytes.len(),
         }
     }
 
     /// Appends the next frame; whether it was the last.
     fn append_frame(&mut self, into: &mut Vec<u8>) -> bool {
         match self {
-            Packed::Short(frame) => {
+            Packed::SingleFrame(frame) => {
                 into.extend_from_slice(frame);
                 true
             }
-            Packed::Long(rest) => {
-                let fragment = rest.split_to(rest.len().min(MOST_FRAME));
+            Packed::Fragmented(rest) => {
+                let fragment = rest.split_to(rest.len().min(MAX_FRAME_BYTES));
                 let bits = if rest.is_empty() { LAST_FRAGMENT } else { FRAGMENT };
                 into.extend_from_slice(&(fragment.len() as u32 | bits).to_be_bytes());
                 into.extend_from_slice(&fragment);
@@ -118,9 +118,9 @@
 
 impl Outbox {
     /// Takes a message; `urgent` ones of one frame go at once, the others in their order.
-    pub fn say(&mut self, mut message: Packed, urgent: bool, into: &mut Vec<u8>) {
-        let has_room = self.queue.is_empty() && into.len() < MOST_FRAME;
-        if matches!(message, Packed::Short(_)) && (urgent || has_room) {
+    pub fn push(&mut self, mut message: Packed, urgent: bool, into: &mut Vec<u8>) {
+        let has_room = self.queue.is_empty() && into.len() < MAX_FRAME_BYTES;
+        if matches!(message, Packed::SingleFrame(_)) && (urgent || has_room) {
             message.append_frame(into);
             return;
         }
@@ -129,9 +129,9 @@
     }
 
     /// Appends the next frames, for as long as there is room. `unsent` bytes are in the connection's output already.
-    pub fn feed(&mut self, into: &mut Vec<u8>, unsent: usize) {
+    pub fn append_frames(&mut self, into: &mut Vec<u8>, unsent: usize) {
         let length_before = into.len();
-        while unsent + into.len() - length_before < MOST_FRAME {
+        while unsent + into.len() - length_before < MAX_FRAME_BYTES {
             let Some(message) = self.queue.front_mut() else { return };
             let message_bytes = message.len();
             let was_last = message.append_frame(into);
@@ -145,7 +145,7 @@
     }
 
     /// The bytes of all messages that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_bytes(&self) -> usize {
         self.bytes
     }
 }
@@ -169,8 +169,8 @@
             let Some(header) = rest.first_chunk::<HEADER_BYTES>() else { return Ok(None) };
             let header = u32::from_be_bytes(*header);
             let length = (header & !FRAGMENT_BITS) as usize;
-            if length > MOST_FRAME {
-                return LongFrameSnafu { length }.fail();
+            if length > MAX_FRAME_BYTES {
+                return FrameTooLongSnafu { length }.fail();
             }
             let Some(payload) = rest.get(HEADER_BYTES..HEADER_BYTES + length) else { return Ok(None) };
             *at += HEADER_BYTES + length;
@@ -185,7 +185,7 @@
     }
 
     /// The bytes that are kept of a long message.
-    pub fn kept(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.fragments.as_ref().map_or(0, Vec::len)
     }
 
@@ -194,14 +194,14 @@
         let mut message = match self.fragments.take() {
             Some(message) => message,
             None if bits == FRAGMENT => Vec::new(),
-            None => return StraySnafu.fail(),
+            None => return UnexpectedFragmentSnafu.fail(),
         };
         // Fragments without bytes could come for ever; and no sender sets both bits.
         if fragment.is_empty() || bits == FRAGMENT_BITS {
-            return StraySnafu.fail();
+            return UnexpectedFragmentSnafu.fail();
         }
-        if message.len() + fragment.len() > MOST_WORD {
-            return LongWordSnafu.fail();
+        if message.len() + fragment.len() > MAX_MESSAGE_BYTES {
+            return MessageTooLongSnafu.fail();
         }
         message.extend_from_slice(fragment);
         if bits == LAST_FRAGMENT {
@@ -213,5 +213,5 @@
 }
 
 fn decode(bytes: &[u8]) -> Result<Envelope, Error> {
-    Envelope::decode(bytes).context(GarbledSnafu)
+    Envelope::decode(bytes).context(MalformedSnafu)
 }
--- a/crates/coordination/src/protocol/messages/sessions.rs
+++ b/crates/coordination/src/protocol/messages/sessions.rs
@@ -45,5 +45,5 @@
     pub control_addresses: Vec<String>,
     /// Control processes: their zones, in the order of the addresses.
     #[prost(string, repeated, tag = "4")]
-    pub control_districts: Vec<String>,
+    pub control_zones: Vec<String>,
 }
--- a/crates/coordination/src/tombstones.rs
+++ b/crates/coordination/src/tombstones.rs
@@ -4,7 +4,7 @@
 //!
 //! **Why.** A tombstone is forgotten once all replicas have had it on disk for a given time, by the coordinator's own
 //! monotonic clock. A gateway that was away for half of that time begins anew from nothing, and so does a control process
-//! that is no replica or was away. See `docs/control-size.md`.
+//! that is no replica or was away. See `docs/control-catch-up.md`.
 
 use kitepass_config::{ItemStore, Kind};
 use kitepass_time::{Duration, Timestamp};
--- a/crates/coordination/src/usage.rs
+++ b/crates/coordination/src/usage.rs
@@ -121,7 +121,7 @@
     /// Adds what has flowed in since the last time, up to `capacity` beside what gateways have reserved.
     fn fill(&mut self, now: Timestamp, rate: f64, returned: f64, capacity: f64) {
         let reserved: f64 = self.gateways.values().map(|gateway| gateway.reserved).sum();
-        let elapsed = (now - self.filled_at).secs();
+        let elapsed = (now - self.filled_at).as_secs();
         self.filled_at = now;
         let most = capacity - reserved;
         self.tokens = (self.tokens + rate * elapsed + returned).min(most.max(0.0));
@@ -257,7 +257,7 @@
     pub fn expire(&mut self, now: Timestamp) {
         self.tenants.retain(|_, bucket| {
             bucket.expire_gateways(now);
-            !bucket.gateways.is_empty() || (now - bucket.filled_at).secs() < IDLE_BUCKET_SECONDS
+            !bucket.gateways.is_empty() || (now - bucket.filled_at).as_secs() < IDLE_BUCKET_SECONDS
         });
         self.last_heard.retain(|_, at| now - *at < GRANT_EXPIRY);
     }
--- a/crates/coordination/tests/consensus_model/replicas.rs
+++ b/crates/coordination/tests/consensus_model/replicas.rs
@@ -32,7 +32,7 @@
     fn restart(&self, node: &mut Node) {
         node.acceptor = (self.new_acceptor)();
         for (key, value) in &node.disk {
-            assert_eq!(node.acceptor.restore(key, value), Restored::Taken);
+            assert_eq!(node.acceptor.restore(key, value), Restored::Applied);
         }
         self.settle(node);
     }
--- a/crates/coordination/tests/framing.rs
+++ b/crates/coordination/tests/framing.rs
@@ -1,6 +1,6 @@
 //! Messages as they travel over a connection: complete and in fragments, however the input is split, and malformed frames.
 
-use kitepass_coordination::protocol::framing::{pack, Assembler, Error, MOST_FRAME, MOST_WORD};
+use kitepass_coordination::protocol::framing::{pack, Assembler, Error, MAX_FRAME_BYTES, MAX_MESSAGE_BYTES};
 use kitepass_coordination::protocol::{
     AcceptRequest, Heartbeat, Hello, ItemMessage, Message, TenantUsage, UsageReport,
 };
@@ -48,8 +48,11 @@
 
 #[test]
 fn large_messages_travel_in_fragments_and_others_may_overtake_them() {
-    let messages =
-        [large_message(MOST_FRAME - 40), large_message(3 * MOST_FRAME + 9), large_message(16 << 20)];
+    let messages = [
+        large_message(MAX_FRAME_BYTES - 40),
+        large_message(3 * MAX_FRAME_BYTES + 9),
+        large_message(16 << 20),
+    ];
     let bytes = packed(&messages);
     // In odd slices, as a socket gives them.
     let (mut assembler, mut input) = (Assembler::default(), Vec::new());
@@ -59,23 +62,23 @@
         let mut at = 0;
         received.extend(read(&mut assembler, &input, &mut at));
         input.drain(..at);
-        assert!(input.len() < MOST_FRAME + 4);
-        most_kept = most_kept.max(assembler.kept());
+        assert!(input.len() < MAX_FRAME_BYTES + 4);
+        most_kept = most_kept.max(assembler.buffered_bytes());
     }
-    assert!(received == messages && assembler.kept() == 0 && most_kept > 15 << 20);
+    assert!(received == messages && assembler.buffered_bytes() == 0 && most_kept > 15 << 20);
     // A heartbeat between two fragments comes first.
     let heartbeat = Message::Heartbeat(Heartbeat { digest: 5, ..Heartbeat::default() });
     let mut mixed = packed(&messages[1..2]);
-    mixed.splice(MOST_FRAME + 4..MOST_FRAME + 4, packed(std::slice::from_ref(&heartbeat)));
+    mixed.splice(MAX_FRAME_BYTES + 4..MAX_FRAME_BYTES + 4, packed(std::slice::from_ref(&heartbeat)));
     let received = read(&mut Assembler::default(), &mixed, &mut 0);
     assert!(received == [heartbeat, messages[1].clone()]);
 }
 
 #[rstest]
-#[case::length(&[0, 255, 255, 255], Error::LongFrame { length: 0xff_ffff })]
-#[case::both_bits(&[0xc0, 0, 0, 1, 0], Error::Stray)]
-#[case::a_last_fragment_alone(&[0x40, 0, 0, 1, 0], Error::Stray)]
-#[case::empty_fragments(&[0x80, 0, 0, 0, 0x80, 0, 0, 0], Error::Stray)]
+#[case::length(&[0, 255, 255, 255], Error::FrameTooLong { length: 0xff_ffff })]
+#[case::both_bits(&[0xc0, 0, 0, 1, 0], Error::UnexpectedFragment)]
+#[case::a_last_fragment_alone(&[0x40, 0, 0, 1, 0], Error::UnexpectedFragment)]
+#[case::empty_fragments(&[0x80, 0, 0, 0, 0x80, 0, 0, 0], Error::UnexpectedFragment)]
 fn malformed_frames_are_rejected(#[case] bytes: &[u8], #[case] error: Error) {
     assert_eq!(Assembler::default().next(bytes, &mut 0), Err(error));
 }
@@ -84,12 +87,12 @@
 fn garbled_and_endless_messages_are_rejected() {
     let mut at = 0;
     let garbled = Assembler::default().next(&[0, 0, 0, 2, 255, 255], &mut at);
-    assert!(matches!(garbled, Err(Error::Garbled { .. })));
-    let mut fragment = (MOST_FRAME as u32 | 1 << 31).to_be_bytes().to_vec();
-    fragment.resize(4 + MOST_FRAME, 0);
+    assert!(matches!(garbled, Err(Error::Malformed { .. })));
+    let mut fragment = (MAX_FRAME_BYTES as u32 | 1 << 31).to_be_bytes().to_vec();
+    fragment.resize(4 + MAX_FRAME_BYTES, 0);
     let mut assembler = Assembler::default();
-    for _ in 0..MOST_WORD / MOST_FRAME {
+    for _ in 0..MAX_MESSAGE_BYTES / MAX_FRAME_BYTES {
         assert_eq!(assembler.next(&fragment, &mut 0), Ok(None));
     }
-    assert_eq!(assembler.next(&fragment, &mut 0), Err(Error::LongWord));
+    assert_eq!(assembler.next(&fragment, &mut 0), Err(Error::MessageTooLong));
 }
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -9,7 +9,9 @@
 use kitepass_config::{Entry, Item, Kind, VersionDigest};
 use kitepass_coordination::consensus::{key, Ballot, Proposal, ProposalMessage};
 use kitepass_coordination::membership::{ReplicaSet, CURRENT, INCOMING};
-use kitepass_coordination::protocol::framing::{Assembler, Error, Outbox, Packed, MOST_FRAME, MOST_WORD};
+use kitepass_coordination::protocol::framing::{
+    Assembler, Error, Outbox, Packed, MAX_FRAME_BYTES, MAX_MESSAGE_BYTES,
+};
 use kitepass_coordination::protocol::{
     batches, pack, pack_items, Commit, Envelope, Hello, ItemMessage, Items, Message, PurgeTombstones,
     RejectedProposal,
@@ -241,14 +243,14 @@
     assert!(Envelope::decode(&from_hex(hex)[..]).is_err());
     let bytes = from_hex(hex);
     let frame = [&(bytes.len() as u32).to_be_bytes()[..], &bytes].concat();
-    assert!(matches!(Assembler::default().next(&frame, &mut 0), Err(Error::Garbled { .. })));
+    assert!(matches!(Assembler::default().next(&frame, &mut 0), Err(Error::Malformed { .. })));
 }
 
 /// All messages of a stream that is complete.
 fn read_all(stream: &[u8]) -> Vec<Message> {
     let (mut assembler, mut position) = (Assembler::default(), 0);
     let messages = std::iter::from_fn(|| assembler.next(stream, &mut position).unwrap()).collect();
-    assert_eq!((position, assembler.kept()), (stream.len(), 0));
+    assert_eq!((position, assembler.buffered_bytes()), (stream.len(), 0));
     messages
 }
 
@@ -264,7 +266,7 @@
 
 #[test]
 fn limits_of_frames() {
-    assert_eq!((MOST_FRAME, MOST_WORD), (262_144, 25_165_824));
+    assert_eq!((MAX_FRAME_BYTES, MAX_MESSAGE_BYTES), (262_144, 25_165_824));
 }
 
 #[test]
@@ -282,15 +284,15 @@
 
 /// The golden line of a length holds the headers, one after another; between them stand the message's own bytes.
 #[rstest]
-#[case::the_longest_in_one_frame("one-frame", MOST_FRAME)]
-#[case::one_byte_more("two-frames", MOST_FRAME + 1)]
-#[case::two_frames_that_are_full("two-full-frames", 2 * MOST_FRAME)]
-#[case::three_frames("three-frames", 2 * MOST_FRAME + 75_712)]
+#[case::the_longest_in_one_frame("one-frame", MAX_FRAME_BYTES)]
+#[case::one_byte_more("two-frames", MAX_FRAME_BYTES + 1)]
+#[case::two_frames_that_are_full("two-full-frames", 2 * MAX_FRAME_BYTES)]
+#[case::three_frames("three-frames", 2 * MAX_FRAME_BYTES + 75_712)]
 fn a_long_message_goes_in_several_frames(#[case] name: &str, #[case] length: usize) {
     let message = commit_of(length);
     let encoded = envelope(&message).encode_to_vec();
     let headers = golden(FRAMES, name);
-    let payloads = encoded.chunks(MOST_FRAME);
+    let payloads = encoded.chunks(MAX_FRAME_BYTES);
     assert_eq!(headers.len(), payloads.len() * 4);
     let frames = headers.chunks(4).zip(payloads);
     let expected: Vec<u8> = frames.flat_map(|(header, payload)| [header, payload].concat()).collect();
@@ -302,17 +304,17 @@
 
 #[test]
 fn a_heartbeat_may_stand_between_frames_of_a_long_message() {
-    let (long, heartbeat) = (commit_of(2 * MOST_FRAME), Message::Heartbeat(samples::heartbeat()));
+    let (long, heartbeat) = (commit_of(2 * MAX_FRAME_BYTES), Message::Heartbeat(samples::heartbeat()));
     let (mut outbox, mut stream) = (Outbox::default(), Vec::new());
-    outbox.say(Packed::new(long.clone()), false, &mut stream);
-    outbox.feed(&mut stream, 0);
-    outbox.say(Packed::new(heartbeat.clone()), true, &mut stream);
-    outbox.feed(&mut stream, 0);
+    outbox.push(Packed::new(long.clone()), false, &mut stream);
+    outbox.append_frames(&mut stream, 0);
+    outbox.push(Packed::new(heartbeat.clone()), true, &mut stream);
+    outbox.append_frames(&mut stream, 0);
     let mut between = Vec::new();
     pack(heartbeat.clone(), &mut between);
     let mut expected = Vec::new();
     pack(long.clone(), &mut expected);
-    expected.splice(4 + MOST_FRAME..4 + MOST_FRAME, between);
+    expected.splice(4 + MAX_FRAME_BYTES..4 + MAX_FRAME_BYTES, between);
     assert!(stream == expected);
     assert!(read_all(&stream) == [heartbeat, long]);
 }
--- a/crates/coordination/tests/golden/samples.rs
+++ b/crates/coordination/tests/golden/samples.rs
@@ -223,7 +223,7 @@
         gateway_count: 71,
         node_ids: vec!["node-7".into(), "node-8".into()],
         control_addresses: vec!["10.1.2.4:7000".into()],
-        control_districts: vec!["zone-c".into()],
+        control_zones: vec!["zone-c".into()],
     }
 }
 
--- a/crates/coordination/tests/quorum_contact.rs
+++ b/crates/coordination/tests/quorum_contact.rs
@@ -96,7 +96,7 @@
     assert!(network.contacts.iter().all(|contact| contact.state() == ContactState::Connected));
     let disconnected_at = network.run(3_000, 13_000, is_delivered);
     assert!(
-        disconnected_at[0].is_some_and(|since| since <= 3_000 + CONTACT.micros() / 1000 + 10),
+        disconnected_at[0].is_some_and(|since| since <= 3_000 + CONTACT.as_micros() / 1000 + 10),
         "{disconnected_at:?}"
     );
     assert!(
--- a/crates/data-plane/examples/tables/fixtures.rs
+++ b/crates/data-plane/examples/tables/fixtures.rs
@@ -132,7 +132,7 @@
         gateway_count: size.gateways as u32,
         node_ids: node_ids(size.gateways),
         control_addresses: (0..CONTROL_PROCESSES).map(|n| format!("10.0.0.{n}")).collect(),
-        control_districts: (0..CONTROL_PROCESSES).map(|n| ZONES[n].to_owned()).collect(),
+        control_zones: (0..CONTROL_PROCESSES).map(|n| ZONES[n].to_owned()).collect(),
     }))
 }
 
@@ -172,7 +172,7 @@
 pub(crate) fn receive(session: &mut ControlSession, now: Timestamp, frames: &[u8]) -> SessionUpdates {
     let (mut offset, mut updates, mut assembler) = (0, SessionUpdates::default(), Assembler::default());
     while let Some(message) = assembler.next(frames, &mut offset).expect("packed here") {
-        session.said(now, message, &mut updates);
+        session.receive(now, message, &mut updates);
     }
     updates
 }
--- a/crates/data-plane/examples/tables/gateway.rs
+++ b/crates/data-plane/examples/tables/gateway.rs
@@ -127,7 +127,7 @@
     meter: &mut MemoryMeter,
 ) -> Tables {
     let mut session = session();
-    session.next(at(0), 0);
+    session.next_control_process(at(0), 0);
     receive(&mut session, at(1), &hello());
     let updates = receive(&mut session, at(1), frames);
     receive(&mut session, at(1), &membership(size));
--- a/crates/data-plane/examples/tables/measurements.rs
+++ b/crates/data-plane/examples/tables/measurements.rs
@@ -68,24 +68,24 @@
     let membership = membership(size);
     time("ControlSession::said, a membership update, and LoadBalancer::set_live_gateways", 100, |_| {
         let updates = receive(session, at(2), &membership);
-        load_balancer.set_live_gateways(updates.live.expect("it was told").node_ids);
+        load_balancer.set_live_gateways(updates.live_gateways.expect("it was told").node_ids);
     });
     time("ItemStore::digest", 1_000, |_| {
         std::hint::black_box(session.item_store.digest());
     });
     time("ControlSession::tick with a heartbeat sent, and one received", 200, |n| {
         let now = at(2 + 500 * n as i64);
-        session.out.clear();
+        session.outgoing.clear();
         receive(session, now, &heartbeat);
         session.tick(now);
-        assert!(!session.out.is_empty());
+        assert!(!session.outgoing.is_empty());
     });
     let mut differing = session.item_store.buckets().to_vec();
     differing[3] ^= 1;
     let differing = digests(differing);
     time("ControlSession::said, bucket digests of which one differs", 20, |_| {
         receive(session, at(2), &differing);
-        session.out_items.clear();
+        session.outgoing_items.clear();
     });
 }
 
@@ -119,7 +119,7 @@
         let n = n * 7;
         let (host, path) = (host(n % size.routes), path_prefix(n % size.routes) + "x");
         assert!(routing_table.route(host.as_bytes(), path.as_bytes()).is_some());
-        assert!(routing_table.tenant_of(tenant_key(n % size.tenants).as_bytes()).is_some());
+        assert!(routing_table.tenant_index(tenant_key(n % size.tenants).as_bytes()).is_some());
     });
     let mut now = 40_000;
     time("Quota::admit, its grant request packed and the grant applied", REQUESTS_PER_SEC * 10, |n| {
--- a/crates/data-plane/src/attempt/mod.rs
+++ b/crates/data-plane/src/attempt/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`RequestLifecycle`] is the state machine from a request's first byte to its one final response: it is told what
 //! happened and returns the [`NextStep`]. [`ResponseReader`] parses what a backend sends and [`ResponseClass`] says
-//! what a response means by its head. The sockets around them belong to the server. `docs/control-answers.md` has the
+//! what a response means by its head. The sockets around them belong to the server. `docs/control-responses.md` has the
 //! table of states and the argument for why it holds.
 
 mod lifecycle;
--- a/crates/data-plane/src/attempt/response_reader.rs
+++ b/crates/data-plane/src/attempt/response_reader.rs
@@ -134,7 +134,7 @@
 
     /// Reads a head; whether it is complete.
     fn read_head(&mut self, context: ResponseContext, input: &mut Vec<u8>) -> Result<bool, ResponseFailure> {
-        let kind = MessageKind::Answer { to_head: context.is_head_request };
+        let kind = MessageKind::Response { to_head: context.is_head_request };
         let read = self.head_reader.next(kind, input, MAX_HEAD_BYTES);
         let Some((head, framing)) = read.map_err(|_| ResponseFailure::Malformed)? else { return Ok(false) };
         // A surplus response to an earlier request may stand in this one's place.
@@ -165,6 +165,6 @@
         // Invariant: a body without a length is complete only where the connection ended in order; else it would be
         // complete wherever the connection broke.
         let ends_with_input = input_state == InputState::Ended && input.is_empty();
-        Ok(is_complete || ends_with_input && body_reader.ended().is_ok())
+        Ok(is_complete || ends_with_input && body_reader.end_of_input().is_ok())
     }
 }
--- a/crates/data-plane/src/control_session/mod.rs
+++ b/crates/data-plane/src/control_session/mod.rs
@@ -74,12 +74,12 @@
     has_synced: bool,
     has_membership: bool,
     /// Whether the gateway takes requests, which its heartbeats tell.
-    pub ready: bool,
+    pub is_ready: bool,
     announced_ready: bool,
     /// Messages to send.
-    pub out: Vec<Message>,
+    pub outgoing: Vec<Message>,
     /// Items to send.
-    pub out_items: Vec<Item>,
+    pub outgoing_items: Vec<Item>,
 }
 
 impl ControlSession {
@@ -101,10 +101,10 @@
             isolation_deadline: None,
             has_synced: false,
             has_membership: false,
-            ready: false,
+            is_ready: false,
             announced_ready: false,
-            out: Vec::new(),
-            out_items: Vec::new(),
+            outgoing: Vec::new(),
+            outgoing_items: Vec::new(),
         }
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// For tests: the longest time without synchronization, in place of the usual one.
-    pub fn set_alone(&mut self, max_unsynced: Duration) {
+    pub fn set_max_unsynced(&mut self, max_unsynced: Duration) {
         self.max_unsynced = max_unsynced;
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// The control process to open a session with now, if any. `draw` is a random number.
-    pub fn next(&mut self, now: Timestamp, draw: u64) -> Option<String> {
+    pub fn next_control_process(&mut self, now: Timestamp, draw: u64) -> Option<String> {
         if self.state != SessionState::Disconnected {
             return None;
         }
@@ -204,8 +204,8 @@
         self.opened_at = now;
         self.isolation_deadline = None;
         let hello = Hello { is_serving: self.is_complete(), ..self.hello.clone() };
-        self.out = vec![Message::Hello(hello), self.digests()];
-        self.announced_ready = !self.ready;
+        self.outgoing = vec![Message::Hello(hello), self.digests()];
+        self.announced_ready = !self.is_ready;
         Some(address)
     }
 
@@ -216,7 +216,7 @@
     }
 
     /// The connection is closed, or could not be opened.
-    pub fn lost(&mut self, why: &str) {
+    pub fn connection_lost(&mut self, why: &str) {
         let control = self.directory.current();
         match self.state {
             SessionState::Disconnected => {}
@@ -226,14 +226,14 @@
             }
             _ => warn!("event=control-session-lost control={control} why={why}"),
         }
-        self.out.clear();
-        self.out_items.clear();
+        self.outgoing.clear();
+        self.outgoing_items.clear();
         self.transition(SessionState::Disconnected);
     }
 
     /// To be called about ten times a second. True if the session is to be closed.
     pub fn tick(&mut self, now: Timestamp) -> bool {
-        self.item_store.purge_dropped(Kind::Backend, MAX_BACKEND_TOMBSTONES);
+        self.item_store.purge_oldest_tombstones(Kind::Backend, MAX_BACKEND_TOMBSTONES);
         if self.state == SessionState::Disconnected {
             return false;
         }
@@ -242,14 +242,14 @@
         }
         if std::mem::take(&mut self.wants_digests) {
             let digests = self.digests();
-            self.out.push(digests);
+            self.outgoing.push(digests);
         }
-        if now - self.last_heartbeat >= HEARTBEAT_INTERVAL || self.ready != self.announced_ready {
+        if now - self.last_heartbeat >= HEARTBEAT_INTERVAL || self.is_ready != self.announced_ready {
             self.last_heartbeat = now;
-            self.announced_ready = self.ready;
-            self.out.push(Message::Heartbeat(Heartbeat {
+            self.announced_ready = self.is_ready;
+            self.outgoing.push(Message::Heartbeat(Heartbeat {
                 digest: self.synced_store().digest(),
-                is_ready: self.ready,
+                is_ready: self.is_ready,
                 is_serving: self.is_complete(),
                 ..Heartbeat::default()
             }));
@@ -283,7 +283,7 @@
     }
 
     /// Takes a message of the control process.
-    pub fn said(&mut self, now: Timestamp, message: Message, updates: &mut SessionUpdates) {
+    pub fn receive(&mut self, now: Timestamp, message: Message, updates: &mut SessionUpdates) {
         self.last_received = now;
         match &message {
             Message::Hello(hello) => {
@@ -297,7 +297,7 @@
         // Invariant: an old configuration is never taken for the newest. A gateway that has synchronized once does no
         // worse by staying a while.
         if self.is_isolated() && !self.is_complete() {
-            updates.close = true;
+            updates.should_close = true;
             return;
         }
         match message {
@@ -339,20 +339,20 @@
         // has all of them: it tells them here only once they are committed.
         let differing = self.synced_store().differing(&theirs.digests);
         let sent_back: Vec<Item> = differing.filter(|item| item.kind == Kind::Backend).cloned().collect();
-        self.out_items.extend(sent_back);
+        self.outgoing_items.extend(sent_back);
         if theirs.wants_reply {
             self.sync_finished(now, theirs.digests == self.synced_store().buckets(), updates);
         } else {
             let digests = self.digests();
-            self.out.push(digests);
+            self.outgoing.push(digests);
         }
     }
 
     fn receive_membership(&mut self, membership: MembershipUpdate, updates: &mut SessionUpdates) {
         self.has_membership = true;
         let addresses = membership.control_addresses.iter().cloned();
-        self.directory.replace(addresses.zip(membership.control_districts.iter().cloned()).collect());
-        updates.live =
+        self.directory.replace(addresses.zip(membership.control_zones.iter().cloned()).collect());
+        updates.live_gateways =
             Some(LiveGateways { count: membership.gateway_count as usize, node_ids: membership.node_ids });
     }
 
--- a/crates/data-plane/src/control_session/updates.rs
+++ b/crates/data-plane/src/control_session/updates.rs
@@ -44,9 +44,9 @@
     /// Items that are new or changed.
     pub items: Vec<Item>,
     /// The gateways that count as live, if that was told.
-    pub live: Option<LiveGateways>,
+    pub live_gateways: Option<LiveGateways>,
     /// Answers to usage reports.
     pub totals: Vec<UsageTotals>,
     /// Whether the session is to be closed.
-    pub close: bool,
+    pub should_close: bool,
 }
--- a/crates/data-plane/src/load_balancer/backend.rs
+++ b/crates/data-plane/src/load_balancer/backend.rs
@@ -88,5 +88,5 @@
 
 /// Takes a latency into a moving average.
 pub(super) fn average_in(average: &mut Duration, newest: Duration) {
-    *average = *average + (newest - *average).times(NEWEST_WEIGHT);
+    *average = *average + (newest - *average).mul_f64(NEWEST_WEIGHT);
 }
--- a/crates/data-plane/src/load_balancer/ejection.rs
+++ b/crates/data-plane/src/load_balancer/ejection.rs
@@ -36,7 +36,7 @@
     /// What the ejection adds to the backend's cost: the sooner it ends, the less.
     pub(super) fn cost(&self, now: Timestamp) -> f64 {
         if self.is_active(now) {
-            EJECTED_COST + (self.until - now).secs() * REMAINING_TIME_COST
+            EJECTED_COST + (self.until - now).as_secs() * REMAINING_TIME_COST
         } else {
             0.0
         }
--- a/crates/data-plane/src/load_balancer/mod.rs
+++ b/crates/data-plane/src/load_balancer/mod.rs
@@ -173,7 +173,7 @@
         let load = 1.0 + IN_FLIGHT_COST * f64::from(backend.in_flight);
         let zone_factor = self.locality.zone_factor(&backend.zone);
         let connect_time = if has_idle_connection { Duration::ZERO } else { HANDSHAKE_COST + extra_latency };
-        latency.secs() * load * zone_factor + connect_time.secs() + backend.ejection.cost(now)
+        latency.as_secs() * load * zone_factor + connect_time.as_secs() + backend.ejection.cost(now)
     }
 
     /// Draws a backend for an attempt, which counts as in flight there from now on.
@@ -250,7 +250,7 @@
             }
             AttemptOutcome::Rejected => {
                 if let Some(latency) = &mut backend.latency {
-                    *latency = latency.times(backend::REJECTION_LATENCY_FACTOR);
+                    *latency = latency.mul_f64(backend::REJECTION_LATENCY_FACTOR);
                 }
             }
             AttemptOutcome::Misdirected
--- a/crates/data-plane/src/load_balancer/slow_start.rs
+++ b/crates/data-plane/src/load_balancer/slow_start.rs
@@ -66,7 +66,7 @@
         }
         let min_gap_secs = gateways as f64 / rate;
         let is_gap_over =
-            backend.last_slow_start_attempt.is_none_or(|last| (now - last).secs() >= min_gap_secs);
+            backend.last_slow_start_attempt.is_none_or(|last| (now - last).as_secs() >= min_gap_secs);
         rank.preferred_gateways < gateways && is_gap_over
     }
 
--- a/crates/data-plane/src/quota/local_share.rs
+++ b/crates/data-plane/src/quota/local_share.rs
@@ -66,7 +66,7 @@
             self.tokens = ISOLATION_FRACTION * capacity;
             self.filled_at = isolation.since;
         }
-        let elapsed = (now - self.filled_at).secs();
+        let elapsed = (now - self.filled_at).as_secs();
         self.filled_at = now;
         self.tokens = (self.tokens + rate_limit.rate * fraction * elapsed).min(capacity);
         let has_token = self.tokens >= 1.0;
--- a/crates/data-plane/src/quota/tenant.rs
+++ b/crates/data-plane/src/quota/tenant.rs
@@ -232,11 +232,12 @@
     /// Computes the rejection ratio from a period's totals of all gateways.
     pub(super) fn update_ratio(&mut self, now: Timestamp, total: &TenantTotal) {
         let RateLimit { rate, burst } = self.rate_limit;
-        let gap = self.totals_read_at.map_or(PERIOD, |read_at| now - read_at).secs().min(MAX_TOTALS_GAP_SECS);
+        let gap =
+            self.totals_read_at.map_or(PERIOD, |read_at| now - read_at).as_secs().min(MAX_TOTALS_GAP_SECS);
         // The burst is refilled by what the rate leaves, and used by what was forwarded beyond it.
         let forwarded = f64::from(total.forwarded) * gap;
         self.remaining_burst = (self.remaining_burst + rate * gap - forwarded).clamp(0.0, burst);
-        let limit = rate * PERIOD.secs() + self.remaining_burst;
+        let limit = rate * PERIOD.as_secs() + self.remaining_burst;
         self.rejection_ratio = excess(f64::from(total.offered), limit);
         self.totals_read_at = Some(now);
     }
--- a/crates/data-plane/src/request.rs
+++ b/crates/data-plane/src/request.rs
@@ -89,10 +89,10 @@
     pub fn write_attempt_head(&self, backend_id: &str, time_left_ms: i64, output: &mut Vec<u8>) {
         let head = &self.info.head;
         output.reserve(head.len() + 128);
-        for part in [head.start(0), b" ", head.start(1), b" HTTP/1.1\r\n"] {
+        for part in [head.start_line_part(0), b" ", head.start_line_part(1), b" HTTP/1.1\r\n"] {
             output.extend_from_slice(part);
         }
-        head.pass_on(&FIELDS_NOT_FORWARDED, output);
+        head.append_forwarded_fields(&FIELDS_NOT_FORWARDED, output);
         let framing = self.framing_field();
         let sender = match &self.info.tenant {
             Some(tenant) => format!("X-Sender: {}\r\n", tenant.name),
@@ -105,7 +105,7 @@
 
     /// The field that says where an attempt's body ends; empty where there is no body.
     fn framing_field(&self) -> String {
-        let method = self.info.head.start(0);
+        let method = self.info.head.start_line_part(0);
         match self.info.content_length {
             Some(0) if !matches!(method, b"POST" | b"PUT" | b"PATCH") => String::new(),
             Some(length) => format!("Content-Length: {length}\r\n"),
@@ -116,7 +116,7 @@
 
     /// Whether it is a HEAD request, whose response has no body.
     pub fn is_head_request(&self) -> bool {
-        self.info.head.start(0) == b"HEAD"
+        self.info.head.start_line_part(0) == b"HEAD"
     }
 
     /// Whether an attempt sends its body in chunks.
--- a/crates/data-plane/src/retry_budget.rs
+++ b/crates/data-plane/src/retry_budget.rs
@@ -57,7 +57,7 @@
 
     /// The service's window, moved on to the present slot.
     fn current_window(&mut self, now: Timestamp, service: &Arc<str>) -> &mut ServiceWindow {
-        let number = now.among(self.limits.window / SLOTS_PER_WINDOW).0;
+        let number = now.period_and_offset(self.limits.window / SLOTS_PER_WINDOW).0;
         let window = self.services.entry(service.clone()).or_default();
         while window.slots.front().is_some_and(|slot| slot.number <= number - SLOTS_PER_WINDOW) {
             window.slots.pop_front();
--- a/crates/data-plane/src/server/control_connection.rs
+++ b/crates/data-plane/src/server/control_connection.rs
@@ -4,8 +4,8 @@
 use crate::control_session::SessionUpdates;
 use kitepass_config::Kind;
 use kitepass_coordination::protocol;
-use kitepass_coordination::protocol::framing::{Assembler, MOST_FRAME};
-use kitepass_net::connection::{cause, Connection};
+use kitepass_coordination::protocol::framing::{Assembler, MAX_FRAME_BYTES};
+use kitepass_net::connection::{error_label, Connection};
 use kitepass_net::poller::ReadyEvent;
 use kitepass_net::Errno;
 use kitepass_time::{Duration, Timestamp};
@@ -43,7 +43,7 @@
             self.close_control_connection("left");
         }
         let draw = self.rng.rand_u64();
-        if let Some(address) = self.control_session.next(now, draw) {
+        if let Some(address) = self.control_session.next_control_process(now, draw) {
             self.open_control_connection(&address);
         }
     }
@@ -53,31 +53,31 @@
         let address = address.parse::<IpAddr>().ok().map(|ip| SocketAddr::new(ip, port));
         let id = self.allocate_id();
         let opened = address
-            .and_then(|address| Connection::open(&self.poller, &address, id, UNACKNOWLEDGED_TIMEOUT).ok());
+            .and_then(|address| Connection::connect(&self.poller, &address, id, UNACKNOWLEDGED_TIMEOUT).ok());
         match opened {
             Some(connection) => {
                 self.control_connection =
                     Some(ControlConnection { id, connection, assembler: Assembler::default() });
             }
-            None => self.control_session.lost("not-opened"),
+            None => self.control_session.connection_lost("not-opened"),
         }
     }
 
     fn close_control_connection(&mut self, why: &str) {
         self.control_connection = None;
-        self.control_session.lost(why);
+        self.control_session.connection_lost(why);
     }
 
     /// Sends what the session has to say.
     pub(super) fn flush_control_connection(&mut self) {
         let Some(control) = &mut self.control_connection else { return };
-        for message in self.control_session.out.drain(..) {
+        for message in self.control_session.outgoing.drain(..) {
             protocol::pack(message, &mut control.connection.output);
         }
-        let items = std::mem::take(&mut self.control_session.out_items);
+        let items = std::mem::take(&mut self.control_session.outgoing_items);
         protocol::pack_items(items.iter(), &mut control.connection.output);
         if let Err(error) = control.connection.flush() {
-            self.close_control_connection(cause(error));
+            self.close_control_connection(error_label(error));
         }
     }
 
@@ -86,11 +86,11 @@
         let now = self.clock.now();
         let mut updates = SessionUpdates::default();
         let end = self.read_control_connection(now, event, &mut updates);
-        let should_close = updates.close;
+        let should_close = updates.should_close;
         self.apply_session_updates(now, updates);
         match end {
             ReadEnd::Closed => self.close_control_connection("closed"),
-            ReadEnd::Failed(error) => self.close_control_connection(cause(error)),
+            ReadEnd::Failed(error) => self.close_control_connection(error_label(error)),
             ReadEnd::Malformed => self.close_control_connection("malformed"),
             ReadEnd::Drained if should_close => self.close_control_connection("not-current"),
             ReadEnd::Drained => {}
@@ -104,13 +104,13 @@
         updates: &mut SessionUpdates,
     ) -> ReadEnd {
         let Some(control) = &mut self.control_connection else { return ReadEnd::Drained };
-        if let Err(error) = control.connection.note(event) {
+        if let Err(error) = control.connection.handle_event(event) {
             return ReadEnd::Failed(error);
         }
         // No further event tells of what is left in the socket by a read that stopped at its bound.
         loop {
-            let max_unused_bytes = MOST_FRAME + FRAME_LENGTH_BYTES;
-            let filled = control.connection.fill(&mut self.read_buffer, max_unused_bytes);
+            let max_unused_bytes = MAX_FRAME_BYTES + FRAME_LENGTH_BYTES;
+            let filled = control.connection.read_available(&mut self.read_buffer, max_unused_bytes);
             if !control.connection.input.is_empty() {
                 self.control_session.bytes_received(now);
             }
@@ -119,7 +119,7 @@
                 match control.assembler.next(&control.connection.input, &mut offset) {
                     Ok(None) => break false,
                     Err(_) => break true,
-                    Ok(Some(message)) => self.control_session.said(now, message, updates),
+                    Ok(Some(message)) => self.control_session.receive(now, message, updates),
                 }
             };
             control.connection.input.drain(..offset);
@@ -141,7 +141,7 @@
                 _ => self.is_routing_table_stale = true,
             }
         }
-        if let Some(live) = updates.live {
+        if let Some(live) = updates.live_gateways {
             self.live_gateways = live.count.max(1);
             self.quota.set_live_gateways(live.count);
             self.load_balancer.set_live_gateways(live.node_ids);
--- a/crates/data-plane/src/server/downstream.rs
+++ b/crates/data-plane/src/server/downstream.rs
@@ -3,7 +3,7 @@
 use super::{Server, MAX_UNSENT_BYTES, READINESS_LISTENER};
 use crate::ids::{ClientId, RequestId};
 use crate::load_balancer::AttemptOutcome;
-use kitepass_net::connection::{cause, Connection};
+use kitepass_net::connection::{error_label, Connection};
 use kitepass_net::http::body::{Body, HeadReader};
 use kitepass_net::http::MessageKind;
 use kitepass_net::poller::{self, ReadyEvent};
@@ -54,7 +54,7 @@
 impl Client {
     fn new(socket: OwnedFd, is_readiness_check: bool, now: Timestamp) -> Client {
         Client {
-            connection: Connection::accepted(socket),
+            connection: Connection::from_accepted(socket),
             head_reader: HeadReader::default(),
             body_reader: None,
             request: None,
@@ -84,7 +84,7 @@
 
     /// Whether more of a response may be written.
     pub(super) fn has_room(&self) -> bool {
-        self.connection.unsent() < MAX_UNSENT_BYTES
+        self.connection.unsent_bytes() < MAX_UNSENT_BYTES
     }
 
     fn timeout(&self, now: Timestamp, head: Duration, idle: Duration) -> Option<ClientTimeout> {
@@ -114,7 +114,7 @@
             let socket = match poller::accept(&listener.socket) {
                 Ok(Some(socket)) => socket,
                 Ok(None) => return,
-                Err(error) => return warn!("event=accept-failed why={}", cause(error)),
+                Err(error) => return warn!("event=accept-failed why={}", error_label(error)),
             };
             let id = ClientId(self.allocate_id());
             if self.poller.add(&socket, id.0).is_err() {
@@ -132,15 +132,15 @@
         let now = self.clock.now();
         let Some(client) = self.clients.get_mut(&id) else { return };
         if let Some(event) = event {
-            if let Err(error) = client.connection.note(event) {
-                return self.close_client(id, cause(error));
+            if let Err(error) = client.connection.handle_event(event) {
+                return self.close_client(id, error_label(error));
             }
         }
         loop {
             let Some(client) = self.clients.get_mut(&id) else { return };
-            match client.connection.fill(&mut self.read_buffer, MAX_UNSENT_BYTES) {
+            match client.connection.read_available(&mut self.read_buffer, MAX_UNSENT_BYTES) {
                 Ok(has_ended) => client.has_ended_input |= has_ended,
-                Err(error) => return self.close_client(id, cause(error)),
+                Err(error) => return self.close_client(id, error_label(error)),
             }
             if client.is_draining {
                 client.connection.input.clear();
@@ -186,7 +186,7 @@
                     self.serve_upstream(upstream, None);
                 }
             }
-            Err(error) => self.close_client(id, cause(error)),
+            Err(error) => self.close_client(id, error_label(error)),
         }
     }
 
@@ -196,7 +196,7 @@
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.is_draining = true;
         client.last_active = now;
-        if client.connection.end().is_err() {
+        if client.connection.shutdown_write().is_err() {
             return self.close_client(id, "done");
         }
         self.serve_client(id, None); // no further event tells of what stands in its socket
@@ -273,7 +273,7 @@
         let input = &mut client.connection.input;
         match client.head_reader.next(MessageKind::Request, input, max_head_bytes) {
             Ok(None) => {
-                let has_begun = client.head_reader.begun(input);
+                let has_begun = client.head_reader.has_partial_head(input);
                 client.head_began_at = has_begun.then(|| client.head_began_at.unwrap_or(now));
                 false
             }
@@ -285,7 +285,7 @@
             Ok(Some((head, framing))) => {
                 client.head_began_at = None;
                 client.last_active = now;
-                client.wants_close |= !head.keeps_open();
+                client.wants_close |= !head.is_persistent();
                 client.body_reader = Some(Body::new(framing));
                 self.receive_head(now, id, head, framing);
                 true
--- a/crates/data-plane/src/server/forwarding.rs
+++ b/crates/data-plane/src/server/forwarding.rs
@@ -39,7 +39,10 @@
         let idle_connections = &self.idle_connections;
         let selection = SelectionRequest {
             service: &info.service,
-            allowed_regions: [&info.route.homes, info.tenant.as_ref().map_or(&[], |tenant| &tenant.homes)],
+            allowed_regions: [
+                &info.route.home_regions,
+                info.tenant.as_ref().map_or(&[], |tenant| &tenant.home_regions),
+            ],
             tried_backends: &request.tried_backends,
             has_idle_connection: &|backend_id| idle_connections.contains(backend_id),
         };
--- a/crates/data-plane/src/server/local_response.rs
+++ b/crates/data-plane/src/server/local_response.rs
@@ -30,7 +30,7 @@
             head.push_str(&format!("Retry-After: {}\r\n", millis as f64 / 1000.0));
         }
         // The rest of a body that nobody wants may be long.
-        let has_unread_body = client.body_reader.as_ref().is_some_and(|body| !body.is_whole());
+        let has_unread_body = client.body_reader.as_ref().is_some_and(|body| !body.is_complete());
         client.wants_close |= has_unread_body && status != 200;
         self.finish_head(id, head);
     }
--- a/crates/data-plane/src/server/mod.rs
+++ b/crates/data-plane/src/server/mod.rs
@@ -261,7 +261,7 @@
     ///
     /// A system call failed that the loop cannot do without.
     pub fn run(mut self) -> Result<(), Error> {
-        self.signals.heed().context(SignalsSnafu)?;
+        self.signals.install_handlers().context(SignalsSnafu)?;
         info!("event=serving node-id={} address={}", self.settings.node_id, self.settings.address);
         let mut schedule = Schedule::new(self.clock.now());
         let (mut ready_events, mut due_timers) = (Vec::new(), Vec::new());
@@ -275,7 +275,7 @@
                 self.serve_upstream(upstream, None);
             }
             let now = self.clock.now();
-            self.timers.due(now, &mut due_timers);
+            self.timers.take_due(now, &mut due_timers);
             for timer in due_timers.drain(..) {
                 self.serve_timer(now, timer);
             }
@@ -285,7 +285,7 @@
             if schedule.is_period_over(now) {
                 self.report_period(now);
             }
-            if self.signals.reloads() || schedule.is_settings_check_due(now) {
+            if self.signals.take_reload_request() || schedule.is_settings_check_due(now) {
                 schedule.settings_checked(now);
                 self.reload_settings();
             }
@@ -306,7 +306,7 @@
         }
         let now = self.clock.now();
         let until_tick = schedule.until_tick(now);
-        self.timers.next().map_or(until_tick, |at| until_tick.min((at - now).max(Duration::ZERO)))
+        self.timers.next_deadline().map_or(until_tick, |at| until_tick.min((at - now).max(Duration::ZERO)))
     }
 
     fn serve_socket(&mut self, event: &ReadyEvent) {
@@ -337,7 +337,7 @@
     }
 
     fn reload_settings(&mut self) {
-        match self.settings_watch.changed() {
+        match self.settings_watch.take_change() {
             Some(Ok(settings)) if settings == self.settings => {}
             Some(Ok(settings)) => {
                 info!("event=settings");
@@ -357,7 +357,7 @@
             return;
         }
         let routing_table = RoutingTable::rebuild(&self.routing_table, &self.control_session.item_store);
-        self.load_balancer.set_evacuated_zones(now, &routing_table.evacuated);
+        self.load_balancer.set_evacuated_zones(now, &routing_table.evacuated_zones);
         let services = routing_table.services.values();
         let rates = services.map(|service| (service.name.clone(), service.slow_start_rate));
         self.load_balancer.set_slow_start_rates(rates);
--- a/crates/data-plane/src/server/readiness.rs
+++ b/crates/data-plane/src/server/readiness.rs
@@ -9,15 +9,15 @@
         let is_ready = self.shutdown_began.is_none()
             && self.control_session.is_caught_up()
             && self.control_session.has_backends();
-        if is_ready != self.control_session.ready {
+        if is_ready != self.control_session.is_ready {
             info!("event=ready ready={is_ready} backends={}", self.load_balancer.len());
-            self.control_session.ready = is_ready;
+            self.control_session.is_ready = is_ready;
         }
     }
 
     /// The status that a readiness check gets.
     pub(super) fn readiness_status(&self) -> u16 {
-        if self.control_session.ready {
+        if self.control_session.is_ready {
             200
         } else {
             503
--- a/crates/data-plane/src/server/request_body.rs
+++ b/crates/data-plane/src/server/request_body.rs
@@ -5,7 +5,7 @@
 use super::{Server, MAX_UNSENT_BYTES};
 use crate::ids::{ClientId, RequestId, UpstreamId};
 use crate::request::{Request, MAX_BUFFERED_BODY_BYTES};
-use kitepass_net::connection::{cause, Connection};
+use kitepass_net::connection::{error_label, Connection};
 use kitepass_time::Timestamp;
 
 /// Bytes that the bodies of all requests may take together.
@@ -79,9 +79,9 @@
                 self.buffered_body_bytes -= dropped.min(self.buffered_body_bytes);
                 sending = Some(request);
             }
-            let unsent_before = upstream.connection.unsent();
+            let unsent_before = upstream.connection.unsent_bytes();
             let flushed = upstream.connection.flush();
-            let has_sent = upstream.connection.unsent() < unsent_before;
+            let has_sent = upstream.connection.unsent_bytes() < unsent_before;
             if let Some(request) = sending.filter(|_| has_sent) {
                 request.lifecycle.bytes_written();
             }
@@ -90,7 +90,7 @@
                 Ok(true) if self.has_body_to_forward(id) => {}
                 Ok(_) => return,
                 // A response may have come before the connection broke.
-                Err(error) => return self.read_upstream(self.clock.now(), id, Some(cause(error))),
+                Err(error) => return self.read_upstream(self.clock.now(), id, Some(error_label(error))),
             }
         }
     }
@@ -109,7 +109,7 @@
 /// Writes to a connection what it has room for of a request's body. The number of bytes that are dropped from the
 /// buffer, as the body is too long to be kept for a retry.
 fn write_body(attempt: &mut Attempt, request: &mut Request, connection: &mut Connection) -> usize {
-    if attempt.is_request_finished || connection.unsent() >= MAX_UNSENT_BYTES {
+    if attempt.is_request_finished || connection.unsent_bytes() >= MAX_UNSENT_BYTES {
         return 0;
     }
     let new = &request.body[(attempt.body_bytes_written - request.body_offset) as usize..];
--- a/crates/data-plane/src/server/request_head.rs
+++ b/crates/data-plane/src/server/request_head.rs
@@ -7,7 +7,7 @@
 use kitepass_config::{Route, Tenant};
 use kitepass_coordination::usage::RateLimit;
 use kitepass_net::http::body::{Framing, Head};
-use kitepass_net::http::digits;
+use kitepass_net::http::parse_decimal;
 use kitepass_time::{Duration, Timestamp};
 use std::sync::Arc;
 
@@ -47,8 +47,8 @@
         }
         let content_length = match framing {
             Framing::Empty => Some(0),
-            Framing::Sized(length) => Some(length),
-            Framing::Chunked | Framing::ToTheEnd => None,
+            Framing::ContentLength(length) => Some(length),
+            Framing::Chunked | Framing::UntilClose => None,
         };
         let accepted = self.check_head(&head, content_length).and_then(|destination| {
             let request = RequestId(self.allocate_id());
@@ -78,11 +78,11 @@
             return Err(Rejection { closes_connection: true, ..Rejection::of(413) });
         }
         let host = head.field("host").unwrap_or_default();
-        let route = routing_table.route(host, head.start(1)).cloned().ok_or(Rejection::of(404))?;
+        let route = routing_table.route(host, head.start_line_part(1)).cloned().ok_or(Rejection::of(404))?;
         let mut tenant = None;
         if routing_table.has_tenants() && !route.allows_no_key {
             let key = head.field("authorization").and_then(|value| value.strip_prefix(b"Bearer "));
-            let found = key.and_then(|key| routing_table.tenant_of(key.trim_ascii()));
+            let found = key.and_then(|key| routing_table.tenant_index(key.trim_ascii()));
             tenant = Some(routing_table.tenants[found.ok_or(Rejection::of(401))?].clone());
         }
         if head.field("x-try-id").is_none_or(<[u8]>::is_empty) {
@@ -118,7 +118,7 @@
     ) -> RequestInfo {
         let Destination { route, tenant } = destination;
         let max_time_ms = u64::from(route.deadline_ms);
-        let time_left_ms = head.field("x-time-left-ms").and_then(digits).unwrap_or(max_time_ms);
+        let time_left_ms = head.field("x-time-left-ms").and_then(parse_decimal).unwrap_or(max_time_ms);
         let time_left = Duration::from_micros(time_left_ms.min(max_time_ms) as i64 * 1000);
         RequestInfo {
             client,
@@ -150,13 +150,13 @@
     /// A request begins; its body is still to be read.
     fn take_on(&mut self, id: RequestId, info: RequestInfo, awaits_quota: bool) {
         let client = self.clients.get_mut(&info.client).expect("its head was just read");
-        if info.head.expects_a_word() {
+        if info.head.expects_continue() {
             client.connection.output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
         client.discards_body = false;
         client.request = Some(id);
         self.retry_budget.record_request(info.arrived_at, &info.service);
-        self.timers.set(info.deadline, Timer::Deadline(id));
+        self.timers.schedule(info.deadline, Timer::Deadline(id));
         let mut request = Request::new(info);
         request.awaits_quota = awaits_quota;
         self.requests.insert(id, request);
--- a/crates/data-plane/src/server/response.rs
+++ b/crates/data-plane/src/server/response.rs
@@ -14,7 +14,7 @@
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
         let Some(mut attempt) = upstream.attempt.take() else { return };
         if let Some(timer) = attempt.overdue_timer {
-            self.timers.take_back(timer);
+            self.timers.cancel(timer);
         }
         let Some(request) = self.requests.get_mut(&attempt.request) else { return };
         let head = attempt.response.head.take().expect("complete with its body");
@@ -28,7 +28,7 @@
         request.upstream = None;
         let took = now - attempt.began_at;
         self.load_balancer.attempt_ended(now, &upstream.backend_id, class.outcome(), took);
-        if head.ends_here(b"close") {
+        if head.has_connection_option(b"close") {
             self.load_balancer.backend_is_closing(now, &upstream.backend_id);
         }
         let remains = remains(upstream, &attempt, input_state);
@@ -80,10 +80,10 @@
         client.wants_close |= client.body_reader.is_some();
         let output = &mut client.connection.output;
         output.extend_from_slice(b"HTTP/1.1 ");
-        for part in [head.start(1), b" ", head.start(2), b"\r\n"] {
+        for part in [head.start_line_part(1), b" ", head.start_line_part(2), b"\r\n"] {
             output.extend_from_slice(part);
         }
-        head.pass_on(&[], output);
+        head.append_forwarded_fields(&[], output);
         self.finish_head(id, framing);
     }
 
@@ -136,7 +136,7 @@
     ConnectionRemains {
         input_state,
         unread_bytes: upstream.connection.input.len(),
-        unsent_bytes: upstream.connection.unsent(),
+        unsent_bytes: upstream.connection.unsent_bytes(),
         is_request_finished: attempt.is_request_finished,
     }
 }
--- a/crates/data-plane/src/server/shutdown.rs
+++ b/crates/data-plane/src/server/shutdown.rs
@@ -16,7 +16,7 @@
     /// Begins the shutdown on SIGTERM and carries it on: clients are told to close their connections, attempts in
     /// flight go on to their end. True once it is over.
     pub(super) fn continue_shutdown(&mut self, now: Timestamp) -> bool {
-        if self.shutdown_began.is_none() && self.signals.ends() {
+        if self.shutdown_began.is_none() && self.signals.is_shutdown_requested() {
             self.begin_shutdown(now);
         }
         let Some(began) = self.shutdown_began else { return false };
@@ -26,7 +26,7 @@
             self.listeners.clear();
             self.close_unused_clients();
         }
-        let is_flushed = self.clients.values().all(|client| client.connection.unsent() == 0);
+        let is_flushed = self.clients.values().all(|client| client.connection.unsent_bytes() == 0);
         let is_finished = self.listeners.is_empty() && self.requests.is_empty() && is_flushed;
         let is_late = elapsed > grace_period - ABORT_MARGIN;
         if is_late {
@@ -42,7 +42,7 @@
     fn begin_shutdown(&mut self, now: Timestamp) {
         info!("event=leaving requests={}", self.requests.len());
         self.shutdown_began = Some(now);
-        self.control_session.ready = false;
+        self.control_session.is_ready = false;
         self.tick(now);
         self.flush_control_connection();
     }
--- a/crates/data-plane/src/server/upstream.rs
+++ b/crates/data-plane/src/server/upstream.rs
@@ -8,7 +8,7 @@
 use crate::ids::{RequestId, UpstreamId};
 use crate::load_balancer::AttemptOutcome;
 use crate::request::Request;
-use kitepass_net::connection::{cause, Connection};
+use kitepass_net::connection::{error_label, Connection};
 use kitepass_net::http::body::Head;
 use kitepass_net::poller::ReadyEvent;
 use kitepass_net::timer_wheel::TimerKey;
@@ -72,11 +72,11 @@
         let Some(upstream_id) = connection else { return false };
         let upstream = self.upstreams.get_mut(&upstream_id).expect("opened or found above");
         let Some(request) = self.requests.get_mut(&id) else { return false };
-        if !request.lifecycle.begin_attempt(upstream.connection.is_made()) {
+        if !request.lifecycle.begin_attempt(upstream.connection.is_established()) {
             self.close_upstream(upstream_id);
             return false;
         }
-        let time_left_ms = (request.info.deadline - now).micros() / 1000;
+        let time_left_ms = (request.info.deadline - now).as_micros() / 1000;
         request.write_attempt_head(backend_id, time_left_ms.max(1), &mut upstream.connection.output);
         request.upstream = Some(upstream_id);
         upstream.has_carried_head |= request.is_head_request();
@@ -113,7 +113,7 @@
         let latency = self.load_balancer.service_latency(&request.info.service) + distance;
         let overdue_after = (latency * OVERDUE_FACTOR).max(MIN_OVERDUE_TIME);
         if request.info.deadline - now > overdue_after + latency {
-            let timer = self.timers.set(now + overdue_after, Timer::Overdue(id, upstream_id));
+            let timer = self.timers.schedule(now + overdue_after, Timer::Overdue(id, upstream_id));
             attempt.overdue_timer = Some(timer);
         }
     }
@@ -139,7 +139,7 @@
         is_in_other_region: bool,
     ) -> Option<UpstreamId> {
         let id = UpstreamId(self.allocate_id());
-        let connection = Connection::open(&self.poller, &address, id.0, UNACKNOWLEDGED_TIMEOUT).ok()?;
+        let connection = Connection::connect(&self.poller, &address, id.0, UNACKNOWLEDGED_TIMEOUT).ok()?;
         let upstream = Upstream {
             connection,
             backend_id: backend_id.clone(),
@@ -149,13 +149,13 @@
         };
         self.upstreams.insert(id, upstream);
         let timeout = if is_in_other_region { OTHER_REGION_CONNECT_TIMEOUT } else { CONNECT_TIMEOUT };
-        self.timers.set(now + timeout, Timer::Connect(id));
+        self.timers.schedule(now + timeout, Timer::Connect(id));
         Some(id)
     }
 
     /// The time for establishing a connection is over.
     pub(super) fn connect_timed_out(&mut self, now: Timestamp, id: UpstreamId) {
-        if self.upstreams.get(&id).is_some_and(|upstream| !upstream.connection.is_made()) {
+        if self.upstreams.get(&id).is_some_and(|upstream| !upstream.connection.is_established()) {
             self.lose_upstream(now, id, AttemptOutcome::Unreachable, "connect-timeout");
         }
     }
@@ -165,13 +165,13 @@
     pub(super) fn serve_upstream(&mut self, id: UpstreamId, event: Option<&ReadyEvent>) {
         let now = self.clock.now();
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
-        let was_established = upstream.connection.is_made();
+        let was_established = upstream.connection.is_established();
         if let Some(event) = event {
-            if let Err(error) = upstream.connection.note(event) {
-                return self.lose_upstream(now, id, AttemptOutcome::Unreachable, cause(error));
+            if let Err(error) = upstream.connection.handle_event(event) {
+                return self.lose_upstream(now, id, AttemptOutcome::Unreachable, error_label(error));
             }
         }
-        if !was_established && upstream.connection.is_made() {
+        if !was_established && upstream.connection.is_established() {
             let attempt = upstream.attempt.as_ref();
             if let Some(request) = attempt.and_then(|attempt| self.requests.get_mut(&attempt.request)) {
                 request.lifecycle.connected();
@@ -206,7 +206,7 @@
         }
         let client_id = request.info.client;
         let has_input = self.clients.get(&client_id).is_some_and(|client| client.has_input());
-        let has_room = self.upstreams[&id].connection.unsent() < MAX_UNSENT_BYTES;
+        let has_room = self.upstreams[&id].connection.unsent_bytes() < MAX_UNSENT_BYTES;
         if has_input && has_room {
             self.serve_client(client_id, None);
         }
@@ -216,12 +216,12 @@
     /// counts nonetheless.
     pub(super) fn read_upstream(&mut self, now: Timestamp, id: UpstreamId, broken: Option<&'static str>) {
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
-        let filled = upstream.connection.fill(&mut self.read_buffer, MAX_UNSENT_BYTES);
+        let filled = upstream.connection.read_available(&mut self.read_buffer, MAX_UNSENT_BYTES);
         let (input_state, broken_why) = match (filled, broken) {
             (Ok(_), Some(why)) => (InputState::Broken, why),
             (Ok(true), None) => (InputState::Ended, ""),
             (Ok(false), None) => (InputState::Open, ""),
-            (Err(error), _) => (InputState::Broken, cause(error)),
+            (Err(error), _) => (InputState::Broken, error_label(error)),
         };
         let Some(attempt) = &mut upstream.attempt else {
             // Nothing is expected here: whatever came belongs to no request.
@@ -267,7 +267,7 @@
             IDLE_TIMEOUT.min(Duration::from_micros(secs as i64 * 1_000_000) - KEEP_ALIVE_MARGIN)
         });
         let has_room = self.idle_connections.has_room(&upstream.backend_id);
-        if head.keeps_open() && idle_time > Duration::ZERO && has_room {
+        if head.is_persistent() && idle_time > Duration::ZERO && has_room {
             upstream.idle_until = now + idle_time;
             self.idle_connections.push(upstream.backend_id.clone(), id);
         } else {
@@ -292,7 +292,7 @@
         why: &'static str,
     ) -> Option<RequestId> {
         let upstream = self.upstreams.get_mut(&id)?;
-        let is_established = upstream.connection.is_made();
+        let is_established = upstream.connection.is_established();
         let attempt = upstream.attempt.take();
         if let Some(attempt) = &attempt {
             let outcome = if is_established { outcome } else { AttemptOutcome::Unreachable };
@@ -328,7 +328,7 @@
         outcome: AttemptOutcome,
     ) {
         if let Some(timer) = attempt.overdue_timer {
-            self.timers.take_back(timer);
+            self.timers.cancel(timer);
         }
         self.load_balancer.attempt_ended(now, backend_id, outcome, now - attempt.began_at);
     }
--- a/crates/data-plane/src/server/usage_reports.rs
+++ b/crates/data-plane/src/server/usage_reports.rs
@@ -6,7 +6,7 @@
 use kitepass_time::{Duration, Timestamp};
 
 /// A report that is not answered is forgotten after so long.
-const REPORT_TIMEOUT: Duration = Duration::from_micros(PERIOD.micros() * 3);
+const REPORT_TIMEOUT: Duration = Duration::from_micros(PERIOD.as_micros() * 3);
 
 impl Server {
     /// Reports the usage of a period, and asks for the totals.
@@ -24,7 +24,7 @@
         self.last_report_id += 1;
         self.pending_reports.insert(self.last_report_id, now);
         self.pending_reports.retain(|_, sent_at| now - *sent_at < REPORT_TIMEOUT);
-        self.control_session.out.push(Message::UsageReport(UsageReport {
+        self.control_session.outgoing.push(Message::UsageReport(UsageReport {
             request_id: self.last_report_id,
             node_id: self.settings.node_id.clone(),
             tenants,
--- a/crates/data-plane/tests/control_session.rs
+++ b/crates/data-plane/tests/control_session.rs
@@ -43,13 +43,13 @@
     let hello = Hello { node_id: "g".into(), ..Hello::default() };
     let mut session =
         ControlSession::new(hello, bootstrap.iter().map(ToString::to_string).collect(), BTreeMap::new());
-    let address = session.next(at(now), 0).expect("one is known");
+    let address = session.next_control_process(at(now), 0).expect("one is known");
     (session, address)
 }
 
 fn receive(session: &mut ControlSession, now: i64, messages: Vec<Message>) -> SessionUpdates {
     let mut updates = SessionUpdates::default();
-    messages.into_iter().for_each(|message| session.said(at(now), message, &mut updates));
+    messages.into_iter().for_each(|message| session.receive(at(now), message, &mut updates));
     updates
 }
 
@@ -71,7 +71,7 @@
     for messages in [&from_hello as &dyn Fn(&str) -> Vec<Message>, &from_heartbeat] {
         let (mut session, address) = session(0, &["a"]);
         let updates = receive(&mut session, 100, messages(&address));
-        assert!(updates.close && updates.items.is_empty() && !session.is_caught_up());
+        assert!(updates.should_close && updates.items.is_empty() && !session.is_caught_up());
         assert_eq!(session.item_store.len(), 0);
     }
     let (mut session, address) = session(0, &["a"]);
@@ -80,27 +80,28 @@
         100,
         vec![hello(&address, true), items(3), sync_finished(Some(3)), membership()],
     );
-    assert!(!updates.close && session.is_caught_up() && updates.items.len() == 1);
+    assert!(!updates.should_close && session.is_caught_up() && updates.items.len() == 1);
     // Once it has synchronized it says so, and stays where all are isolated.
     let updates = receive(&mut session, 200, vec![Message::Heartbeat(Heartbeat::default()), items(4)]);
-    assert!(!updates.close && updates.items.len() == 1);
+    assert!(!updates.should_close && updates.items.len() == 1);
     (2..40).for_each(|n| {
         receive(&mut session, n * 100, vec![Message::Heartbeat(Heartbeat::default())]);
         assert!(!session.tick(at(n * 100)), "no other is known");
     });
     assert!(session
-        .out
+        .outgoing
         .iter()
         .any(|message| matches!(message, Message::Heartbeat(heartbeat) if heartbeat.is_serving)));
     // After so long without synchronization that it starts from nothing, it is as one that has never synchronized, and
     // serves by what it has.
-    session.lost("closed");
+    session.connection_lost("closed");
     let later = 4_000_000;
-    let address = session.next(at(later), 0).expect("one is known");
-    assert!(matches!(&session.out[0], Message::Hello(hello) if !hello.is_serving));
+    let address = session.next_control_process(at(later), 0).expect("one is known");
+    assert!(matches!(&session.outgoing[0], Message::Hello(hello) if !hello.is_serving));
     let updates = receive(&mut session, later, from_hello(&address));
     assert!(
-        updates.close && session.item_store.get(Kind::Service, "l").is_some_and(|item| item.version == 4)
+        updates.should_close
+            && session.item_store.get(Kind::Service, "l").is_some_and(|item| item.version == 4)
     );
 }
 
@@ -122,7 +123,7 @@
     for now in (200..9_000).step_by(100) {
         match session.state() {
             SessionState::Disconnected => {
-                let address = session.next(at(now), 0).expect("one is left");
+                let address = session.next_control_process(at(now), 0).expect("one is left");
                 receive(&mut session, now, vec![hello(&address, false), sync_finished(None)]);
                 tried.push(address);
             }
@@ -130,7 +131,7 @@
         }
         if session.tick(at(now)) {
             closed_at.push(now);
-            session.lost("left");
+            session.connection_lost("left");
         }
     }
     assert_eq!(closed_at.first(), Some(&1_700), "{closed_at:?}");
--- a/crates/data-plane/tests/sockets/harness.rs
+++ b/crates/data-plane/tests/sockets/harness.rs
@@ -292,7 +292,7 @@
             gateway_count: 1,
             node_ids: vec!["gateway".into()],
             control_addresses: vec![self.address.ip().to_string()],
-            control_districts: vec!["near".into()],
+            control_zones: vec!["near".into()],
         };
         self.send_messages([
             Message::BucketDigests(BucketDigests { digests, wants_reply: true }),
--- a/crates/gateway-config/tests/golden.rs
+++ b/crates/gateway-config/tests/golden.rs
@@ -79,7 +79,7 @@
 ];
 
 fn micros(span: Duration) -> String {
-    format!("{} us", span.micros())
+    format!("{} us", span.as_micros())
 }
 
 fn or_none<T>(value: Option<T>, text: impl Fn(T) -> String) -> String {
--- a/crates/gateway-policy/src/backend_selection.rs
+++ b/crates/gateway-policy/src/backend_selection.rs
@@ -48,10 +48,10 @@
             if warmth < 1.0 {
                 // A warming-up backend falls over if all gateways together send too much: this one sends in step
                 // with what warm ones of like size settle for it, or its part of what one core can do.
-                let core = slow_start.window.over(usual) / f64::from(self.config.gateways);
+                let core = slow_start.window.ratio_to(usual) / f64::from(self.config.gateways);
                 let budget =
                     BUDGET_PART * slow_start.multiple * warmth * core.max(backend.entry.weight * taken);
-                let past = (now - backend.updated_at).over(slow_start.window).min(1.0);
+                let past = (now - backend.updated_at).ratio_to(slow_start.window).min(1.0);
                 backend.credit = (backend.credit + budget * past).min(budget.max(1.0));
                 backend.updated_at = now;
                 if backend.credit < 1.0 {
@@ -94,7 +94,7 @@
             against.scale(0.5);
         }
         if went_well && slow_start.capacity(backend.entry.started, now) >= 1.0 {
-            let ratio = end.elapsed.over(usual).log2().clamp(-1.0, 6.0);
+            let ratio = end.elapsed.ratio_to(usual).log2().clamp(-1.0, 6.0);
             backend.slowdown += (ratio - backend.slowdown) / backend.successes.last().clamp(1.0, 8.0);
         }
         if backend.entry.status == BackendStatus::Removed && backend.in_flight.is_empty() {
--- a/crates/gateway-policy/src/count.rs
+++ b/crates/gateway-policy/src/count.rs
@@ -20,14 +20,14 @@
         let asks = self.tenants[&quota.tenant].is_unsure(quota.units, decision.exceeds);
         let left = self.requests[id].deadline - now;
         let time = self.config.counter_timeout.is_some_and(|timeout| left > timeout * 2);
-        let fills = PERIOD.times(plan.burst / plan.rate / PERIOD.secs()).max(PERIOD);
+        let fills = PERIOD.mul_f64(plan.burst / plan.rate / PERIOD.as_secs()).max(PERIOD);
         if !(asks && time && self.may_ask()) {
             return self.admit(now, id, decision.exceeds, host);
         }
         if !sparse {
             return self.add_to_sum(now, &quota.tenant, Some((id, quota.units)), host);
         }
-        let name = format!("{}/.{}", quota.tenant, now.micros() / fills.micros());
+        let name = format!("{}/.{}", quota.tenant, now.as_micros() / fills.as_micros());
         host.add_to_counter(&name, quota.units, fills * 2);
         self.wait(id, name, Units::default());
     }
@@ -41,7 +41,8 @@
         waits: Option<(&str, f64)>,
         host: &mut impl Host,
     ) {
-        let (key, (id, units), number) = (tenant, waits.unwrap_or_default(), now.among(PERIOD * SUM).0);
+        let (key, (id, units), number) =
+            (tenant, waits.unwrap_or_default(), now.period_and_offset(PERIOD * SUM).0);
         let Some(tenant) = self.tenants.get_mut(key) else { return };
         tenant.unreported.forwarded += units;
         if tenant.sums.begin(number) {
@@ -65,7 +66,7 @@
         let (calm, largest) = (self.uses_controllers || self.hears_peers(now), self.config.max_units);
         let counts = |c: &&mut Tenant| !c.is_sparse && c.gateways > 1.0 && c.plan.rate > 0.0;
         let Some(c) = self.tenants.get_mut(id).filter(counts) else { return };
-        let (limit, low) = (c.plan.rate * c.interval.secs(), NEAR * c.plan.burst);
+        let (limit, low) = (c.plan.rate * c.interval.as_secs(), NEAR * c.plan.burst);
         let usual = c.demand.last() + c.peer_demand() < NEAR * limit;
         let calm = calm || c.share(false) >= 1.0 && c.missed == 0 && c.tokens > low && usual;
         let often = c.is_counted && c.missed == 0 && (limit > NEAR * largest || c.tokens < low);
@@ -81,7 +82,7 @@
         let (hears, Some((id, number))) = (self.hears_peers(now), name.rsplit_once('.')) else { return };
         let late = matches!(total, Reading::Late(_)); // its request has gone on, others may wait by that name
         if let Some(tenant) = id.strip_suffix('/').filter(|_| !late).and_then(|id| self.tenants.get(id)) {
-            let pool = POOL_PART * tenant.plan.burst.max(tenant.plan.rate * PERIOD.secs());
+            let pool = POOL_PART * tenant.plan.burst.max(tenant.plan.rate * PERIOD.as_secs());
             let decision = |total| QuotaDecision { exceeds: total > pool, ratio: 0.0 };
             return self.resume(now, name, total.known().map(decision), host);
         }
@@ -113,21 +114,22 @@
 impl Tenant {
     /// Takes in what a total tells of the others: its growth since the last one.
     fn observe_total(&mut self, now: Timestamp, number: i64, total: f64, hears: bool) {
-        let (all, (running, since)) = (Units::unpacked(total, apart(&self.plan)), now.among(PERIOD * SUM));
+        let (all, (running, since)) =
+            (Units::unpacked(total, apart(&self.plan)), now.period_and_offset(PERIOD * SUM));
         let Some(grown) = self.sums.take_growth(number, all) else { return };
         // A counter that has lost its counts shows less than before: it is read on from there.
         let drawn = if grown.offered < 0.0 { 0.0 } else { grown.forwarded };
         // The last sum's end is read just before the new one: what is left of the slack is for that.
         let slack = if number == running { self.unfilled } else { self.unfilled.min(drawn) };
         self.unfilled -= slack;
-        let lately = (PERIOD * RECENT).over(self.read_at.map_or(PERIOD, |read| now - read)).min(1.0);
+        let lately = (PERIOD * RECENT).ratio_to(self.read_at.map_or(PERIOD, |read| now - read)).min(1.0);
         // What peers tell is newer than a reading.
         if !hears {
             self.peer_offered.add(now, PERIOD * RECENT, grown.offered.max(0.0) * lately);
             self.peer_sent.add(now, PERIOD * RECENT, drawn * lately);
             // A first reading: of a tenant that is offered more than its limit nothing is left, else what
             // the sum lacks of it. After a silence, in which each kept to its part, the rest fills again.
-            let (store, filled) = (self.plan.burst, self.plan.rate * since.secs());
+            let (store, filled) = (self.plan.burst, self.plan.rate * since.as_secs());
             let unspent = store - (all.forwarded - NEAR * filled).max(0.0);
             let left = if all.offered > store + filled { 0.0 } else { unspent };
             self.tokens = match self.read_at {
@@ -156,5 +158,5 @@
 
 /// One amount carries offered and sent units, set apart by far more than a period can send on.
 fn apart(plan: &Plan) -> f64 {
-    10f64.powf((2.5 * (plan.rate * (PERIOD * SUM).secs() + plan.burst)).max(1.0).log10().ceil())
+    10f64.powf((2.5 * (plan.rate * (PERIOD * SUM).as_secs() + plan.burst)).max(1.0).log10().ceil())
 }
--- a/crates/gateway-policy/src/counters.rs
+++ b/crates/gateway-policy/src/counters.rs
@@ -12,7 +12,7 @@
 
 impl DecayingCount {
     pub fn at(&mut self, now: Timestamp, memory: Duration) -> f64 {
-        self.count *= (-(now - self.at).over(memory)).exp();
+        self.count *= (-(now - self.at).ratio_to(memory)).exp();
         self.at = now;
         self.count
     }
--- a/crates/gateway-policy/src/interface.rs
+++ b/crates/gateway-policy/src/interface.rs
@@ -27,7 +27,7 @@
     /// The share of its capacity that a backend has at least.
     pub fn capacity(&self, started: Option<Timestamp>, now: Timestamp) -> f64 {
         let Some(started) = started else { return 1.0 };
-        let age = (now - started).over(self.ramp).max(0.0);
+        let age = (now - started).ratio_to(self.ramp).max(0.0);
         (self.initial_capacity + (1.0 - self.initial_capacity) * age).min(1.0)
     }
 }
--- a/crates/gateway-policy/src/latency.rs
+++ b/crates/gateway-policy/src/latency.rs
@@ -22,14 +22,14 @@
     /// Takes one time in, by the weight of the newest.
     pub fn observe(&mut self, took: Duration, newest: f64) {
         let off = took - self.mean;
-        self.mean = self.mean + off.times(newest);
+        self.mean = self.mean + off.mul_f64(newest);
         self.idle_mean =
-            self.mean.min(self.idle_mean + (self.mean - self.idle_mean).times(newest * newest * newest));
-        self.deviation = self.deviation + (off.max(Duration::ZERO - off) - self.deviation).times(newest);
+            self.mean.min(self.idle_mean + (self.mean - self.idle_mean).mul_f64(newest * newest * newest));
+        self.deviation = self.deviation + (off.max(Duration::ZERO - off) - self.deviation).mul_f64(newest);
     }
 
     /// A time that is past the mean by so many deviations, and no later than the latency target.
     pub fn overdue(&self, deviations: f64) -> Duration {
-        (self.mean + self.deviation.times(deviations)).min(self.target)
+        (self.mean + self.deviation.mul_f64(deviations)).min(self.target)
     }
 }
--- a/crates/gateway-policy/src/overload.rs
+++ b/crates/gateway-policy/src/overload.rs
@@ -14,7 +14,7 @@
     pub(crate) fn admit(&mut self, now: Timestamp, id: &str, beyond: bool, host: &mut impl Host) {
         let workload = self.requests[id].workload;
         // In an overload the requests that are worth most for their time go first.
-        let (value, time) = (self.config.workloads[workload].value, self.latencies[workload].mean.secs());
+        let (value, time) = (self.config.workloads[workload].value, self.latencies[workload].mean.as_secs());
         let weight = value / time.max(f64::EPSILON);
         self.mean_worth += (weight - self.mean_worth) * NEWEST;
         let overload = self.overload_ratio(now, workload).powf(weight / self.mean_worth);
@@ -27,7 +27,7 @@
 
     /// The article's ratio for the fleet, over an idle backend's time: attempts wanted against settled and room.
     pub(crate) fn overload_ratio(&mut self, now: Timestamp, workload: usize) -> f64 {
-        let time = self.latencies.iter().map(|p| p.idle_mean).max().unwrap_or(PERIOD).over(PERIOD);
+        let time = self.latencies.iter().map(|p| p.idle_mean).max().unwrap_or(PERIOD).ratio_to(PERIOD);
         let overdue = self.latencies[workload].overdue(OVERDUE);
         let (mut live, mut out) = (0.0, 0.0);
         for backend in self.backends.values_mut() {
--- a/crates/gateway-policy/src/peer_exchange.rs
+++ b/crates/gateway-policy/src/peer_exchange.rs
@@ -122,7 +122,7 @@
         };
         let updates: Vec<_> = self.peers.untold_tenants.drain(..).filter_map(updates).collect();
         let messages = host.broadcast_usage(&updates) as f64 * f64::from(self.config.gateways);
-        let telling = Duration::from_secs(1).times(messages / (MESH_LOAD * self.config.max_peer_messages));
+        let telling = Duration::from_secs(1).mul_f64(messages / (MESH_LOAD * self.config.max_peer_messages));
         self.peers.interval = telling.max(PERIOD / 8);
     }
 
--- a/crates/gateway-policy/src/quota.rs
+++ b/crates/gateway-policy/src/quota.rs
@@ -34,7 +34,7 @@
             // An unseen tenant may pass its limit divided by the gateways. Its share of a hard limit
             // starts with the part that a full one lacks: an earlier run of this gateway may have spent all
             // that it had, and both together are no more than the share.
-            let filled = INITIAL * plan.hard_burst + plan.hard_rate * (now - self.opened).secs();
+            let filled = INITIAL * plan.hard_burst + plan.hard_rate * (now - self.opened).as_secs();
             let hard_tokens = filled.min((1.0 - INITIAL) * plan.hard_burst) / gateways;
             let tokens = plan.burst * if hears { NEAR } else { 1.0 / gateways };
             let alone = self.config.max_peer_messages <= 0.0 && gateways > 1.0 && plan.rate > 0.0;
@@ -59,7 +59,7 @@
     pub(crate) fn sweep_tenants(&mut self, now: Timestamp, host: &mut impl Host) {
         self.tenants.retain(|_, c| {
             let idle = now - c.updated_at;
-            idle < IDLE_TIMEOUT || c.in_flight > 0 || c.plan.hard_rate * idle.secs() < c.plan.hard_burst
+            idle < IDLE_TIMEOUT || c.in_flight > 0 || c.plan.hard_rate * idle.as_secs() < c.plan.hard_burst
         });
         self.peers.by_hash.retain(|_, id| self.tenants.contains_key(id));
         if !self.tenants.is_empty() {
@@ -118,12 +118,12 @@
         let (share, part) = (self.share(hears), self.own_share());
         // By a reading the others draw what they forwarded of late, at most their part of the limit.
         let theirs =
-            (plan.rate * past.secs() + self.tokens.max(0.0)) * (1.0 - part) * f64::from(share >= 1.0);
+            (plan.rate * past.as_secs() + self.tokens.max(0.0)) * (1.0 - part) * f64::from(share >= 1.0);
         let drawn = (self.peer_sent.last() - self.peer_sent.at(now, PERIOD * RECENT)).min(theirs).max(0.0);
-        let filled = self.tokens + plan.rate * share * past.secs();
+        let filled = self.tokens + plan.rate * share * past.as_secs();
         self.tokens = (filled - drawn).max(self.tokens.min(0.0)).min(plan.burst * share);
         self.unfilled = (self.unfilled + filled - self.tokens).min(plan.burst);
-        let hard_tokens = self.hard_tokens * self.gateways + plan.hard_rate * past.secs();
+        let hard_tokens = self.hard_tokens * self.gateways + plan.hard_rate * past.as_secs();
         self.hard_tokens = hard_tokens.min((1.0 - INITIAL) * plan.hard_burst) / self.gateways;
         self.demand.at(now, self.interval);
         self.peer_offered.at(now, PERIOD * RECENT);
@@ -141,12 +141,13 @@
         }
         let others = self.peer_demand() * f64::from(share >= 1.0);
         // What peers may have forwarded since they notified is no longer in the token bucket.
-        let store = self.tokens - telling.map_or(0.0, |telling| others.min(plan.rate) * telling.secs());
+        let store = self.tokens - telling.map_or(0.0, |telling| others.min(plan.rate) * telling.as_secs());
         // What the token bucket cannot hold is beyond the quota: chance is too coarse where requests are large.
         if store < units + self.reserve(telling.is_some()) {
             return 1.0;
         }
-        excess(self.demand.last() + others, plan.rate * share * self.interval.secs() + store).max(legs_ratio)
+        excess(self.demand.last() + others, plan.rate * share * self.interval.as_secs() + store)
+            .max(legs_ratio)
     }
 
     /// Books units forwarded inside the quota; below zero, units given back.
@@ -162,7 +163,7 @@
 
     /// What the others were offered of late in a beat.
     pub fn peer_demand(&self) -> f64 {
-        self.peer_offered.last() * self.interval.over(PERIOD * RECENT)
+        self.peer_offered.last() * self.interval.ratio_to(PERIOD * RECENT)
     }
 
     /// The part of the quota that this gateway may give: all of it with a current reading or news of peers.
--- a/crates/gateway-policy/tests/scenarios.rs
+++ b/crates/gateway-policy/tests/scenarios.rs
@@ -84,7 +84,7 @@
 }
 
 fn moment(text: &str) -> Timestamp {
-    Timestamp::from_micros(span(text).micros())
+    Timestamp::from_micros(span(text).as_micros())
 }
 
 fn words<'a>(parts: impl Iterator<Item = &'a str>) -> Words<'a> {
--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -3,7 +3,7 @@
 
 use crate::command::{RequestKey, State};
 use crate::http::{Message, MessageKind, MessageReader, ParseError, MAX_BODY_BYTES, MAX_HEAD_BYTES};
-use crate::poll::{self, empty, ConnectionKey, ReadOutcome, ReadyEvent, Source};
+use crate::poll::{self, clear_and_shrink, ConnectionKey, ReadOutcome, ReadyEvent, Source};
 use crate::runtime::{AttemptEnded, Event, Runtime, Timer};
 use crate::timer_wheel::TimerKey;
 use kitepass_gateway_policy::{AttemptOutcome, BackendStatus};
@@ -182,7 +182,7 @@
         };
         let connected = self.backends.connections[key].connected;
         let due = if connected { until } else { until.min(now + self.carriage.connect_within) };
-        let timer = self.timers.set(due, Timer::Attempt(key));
+        let timer = self.timers.schedule(due, Timer::Attempt(key));
         let line = &mut self.backends.connections[key];
         head.leg(until - now, &mut line.output);
         line.attempt = Some(Attempt {
@@ -295,14 +295,14 @@
         let now = self.now();
         let Some(line) = self.backends.connections.get_mut(key) else { return false };
         if !line.connected {
-            if let Err(error) = poll::made(&line.socket) {
+            if let Err(error) = poll::connect_result(&line.socket) {
                 self.fail_connection(key, FailureCause::ConnectionError(error));
                 return false;
             }
             let Some(leg) = &mut line.attempt else { return true };
             let until = leg.deadline;
-            self.timers.take_back(leg.timer);
-            leg.timer = self.timers.set(until, Timer::Attempt(key));
+            self.timers.cancel(leg.timer);
+            leg.timer = self.timers.schedule(until, Timer::Attempt(key));
             // While the connection came up the backend may have been told to drain, or the client have left.
             let waited_for = self.commands.get(leg.request).is_some_and(|c| c.state() == State::InFlight);
             let live = self.backends.records.get(&line.backend).is_some_and(|record| record.live);
@@ -343,22 +343,22 @@
             let came = poll::read(&line.socket, &mut self.scratch, &mut line.input, ended);
             let Some(leg) = &mut line.attempt else {
                 // Closed by the backend, or saying something that nobody asked for: no use any more.
-                if came != Ok(ReadOutcome::Nothing) || !line.input.is_empty() {
+                if came != Ok(ReadOutcome::WouldBlock) || !line.input.is_empty() {
                     self.backends.connections.remove(key);
                 }
                 return;
             };
-            let kind = MessageKind::Answer { to_head: leg.is_head_request };
-            let ended = matches!(came, Ok(ReadOutcome::End));
+            let kind = MessageKind::Response { to_head: leg.is_head_request };
+            let ended = matches!(came, Ok(ReadOutcome::EndOfStream));
             match line.reader.next(kind, &mut line.input, ended) {
                 Ok(Some(answer)) => return self.answered(key, answer, ended),
-                Ok(None) if line.reader.begun(&line.input) && !leg.has_response_begun => {
+                Ok(None) if line.reader.has_partial_message(&line.input) && !leg.has_response_begun => {
                     // A length that does not fit keeps the rest of an answer waited for: an answer that has begun
                     // takes no longer than a connection does to come up.
                     leg.has_response_begun = true;
                     let due = leg.deadline.min(now + self.carriage.connect_within);
-                    self.timers.take_back(leg.timer);
-                    leg.timer = self.timers.set(due, Timer::Attempt(key));
+                    self.timers.cancel(leg.timer);
+                    leg.timer = self.timers.schedule(due, Timer::Attempt(key));
                 }
                 Ok(None) => {}
                 Err(fault) => {
@@ -371,8 +371,8 @@
             }
             match came {
                 Ok(ReadOutcome::Bytes) => {}
-                Ok(ReadOutcome::Nothing) => return,
-                Ok(ReadOutcome::End) => return self.fail_connection(key, FailureCause::Closed),
+                Ok(ReadOutcome::WouldBlock) => return,
+                Ok(ReadOutcome::EndOfStream) => return self.fail_connection(key, FailureCause::Closed),
                 Err(error) => return self.fail_connection(key, FailureCause::ConnectionError(error)),
             }
         }
@@ -383,10 +383,10 @@
         let now = self.now();
         let Some(line) = self.backends.connections.get_mut(key) else { return };
         let Some(leg) = line.attempt.take() else { return };
-        self.timers.take_back(leg.timer);
+        self.timers.cancel(leg.timer);
         let backend = line.backend.clone();
         let whole = line.written == line.output.len();
-        empty(&mut line.output);
+        clear_and_shrink(&mut line.output);
         line.written = 0;
         let mut record = self.backends.records.get_mut(&backend);
         if let Some(record) = &mut record {
@@ -394,7 +394,7 @@
         }
         match record {
             Some(record)
-                if record.live && whole && !ended && answer.keeps_open() && line.input.is_empty() =>
+                if record.live && whole && !ended && answer.is_persistent() && line.input.is_empty() =>
             {
                 record.idle.push_back((now, key));
             }
@@ -433,11 +433,11 @@
         let now = self.now();
         let Some(line) = self.backends.connections.remove(key) else { return };
         let Some(leg) = line.attempt else { return };
-        self.timers.take_back(leg.timer);
+        self.timers.cancel(leg.timer);
         let reached = match () {
             () if !line.connected => Progress::NotConnected,
             () if line.written < line.output.len() => Progress::PartlyWritten,
-            () if line.reader.begun(&line.input) => Progress::PartlyAnswered,
+            () if line.reader.has_partial_message(&line.input) => Progress::PartlyAnswered,
             () => Progress::FullyWritten,
         };
         let failure = Failure { progress: reached, cause };
@@ -516,7 +516,7 @@
         ] {
             let mut input = format!("HTTP/1.1 {text}\r\nContent-Length: 0\r\n\r\n").into_bytes();
             let answer =
-                MessageReader::default().next(MessageKind::Answer { to_head: false }, &mut input, false);
+                MessageReader::default().next(MessageKind::Response { to_head: false }, &mut input, false);
             assert_eq!(answered(&answer.unwrap().unwrap()), ending, "{text}");
         }
     }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::command::{Request, RequestKey, State};
 use crate::http::{Message, MessageKind, MessageReader, MAX_BODY_BYTES, MAX_HEAD_BYTES};
-use crate::poll::{self, empty, ClientKey, ReadOutcome, ReadyEvent, Source};
+use crate::poll::{self, clear_and_shrink, ClientKey, ReadOutcome, ReadyEvent, Source};
 use crate::request_head::RequestHead;
 use crate::runtime::{Event, Phase, Runtime, Timer};
 use kitepass_gateway_policy::AttemptOutcome;
@@ -221,8 +221,8 @@
             }
             match poll::read(&client.socket, &mut self.scratch, &mut client.input, ended) {
                 Ok(ReadOutcome::Bytes) => {}
-                Ok(ReadOutcome::Nothing) => return true,
-                Ok(ReadOutcome::End) => return false,
+                Ok(ReadOutcome::WouldBlock) => return true,
+                Ok(ReadOutcome::EndOfStream) => return false,
                 Err(error) => {
                     debug!("a client's connection broke: {error}");
                     return false;
@@ -259,10 +259,10 @@
                     continue;
                 }
                 Ok(None) => {
-                    if client.reader.begun(&client.input) {
+                    if client.reader.has_partial_message(&client.input) {
                         client.begun.get_or_insert(now);
                     }
-                    if !client.continue_sent && client.reader.expects_a_word(&client.input) {
+                    if !client.continue_sent && client.reader.expects_continue(&client.input) {
                         client.continue_sent = true;
                         client.output.extend_from_slice(CONTINUE);
                         self.write_client(key);
@@ -278,7 +278,7 @@
             };
             client.continue_sent = false;
             client.begun = None;
-            if !message.keeps_open() || self.phase == Phase::Closing {
+            if !message.is_persistent() || self.phase == Phase::Closing {
                 self.close(key, Closing::After);
             }
             self.take(key, message);
@@ -286,7 +286,7 @@
     }
 
     fn take(&mut self, key: ClientKey, message: Message) {
-        if message.start(1) == READY_AT {
+        if message.start_line_part(1) == READY_AT {
             let ready = self.phase == Phase::Serving;
             return self.respond(
                 key,
@@ -328,7 +328,12 @@
         let Some((client, to_head)) = self.commands.get(key).map(|c| (c.client, c.head.is_head())) else {
             return;
         };
-        self.answer(client, 200, |head| answer.pass_on(&[], head), if to_head { b"" } else { answer.body() });
+        self.answer(
+            client,
+            200,
+            |head| answer.append_forwarded_fields(&[], head),
+            if to_head { b"" } else { answer.body() },
+        );
     }
 
     /// A final answer of our own.
@@ -348,7 +353,7 @@
     fn respond(&mut self, key: ClientKey, status: u16, retry_in: Option<Duration>, text: &str) {
         let lines = |head: &mut Vec<u8>| {
             if let Some(away) = retry_in {
-                let millis = (away.micros() + 999) / 1000;
+                let millis = (away.as_micros() + 999) / 1000;
                 let _ = write!(head, "Retry-After: {}.{:03}\r\n", millis / 1000, millis % 1000);
             }
             if !text.is_empty() {
@@ -387,7 +392,7 @@
         match poll::write(&client.socket, &client.output, &mut client.written) {
             Ok(false) => {}
             Ok(true) => {
-                empty(&mut client.output);
+                clear_and_shrink(&mut client.output);
                 client.written = 0;
                 if client.closing == Closing::After {
                     self.close(key, Closing::Lingering);
@@ -417,7 +422,7 @@
     }
 
     fn is_idle(&self) -> bool {
-        self.is_quiet() && !self.reader.begun(&self.input)
+        self.is_quiet() && !self.reader.has_partial_message(&self.input)
     }
 
     /// Whether it has been waited for long enough: for its message, for its taking an answer, or for a next request.
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -84,7 +84,7 @@
                 .events
                 .push_back(Event::CounterAnswered { name: name.to_owned(), total: Reading::NotAdded });
         };
-        let rest = format!("?by={amount}&expire_ms={}", (keep.micros() / 1000).max(1));
+        let rest = format!("?by={amount}&expire_ms={}", (keep.as_micros() / 1000).max(1));
         let due = self.now() + patience;
         self.counter.unsent.push_back(Call { due, name: name.to_owned(), target_suffix: rest });
         self.wait_for_calls();
@@ -156,7 +156,7 @@
         };
         let link = &mut self.counter.connections[place];
         if ready.write && !link.connected {
-            if let Err(error) = poll::made(&link.socket) {
+            if let Err(error) = poll::connect_result(&link.socket) {
                 return self.drop_link(place, &format!("no connection: {error}"));
             }
             link.connected = true;
@@ -195,7 +195,7 @@
             }
             match poll::write(&link.socket, &link.output, &mut link.written) {
                 Ok(true) => {
-                    poll::empty(&mut link.output);
+                    poll::clear_and_shrink(&mut link.output);
                     link.written = 0;
                 }
                 Ok(false) => {}
@@ -210,8 +210,8 @@
             let link = &mut self.counter.connections[place];
             let came = poll::read(&link.socket, &mut self.scratch, &mut link.input, ended);
             loop {
-                let kind = MessageKind::Answer { to_head: false };
-                match link.reader.next(kind, &mut link.input, came == Ok(ReadOutcome::End)) {
+                let kind = MessageKind::Response { to_head: false };
+                match link.reader.next(kind, &mut link.input, came == Ok(ReadOutcome::EndOfStream)) {
                     Ok(Some(answer)) => {
                         link.active_at = now;
                         let Some(call) = link.calls.pop_front() else {
@@ -234,7 +234,7 @@
                         if number.is_none() && answer.status() == 200 {
                             return self.drop_link(place, "an answer without a number");
                         }
-                        if !answer.keeps_open() {
+                        if !answer.is_persistent() {
                             return self.drop_link(place, "closed");
                         }
                     }
@@ -250,8 +250,8 @@
             }
             match came {
                 Ok(ReadOutcome::Bytes) => {}
-                Ok(ReadOutcome::Nothing) => return self.drop_parted(),
-                Ok(ReadOutcome::End) => return self.drop_link(place, "closed"),
+                Ok(ReadOutcome::WouldBlock) => return self.drop_parted(),
+                Ok(ReadOutcome::EndOfStream) => return self.drop_link(place, "closed"),
                 Err(error) => return self.drop_link(place, &format!("broke: {error}")),
             }
         }
@@ -262,10 +262,10 @@
         let Some(due) = self.counter.due() else { return };
         // A connection that parts may be waited for longer than a call that is made meanwhile.
         if let Some((_, later)) = self.counter.timer.take_if(|(set, _)| due < *set) {
-            self.timers.take_back(later);
+            self.timers.cancel(later);
         }
         if self.counter.timer.is_none() {
-            self.counter.timer = Some((due, self.timers.set(due, Timer::CounterCalls)));
+            self.counter.timer = Some((due, self.timers.schedule(due, Timer::CounterCalls)));
         }
     }
 
@@ -287,7 +287,7 @@
             // A machine that has gone silent never ends its connections, one connection can stall while others
             // do not, and behind an answer that does not go on no other will come: a new one finds out. A
             // counter that is only slow is still heard over the old ones, of which there are not many.
-            let stuck = link.reader.begun(&link.input) || now - link.active_at > patience * 4;
+            let stuck = link.reader.has_partial_message(&link.input) || now - link.active_at > patience * 4;
             if link.reported_late > told && stuck && room && !link.is_closing {
                 (link.is_closing, link.until) = (true, link.active_at + allowed * 8);
                 // In this order: the next call of a name must not be answered before these are told of.
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -116,7 +116,7 @@
             && self.logged_at.is_none_or(|told| now - told >= LOG_INTERVAL)
         {
             self.logged_at = Some(now);
-            let past = (now - self.stood).secs();
+            let past = (now - self.stood).as_secs();
             warn!("discovery at {address} has not answered for {past:.0} s; the list of backends stays as it was");
         }
     }
@@ -141,7 +141,7 @@
     ) -> Result<bool, String> {
         if ready.write {
             if !link.connected {
-                poll::made(&link.socket).map_err(|error| error.to_string())?;
+                poll::connect_result(&link.socket).map_err(|error| error.to_string())?;
                 link.connected = true;
             }
             let written = poll::write(&link.socket, &link.output, &mut link.written);
@@ -154,10 +154,10 @@
         loop {
             let came = poll::read(&link.socket, &mut runtime.scratch, &mut link.input, ready.ended);
             link.last_heard = runtime.now();
-            let whole = link.reader.stream(&mut link.input, &mut link.partial_lines);
+            let whole = link.reader.read_chunked_response(&mut link.input, &mut link.partial_lines);
             let whole = whole.map_err(|fault| format!("{fault:?}"))?;
-            if whole.is_some() && link.reader.stream_status(&link.input) != 200 {
-                return Err(format!("status {}", link.reader.stream_status(&link.input)));
+            if whole.is_some() && link.reader.chunked_response_status(&link.input) != 200 {
+                return Err(format!("status {}", link.reader.chunked_response_status(&link.input)));
             }
             let mut taken = 0;
             while let Some(length) = memchr::memchr(b'\n', &link.partial_lines[taken..]) {
@@ -172,7 +172,7 @@
             }
             match came {
                 Ok(ReadOutcome::Bytes) if whole != Some(true) => {}
-                Ok(ReadOutcome::Nothing) if whole != Some(true) => return Ok(spoke),
+                Ok(ReadOutcome::WouldBlock) if whole != Some(true) => return Ok(spoke),
                 Ok(_) => return Err("the watch has ended".to_owned()),
                 Err(error) => return Err(error.to_string()),
             }
--- a/crates/gateway/src/poll.rs
+++ b/crates/gateway/src/poll.rs
@@ -1,7 +1,7 @@
 //! What waits for which socket: the shared epoll, with a source in each token.
 
 pub use kitepass_net::poller::{
-    accept, empty, has_ended, is_quiet, listen, made, read, write, Clock, ReadOutcome,
+    accept, clear_and_shrink, connect_result, has_ended, is_quiet, listen, read, write, Clock, ReadOutcome,
 };
 use kitepass_net::{poller, Errno};
 use kitepass_time::Duration;
@@ -95,9 +95,11 @@
     /// Waits until a socket is ready or the time is over, and leaves what is ready in `ready`.
     pub fn wait(&mut self, time: Option<Duration>, ready: &mut Vec<ReadyEvent>) -> Result<()> {
         self.poll.wait(time, &mut self.raw)?;
-        ready.extend(self.raw.drain(..).filter_map(|poller::ReadyEvent { token, read, write, ended }| {
-            Some(ReadyEvent { source: Source::unpack(token)?, read, write, ended })
-        }));
+        ready.extend(self.raw.drain(..).filter_map(
+            |poller::ReadyEvent { token, is_readable: read, is_writable: write, has_peer_ended: ended }| {
+                Some(ReadyEvent { source: Source::unpack(token)?, read, write, ended })
+            },
+        ));
         Ok(())
     }
 }
--- a/crates/gateway/src/request_head.rs
+++ b/crates/gateway/src/request_head.rs
@@ -1,6 +1,6 @@
 //! What the decisions need of a client's request, taken out of the message that brought it.
 
-use crate::http::{digits, Message};
+use crate::http::{parse_decimal, Message};
 use kitepass_gateway_policy::{GatewayConfig, Idempotency};
 use kitepass_time::Duration;
 use std::ops::Range;
@@ -38,7 +38,7 @@
 
 impl RequestHead {
     pub fn read(message: Message, config: &GatewayConfig) -> Result<RequestHead, RequestError> {
-        let target = text(message.start(1)).ok_or("target")?;
+        let target = text(message.start_line_part(1)).ok_or("target")?;
         let path = target.split('?').next().unwrap_or_default();
         let (class, customer) = path[1..].split_once('/').ok_or("target: expected class and customer")?;
         let workload = 1..1 + class.len();
@@ -58,13 +58,13 @@
         if !config.plans.iter().any(|p| p.name == plan) {
             return Err("X-Tariff: not known");
         }
-        let expires = one(&message, EXPIRES)?.and_then(digits).filter(|millis| *millis < 1 << 32);
+        let expires = one(&message, EXPIRES)?.and_then(parse_decimal).filter(|millis| *millis < 1 << 32);
         let expires = expires.ok_or("X-Expires-In-Ms: expected whole milliseconds")?;
         let key = one(&message, KEY)?.filter(|key| !key.is_empty());
         if matches!(class.idempotency, Idempotency::Deduplicated { .. }) && key.is_none() {
             return Err("Idempotency-Key: expected one"); // without it a repeat would take effect twice
         }
-        if [TRACE, KEY].iter().any(|name| message.ends_here(name.as_bytes())) {
+        if [TRACE, KEY].iter().any(|name| message.has_connection_option(name.as_bytes())) {
             return Err("Connection: names a field that a backend must see"); // a key left out repeats effects
         }
         let weight = one(&message, WEIGHT)?.and_then(text).ok_or("X-Weight: expected one")?;
@@ -76,7 +76,7 @@
     }
 
     pub fn workload(&self) -> &str {
-        text(&self.message.start(1)[self.workload.clone()]).unwrap_or_default()
+        text(&self.message.start_line_part(1)[self.workload.clone()]).unwrap_or_default()
     }
 
     /// As long as the request is open, no other may have it.
@@ -85,24 +85,24 @@
     }
 
     pub fn is_head(&self) -> bool {
-        self.message.start(0) == b"HEAD"
+        self.message.start_line_part(0) == b"HEAD"
     }
 
     /// The message of one attempt, which will be waited for so long.
     pub fn leg(&self, wait: Duration, into: &mut Vec<u8>) {
         into.extend_from_slice(&self.lead);
-        into.extend_from_slice(format!("X-Expires-In-Ms: {}\r\n\r\n", wait.micros() / 1000).as_bytes());
+        into.extend_from_slice(format!("X-Expires-In-Ms: {}\r\n\r\n", wait.as_micros() / 1000).as_bytes());
         into.extend_from_slice(self.message.body());
     }
 }
 
 fn lead(message: &Message) -> Vec<u8> {
     let mut lead = Vec::with_capacity(512);
-    for part in [message.start(0), b" ", message.start(1), b" HTTP/1.1\r\n"] {
+    for part in [message.start_line_part(0), b" ", message.start_line_part(1), b" HTTP/1.1\r\n"] {
         lead.extend_from_slice(part);
     }
-    message.pass_on(&[EXPIRES], &mut lead);
-    if !message.body().is_empty() || message.start(0) != b"GET" {
+    message.append_forwarded_fields(&[EXPIRES], &mut lead);
+    if !message.body().is_empty() || message.start_line_part(0) != b"GET" {
         lead.extend_from_slice(format!("Content-Length: {}\r\n", message.body().len()).as_bytes());
     }
     lead
@@ -143,5 +143,5 @@
 }
 
 fn whole(text: &str) -> Option<u32> {
-    digits(text.as_bytes()).and_then(|number| number.try_into().ok())
+    parse_decimal(text.as_bytes()).and_then(|number| number.try_into().ok())
 }
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -96,7 +96,7 @@
     }
 
     pub fn wake_at(&mut self, due: Timestamp, timer: Timer) {
-        self.timers.set(due, timer);
+        self.timers.schedule(due, timer);
     }
 
     /// A client has gone: nothing is answered, and an attempt that is out only ends.
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -89,13 +89,13 @@
         let (mut ready, mut due) = (Vec::new(), Vec::new());
         while !self.is_done() {
             let now = self.runtime.read_clock();
-            let time = self.runtime.timers.next().map(|next| next - now);
+            let time = self.runtime.timers.next_deadline().map(|next| next - now);
             self.runtime.poll.wait(time, &mut ready).map_err(|error| format!("epoll: {error}"))?;
             for ready in ready.drain(..) {
                 self.guarded(Some(ready.source), |server| server.ready(ready));
             }
             let now = self.runtime.read_clock();
-            self.runtime.timers.due(now, &mut due);
+            self.runtime.timers.take_due(now, &mut due);
             for timer in due.drain(..) {
                 self.guarded(None, |server| server.due(timer));
             }
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -8,8 +8,7 @@
 use rustix::io::Result;
 use std::net::SocketAddr;
 
-// The name by which other crates know it.
-pub use crate::socket::error_label as cause;
+pub use crate::socket::error_label;
 
 /// So many bytes of the output's front that have been written are removed, though more are to be sent.
 const MAX_WRITTEN_BYTES: usize = 256 * 1024;
@@ -21,7 +20,7 @@
     socket: OwnedFd,
     /// What has come and has not been used.
     pub input: Vec<u8>,
-    /// What is to be sent. Its front may have been written already; [`Connection::unsent`] counts the rest.
+    /// What is to be sent. Its front may have been written already; [`Connection::unsent_bytes`] counts the rest.
     pub output: Vec<u8>,
     /// How many bytes of the output have been written.
     written: usize,
@@ -33,7 +32,7 @@
 
 impl Connection {
     /// A connection that a listener accepted and that is watched already.
-    pub fn accepted(socket: OwnedFd) -> Connection {
+    pub fn from_accepted(socket: OwnedFd) -> Connection {
         Connection {
             socket,
             input: Vec::new(),
@@ -51,7 +50,7 @@
     /// # Errors
     ///
     /// The system's, for want of descriptors or ports.
-    pub fn open(
+    pub fn connect(
         poller: &Poller,
         address: &SocketAddr,
         token: u64,
@@ -59,11 +58,11 @@
     ) -> Result<Connection> {
         let socket = poller.connect(address, token)?;
         socket::set_user_timeout(&socket, user_timeout)?;
-        Ok(Connection { is_established: false, is_readable: false, ..Connection::accepted(socket) })
+        Ok(Connection { is_established: false, is_readable: false, ..Connection::from_accepted(socket) })
     }
 
     /// Whether the connection is established.
-    pub fn is_made(&self) -> bool {
+    pub fn is_established(&self) -> bool {
         self.is_established
     }
 
@@ -72,10 +71,10 @@
     /// # Errors
     ///
     /// Why the connection could not be established.
-    pub fn note(&mut self, event: &ReadyEvent) -> Result<()> {
-        self.is_readable |= event.read;
-        self.has_peer_ended |= event.ended;
-        if !self.is_established && event.write {
+    pub fn handle_event(&mut self, event: &ReadyEvent) -> Result<()> {
+        self.is_readable |= event.is_readable;
+        self.has_peer_ended |= event.has_peer_ended;
+        if !self.is_established && event.is_writable {
             socket::connect_result(&self.socket)?;
             self.is_established = true;
         }
@@ -88,12 +87,12 @@
     /// # Errors
     ///
     /// The system's: the connection is lost.
-    pub fn fill(&mut self, scratch: &mut [u8], max_input_bytes: usize) -> Result<bool> {
+    pub fn read_available(&mut self, scratch: &mut [u8], max_input_bytes: usize) -> Result<bool> {
         while self.is_readable() && self.input.len() < max_input_bytes {
             match socket::read(&self.socket, scratch, &mut self.input, self.has_peer_ended)? {
                 ReadOutcome::Bytes => {}
-                ReadOutcome::Nothing => self.is_readable = false,
-                ReadOutcome::End => return Ok(true),
+                ReadOutcome::WouldBlock => self.is_readable = false,
+                ReadOutcome::EndOfStream => return Ok(true),
             }
         }
         Ok(false)
@@ -132,18 +131,18 @@
     /// # Errors
     ///
     /// The system's: the connection is lost.
-    pub fn end(&self) -> Result<()> {
+    pub fn shutdown_write(&self) -> Result<()> {
         rustix::net::shutdown(&self.socket, rustix::net::Shutdown::Write)
     }
 
-    /// Whether the socket may hold unread bytes or the end: [`Connection::fill`] stopped at its bound, or has not been
+    /// Whether the socket may hold unread bytes or the end: [`Connection::read_available`] stopped at its bound, or has not been
     /// called since an event told of it.
     pub fn is_readable(&self) -> bool {
         self.is_established && self.is_readable
     }
 
     /// How many bytes are still to be sent.
-    pub fn unsent(&self) -> usize {
+    pub fn unsent_bytes(&self) -> usize {
         self.output.len() - self.written
     }
 
--- a/crates/net/src/http/body.rs
+++ b/crates/net/src/http/body.rs
@@ -31,10 +31,10 @@
     /// The body behind a head. One without bytes is complete from the start.
     pub fn new(framing: Framing) -> Body {
         let state = match framing {
-            Framing::Empty | Framing::Sized(0) => BodyState::Complete,
-            Framing::Sized(length) => BodyState::Sized(length),
+            Framing::Empty | Framing::ContentLength(0) => BodyState::Complete,
+            Framing::ContentLength(length) => BodyState::Sized(length),
             Framing::Chunked => BodyState::Chunked(ChunkDecoder::strict(MAX_CHUNK_BYTES, MAX_TRAILER_BYTES)),
-            Framing::ToTheEnd => BodyState::ToTheEnd,
+            Framing::UntilClose => BodyState::ToTheEnd,
         };
         Body { state }
     }
@@ -74,7 +74,7 @@
         if self.has_no_more_bytes() {
             self.state = BodyState::Complete;
         }
-        Ok(self.is_whole())
+        Ok(self.is_complete())
     }
 
     /// To be called when the connection has ended and all its input has been read.
@@ -85,7 +85,7 @@
     ///
     /// Invariant: only a body that the connection's end delimits is completed by it. Otherwise a truncated body would
     /// pass for a complete one.
-    pub fn ended(&mut self) -> Result<(), ParseError> {
+    pub fn end_of_input(&mut self) -> Result<(), ParseError> {
         match self.state {
             BodyState::ToTheEnd => {
                 self.state = BodyState::Complete;
@@ -100,7 +100,7 @@
     }
 
     /// Whether the body is complete.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         matches!(self.state, BodyState::Complete)
     }
 
--- a/crates/net/src/http/framing.rs
+++ b/crates/net/src/http/framing.rs
@@ -1,8 +1,8 @@
 //! How the end of a body is found: RFC 9112 section 6.
 
-use super::digits;
 use super::error::{reason, ParseError};
 use super::head::{HeadLayout, MessageKind};
+use super::parse_decimal;
 
 /// How the body behind a head ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -10,11 +10,11 @@
     /// There is no body.
     Empty,
     /// After this many bytes.
-    Sized(u64),
+    ContentLength(u64),
     /// With the last chunk of the chunked transfer coding and its trailer.
     Chunked,
     /// With the connection.
-    ToTheEnd,
+    UntilClose,
 }
 
 impl Framing {
@@ -32,9 +32,9 @@
         let framing = match fields.content_length {
             _ if has_no_body(kind, layout.status(bytes)) => Framing::Empty,
             _ if fields.is_chunked => Framing::Chunked,
-            Some(length) => Framing::Sized(length),
+            Some(length) => Framing::ContentLength(length),
             None if kind == MessageKind::Request => Framing::Empty,
-            None => Framing::ToTheEnd,
+            None => Framing::UntilClose,
         };
         Ok(framing)
     }
@@ -44,7 +44,7 @@
 fn has_no_body(kind: MessageKind, status: &[u8]) -> bool {
     match kind {
         MessageKind::Request => false,
-        MessageKind::Answer { to_head } => to_head || matches!(status, b"204" | b"304"),
+        MessageKind::Response { to_head } => to_head || matches!(status, b"204" | b"304"),
     }
 }
 
@@ -76,7 +76,7 @@
     }
 
     fn add_content_length(&mut self, value: &[u8]) -> Result<(), ParseError> {
-        let length = digits(value).ok_or(ParseError::Malformed(reason::CONTENT_LENGTH))?;
+        let length = parse_decimal(value).ok_or(ParseError::Malformed(reason::CONTENT_LENGTH))?;
         if self.content_length.is_some_and(|earlier| earlier != length) {
             return Err(ParseError::Malformed(reason::CONFLICTING_LENGTHS));
         }
--- a/crates/net/src/http/head.rs
+++ b/crates/net/src/http/head.rs
@@ -1,6 +1,6 @@
 //! A message's head: the start line and the fields.
 
-use super::digits;
+use super::parse_decimal;
 use memchr::memchr;
 use std::ops::Range;
 
@@ -25,7 +25,7 @@
     /// A request.
     Request,
     /// A response.
-    Answer {
+    Response {
         /// Whether it answers a `HEAD` request and so has no body.
         to_head: bool,
     },
@@ -34,14 +34,14 @@
 impl MessageKind {
     /// Whether it is a response.
     pub(super) fn is_response(self) -> bool {
-        matches!(self, MessageKind::Answer { .. })
+        matches!(self, MessageKind::Response { .. })
     }
 }
 
 /// Where the parts of a head are within the bytes of a message, which stay as they came.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HeadLayout {
-    /// The three parts of the start line, see [`Head::start`]; empty ranges until it has been parsed.
+    /// The three parts of the start line, see [`Head::start_line_part`]; empty ranges until it has been parsed.
     pub(super) start_line: [Range<usize>; 3],
     /// The fields in the order in which they came.
     pub(super) fields: Vec<FieldLayout>,
@@ -99,14 +99,14 @@
     /// # Panics
     ///
     /// If `part` is more than 2.
-    pub fn start(&self, part: usize) -> &[u8] {
+    pub fn start_line_part(&self, part: usize) -> &[u8] {
         &self.bytes[self.layout.start_line[part].clone()]
     }
 
     /// A response's status code; 0 for a request.
     pub fn status(&self) -> u16 {
         // A status code has three digits, so that none is cut off.
-        digits(self.layout.status(&self.bytes)).unwrap_or(0) as u16
+        parse_decimal(self.layout.status(&self.bytes)).unwrap_or(0) as u16
     }
 
     /// Names and values in the order in which they came, without blanks around the values.
@@ -121,15 +121,15 @@
     }
 
     /// Whether the connection persists after this message (RFC 9112 section 9.3).
-    pub fn keeps_open(&self) -> bool {
-        let is_response = self.start(0).starts_with(b"HTTP/");
-        let version = if is_response { self.start(0) } else { self.start(2) };
-        let is_persistent = version == b"HTTP/1.1" || self.ends_here(b"keep-alive");
-        is_persistent && !self.ends_here(b"close")
+    pub fn is_persistent(&self) -> bool {
+        let is_response = self.start_line_part(0).starts_with(b"HTTP/");
+        let version = if is_response { self.start_line_part(0) } else { self.start_line_part(2) };
+        let is_persistent = version == b"HTTP/1.1" || self.has_connection_option(b"keep-alive");
+        is_persistent && !self.has_connection_option(b"close")
     }
 
     /// Whether `Connection` lists this option: the name of a field that isn't forwarded, `close` or `keep-alive`.
-    pub fn ends_here(&self, option: &[u8]) -> bool {
+    pub fn has_connection_option(&self, option: &[u8]) -> bool {
         self.connection_options().any(|listed| listed.eq_ignore_ascii_case(option))
     }
 
@@ -143,7 +143,7 @@
 
     /// Appends the field lines that a proxy forwards to `into`, as they came: all but the hop-by-hop fields, those
     /// that `Connection` names, and those named in `excluded`.
-    pub fn pass_on(&self, excluded: &[&str], into: &mut Vec<u8>) {
+    pub fn append_forwarded_fields(&self, excluded: &[&str], into: &mut Vec<u8>) {
         let connection_options: Vec<&[u8]> = self.connection_options().collect();
         for field in &self.layout.fields {
             let name = &self.bytes[field.name.clone()];
@@ -166,8 +166,8 @@
     /// Whether a request's sender waits for `100 Continue` before it sends the body (RFC 9110 section 10.1.1).
     ///
     /// Invariant: never true for HTTP/1.0, whose clients would take an interim response for the final one.
-    pub fn expects_a_word(&self) -> bool {
-        self.start(2) == b"HTTP/1.1" && self.layout.has_expect_continue(&self.bytes)
+    pub fn expects_continue(&self) -> bool {
+        self.start_line_part(2) == b"HTTP/1.1" && self.layout.has_expect_continue(&self.bytes)
     }
 
     /// The length of the head in bytes, including its last empty line and empty lines before it.
@@ -185,5 +185,5 @@
     if !name.eq_ignore_ascii_case(b"timeout") {
         return None;
     }
-    digits(value)
+    parse_decimal(value)
 }
--- a/crates/net/src/http/head_reader.rs
+++ b/crates/net/src/http/head_reader.rs
@@ -3,7 +3,7 @@
 use super::error::{reason, ParseError};
 use super::framing::Framing;
 use super::head::{FieldLayout, Head, HeadLayout, MessageKind};
-use super::{digits, CRLF_BYTES};
+use super::{parse_decimal, CRLF_BYTES};
 use memchr::memchr;
 use std::ops::Range;
 
@@ -44,7 +44,7 @@
     }
 
     /// Whether a message has begun whose head is not complete. Interim responses before the head count as its begin.
-    pub fn begun(&self, input: &[u8]) -> bool {
+    pub fn has_partial_head(&self, input: &[u8]) -> bool {
         !input.is_empty() || self.parser.interim_responses > 0
     }
 }
@@ -128,7 +128,7 @@
         }
         let line = &input[self.position..];
         let is_plausible = match kind {
-            MessageKind::Answer { .. } => STATUS_LINE_PREFIX.iter().zip(line).all(|(a, b)| a == b),
+            MessageKind::Response { .. } => STATUS_LINE_PREFIX.iter().zip(line).all(|(a, b)| a == b),
             MessageKind::Request => {
                 line.iter().take(MAX_CHECKED_BYTES).all(|byte| matches!(byte, b'\r' | b' '..=b'~'))
             }
@@ -165,7 +165,7 @@
     let [first, second, third] = parts.clone().map(|part| &input[part]);
     let is_valid = match kind {
         MessageKind::Request => is_method(first) && is_origin_form(second) && is_supported_version(third),
-        MessageKind::Answer { .. } => is_supported_version(first) && is_status_code(second),
+        MessageKind::Response { .. } => is_supported_version(first) && is_status_code(second),
     };
     if !is_valid {
         return Err(error);
@@ -187,7 +187,7 @@
 }
 
 fn is_status_code(text: &[u8]) -> bool {
-    text.len() == 3 && digits(text).is_some_and(|status| status >= 100)
+    text.len() == 3 && parse_decimal(text).is_some_and(|status| status >= 100)
 }
 
 /// Parses a field line. `text` is the line without its line break.
--- a/crates/net/src/http/message.rs
+++ b/crates/net/src/http/message.rs
@@ -1,11 +1,11 @@
 //! Reads complete messages of bounded size.
 
 use super::chunked::ChunkDecoder;
-use super::digits;
 use super::error::{reason, ParseError};
 use super::framing::Framing;
 use super::head::{Head, MessageKind};
 use super::head_reader::HeadParser;
+use super::parse_decimal;
 use std::ops::Range;
 
 /// The most bytes of a head that [`MessageReader`] accepts.
@@ -70,13 +70,13 @@
 
 impl MessageReader {
     /// Whether a message has begun and is not complete.
-    pub fn begun(&self, input: &[u8]) -> bool {
+    pub fn has_partial_message(&self, input: &[u8]) -> bool {
         !input.is_empty() || !self.is_in_head()
     }
 
     /// Whether a request's head has come, nothing of its body, and the client waits for `100 Continue` before it
-    /// sends the body. Unlike [`Head::expects_a_word`] this disregards the version.
-    pub fn expects_a_word(&self, input: &[u8]) -> bool {
+    /// sends the body. Unlike [`Head::expects_continue`] this disregards the version.
+    pub fn expects_continue(&self, input: &[u8]) -> bool {
         let has_head_alone = !self.is_in_head() && input.len() == self.position;
         has_head_alone && self.parser.layout.has_expect_continue(input)
     }
@@ -114,8 +114,12 @@
     /// # Errors
     ///
     /// Why the response is rejected; `Malformed` if it is not chunked.
-    pub fn stream(&mut self, input: &mut Vec<u8>, into: &mut Vec<u8>) -> Result<Option<bool>, ParseError> {
-        let response = MessageKind::Answer { to_head: false };
+    pub fn read_chunked_response(
+        &mut self,
+        input: &mut Vec<u8>,
+        into: &mut Vec<u8>,
+    ) -> Result<Option<bool>, ParseError> {
+        let response = MessageKind::Response { to_head: false };
         if self.is_in_head() && !self.read_head(response, input)? {
             return Ok(None);
         }
@@ -128,10 +132,10 @@
         Ok(Some(is_complete))
     }
 
-    /// The status code of the response that [`MessageReader::stream`] reads; 0 before its start line has come.
-    pub fn stream_status(&self, input: &[u8]) -> u16 {
+    /// The status code of the response that [`MessageReader::read_chunked_response`] reads; 0 before its start line has come.
+    pub fn chunked_response_status(&self, input: &[u8]) -> u16 {
         // A status code has three digits, so that none is cut off.
-        digits(self.parser.layout.status(input)).unwrap_or(0) as u16
+        parse_decimal(self.parser.layout.status(input)).unwrap_or(0) as u16
     }
 
     fn is_in_head(&self) -> bool {
@@ -145,13 +149,15 @@
         self.position = head_end;
         self.stage = match framing {
             Framing::Empty => Stage::SizedBody { end: head_end },
-            Framing::Sized(length) if length > MAX_BODY_BYTES as u64 => return Err(ParseError::BodyTooLarge),
-            Framing::Sized(length) => Stage::SizedBody { end: head_end + length as usize },
+            Framing::ContentLength(length) if length > MAX_BODY_BYTES as u64 => {
+                return Err(ParseError::BodyTooLarge)
+            }
+            Framing::ContentLength(length) => Stage::SizedBody { end: head_end + length as usize },
             Framing::Chunked => Stage::ChunkedBody {
                 decoder: ChunkDecoder::lenient(MAX_BODY_BYTES as u64),
                 decoded: Vec::new(),
             },
-            Framing::ToTheEnd => Stage::BodyToTheEnd,
+            Framing::UntilClose => Stage::BodyToTheEnd,
         };
         Ok(true)
     }
--- a/crates/net/src/http/mod.rs
+++ b/crates/net/src/http/mod.rs
@@ -32,7 +32,7 @@
 const MAX_DECIMAL_DIGITS: usize = 18;
 
 /// Parses a decimal number of 1 to 18 digits, without a sign or blanks.
-pub fn digits(text: &[u8]) -> Option<u64> {
+pub fn parse_decimal(text: &[u8]) -> Option<u64> {
     let has_valid_length = (1..=MAX_DECIMAL_DIGITS).contains(&text.len());
     if !has_valid_length || !text.iter().all(u8::is_ascii_digit) {
         return None;
--- a/crates/net/src/http/tests/body.rs
+++ b/crates/net/src/http/tests/body.rs
@@ -31,10 +31,10 @@
         }
     }
     if let Some(mut body) = body {
-        body.ended()?;
-        assert!(body.is_whole());
+        body.end_of_input()?;
+        assert!(body.is_complete());
     }
-    assert!(!heads.begun(&input), "something is left over");
+    assert!(!heads.has_partial_head(&input), "something is left over");
     Ok(messages)
 }
 
--- a/crates/net/src/http/tests/head.rs
+++ b/crates/net/src/http/tests/head.rs
@@ -32,10 +32,10 @@
         HeadReader::default().next(MessageKind::Request, &mut input, MAX_HEAD_BYTES).unwrap().unwrap();
     assert_eq!((head.len(), input.as_slice()), (text.len() + 2, b"rest".as_slice()));
     assert_eq!(
-        (head.keeps_open(), head.keep_alive_secs(), head.expects_a_word()),
+        (head.is_persistent(), head.keep_alive_secs(), head.expects_continue()),
         (keeps_open, keep_alive, expects_continue)
     );
     let mut forwarded = Vec::new();
-    head.pass_on(&["c"], &mut forwarded);
+    head.append_forwarded_fields(&["c"], &mut forwarded);
     assert_eq!(forwarded, b"B: 2\r\n");
 }
--- a/crates/net/src/http/tests/message.rs
+++ b/crates/net/src/http/tests/message.rs
@@ -15,7 +15,7 @@
             }
         }
     }
-    assert!(!reader.begun(&input), "something is left over");
+    assert!(!reader.has_partial_message(&input), "something is left over");
     Ok(messages)
 }
 
@@ -27,7 +27,7 @@
         }
     }
     let to_head = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n";
-    assert_eq!(read(MessageKind::Answer { to_head: true }, to_head, 4).unwrap()[0].1, b"");
+    assert_eq!(read(MessageKind::Response { to_head: true }, to_head, 4).unwrap()[0].1, b"");
 }
 
 #[test]
@@ -78,10 +78,10 @@
         let mut complete = None;
         for piece in [&text[..split], &text[split..]] {
             input.extend_from_slice(piece.as_bytes());
-            complete = reader.stream(&mut input, &mut decoded).unwrap();
+            complete = reader.read_chunked_response(&mut input, &mut decoded).unwrap();
         }
         assert_eq!(
-            (complete, decoded.as_slice(), reader.stream_status(&input)),
+            (complete, decoded.as_slice(), reader.chunked_response_status(&input)),
             (Some(true), b"a\nbcd\n".as_slice(), 200)
         );
     }
--- a/crates/net/src/http/tests/mod.rs
+++ b/crates/net/src/http/tests/mod.rs
@@ -9,11 +9,11 @@
 /// What was read of a message: its head in one line, and its body.
 type Summary = (String, Vec<u8>);
 
-const RESPONSE: MessageKind = MessageKind::Answer { to_head: false };
+const RESPONSE: MessageKind = MessageKind::Response { to_head: false };
 
 /// A head's start line and fields in one line.
 pub(super) fn summary(head: &Head) -> String {
-    let part = |n| String::from_utf8_lossy(head.start(n)).into_owned();
+    let part = |n| String::from_utf8_lossy(head.start_line_part(n)).into_owned();
     let fields = head
         .fields()
         .map(|(name, value)| format!("{}={}", String::from_utf8_lossy(name), String::from_utf8_lossy(value)));
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`socket`] has the calls on sockets, none of which blocks; [`connection`] is a socket with its buffers. Their
 //!   errors are the operating system's own ([`Errno`]).
 //! - [`clock`] is the time that timers follow. [`timer_wheel`] holds the timers:
-//!   [`timer_wheel::TimerWheel::next`] says how long to wait, [`timer_wheel::TimerWheel::due`] what to do then.
+//!   [`timer_wheel::TimerWheel::next_deadline`] says how long to wait, [`timer_wheel::TimerWheel::take_due`] what to do then.
 //! - [`http`] reads complete messages, head and body, of bounded size ([`http::MessageReader`]).
 //! - [`http::body`] reads a head ([`http::HeadReader`]) and then its body as it comes ([`http::body::Body`]),
 //!   however long it is. Both parse heads by the same strict rules; a violation is an [`http::ParseError`].
--- a/crates/net/src/poller.rs
+++ b/crates/net/src/poller.rs
@@ -8,12 +8,11 @@
 use rustix::io::{Errno, Result};
 use std::net::SocketAddr;
 
-// The paths and names by which other crates know what stands in modules of its own.
-pub use crate::buffer::clear_and_shrink as empty;
+// The paths by which other crates know what stands in modules of its own.
+pub use crate::buffer::clear_and_shrink;
 pub use crate::clock::Clock;
 pub use crate::socket::{
-    accept, connect_result as made, has_ended, is_quiet, listen, read, set_user_timeout as tune, write,
-    ReadOutcome,
+    accept, connect_result, has_ended, is_quiet, listen, read, set_user_timeout, write, ReadOutcome,
 };
 
 /// How many events one wait returns at most; more stay for the next.
@@ -25,12 +24,12 @@
     /// What the socket was registered under.
     pub token: u64,
     /// Reading brings bytes, the end of the peer's sending, or an error.
-    pub read: bool,
+    pub is_readable: bool,
     /// Writing takes bytes, or fails.
-    pub write: bool,
+    pub is_writable: bool,
     /// The peer has ended its sending. After whatever is read the end is still to be read, and no further edge will
     /// tell of it.
-    pub ended: bool,
+    pub has_peer_ended: bool,
 }
 
 /// Watches sockets, edge-triggered. A closed socket is watched no longer. Events of it that were taken before may
@@ -95,7 +94,7 @@
 }
 
 fn to_timespec(duration: Duration) -> Timespec {
-    let micros = duration.micros().max(0);
+    let micros = duration.as_micros().max(0);
     Timespec { tv_sec: micros / 1_000_000, tv_nsec: micros % 1_000_000 * 1_000 }
 }
 
@@ -104,8 +103,8 @@
     let lost = EventFlags::HUP | EventFlags::ERR;
     ReadyEvent {
         token: event.data.u64(),
-        read: flags.intersects(EventFlags::IN | EventFlags::RDHUP | lost),
-        write: flags.intersects(EventFlags::OUT | lost),
-        ended: flags.intersects(EventFlags::RDHUP | lost),
+        is_readable: flags.intersects(EventFlags::IN | EventFlags::RDHUP | lost),
+        is_writable: flags.intersects(EventFlags::OUT | lost),
+        has_peer_ended: flags.intersects(EventFlags::RDHUP | lost),
     }
 }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -15,9 +15,9 @@
     /// Bytes; more may follow at once.
     Bytes,
     /// Bytes or none; no more for now.
-    Nothing,
+    WouldBlock,
     /// The peer has ended its sending, and all has been read.
-    End,
+    EndOfStream,
 }
 
 /// Opens a socket that listens.
@@ -98,14 +98,14 @@
 ) -> Result<ReadOutcome> {
     loop {
         match net::recv(&socket, &mut *scratch, RecvFlags::empty()) {
-            Ok((0, _)) => return Ok(ReadOutcome::End),
+            Ok((0, _)) => return Ok(ReadOutcome::EndOfStream),
             Ok((length, _)) => {
                 into.extend_from_slice(&scratch[..length]);
                 // A short read has emptied the socket; the next edge tells of more.
                 let is_drained = length < scratch.len() && !peer_has_ended;
-                return Ok(if is_drained { ReadOutcome::Nothing } else { ReadOutcome::Bytes });
+                return Ok(if is_drained { ReadOutcome::WouldBlock } else { ReadOutcome::Bytes });
             }
-            Err(Errno::AGAIN) => return Ok(ReadOutcome::Nothing),
+            Err(Errno::AGAIN) => return Ok(ReadOutcome::WouldBlock),
             Err(Errno::INTR) => {}
             Err(error) => return Err(error),
         }
@@ -156,7 +156,7 @@
 ///
 /// The system's.
 pub fn set_user_timeout(socket: impl AsFd, timeout: Duration) -> Result<()> {
-    let millis = (timeout.micros() / 1_000).clamp(1, i64::from(i32::MAX));
+    let millis = (timeout.as_micros() / 1_000).clamp(1, i64::from(i32::MAX));
     net::sockopt::set_tcp_user_timeout(socket, millis as u32)
 }
 
