--- a/crates/net/src/timer_wheel.rs
+++ b/crates/net/src/timer_wheel.rs
@@ -43,13 +43,13 @@
             timers: SlotMap::with_key(),
             slots: vec![None; SLOT_COUNT],
             occupied: [0; SLOT_COUNT / 64],
-            next_tick: now.micros() / TICK_MICROS,
+            next_tick: now.as_micros() / TICK_MICROS,
         }
     }
 
     /// Sets a timer; it is due in the first tick at or after `due`.
-    pub fn set(&mut self, due: Timestamp, payload: T) -> TimerKey {
-        let tick = (due.micros() + TICK_MICROS - 1).div_euclid(TICK_MICROS).max(self.next_tick);
+    pub fn schedule(&mut self, due: Timestamp, payload: T) -> TimerKey {
+        let tick = (due.as_micros() + TICK_MICROS - 1).div_euclid(TICK_MICROS).max(self.next_tick);
         let slot = slot_of(tick);
         let older = self.slots[slot];
         let key = self.timers.insert(Timer { tick, payload, newer: None, older });
@@ -62,7 +62,7 @@
     }
 
     /// Cancels a timer and returns its payload; `None` if it was due or cancelled before.
-    pub fn take_back(&mut self, key: TimerKey) -> Option<T> {
+    pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
         let Timer { tick, payload, newer, older } = self.timers.remove(key)?;
         if let Some(older) = older.and_then(|older| self.timers.get_mut(older)) {
             older.newer = newer;
@@ -81,9 +81,9 @@
         }
     }
 
-    /// When to call [`TimerWheel::due`] at the latest; `None` without timers. It is too early where a slot holds
+    /// When to call [`TimerWheel::take_due`] at the latest; `None` without timers. It is too early where a slot holds
     /// only timers that are due in a later turn of the wheel.
-    pub fn next(&self) -> Option<Timestamp> {
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         let end = self.next_tick + SLOT_COUNT as i64;
         let tick = self.next_occupied(self.next_tick, end)?;
         Some(Timestamp::from_micros(tick * TICK_MICROS))
@@ -91,8 +91,8 @@
 
     /// Takes the timers that are due and appends their payloads to `into`, in order of their ticks; those of one tick
     /// in the order in which they were set.
-    pub fn due(&mut self, now: Timestamp, into: &mut Vec<T>) {
-        let last_tick = now.micros().div_euclid(TICK_MICROS);
+    pub fn take_due(&mut self, now: Timestamp, into: &mut Vec<T>) {
+        let last_tick = now.as_micros().div_euclid(TICK_MICROS);
         // After a long stall one turn of the wheel visits every slot.
         let mut from = self.next_tick.max(last_tick + 1 - SLOT_COUNT as i64);
         while let Some(tick) = self.next_occupied(from, last_tick + 1) {
@@ -110,7 +110,7 @@
             let timer = &self.timers[key];
             next = timer.older;
             if timer.tick <= last_tick {
-                into.extend(self.take_back(key));
+                into.extend(self.cancel(key));
             }
         }
         into[first_taken..].reverse();
@@ -147,39 +147,39 @@
         let mut due = Vec::new();
         // Two in one slot, a turn of the wheel apart; one between ticks; one already past.
         for millis in [5, 5 + SLOT_COUNT as i64, 9_000, -3] {
-            timers.set(at(millis), millis);
+            timers.schedule(at(millis), millis);
         }
-        timers.set(at(7) + Duration::from_micros(1), 8);
+        timers.schedule(at(7) + Duration::from_micros(1), 8);
         // One cancelled in the middle of a slot, one that was alone in its slot.
         for millis in [5, 6] {
-            let key = timers.set(at(millis), -1);
-            timers.set(at(5), 50 + millis);
-            assert_eq!((timers.take_back(key), timers.take_back(key)), (Some(-1), None));
+            let key = timers.schedule(at(millis), -1);
+            timers.schedule(at(5), 50 + millis);
+            assert_eq!((timers.cancel(key), timers.cancel(key)), (Some(-1), None));
         }
         let mut expired = Vec::new();
         for millis in 0..10_000 {
-            timers.due(at(millis), &mut due);
+            timers.take_due(at(millis), &mut due);
             expired.extend(due.drain(..).map(|payload| (millis, payload)));
-            assert!(timers.next().is_none_or(|next| next > at(millis)));
+            assert!(timers.next_deadline().is_none_or(|next| next > at(millis)));
         }
         let next_turn = 5 + SLOT_COUNT as i64;
         assert_eq!(
             expired,
             [(0, -3), (5, 5), (5, 55), (5, 56), (8, 8), (next_turn, next_turn), (9_000, 9_000)]
         );
-        assert_eq!(timers.next(), None);
+        assert_eq!(timers.next_deadline(), None);
     }
 
     #[test]
     fn a_long_stall_leaves_no_timer_behind() {
         let mut timers = TimerWheel::new(Timestamp::from_micros(0));
         for millis in 1..20_000 {
-            timers.set(Timestamp::from_micros(millis * TICK_MICROS), millis);
+            timers.schedule(Timestamp::from_micros(millis * TICK_MICROS), millis);
         }
         let mut due = Vec::new();
-        timers.due(Timestamp::from_micros(15_000 * TICK_MICROS), &mut due);
+        timers.take_due(Timestamp::from_micros(15_000 * TICK_MICROS), &mut due);
         assert_eq!(due.len(), 15_000);
-        timers.due(Timestamp::from_micros(30_000 * TICK_MICROS), &mut due);
+        timers.take_due(Timestamp::from_micros(30_000 * TICK_MICROS), &mut due);
         assert_eq!(due.len(), 19_999);
     }
 }
--- a/crates/net/tests/error_texts.rs
+++ b/crates/net/tests/error_texts.rs
@@ -4,7 +4,7 @@
 use kitepass_net::http::{MessageKind, MessageReader, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use rstest::rstest;
 
-const RESPONSE: MessageKind = MessageKind::Answer { to_head: false };
+const RESPONSE: MessageKind = MessageKind::Response { to_head: false };
 
 fn error_text(kind: MessageKind, input: &str) -> String {
     let error = MessageReader::default().next(kind, &mut input.as_bytes().to_vec(), false).unwrap_err();
@@ -69,7 +69,7 @@
 #[test]
 fn a_stream_that_is_not_chunked_has_this_text() {
     let mut input = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n".to_vec();
-    let error = MessageReader::default().stream(&mut input, &mut Vec::new()).unwrap_err();
+    let error = MessageReader::default().read_chunked_response(&mut input, &mut Vec::new()).unwrap_err();
     assert_eq!(format!("{error:?}"), r#"Malformed("expected a chunked body")"#);
 }
 
@@ -78,6 +78,6 @@
     let mut input = b"POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\n".to_vec();
     let head = HeadReader::default().next(MessageKind::Request, &mut input, MAX_HEAD_BYTES).unwrap();
     let (_, framing) = head.expect("the head is complete");
-    let error = Body::new(framing).ended().unwrap_err();
+    let error = Body::new(framing).end_of_input().unwrap_err();
     assert_eq!(format!("{error:?}"), r#"Malformed("a body that breaks off")"#);
 }
--- a/crates/net/tests/golden.rs
+++ b/crates/net/tests/golden.rs
@@ -6,8 +6,8 @@
 use std::fmt::Write;
 use std::path::Path;
 
-const RESPONSE: MessageKind = MessageKind::Answer { to_head: false };
-const RESPONSE_TO_HEAD: MessageKind = MessageKind::Answer { to_head: true };
+const RESPONSE: MessageKind = MessageKind::Response { to_head: false };
+const RESPONSE_TO_HEAD: MessageKind = MessageKind::Response { to_head: true };
 /// Fields that are left out of what is forwarded, beside those of one connection.
 const LEFT_OUT: [&str; 1] = ["x-left-out"];
 /// Longer runs of one byte are written with their length.
@@ -197,21 +197,21 @@
 
 /// What a head says, one line for each answer that it gives.
 fn describe_head(head: &Head, into: &mut String) {
-    let start: Vec<String> = (0..3).map(|part| escaped(head.start(part))).collect();
+    let start: Vec<String> = (0..3).map(|part| escaped(head.start_line_part(part))).collect();
     let _ =
         writeln!(into, "  start: {} | status {} | {} bytes", start.join(" | "), head.status(), head.len());
     for (name, value) in head.fields() {
         let _ = writeln!(into, "  field: {} = {}", escaped(name), escaped(value));
     }
     let mut forwarded = Vec::new();
-    head.pass_on(&LEFT_OUT, &mut forwarded);
+    head.append_forwarded_fields(&LEFT_OUT, &mut forwarded);
     let _ = writeln!(into, "  forwarded: {}", escaped(&forwarded));
     let keep_alive = head.keep_alive_secs().map_or("unknown".to_owned(), |seconds| format!("{seconds} s"));
     let _ = writeln!(
         into,
         "  stays open: {}, keep-alive: {keep_alive}, waits for 100: {}",
-        yes(head.keeps_open()),
-        yes(head.expects_a_word())
+        yes(head.is_persistent()),
+        yes(head.expects_continue())
     );
 }
 
@@ -222,9 +222,9 @@
 fn describe_framing(framing: Framing) -> String {
     match framing {
         Framing::Empty => "none".to_owned(),
-        Framing::Sized(length) => format!("{length} bytes"),
+        Framing::ContentLength(length) => format!("{length} bytes"),
         Framing::Chunked => "chunks".to_owned(),
-        Framing::ToTheEnd => "to the end".to_owned(),
+        Framing::UntilClose => "to the end".to_owned(),
     }
 }
 
@@ -251,7 +251,7 @@
             }
         }
     }
-    let _ = writeln!(outcome, "  begun: {}", yes(reader.begun(&input)));
+    let _ = writeln!(outcome, "  begun: {}", yes(reader.has_partial_message(&input)));
     outcome
 }
 
@@ -294,11 +294,11 @@
     match body {
         Some((mut reader, decoded)) => {
             let _ = writeln!(outcome, "  body at the end: {}", escaped(&decoded));
-            if let Err(fault) = reader.ended() {
+            if let Err(fault) = reader.end_of_input() {
                 describe_fault(fault, &mut outcome);
             }
         }
-        None => _ = writeln!(outcome, "  begun: {}", yes(heads.begun(&input))),
+        None => _ = writeln!(outcome, "  begun: {}", yes(heads.has_partial_head(&input))),
     }
     outcome
 }
@@ -307,8 +307,8 @@
 fn describe(kind: MessageKind, name: &str, input: &[u8], into: &mut String) {
     let side = match kind {
         MessageKind::Request => "request",
-        MessageKind::Answer { to_head: false } => "response",
-        MessageKind::Answer { to_head: true } => "response to HEAD",
+        MessageKind::Response { to_head: false } => "response",
+        MessageKind::Response { to_head: true } => "response to HEAD",
     };
     let _ = writeln!(into, "{side}, {name}: {}", escaped(input));
     let single: Vec<&[u8]> = input.chunks(1).collect();
@@ -377,19 +377,20 @@
     for piece in pieces {
         input.extend_from_slice(piece);
         let mut decoded = Vec::new();
-        let outcome = match reader.stream(&mut input, &mut decoded) {
+        let outcome = match reader.read_chunked_response(&mut input, &mut decoded) {
             Ok(None) => "no head yet".to_owned(),
             Ok(Some(complete)) => format!("complete: {}", yes(complete)),
             Err(fault) => format!("error: {}", fault.status()),
         };
-        let status = reader.stream_status(&input);
+        let status = reader.chunked_response_status(&input);
         let _ =
             writeln!(found, "{}: {outcome}, status {status}, body: {}", escaped(piece), escaped(&decoded));
     }
     for input in
         ["HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 2\r\n"]
     {
-        let outcome = MessageReader::default().stream(&mut input.as_bytes().to_vec(), &mut Vec::new());
+        let outcome =
+            MessageReader::default().read_chunked_response(&mut input.as_bytes().to_vec(), &mut Vec::new());
         let status = outcome.map_or_else(ParseError::status, |_| 0);
         let _ = writeln!(found, "{}: error: {status}", escaped(input.as_bytes()));
     }
@@ -405,7 +406,7 @@
         let (mut reader, mut come) = (MessageReader::default(), input[..end].to_vec());
         let complete =
             reader.next(MessageKind::Request, &mut come, false).is_ok_and(|message| message.is_some());
-        let waits = reader.expects_a_word(&come);
+        let waits = reader.expects_continue(&come);
         let _ = writeln!(found, "{end} bytes: complete: {}, waits for 100: {}", yes(complete), yes(waits));
     }
     compare("wait-for-100.txt", &found, include_str!("golden/wait-for-100.txt"));
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -21,7 +21,7 @@
     /// # Errors
     ///
     /// The system's.
-    pub fn heed(&self) -> io::Result<()> {
+    pub fn install_handlers(&self) -> io::Result<()> {
         let handlers = [
             (SIGTERM, &self.is_shutdown_requested),
             (SIGINT, &self.is_shutdown_requested),
@@ -34,12 +34,12 @@
     }
 
     /// Whether the process was asked to shut down.
-    pub fn ends(&self) -> bool {
+    pub fn is_shutdown_requested(&self) -> bool {
         self.is_shutdown_requested.load(Ordering::Relaxed)
     }
 
     /// Whether the process was asked to read its settings again since the last call.
-    pub fn reloads(&self) -> bool {
+    pub fn take_reload_request(&self) -> bool {
         self.is_reload_requested.swap(false, Ordering::Relaxed)
     }
 }
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -80,19 +80,19 @@
     let write = |text: &str| std::fs::write(&path, text).unwrap();
     write(REQUIRED_FIELDS);
     let mut watch = Watch::new(&path);
-    assert_eq!(watch.changed().unwrap().unwrap().node_id, "a");
-    assert!(watch.changed().is_none());
+    assert_eq!(watch.take_change().unwrap().unwrap().node_id, "a");
+    assert!(watch.take_change().is_none());
     // The same length, and most likely the same tick of the file system's clock.
     write(&REQUIRED_FIELDS.replace("\"a\"", "\"b\""));
-    assert_eq!(watch.changed().unwrap().unwrap().node_id, "b");
+    assert_eq!(watch.take_change().unwrap().unwrap().node_id, "b");
     write("station = ");
-    assert!(matches!(watch.changed(), Some(Err(Error::NotToml { .. }))));
-    assert!(watch.changed().is_none());
+    assert!(matches!(watch.take_change(), Some(Err(Error::NotToml { .. }))));
+    assert!(watch.take_change().is_none());
     std::fs::remove_file(&path).unwrap();
-    assert!(matches!(watch.changed(), Some(Err(Error::Unreadable { .. }))));
-    assert!(watch.changed().is_none());
+    assert!(matches!(watch.take_change(), Some(Err(Error::Unreadable { .. }))));
+    assert!(watch.take_change().is_none());
     write(REQUIRED_FIELDS);
-    assert_eq!(watch.changed().unwrap().unwrap().node_id, "a");
+    assert_eq!(watch.take_change().unwrap().unwrap().node_id, "a");
     std::fs::remove_file(&path).unwrap();
 }
 
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -52,23 +52,23 @@
         let mut result = TickResult::default();
         if self.control_session.tick(now) {
             result.closes_session = true;
-            self.control_session.lost("left");
+            self.control_session.connection_lost("left");
         }
-        result.connect_to = self.control_session.next(now, random);
-        self.control_session.ready = self.control_session.is_caught_up();
+        result.connect_to = self.control_session.next_control_process(now, random);
+        self.control_session.is_ready = self.control_session.is_caught_up();
         result
     }
 
     /// Its session is over, or could not be opened.
     pub fn session_lost(&mut self, reason: &str) {
         self.session = None;
-        self.control_session.lost(reason);
+        self.control_session.connection_lost(reason);
     }
 
     /// What it sends on its session.
     pub fn take_messages(&mut self) -> Vec<Message> {
-        let mut messages = std::mem::take(&mut self.control_session.out);
-        let items = std::mem::take(&mut self.control_session.out_items);
+        let mut messages = std::mem::take(&mut self.control_session.outgoing);
+        let items = std::mem::take(&mut self.control_session.outgoing_items);
         if !items.is_empty() {
             messages.push(Message::Items(to_message(&items)));
         }
@@ -78,9 +78,9 @@
     /// A message arrived on its session.
     pub fn receive(&mut self, now: Timestamp, message: Message) -> MessageResult {
         let mut updates = SessionUpdates::default();
-        self.control_session.said(now, message, &mut updates);
+        self.control_session.receive(now, message, &mut updates);
         let applied = updates.items.iter().filter_map(write_from_item).collect();
-        MessageResult { applied, closes_session: updates.close }
+        MessageResult { applied, closes_session: updates.should_close }
     }
 
     /// It holds what the control plane holds.
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -141,7 +141,7 @@
     pub fn start(now: Timestamp, start: ProcessStart) -> Process {
         let NodeLocation { node_id, address, zone, region } = start.location;
         let start = Start {
-            me: Replica { node_id, address, zone, region, ..Replica::default() },
+            replica: Replica { node_id, address, zone, region, ..Replica::default() },
             incarnation: start.incarnation,
             is_first_start: start.is_first_start,
             is_bootstrap_node: start.is_bootstrap_node,
--- a/crates/simulation/src/simulation/endpoints.rs
+++ b/crates/simulation/src/simulation/endpoints.rs
@@ -19,13 +19,13 @@
 pub(super) fn initial_endpoints(layout: &Layout) -> Vec<Endpoint> {
     let zones = layout.zone_names();
     let endpoint = |number: usize| Endpoint {
-        call_sign: format!("b{number}"),
-        line: service_name(number % SERVICE_COUNT),
+        backend_id: format!("b{number}"),
+        service: service_name(number % SERVICE_COUNT),
         address: format!("10.2.0.{number}:80"),
         zone: zones[number % zones.len()].clone(),
-        berths: 4,
-        closing: false,
-        cold_ms: 0,
+        slots: 4,
+        is_draining: false,
+        warm_up_ms: 0,
     };
     (0..zones.len() * ENDPOINTS_PER_ZONE).map(endpoint).collect()
 }
@@ -35,7 +35,7 @@
     pub(super) fn list_endpoints(&mut self) {
         if self.now < self.until && self.rng.percent(DRAIN_PERCENT) {
             let number = self.rng.below(self.endpoints.len());
-            self.endpoints[number].closing ^= true;
+            self.endpoints[number].is_draining ^= true;
         }
         for number in 0..self.nodes.len() {
             self.list_endpoints_at(number);
--- a/crates/simulator-host/src/decode.rs
+++ b/crates/simulator-host/src/decode.rs
@@ -134,7 +134,7 @@
             other => return Err(format!("Status: expected a standing, found '{}'", clip(other))),
         },
         weight: Some(fields.number_or("Nominal", 1.0)?).filter(|size| *size > 0.0).unwrap_or(1.0),
-        started: Some(Timestamp::from_micros(started.micros())).filter(|_| started > Duration::ZERO),
+        started: Some(Timestamp::from_micros(started.as_micros())).filter(|_| started > Duration::ZERO),
     })
 }
 
--- a/crates/simulator-host/src/host.rs
+++ b/crates/simulator-host/src/host.rs
@@ -212,7 +212,7 @@
 
 impl Display for Seconds {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let micros = self.0.micros();
+        let micros = self.0.as_micros();
         let sign = if micros < 0 { "-" } else { "" };
         write!(f, "{sign}{}.{:06}", micros.unsigned_abs() / 1_000_000, micros.unsigned_abs() % 1_000_000)
     }
--- a/crates/storage/src/in_memory.rs
+++ b/crates/storage/src/in_memory.rs
@@ -46,13 +46,13 @@
         self.event_fd.notify();
     }
 
-    fn done(&self) -> Result<Vec<u64>, Error> {
+    fn take_completed(&self) -> Result<Vec<u64>, Error> {
         let mut completed_writes = lock(&self.completed_writes);
         self.event_fd.reset();
         Ok(std::mem::take(&mut *completed_writes))
     }
 
-    fn wakes(&self) -> BorrowedFd<'_> {
+    fn event_fd(&self) -> BorrowedFd<'_> {
         self.event_fd.as_fd()
     }
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -184,8 +184,8 @@
     /// # Errors
     /// What stopped the store, at each call from then on. Ids that had not come back by then never do: their records may
     /// or may not be durable.
-    fn done(&self) -> Result<Vec<u64>, Error>;
+    fn take_completed(&self) -> Result<Vec<u64>, Error>;
 
     /// A file descriptor that is readable when [`RecordStore::done`] has something new.
-    fn wakes(&self) -> BorrowedFd<'_>;
+    fn event_fd(&self) -> BorrowedFd<'_>;
 }
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -87,12 +87,12 @@
     /// # Errors
     /// [`Error::Thread`] where the store's thread has panicked, once all writes that completed before were returned,
     /// and at each call from then on. Never for what the disk does.
-    pub fn done(&self) -> Result<Vec<u64>, Error> {
+    pub fn take_completed(&self) -> Result<Vec<u64>, Error> {
         self.queue.take_completed()
     }
 
     /// A file descriptor (an eventfd) that is readable when [`Store::done`] has something new.
-    pub fn wakes(&self) -> BorrowedFd<'_> {
+    pub fn event_fd(&self) -> BorrowedFd<'_> {
         self.queue.event_fd()
     }
 }
@@ -112,12 +112,12 @@
         Store::put(self, write_id, records);
     }
 
-    fn done(&self) -> Result<Vec<u64>, Error> {
-        Store::done(self)
+    fn take_completed(&self) -> Result<Vec<u64>, Error> {
+        Store::take_completed(self)
     }
 
-    fn wakes(&self) -> BorrowedFd<'_> {
-        Store::wakes(self)
+    fn event_fd(&self) -> BorrowedFd<'_> {
+        Store::event_fd(self)
     }
 }
 
--- a/crates/storage/src/tests/contract.rs
+++ b/crates/storage/src/tests/contract.rs
@@ -39,7 +39,7 @@
         store.put(write_id, records.into());
     }
     assert_eq!(wait_for(&*store, 100).unwrap(), (0..100).collect::<Vec<_>>());
-    assert!(!is_readable(&*store, false) && store.done().unwrap().is_empty());
+    assert!(!is_readable(&*store, false) && store.take_completed().unwrap().is_empty());
     drop(store);
 
     let (store, records) = medium.open();
@@ -86,7 +86,7 @@
     let (store, records) = Store::start(fs_directory, 1 << 20, NO_BACKOFF).unwrap();
     assert_eq!(records, [record("a", "b")]);
     store.put(2, vec![record("c", "d")]);
-    assert_eq!((store.done(), is_readable(&store, false)), (Ok(vec![]), false));
+    assert_eq!((store.take_completed(), is_readable(&store, false)), (Ok(vec![]), false));
     std::fs::remove_dir(&obstacle).unwrap();
     assert_eq!(wait_for(&store, 1).unwrap(), [2]);
     drop(store);
--- a/crates/storage/src/tests/disk_failures.rs
+++ b/crates/storage/src/tests/disk_failures.rs
@@ -51,7 +51,7 @@
     let failed_before = disk.lock().failed_calls;
     disk.wait_until(|state| state.failed_calls > failed_before + 10);
     // Until the log was full some may have been appended.
-    let mut write_ids = store.done().unwrap();
+    let mut write_ids = store.take_completed().unwrap();
     let may_append = fault.failing_calls == Call::SyncDirectory.bit();
     assert!(!is_readable(&store, false) && (write_ids.is_empty() || may_append));
 
@@ -78,7 +78,7 @@
     for write_id in 1..=last {
         store.put(write_id, vec![record("last", &write_id.to_string())]);
     }
-    assert_eq!(store.done(), Ok(vec![]));
+    assert_eq!(store.take_completed(), Ok(vec![]));
     disk.set_fault(Fault::default());
     assert_eq!(wait_for(&store, MAX_PENDING_WRITES).unwrap(), (11..=last).collect::<Vec<_>>());
     let expected = [record("first", "0"), record("last", &last.to_string())];
@@ -95,5 +95,5 @@
     store.put(2, vec![record("a", "c")]);
     let error = wait_for(&store, 1).unwrap_err();
     assert!(matches!(error, Error::Thread { .. }), "{error}");
-    assert_eq!((store.done(), is_readable(&store, false)), (Err(error), false));
+    assert_eq!((store.take_completed(), is_readable(&store, false)), (Err(error), false));
 }
--- a/crates/storage/src/tests/mod.rs
+++ b/crates/storage/src/tests/mod.rs
@@ -22,7 +22,7 @@
 /// Whether the store has something new, at once or after a wait for it.
 fn is_readable(store: &dyn RecordStore, wait: bool) -> bool {
     let no_time = Default::default();
-    let mut fds = [PollFd::from_borrowed_fd(store.wakes(), PollFlags::IN)];
+    let mut fds = [PollFd::from_borrowed_fd(store.event_fd(), PollFlags::IN)];
     poll(&mut fds, if wait { None } else { Some(&no_time) }).unwrap() > 0
 }
 
@@ -31,7 +31,7 @@
     let mut write_ids = Vec::new();
     while write_ids.len() < count {
         is_readable(store, true);
-        write_ids.extend(store.done()?);
+        write_ids.extend(store.take_completed()?);
     }
     Ok(write_ids)
 }
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -68,8 +68,8 @@
 
 fn wait_for(store: &Store, write_id: u64) {
     loop {
-        poll(&mut [PollFd::from_borrowed_fd(store.wakes(), PollFlags::IN)], None).expect("poll works");
-        let done = store.done().expect("the store works");
+        poll(&mut [PollFd::from_borrowed_fd(store.event_fd(), PollFlags::IN)], None).expect("poll works");
+        let done = store.take_completed().expect("the store works");
         if done.contains(&write_id) {
             return;
         }
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -29,13 +29,13 @@
     }
 
     /// Microseconds since the clock's origin.
-    pub const fn micros(self) -> i64 {
+    pub const fn as_micros(self) -> i64 {
         self.0
     }
 
     /// Where the point lies in a sequence of equal periods, the first of which begins at the clock's origin: the number
     /// of its period, and how much of that has passed. A period below a microsecond counts as one.
-    pub fn among(self, period: Duration) -> (i64, Duration) {
+    pub fn period_and_offset(self, period: Duration) -> (i64, Duration) {
         let period_micros = period.0.max(1);
         (self.0.div_euclid(period_micros), Duration(self.0.rem_euclid(period_micros)))
     }
@@ -57,17 +57,17 @@
     }
 
     /// The whole duration in microseconds.
-    pub const fn micros(self) -> i64 {
+    pub const fn as_micros(self) -> i64 {
         self.0
     }
 
     /// The whole duration in seconds, with fractions.
-    pub fn secs(self) -> f64 {
+    pub fn as_secs(self) -> f64 {
         self.0 as f64 / MICROS_PER_SEC as f64
     }
 
     /// This duration as a multiple of another; `f64::MAX` if the other is zero.
-    pub fn over(self, other: Duration) -> f64 {
+    pub fn ratio_to(self, other: Duration) -> f64 {
         if other.0 == 0 {
             return f64::MAX;
         }
@@ -75,7 +75,7 @@
     }
 
     /// This duration multiplied by a factor, rounded towards zero. Saturates; zero if the factor is not a number.
-    pub fn times(self, factor: f64) -> Duration {
+    pub fn mul_f64(self, factor: f64) -> Duration {
         Duration((self.0 as f64 * factor) as i64)
     }
 }
--- a/crates/time/tests/arithmetic.rs
+++ b/crates/time/tests/arithmetic.rs
@@ -24,31 +24,34 @@
     assert_eq!((last + micros(1), first - micros(1)), (last, first));
     assert_eq!((MAX + micros(1), MIN - micros(1)), (MAX, MIN));
     assert_eq!((MAX * 2, MIN * 2), (MAX, MIN));
-    assert_eq!((MAX.times(1e9), MIN.times(1e9)), (MAX, MIN));
+    assert_eq!((MAX.mul_f64(1e9), MIN.mul_f64(1e9)), (MAX, MIN));
 }
 
 #[test]
 fn multiples_and_fractions() {
     assert_eq!((micros(7) * 3, micros(7) / 2, micros(-7) / 2), (micros(21), micros(3), micros(-3)));
     assert_eq!((micros(7) / 0, micros(7) / -2), (micros(7), micros(7)));
-    assert_eq!((micros(10).times(0.19), micros(-10).times(0.19)), (micros(1), micros(-1)));
-    assert_eq!(micros(10).times(f64::NAN), Duration::ZERO);
-    assert_eq!(micros(30).over(micros(20)), 1.5);
-    assert_eq!((micros(30).over(Duration::ZERO), Duration::ZERO.over(Duration::ZERO)), (f64::MAX, f64::MAX));
+    assert_eq!((micros(10).mul_f64(0.19), micros(-10).mul_f64(0.19)), (micros(1), micros(-1)));
+    assert_eq!(micros(10).mul_f64(f64::NAN), Duration::ZERO);
+    assert_eq!(micros(30).ratio_to(micros(20)), 1.5);
+    assert_eq!(
+        (micros(30).ratio_to(Duration::ZERO), Duration::ZERO.ratio_to(Duration::ZERO)),
+        (f64::MAX, f64::MAX)
+    );
 }
 
 #[test]
 fn seconds() {
     assert_eq!(Duration::from_secs(-3), micros(-3_000_000));
-    assert_eq!(micros(2_500_000).secs(), 2.5);
-    assert_eq!((Timestamp::from_micros(7).micros(), micros(-7).micros()), (7, -7));
+    assert_eq!(micros(2_500_000).as_secs(), 2.5);
+    assert_eq!((Timestamp::from_micros(7).as_micros(), micros(-7).as_micros()), (7, -7));
 }
 
 #[test]
 fn periods_are_numbered_from_the_origin() {
     let period = micros(10);
-    assert_eq!(Timestamp::from_micros(25).among(period), (2, micros(5)));
-    assert_eq!(Timestamp::from_micros(20).among(period), (2, Duration::ZERO));
-    assert_eq!(Timestamp::from_micros(-1).among(period), (-1, micros(9)));
-    assert_eq!(Timestamp::from_micros(3).among(Duration::ZERO), (3, Duration::ZERO));
+    assert_eq!(Timestamp::from_micros(25).period_and_offset(period), (2, micros(5)));
+    assert_eq!(Timestamp::from_micros(20).period_and_offset(period), (2, Duration::ZERO));
+    assert_eq!(Timestamp::from_micros(-1).period_and_offset(period), (-1, micros(9)));
+    assert_eq!(Timestamp::from_micros(3).period_and_offset(Duration::ZERO), (3, Duration::ZERO));
 }
