--- a/crates/config/src/item_store/mod.rs
+++ b/crates/config/src/item_store/mod.rs
@@ -21,7 +21,7 @@
 ///
 /// Invariant: without its tombstone a removed item would be brought back by a late copy of an old version. So the
 /// tombstone of a durable item is taken out only by [`ItemStore::purge`], when no such copy is left. Of backends the
-/// oldest tombstones are dropped ([`ItemStore::purge_dropped`]): the platform's next report corrects what that brings
+/// oldest tombstones are dropped ([`ItemStore::purge_oldest_tombstones`]): the platform's next report corrects what that brings
 /// back.
 ///
 /// Items are merged one by one: the higher version wins; of equal versions that differ, the greater by (is set, bytes).
--- a/crates/data-plane/src/control_session/mod.rs
+++ b/crates/data-plane/src/control_session/mod.rs
@@ -1,7 +1,7 @@
 //! A gateway's session with a control process, over which all that it knows of the system comes.
 //!
-//! No input or output: the owner opens connections to the addresses that [`ControlSession::next`] names, hands in the
-//! messages that come, and sends those in [`ControlSession::out`] and [`ControlSession::out_items`].
+//! No input or output: the owner opens connections to the addresses that [`ControlSession::next_control_process`] names, hands in the
+//! messages that come, and sends those in [`ControlSession::outgoing`] and [`ControlSession::outgoing_items`].
 
 mod directory;
 mod updates;
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -186,6 +186,6 @@
     /// or may not be durable.
     fn take_completed(&self) -> Result<Vec<u64>, Error>;
 
-    /// A file descriptor that is readable when [`RecordStore::done`] has something new.
+    /// A file descriptor that is readable when [`RecordStore::take_completed`] has something new.
     fn event_fd(&self) -> BorrowedFd<'_>;
 }
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -80,7 +80,7 @@
         self.queue.push(write_id, records);
     }
 
-    /// As [`RecordStore::done`]: the ids of writes that are durable. With a write's records, those of all writes before
+    /// As [`RecordStore::take_completed`]: the ids of writes that are durable. With a write's records, those of all writes before
     /// it are durable, and all that [`Store::open`] returned: an id that was passed over was dropped, and will not
     /// come.
     ///
@@ -91,7 +91,7 @@
         self.queue.take_completed()
     }
 
-    /// A file descriptor (an eventfd) that is readable when [`Store::done`] has something new.
+    /// A file descriptor (an eventfd) that is readable when [`Store::take_completed`] has something new.
     pub fn event_fd(&self) -> BorrowedFd<'_> {
         self.queue.event_fd()
     }
