--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -7,7 +7,4 @@
 pub mod endpoints;
 pub mod request;
 pub mod server;
-// Until the issue "Readable code 2" has reached this module.
-#[allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#[allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
 pub mod state_machine;
--- a/crates/control-plane/tests/golden_store.rs
+++ b/crates/control-plane/tests/golden_store.rs
@@ -6,10 +6,6 @@
 //! items as they are encoded, those with `first-run.` and `second-run.` are all that one process of a core of three stores
 //! in these runs.
 
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
-
 use kitepass_config::{decode_record, encode_record, Item, ItemStore, Kind, MAX_OLDER_VERSIONS};
 use kitepass_control_plane::request::{Request, Response};
 use kitepass_control_plane::state_machine::{Action, ReplicaState, Start, StateMachine, COORDINATOR_ROLE};
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -1,10 +1,6 @@
 //! What goes over the wire between processes, byte by byte. Processes of two versions talk to each other during an
 //! upgrade, so no line of the golden files may ever change; new messages and fields get lines of their own.
 
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
-
 use bytes::Bytes;
 use kitepass_config::{Entry, Item, Kind, VersionDigest};
 use kitepass_coordination::consensus::{key, Ballot, Proposal, ProposalMessage};
--- a/crates/coordination/tests/golden/samples.rs
+++ b/crates/coordination/tests/golden/samples.rs
@@ -13,9 +13,9 @@
 use prost::Message as _;
 
 /// A name in the golden file, and the message.
-pub type Sample = (&'static str, Message);
+pub(crate) type Sample = (&'static str, Message);
 
-pub fn hello() -> Hello {
+pub(crate) fn hello() -> Hello {
     Hello {
         node_id: "node-1".into(),
         address: "10.1.2.3".into(),
@@ -30,7 +30,7 @@
     }
 }
 
-pub fn heartbeat() -> Heartbeat {
+pub(crate) fn heartbeat() -> Heartbeat {
     Heartbeat {
         digest: 0x3132_3334_3536_3738,
         is_ready: true,
@@ -44,7 +44,7 @@
     }
 }
 
-pub fn ballot(number: u64) -> Ballot {
+pub(crate) fn ballot(number: u64) -> Ballot {
     Ballot { epoch: 100 + number, round: (1 << 40) + number, proposer: 0x6162_6364_6566_6700 + number }
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-pub fn accept_request() -> AcceptRequest {
+pub(crate) fn accept_request() -> AcceptRequest {
     AcceptRequest {
         request_id: 0x0102_0304_0506,
         items: vec![item_with_history(), removed_item()],
@@ -120,11 +120,11 @@
     }
 }
 
-pub fn rejection() -> RejectedProposal {
+pub(crate) fn rejection() -> RejectedProposal {
     RejectedProposal { ballot: ballot(5), proposal_id: Bytes::from_static(b"fedcba9876543210") }
 }
 
-pub fn accepted_proposal() -> ProposalMessage {
+pub(crate) fn accepted_proposal() -> ProposalMessage {
     ProposalMessage { ballot: ballot(6), items: vec![empty_item(), removed_item()] }
 }
 
@@ -227,7 +227,7 @@
     }
 }
 
-pub fn commit() -> Commit {
+pub(crate) fn commit() -> Commit {
     Commit { proposal_id: Bytes::from_static(b"0f1e2d3c4b5a6978") }
 }
 
@@ -236,7 +236,7 @@
 }
 
 /// Every variant with every field, in the order of the variants' tags.
-pub fn complete() -> Vec<Sample> {
+pub(crate) fn complete() -> Vec<Sample> {
     let bucket_digests = BucketDigests { digests: vec![0x5958_5756_5554_5352, 0, 9], wants_reply: true };
     vec![
         ("hello", Message::Hello(hello())),
@@ -259,7 +259,7 @@
 }
 
 /// Every variant with nothing set.
-pub fn empty() -> Vec<Sample> {
+pub(crate) fn empty() -> Vec<Sample> {
     vec![
         ("hello.empty", Message::Hello(Hello::default())),
         ("heartbeat.empty", Message::Heartbeat(Heartbeat::default())),
@@ -281,7 +281,7 @@
 }
 
 /// Each boolean alone, where a message has more than one.
-pub fn booleans() -> Vec<Sample> {
+pub(crate) fn booleans() -> Vec<Sample> {
     vec![
         ("hello.is-control-plane", Message::Hello(Hello { is_control_plane: true, ..Hello::default() })),
         ("hello.is-current", Message::Hello(Hello { is_serving: true, ..Hello::default() })),
@@ -332,7 +332,7 @@
 }
 
 /// Nested messages that are set, with nothing in them.
-pub fn nested_defaults() -> Vec<Sample> {
+pub(crate) fn nested_defaults() -> Vec<Sample> {
     let nothing = Some(Ballot::default());
     let accept_request =
         AcceptRequest { items: vec![ItemMessage::default()], ballot: nothing, ..AcceptRequest::default() };
@@ -354,7 +354,7 @@
 }
 
 /// Seats of replicas; the second one is of a disk without a number.
-pub fn replicas() -> Vec<Replica> {
+pub(crate) fn replicas() -> Vec<Replica> {
     let first = Replica {
         node_id: "node-1".into(),
         address: "10.1.2.3:7000".into(),
@@ -367,7 +367,7 @@
 }
 
 /// Messages that are not sent by themselves, but inside of others or as an item's value.
-pub fn nested() -> Vec<(&'static str, Vec<u8>)> {
+pub(crate) fn nested() -> Vec<(&'static str, Vec<u8>)> {
     let replica_set = ReplicaSet { replicas: replicas(), version: 81 };
     vec![
         ("ballot", ballot(1).encode_to_vec()),
