--- a/crates/control-plane/src/server/actions.rs
+++ b/crates/control-plane/src/server/actions.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// With more than this unsent to a process it is sent no further chunk of what it lacks: it requests it again.
+/// A process with more unsent bytes than this is sent no further chunk of what it lacks: it will request it again.
 /// Invariant: without this bound, repeated requests would pile up on a slow line.
 const MAX_UNSENT_FOR_CHUNKS: usize = 1024 * 1024;
 
@@ -25,7 +25,7 @@
 }
 
 impl Server {
-    /// Carries out all actions, including those that arise meanwhile, and then writes to the connections.
+    /// Carries out all actions, including those that carrying them out adds, and then writes to the connections.
     pub(super) fn perform_actions(&mut self) {
         let mut outgoing = Outgoing::default();
         while !self.state_machine.actions.is_empty() {
--- a/crates/control-plane/src/state_machine/bootstrap.rs
+++ b/crates/control-plane/src/state_machine/bootstrap.rs
@@ -5,7 +5,7 @@
 
 /// The bootstrap node waits for others this long after the last that came.
 const GATHER_QUIET: Duration = Duration::from_micros(900_000);
-/// A bootstrap node that nobody has joined founds a replica set alone after this time.
+/// A bootstrap node that nobody has joined makes a replica set of itself alone after this time.
 const MAX_GATHER_ALONE: Duration = Duration::from_micros(4_000_000);
 
 /// What a process knows of the bootstrap that it takes part in.
--- a/crates/control-plane/src/state_machine/membership.rs
+++ b/crates/control-plane/src/state_machine/membership.rs
@@ -44,7 +44,7 @@
     }
 
     /// What is seen of the members of `replica_set`. `myself` is this process' replica, if its disk is complete;
-    /// `started_at` is when it started: of a replica that it has never heard it knows the silence only from then on.
+    /// `started_at` is when it started: a replica that it has never heard counts as silent since then.
     pub(super) fn observe(
         &mut self,
         now: Timestamp,
@@ -67,7 +67,7 @@
         ReplicaObservations { complete, shutting_down: self.shutting_down.clone(), unresponsive }
     }
 
-    /// Notes that no replica set is being brought in.
+    /// No replica set is being brought in any more.
     pub(super) fn change_finished(&mut self) {
         self.unfinished_change = None;
     }
--- a/crates/control-plane/src/state_machine/mod.rs
+++ b/crates/control-plane/src/state_machine/mod.rs
@@ -9,12 +9,12 @@
 //! | `bootstrap` | the making of the first replica set |
 //! | `configuration` | committed items, the replica sets in force, rate limits |
 //! | `quorum` | the peers, and contact with a majority |
-//! | `catch_up` | readings of what other replicas hold |
+//! | `catch_up` | reads of what other replicas hold |
 //! | `proposals` | pending requests, promises and acceptances, proposals of others that are watched |
 //! | `membership` | what is seen of the replicas, from which the next replica set follows |
 //! | `coordinator` | the lease of the coordinator role, usage counts, the platform's list |
 //! | `sessions` | gateways' sessions, and what each lacks |
-//! | `tombstones` | when drops may be forgotten |
+//! | `tombstones` | when the tombstones of dropped items may be forgotten |
 //! | `persistence` | records on their way to disk, and what waits for them |
 //!
 //! `handlers` holds what is done with each kind of event; `startup` reads a disk's records back, and `records` has their
@@ -86,7 +86,7 @@
 pub struct ReplicaContact {
     /// The replica.
     pub replica: Replica,
-    /// It said something lately.
+    /// It has sent something within the time-out for unresponsive peers.
     pub is_responsive: bool,
     /// How long ago it is known to have heard this process.
     pub contact_age: Option<Duration>,
@@ -186,7 +186,7 @@
         self.expire_requests(now);
     }
 
-    /// A process that doesn't serve reads the others, and founds the first replica set where that is its part.
+    /// A process that doesn't serve reads from its peers; the bootstrap node also creates the first replica set.
     fn tick_catch_up(&mut self, now: Timestamp) {
         let is_behind = matches!(
             self.replica_state(),
--- a/crates/control-plane/src/state_machine/quorum.rs
+++ b/crates/control-plane/src/state_machine/quorum.rs
@@ -9,9 +9,9 @@
 use log::info;
 use std::collections::BTreeMap;
 
-/// After the last contact a look-up is answered for this long: what is known of the gateways is no older.
+/// How long after the last contact a look-up is still answered, which bounds the age of what it tells of the gateways.
 const LOOK_UP_TIMEOUT: Duration = Duration::from_micros(4_000_000);
-/// Heartbeats in a row that must tell another digest before a peer's copy is read: one may have crossed with an update.
+/// Heartbeats in a row that must carry a differing digest before a peer's copy is read: one may have crossed an update.
 const DIFFERING_HEARTBEATS: u32 = 2;
 
 /// Another control process that is connected.
@@ -55,7 +55,7 @@
         is_due
     }
 
-    /// Reckons the contact anew; a majority of each of these replica sets is needed for it.
+    /// Evaluates the contact again; it needs a majority of each of these replica sets.
     pub(super) fn evaluate(&mut self, now: Timestamp, replica_sets: &[ReplicaSet]) {
         if let Some(state) = self.contact.evaluate(now, replica_sets) {
             let age = self.contact.age(now).map_or("none".to_owned(), |age| super::millis(age).to_string());
@@ -68,12 +68,13 @@
         self.contact.is_connected(now)
     }
 
-    /// Whether contact was there, and counted, at the last evaluation.
+    /// Whether this process was in contact at the last evaluation, however long ago that was. See
+    /// [`Quorum::is_connected`] for the contact at this moment.
     pub(super) fn was_connected(&self) -> bool {
         self.contact.state() == ContactState::Connected
     }
 
-    /// Whether contact was lost by the last evaluation.
+    /// Whether this process was out of contact at the last evaluation, which is so at the start too.
     pub(super) fn is_lost(&self) -> bool {
         self.contact.state() == ContactState::Disconnected
     }
@@ -113,7 +114,7 @@
         self.peers.remove(node_id)
     }
 
-    /// Something has come of a peer. Gives it, if it is known.
+    /// A message has come from a peer. Returns the peer, if it is known.
     pub(super) fn message_received(&mut self, now: Timestamp, node_id: &str) -> Option<&Peer> {
         let peer = self.peers.get_mut(node_id)?;
         peer.last_received_at = now;
@@ -130,8 +131,8 @@
         self.contact.response_received(now, name, sent_at);
     }
 
-    /// Takes over what a peer's heartbeat says of it; `digest` is that of all that is held here. True if the peer's copy
-    /// differs for some time and is to be read.
+    /// Records what a peer's heartbeat says of the peer; `digest` covers all items held here. True if the peer's copy has
+    /// differed for [`DIFFERING_HEARTBEATS`] and is to be read.
     pub(super) fn receive_heartbeat(&mut self, node_id: &str, heartbeat: &Heartbeat, digest: u64) -> bool {
         let Some(peer) = self.peers.get_mut(node_id) else { return false };
         peer.hello.is_serving = heartbeat.is_serving;
--- a/crates/control-plane/src/state_machine/sessions.rs
+++ b/crates/control-plane/src/state_machine/sessions.rs
@@ -16,7 +16,7 @@
 const CHUNK_BYTES: usize = 256 * 1024;
 /// A session list that has not changed is announced again after this time.
 const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_micros(8 * HEARTBEAT_INTERVAL.as_micros());
-/// Heartbeats in a row that must tell another digest before a gateway's copy is compared: one may have crossed with an
+/// Heartbeats in a row that must carry a differing digest before a gateway's copy is compared: one may have crossed an
 /// update.
 const DIFFERING_HEARTBEATS: u32 = 2;
 
@@ -38,7 +38,7 @@
 /// What follows from a gateway's heartbeat.
 #[derive(Default)]
 pub(super) struct HeartbeatOutcome {
-    /// Its copy of the configuration differs for some time.
+    /// Its copy of the configuration has differed in [`DIFFERING_HEARTBEATS`] heartbeats in a row.
     pub(super) is_stale: bool,
     /// It has become ready, or ceased to be.
     pub(super) is_readiness_changed: bool,
@@ -85,7 +85,7 @@
         self.open.keys().copied().collect()
     }
 
-    /// Something has come of a gateway.
+    /// A message has come from a gateway.
     pub(super) fn message_received(&mut self, now: Timestamp, id: u64) {
         if let Some(session) = self.open.get_mut(&id) {
             session.last_received_at = now;
@@ -236,12 +236,12 @@
         self.table.expire(now);
     }
 
-    /// Gateways that count as live, reckoned once a heartbeat.
+    /// Gateways that count as live, as of the last [`Sessions::refresh_live`].
     pub(super) fn live_node_ids(&self) -> &[String] {
         &self.live_node_ids
     }
 
-    /// Reckons anew which gateways count as live; true if that has changed.
+    /// Evaluates which gateways count as live; true if that has changed.
     pub(super) fn refresh_live(&mut self) -> bool {
         let live = self.table.live_node_ids();
         let is_changed = live != self.live_node_ids;
--- a/crates/control-plane/src/state_machine/startup.rs
+++ b/crates/control-plane/src/state_machine/startup.rs
@@ -33,7 +33,7 @@
     pub is_bootstrap_node: bool,
     /// All records on its disk.
     pub records: Vec<(Vec<u8>, Vec<u8>)>,
-    /// What is borne beyond a quota.
+    /// By how much the gateways together may exceed a quota.
     pub tolerance: QuotaTolerance,
 }
 
@@ -59,7 +59,8 @@
         for (key, value) in records {
             restored.add(now, key, value);
         }
-        // What is garbled may have been chosen by being accepted here: it is as good as lost, and comes anew.
+        // A malformed record may stand for an acceptance by which a proposal was chosen. So the disk counts as lost, and
+        // its content is read again from the other replicas.
         restored.is_complete &= restored.removals.is_empty();
         restored
     }
--- a/crates/coordination/src/catch_up_queue.rs
+++ b/crates/coordination/src/catch_up_queue.rs
@@ -6,7 +6,8 @@
 use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A receiver that has not taken its chunk by then holds nobody else up any longer. Its session has a time-out of its own.
+/// A chunk that is still in flight after this time no longer counts against the bound, so that a stalled receiver holds
+/// nobody else up. Its session has a time-out of its own.
 const STALL_TIMEOUT: Duration = Duration::from_micros(2_000_000);
 
 /// How far one receiver has come.
--- a/crates/coordination/src/consensus/ballot.rs
+++ b/crates/coordination/src/consensus/ballot.rs
@@ -7,7 +7,7 @@
 const BALLOT_BYTES: usize = 24;
 
 impl Ballot {
-    /// The lowest ballot of a proposer above the highest one that it has met.
+    /// The lowest ballot of a proposer that is above `met`, the highest ballot that it has seen.
     ///
     /// The first round of a later membership epoch is above all rounds of the earlier ones.
     pub fn above(met: Ballot, epoch: u64, proposer: u64) -> Ballot {
--- a/crates/coordination/src/consensus/proposer.rs
+++ b/crates/coordination/src/consensus/proposer.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// The proposal that may have been chosen for a key: the one with the highest ballot, as in Paxos.
+/// A proposal that may have been chosen for a key, ordered by ballot: as in Paxos, the highest one counts.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     ballot: Ballot,
--- a/crates/coordination/src/consensus/records.rs
+++ b/crates/coordination/src/consensus/records.rs
@@ -2,7 +2,7 @@
 //!
 //! | key | value | meaning |
 //! | --- | --- | --- |
-//! | `floor` | ballot | no ballot above it was promised; at a restart nothing below it is accepted any more |
+//! | `floor` | ballot | no promise above it was sent; after a restart nothing below it is accepted |
 //! | `call:` and a proposal id | ballot, then the items as an [`Items`] message | accepted under the ballot, not known to be committed |
 //! | `deny:` and a proposal id | ballot, then the proposal's keys, 8 bytes each | rejected under the ballot: not chosen below it |
 //!
@@ -40,9 +40,9 @@
 /// What a record of an earlier incarnation was to the acceptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Restored {
-    /// It is none of the acceptor's records.
+    /// It is not one of the acceptor's records.
     Other,
-    /// It was read and taken over.
+    /// It was decoded, and the acceptor's state now includes it.
     Applied,
     /// It cannot be read.
     ///
@@ -62,7 +62,7 @@
     /// Reads a record.
     ///
     /// # Errors
-    /// With [`Restored::Other`] or [`Restored::Garbled`].
+    /// [`Restored::Other`] if the key is none of the acceptor's, [`Restored::Malformed`] if the value cannot be read.
     pub(super) fn decode(key: &[u8], value: &[u8]) -> Result<AcceptorRecord, Restored> {
         let record = if key == FLOOR_KEY {
             decode_floor(value)
--- a/crates/coordination/src/lease/mod.rs
+++ b/crates/coordination/src/lease/mod.rs
@@ -29,7 +29,8 @@
 
 /// For how long a vote binds its voter.
 pub const LEASE_DURATION: Duration = Duration::from_micros(2_000_000);
-/// So much earlier the holder stops: monotonic clocks may run apart a little, and a turn of its event loop may be long.
+/// The holder stops this much before its lease ends: monotonic clocks may run apart a little, and one turn of its event
+/// loop may take long.
 pub const SAFETY_MARGIN: Duration = Duration::from_micros(300_000);
-/// A holder renews its lease after so long.
+/// Time after which a holder asks for a renewal, and after which a request that fell short is released.
 const RENEWAL_INTERVAL: Duration = Duration::from_micros(500_000);
--- a/crates/coordination/src/quorum_contact.rs
+++ b/crates/coordination/src/quorum_contact.rs
@@ -9,12 +9,12 @@
 use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A process is in contact while a majority of the replicas has proved within so long that it heard this process.
+/// A process is in contact while its newest proof that a majority of the replicas heard it is no older than this.
 pub const CONTACT: Duration = Duration::from_micros(2_000_000);
-/// Numbers that are remembered of those that were sent to one peer. A heartbeat goes out every half second, and a few in
+/// How many of the sequence numbers last sent to one peer are remembered. A heartbeat goes out every half second, and a few in
 /// between: what falls out is older than [`CONTACT`] and proves nothing any longer.
 const MAX_REMEMBERED_SEQUENCES: usize = 16;
-/// A peer of which nothing was heard for so long is forgotten; peers that come and go would be kept for ever.
+/// A peer that has sent nothing for this long is forgotten; otherwise peers that come and go would be kept for ever.
 const PEER_EXPIRY: Duration = Duration::from_micros(60_000_000);
 
 /// Whether this process may speak for the replicas.
--- a/crates/coordination/src/sessions.rs
+++ b/crates/coordination/src/sessions.rs
@@ -9,10 +9,10 @@
 use kitepass_time::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
-/// A control process that has been silent for so long no longer speaks for its sessions: they may have moved to another
+/// A control process that has been silent for this long no longer speaks for its sessions: they may have moved to another
 /// one, or be about to.
 const CONTROL_TIMEOUT: Duration = Duration::from_micros(4_000_000);
-/// For so long a lost gateway still counts as live where quotas are shared out. One that is only partitioned goes on with
+/// How long a lost gateway still counts as live where quotas are shared out. One that is only partitioned goes on with
 /// its share, so that the number of live gateways must rather be too high than too low.
 const LIVE_TIMEOUT: Duration = Duration::from_micros(10_000_000);
 
--- a/crates/coordination/src/tombstones.rs
+++ b/crates/coordination/src/tombstones.rs
@@ -13,7 +13,7 @@
 
 /// The kinds whose tombstones are forgotten. Evacuations are as few as zones, and their versions follow from the last.
 const EXPIRING_KINDS: [Kind; 3] = [Kind::Route, Kind::Tenant, Kind::Service];
-/// Tombstones that are forgotten at one time.
+/// How many tombstones are forgotten at one time.
 const MAX_EXPIRED: usize = 1_024;
 
 /// How far a tombstone has come.
@@ -44,7 +44,7 @@
         TombstoneCollector { retention, tombstones: BTreeMap::new(), persisted_at: BTreeMap::new() }
     }
 
-    /// The process has become the coordinator or is it no longer: what an earlier term knew of the replicas is outdated.
+    /// The process has become the coordinator, or has ceased to be: what an earlier term knew of the replicas is outdated.
     pub fn clear(&mut self) {
         self.tombstones.clear();
         self.persisted_at.clear();
@@ -70,8 +70,8 @@
         for item in items.filter(|item| !item.is_set()) {
             let new = || Tombstone { version: item.version, seen_at: now, persisted_at: None };
             let tombstone = self.tombstones.entry((item.kind, item.name.clone())).or_insert_with(new);
-            // Invariant: a replica counts by what it said after the tombstone was seen; so does one that is new in the
-            // set.
+            // Invariant: only what a replica reported after the tombstone was seen counts. This holds for replicas that
+            // are new in the set too.
             let Some(all_persisted_at) = all_persisted_at.filter(|at| *at > tombstone.seen_at) else {
                 continue;
             };
--- a/crates/coordination/src/usage.rs
+++ b/crates/coordination/src/usage.rs
@@ -20,14 +20,14 @@
 use kitepass_time::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
-/// A gateway's newest period counts for so long.
+/// How long a gateway's newest period counts in the totals.
 const PERIOD_VALIDITY: Duration = Duration::from_micros(1_700_000);
-/// A gateway that has not been heard for so long is taken to go by its share.
+/// A gateway that has not been heard for this long is assumed to go by its quota share.
 const GATEWAY_TIMEOUT: Duration = Duration::from_micros(2_500_000);
-/// A gateway that has had no answer for so long, since it asked, goes by its share. It is shorter than the coordinator's
-/// time-out for gateways: the overlap is covered by the tolerance, and a lost coordinator is felt for a shorter time.
+/// A gateway that has waited this long for an answer goes by its quota share. This is shorter than the coordinator's
+/// time-out for gateways: the tolerance covers the overlap, and the loss of a coordinator is felt for a shorter time.
 pub const ALONE: Duration = Duration::from_micros(1_300_000);
-/// What a silent gateway was granted is taken to be used up after so long.
+/// What a silent gateway was granted is assumed to be used up after this time.
 const GRANT_EXPIRY: Duration = Duration::from_micros(10_000_000);
 /// A bucket that no gateway reports to is kept for so many seconds, while it fills: a full one is worth more than a new
 /// one.
@@ -36,11 +36,11 @@
 const TOLERANCE_IN_BUCKET: f64 = 0.6;
 /// The part of the tolerance that a new coordinator's buckets begin with: some of what is left beside the part above.
 const INITIAL_TOLERANCE: f64 = 0.25;
-/// Which gateways are silent is evaluated so often.
+/// Time between two evaluations of which gateways are silent.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_micros(250_000);
 /// The part of a full bucket below which nothing is granted in advance.
 const PREFETCH_RESERVE: f64 = 0.4;
-/// Beyond so many tenants, those that nobody reports any more are forgotten.
+/// With this many tenants, those that nobody reports any more are forgotten before another is added.
 const MAX_TENANTS: usize = 65_536;
 
 /// A tenant's rate limit.
