--- a/crates/control-plane/src/server/platform_client.rs
+++ b/crates/control-plane/src/server/platform_client.rs
@@ -52,7 +52,7 @@
 #[derive(Default)]
 pub(super) struct ResponseReader {
     head_reader: HeadReader,
-    /// The body that is being read, and its response's status.
+    /// The body that is being read, and the status of its response.
     begun: Option<(Body, u16)>,
     bytes: Vec<u8>,
 }
--- a/crates/control-plane/src/state_machine/catch_up/mod.rs
+++ b/crates/control-plane/src/state_machine/catch_up/mod.rs
@@ -12,7 +12,7 @@
 pub(super) enum ChunkOutcome {
     /// The next chunk is to be asked for.
     Continue(PrepareRequest),
-    /// All that the other held when it was asked first is known here. What it told beside its items.
+    /// All that the other held when it was asked first is known here. Holds what its first answer told beside the items.
     Complete(PrepareResponse),
     /// The answer belongs to no reading, or ends one without a result.
     Ignored,
@@ -104,8 +104,8 @@
         request_id == self.catch_up_id
     }
 
-    /// When an answer to the current round proves, at least, that the other heard this process: it may be the answer to
-    /// the first request under that id.
+    /// When a replica was asked first under the current id. An answer proves contact no later than that, as it may be the
+    /// answer to that first request.
     pub(super) fn first_asked_at(&self) -> Timestamp {
         self.first_asked_at
     }
--- a/crates/control-plane/src/state_machine/coordinator.rs
+++ b/crates/control-plane/src/state_machine/coordinator.rs
@@ -21,12 +21,12 @@
 pub(super) enum CoordinatorState {
     /// Another process holds the lease, or nobody.
     Follower,
-    /// It won the lease under a term, and has yet to read what a majority holds.
+    /// It won the lease under a term, and has yet to read what a read quorum holds.
     ///
     /// Invariant: it does not act in this state. By what it knew before it would bring back an older list, count or
     /// replica set.
     Recovering(u64),
-    /// It has read, under that term, what a majority holds, and acts.
+    /// It has read, since it won the lease under that term, what a read quorum holds, and acts.
     Active(u64),
 }
 
@@ -41,7 +41,7 @@
 
 /// What a voter must know to answer a lease request.
 pub(super) struct VoterView<'a> {
-    /// The replica sets in force and coming.
+    /// The replica set in force, and the incoming one.
     pub(super) replica_sets: Option<&'a JointReplicaSets>,
     /// The epoch that fences off requests of earlier ones, by what this replica has accepted.
     pub(super) fencing_epoch: u64,
@@ -62,7 +62,7 @@
 
 impl Coordinator {
     /// `has_never_voted`: this disk has never held a vote. `recorded_vote` is the one on disk; `newest` is the newest
-    /// replica set that is known; `first_request_id` is drawn anew for each incarnation.
+    /// replica set that is known; `first_request_id` differs in each incarnation.
     pub(super) fn new(
         now: Timestamp,
         has_never_voted: bool,
@@ -95,7 +95,8 @@
         self.candidate.held_term(now)
     }
 
-    /// The term under which this process is coordinator now and has read what a majority holds.
+    /// The term under which this process acts as coordinator now: it holds the lease, and has read a read quorum since it
+    /// won it.
     pub(super) fn active_term(&self, now: Timestamp) -> Option<u64> {
         self.lease_term(now).filter(|term| self.state == CoordinatorState::Active(*term))
     }
@@ -124,7 +125,7 @@
         self.set_state(CoordinatorState::Follower);
     }
 
-    /// What a majority holds has been read; true if this process acts as coordinator from now on.
+    /// What a read quorum holds has been read; true if this process acts as coordinator from now on.
     pub(super) fn recovered(&mut self, now: Timestamp) -> bool {
         match self.state {
             CoordinatorState::Recovering(term) if self.lease_term(now) == Some(term) => {
--- a/crates/control-plane/src/state_machine/handlers/catch_up.rs
+++ b/crates/control-plane/src/state_machine/handlers/catch_up.rs
@@ -14,7 +14,7 @@
 impl StateMachine {
     /// Reads all peers.
     ///
-    /// Invariant: without contact each round begins anew. What was heard before contact was lost, or from a replica that is
+    /// Invariant: without contact, reads that are complete do not count in the next round. What was heard before contact was lost, or from a replica that is
     /// cut off alike, may be old by now.
     pub(in crate::state_machine) fn read_all_peers(&mut self, now: Timestamp) {
         if self.quorum.is_lost() {
--- a/crates/control-plane/src/state_machine/handlers/commit.rs
+++ b/crates/control-plane/src/state_machine/handlers/commit.rs
@@ -16,7 +16,8 @@
 }
 
 impl StateMachine {
-    /// Takes committed items in, with their older versions. Those that are news go to all sessions, and to disk.
+    /// Takes committed items in, with their older versions. Those that are newer than what was
+    /// known go to all sessions, and all that changed go to disk.
     pub(in crate::state_machine) fn apply_committed(&mut self, items: Vec<ItemWithHistory>) {
         let merged = self.configuration.merge(items);
         if merged.changed.is_empty() {
--- a/crates/control-plane/src/state_machine/handlers/contact.rs
+++ b/crates/control-plane/src/state_machine/handlers/contact.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 impl StateMachine {
-    /// Reckons the contact anew, and stops serving where it is lost.
+    /// Evaluates the contact, and stops serving if it is lost.
     pub(in crate::state_machine) fn evaluate_contact(&mut self, now: Timestamp) {
         // Once an incoming replica set is committed nothing is committed without a majority of it. Where the earlier set has
         // lost its majority by lost disks, contact with the incoming one is what ends the change.
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether a request may be judged by what is known here.
+    /// Whether a request may be answered by what is known here.
     pub fn accepts_requests(&self, now: Timestamp) -> bool {
         self.refusal(now).is_none()
     }
@@ -84,9 +84,9 @@
     fn contact_with(&self, now: Timestamp, replica: Replica) -> ReplicaContact {
         let name = replica.name();
         let is_own = name == self.identity.name;
-        let heard = is_own || self.quorum.is_responsive(now, &name);
+        let is_responsive = is_own || self.quorum.is_responsive(now, &name);
         let last_contact = if is_own { Some(now) } else { self.quorum.last_contact(&name) };
-        ReplicaContact { replica, is_responsive: heard, contact_age: last_contact.map(|at| now - at) }
+        ReplicaContact { replica, is_responsive, contact_age: last_contact.map(|at| now - at) }
     }
 
     /// Addresses of the control processes that this one knows of, its own left out.
--- a/crates/control-plane/src/state_machine/handlers/election.rs
+++ b/crates/control-plane/src/state_machine/handlers/election.rs
@@ -69,14 +69,15 @@
         }
     }
 
-    /// What a majority holds has been read under the lease's term: this process acts as coordinator.
+    /// A read quorum has been read since the lease was won: this process acts as coordinator.
     pub(in crate::state_machine) fn activate_coordinator(&mut self, now: Timestamp) {
         if self.coordinator.recovered(now) {
             self.send_heartbeats(now);
         }
     }
 
-    /// The term under which this process is coordinator now, and has read what a majority holds.
+    /// The term under which this process acts as coordinator now: it holds the lease, and has read a read quorum since it
+    /// won it.
     pub fn active_term(&self, now: Timestamp) -> Option<u64> {
         self.coordinator.active_term(now)
     }
@@ -138,11 +139,11 @@
         if self.active_term(now).is_none() {
             return;
         }
-        let news = self.coordinator.update_endpoints(now, endpoints, self.configuration.items());
-        if !news.is_empty() {
-            debug!("event=endpoints-changed items={}", news.len());
-            self.apply_items(&news);
-            let items = news.iter().map(ItemMessage::from).collect();
+        let changed_items = self.coordinator.update_endpoints(now, endpoints, self.configuration.items());
+        if !changed_items.is_empty() {
+            debug!("event=endpoints-changed items={}", changed_items.len());
+            self.apply_items(&changed_items);
+            let items = changed_items.iter().map(ItemMessage::from).collect();
             self.send_all(&Message::Items(Items { items }));
         }
     }
--- a/crates/control-plane/src/state_machine/handlers/heartbeat.rs
+++ b/crates/control-plane/src/state_machine/handlers/heartbeat.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Reckons anew which gateways count as live. A change is written, and told to the gateways.
+    /// Evaluates which gateways count as live. A change is written, and told to the gateways.
     fn refresh_live_gateways(&mut self) {
         if !self.sessions.refresh_live() {
             return;
@@ -72,14 +72,14 @@
         let own = &self.identity.replica;
         let peers = self.quorum.peers().map(|peer| (&peer.hello.address, &peer.hello.zone));
         let control_planes = peers.chain([(&own.address, &own.zone)]);
-        let (control_addresses, control_districts) =
+        let (control_addresses, control_zones) =
             control_planes.map(|(address, zone)| (address.clone(), zone.clone())).unzip();
         let live = self.sessions.live_node_ids();
         MembershipUpdate {
             gateway_count: live.len() as u32,
             node_ids: live.to_vec(),
             control_addresses,
-            control_zones: control_districts,
+            control_zones,
         }
     }
 }
--- a/crates/control-plane/src/state_machine/handlers/peers.rs
+++ b/crates/control-plane/src/state_machine/handlers/peers.rs
@@ -77,7 +77,7 @@
         Vec::new()
     }
 
-    /// Notes that the sender has proved that it heard this process, and reckons the contact anew.
+    /// Notes that the sender has proved that it heard this process, and evaluates the contact.
     fn record_contact_proof(&mut self, now: Timestamp, sender: &Sender, message: &Message) {
         match message {
             Message::Heartbeat(heartbeat) => self.quorum.echo_received(now, &sender.name, heartbeat),
--- a/crates/control-plane/src/state_machine/handlers/prepare.rs
+++ b/crates/control-plane/src/state_machine/handlers/prepare.rs
@@ -16,7 +16,7 @@
     pub(in crate::state_machine) fn start_attempt(&mut self, now: Timestamp, id: PendingId) {
         let Some(pending) = self.proposals.pending.get(id) else { return };
         let keys = pending.keys();
-        // What may be the incoming replica set is resolved first: nothing else counts before.
+        // A replica set that may be chosen as the incoming one is resolved first: all other requests are fenced off.
         let fence = self.proposals.undecided_replica_set(&self.configuration);
         let is_other = |proposal: &Proposal| !proposal.keys().iter().any(|key| keys.contains(key));
         if let Some((ballot, replica_set)) = fence.filter(|(_, replica_set)| is_other(replica_set)) {
@@ -32,7 +32,7 @@
         self.handle_prepare_request(now, &own_node_id, &request);
     }
 
-    /// Gives a request an attempt id and a ballot of its own; gives the message that asks for both.
+    /// Gives a request the attempt id and the ballot of its next attempt, and returns the prepare request for it.
     fn new_attempt(&mut self, id: PendingId) -> Option<PrepareRequest> {
         let epoch = self.configuration.epoch();
         let attempt_id = self.request_ids.next();
@@ -55,7 +55,7 @@
         })
     }
 
-    /// Somebody, this process too, asks what is held here, and maybe for a promise.
+    /// Answers a replica, which may be this one, that asks what is held here and, with a ballot, for a promise.
     pub(in crate::state_machine) fn handle_prepare_request(
         &mut self,
         now: Timestamp,
@@ -74,7 +74,7 @@
             self.fill_chunk(request, &mut response);
         }
         if request.first_bucket > 0 {
-            // The rest of a reading: what it promised, and which proposals are accepted, was told with its first chunk.
+            // A later chunk of a read: the promise and the accepted proposals went with the first chunk.
             return self.deliver_prepare_response(now, node_id, response);
         }
         match self.proposals.prepare(request, &self.configuration, &mut response) {
--- a/crates/control-plane/src/state_machine/handlers/replica_set_change.rs
+++ b/crates/control-plane/src/state_machine/handlers/replica_set_change.rs
@@ -33,9 +33,9 @@
         if self.proposals.pending.is_changing_replica_set() {
             return;
         }
+        // An earlier change was cut short, and is completed first.
         if let Some(incoming) = replica_sets.incoming {
             return self.start_request(now, None, Request::PrepareActivation(incoming));
-            // an earlier change was cut short
         }
         let observations = self.observe_replicas(now, &replica_sets.current);
         if let Some(next) = replica_sets.current.successor(&observations) {
--- a/crates/control-plane/src/state_machine/handlers/requests.rs
+++ b/crates/control-plane/src/state_machine/handlers/requests.rs
@@ -9,7 +9,8 @@
 use kitepass_time::Timestamp;
 use log::{info, warn};
 
-/// What a request proposes, before its first attempt. An evacuation works it out anew for each attempt.
+/// What a request proposes, as far as it is known before the first attempt: an evacuation's proposal is made in each
+/// attempt.
 fn proposal_of(request: &Request) -> Option<Proposal> {
     match request {
         Request::Patch(items) => Some(Proposal::new(items.clone())),
--- a/crates/control-plane/src/state_machine/handlers/resolve.rs
+++ b/crates/control-plane/src/state_machine/handlers/resolve.rs
@@ -9,7 +9,7 @@
 use kitepass_time::{Duration, Timestamp};
 use log::debug;
 
-/// A proposal that was accepted and not heard of again is left to its proposer for this long. Then the coordinator
+/// A proposal that was reported as accepted is left to its proposer for this long. Then the coordinator
 /// resolves it, and others a drawn time later, or a drawn time that widens where nobody is coordinator.
 ///
 /// Invariant: processes don't all push one proposal together, as they would take each other's promises away.
@@ -18,7 +18,7 @@
 const MAX_RESOLVE_DELAY: u64 = 1_000_000;
 
 impl StateMachine {
-    /// Watches a proposal that was heard of with a ballot.
+    /// Watches a proposal that was reported with a ballot.
     pub(in crate::state_machine) fn watch(&mut self, now: Timestamp, ballot: Ballot, proposal: &Proposal) {
         if is_resolved(proposal, self.configuration.items()) || !self.proposals.watch_list.has_room() {
             return;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// When this process resolves a proposal that was heard of now, or that it has tried to resolve so often.
+    /// When this process resolves a proposal that was reported now, or that it has tried to resolve `attempts` times.
     fn draw_resolve_time(&mut self, now: Timestamp, proposal: &Proposal, attempts: u32) -> Timestamp {
         let delay = if self.active_term(now).is_some() {
             self.random.rand_range(0..MAX_FIRST_PAUSE)
--- a/crates/control-plane/src/state_machine/handlers/tombstones.rs
+++ b/crates/control-plane/src/state_machine/handlers/tombstones.rs
@@ -100,7 +100,7 @@
         true
     }
 
-    /// Discards all items but the replica sets, and begins anew.
+    /// Discards all items but the replica sets, and catches up from nothing.
     fn discard(&mut self, now: Timestamp) {
         warn!(
             "event=items-discarded items={} complete={}",
--- a/crates/control-plane/src/state_machine/mod.rs
+++ b/crates/control-plane/src/state_machine/mod.rs
@@ -106,7 +106,7 @@
     }
 }
 
-/// Numbers for requests, readings and writes. They begin anew in each incarnation.
+/// Numbers for requests, reads and writes. They start from 1 in each incarnation.
 #[derive(Default)]
 struct RequestIds {
     last: u64,
--- a/crates/control-plane/src/state_machine/persistence.rs
+++ b/crates/control-plane/src/state_machine/persistence.rs
@@ -46,8 +46,8 @@
         Action::Persist(request_id, batch)
     }
 
-    /// A write is on disk; returns what waited for it. Writes are reported in order, so earlier ones still in flight were
-    /// never reported by a failing disk, and are forgotten.
+    /// A write is on disk; returns what waited for it. Writes complete in order, so an earlier one that is still
+    /// in flight was dropped by the store: what waited for it is given up.
     pub(super) fn written(&mut self, request_id: u64) -> Option<PendingWrite> {
         let then = self.in_flight.remove(&request_id);
         self.in_flight = self.in_flight.split_off(&request_id);
--- a/crates/control-plane/src/state_machine/proposals/acceptor.rs
+++ b/crates/control-plane/src/state_machine/proposals/acceptor.rs
@@ -8,7 +8,7 @@
 };
 use kitepass_coordination::protocol::{AcceptRequest, PrepareRequest, PrepareResponse, RejectedProposal};
 
-/// Bytes of accepted proposals that one prepare response tells; one proposal at least.
+/// Bytes of accepted proposals in one prepare response; the first proposal is reported whatever its length.
 const MAX_ACCEPTED_BYTES: usize = 4 * 1024 * 1024;
 
 impl Proposals {
@@ -36,8 +36,8 @@
                 .collect();
         } else if request.wants_all_undecided {
             accepted = self.accepted();
-            // Invariant: what is accepted here under an earlier epoch is accepted before this answer. Later it could be
-            // chosen without being read.
+            // Invariant: after this answer nothing more is accepted here under an earlier epoch. It could be chosen without
+            // having been read.
             reservation = self.acceptor.fence(request.epoch);
         }
         report_accepted(&accepted, response);
--- a/crates/control-plane/src/state_machine/proposals/decision.rs
+++ b/crates/control-plane/src/state_machine/proposals/decision.rs
@@ -1,5 +1,5 @@
-//! What follows once a read quorum has answered a request: every commit that came before is known here by then, or was
-//! told as accepted.
+//! What follows once a read quorum has answered a request. By then this process knows every earlier commit, or the
+//! answers reported it as an accepted proposal.
 
 use super::pending::{activated_replica_set, PendingRequest};
 use super::watch::{is_resolved, WatchList};
@@ -31,7 +31,7 @@
     NotNeeded,
 }
 
-/// Judges a request; `watch_list` knows which proposals are rejected.
+/// Decides what is done next with a request; `watch_list` knows which proposals are rejected.
 pub(in crate::state_machine) fn decide(
     pending: &PendingRequest,
     configuration: &Configuration,
@@ -60,12 +60,12 @@
     }
 }
 
-/// A reading is complete once all proposals that it met are resolved.
+/// A read is complete once all proposals that it observed are resolved.
 ///
-/// The proposal that puts a replica set in force is not waited for by the reading that precedes it: it waits for that
-/// reading. Where a replica has accepted it already, nothing is waited for: what the earlier replica set may have chosen
-/// was resolved then. Otherwise, where too few of the earlier set are left, nothing could be resolved until the incoming
-/// set alone decides.
+/// There are two exceptions for the read that must precede the activation of a replica set. It does not wait for the
+/// proposal of that activation, which itself waits for the read. And where a replica has accepted the activation already,
+/// it waits for nothing: what the earlier replica set may have chosen was resolved before that acceptance. Waiting could
+/// block for ever, as too few of the earlier set may be left to resolve anything.
 fn decide_read(
     pending: &PendingRequest,
     observed: &ObservedProposals,
@@ -89,7 +89,7 @@
     }
 }
 
-/// A proposal that no replica heard of here has accepted: it is chosen nowhere, and may be turned down.
+/// Decides on a proposal that none of the replicas that answered has accepted: it is chosen nowhere, and may be rejected.
 fn decide_new(
     request: &Request,
     proposal: &Proposal,
--- a/crates/control-plane/src/state_machine/proposals/mod.rs
+++ b/crates/control-plane/src/state_machine/proposals/mod.rs
@@ -30,7 +30,7 @@
 pub(super) struct Proposals {
     /// What this replica has promised and accepted.
     acceptor: Acceptor,
-    /// The highest ballot heard of.
+    /// The highest ballot seen in any message.
     highest_ballot: Ballot,
     pub(super) pending: PendingRequests,
     pub(super) watch_list: WatchList,
@@ -50,7 +50,7 @@
         self.highest_ballot = self.highest_ballot.max(ballot);
     }
 
-    /// A ballot above all that were heard of.
+    /// A ballot above all that this process has seen.
     pub(super) fn next_ballot(&mut self, epoch: u64, incarnation: u64) -> Ballot {
         let ballot = Ballot::above(self.highest_ballot, epoch, incarnation);
         self.observe_ballot(ballot);
@@ -101,7 +101,7 @@
         undecided.map(|(ballot, proposal)| (ballot, proposal.clone()))
     }
 
-    /// The version of a replica set that was accepted here as the one in force and is not known to be, or 0.
+    /// The highest version of a replica set whose activation is accepted here and not known to be committed, or 0.
     pub(super) fn activated_version(&self) -> u64 {
         let replica_sets =
             self.acceptor.pending().filter_map(|(_, proposal)| activated_replica_set(proposal));
@@ -111,7 +111,7 @@
     /// Whether a request of this epoch, about these keys, is to be rejected.
     ///
     /// Invariant: whoever knows only of an earlier replica set is rejected, as it would meet no majority of the later one.
-    /// An incoming replica set that is accepted here and may be chosen fences off all else than its own resolving.
+    /// An incoming replica set that is accepted here and may be chosen fences off all requests but those that resolve it.
     pub(super) fn is_fenced(&self, epoch: u64, keys: &[u64], configuration: &Configuration) -> bool {
         let is_other = |proposal: &Proposal| !proposal.keys().iter().any(|key| keys.contains(key));
         epoch < configuration.epoch()
--- a/crates/control-plane/src/state_machine/proposals/pending.rs
+++ b/crates/control-plane/src/state_machine/proposals/pending.rs
@@ -7,9 +7,9 @@
 use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A request that is not committed by then is answered 503, and its caller tries another process.
+/// A request that is not finished after this time is answered 503, and its caller may turn to another process.
 const REQUEST_TIMEOUT: Duration = Duration::from_micros(2_500_000);
-/// More time for each MiB of a request: its caller waits longer, too.
+/// Added to the time-out for each MiB of a request: its caller waits longer, too.
 const REQUEST_TIMEOUT_PER_MIB: Duration = Duration::from_micros(1_000_000);
 /// Bound of the drawn pause before a request's next attempt after the first rejection, in microseconds. It doubles with
 /// each further rejection, [`MAX_PAUSE_DOUBLINGS`] times at most.
@@ -20,7 +20,7 @@
 /// See [`MAX_FIRST_PAUSE`].
 pub(in crate::state_machine) const MAX_PAUSE_DOUBLINGS: u32 = 2;
 
-/// How much longer a message of so many bytes may take.
+/// How much longer a message of `bytes` bytes may take than an empty one.
 pub(in crate::state_machine) fn transfer_time(bytes: usize) -> Duration {
     Duration::from_micros(REQUEST_TIMEOUT_PER_MIB.as_micros() * (bytes >> 20) as i64)
 }
@@ -128,7 +128,7 @@
         self.proposal.as_ref().map(|proposal| proposal.keys().to_vec()).unwrap_or_default()
     }
 
-    /// Whether it only reads. An evacuation works its proposal out anew for each attempt.
+    /// Whether it only reads. An evacuation has no proposal before its first attempt, and a new one in each.
     pub(in crate::state_machine) fn is_read_only(&self) -> bool {
         self.proposal.is_none() && !matches!(self.request, Request::Evacuate { .. })
     }
--- a/crates/control-plane/src/state_machine/proposals/watch.rs
+++ b/crates/control-plane/src/state_machine/proposals/watch.rs
@@ -5,14 +5,14 @@
 use kitepass_time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Proposals that are watched, and rejections that are remembered.
+/// How many proposals are watched, and how many rejections are remembered.
 const MAX_WATCHED: usize = 1_024;
-/// Proposals of others that are begun to be resolved at one tick.
+/// How many proposals of others this process begins to resolve in one tick.
 const MAX_RESOLVED_PER_TICK: usize = 8;
 
 struct Watched {
     proposal: Proposal,
-    /// The highest ballot that it was heard of with.
+    /// The highest ballot that it was reported with.
     ballot: Ballot,
     /// From then on this process resolves it.
     resolve_at: Timestamp,
@@ -45,7 +45,7 @@
         self.watched.len() < MAX_WATCHED
     }
 
-    /// Watches a proposal that was heard of with a ballot. One that is watched already keeps its time.
+    /// Watches a proposal that was reported with a ballot. One that is watched already keeps its time.
     pub(in crate::state_machine) fn add(
         &mut self,
         ballot: Ballot,
@@ -65,7 +65,7 @@
         self.watched.contains_key(&id)
     }
 
-    /// The highest ballot that a watched proposal was heard of with.
+    /// The highest ballot that a watched proposal was reported with.
     pub(in crate::state_machine) fn ballot(&self, id: ProposalId) -> Option<Ballot> {
         self.watched.get(&id).map(|watched| watched.ballot)
     }
--- a/crates/coordination/src/catch_up_queue.rs
+++ b/crates/coordination/src/catch_up_queue.rs
@@ -65,7 +65,8 @@
         }
     }
 
-    /// A receiver says what it holds, and waits for what it lacks. If it catches up already, that begins anew.
+    /// Queues a receiver, by what it says that it holds. If it is catching up already, it starts from the first bucket
+    /// again.
     pub fn enqueue(&mut self, id: u64, bucket_digests: Vec<u64>, wants_reply: bool) {
         self.remove(id);
         let receiver = Receiver { bucket_digests, next_bucket: 0, wants_reply, progress: Progress::Queued };
@@ -90,7 +91,7 @@
         })
     }
 
-    /// A turn's chunk of so many bytes is in flight; the next one begins with `next_bucket`, or there is none.
+    /// A turn's chunk, of `bytes` bytes, is in flight; the next one begins with `next_bucket`, or there is none.
     pub fn chunk_sent(
         &mut self,
         now: Timestamp,
--- a/crates/coordination/src/consensus/acceptor.rs
+++ b/crates/coordination/src/consensus/acceptor.rs
@@ -18,8 +18,8 @@
 /// are never committed would fill memory and disk.
 pub(super) const MAX_ACCEPTED: usize = 512;
 const MAX_ACCEPTED_BYTES: usize = 64 << 20;
-/// So many times these bounds are open to proposals that another replica has accepted before. Without it, full
-/// acceptors that each hold other proposals could resolve none of them.
+/// These bounds are this many times wider for proposals that another replica has accepted before. Otherwise acceptors
+/// that are full, each of other proposals, could resolve none of them.
 const RESOLVE_FACTOR: usize = 4;
 
 /// What was promised.
@@ -244,7 +244,7 @@
         records
     }
 
-    /// The accepted, uncommitted proposals that touch any of the keys, by their ids.
+    /// The accepted, uncommitted proposals that touch any of the keys, in the order of their ids.
     pub fn overlapping(&self, keys: &[u64]) -> Vec<(Ballot, Proposal)> {
         self.accepted.overlapping(keys)
     }
@@ -271,28 +271,30 @@
         if self.accepted.is_empty() {
             return Vec::new();
         }
-        self.remove_settled(item_store, self.accepted.with_names_of(changed))
+        self.remove_resolved(item_store, self.accepted.with_names_of(changed))
     }
 
     /// As [`Acceptor::commit`], whatever has changed.
     pub fn commit_all(&mut self, item_store: &ItemStore) -> Vec<Record> {
-        self.remove_settled(item_store, self.accepted.ids())
+        self.remove_resolved(item_store, self.accepted.ids())
     }
 
-    fn remove_settled(
+    fn remove_resolved(
         &mut self,
         item_store: &ItemStore,
         mut candidates: BTreeSet<ProposalId>,
     ) -> Vec<Record> {
         candidates.retain(|proposal_id| {
-            self.get(*proposal_id).is_some_and(|(_, proposal)| self.is_settled(proposal, item_store))
+            self.get(*proposal_id).is_some_and(|(_, proposal)| self.is_resolved(proposal, item_store))
         });
         self.remove_accepted(candidates)
     }
 
-    fn is_settled(&self, proposal: &Proposal, item_store: &ItemStore) -> bool {
-        let can_conflict = self.is_enabled(Safeguard::IgnoreConflicting);
-        is_committed(proposal, item_store) || can_conflict && conflicting_item(proposal, item_store).is_some()
+    /// Whether a proposal is committed, or can never be.
+    fn is_resolved(&self, proposal: &Proposal, item_store: &ItemStore) -> bool {
+        let drops_conflicting = self.is_enabled(Safeguard::IgnoreConflicting);
+        is_committed(proposal, item_store)
+            || drops_conflicting && conflicting_item(proposal, item_store).is_some()
     }
 
     fn remove_accepted(&mut self, ids: BTreeSet<ProposalId>) -> Vec<Record> {
--- a/crates/coordination/src/consensus/error.rs
+++ b/crates/coordination/src/consensus/error.rs
@@ -1,4 +1,4 @@
-//! Why an acceptor refuses a proposal.
+//! Why an acceptor rejects an accept request.
 
 use crate::protocol::Ballot;
 use kitepass_config::Kind;
--- a/crates/coordination/src/consensus/mod.rs
+++ b/crates/coordination/src/consensus/mod.rs
@@ -23,9 +23,9 @@
 //! however often.
 //!
 //! **Why.** Suppose that a proposal was chosen under ballot *b*. Each proposer that later prepares a higher ballot on
-//! one of its keys hears of it from a replica in common, and either resolves it first
+//! one of its keys is told of it by a replica that is in both quorums, and either resolves it first
 //! ([`ProposalStatus::BlockedBy`]) or finds its content committed. A proposer with a lower ballot meets a replica that
-//! has promised *b* and is refused ([`AcceptError::Promised`]).
+//! has promised *b* and is rejected ([`AcceptError::Promised`]).
 //!
 //! Nothing here does input or output.
 
--- a/crates/coordination/src/consensus/promises.rs
+++ b/crates/coordination/src/consensus/promises.rs
@@ -4,8 +4,8 @@
 use crate::protocol::Ballot;
 use std::collections::BTreeMap;
 
-/// The floor that is written to disk lies so many rounds above the ballot that it is written for, so that the promises
-/// in between need no write of their own.
+/// How many rounds the floor that is written to disk lies above the ballot that made the write necessary: promises in
+/// between need no write of their own.
 const RESERVED_ROUNDS: u64 = 1024;
 /// Promises that are kept by key; beyond this, a higher floor takes their place.
 pub(super) const MAX_PROMISES: usize = 1 << 16;
@@ -13,7 +13,7 @@
 /// Promises by key, over a floor that holds for all keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct PromiseTable {
-    /// Nothing below it is accepted, on any key.
+    /// Nothing below it is promised or accepted, on any key.
     pub(super) floor: Ballot,
     /// The floor that is on disk: promises up to it may be sent.
     persisted: Ballot,
--- a/crates/coordination/src/lease/voter.rs
+++ b/crates/coordination/src/lease/voter.rs
@@ -20,12 +20,12 @@
     votes: BTreeMap<String, Vote>,
     /// The highest term that was seen, by role.
     highest_terms: BTreeMap<String, u64>,
-    /// Until then it votes only as an earlier incarnation did.
+    /// Until then it votes only for the candidate that an earlier incarnation voted for.
     abstains_until: Timestamp,
     /// The newest replica set that is committed, in force or being brought in, and since when it is known here.
     newest_replica_set: Option<ReplicaSet>,
     newest_known_since: Timestamp,
-    /// Until then, as that replica set is new, it votes for nothing but renewals.
+    /// Until then it votes for nothing but renewals, as the newest replica set is too new.
     renewals_only_until: Timestamp,
     /// For which candidate an earlier incarnation voted last, by role, as far as that is on disk.
     recalled_votes: BTreeMap<String, String>,
@@ -65,13 +65,13 @@
         if newest.version <= known_version {
             return;
         }
-        let is_covered = self
+        let do_majorities_intersect = self
             .newest_replica_set
             .as_ref()
             .is_some_and(|known| known.version + 1 == newest.version && known.majorities_intersect(newest));
-        let was_settled = now - self.newest_known_since >= LEASE_DURATION;
+        let is_predecessor_old_enough = now - self.newest_known_since >= LEASE_DURATION;
         // Before the first replica set there was nothing to vote for.
-        if newest.version > 1 && !(is_covered && was_settled) {
+        if newest.version > 1 && !(do_majorities_intersect && is_predecessor_old_enough) {
             self.renewals_only_until = now + LEASE_DURATION;
         }
         self.newest_replica_set = Some(newest.clone());
--- a/crates/coordination/src/membership/succession.rs
+++ b/crates/coordination/src/membership/succession.rs
@@ -3,7 +3,7 @@
 use super::{Replica, ReplicaSet};
 use std::collections::BTreeSet;
 
-/// Replicas that shut down gracefully are left out while so many stay.
+/// Replicas that shut down gracefully are left out only while at least this many stay.
 const MIN_REPLICAS: usize = 3;
 
 /// What the coordinator observes of the replicas as it works out the next replica set. All but `complete` are names.
--- a/crates/coordination/src/protocol/framing.rs
+++ b/crates/coordination/src/protocol/framing.rs
@@ -117,10 +117,10 @@
 }
 
 impl Outbox {
-    /// Takes a message; `urgent` ones of one frame go at once, the others in their order.
-    pub fn push(&mut self, mut message: Packed, urgent: bool, into: &mut Vec<u8>) {
+    /// Takes a message; an urgent one of one frame goes at once, the others in their order.
+    pub fn push(&mut self, mut message: Packed, is_urgent: bool, into: &mut Vec<u8>) {
         let has_room = self.queue.is_empty() && into.len() < MAX_FRAME_BYTES;
-        if matches!(message, Packed::SingleFrame(_)) && (urgent || has_room) {
+        if matches!(message, Packed::SingleFrame(_)) && (is_urgent || has_room) {
             message.append_frame(into);
             return;
         }
@@ -158,14 +158,14 @@
 }
 
 impl Assembler {
-    /// Takes the next complete message off the input from position `at` on, which is moved past all frames that were
+    /// Takes the next complete message off the input from `offset` on, which is moved past all frames that were
     /// used. None if more bytes are needed. A message of a kind that this version does not know is skipped.
     ///
     /// # Errors
     /// If the input is not from a process of this system; the connection is to be closed.
-    pub fn next(&mut self, input: &[u8], at: &mut usize) -> Result<Option<Message>, Error> {
+    pub fn next(&mut self, input: &[u8], offset: &mut usize) -> Result<Option<Message>, Error> {
         loop {
-            let rest = &input[*at..];
+            let rest = &input[*offset..];
             let Some(header) = rest.first_chunk::<HEADER_BYTES>() else { return Ok(None) };
             let header = u32::from_be_bytes(*header);
             let length = (header & !FRAGMENT_BITS) as usize;
@@ -173,7 +173,7 @@
                 return FrameTooLongSnafu { length }.fail();
             }
             let Some(payload) = rest.get(HEADER_BYTES..HEADER_BYTES + length) else { return Ok(None) };
-            *at += HEADER_BYTES + length;
+            *offset += HEADER_BYTES + length;
             let envelope = match header & FRAGMENT_BITS {
                 0 => Some(decode(payload)?),
                 bits => self.add_fragment(payload, bits)?.map(|message| decode(&message)).transpose()?,
--- a/crates/coordination/src/protocol/messages/consensus.rs
+++ b/crates/coordination/src/protocol/messages/consensus.rs
@@ -96,7 +96,7 @@
     /// The digest of what the replica holds in the covered buckets.
     #[prost(fixed64, tag = "13")]
     pub digest: u64,
-    /// No reading and no promise: the request's epoch is older than the replica's, or a higher ballot was promised.
+    /// Neither a read nor a promise: the request's epoch is older than the replica's, or a higher ballot was promised.
     #[prost(bool, tag = "6")]
     pub is_rejected: bool,
     /// The highest ballot that was promised, where that is why.
@@ -108,8 +108,8 @@
     /// Proposals that are rejected here.
     #[prost(message, repeated, tag = "9")]
     pub rejected: Vec<RejectedProposal>,
-    /// The version of a replica set that was accepted here to be in force and is not known to be, or 0: all that was
-    /// committed under the replica set before it is held here.
+    /// The highest version of a replica set whose activation is accepted here and not known to be committed, or 0. A
+    /// replica accepts an activation only once it holds all that was committed under the replica set before.
     #[prost(uint64, tag = "14")]
     pub activated_version: u64,
 }
@@ -134,8 +134,8 @@
     /// The proposal's items.
     #[prost(message, repeated, tag = "2")]
     pub items: Vec<ItemMessage>,
-    /// The sender's incarnation. Request ids begin anew in each: a response that repeats another incarnation is not for
-    /// this one.
+    /// The sender's incarnation. Request ids start from 1 in each, so a response that repeats another incarnation answers
+    /// an earlier one.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
     /// See [`PrepareRequest::epoch`].
--- a/crates/coordination/src/protocol/messages/items.rs
+++ b/crates/coordination/src/protocol/messages/items.rs
@@ -7,7 +7,7 @@
 use kitepass_config::{Entry, Item, Kind, VersionDigest, MAX_OLDER_VERSIONS};
 use std::sync::Arc;
 
-/// Items go in messages of about so many bytes, so that no one message occupies a connection for long.
+/// About how many bytes of items go in one message, so that no message occupies a connection for long.
 const MAX_BATCH_BYTES: usize = 256 * 1024;
 
 /// An item.
--- a/crates/coordination/src/quorum_contact.rs
+++ b/crates/coordination/src/quorum_contact.rs
@@ -44,7 +44,8 @@
 }
 
 impl Peer {
-    fn has_heard(&mut self, sent_at: Timestamp) {
+    /// Notes that the peer heard this process after `sent_at`.
+    fn record_contact(&mut self, sent_at: Timestamp) {
         self.last_contact = self.last_contact.max(Some(sent_at));
     }
 }
@@ -110,7 +111,7 @@
         // another peer, made up, or too old to be remembered proves nothing.
         let echoed = peer.sent.iter().find(|sent| sent.sequence == echoed_sequence);
         if let Some(sent_at) = echoed.map(|sent| sent.sent_at) {
-            peer.has_heard(sent_at);
+            peer.record_contact(sent_at);
         }
     }
 
@@ -118,7 +119,7 @@
     pub fn response_received(&mut self, now: Timestamp, name: &str, sent_at: Timestamp) {
         let Some(peer) = self.peers.get_mut(name) else { return };
         peer.last_heard_at = now;
-        peer.has_heard(sent_at);
+        peer.record_contact(sent_at);
     }
 
     /// Forgets peers that have been silent for long; to be called about once a second.
@@ -126,7 +127,7 @@
         self.peers.retain(|_, peer| now - peer.last_heard_at <= PEER_EXPIRY);
     }
 
-    /// Evaluates the state anew, by all replica sets that count now; gives it if it has changed.
+    /// Evaluates the state by these replica sets, a majority of each of which is needed; returns it if it has changed.
     pub fn evaluate(&mut self, now: Timestamp, replica_sets: &[ReplicaSet]) -> Option<ContactState> {
         let contacts: Option<Vec<Timestamp>> =
             replica_sets.iter().map(|replica_set| self.majority_contact(now, replica_set)).collect();
--- a/crates/coordination/src/usage.rs
+++ b/crates/coordination/src/usage.rs
@@ -29,8 +29,8 @@
 pub const ALONE: Duration = Duration::from_micros(1_300_000);
 /// What a silent gateway was granted is assumed to be used up after this time.
 const GRANT_EXPIRY: Duration = Duration::from_micros(10_000_000);
-/// A bucket that no gateway reports to is kept for so many seconds, while it fills: a full one is worth more than a new
-/// one.
+/// How many seconds a bucket that no gateway reports to is kept. It fills meanwhile, and a full one grants more than a new
+/// one would.
 const IDLE_BUCKET_SECONDS: f64 = 60.0;
 /// The part of the tolerance that a bucket holds beside the burst.
 const TOLERANCE_IN_BUCKET: f64 = 0.6;
