--- a/crates/control-plane/src/server/connection_io.rs
+++ b/crates/control-plane/src/server/connection_io.rs
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Writes what a connection takes, and does what its queue allows then.
+    /// Writes what a connection takes. Depending on what is left unsent, the connection is then shut down or closed, or its
+    /// session is noted as ready for the next chunk.
     pub(super) fn flush(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let is_all_written = match connection.write_queued() {
--- a/crates/control-plane/src/server/connections.rs
+++ b/crates/control-plane/src/server/connections.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Bytes sent and not acknowledged end a connection of the system's own after this time: a machine that lost its power
-/// closes nothing.
+/// A connection between processes of the system ends if bytes that were sent stay unacknowledged for this time: a machine
+/// that lost its power closes nothing.
 pub(super) const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_micros(1_500_000);
 
 /// Identifies a connection for as long as the server runs. It is also the poller's token of the socket, and the number
@@ -153,7 +153,7 @@
     ///
     /// # Errors
     ///
-    /// The system's: no socket could be had.
+    /// The system's: no socket could be opened.
     pub(super) fn open(
         &mut self,
         poller: &Poller,
--- a/crates/control-plane/src/state_machine/handlers/replica_set_change.rs
+++ b/crates/control-plane/src/state_machine/handlers/replica_set_change.rs
@@ -26,8 +26,8 @@
         }
     }
 
-    /// The coordinator brings in the replica set that follows from what it sees: newcomers join, and replicas go that are
-    /// superseded, shut down, or have a successor while they are unresponsive.
+    /// The coordinator proposes the replica set that follows from what it observes: newcomers join; replicas leave that are
+    /// superseded, shut down, or unresponsive with a replacement in their zone.
     pub(in crate::state_machine) fn change_replica_set(&mut self, now: Timestamp) {
         let Some(replica_sets) = self.configuration.joint_replica_sets() else { return };
         if self.proposals.pending.is_changing_replica_set() {
@@ -86,7 +86,8 @@
         self.coordinator.step_down();
     }
 
-    /// Whether a process that shuts down may exit: what it accepted is through, and its replica is removed, or won't be.
+    /// Whether a process that shuts down may exit: its requests have ended, its records are on disk, it is not coordinator,
+    /// and its replica is out of the replica set or stays in it.
     pub fn is_shut_down(&self) -> bool {
         self.replica_state() == ReplicaState::ShuttingDown
             && self.proposals.pending.is_empty()
