--- a/crates/control-plane/src/state_machine/quorum.rs
+++ b/crates/control-plane/src/state_machine/quorum.rs
@@ -132,7 +132,7 @@
     }
 
     /// Records what a peer's heartbeat says of the peer; `digest` covers all items held here. True if the peer's copy has
-    /// differed for [`DIFFERING_HEARTBEATS`] and is to be read.
+    /// differed in [`DIFFERING_HEARTBEATS`] heartbeats in a row and is to be read.
     pub(super) fn receive_heartbeat(&mut self, node_id: &str, heartbeat: &Heartbeat, digest: u64) -> bool {
         let Some(peer) = self.peers.get_mut(node_id) else { return false };
         peer.hello.is_serving = heartbeat.is_serving;
