--- a/crates/coordination/src/catch_up_queue.rs
+++ b/crates/coordination/src/catch_up_queue.rs
@@ -6,7 +6,8 @@
 use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A receiver that has not taken its chunk by then holds nobody else up any longer. Its session has a time-out of its own.
+/// A chunk that is still in flight after this time no longer counts against the bound, so that a stalled receiver holds
+/// nobody else up. Its session has a time-out of its own.
 const STALL_TIMEOUT: Duration = Duration::from_micros(2_000_000);
 
 /// How far one receiver has come.
@@ -64,7 +65,8 @@
         }
     }
 
-    /// A receiver says what it holds, and waits for what it lacks. If it catches up already, that begins anew.
+    /// Queues a receiver, by what it says that it holds. If it is catching up already, it starts from the first bucket
+    /// again.
     pub fn enqueue(&mut self, id: u64, bucket_digests: Vec<u64>, wants_reply: bool) {
         self.remove(id);
         let receiver = Receiver { bucket_digests, next_bucket: 0, wants_reply, progress: Progress::Queued };
@@ -89,7 +91,7 @@
         })
     }
 
-    /// A turn's chunk of so many bytes is in flight; the next one begins with `next_bucket`, or there is none.
+    /// A turn's chunk, of `bytes` bytes, is in flight; the next one begins with `next_bucket`, or there is none.
     pub fn chunk_sent(
         &mut self,
         now: Timestamp,
