--- a/crates/gateway-policy/src/counters.rs
+++ b/crates/gateway-policy/src/counters.rs
@@ -1,88 +1,98 @@
-//! Counts: one that fades with time, and those that run on over all gateways.
+//! An exponentially decaying count, and the sums on the counter service as one gateway knows them.
 
 use crate::interface::Units;
 use kitepass_time::{Duration, Timestamp};
 
-/// Stands for what was added within about the last `memory`.
+/// A count that decays exponentially: roughly what was added within the last `memory`, the time constant that the
+/// caller passes (always the same one for one count).
 #[derive(Clone, Copy, Debug, Default)]
-pub struct DecayingCount {
+pub(crate) struct DecayingCount {
     count: f64,
     at: Timestamp,
 }
 
 impl DecayingCount {
-    pub fn at(&mut self, now: Timestamp, memory: Duration) -> f64 {
+    /// Decays the count to `now` and returns it.
+    pub(crate) fn at(&mut self, now: Timestamp, memory: Duration) -> f64 {
         self.count *= (-(now - self.at).ratio_to(memory)).exp();
         self.at = now;
         self.count
     }
 
-    pub fn add(&mut self, now: Timestamp, memory: Duration, amount: f64) {
+    /// Decays the count to `now` and adds an amount.
+    pub(crate) fn add(&mut self, now: Timestamp, memory: Duration, amount: f64) {
         self.count = self.at(now, memory) + amount;
     }
 
-    /// What it came to when it was last looked at.
-    pub fn last(&self) -> f64 {
+    /// The count as of the last call of `at` or `add`, without decay since.
+    pub(crate) fn last(&self) -> f64 {
         self.count
     }
 
-    pub fn scale(&mut self, factor: f64) {
+    /// Multiplies the count by a factor.
+    pub(crate) fn scale(&mut self, factor: f64) {
         self.count *= factor;
     }
 }
 
-/// One tenant's sum on the counter, over all gateways.
+/// One sum of a tenant on the counter service, to which all gateways add.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sum {
+    /// Number of the span of periods that the sum covers, the same at all gateways.
     number: i64,
-    /// What this gateway has added to it,
-    mine: Units,
-    /// and what the others had by the last reading.
-    seen: Units,
+    /// Units that this gateway has added.
+    own: Units,
+    /// Units that the other gateways had added by the last reading.
+    others: Units,
 }
 
-/// The last two sums of a tenant, by their numbers.
+/// The two newest sums of a tenant: the running one and its predecessor.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sums([Sum; 2]);
+pub(crate) struct Sums([Sum; 2]);
 
 impl Sums {
+    /// The sum with this number, if it is one of the two.
     fn at(&mut self, number: i64) -> Option<&mut Sum> {
         self.0.iter_mut().find(|sum| sum.number == number)
     }
 
-    /// Begins a sum in place of the older one, unless it is known; whether it did.
-    pub fn begin(&mut self, number: i64) -> bool {
-        let new = self.at(number).is_none();
-        if new {
+    /// Begins the sum with this number in place of the older one, and returns true; false if it had begun already.
+    pub(crate) fn begin(&mut self, number: i64) -> bool {
+        let is_new = self.at(number).is_none();
+        if is_new {
             self.0[number.rem_euclid(2) as usize] = Sum { number, ..Sum::default() };
         }
-        new
+        is_new
     }
 
-    pub fn contains(&mut self, number: i64) -> bool {
+    /// Whether the sum with this number is one of the two.
+    pub(crate) fn contains(&mut self, number: i64) -> bool {
         self.at(number).is_some()
     }
 
-    /// This gateway has added to a sum.
-    pub fn add(&mut self, number: i64, units: Units) {
+    /// Notes units that this gateway has added to a sum; ignored for a sum that is no longer kept.
+    pub(crate) fn add(&mut self, number: i64, units: Units) {
         if let Some(sum) = self.at(number) {
-            sum.mine.add(units);
+            sum.own.add(units);
         }
     }
 
-    /// By how much what the others added to a sum has grown since its last reading; less than nothing was
-    /// offered if the counter has lost its counts.
-    pub fn take_growth(&mut self, number: i64, all: Units) -> Option<Units> {
+    /// Takes in a sum's total `all` and returns how much the other gateways' units have grown since the last reading;
+    /// `offered` is negative if the counter has lost its counts. None for a sum that is no longer kept.
+    pub(crate) fn take_growth(&mut self, number: i64, all: Units) -> Option<Units> {
         let sum = self.at(number)?;
         let others =
-            Units { offered: all.offered - sum.mine.offered, forwarded: all.forwarded - sum.mine.forwarded };
-        let seen = std::mem::replace(&mut sum.seen, others);
-        Some(Units { offered: others.offered - seen.offered, forwarded: others.forwarded - seen.forwarded })
+            Units { offered: all.offered - sum.own.offered, forwarded: all.forwarded - sum.own.forwarded };
+        let before = std::mem::replace(&mut sum.others, others);
+        Some(Units {
+            offered: others.offered - before.offered,
+            forwarded: others.forwarded - before.forwarded,
+        })
     }
 }
 
-/// Tells ids apart, alike at all gateways.
-pub fn hash(id: &str) -> u64 {
+/// FNV-1a hash of an id, the same at all gateways: peers name a tenant by it and derive its controller from it.
+pub(crate) fn hash(id: &str) -> u64 {
     let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3);
     id.bytes().fold(0xcbf2_9ce4_8422_2325, step)
 }
--- a/crates/gateway-policy/src/dispatch.rs
+++ b/crates/gateway-policy/src/dispatch.rs
@@ -1,24 +1,21 @@
-//! The flow of a request through a gateway, and the orders given for it: taken in, held, sent, given up. A host
-//! opens one [`Gateway`] an instance and tells it in order what happens, each time with its clock and an
-//! [`Host`] that carries out its orders; both sides of that are in `interface.rs`. docs/design.md tells
-//! which parts are the article's mechanism and which depart from it. The other decisions stand beside this file:
-//! `quota.rs`, `count.rs`, `peer_exchange.rs`, `overload.rs` and `backend_selection.rs`.
+//! The life of a request: accepted, queued, sent to backends, answered or given up. See the crate's page.
 
 use crate::counters::{hash, DecayingCount};
-use crate::interface::*;
 use crate::latency::Latency;
 use crate::peer_exchange::MESH_LOAD;
 use crate::state::{Backend, Peers, PendingRequest, RequestState, Tenant};
+use crate::{AttemptEnd, GatewayConfig, Group, Host, Idempotency, IncomingRequest, QuotaRequest, Workload};
 use kitepass_time::{Duration, Timestamp};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-pub(crate) const PERIOD: Duration = Duration::from_secs(1); // the article's, and the stay-away that a rejection advises
-const ADVICE: i64 = 3; // parts of the time left for a retry, one of which a rejection advises to wait
+pub(crate) const PERIOD: Duration = Duration::from_secs(1); // the article's, and the longest retry delay that is advised
+const RETRY_DELAY_PARTS: i64 = 3; // a rejection advises one of so many parts of the time left for a retry
 pub(crate) const OVERDUE: f64 = 6.0; // mean deviations past the mean after which an attempt is overdue
-pub(crate) const NEWEST: f64 = 0.0625; // weight of the newest in running means
+pub(crate) const NEWEST: f64 = 0.0625; // weight of the newest value in running means
 
+/// One gateway instance's decisions. Its times are the host's clock, which must not go back.
 pub struct Gateway {
     pub(crate) config: Rc<GatewayConfig>,
     pub(crate) rng: Rand64,
@@ -27,16 +24,17 @@
     pub(crate) requests: HashMap<String, PendingRequest>,
     pub(crate) tenants: HashMap<String, Tenant>,
     pub(crate) latencies: Vec<Latency>,
-    pub(crate) demand: DecayingCount, // attempts asked for in about a period,
-    pub(crate) completions: DecayingCount, // and settled; settled in about
-    pub(crate) slow_start_done: DecayingCount, // a window of the slow-start rule
-    pub(crate) mean_in_flight: f64,   // attempts out, on average,
-    pub(crate) mean_worth: f64,       // and weight of requests in an overload
+    pub(crate) demand: DecayingCount, // attempts wanted within about a period
+    pub(crate) completions: DecayingCount, // attempts completed within about a period
+    pub(crate) slow_start_done: DecayingCount, // and within about the slow start's window
+    pub(crate) mean_in_flight: f64,   // running mean of attempts in flight
+    pub(crate) mean_weight: f64,      // running mean of requests' value per second
     pub(crate) peers: Peers,
-    pub(crate) uses_controllers: bool, // peers may be asked, but are too many to be notified of all
+    pub(crate) uses_controllers: bool, // peers are too many for usage updates: controllers decide
 }
 
 impl Gateway {
+    /// A gateway that knows no backends and tenants yet; `seed` determines all its random draws.
     pub fn open(config: Rc<GatewayConfig>, seed: u64, now: Timestamp) -> Self {
         Gateway {
             rng: Rand64::new(u128::from(seed)),
@@ -48,7 +46,7 @@
             demand: DecayingCount::default(),
             completions: DecayingCount::default(),
             slow_start_done: DecayingCount::default(),
-            mean_worth: 1.0,
+            mean_weight: 1.0,
             mean_in_flight: 0.0,
             peers: Peers { interval: PERIOD / 8, ..Peers::default() },
             uses_controllers: config.max_peer_messages > 0.0
@@ -57,34 +55,36 @@
         }
     }
 
-    /// How much is kept: requests, tenants, backends, and calls and queries that are waited for.
+    /// Numbers of requests, tenants, backends, and of calls and questions that are waited for.
     pub fn table_sizes(&self) -> [usize; 4] {
         [self.requests.len(), self.tenants.len(), self.backends.len(), self.peers.waiting.len()]
     }
 
-    pub fn request_arrived(&mut self, now: Timestamp, asked: &IncomingRequest, host: &mut impl Host) {
+    /// Decides on a request that has arrived: rejects it, sends it, or asks the counter service or a peer first.
+    pub fn request_arrived(&mut self, now: Timestamp, arrived: &IncomingRequest, host: &mut impl Host) {
         let config = self.config.clone();
-        let workload = config.workloads.iter().position(|w| w.name == asked.workload);
-        let plan = config.plans.iter().position(|p| p.name == asked.plan);
+        let workload = config.workloads.iter().position(|w| w.name == arrived.workload);
+        let plan = config.plans.iter().position(|p| p.name == arrived.plan);
         let (Some(workload), Some(plan)) = (workload, plan) else {
-            return host.reject(asked.id, config.max_retry_after); // nobody has set terms for it
+            return host.reject(arrived.id, config.max_retry_after); // it is not configured
         };
-        let gateways = if asked.gateways == 0 { config.gateways } else { asked.gateways };
-        let quota = QuotaRequest { tenant: asked.tenant.to_owned(), plan, gateways, units: asked.units };
+        let gateways = if arrived.gateways == 0 { config.gateways } else { arrived.gateways };
+        let quota = QuotaRequest { tenant: arrived.tenant.to_owned(), plan, gateways, units: arrived.units };
         let Workload { latency_target, late_value, .. } = config.workloads[workload];
         let deadline =
-            if late_value > 0.0 { asked.deadline } else { asked.deadline.min(now + latency_target) };
+            if late_value > 0.0 { arrived.deadline } else { arrived.deadline.min(now + latency_target) };
         let request = PendingRequest { workload, quota, deadline, ..PendingRequest::default() };
-        self.requests.insert(asked.id.to_owned(), request);
-        // Where peers may be asked but are too many to be notified of all, one of a tenant's draws for all.
-        let controller = (asked.first_gateway + hash(asked.tenant) as u32 % gateways) % config.gateways;
+        self.requests.insert(arrived.id.to_owned(), request);
+        // Where peers are too many for usage updates, one of a tenant's gateways draws for all of them.
+        let controller = (arrived.first_gateway + hash(arrived.tenant) as u32 % gateways) % config.gateways;
         let (asks, controls) = (self.uses_controllers && gateways > 1, controller == config.gateway_index);
         if asks && !controls && self.may_ask_controller(deadline - now, latency_target) {
-            return self.ask_controller(now, asked.id, controller, host);
+            return self.ask_controller(now, arrived.id, controller, host);
         }
-        self.decide(now, asked.id, asks && controls, host);
+        self.decide(now, arrived.id, asks && controls, host);
     }
 
+    /// Takes in the end of an attempt; the request is attempted again, answered or forgotten.
     pub fn attempt_ended(&mut self, now: Timestamp, end: &AttemptEnd, host: &mut impl Host) {
         self.observe(now, end);
         let Some(request) = self.requests.get_mut(end.request_id) else { return };
@@ -101,11 +101,13 @@
         self.next_attempt(now, end.request_id, host);
     }
 
+    /// The client of a request has gone: it needs no answer.
     pub fn client_disconnected(&mut self, id: &str) {
         let out = self.requests.get(id).is_some_and(|request| request.state == RequestState::InFlight);
         self.set_state(id, if out { RequestState::Abandoned } else { RequestState::Finished });
     }
 
+    /// Changes a request's state; a finished request is forgotten.
     pub(crate) fn set_state(&mut self, id: &str, to: RequestState) {
         if to == RequestState::Finished {
             self.requests.remove(id);
@@ -114,9 +116,10 @@
         }
     }
 
+    /// A timer set through the host has expired; unknown and outdated tokens are ignored.
     pub fn timer_fired(&mut self, now: Timestamp, token: &str, host: &mut impl Host) {
         match token.split_once('.') {
-            Some(("period", id)) if self.tenants.get(id).is_some_and(|c| c.is_report_due(now)) => {
+            Some(("period", id)) if self.tenants.get(id).is_some_and(|tenant| tenant.is_report_due(now)) => {
                 self.add_to_sum(now, id, None, host);
             }
             Some(("sweep", _)) => self.sweep_tenants(now, host),
@@ -126,21 +129,21 @@
         }
     }
 
-    /// The final answer of a request given up: a rejection only where a retry is harmless, in time for one.
+    /// Gives a request its final answer, a rejection only where a retry by the client is harmless.
     pub(crate) fn give_up(&mut self, id: &str, host: &mut impl Host) {
         let request = &self.requests[id];
-        // Units that are in the sum and do not go must not keep others from going.
+        // Units that are in the sum and are not forwarded must not count against other requests.
         let unsent = if request.is_counted && request.attempts == 0 { request.quota.units } else { 0.0 };
-        if let Some(c) = self.tenants.get_mut(&request.quota.tenant).filter(|c| c.is_counted) {
-            c.unreported.forwarded -= unsent;
+        if let Some(tenant) = self.tenants.get_mut(&request.quota.tenant).filter(|t| t.is_counted) {
+            tenant.unreported.forwarded -= unsent;
         }
         let Workload { idempotency, latency_target, .. } = self.config.workloads[request.workload];
-        let anywhere = matches!(
+        let is_retryable_anywhere = matches!(
             idempotency,
             Idempotency::Idempotent | Idempotency::Deduplicated { group: Group::All, .. }
         );
-        if request.first_backend.is_none() || anywhere {
-            let advice = ((latency_target - self.latencies[request.workload].mean) / ADVICE)
+        if request.first_backend.is_none() || is_retryable_anywhere {
+            let advice = ((latency_target - self.latencies[request.workload].mean) / RETRY_DELAY_PARTS)
                 .max(Duration::from_micros(1));
             host.reject(id, self.config.max_retry_after.map(|longest| longest.min(advice).min(PERIOD)));
         } else {
@@ -149,7 +152,7 @@
         self.set_state(id, RequestState::Finished);
     }
 
-    /// Sends a held request's next attempt, or gives it up.
+    /// Sends a queued request's next attempt, or gives it up.
     pub(crate) fn next_attempt(&mut self, now: Timestamp, id: &str, host: &mut impl Host) {
         let (config, workload) = (self.config.clone(), self.requests[id].workload);
         let (overload, request) = (self.overload_ratio(now, workload), &self.requests[id]);
@@ -157,25 +160,25 @@
         let (expected, overdue) =
             (self.latencies[request.workload].mean, self.latencies[request.workload].overdue(OVERDUE));
         let left = request.deadline - now;
-        let barred = match (workload.idempotency, &request.first_backend) {
+        let is_harmful = match (workload.idempotency, &request.first_backend) {
             (Idempotency::NonIdempotent, Some(_)) => true,
             (Idempotency::Deduplicated { memory, .. }, Some(_)) => now - request.first_sent_at >= memory,
             _ => false,
         };
-        let spent = left <= expected || request.attempts >= config.max_attempts;
-        // A further attempt must not feed an overload.
-        if barred || spent || request.attempts > 0 && self.rng.rand_float() < overload {
+        let is_exhausted = left <= expected || request.attempts >= config.max_attempts;
+        // A retry must not feed an overload.
+        if is_harmful || is_exhausted || request.attempts > 0 && self.rng.rand_float() < overload {
             return self.give_up(id, host);
         }
         let Some(backend) = self.select_backend(now, id).filter(|_| self.reserve(id, host)) else {
             return self.give_up(id, host);
         };
-        // An overdue attempt is left for a further one if there is time, and no overload to feed by work left.
-        let again = workload.idempotency != Idempotency::NonIdempotent && left - overdue > expected;
-        let allow = if again && overload == 0.0 { overdue } else { left };
+        // An overdue attempt is abandoned for a retry if there is time for one and no overload to feed.
+        let may_retry = workload.idempotency != Idempotency::NonIdempotent && left - overdue > expected;
+        let allow = if may_retry && overload == 0.0 { overdue } else { left };
         let request = self.requests.get_mut(id).expect("found above");
         request.attempts += 1;
-        let record = self.backends.get_mut(&backend).expect("picked from these");
+        let record = self.backends.get_mut(&backend).expect("selected from these");
         if request.first_backend.is_none() {
             (request.first_sent_at, request.first_backend) = (now, Some(record.entry.clone()));
         }
--- a/crates/gateway-policy/src/peer_exchange.rs
+++ b/crates/gateway-policy/src/peer_exchange.rs
@@ -1,33 +1,32 @@
-//! What gateways tell and ask one another: news of units to all peers where they are few, else queries to a
-//! tenant's controller. Also what waits for an answer, from a peer or the counter, and whether one more may.
+//! Usage updates to peers where they are few, else questions to controllers; and requests that await an answer.
 
 use crate::counters::hash;
 use crate::dispatch::{Gateway, NEWEST, PERIOD};
-use crate::interface::*;
+use crate::interface::{Host, QuotaDecision, QuotaRequest, Units, UsageUpdate};
 use crate::quota::RECENT;
 use crate::state::{PendingRequest, RequestState};
 use kitepass_time::{Duration, Timestamp};
 use std::collections::VecDeque;
 use std::mem::take;
 
-pub(crate) const MESH_LOAD: f64 = 0.9; // part of a period's messages up to which all peers are notified of all
-const CROWDED_FACTOR: f64 = 4.0; // one over the part of queries lost from which on fewer are asked
-const TIMEOUT_PARTS: i64 = 8; // parts of the latency target, one of which a controller has to answer
+pub(crate) const MESH_LOAD: f64 = 0.9; // share of a period's messages that usage updates may take
+const CROWDED_FACTOR: f64 = 4.0; // one over the loss rate from which on fewer questions are asked
+const TIMEOUT_PARTS: i64 = 8; // a controller has one of so many parts of the latency target to answer
 
 impl Gateway {
-    /// Whether a request's controller is asked: there must be time to decide here if no answer comes.
+    /// Whether a request's controller is asked: there must be time to decide here if it does not answer.
     pub(crate) fn may_ask_controller(&mut self, left: Duration, latency_target: Duration) -> bool {
         self.may_ask() && left > latency_target / TIMEOUT_PARTS * 2
     }
 
-    /// Puts a request to its tenant's controller.
+    /// Asks a request's controller for a decision.
     pub(crate) fn ask_controller(&mut self, now: Timestamp, id: &str, controller: u32, host: &mut impl Host) {
         let PendingRequest { workload, ref quota, .. } = self.requests[id];
         let (latency_target, quota) = (self.config.workloads[workload].latency_target, quota.clone());
         let chance = self.rng.rand_float();
-        // The article's directive: for a period, a controller that said no is asked only past its ratio.
-        let (ratio, to) = self.tenant(now, &quota, host).directive;
-        if now < to && chance < ratio {
+        // The article's directive: for a period after a rejection, its ratio decides who is asked for at all.
+        let (ratio, valid_until) = self.tenant(now, &quota, host).directive;
+        if now < valid_until && chance < ratio {
             return self.admit(now, id, true, host);
         }
         self.peers.last_question = self.peers.last_question.wrapping_add(1);
@@ -37,17 +36,18 @@
         self.wait(id, question, Units::default());
     }
 
-    /// Whether one more query is asked: fewer where many stay without an answer, lest they crowd all out.
+    /// Whether one more question is asked: fewer where many stay unanswered, as they may overload the receiver.
     pub(crate) fn may_ask(&mut self) -> bool {
         self.rng.rand_float() < (2.0 - CROWDED_FACTOR * self.peers.loss_rate).max(NEWEST)
     }
 
+    /// Has a request wait for an answer by its name; `added` is what its call adds to a sum.
     pub(crate) fn wait(&mut self, id: &str, answer: String, added: Units) {
         self.peers.waiting.entry(answer).or_default().push_back((id.to_owned(), added));
         self.set_state(id, RequestState::AwaitingQuota);
     }
 
-    /// What waited first for an answer, which has come, or has not.
+    /// Takes the request that has waited longest for an answer, which has arrived or is lost.
     pub(crate) fn next_waiting(&mut self, answer: &str, lost: bool) -> Option<(String, Units)> {
         let next = self.peers.waiting.get_mut(answer).and_then(VecDeque::pop_front)?;
         self.peers.waiting.retain(|_, waiting| !waiting.is_empty());
@@ -55,7 +55,7 @@
         Some(next)
     }
 
-    /// What a request waited for has been answered; or not, and the part here decides.
+    /// Goes on with a waiting request by the answer; without one this gateway's own share decides.
     pub(crate) fn resume(
         &mut self,
         now: Timestamp,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// A peer asks whether a request of a tenant that is controlled here may go.
+    /// A peer asks for a decision on a request of a tenant that this gateway controls.
     pub fn peer_asked(
         &mut self,
         now: Timestamp,
@@ -94,17 +94,18 @@
         host.answer_peer(peer, question, decision);
     }
 
+    /// A controller has answered a question; late and unknown answers are ignored.
     pub fn peer_answered(&mut self, now: Timestamp, id: u16, decision: QuotaDecision, host: &mut impl Host) {
         self.resume(now, &format!("asked.{id}"), Some(decision), host);
     }
 
-    /// Notes units of which peers are to be notified, where they are few.
+    /// Notes usage to tell the peers, where they are few.
     pub(crate) fn note_usage(&mut self, id: &str, units: Units, host: &mut impl Host) {
-        let told = self.config.max_peer_messages > 0.0 && !self.uses_controllers;
-        let Some(tenant) = self.tenants.get_mut(id).filter(|c| told && c.gateways > 1.0) else { return };
+        let mesh = self.config.max_peer_messages > 0.0 && !self.uses_controllers;
+        let Some(tenant) = self.tenants.get_mut(id).filter(|c| mesh && c.gateways > 1.0) else { return };
         tenant.untold_usage.offered += units.offered;
         tenant.untold_usage.forwarded += units.forwarded;
-        // What is not forwarded waits for the next that is, unless there is room in the messages.
+        // Offered units wait for the next forwarded ones, unless there is room in the messages.
         let due = units.forwarded > 0.0 || self.peers.interval < PERIOD / 2;
         if due && !self.peers.untold_tenants.iter().any(|untold| untold == id) {
             if self.peers.untold_tenants.is_empty() {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Peers are notified of what came since the last telling, as often as they can take it in.
+    /// Tells peers the usage since the last update, as often as they can take it in.
     pub(crate) fn send_usage(&mut self, host: &mut impl Host) {
         let updates = |id: String| {
             let tenant = self.tenants.get_mut(&id)?;
@@ -122,10 +123,11 @@
         };
         let updates: Vec<_> = self.peers.untold_tenants.drain(..).filter_map(updates).collect();
         let messages = host.broadcast_usage(&updates) as f64 * f64::from(self.config.gateways);
-        let telling = Duration::from_secs(1).mul_f64(messages / (MESH_LOAD * self.config.max_peer_messages));
-        self.peers.interval = telling.max(PERIOD / 8);
+        let interval = Duration::from_secs(1).mul_f64(messages / (MESH_LOAD * self.config.max_peer_messages));
+        self.peers.interval = interval.max(PERIOD / 8);
     }
 
+    /// Takes in a peer's usage updates; those of unknown tenants are ignored.
     pub fn usage_received(&mut self, now: Timestamp, updates: &[UsageUpdate]) {
         self.peers.heard_at = Some(now);
         for item in updates {
@@ -137,6 +139,7 @@
         }
     }
 
+    /// Whether a usage update has arrived within the last period.
     pub(crate) fn hears_peers(&self, now: Timestamp) -> bool {
         self.peers.heard_at.is_some_and(|heard| now - heard < PERIOD)
     }
--- a/crates/gateway-policy/src/state.rs
+++ b/crates/gateway-policy/src/state.rs
@@ -1,4 +1,4 @@
-//! What the decisions keep of each request, tenant and backend. Nothing is decided here.
+//! What a gateway keeps of each request, tenant, backend and of its peers. Nothing is decided here.
 
 use crate::counters::{DecayingCount, Sums};
 use crate::interface::{BackendEntry, Plan, QuotaRequest, Units};
@@ -6,75 +6,130 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// A request's states. `Gateway::set_state` alone changes them.
+/// The states of a request. Only `Gateway::set_state` changes them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum RequestState {
+pub(crate) enum RequestState {
+    /// It has been accepted; no attempt is in flight.
     #[default]
-    Queued, // taken in; no attempt out
-    AwaitingQuota, // its tenant's controller or the counter is asked
-    InFlight,      // its one attempt is out
-    Abandoned,     // the client has gone while an attempt is out
-    Finished,      // it has its final answer, or needs none, and no attempt is out
+    Queued,
+    /// Its tenant's controller or the counter service has been asked for a decision.
+    AwaitingQuota,
+    /// One attempt is in flight.
+    InFlight,
+    /// The client has disconnected while an attempt is in flight.
+    Abandoned,
+    /// It has its final answer or needs none, and no attempt is in flight. Such a request is forgotten.
+    Finished,
 }
 
+/// A request that has no final answer yet, or an attempt in flight.
 #[derive(Default)]
-pub struct PendingRequest {
-    pub state: RequestState,
-    pub workload: usize,
-    pub quota: QuotaRequest,
-    pub deadline: Timestamp, // its answer is worth something
-    pub attempts: u32,
-    pub may_have_run: bool,                  // an attempt has ended that may have run;
-    pub first_backend: Option<BackendEntry>, // where the first such attempt went,
-    pub first_sent_at: Timestamp,            // and when
-    pub is_counted: bool, // its units are booked: by its tenant's controller, or in the sum
+pub(crate) struct PendingRequest {
+    /// Its state.
+    pub(crate) state: RequestState,
+    /// Index of its workload in the configuration.
+    pub(crate) workload: usize,
+    /// Its claim on its tenant's quota.
+    pub(crate) quota: QuotaRequest,
+    /// Until when an answer has a value.
+    pub(crate) deadline: Timestamp,
+    /// Attempts sent so far.
+    pub(crate) attempts: u32,
+    /// Whether an attempt has ended that may have had an effect.
+    pub(crate) may_have_run: bool,
+    /// Where the first attempt that may have had an effect went.
+    pub(crate) first_backend: Option<BackendEntry>,
+    /// When that attempt was sent.
+    pub(crate) first_sent_at: Timestamp,
+    /// Whether its units are accounted for already: by its tenant's controller, or in the shared sum.
+    pub(crate) is_counted: bool,
 }
 
+/// A tenant's quota as this gateway knows it.
 #[derive(Default)]
-pub struct Tenant {
-    pub plan: Rc<Plan>,
-    pub gateways: f64,
-    pub is_controlled: bool,         // this gateway is its controller
-    pub directive: (f64, Timestamp), // a controller's last ratio, and how long it holds
-    pub is_counted: bool,            // its sum on the counter is all that tells of the others
-    pub is_sparse: bool, // so little of the token bucket falls to this gateway that it tells nothing
-    pub interval: Duration, // time over which offers are set against the limit
-    pub reserve: f64,    // units of the token bucket left for what others draw unseen
-    pub tokens: f64,     // units thought to be in its token bucket,
-    pub updated_at: Timestamp, // and when that was reckoned
-    pub demand: DecayingCount, // units offered here within about a period, the newest counting most
-    pub unreported: Units, // units here that are not in the sum yet,
-    pub report_at: Timestamp, // and when they go there
-    pub unfilled: f64,   // units not put into it since the last reading: it was full, or others drew
-    pub sums: Sums,      // that it was added to
-    pub read_at: Option<Timestamp>, // when a total notified of the others last,
-    pub missed: i64,     // and how many calls in a row have brought none
-    pub peer_offered: DecayingCount, // what the others were offered of late, by a reading or by peers,
-    pub peer_sent: DecayingCount, // and by readings forwarded
-    pub untold_usage: Units, // and what they are to be notified
-    pub hard_tokens: f64, // units left of this gateway's own share of the hard limit
-    pub in_flight: u32,  // attempts
+pub(crate) struct Tenant {
+    /// Its quotas.
+    pub(crate) plan: Rc<Plan>,
+    /// Through how many gateways its requests come; at least 1.
+    pub(crate) gateways: f64,
+    /// Whether this gateway is its controller, which decides for all gateways.
+    pub(crate) is_controlled: bool,
+    /// The last drop ratio that its controller reported, and until when it holds.
+    pub(crate) directive: (f64, Timestamp),
+    /// Whether its sum on the counter service is the only source on the other gateways' usage.
+    pub(crate) is_counted: bool,
+    /// Whether this gateway's share of the token bucket is too small to learn anything from such a sum.
+    pub(crate) is_sparse: bool,
+    /// Time over which demand is compared with the limit.
+    pub(crate) interval: Duration,
+    /// Units of the token bucket held back for what other gateways may have taken unseen.
+    pub(crate) reserve: f64,
+    /// Units thought to be in the token bucket. Below zero if more was spent than it held.
+    pub(crate) tokens: f64,
+    /// When `tokens`, `hard_tokens` and the demands were last brought up to date.
+    pub(crate) updated_at: Timestamp,
+    /// Units offered to this gateway within about one interval.
+    pub(crate) demand: DecayingCount,
+    /// Usage at this gateway that is not in the shared sum yet.
+    pub(crate) unreported: Units,
+    /// When that is to be added to the sum; zero for no date.
+    pub(crate) report_at: Timestamp,
+    /// Units not added to `tokens` since the last reading, as the bucket was full or others were thought to have
+    /// taken them. The next reading gives them back first.
+    pub(crate) unfilled: f64,
+    /// The sums on the counter service that this gateway has added to.
+    pub(crate) sums: Sums,
+    /// When a reading last told the other gateways' usage.
+    pub(crate) read_at: Option<Timestamp>,
+    /// Calls to the counter service in a row that brought no reading.
+    pub(crate) missed: i64,
+    /// Units offered to the other gateways lately, by readings or by usage updates.
+    pub(crate) peer_offered: DecayingCount,
+    /// Units that the other gateways forwarded lately, by readings.
+    pub(crate) peer_sent: DecayingCount,
+    /// Usage at this gateway that its peers have not been told yet.
+    pub(crate) untold_usage: Units,
+    /// Units left of this gateway's own share of the hard limit.
+    pub(crate) hard_tokens: f64,
+    /// Attempts in flight from this gateway.
+    pub(crate) in_flight: u32,
 }
 
+/// A backend as this gateway knows it.
 #[derive(Default)]
-pub struct Backend {
-    pub entry: BackendEntry,
-    pub successes: DecayingCount,               // ends of attempts that went well,
-    pub failures: DecayingCount,                // and that went wrong
-    pub slowdown: f64,                          // how much more time it takes than the fleet for the like
-    pub in_flight: BTreeMap<String, Timestamp>, // requests that have an attempt out here, and since when
-    pub credit: f64,           // while it is warming up: attempts that it may have from here,
-    pub updated_at: Timestamp, // and when that was reckoned
+pub(crate) struct Backend {
+    /// Its line of the endpoint list.
+    pub(crate) entry: BackendEntry,
+    /// Attempts that succeeded lately.
+    pub(crate) successes: DecayingCount,
+    /// Attempts that failed lately.
+    pub(crate) failures: DecayingCount,
+    /// Binary logarithm of its latency relative to the mean of all backends, for the same workload.
+    pub(crate) slowdown: f64,
+    /// Requests that have an attempt in flight here, and since when.
+    pub(crate) in_flight: BTreeMap<String, Timestamp>,
+    /// While it warms up: attempts that this gateway may send it.
+    pub(crate) credit: f64,
+    /// When `credit` was last brought up to date.
+    pub(crate) updated_at: Timestamp,
 }
 
+/// Exchange with the peers, and the requests that wait for an answer.
 #[derive(Default)]
-pub struct Peers {
-    pub untold_tenants: Vec<String>,   // tenants of which they are to be notified,
-    pub interval: Duration,            // and after which time
-    pub heard_at: Option<Timestamp>,   // when one was last heard
-    pub by_hash: HashMap<u32, String>, // tenants by the marks that they are notified by
-    pub last_question: u16,            // query to a controller
-    /// Requests by what they wait for, each with what its call adds; no request where none waits for the call.
-    pub waiting: HashMap<String, VecDeque<(String, Units)>>,
-    pub loss_rate: f64, // part of them that waited for nothing, of late
+pub(crate) struct Peers {
+    /// Tenants whose usage is to be told to the peers.
+    pub(crate) untold_tenants: Vec<String>,
+    /// Time between two usage updates.
+    pub(crate) interval: Duration,
+    /// When a usage update last arrived.
+    pub(crate) heard_at: Option<Timestamp>,
+    /// Tenants by the hashes that stand for them in usage updates.
+    pub(crate) by_hash: HashMap<u32, String>,
+    /// Id of the last question to a controller; wraps around.
+    pub(crate) last_question: u16,
+    /// Requests by the name of what they wait for (a sum, or the timer token of a question), oldest first, each with
+    /// the units that its call adds. The request id is empty where no request waits for a call.
+    pub(crate) waiting: HashMap<String, VecDeque<(String, Units)>>,
+    /// Running share of calls and questions that brought no answer, from 0 to 1.
+    pub(crate) loss_rate: f64,
 }
--- a/crates/gateway-policy/tests/scenarios.rs
+++ b/crates/gateway-policy/tests/scenarios.rs
@@ -18,11 +18,10 @@
 //!     > sent|bounced|counted|asked|passed|beyond|to BACKEND MIN..MAX    how many the last step gave
 //!     > kept COMMANDS CUSTOMERS BACKENDS WAITING    by the gateway, of each so many
 
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
-
-use kitepass_gateway_policy::*;
+use kitepass_gateway_policy::{
+    AttemptEnd, AttemptOutcome, BackendEntry, BackendStatus, Gateway, GatewayConfig, Group, Idempotency,
+    IncomingRequest, Plan, QuotaDecision, QuotaRequest, Reading, SlowStart, Units, UsageUpdate, Workload,
+};
 use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
