--- a/crates/gateway-config/src/lib.rs
+++ b/crates/gateway-config/src/lib.rs
@@ -1,93 +1,138 @@
-//! The settings object, read once: what the decision module is told, and what sockets need beside it.
-
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
+//! The in-service gateway's settings: a JSON object with fields for the policy ([`GatewayConfig`]) and for connections
+//! ([`Carriage`]). Unknown fields are ignored, and absent ones have defaults. Times are decimal seconds.
+//!
+//! The names of the fields are the settings' own; they stay at this border.
 
 use kitepass_gateway_policy::{GatewayConfig, Group, Idempotency, Plan, SlowStart, Workload};
 use kitepass_time::Duration;
 use serde_json::Value;
+use std::fmt;
 use std::rc::Rc;
 
-/// Why the settings cannot be taken: the field, and what was expected there.
-pub type Refusal = String;
+/// Why settings cannot be used.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum SettingsError {
+    /// The text is not JSON.
+    NotJson {
+        /// What the object is called where it came from.
+        field: String,
+        /// What the JSON parser reports.
+        reason: String,
+    },
+    /// A field holds a value of another type or out of range.
+    Unexpected {
+        /// Path of the field.
+        field: String,
+        /// What should stand there.
+        expected: &'static str,
+    },
+}
+
+impl fmt::Display for SettingsError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            SettingsError::NotJson { field, reason } => write!(f, "{field}: expected JSON, {reason}"),
+            SettingsError::Unexpected { field, expected } => write!(f, "{field}: expected {expected}"),
+        }
+    }
+}
+
+impl std::error::Error for SettingsError {}
+
+impl From<SettingsError> for String {
+    fn from(error: SettingsError) -> String {
+        error.to_string()
+    }
+}
 
-/// What the settings say of connections and of the time limits around them.
+/// Settings of connections and the time limits around them.
 #[derive(Clone, Copy, Debug)]
 pub struct Carriage {
-    /// A connection that is not made by then is given up.
+    /// Time-out for making a connection.
     pub connect_within: Duration,
-    /// Backends close a connection that has stood idle for this long.
+    /// Backends close a connection that has been idle for this long.
     pub idle: Duration,
-    /// Time past a client's own in which a final answer still counts.
+    /// Time past a client's deadline in which a final answer still counts.
     pub answer_slack: Duration,
 }
 
-/// Reads the object from its text. `field` is what it is called where it came from.
-pub fn from_text(field: &str, text: &str) -> Result<(GatewayConfig, Carriage), Refusal> {
-    let all = serde_json::from_str(text).map_err(|e| format!("{field}: expected JSON, {e}"))?;
+/// Reads the settings object from its text. `field` is what it is called where it came from; errors name it.
+///
+/// # Errors
+///
+/// If the text is not JSON, or a field has the wrong type or is out of range.
+pub fn from_text(field: &str, text: &str) -> Result<(GatewayConfig, Carriage), SettingsError> {
+    let all = serde_json::from_str(text)
+        .map_err(|e| SettingsError::NotJson { field: field.to_owned(), reason: e.to_string() })?;
     from_value(field, &all)
 }
 
-/// Reads the object from a JSON text that holds more than it.
-pub fn from_value(field: &str, all: &Value) -> Result<(GatewayConfig, Carriage), Refusal> {
+/// Reads the settings object where it is part of a larger JSON text. `field` is its name there; errors name it.
+///
+/// # Errors
+///
+/// If it is no object, or a field has the wrong type or is out of range.
+pub fn from_value(field: &str, all: &Value) -> Result<(GatewayConfig, Carriage), SettingsError> {
     if !all.is_object() {
-        return Err(format!("{field}: expected a JSON object"));
+        return Err(SettingsError::Unexpected { field: field.to_owned(), expected: "a JSON object" });
     }
-    let part = |value, name: &str| Part { name: format!("{field}{name}"), value };
-    let whole = part(all, "");
-    let (caps, family) = (part(&all["Caps"], ".Caps"), part(&all["FamilyInfo"], ".FamilyInfo"));
-    let safety = part(&all["Safety"], ".Safety");
-    let counted = family.yes("SharedCounter")?;
-    let heeded = caps.yes("RetryAfter")?;
-    let peers = caps.yes("PeerMessages")?;
+    let section = |value, name: &str| Section { path: format!("{field}{name}"), value };
+    let top = section(all, "");
+    let caps = section(&all["Caps"], ".Caps");
+    let family = section(&all["FamilyInfo"], ".FamilyInfo");
+    let safety = section(&all["Safety"], ".Safety");
+    let has_counter = family.flag("SharedCounter")?;
+    let advises_retries = caps.flag("RetryAfter")?;
+    let has_peers = caps.flag("PeerMessages")?;
     let config = GatewayConfig {
-        gateways: whole.number("ReplicasOfMe", 1.0)?.max(1.0) as u32,
-        gateway_index: whole.number("Me", 0.0)? as u32,
-        workloads: whole.entries("Classes")?.iter().map(workload).collect::<Result<_, _>>()?,
-        plans: whole.entries("Plans")?.iter().map(|p| plan(p).map(Rc::new)).collect::<Result<_, _>>()?,
-        counter_timeout: counted.then(|| family.span("CounterTimeout", 0.05)).transpose()?,
+        gateways: top.number("ReplicasOfMe", 1.0)?.max(1.0) as u32,
+        gateway_index: top.number("Me", 0.0)? as u32,
+        workloads: top.entries("Classes")?.iter().map(workload).collect::<Result<_, _>>()?,
+        plans: top.entries("Plans")?.iter().map(|p| plan(p).map(Rc::new)).collect::<Result<_, _>>()?,
+        counter_timeout: has_counter.then(|| family.duration("CounterTimeout", 0.05)).transpose()?,
         max_units: family.number("MaxUnits", 1.0)?.max(1.0),
         max_attempts: caps.number("TryLimit", 1.0)?.max(1.0) as u32,
-        max_peer_messages: if peers { family.number("MailPerS", 0.0)? } else { 0.0 },
-        max_retry_after: heeded.then(|| caps.span("MaxRetryAfter", 1.0)).transpose()?,
+        max_peer_messages: if has_peers { family.number("MailPerS", 0.0)? } else { 0.0 },
+        max_retry_after: advises_retries.then(|| caps.duration("MaxRetryAfter", 1.0)).transpose()?,
         slow_start: SlowStart {
             initial_capacity: safety.number("ColdFrom", 1.0)?,
-            ramp: safety.span("WarmWithin", 0.0)?,
+            ramp: safety.duration("WarmWithin", 0.0)?,
             multiple: safety.number("FallMultiple", 1.0)?,
-            window: safety.span("Fall", 1.0)?,
+            window: safety.duration("Fall", 1.0)?,
         },
     };
     let carriage = Carriage {
-        connect_within: caps.span("ConnectTimeout", 0.25)?,
-        idle: caps.span("ConnIdle", 15.0)?,
-        answer_slack: safety.span("AnswerSlack", 0.016)?,
+        connect_within: caps.duration("ConnectTimeout", 0.25)?,
+        idle: caps.duration("ConnIdle", 15.0)?,
+        answer_slack: safety.duration("AnswerSlack", 0.016)?,
     };
     Ok((config, carriage))
 }
 
-fn workload(entry: &Part) -> Result<Workload, Refusal> {
-    let group = match entry.word("Group", "all")? {
+/// Reads an entry of `Classes`.
+fn workload(entry: &Section) -> Result<Workload, SettingsError> {
+    let group = match entry.text("Group", "all")? {
         "zone" => Group::Zone,
         "cell" => Group::Cell,
         _ => Group::All,
     };
     Ok(Workload {
-        name: entry.word("Name", "")?.to_owned(),
-        idempotency: match entry.word("Effect", "fragile")? {
+        name: entry.text("Name", "")?.to_owned(),
+        idempotency: match entry.text("Effect", "fragile")? {
             "retryable" => Idempotency::Idempotent,
-            "dedup" => Idempotency::Deduplicated { group, memory: entry.span("Window", 0.0)? },
+            "dedup" => Idempotency::Deduplicated { group, memory: entry.duration("Window", 0.0)? },
             _ => Idempotency::NonIdempotent,
         },
-        latency_target: entry.span("Objective", 1.0)?,
+        latency_target: entry.duration("Objective", 1.0)?,
         late_value: entry.number("LateWorth", 0.0)?,
         value: entry.number("Gain", 1.0)?,
     })
 }
 
-fn plan(entry: &Part) -> Result<Plan, Refusal> {
+/// Reads an entry of `Plans`.
+fn plan(entry: &Section) -> Result<Plan, SettingsError> {
     Ok(Plan {
-        name: entry.word("Name", "")?.to_owned(),
+        name: entry.text("Name", "")?.to_owned(),
         rate: entry.number("Refill", 0.0)?,
         burst: entry.number("StoreSize", 0.0)?,
         max_in_flight: entry.number("Open", 0.0)? as u32,
@@ -96,52 +141,58 @@
     })
 }
 
-/// A part of the object, and the path that names it in a refusal.
-struct Part<'a> {
-    name: String,
+/// An object within the settings, with its path for errors.
+struct Section<'a> {
+    path: String,
     value: &'a Value,
 }
 
-impl<'a> Part<'a> {
-    fn entries(&self, key: &str) -> Result<Vec<Part<'a>>, Refusal> {
-        let entry = |(n, value)| Part { name: format!("{}.{key}[{n}]", self.name), value };
+impl<'a> Section<'a> {
+    /// The elements of an array; none if it is absent.
+    fn entries(&self, key: &str) -> Result<Vec<Section<'a>>, SettingsError> {
+        let entry = |(n, value)| Section { path: format!("{}.{key}[{n}]", self.path), value };
         match &self.value[key] {
             Value::Null => Ok(Vec::new()),
             Value::Array(entries) => Ok(entries.iter().enumerate().map(entry).collect()),
-            _ => Err(self.wrong(key, "an array")),
+            _ => Err(self.unexpected(key, "an array")),
         }
     }
 
-    fn number(&self, key: &str, absent: f64) -> Result<f64, Refusal> {
+    /// A number from 0 to below 1e9.
+    fn number(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
         match &self.value[key] {
-            Value::Null => Ok(absent),
+            Value::Null => Ok(default),
             found => {
                 let number = found.as_f64().filter(|number| (0.0..1e9).contains(number));
-                number.ok_or_else(|| self.wrong(key, "a number from 0 to below 1e9"))
+                number.ok_or_else(|| self.unexpected(key, "a number from 0 to below 1e9"))
             }
         }
     }
 
-    fn span(&self, key: &str, absent: f64) -> Result<Duration, Refusal> {
-        self.number(key, absent).map(|seconds| Duration::from_micros((seconds * 1e6).round() as i64))
+    /// A time in seconds, rounded to microseconds.
+    fn duration(&self, key: &str, default: f64) -> Result<Duration, SettingsError> {
+        self.number(key, default).map(|seconds| Duration::from_micros((seconds * 1e6).round() as i64))
     }
 
-    fn yes(&self, key: &str) -> Result<bool, Refusal> {
+    /// True or false; false if it is absent.
+    fn flag(&self, key: &str) -> Result<bool, SettingsError> {
         match &self.value[key] {
             Value::Null => Ok(false),
-            found => found.as_bool().ok_or_else(|| self.wrong(key, "true or false")),
+            found => found.as_bool().ok_or_else(|| self.unexpected(key, "true or false")),
         }
     }
 
-    fn word(&self, key: &str, absent: &'static str) -> Result<&'a str, Refusal> {
+    /// A text.
+    fn text(&self, key: &str, default: &'static str) -> Result<&'a str, SettingsError> {
         match &self.value[key] {
-            Value::Null => Ok(absent),
-            found => found.as_str().ok_or_else(|| self.wrong(key, "text")),
+            Value::Null => Ok(default),
+            found => found.as_str().ok_or_else(|| self.unexpected(key, "text")),
         }
     }
 
-    fn wrong(&self, key: &str, expected: &str) -> Refusal {
-        format!("{}.{key}: expected {expected}", self.name)
+    /// The error for a field of this section.
+    fn unexpected(&self, key: &str, expected: &'static str) -> SettingsError {
+        SettingsError::Unexpected { field: format!("{}.{key}", self.path), expected }
     }
 }
 
@@ -150,9 +201,9 @@
     use super::*;
 
     #[test]
-    fn what_is_wrong_is_named() {
+    fn errors_name_field_and_expectation() {
         let read = |text| from_text("Options", text);
-        for (text, what) in [
+        for (text, expected) in [
             ("[1]", "Options: expected a JSON object"),
             ("{", "Options: expected JSON"),
             (r#"{"Plans":[{},{"Refill":"x"}]}"#, "Options.Plans[1].Refill: expected a number"),
@@ -160,13 +211,13 @@
             (r#"{"Classes":{}}"#, "Options.Classes: expected an array"),
             (r#"{"Caps":{"RetryAfter":1}}"#, "Options.Caps.RetryAfter: expected true or false"),
         ] {
-            let refusal = read(text).expect_err(text);
-            assert!(refusal.starts_with(what), "{refusal}");
+            let error = read(text).expect_err(text).to_string();
+            assert!(error.starts_with(expected), "{error}");
         }
     }
 
     #[test]
-    fn what_is_absent_or_unknown_is_passed_over() {
+    fn absent_fields_have_defaults_and_unknown_ones_are_ignored() {
         let (config, carriage) = from_text("s", r#"{"Unknown":{},"ReplicasOfMe":3}"#).unwrap();
         assert_eq!((config.gateways, config.counter_timeout), (3, None));
         assert_eq!(carriage.idle, Duration::from_secs(15));
--- a/crates/gateway-config/tests/golden.rs
+++ b/crates/gateway-config/tests/golden.rs
@@ -1,10 +1,6 @@
 //! What is read of a gateway's settings, and what is said of bad ones, stays as it is: in plain text, under the names that
 //! the settings themselves have, beside the text in `golden/`.
 
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
-
 use kitepass_gateway_config::{from_text, Carriage};
 use kitepass_gateway_policy::{GatewayConfig, Group, Idempotency, Plan, Workload};
 use kitepass_time::Duration;
