--- a/crates/simulator-host/src/decode.rs
+++ b/crates/simulator-host/src/decode.rs
@@ -1,27 +1,98 @@
-//! Lines of the wire, read into what the decision module is told.
+//! Decodes lines of the wire into the policy's types. The names of fields and their values are the wire's own.
 
-pub use kitepass_gateway_config::Refusal;
+use kitepass_gateway_config::SettingsError;
 use kitepass_gateway_policy::{AttemptOutcome, BackendEntry, BackendStatus, GatewayConfig, Reading};
 use kitepass_time::{Duration, Timestamp};
+use std::fmt;
+
+/// Why a line is invalid.
+#[derive(Debug)]
+pub(crate) enum InvalidLine {
+    /// The text from here on is not `name=value`.
+    Syntax {
+        /// The beginning of that text.
+        found: String,
+    },
+    /// A field is absent or empty.
+    Missing {
+        /// The field.
+        field: String,
+    },
+    /// A field holds something else than it should.
+    Field {
+        /// The field.
+        field: String,
+        /// What should stand there.
+        expected: String,
+        /// What stands there, in quotes if it is text.
+        found: String,
+    },
+    /// Another line stands where the list's next `ITEM` line should.
+    IncompleteList {
+        /// How many `ITEM` lines are missing.
+        missing: usize,
+    },
+    /// The line's name is not that of an event.
+    UnknownEvent,
+    /// The settings cannot be used.
+    Settings(SettingsError),
+}
+
+impl InvalidLine {
+    /// The error for a field with a wrong value.
+    pub(crate) fn field(field: &str, expected: impl Into<String>, found: String) -> Self {
+        InvalidLine::Field { field: field.to_owned(), expected: expected.into(), found }
+    }
+
+    /// The error for a field with a wrong text, of which only the beginning is shown.
+    fn value(field: &str, expected: &str, found: &str) -> Self {
+        Self::field(field, expected, format!("'{}'", clip(found)))
+    }
+
+    /// The error for text that is not `name=value`.
+    fn syntax(found: &str) -> Self {
+        InvalidLine::Syntax { found: clip(found).to_owned() }
+    }
+}
+
+impl fmt::Display for InvalidLine {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            InvalidLine::Syntax { found } => write!(f, "'{found}': expected name=value"),
+            InvalidLine::Missing { field } => write!(f, "{field}: expected a value, found none"),
+            InvalidLine::Field { field, expected, found } => {
+                write!(f, "{field}: expected {expected}, found {found}")
+            }
+            InvalidLine::IncompleteList { missing } => {
+                write!(f, "in a list: expected {missing} more ITEM lines")
+            }
+            InvalidLine::UnknownEvent => write!(f, "expected an event"),
+            InvalidLine::Settings(error) => error.fmt(f),
+        }
+    }
+}
+
+impl std::error::Error for InvalidLine {}
 
-/// The values of one line.
-pub struct Fields<'a>(Vec<(&'a str, &'a str)>);
+/// The fields of one line, in its order.
+pub(crate) struct Fields<'a>(Vec<(&'a str, &'a str)>);
 
-/// The one field that holds free text to the end of its line.
-const TO_THE_END: &str = "Options";
+/// The settings: the one field whose value runs to the end of its line, spaces included.
+const SETTINGS_FIELD: &str = "Options";
 
 impl<'a> Fields<'a> {
-    pub fn read(mut rest: &'a str) -> Result<Self, Refusal> {
+    /// Parses `name=value` pairs, separated by single spaces.
+    pub(crate) fn parse(mut rest: &'a str) -> Result<Self, InvalidLine> {
         let mut fields = Vec::with_capacity(10);
         while !rest.is_empty() {
             let Some((name, value)) = rest.split_once('=') else {
-                return Err(format!("'{}': expected name=value", clip(rest)));
+                return Err(InvalidLine::syntax(rest));
             };
             if name.is_empty() || name.contains(' ') {
-                return Err(format!("'{}': expected name=value", clip(rest)));
+                return Err(InvalidLine::syntax(rest));
             }
             let (value, after) = match value.split_once(' ') {
-                Some(parts) if name != TO_THE_END => parts,
+                Some(parts) if name != SETTINGS_FIELD => parts,
                 _ => (value, ""),
             };
             fields.push((name, value));
@@ -30,61 +101,69 @@
         Ok(Fields(fields))
     }
 
-    pub fn get(&self, name: &str) -> Option<&'a str> {
+    /// A field's value, if the line has it; the first one if it has several.
+    pub(crate) fn get(&self, name: &str) -> Option<&'a str> {
         self.0.iter().find(|(n, _)| *n == name).map(|(_, v)| *v)
     }
 
-    pub fn text(&self, name: &str) -> Result<&'a str, Refusal> {
+    /// A text that must not be empty.
+    pub(crate) fn text(&self, name: &str) -> Result<&'a str, InvalidLine> {
         match self.get(name) {
             Some(value) if !value.is_empty() => Ok(value),
-            _ => Err(format!("{name}: expected a value, found none")),
+            _ => Err(InvalidLine::Missing { field: name.to_owned() }),
         }
     }
 
-    pub fn moment(&self, name: &str) -> Result<Timestamp, Refusal> {
+    /// A time of the simulator's clock, in decimal seconds.
+    pub(crate) fn timestamp(&self, name: &str) -> Result<Timestamp, InvalidLine> {
         micros(name, self.text(name)?).map(Timestamp::from_micros)
     }
 
-    pub fn span_or_zero(&self, name: &str) -> Result<Duration, Refusal> {
+    /// A duration in decimal seconds; zero if it is absent.
+    pub(crate) fn duration_or_zero(&self, name: &str) -> Result<Duration, InvalidLine> {
         self.get(name).map_or(Ok(Duration::ZERO), |value| micros(name, value).map(Duration::from_micros))
     }
 
-    pub fn number_or(&self, name: &str, absent: f64) -> Result<f64, Refusal> {
+    /// A finite number; `default` if it is absent.
+    pub(crate) fn number_or(&self, name: &str, default: f64) -> Result<f64, InvalidLine> {
         let Some(value) = self.get(name) else {
-            return Ok(absent);
+            return Ok(default);
         };
         match value.parse::<f64>() {
             Ok(number) if number.is_finite() => Ok(number),
-            _ => Err(format!("{name}: expected a number, found '{}'", clip(value))),
+            _ => Err(InvalidLine::value(name, "a number", value)),
         }
     }
 
-    pub fn whole<T: std::str::FromStr>(&self, name: &str) -> Result<T, Refusal> {
+    /// A whole number in the range of its type.
+    pub(crate) fn integer<T: std::str::FromStr>(&self, name: &str) -> Result<T, InvalidLine> {
         let value = self.text(name)?;
-        value.parse().map_err(|_| format!("{name}: expected a whole number, found '{}'", clip(value)))
+        value.parse().map_err(|_| InvalidLine::value(name, "a whole number", value))
     }
 
-    pub fn flag(&self, name: &str) -> Result<bool, Refusal> {
+    /// `1` or `0`; false if it is absent.
+    pub(crate) fn flag(&self, name: &str) -> Result<bool, InvalidLine> {
         match self.get(name) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(other) => Err(format!("{name}: expected 1 or 0, found '{}'", clip(other))),
+            Some(other) => Err(InvalidLine::value(name, "1 or 0", other)),
         }
     }
 }
 
+/// The first 40 characters of a text, for messages.
 fn clip(text: &str) -> &str {
     text.char_indices().nth(40).map_or(text, |(end, _)| &text[..end])
 }
 
-/// Decimal seconds as whole microseconds, to the digit.
-fn micros(name: &str, text: &str) -> Result<i64, Refusal> {
-    let wrong = || format!("{name}: expected a time in seconds, found '{}'", clip(text));
+/// Decimal seconds as whole microseconds, without rounding errors; digits past the sixth are cut off.
+fn micros(name: &str, text: &str) -> Result<i64, InvalidLine> {
+    let wrong = || InvalidLine::value(name, "a time in seconds", text);
     let (negative, digits) = text.strip_prefix('-').map_or((false, text), |rest| (true, rest));
     let (whole, part) = digits.split_once('.').unwrap_or((digits, ""));
     let plain = |s: &str| s.bytes().all(|b| b.is_ascii_digit());
     if whole.is_empty() || !plain(whole) || !plain(part) {
-        // A figure in another notation, with an exponent for one.
+        // A number in another notation, for example with an exponent.
         let seconds = text.parse::<f64>().ok().filter(|s| s.abs() < 1e12).ok_or_else(wrong)?;
         return Ok((seconds * 1e6).round() as i64);
     }
@@ -97,7 +176,8 @@
     Ok(if negative { -total } else { total })
 }
 
-pub fn ending(fields: &Fields) -> Result<AttemptOutcome, Refusal> {
+/// How an attempt, or a call to the counter service, ended.
+pub(crate) fn attempt_outcome(fields: &Fields) -> Result<AttemptOutcome, InvalidLine> {
     Ok(match fields.text("Ending")? {
         "served" => AttemptOutcome::Completed,
         "server_error" => AttemptOutcome::Failed,
@@ -107,22 +187,23 @@
         "connection_lost" => AttemptOutcome::ConnectionLost,
         "called_off" => AttemptOutcome::Cancelled,
         "not_sent" => AttemptOutcome::NotSent,
-        other => return Err(format!("Ending: expected an outcome, found '{}'", clip(other))),
+        other => return Err(InvalidLine::value("Ending", "an outcome", other)),
     })
 }
 
-/// The total, where the call brought one.
-pub fn counted(fields: &Fields) -> Result<Reading, Refusal> {
+/// The result of a call to the counter service.
+pub(crate) fn reading(fields: &Fields) -> Result<Reading, InvalidLine> {
     let sum = fields.number_or("Sum", 0.0)?;
-    Ok(match ending(fields)? {
+    Ok(match attempt_outcome(fields)? {
         AttemptOutcome::Completed => Reading::Known(sum),
-        ending if ending.never_ran() => Reading::NotAdded,
+        outcome if outcome.never_ran() => Reading::NotAdded,
         _ => Reading::Unknown,
     })
 }
 
-pub fn listed(fields: &Fields) -> Result<BackendEntry, Refusal> {
-    let started = fields.span_or_zero("Born")?;
+/// A line of a list of backends.
+pub(crate) fn backend_entry(fields: &Fields) -> Result<BackendEntry, InvalidLine> {
+    let started = fields.duration_or_zero("Born")?;
     Ok(BackendEntry {
         id: fields.text("Backend")?.to_owned(),
         zone: fields.get("Campus").unwrap_or_default().to_owned(),
@@ -131,16 +212,18 @@
             "live" => BackendStatus::Live,
             "quiescing" => BackendStatus::Draining,
             "dead" => BackendStatus::Removed,
-            other => return Err(format!("Status: expected a standing, found '{}'", clip(other))),
+            other => return Err(InvalidLine::value("Status", "a standing", other)),
         },
-        weight: Some(fields.number_or("Nominal", 1.0)?).filter(|size| *size > 0.0).unwrap_or(1.0),
+        weight: Some(fields.number_or("Nominal", 1.0)?).filter(|weight| *weight > 0.0).unwrap_or(1.0),
         started: Some(Timestamp::from_micros(started.as_micros())).filter(|_| started > Duration::ZERO),
     })
 }
 
-/// The settings, as far as the module reads them.
-pub fn config(fields: &Fields) -> Result<GatewayConfig, Refusal> {
-    kitepass_gateway_config::from_text(TO_THE_END, fields.text(TO_THE_END)?).map(|(config, _)| config)
+/// The policy's part of the settings.
+pub(crate) fn config(fields: &Fields) -> Result<GatewayConfig, InvalidLine> {
+    kitepass_gateway_config::from_text(SETTINGS_FIELD, fields.text(SETTINGS_FIELD)?)
+        .map(|(config, _)| config)
+        .map_err(InvalidLine::Settings)
 }
 
 #[cfg(test)]
@@ -155,15 +238,15 @@
         assert_eq!(read("-0.5"), -500_000);
         assert_eq!(read("1e-3"), 1_000);
         for wrong in ["", "soon", ".", "1.2.3", "nan", "99999999999999999999"] {
-            assert!(micros("T", wrong).unwrap_err().starts_with("T: expected a time"), "{wrong}");
+            assert!(micros("T", wrong).unwrap_err().to_string().starts_with("T: expected a time"), "{wrong}");
         }
     }
 
     #[test]
-    fn fields_come_in_any_order_and_text_runs_to_the_end() {
-        let fields = Fields::read("B=2 A=x= Options={\"a b\": 1}").unwrap();
+    fn fields_come_in_any_order_and_settings_run_to_the_end() {
+        let fields = Fields::parse("B=2 A=x= Options={\"a b\": 1}").unwrap();
         assert_eq!((fields.get("A"), fields.get("B"), fields.get("C")), (Some("x="), Some("2"), None));
         assert_eq!(fields.get("Options"), Some("{\"a b\": 1}"));
-        assert!(Fields::read("A=1 loose").is_err());
+        assert!(Fields::parse("A=1 loose").is_err());
     }
 }
--- a/crates/simulator-host/src/host.rs
+++ b/crates/simulator-host/src/host.rs
@@ -1,256 +1,256 @@
-//! The instances of one process, and the batches that drive them.
+//! The gateway instances of one process, driven by the batches of the simulator's wire.
+//!
+//! The input is lines. `FRAME Wall=TIME` begins a batch and sets the clock, then come events, a line each, and `EOB`
+//! ends the batch. The reply is the gateways' actions, a line each, and `READY`. The names of lines and fields are the
+//! wire's own.
 
-use crate::decode::{self, Fields, Refusal};
+use crate::decode::{self, Fields, InvalidLine};
 use crate::message::{self, Message};
-use kitepass_gateway_policy::{
-    AttemptEnd, BackendEntry, Gateway, Host, IncomingRequest, QuotaDecision, QuotaRequest, UsageUpdate,
-};
-use kitepass_time::{Duration, Timestamp};
+use crate::reply::Reply;
+use kitepass_gateway_policy::{AttemptEnd, BackendEntry, Gateway, IncomingRequest};
+use kitepass_time::Timestamp;
 use std::collections::HashMap;
 use std::fmt::Display;
 use std::io::{self, BufRead, Write};
 use std::rc::Rc;
 
-/// The lists of backends that events refer to are numbered from 0 up to this, exclusive.
-const LISTS: usize = 16;
+/// How many lists of backends the wire has; events refer to them by numbers from 0.
+const MAX_LISTS: usize = 16;
 
-/// Why the wire cannot go on.
+/// Why the program cannot go on.
 #[derive(Debug)]
-pub enum Trouble {
-    Input { line: u64, what: Refusal },
+pub(crate) enum RunError {
+    /// A line of the input is invalid.
+    Input {
+        /// Number of the line, from 1.
+        line: u64,
+        /// What is wrong with it.
+        reason: String,
+    },
+    /// Input or output failed.
     Stream(io::Error),
 }
 
-impl Display for Trouble {
+impl Display for RunError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Trouble::Input { line, what } => write!(f, "line {line}: {what}"),
-            Trouble::Stream(error) => write!(f, "cannot go on: {error}"),
+            RunError::Input { line, reason } => write!(f, "line {line}: {reason}"),
+            RunError::Stream(error) => write!(f, "cannot go on: {error}"),
         }
     }
 }
 
-impl From<io::Error> for Trouble {
+impl std::error::Error for RunError {}
+
+impl From<io::Error> for RunError {
     fn from(error: io::Error) -> Self {
-        Trouble::Stream(error)
+        RunError::Stream(error)
     }
 }
 
-#[derive(Default)]
-struct SimulatorHost {
-    now: Timestamp,
-    gateways: HashMap<String, Gateway>,
-    lists: Vec<Vec<BackendEntry>>,
-    /// The list being read and how many of its lines are still to come.
-    pending: Option<(usize, usize)>,
+/// The error for a line of the input.
+fn input_error(line: u64, reason: impl Into<String>) -> RunError {
+    RunError::Input { line, reason: reason.into() }
 }
 
-/// Plays batches until the input ends. A reply is written only once its whole batch has been taken.
-pub fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), Trouble> {
-    let mut host = SimulatorHost { lists: vec![Vec::new(); LISTS], ..SimulatorHost::default() };
-    let (mut line, mut number, mut inside) = (Vec::new(), 0_u64, false);
+/// Plays batches until the input ends. A reply is written only once its complete batch has been taken in.
+///
+/// # Errors
+///
+/// If a line is invalid, the input ends within a batch, or reading or writing fails.
+pub(crate) fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), RunError> {
+    let mut host = SimulatorHost { lists: vec![Vec::new(); MAX_LISTS], ..SimulatorHost::default() };
+    let (mut line, mut number, mut in_batch) = (Vec::new(), 0_u64, false);
     let mut reply = Reply::default();
     loop {
         line.clear();
         if input.read_until(b'\n', &mut line)? == 0 {
-            return if inside {
-                Err(trouble(number, "expected EOB before the end of input"))
+            return if in_batch {
+                Err(input_error(number, "expected EOB before the end of input"))
             } else {
                 Ok(())
             };
         }
         number += 1;
-        let text = std::str::from_utf8(&line).map_err(|_| trouble(number, "expected UTF-8"))?;
+        let text = std::str::from_utf8(&line).map_err(|_| input_error(number, "expected UTF-8"))?;
         let text = text.trim_end_matches(['\n', '\r']);
         let (name, rest) = text.split_once(' ').unwrap_or((text, ""));
-        match (name, inside) {
+        match (name, in_batch) {
             ("", _) => {}
             ("FRAME", false) => {
-                let clock = Fields::read(rest).and_then(|fields| fields.moment("Wall"));
-                host.now = clock.map_err(|what| trouble(number, &format!("FRAME {what}")))?;
-                inside = true;
+                let clock = Fields::parse(rest).and_then(|fields| fields.timestamp("Wall"));
+                host.now = clock.map_err(|error| input_error(number, format!("FRAME {error}")))?;
+                in_batch = true;
             }
             ("EOB", true) => {
-                if host.pending.is_some() {
-                    return Err(trouble(number, "EOB: expected an ITEM line"));
+                if host.open_list.is_some() {
+                    return Err(input_error(number, "EOB: expected an ITEM line"));
                 }
-                reply.text.extend_from_slice(b"READY\n");
-                output.write_all(&reply.text)?;
-                output.flush()?;
-                reply.text.clear();
-                inside = false;
+                reply.flush_batch(&mut output)?;
+                in_batch = false;
             }
             (_, true) => {
-                let taken = Fields::read(rest).and_then(|fields| host.take(name, &fields, &mut reply));
-                taken.map_err(|what| trouble(number, &format!("{name} {what}")))?;
+                let taken = Fields::parse(rest).and_then(|fields| host.take_line(name, &fields, &mut reply));
+                taken.map_err(|error| input_error(number, format!("{name} {error}")))?;
             }
-            (_, false) => return Err(trouble(number, &format!("'{name}': expected FRAME"))),
+            (_, false) => return Err(input_error(number, format!("'{name}': expected FRAME"))),
         }
     }
 }
 
-fn trouble(line: u64, what: &str) -> Trouble {
-    Trouble::Input { line, what: what.to_owned() }
+/// A list of backends of which lines are still to come.
+struct OpenList {
+    /// The list's number.
+    number: usize,
+    /// How many `ITEM` lines are still to come; at least 1.
+    missing: usize,
+}
+
+/// The instances and lists of one process.
+#[derive(Default)]
+struct SimulatorHost {
+    /// The clock of the present batch.
+    now: Timestamp,
+    /// The open instances by their ids.
+    gateways: HashMap<String, Gateway>,
+    /// Lists of backends, as `LEDGER` and `ITEM` lines have filled them.
+    lists: Vec<Vec<BackendEntry>>,
+    /// The list that is being read.
+    open_list: Option<OpenList>,
 }
 
 impl SimulatorHost {
-    fn take(&mut self, name: &str, fields: &Fields, reply: &mut Reply) -> Result<(), Refusal> {
-        if let Some((list, left)) = self.pending {
+    /// Takes in one line of a batch.
+    fn take_line(&mut self, name: &str, fields: &Fields, reply: &mut Reply) -> Result<(), InvalidLine> {
+        if let Some(OpenList { number, missing }) = self.open_list {
             if name != "ITEM" {
-                return Err(format!("in a list: expected {left} more ITEM lines"));
+                return Err(InvalidLine::IncompleteList { missing });
             }
-            self.lists[list].push(decode::listed(fields)?);
-            self.pending = Some((list, left - 1)).filter(|_| left > 1);
+            self.lists[number].push(decode::backend_entry(fields)?);
+            self.open_list = Some(OpenList { number, missing: missing - 1 }).filter(|_| missing > 1);
             return Ok(());
         }
         if name == "LEDGER" {
-            let list = list_number(fields)?;
-            let entries: usize = fields.whole("Entries")?;
-            self.lists[list].clear();
-            self.pending = Some((list, entries)).filter(|_| entries > 0);
+            let number = list_number(fields)?;
+            let missing: usize = fields.integer("Entries")?;
+            self.lists[number].clear();
+            self.open_list = Some(OpenList { number, missing }).filter(|_| missing > 0);
             return Ok(());
         }
         let id = fields.text("GatewayId")?;
         if name == "OPEN_INSTANCE" {
-            let seed = fields.whole::<i128>("RngSeed")? as u64;
+            let seed = fields.integer::<i128>("RngSeed")? as u64;
             let config = Rc::new(decode::config(fields)?);
             self.gateways.insert(id.to_owned(), Gateway::open(config, seed, self.now));
             return Ok(());
         }
+        self.take_event(name, id, fields, reply)
+    }
+
+    /// Takes in one event of an open instance.
+    fn take_event(
+        &mut self,
+        name: &str,
+        id: &str,
+        fields: &Fields,
+        reply: &mut Reply,
+    ) -> Result<(), InvalidLine> {
         let now = self.now;
         let Some(gateway) = self.gateways.get_mut(id) else {
-            return Err(format!("GatewayId: expected an open instance, found '{id}'"));
+            let found = format!("'{id}'");
+            return Err(InvalidLine::field("GatewayId", "an open instance", found));
         };
-        reply.gateway.clear();
-        reply.gateway.push_str(id);
+        reply.set_gateway(id);
         match name {
             "TEARDOWN" => drop(self.gateways.remove(id)),
-            "TOPOLOGY" => {
-                let whole = match fields.text("Kind")? {
-                    "full" | "cached" => true,
-                    "delta" => false,
-                    "failed" => return Ok(()),
-                    other => return Err(format!("Kind: expected a kind of list, found '{other}'")),
-                };
-                gateway.update_backends(whole, &self.lists[list_number(fields)?]);
-            }
-            "JOB_IN" => {
-                let asked = IncomingRequest {
-                    id: fields.text("Id")?,
-                    tenant: fields.get("UserKey").unwrap_or_default(),
-                    workload: fields.get("Type").unwrap_or_default(),
-                    plan: fields.get("Terms").unwrap_or_default(),
-                    deadline: fields.moment("ClientDeadline")?,
-                    units: fields.number_or("CostUnits", 1.0)?,
-                    gateways: fields.number_or("Width", 0.0)? as u32,
-                    first_gateway: fields.number_or("FirstDoor", 0.0)? as u32,
-                };
-                gateway.request_arrived(now, &asked, reply);
-            }
-            "RESULT" => {
-                let end = AttemptEnd {
-                    request_id: fields.text("Id")?,
-                    backend: fields.text("Backend")?,
-                    outcome: decode::ending(fields)?,
-                    is_final: fields.flag("Ended")?,
-                    elapsed: fields.span_or_zero("Rtt")?,
-                    actual_units: Some(fields.number_or("Cost", 0.0)?).filter(|units| *units > 0.0),
-                };
-                gateway.attempt_ended(now, &end, reply);
-            }
+            "TOPOLOGY" => return update_backends(gateway, fields, &self.lists),
+            "JOB_IN" => gateway.request_arrived(now, &incoming_request(fields)?, reply),
+            "RESULT" => gateway.attempt_ended(now, &attempt_end(fields)?, reply),
             "CLIENT_LEFT" => gateway.client_disconnected(fields.text("Id")?),
             "LEDGER_REPLY" => {
-                gateway.counter_answered(now, fields.text("TallyId")?, decode::counted(fields)?, reply)
+                gateway.counter_answered(now, fields.text("TallyId")?, decode::reading(fields)?, reply)
             }
             "ALARM" => gateway.timer_fired(now, fields.text("Token")?, reply),
-            // A peer is not trusted: what cannot be decoded is dropped.
-            "MAIL" => {
-                let peer = fields.whole("Src")?;
-                match message::decode(fields.get("Bytes").unwrap_or_default()) {
-                    Some(Message::UsageUpdate(news)) => gateway.usage_received(now, &news),
-                    Some(Message::Question { number, offer }) => {
-                        gateway.peer_asked(now, peer, number, &offer, reply)
-                    }
-                    Some(Message::Answer { number, verdict }) => {
-                        gateway.peer_answered(now, number, verdict, reply)
-                    }
-                    None => {}
-                }
-            }
+            "MAIL" => return take_message(gateway, now, fields, reply),
             // Nothing is decided on these; they are checked as far as they name an instance.
             "STREAMING" | "PROBE_DONE" => {}
-            _ => return Err("expected an event".to_owned()),
+            _ => return Err(InvalidLine::UnknownEvent),
         }
         Ok(())
     }
 }
 
-fn list_number(fields: &Fields) -> Result<usize, Refusal> {
-    let number: usize = fields.whole("SetId")?;
-    if number < LISTS {
-        Ok(number)
-    } else {
-        Err(format!("SetId: expected 0 to {}, found {number}", LISTS - 1))
-    }
-}
-
-/// The orders of a batch as lines of its reply.
-#[derive(Default)]
-struct Reply {
-    gateway: String,
-    text: Vec<u8>,
+/// Passes on a list of backends, as far as the event brings one.
+fn update_backends(
+    gateway: &mut Gateway,
+    fields: &Fields,
+    lists: &[Vec<BackendEntry>],
+) -> Result<(), InvalidLine> {
+    let is_complete = match fields.text("Kind")? {
+        "full" | "cached" => true,
+        "delta" => false,
+        "failed" => return Ok(()),
+        other => return Err(InvalidLine::field("Kind", "a kind of list", format!("'{other}'"))),
+    };
+    gateway.update_backends(is_complete, &lists[list_number(fields)?]);
+    Ok(())
 }
 
-impl Reply {
-    fn line(&mut self, action: &str, rest: std::fmt::Arguments) {
-        // Writing to memory cannot fail.
-        let _ = writeln!(self.text, "{action} GatewayId={}{rest}", self.gateway);
-    }
+/// The request of a `JOB_IN` line.
+fn incoming_request<'a>(fields: &Fields<'a>) -> Result<IncomingRequest<'a>, InvalidLine> {
+    Ok(IncomingRequest {
+        id: fields.text("Id")?,
+        tenant: fields.get("UserKey").unwrap_or_default(),
+        workload: fields.get("Type").unwrap_or_default(),
+        plan: fields.get("Terms").unwrap_or_default(),
+        deadline: fields.timestamp("ClientDeadline")?,
+        units: fields.number_or("CostUnits", 1.0)?,
+        gateways: fields.number_or("Width", 0.0)? as u32,
+        first_gateway: fields.number_or("FirstDoor", 0.0)? as u32,
+    })
 }
 
-struct Seconds(Duration);
-
-impl Display for Seconds {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let micros = self.0.as_micros();
-        let sign = if micros < 0 { "-" } else { "" };
-        write!(f, "{sign}{}.{:06}", micros.unsigned_abs() / 1_000_000, micros.unsigned_abs() % 1_000_000)
-    }
+/// The end of an attempt, of a `RESULT` line.
+fn attempt_end<'a>(fields: &Fields<'a>) -> Result<AttemptEnd<'a>, InvalidLine> {
+    Ok(AttemptEnd {
+        request_id: fields.text("Id")?,
+        backend: fields.text("Backend")?,
+        outcome: decode::attempt_outcome(fields)?,
+        is_final: fields.flag("Ended")?,
+        elapsed: fields.duration_or_zero("Rtt")?,
+        actual_units: Some(fields.number_or("Cost", 0.0)?).filter(|units| *units > 0.0),
+    })
 }
 
-impl Host for Reply {
-    fn send_attempt(&mut self, command: &str, backend: &str, allow: Duration) {
-        let allow = Seconds(allow);
-        self.line("CALL_OUT", format_args!(" Id={command} AllowFor={allow} Backend={backend}"));
-    }
-    fn reject(&mut self, command: &str, retry_in: Option<Duration>) {
-        match retry_in {
-            Some(away) => self.line("BUSY", format_args!(" Id={command} RetryIn={}", Seconds(away))),
-            None => self.line("BUSY", format_args!(" Id={command}")),
+/// Passes on a message of a peer. Peers are not trusted: a message that cannot be decoded is dropped.
+fn take_message(
+    gateway: &mut Gateway,
+    now: Timestamp,
+    fields: &Fields,
+    reply: &mut Reply,
+) -> Result<(), InvalidLine> {
+    let peer = fields.integer("Src")?;
+    match message::decode(fields.get("Bytes").unwrap_or_default()) {
+        Some(Message::UsageUpdate(updates)) => gateway.usage_received(now, &updates),
+        Some(Message::Question { question_id, quota }) => {
+            gateway.peer_asked(now, peer, question_id, &quota, reply)
         }
-    }
-    fn fail(&mut self, command: &str) {
-        self.line("RESPOND_ERROR", format_args!(" Id={command}"));
-    }
-    fn add_to_counter(&mut self, name: &str, amount: f64, keep: Duration) {
-        let keep = Seconds(keep);
-        self.line("POST_AMOUNT", format_args!(" Lives={keep} Delta={amount} TallyId={name}"));
-    }
-    fn broadcast_usage(&mut self, news: &[UsageUpdate]) -> usize {
-        let messages = message::encode(news);
-        for bytes in &messages {
-            self.line("WRITE_PEER", format_args!(" Target=-1 Bytes={bytes}"));
+        Some(Message::Answer { question_id, decision }) => {
+            gateway.peer_answered(now, question_id, decision, reply)
         }
-        messages.len()
-    }
-    fn ask_peer(&mut self, peer: u32, question: u16, offer: &QuotaRequest) {
-        self.line("WRITE_PEER", format_args!(" Target={peer} Bytes={}", message::question(question, offer)));
+        None => {}
     }
-    fn answer_peer(&mut self, peer: u32, question: u16, verdict: QuotaDecision) {
-        self.line("WRITE_PEER", format_args!(" Target={peer} Bytes={}", message::answer(question, verdict)));
-    }
-    fn set_timer(&mut self, token: &str, after: Duration) {
-        self.line("NOTIFY_ME", format_args!(" Token={token} In={}", Seconds(after)));
+    Ok(())
+}
+
+/// The number of the list that a line refers to.
+fn list_number(fields: &Fields) -> Result<usize, InvalidLine> {
+    let number: usize = fields.integer("SetId")?;
+    if number < MAX_LISTS {
+        Ok(number)
+    } else {
+        let expected = format!("0 to {}", MAX_LISTS - 1);
+        Err(InvalidLine::field("SetId", expected, number.to_string()))
     }
 }
 
@@ -264,14 +264,14 @@
         \"Plans\":[{\"Name\":\"p\",\"Refill\":5,\"StoreSize\":9}]}\n\
         TOPOLOGY GatewayId=gateway_1 Kind=cached Index=1 SetId=3\nEOB\n";
 
-    fn play(more: &str) -> (Result<(), Trouble>, String) {
+    fn play(more: &str) -> (Result<(), RunError>, String) {
         let mut output = Vec::new();
         let done = run(format!("{START}{more}").as_bytes(), &mut output);
         (done, String::from_utf8(output).unwrap())
     }
 
     #[test]
-    fn a_command_goes_out_and_its_leg_comes_back() {
+    fn a_request_is_attempted_until_attempts_run_out() {
         let job =
             "JOB_IN Width=1 CostUnits=1 Terms=p Type=w UserKey=k ClientDeadline=9 Id=c1 GatewayId=gateway_1";
         let (done, output) = play(&format!(
@@ -287,7 +287,7 @@
     }
 
     #[test]
-    fn bad_input_names_line_and_field_and_leaves_no_half_reply() {
+    fn invalid_input_names_line_and_field_and_leaves_no_partial_reply() {
         for (line, what) in [
             ("JOB_IN GatewayId=gateway_1 Id=x", "line 8: JOB_IN ClientDeadline: expected"),
             ("JOB_IN GatewayId=gateway_9 Id=x", "line 8: JOB_IN GatewayId: expected an open instance"),
@@ -306,7 +306,7 @@
     }
 
     #[test]
-    fn a_killed_instance_starts_from_nothing() {
+    fn a_reopened_instance_has_no_state() {
         let again = START.replace("FRAME Wall=5\n", "FRAME Wall=6\nTEARDOWN GatewayId=gateway_1\n");
         let late = "FRAME Wall=7\nRESULT GatewayId=gateway_1 Id=c1 N=0 Ending=served Rtt=1 Backend=b1\nEOB\n";
         let (done, output) = play(&format!("{again}{late}"));
--- a/crates/simulator-host/src/message.rs
+++ b/crates/simulator-host/src/message.rs
@@ -1,62 +1,82 @@
-//! Messages between gateways: news of customers, as much as a message holds, questions and answers.
+//! Messages between gateways: usage updates, as many as a message holds, questions to controllers and their answers.
+//! A message is bytes in base64; the first byte says its kind, and numbers are little-endian.
 
 use base64::prelude::{Engine as _, BASE64_STANDARD as BASE64};
 use kitepass_gateway_policy::{QuotaDecision, QuotaRequest, Units, UsageUpdate};
 
-/// Bytes that a message holds, as the wire has it.
-const HOLDS: usize = 256;
-/// A question's units come in parts of this fineness, in two bytes.
-const FINE: f64 = 64.0;
-/// Set in the length byte of a customer's id if the id's text is packed, two hex digits a byte.
-const HEX: u8 = 0x80;
+/// How many bytes a message holds, a limit of the wire.
+const MAX_MESSAGE_BYTES: usize = 256;
+/// A question carries its units as a multiple of one over this, in two bytes.
+const UNITS_SCALE: f64 = 64.0;
+/// Flag in the length byte of a tenant's id: the id is packed, two hexadecimal digits a byte.
+const HEX_FLAG: u8 = 0x80;
 
-/// What a message holds, as its first byte says.
+/// A message's content.
 #[derive(Debug, PartialEq)]
-pub enum Message {
+pub(crate) enum Message {
+    /// Usage of some tenants at the sender.
     UsageUpdate(Vec<UsageUpdate>),
-    Question { number: u16, offer: QuotaRequest },
-    Answer { number: u16, verdict: QuotaDecision },
+    /// Asks a controller for a decision.
+    Question {
+        /// Chosen by the sender; the answer repeats it.
+        question_id: u16,
+        /// The request to decide on.
+        quota: QuotaRequest,
+    },
+    /// A controller's decision.
+    Answer {
+        /// Id of the question.
+        question_id: u16,
+        /// The decision; its ratio is rounded to one in 255.
+        decision: QuotaDecision,
+    },
 }
 
-const NEWS: u8 = 0;
+// The first byte of each kind of message.
+const USAGE_UPDATE: u8 = 0;
 const QUESTION: u8 = 1;
-const PASSES: u8 = 2;
-const BEYOND: u8 = 3;
+const WITHIN_QUOTA: u8 = 2;
+const BEYOND_QUOTA: u8 = 3;
 
-pub fn question(number: u16, offer: &QuotaRequest) -> String {
-    let mut bytes = vec![QUESTION, offer.plan as u8];
-    for part in [number, offer.gateways as u16, (offer.units * FINE).round() as u16] {
+/// Encodes a question to a controller.
+pub(crate) fn encode_question(question_id: u16, quota: &QuotaRequest) -> String {
+    let mut bytes = vec![QUESTION, quota.plan as u8];
+    for part in [question_id, quota.gateways as u16, (quota.units * UNITS_SCALE).round() as u16] {
         bytes.extend_from_slice(&part.to_le_bytes());
     }
-    name(&mut bytes, &offer.tenant);
+    push_tenant(&mut bytes, &quota.tenant);
     BASE64.encode(&bytes)
 }
 
-pub fn answer(number: u16, verdict: QuotaDecision) -> String {
-    let [low, high] = number.to_le_bytes();
-    let ratio = (verdict.ratio * f64::from(u8::MAX)).round() as u8;
-    BASE64.encode([if verdict.exceeds { BEYOND } else { PASSES }, low, high, ratio])
+/// Encodes a controller's answer.
+pub(crate) fn encode_answer(question_id: u16, decision: QuotaDecision) -> String {
+    let [low, high] = question_id.to_le_bytes();
+    let ratio = (decision.ratio * f64::from(u8::MAX)).round() as u8;
+    BASE64.encode([if decision.exceeds { BEYOND_QUOTA } else { WITHIN_QUOTA }, low, high, ratio])
 }
 
-fn name(bytes: &mut Vec<u8>, customer: &str) {
-    let (packed, flag) = match pack(customer) {
-        Some(packed) => (packed, HEX),
-        None => (customer.as_bytes().to_vec(), 0),
+/// Appends a tenant's id with its length byte.
+fn push_tenant(bytes: &mut Vec<u8>, tenant: &str) {
+    let (packed, flag) = match pack_hex(tenant) {
+        Some(packed) => (packed, HEX_FLAG),
+        None => (tenant.as_bytes().to_vec(), 0),
     };
-    // An id that is too long for its length byte is no id of the wire's; it is told as none.
-    let length = if packed.len() < usize::from(HEX) { packed.len() } else { 0 };
+    // An id that is too long for its length byte cannot come from the wire; it is encoded as empty.
+    let length = if packed.len() < usize::from(HEX_FLAG) { packed.len() } else { 0 };
     bytes.push(length as u8 | flag);
     bytes.extend_from_slice(&packed[..length]);
 }
 
-pub fn encode(news: &[UsageUpdate]) -> Vec<String> {
+/// Encodes usage updates, in as few messages as hold them.
+pub(crate) fn encode_updates(updates: &[UsageUpdate]) -> Vec<String> {
     let mut messages = Vec::new();
-    let mut bytes = vec![NEWS];
-    for item in news {
+    let mut bytes = vec![USAGE_UPDATE];
+    for item in updates {
         let [a, b, c, d] = item.tenant_hash.to_le_bytes();
-        let [offered, sent] = [item.units.offered, item.units.forwarded].map(|units| units.round() as u8);
-        let mut next = vec![a, b, c, d, offered, sent];
-        if bytes.len() + next.len() > HOLDS {
+        let [offered, forwarded] =
+            [item.units.offered, item.units.forwarded].map(|units| units.round() as u8);
+        let mut next = vec![a, b, c, d, offered, forwarded];
+        if bytes.len() + next.len() > MAX_MESSAGE_BYTES {
             messages.push(BASE64.encode(&bytes));
             bytes.truncate(1);
         }
@@ -68,11 +88,11 @@
     messages
 }
 
-/// What a message says, as far as it makes sense.
-pub fn decode(text: &str) -> Option<Message> {
+/// Decodes a message; none if it is invalid.
+pub(crate) fn decode(text: &str) -> Option<Message> {
     let bytes = BASE64.decode(text).ok()?;
     Some(match *bytes.as_slice() {
-        [NEWS, ref rest @ ..] => {
+        [USAGE_UPDATE, ref rest @ ..] => {
             let item = |bytes: &[u8]| UsageUpdate {
                 tenant_hash: u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]),
                 units: Units { offered: bytes[4].into(), forwarded: bytes[5].into() },
@@ -80,50 +100,49 @@
             Message::UsageUpdate(rest.chunks_exact(6).map(item).collect())
         }
         [QUESTION, plan, a, b, c, d, e, f, ref rest @ ..] => {
-            let [number, width, units] = [[a, b], [c, d], [e, f]].map(u16::from_le_bytes);
-            let customer = named(rest)?;
-            let (plan, width, units) = (plan.into(), width.into(), f64::from(units) / FINE);
-            Message::Question {
-                number,
-                offer: QuotaRequest { tenant: customer, plan, gateways: width, units },
-            }
+            let [question_id, gateways, units] = [[a, b], [c, d], [e, f]].map(u16::from_le_bytes);
+            let tenant = read_tenant(rest)?;
+            let (plan, gateways, units) = (plan.into(), gateways.into(), f64::from(units) / UNITS_SCALE);
+            Message::Question { question_id, quota: QuotaRequest { tenant, plan, gateways, units } }
         }
-        [kind @ (PASSES | BEYOND), a, b, ratio] => {
-            let verdict =
-                QuotaDecision { exceeds: kind == BEYOND, ratio: f64::from(ratio) / f64::from(u8::MAX) };
-            Message::Answer { number: u16::from_le_bytes([a, b]), verdict }
+        [kind @ (WITHIN_QUOTA | BEYOND_QUOTA), a, b, ratio] => {
+            let decision =
+                QuotaDecision { exceeds: kind == BEYOND_QUOTA, ratio: f64::from(ratio) / f64::from(u8::MAX) };
+            Message::Answer { question_id: u16::from_le_bytes([a, b]), decision }
         }
         _ => return None,
     })
 }
 
-/// A customer's id.
-fn named(bytes: &[u8]) -> Option<String> {
+/// Reads a tenant's id behind its length byte.
+fn read_tenant(bytes: &[u8]) -> Option<String> {
     let (head, after) = bytes.split_first()?;
-    let length = usize::from(head & !HEX);
+    let length = usize::from(head & !HEX_FLAG);
     if length == 0 || after.len() < length {
         return None;
     }
     let id = &after[..length];
-    if head & HEX != 0 {
-        Some(unpack(id))
+    if head & HEX_FLAG != 0 {
+        Some(unpack_hex(id))
     } else {
         String::from_utf8(id.to_vec()).ok()
     }
 }
 
-fn pack(id: &str) -> Option<Vec<u8>> {
+/// Packs an id of lower-case hexadecimal digits, two a byte; none for any other id.
+fn pack_hex(id: &str) -> Option<Vec<u8>> {
     let digit = |b: u8| match b {
         b'0'..=b'9' => Some(b - b'0'),
         b'a'..=b'f' => Some(b - b'a' + 10),
         _ => None,
     };
     let pairs = id.as_bytes().chunks_exact(2);
-    let whole = pairs.remainder().is_empty() && !id.is_empty();
-    whole.then(|| pairs.map(|pair| Some(digit(pair[0])? << 4 | digit(pair[1])?)).collect()).flatten()
+    let has_pairs = pairs.remainder().is_empty() && !id.is_empty();
+    has_pairs.then(|| pairs.map(|pair| Some(digit(pair[0])? << 4 | digit(pair[1])?)).collect()).flatten()
 }
 
-fn unpack(bytes: &[u8]) -> String {
+/// The reverse of `pack_hex`.
+fn unpack_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
@@ -132,29 +151,29 @@
     use super::*;
 
     #[test]
-    fn messages_come_back_and_hold_no_more_than_they_may() {
+    fn messages_decode_to_what_was_encoded_within_the_size_limit() {
         let item = |n: u32| UsageUpdate {
             tenant_hash: n.wrapping_mul(0x9e37_79b9),
             units: Units { offered: n.into(), forwarded: 2.0 },
         };
-        let told: Vec<_> = (0..61).map(item).collect();
-        let messages = encode(&told);
+        let updates: Vec<_> = (0..61).map(item).collect();
+        let messages = encode_updates(&updates);
         assert!(messages.len() > 1 && messages.iter().all(|m| m.len() <= 344));
         let back = messages.iter().filter_map(|m| decode(m)).flat_map(|m| match m {
-            Message::UsageUpdate(news) => news,
+            Message::UsageUpdate(updates) => updates,
             _ => Vec::new(),
         });
-        assert_eq!(back.collect::<Vec<_>>(), told);
-        let customer = "00ff00ff00ff00ff".to_owned();
-        let offer = QuotaRequest { tenant: customer, plan: 2, gateways: 300, units: 1.0 };
-        let asked = question(65535, &offer);
-        assert_eq!(decode(&asked), Some(Message::Question { number: 65535, offer }));
-        let verdict = QuotaDecision { exceeds: true, ratio: 1.0 };
-        assert_eq!(decode(&answer(7, verdict)), Some(Message::Answer { number: 7, verdict }));
+        assert_eq!(back.collect::<Vec<_>>(), updates);
+        let tenant = "00ff00ff00ff00ff".to_owned();
+        let quota = QuotaRequest { tenant, plan: 2, gateways: 300, units: 1.0 };
+        let encoded = encode_question(65535, &quota);
+        assert_eq!(decode(&encoded), Some(Message::Question { question_id: 65535, quota }));
+        let decision = QuotaDecision { exceeds: true, ratio: 1.0 };
+        assert_eq!(decode(&encode_answer(7, decision)), Some(Message::Answer { question_id: 7, decision }));
     }
 
     #[test]
-    fn what_makes_no_sense_is_dropped() {
+    fn invalid_messages_are_dropped() {
         for text in ["-", "no base64!", "", "AAAA", "/////w==", "Af8BAA=="] {
             assert!(matches!(decode(text), None | Some(Message::UsageUpdate(_))), "{text}");
         }
--- a/crates/simulator-host/tests/golden.rs
+++ b/crates/simulator-host/tests/golden.rs
@@ -4,10 +4,6 @@
 //! In a transcript a line that begins with `#` begins a session and names it. `>` is a line that the program reads, `<`
 //! one that it writes to standard output, `!` one to standard error, and `=` tells its exit code.
 
-// Until the issue "Readable code 2" has reached this crate.
-#![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
-#![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
-
 use std::io::Write;
 use std::path::Path;
 use std::process::{Command, Output, Stdio};
