--- a/crates/gateway-policy/src/backend_selection.rs
+++ b/crates/gateway-policy/src/backend_selection.rs
@@ -1,11 +1,11 @@
 //! Choice of a backend by its spare capacity, success estimate and warm-up credit; what attempts teach of them.
 
-use crate::dispatch::{Gateway, NEWEST, OVERDUE, PERIOD};
+use crate::dispatch::{Gateway, NEWEST_WEIGHT, OVERDUE_DEVIATIONS, PERIOD};
 use crate::interface::{AttemptEnd, AttemptOutcome, BackendEntry, BackendStatus};
 use crate::state::Backend;
 use kitepass_time::{Duration, Timestamp};
 
-const BUDGET_PART: f64 = 0.5; // share of the load that overloads a warming-up backend that it is sent at most
+const BUDGET_SHARE: f64 = 0.5; // share of the load that overloads a warming-up backend that it is sent at most
 const OUTCOME_MEMORY: Duration = Duration::from_secs(5); // time constant of a backend's counts of successes and failures
 
 impl Gateway {
@@ -28,8 +28,8 @@
     pub(crate) fn select_backend(&mut self, now: Timestamp, id: &str) -> Option<String> {
         let slow_start = self.config.slow_start;
         let request = &self.requests[id];
-        let (usual, overdue) =
-            (self.latencies[request.workload].mean, self.latencies[request.workload].overdue(OVERDUE));
+        let latency = &self.latencies[request.workload];
+        let (usual, overdue) = (latency.mean, latency.overdue(OVERDUE_DEVIATIONS));
         let idempotency = self.config.workloads[request.workload].idempotency;
         let fits =
             |b: &BackendEntry| request.first_backend.as_ref().is_none_or(|ran| idempotency.dedups(ran, b));
@@ -48,7 +48,7 @@
                 // Too much from all gateways overloads it: each bases its part on warm ones of its weight, or one core.
                 let core = slow_start.window.ratio_to(usual) / f64::from(self.config.gateways);
                 let budget =
-                    BUDGET_PART * slow_start.multiple * warmth * core.max(backend.entry.weight * taken);
+                    BUDGET_SHARE * slow_start.multiple * warmth * core.max(backend.entry.weight * taken);
                 let elapsed = (now - backend.updated_at).ratio_to(slow_start.window).min(1.0);
                 backend.credit = (backend.credit + budget * elapsed).min(budget.max(1.0));
                 backend.updated_at = now;
@@ -74,10 +74,10 @@
         let usual = latency.mean.max(Duration::from_micros(1));
         if end.outcome == AttemptOutcome::TimedOut {
             // A lost answer says little of the latency: it moves the mean by a bounded step.
-            latency.observe(end.elapsed.min(latency.overdue(OVERDUE) / 2), NEWEST);
+            latency.observe(end.elapsed.min(latency.overdue(OVERDUE_DEVIATIONS) / 2), NEWEST_WEIGHT);
         }
         if went_well {
-            latency.observe(end.elapsed, NEWEST);
+            latency.observe(end.elapsed, NEWEST_WEIGHT);
             self.completions.add(now, PERIOD, 1.0);
             self.slow_start_done.add(now, slow_start.window, 1.0);
         }
--- a/crates/gateway-policy/src/count.rs
+++ b/crates/gateway-policy/src/count.rs
@@ -2,13 +2,13 @@
 
 use crate::dispatch::{Gateway, PERIOD};
 use crate::interface::{Host, Plan, QuotaDecision, Reading, Units};
-use crate::quota::{CALM, NEAR, RECENT};
+use crate::quota::{CALM_PERIODS, NEAR, RECENT};
 use crate::state::{RequestState, Tenant};
 use kitepass_time::Timestamp;
 use std::mem::take;
 
-const SUM: i64 = CALM * RECENT; // periods that one sum covers
-const POOL_PART: f64 = 0.3; // share of a sparse tenant's token bucket that may be borrowed, as often as it fills
+const SUM_PERIODS: i64 = CALM_PERIODS * RECENT; // periods that one sum covers
+const POOL_SHARE: f64 = 0.3; // share of a sparse tenant's token bucket that may be borrowed, as often as it fills
 
 impl Gateway {
     /// Draws against the tenant's ratio, and asks the counter service where this gateway's share cannot tell.
@@ -40,7 +40,7 @@
         host: &mut impl Host,
     ) {
         let (key, (id, units), number) =
-            (tenant, waits.unwrap_or_default(), now.period_and_offset(PERIOD * SUM).0);
+            (tenant, waits.unwrap_or_default(), now.period_and_offset(PERIOD * SUM_PERIODS).0);
         let Some(tenant) = self.tenants.get_mut(key) else { return };
         tenant.unreported.forwarded += units;
         if tenant.sums.begin(number) {
@@ -48,13 +48,13 @@
             let last = format!("{key}.{}", number - 1);
             tenant.read_at = tenant.read_at.filter(|_| tenant.sums.contains(number - 1));
             if tenant.read_at.is_some() {
-                host.add_to_counter(&last, 0.0, PERIOD * SUM * 2);
+                host.add_to_counter(&last, 0.0, PERIOD * SUM_PERIODS * 2);
                 self.peers.waiting.entry(last).or_default().push_back(Default::default());
             }
         }
         tenant.report_at = Timestamp::default();
         let (name, added) = (format!("{key}.{number}"), take(&mut tenant.unreported));
-        host.add_to_counter(&name, added.packed(packing_factor(&tenant.plan)), PERIOD * SUM * 2);
+        host.add_to_counter(&name, added.packed(packing_factor(&tenant.plan)), PERIOD * SUM_PERIODS * 2);
         self.wait(id, name, added);
     }
 
@@ -67,8 +67,8 @@
         let usual = c.demand.last() + c.peer_demand() < NEAR * limit;
         let calm = calm || c.share(false) >= 1.0 && c.missed == 0 && c.tokens > low && usual;
         let often = c.is_counted && c.missed == 0 && (limit > NEAR * largest || c.tokens < low);
-        let quarters = if often { 1 } else { CALM };
-        let after = PERIOD / CALM * if calm { CALM * CALM } else { quarters };
+        let quarters = if often { 1 } else { CALM_PERIODS };
+        let after = PERIOD / CALM_PERIODS * if calm { CALM_PERIODS * CALM_PERIODS } else { quarters };
         if self.config.counter_timeout.is_some() && (c.report_at <= now || now + after < c.report_at) {
             c.report_at = now + after;
             host.set_timer(&format!("period.{id}"), after);
@@ -80,7 +80,7 @@
         let (hears, Some((id, number))) = (self.hears_peers(now), name.rsplit_once('.')) else { return };
         let late = matches!(total, Reading::Late(_)); // its request has not waited; others may, under the same name
         if let Some(tenant) = id.strip_suffix('/').filter(|_| !late).and_then(|id| self.tenants.get(id)) {
-            let pool = POOL_PART * tenant.plan.burst.max(tenant.plan.rate * PERIOD.as_secs());
+            let pool = POOL_SHARE * tenant.plan.burst.max(tenant.plan.rate * PERIOD.as_secs());
             let decision = |total| QuotaDecision { exceeds: total > pool, ratio: 0.0 };
             return self.resume(now, name, total.known().map(decision), host);
         }
@@ -113,7 +113,7 @@
     /// Learns the other gateways' usage from a total's growth since the last one.
     fn observe_total(&mut self, now: Timestamp, number: i64, total: f64, hears: bool) {
         let (all, (running, since)) =
-            (Units::unpacked(total, packing_factor(&self.plan)), now.period_and_offset(PERIOD * SUM));
+            (Units::unpacked(total, packing_factor(&self.plan)), now.period_and_offset(PERIOD * SUM_PERIODS));
         let Some(grown) = self.sums.take_growth(number, all) else { return };
         // A counter service that lost its sums shows less than before: only later growth counts.
         let drawn = if grown.offered < 0.0 { 0.0 } else { grown.forwarded };
@@ -156,5 +156,5 @@
 
 /// The factor of `Units::packed`: far more than can be forwarded while a sum runs.
 fn packing_factor(plan: &Plan) -> f64 {
-    10f64.powf((2.5 * (plan.rate * (PERIOD * SUM).as_secs() + plan.burst)).max(1.0).log10().ceil())
+    10f64.powf((2.5 * (plan.rate * (PERIOD * SUM_PERIODS).as_secs() + plan.burst)).max(1.0).log10().ceil())
 }
--- a/crates/gateway-policy/src/dispatch.rs
+++ b/crates/gateway-policy/src/dispatch.rs
@@ -11,9 +11,9 @@
 use std::rc::Rc;
 
 pub(crate) const PERIOD: Duration = Duration::from_secs(1); // the article's, and the longest retry delay that is advised
-const RETRY_DELAY_PARTS: i64 = 3; // a rejection advises one of so many parts of the time left for a retry
-pub(crate) const OVERDUE: f64 = 6.0; // mean deviations past the mean after which an attempt is overdue
-pub(crate) const NEWEST: f64 = 0.0625; // weight of the newest value in running means
+const RETRY_DELAY_DIVISOR: i64 = 3; // a rejection advises one of so many parts of the time left for a retry
+pub(crate) const OVERDUE_DEVIATIONS: f64 = 6.0; // mean deviations past the mean after which an attempt is overdue
+pub(crate) const NEWEST_WEIGHT: f64 = 0.0625; // weight of the newest value in running means
 
 /// One gateway instance's decisions. Its times are the host's clock, which must not go back.
 pub struct Gateway {
@@ -143,7 +143,7 @@
             Idempotency::Idempotent | Idempotency::Deduplicated { group: Group::All, .. }
         );
         if request.first_backend.is_none() || is_retryable_anywhere {
-            let advice = ((latency_target - self.latencies[request.workload].mean) / RETRY_DELAY_PARTS)
+            let advice = ((latency_target - self.latencies[request.workload].mean) / RETRY_DELAY_DIVISOR)
                 .max(Duration::from_micros(1));
             host.reject(id, self.config.max_retry_after.map(|longest| longest.min(advice).min(PERIOD)));
         } else {
@@ -157,8 +157,8 @@
         let (config, workload) = (self.config.clone(), self.requests[id].workload);
         let (overload, request) = (self.overload_ratio(now, workload), &self.requests[id]);
         let workload = &config.workloads[request.workload];
-        let (expected, overdue) =
-            (self.latencies[request.workload].mean, self.latencies[request.workload].overdue(OVERDUE));
+        let latency = &self.latencies[request.workload];
+        let (expected, overdue) = (latency.mean, latency.overdue(OVERDUE_DEVIATIONS));
         let left = request.deadline - now;
         let is_harmful = match (workload.idempotency, &request.first_backend) {
             (Idempotency::NonIdempotent, Some(_)) => true,
--- a/crates/gateway-policy/src/peer_exchange.rs
+++ b/crates/gateway-policy/src/peer_exchange.rs
@@ -1,7 +1,7 @@
 //! Usage updates to peers where they are few, else questions to controllers; and requests that await an answer.
 
 use crate::counters::hash;
-use crate::dispatch::{Gateway, NEWEST, PERIOD};
+use crate::dispatch::{Gateway, NEWEST_WEIGHT, PERIOD};
 use crate::interface::{Host, QuotaDecision, QuotaRequest, Units, UsageUpdate};
 use crate::quota::RECENT;
 use crate::state::{PendingRequest, RequestState};
@@ -11,12 +11,12 @@
 
 pub(crate) const MESH_LOAD: f64 = 0.9; // share of a period's messages that usage updates may take
 const CROWDED_FACTOR: f64 = 4.0; // one over the loss rate from which on fewer questions are asked
-const TIMEOUT_PARTS: i64 = 8; // a controller has one of so many parts of the latency target to answer
+const TIMEOUT_DIVISOR: i64 = 8; // a controller has one of so many parts of the latency target to answer
 
 impl Gateway {
     /// Whether a request's controller is asked: there must be time to decide here if it does not answer.
     pub(crate) fn may_ask_controller(&mut self, left: Duration, latency_target: Duration) -> bool {
-        self.may_ask() && left > latency_target / TIMEOUT_PARTS * 2
+        self.may_ask() && left > latency_target / TIMEOUT_DIVISOR * 2
     }
 
     /// Asks a request's controller for a decision.
@@ -32,13 +32,13 @@
         self.peers.last_question = self.peers.last_question.wrapping_add(1);
         let question = format!("asked.{}", self.peers.last_question);
         host.ask_peer(controller, self.peers.last_question, &quota);
-        host.set_timer(&question, latency_target / TIMEOUT_PARTS);
+        host.set_timer(&question, latency_target / TIMEOUT_DIVISOR);
         self.wait(id, question, Units::default());
     }
 
     /// Whether one more question is asked: fewer where many stay unanswered, as they may overload the receiver.
     pub(crate) fn may_ask(&mut self) -> bool {
-        self.rng.rand_float() < (2.0 - CROWDED_FACTOR * self.peers.loss_rate).max(NEWEST)
+        self.rng.rand_float() < (2.0 - CROWDED_FACTOR * self.peers.loss_rate).max(NEWEST_WEIGHT)
     }
 
     /// Has a request wait for an answer by its name; `added` is what its call adds to a sum.
@@ -51,7 +51,7 @@
     pub(crate) fn next_waiting(&mut self, answer: &str, lost: bool) -> Option<(String, Units)> {
         let next = self.peers.waiting.get_mut(answer).and_then(VecDeque::pop_front)?;
         self.peers.waiting.retain(|_, waiting| !waiting.is_empty());
-        self.peers.loss_rate += (f64::from(lost) - self.peers.loss_rate) * NEWEST;
+        self.peers.loss_rate += (f64::from(lost) - self.peers.loss_rate) * NEWEST_WEIGHT;
         Some(next)
     }
 
@@ -100,18 +100,18 @@
     }
 
     /// Notes usage to tell the peers, where they are few.
-    pub(crate) fn note_usage(&mut self, id: &str, units: Units, host: &mut impl Host) {
+    pub(crate) fn record_usage(&mut self, id: &str, units: Units, host: &mut impl Host) {
         let mesh = self.config.max_peer_messages > 0.0 && !self.uses_controllers;
         let Some(tenant) = self.tenants.get_mut(id).filter(|c| mesh && c.gateways > 1.0) else { return };
-        tenant.untold_usage.offered += units.offered;
-        tenant.untold_usage.forwarded += units.forwarded;
+        tenant.unsent_usage.offered += units.offered;
+        tenant.unsent_usage.forwarded += units.forwarded;
         // Offered units wait for the next forwarded ones, unless there is room in the messages.
         let due = units.forwarded > 0.0 || self.peers.interval < PERIOD / 2;
-        if due && !self.peers.untold_tenants.iter().any(|untold| untold == id) {
-            if self.peers.untold_tenants.is_empty() {
+        if due && !self.peers.unsent_tenants.iter().any(|unsent| unsent == id) {
+            if self.peers.unsent_tenants.is_empty() {
                 host.set_timer("tell.", self.peers.interval);
             }
-            self.peers.untold_tenants.push(id.to_owned());
+            self.peers.unsent_tenants.push(id.to_owned());
         }
     }
 
@@ -119,9 +119,9 @@
     pub(crate) fn send_usage(&mut self, host: &mut impl Host) {
         let updates = |id: String| {
             let tenant = self.tenants.get_mut(&id)?;
-            Some(UsageUpdate { tenant_hash: hash(&id) as u32, units: take(&mut tenant.untold_usage) })
+            Some(UsageUpdate { tenant_hash: hash(&id) as u32, units: take(&mut tenant.unsent_usage) })
         };
-        let updates: Vec<_> = self.peers.untold_tenants.drain(..).filter_map(updates).collect();
+        let updates: Vec<_> = self.peers.unsent_tenants.drain(..).filter_map(updates).collect();
         let messages = host.broadcast_usage(&updates) as f64 * f64::from(self.config.gateways);
         let interval = Duration::from_secs(1).mul_f64(messages / (MESH_LOAD * self.config.max_peer_messages));
         self.peers.interval = interval.max(PERIOD / 8);
@@ -129,7 +129,7 @@
 
     /// Takes in a peer's usage updates; those of unknown tenants are ignored.
     pub fn usage_received(&mut self, now: Timestamp, updates: &[UsageUpdate]) {
-        self.peers.heard_at = Some(now);
+        self.peers.updated_at = Some(now);
         for item in updates {
             let known = self.peers.by_hash.get(&item.tenant_hash).and_then(|id| self.tenants.get_mut(id));
             let Some(tenant) = known else { continue };
@@ -141,6 +141,6 @@
 
     /// Whether a usage update has arrived within the last period.
     pub(crate) fn hears_peers(&self, now: Timestamp) -> bool {
-        self.peers.heard_at.is_some_and(|heard| now - heard < PERIOD)
+        self.peers.updated_at.is_some_and(|updated| now - updated < PERIOD)
     }
 }
--- a/crates/gateway-policy/src/quota.rs
+++ b/crates/gateway-policy/src/quota.rs
@@ -9,11 +9,11 @@
 
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60); // a tenant without use for this long is forgotten
 pub(crate) const NEAR: f64 = 0.5; // share of the quota up to which a tenant is calm
-pub(crate) const CALM: i64 = 4; // periods between two reports of a calm tenant
+pub(crate) const CALM_PERIODS: i64 = 4; // periods between two reports of a calm tenant
 pub(crate) const RECENT: i64 = 2; // periods for which usage of the other gateways is remembered
-const SPARSE_PART: f64 = 0.25; // share of the largest request: a tenant with a smaller share of its bucket is sparse
-const RESERVED_PART: f64 = 0.2; // share of a token bucket held back for what other gateways take unseen
-const INITIAL: f64 = 0.25; // share of its part of a hard limit that a gateway starts with, and never fills
+const SPARSE_SHARE: f64 = 0.25; // share of the largest request: a tenant with a smaller share of its bucket is sparse
+const RESERVED_SHARE: f64 = 0.2; // share of a token bucket held back for what other gateways take unseen
+const INITIAL_SHARE: f64 = 0.25; // share of its part of a hard limit that a gateway starts with, and never fills
 
 impl Gateway {
     /// The tenant's record brought up to `now`; a new one if it is unknown.
@@ -32,17 +32,17 @@
             self.peers.by_hash.insert(hash(id) as u32, id.to_owned());
             // An unseen tenant gets its limit divided by the gateways. Its share of a hard limit starts with what
             // a full one lacks: an earlier incarnation may have spent all, and both must not exceed the share.
-            let filled = INITIAL * plan.hard_burst + plan.hard_rate * (now - self.opened).as_secs();
-            let hard_tokens = filled.min((1.0 - INITIAL) * plan.hard_burst) / gateways;
+            let filled = INITIAL_SHARE * plan.hard_burst + plan.hard_rate * (now - self.opened).as_secs();
+            let hard_tokens = filled.min((1.0 - INITIAL_SHARE) * plan.hard_burst) / gateways;
             let tokens = plan.burst * if hears { NEAR } else { 1.0 / gateways };
             let alone = self.config.max_peer_messages <= 0.0 && gateways > 1.0 && plan.rate > 0.0;
-            let sparse = alone && tokens < SPARSE_PART * self.config.max_units;
+            let sparse = alone && tokens < SPARSE_SHARE * self.config.max_units;
             let (counted, updated_at) = (alone && !sparse, now);
-            let interval = PERIOD / if counted { CALM } else { 1 };
+            let interval = PERIOD / if counted { CALM_PERIODS } else { 1 };
             let mut tenant =
                 Tenant { plan, gateways, interval, tokens, updated_at, hard_tokens, ..Tenant::default() };
             tenant.reserve =
-                (RESERVED_PART * tenant.plan.burst).min(NEAR * self.config.max_units) * f64::from(counted);
+                (RESERVED_SHARE * tenant.plan.burst).min(NEAR * self.config.max_units) * f64::from(counted);
             (tenant.is_counted, tenant.is_sparse) = (counted, sparse);
             self.tenants.insert(id.to_owned(), tenant);
         }
@@ -83,7 +83,7 @@
         tenant.unreported.offered += quota.units;
         let ratio = tenant.excess_ratio(quota.units, update_interval);
         self.schedule_sum(now, id, host);
-        self.note_usage(id, Units { offered: quota.units, forwarded: 0.0 }, host);
+        self.record_usage(id, Units { offered: quota.units, forwarded: 0.0 }, host);
         QuotaDecision { exceeds: chance < ratio, ratio }
     }
 
@@ -102,7 +102,7 @@
         if is_first && (tenant.is_counted || !is_counted) {
             tenant.tokens -= units;
             tenant.unreported.forwarded += units * f64::from(!is_counted); // else the sum has them
-            self.note_usage(&id, Units { offered: 0.0, forwarded: units }, host);
+            self.record_usage(&id, Units { offered: 0.0, forwarded: units }, host);
         }
         true
     }
@@ -122,7 +122,7 @@
         self.tokens = (filled - drawn).max(self.tokens.min(0.0)).min(plan.burst * share);
         self.unfilled = (self.unfilled + filled - self.tokens).min(plan.burst);
         let hard_tokens = self.hard_tokens * self.gateways + plan.hard_rate * time.as_secs();
-        self.hard_tokens = hard_tokens.min((1.0 - INITIAL) * plan.hard_burst) / self.gateways;
+        self.hard_tokens = hard_tokens.min((1.0 - INITIAL_SHARE) * plan.hard_burst) / self.gateways;
         self.demand.at(now, self.interval);
         self.peer_offered.at(now, PERIOD * RECENT);
     }
--- a/crates/gateway-policy/src/state.rs
+++ b/crates/gateway-policy/src/state.rs
@@ -88,7 +88,7 @@
     /// Units that the other gateways forwarded lately, by readings.
     pub(crate) peer_sent: DecayingCount,
     /// Usage at this gateway that its peers have not been told yet.
-    pub(crate) untold_usage: Units,
+    pub(crate) unsent_usage: Units,
     /// Units left of this gateway's own share of the hard limit.
     pub(crate) hard_tokens: f64,
     /// Attempts in flight from this gateway.
@@ -118,11 +118,11 @@
 #[derive(Default)]
 pub(crate) struct Peers {
     /// Tenants whose usage is to be told to the peers.
-    pub(crate) untold_tenants: Vec<String>,
+    pub(crate) unsent_tenants: Vec<String>,
     /// Time between two usage updates.
     pub(crate) interval: Duration,
     /// When a usage update last arrived.
-    pub(crate) heard_at: Option<Timestamp>,
+    pub(crate) updated_at: Option<Timestamp>,
     /// Tenants by the hashes that stand for them in usage updates.
     pub(crate) by_hash: HashMap<u32, String>,
     /// Id of the last question to a controller; wraps around.
