--- a/crates/gateway-policy/src/count.rs
+++ b/crates/gateway-policy/src/count.rs
@@ -60,17 +60,17 @@
 
     /// Schedules the next report. Calls have a price: later if all is calm, sooner if much goes or little is left.
     pub(crate) fn schedule_sum(&mut self, now: Timestamp, id: &str, host: &mut impl Host) {
-        let (calm, largest) = (self.uses_controllers || self.hears_peers(now), self.config.max_units);
-        let counts = |c: &&mut Tenant| !c.is_sparse && c.gateways > 1.0 && c.plan.rate > 0.0;
-        let Some(c) = self.tenants.get_mut(id).filter(counts) else { return };
-        let (limit, low) = (c.plan.rate * c.interval.as_secs(), NEAR * c.plan.burst);
-        let usual = c.demand.last() + c.peer_demand() < NEAR * limit;
-        let calm = calm || c.share(false) >= 1.0 && c.missed == 0 && c.tokens > low && usual;
-        let often = c.is_counted && c.missed == 0 && (limit > NEAR * largest || c.tokens < low);
-        let quarters = if often { 1 } else { CALM_PERIODS };
-        let after = PERIOD / CALM_PERIODS * if calm { CALM_PERIODS * CALM_PERIODS } else { quarters };
-        if self.config.counter_timeout.is_some() && (c.report_at <= now || now + after < c.report_at) {
-            c.report_at = now + after;
+        let (is_calm, largest) = (self.uses_controllers || self.hears_peers(now), self.config.max_units);
+        let is_reported = |t: &&mut Tenant| !t.is_sparse && t.gateways > 1.0 && t.plan.rate > 0.0;
+        let Some(t) = self.tenants.get_mut(id).filter(is_reported) else { return };
+        let (limit, low) = (t.plan.rate * t.interval.as_secs(), NEAR * t.plan.burst);
+        let is_demand_low = t.demand.last() + t.peer_demand() < NEAR * limit;
+        let is_calm = is_calm || t.share(false) >= 1.0 && t.missed == 0 && t.tokens > low && is_demand_low;
+        let is_urgent = t.is_counted && t.missed == 0 && (limit > NEAR * largest || t.tokens < low);
+        let quarters = if is_urgent { 1 } else { CALM_PERIODS };
+        let after = PERIOD / CALM_PERIODS * if is_calm { CALM_PERIODS * CALM_PERIODS } else { quarters };
+        if self.config.counter_timeout.is_some() && (t.report_at <= now || now + after < t.report_at) {
+            t.report_at = now + after;
             host.set_timer(&format!("period.{id}"), after);
         }
     }
@@ -78,7 +78,7 @@
     /// Takes in the result of a call to the counter service.
     pub fn counter_answered(&mut self, now: Timestamp, name: &str, total: Reading, host: &mut impl Host) {
         let (hears, Some((id, number))) = (self.hears_peers(now), name.rsplit_once('.')) else { return };
-        let late = matches!(total, Reading::Late(_)); // its request has not waited; others may, under the same name
+        let late = matches!(total, Reading::Late(_)); // its request has gone on; others may wait for the same name
         if let Some(tenant) = id.strip_suffix('/').filter(|_| !late).and_then(|id| self.tenants.get(id)) {
             let pool = POOL_SHARE * tenant.plan.burst.max(tenant.plan.rate * PERIOD.as_secs());
             let decision = |total| QuotaDecision { exceeds: total > pool, ratio: 0.0 };
--- a/crates/simulator-host/src/decode.rs
+++ b/crates/simulator-host/src/decode.rs
@@ -158,22 +158,22 @@
 
 /// Decimal seconds as whole microseconds, without rounding errors; digits past the sixth are cut off.
 fn micros(name: &str, text: &str) -> Result<i64, InvalidLine> {
-    let wrong = || InvalidLine::value(name, "a time in seconds", text);
-    let (negative, digits) = text.strip_prefix('-').map_or((false, text), |rest| (true, rest));
-    let (whole, part) = digits.split_once('.').unwrap_or((digits, ""));
-    let plain = |s: &str| s.bytes().all(|b| b.is_ascii_digit());
-    if whole.is_empty() || !plain(whole) || !plain(part) {
+    let invalid = || InvalidLine::value(name, "a time in seconds", text);
+    let (is_negative, digits) = text.strip_prefix('-').map_or((false, text), |rest| (true, rest));
+    let (whole, fraction) = digits.split_once('.').unwrap_or((digits, ""));
+    let is_decimal = |s: &str| s.bytes().all(|b| b.is_ascii_digit());
+    if whole.is_empty() || !is_decimal(whole) || !is_decimal(fraction) {
         // A number in another notation, for example with an exponent.
-        let seconds = text.parse::<f64>().ok().filter(|s| s.abs() < 1e12).ok_or_else(wrong)?;
+        let seconds = text.parse::<f64>().ok().filter(|s| s.abs() < 1e12).ok_or_else(invalid)?;
         return Ok((seconds * 1e6).round() as i64);
     }
-    let mut total = whole.parse::<i64>().ok().and_then(|s| s.checked_mul(1_000_000)).ok_or_else(wrong)?;
-    let mut place = 100_000;
-    for digit in part.bytes().take(6) {
-        total += i64::from(digit - b'0') * place;
-        place /= 10;
+    let mut total = whole.parse::<i64>().ok().and_then(|s| s.checked_mul(1_000_000)).ok_or_else(invalid)?;
+    let mut digit_value = 100_000;
+    for digit in fraction.bytes().take(6) {
+        total += i64::from(digit - b'0') * digit_value;
+        digit_value /= 10;
     }
-    Ok(if negative { -total } else { total })
+    Ok(if is_negative { -total } else { total })
 }
 
 /// How an attempt, or a call to the counter service, ended.
