--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -1,9 +1,9 @@
 //! Backends: one record each, connections kept for reuse, and the attempts on them. A connection carries one attempt
 //! at a time, and an attempt is written at most once.
 
-use crate::command::{RequestKey, State};
 use crate::http::{Message, MessageKind, MessageReader, ParseError, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use crate::poll::{self, clear_and_shrink, ConnectionKey, ReadOutcome, ReadyEvent, Source};
+use crate::request::{RequestKey, State};
 use crate::runtime::{AttemptEnded, Event, Runtime, Timer};
 use crate::timer_wheel::TimerKey;
 use kitepass_gateway_policy::{AttemptOutcome, BackendStatus};
@@ -70,7 +70,7 @@
 #[derive(Default)]
 struct BackendRecord {
     address: Option<SocketAddr>,
-    live: bool,
+    is_live: bool,
     /// When something last came from it.
     last_heard: Timestamp,
     /// Connections that carry nothing, and since when, oldest first. Some may have been closed.
@@ -81,7 +81,7 @@
 struct BackendConnection {
     socket: OwnedFd,
     backend: Rc<str>,
-    connected: bool,
+    is_connected: bool,
     attempt: Option<Attempt>,
     reader: MessageReader,
     input: Vec<u8>,
@@ -99,7 +99,7 @@
     has_response_begun: bool,
 }
 
-pub struct Backends {
+pub(crate) struct Backends {
     records: BTreeMap<Rc<str>, BackendRecord>,
     connections: SlotMap<ConnectionKey, BackendConnection>,
     /// Connections held at most.
@@ -107,36 +107,36 @@
 }
 
 impl Backends {
-    pub fn new(most: usize) -> Backends {
-        Backends { records: BTreeMap::new(), connections: SlotMap::with_key(), max_connections: most }
+    pub(crate) fn new(max_connections: usize) -> Backends {
+        Backends { records: BTreeMap::new(), connections: SlotMap::with_key(), max_connections }
     }
 
-    pub fn any_listed(&self) -> bool {
-        self.records.values().any(|record| record.live)
+    pub(crate) fn any_listed(&self) -> bool {
+        self.records.values().any(|record| record.is_live)
     }
 }
 
 impl Runtime {
     /// What the list says of a backend; `None` for an address that cannot be read.
-    pub fn list_backend(&mut self, id: &str, address: Option<SocketAddr>, standing: BackendStatus) {
-        if standing == BackendStatus::Removed {
+    pub(crate) fn list_backend(&mut self, id: &str, address: Option<SocketAddr>, status: BackendStatus) {
+        if status == BackendStatus::Removed {
             self.close_idle_connections(id);
             self.backends.records.remove(id);
             return;
         }
         let record = self.backends.records.entry(id.into()).or_default();
-        let moved = address.is_some() && record.address != address;
+        let has_moved = address.is_some() && record.address != address;
         record.address = address.or(record.address);
-        record.live = standing == BackendStatus::Live;
-        if moved || !record.live {
+        record.is_live = status == BackendStatus::Live;
+        if has_moved || !record.is_live {
             self.close_idle_connections(id);
         }
     }
 
     /// Forgets all backends that a complete list leaves out.
-    pub fn retain_backends(&mut self, listed: impl Fn(&str) -> bool) {
-        let gone: Vec<_> = self.backends.records.keys().filter(|id| !listed(id)).cloned().collect();
-        for id in gone {
+    pub(crate) fn retain_backends(&mut self, listed: impl Fn(&str) -> bool) {
+        let removed: Vec<_> = self.backends.records.keys().filter(|id| !listed(id)).cloned().collect();
+        for id in removed {
             self.list_backend(&id, None, BackendStatus::Removed);
         }
     }
@@ -148,62 +148,65 @@
         }
     }
 
-    pub fn begin_attempt(&mut self, command: RequestKey, backend: &str, allow: Duration) {
+    pub(crate) fn begin_attempt(&mut self, request: RequestKey, backend: &str, timeout: Duration) {
         let now = self.now();
-        let Some(taken) = self.commands.get_mut(command).filter(|c| c.state() == State::Queued) else {
+        let Some(queued) = self.requests.get_mut(request).filter(|c| c.state() == State::Queued) else {
             return;
         };
-        taken.attempts += 1;
-        let (head, until) = (taken.head.clone(), taken.deadline.min(now + allow));
-        self.commands.set_state(command, State::InFlight);
-        let Some((name, record)) = self.backends.records.get_key_value(backend) else {
-            return self.attempt_not_sent(command, backend.into(), AttemptOutcome::NotSent);
+        queued.attempts += 1;
+        let (head, deadline) = (queued.head.clone(), queued.deadline.min(now + timeout));
+        self.requests.set_state(request, State::InFlight);
+        let Some((backend_id, record)) = self.backends.records.get_key_value(backend) else {
+            return self.end_unsent_attempt(request, backend.into(), AttemptOutcome::NotSent);
         };
-        let name = name.clone();
+        let backend_id = backend_id.clone();
         let Some(address) = record.address else {
-            return self.attempt_not_sent(command, name, AttemptOutcome::NotSent);
+            return self.end_unsent_attempt(request, backend_id, AttemptOutcome::NotSent);
         };
-        if until <= now || !record.live {
-            return self.attempt_not_sent(command, name, AttemptOutcome::NotSent);
+        if deadline <= now || !record.is_live {
+            return self.end_unsent_attempt(request, backend_id, AttemptOutcome::NotSent);
         }
         let key = match self.reuse_connection(backend, now) {
             Some(key) => key,
-            None => match self.open_connection(&name, &address) {
+            None => match self.open_connection(&backend_id, &address) {
                 Ok(key) => key,
                 Err(error) => {
-                    debug!("{name}: no connection: {error}");
-                    let short = matches!(error, Errno::MFILE | Errno::NFILE);
-                    let cause =
-                        if short { FailureCause::NotSendable } else { FailureCause::ConnectionError(error) };
+                    debug!("{backend_id}: no connection: {error}");
+                    let is_out_of_descriptors = matches!(error, Errno::MFILE | Errno::NFILE);
+                    let cause = if is_out_of_descriptors {
+                        FailureCause::NotSendable
+                    } else {
+                        FailureCause::ConnectionError(error)
+                    };
                     let failure = Failure { progress: Progress::NotConnected, cause };
-                    return self.attempt_not_sent(command, name, failure.outcome());
+                    return self.end_unsent_attempt(request, backend_id, failure.outcome());
                 }
             },
         };
-        let connected = self.backends.connections[key].connected;
-        let due = if connected { until } else { until.min(now + self.carriage.connect_within) };
+        let is_connected = self.backends.connections[key].is_connected;
+        let due = if is_connected { deadline } else { deadline.min(now + self.carriage.connect_within) };
         let timer = self.timers.schedule(due, Timer::Attempt(key));
-        let line = &mut self.backends.connections[key];
-        head.leg(until - now, &mut line.output);
-        line.attempt = Some(Attempt {
-            request: command,
+        let connection = &mut self.backends.connections[key];
+        head.append_attempt(deadline - now, &mut connection.output);
+        connection.attempt = Some(Attempt {
+            request,
             timer,
             sent: now,
-            deadline: until,
+            deadline,
             is_head_request: head.is_head(),
             has_response_begun: false,
         });
-        if connected {
+        if is_connected {
             self.write_backend(key);
         }
     }
 
     /// An attempt of which nothing has been written.
-    fn attempt_not_sent(&mut self, command: RequestKey, backend: Rc<str>, ending: AttemptOutcome) {
+    fn end_unsent_attempt(&mut self, request: RequestKey, backend: Rc<str>, outcome: AttemptOutcome) {
         let ended = AttemptEnded {
-            request: command,
+            request,
             backend,
-            outcome: ending,
+            outcome,
             is_final: false,
             elapsed: Duration::ZERO,
             actual_units: None,
@@ -213,12 +216,12 @@
 
     /// A kept connection that the backend has not closed.
     fn reuse_connection(&mut self, backend: &str, now: Timestamp) -> Option<ConnectionKey> {
-        let oldest = now - self.keeps_idle();
+        let oldest = now - self.idle_timeout();
         let record = self.backends.records.get_mut(backend)?;
         while let Some((since, key)) = record.idle.pop_back() {
-            let Some(line) = self.backends.connections.get(key) else { continue };
+            let Some(connection) = self.backends.connections.get(key) else { continue };
             // What the backend has closed by now would swallow a request, which may have run for all we know.
-            if since > oldest && poll::is_quiet(&line.socket) {
+            if since > oldest && poll::is_quiet(&connection.socket) {
                 return Some(key);
             }
             self.backends.connections.remove(key);
@@ -227,7 +230,7 @@
     }
 
     /// Backends close connections that have been idle for some time; ours are closed before that.
-    fn keeps_idle(&self) -> Duration {
+    fn idle_timeout(&self) -> Duration {
         self.carriage.idle / 8 * 7
     }
 
@@ -242,11 +245,11 @@
         if self.backends.connections.len() >= self.backends.max_connections {
             return Err(Errno::MFILE);
         }
-        let line = |key| {
+        let connection = |key| {
             Ok(BackendConnection {
                 socket: self.poll.connect(address, Source::BackendConnection(key))?,
                 backend: backend.clone(),
-                connected: false,
+                is_connected: false,
                 attempt: None,
                 reader: MessageReader::default(),
                 input: Vec::new(),
@@ -254,7 +257,7 @@
                 written: 0,
             })
         };
-        self.backends.connections.try_insert_with_key(line)
+        self.backends.connections.try_insert_with_key(connection)
     }
 
     fn close_longest_idle(&mut self) {
@@ -268,9 +271,9 @@
     }
 
     /// Closes what has been idle for long, and does so again.
-    pub fn drop_idle_connections(&mut self) {
+    pub(crate) fn drop_idle_connections(&mut self) {
         let now = self.now();
-        let oldest = now - self.keeps_idle();
+        let oldest = now - self.idle_timeout();
         for record in self.backends.records.values_mut() {
             while record.idle.front().is_some_and(|(since, _)| *since <= oldest) {
                 if let Some((_, key)) = record.idle.pop_front() {
@@ -281,8 +284,8 @@
         self.wake_at(now + self.carriage.idle / 16, Timer::DropIdleConnections);
     }
 
-    pub fn backend_ready(&mut self, ready: ReadyEvent, key: ConnectionKey) {
-        if ready.write && !self.connected(key) {
+    pub(crate) fn backend_ready(&mut self, ready: ReadyEvent, key: ConnectionKey) {
+        if ready.write && !self.finish_connecting(key) {
             return;
         }
         if ready.read {
@@ -291,31 +294,31 @@
     }
 
     /// A socket that is ready to write is connected, or has failed to.
-    fn connected(&mut self, key: ConnectionKey) -> bool {
+    fn finish_connecting(&mut self, key: ConnectionKey) -> bool {
         let now = self.now();
-        let Some(line) = self.backends.connections.get_mut(key) else { return false };
-        if !line.connected {
-            if let Err(error) = poll::connect_result(&line.socket) {
+        let Some(connection) = self.backends.connections.get_mut(key) else { return false };
+        if !connection.is_connected {
+            if let Err(error) = poll::connect_result(&connection.socket) {
                 self.fail_connection(key, FailureCause::ConnectionError(error));
                 return false;
             }
-            let Some(leg) = &mut line.attempt else { return true };
-            let until = leg.deadline;
-            self.timers.cancel(leg.timer);
-            leg.timer = self.timers.schedule(until, Timer::Attempt(key));
+            let Some(attempt) = &mut connection.attempt else { return true };
+            let deadline = attempt.deadline;
+            self.timers.cancel(attempt.timer);
+            attempt.timer = self.timers.schedule(deadline, Timer::Attempt(key));
             // While the connection came up the backend may have been told to drain, or the client have left.
-            let waited_for = self.commands.get(leg.request).is_some_and(|c| c.state() == State::InFlight);
-            let live = self.backends.records.get(&line.backend).is_some_and(|record| record.live);
-            if !live || !waited_for {
+            let is_awaited = self.requests.get(attempt.request).is_some_and(|c| c.state() == State::InFlight);
+            let is_live = self.backends.records.get(&connection.backend).is_some_and(|record| record.is_live);
+            if !is_live || !is_awaited {
                 self.fail_connection(key, FailureCause::NotSendable);
                 return false;
             }
-            if until <= now {
+            if deadline <= now {
                 self.fail_connection(key, FailureCause::TimedOut);
                 return false;
             }
-            if let Some(line) = self.backends.connections.get_mut(key) {
-                line.connected = true;
+            if let Some(connection) = self.backends.connections.get_mut(key) {
+                connection.is_connected = true;
             }
         }
         self.write_backend(key);
@@ -323,10 +326,10 @@
     }
 
     fn write_backend(&mut self, key: ConnectionKey) {
-        let Some(line) = self.backends.connections.get_mut(key) else { return };
-        if let Err(error) = poll::write(&line.socket, &line.output, &mut line.written) {
+        let Some(connection) = self.backends.connections.get_mut(key) else { return };
+        if let Err(error) = poll::write(&connection.socket, &connection.output, &mut connection.written) {
             // An answer may have come before the connection broke.
-            if line.written > 0 && line.attempt.is_some() {
+            if connection.written > 0 && connection.attempt.is_some() {
                 self.read_backend(key, true);
             }
             self.fail_connection(key, FailureCause::ConnectionError(error));
@@ -336,40 +339,43 @@
     fn read_backend(&mut self, key: ConnectionKey, ended: bool) {
         let now = self.now();
         loop {
-            let Some(line) = self.backends.connections.get_mut(key) else { return };
-            if !line.connected {
+            let Some(connection) = self.backends.connections.get_mut(key) else { return };
+            if !connection.is_connected {
                 return;
             }
-            let came = poll::read(&line.socket, &mut self.scratch, &mut line.input, ended);
-            let Some(leg) = &mut line.attempt else {
+            let outcome = poll::read(&connection.socket, &mut self.scratch, &mut connection.input, ended);
+            let Some(attempt) = &mut connection.attempt else {
                 // Closed by the backend, or saying something that nobody asked for: no use any more.
-                if came != Ok(ReadOutcome::WouldBlock) || !line.input.is_empty() {
+                if outcome != Ok(ReadOutcome::WouldBlock) || !connection.input.is_empty() {
                     self.backends.connections.remove(key);
                 }
                 return;
             };
-            let kind = MessageKind::Response { to_head: leg.is_head_request };
-            let ended = matches!(came, Ok(ReadOutcome::EndOfStream));
-            match line.reader.next(kind, &mut line.input, ended) {
+            let kind = MessageKind::Response { to_head: attempt.is_head_request };
+            let ended = matches!(outcome, Ok(ReadOutcome::EndOfStream));
+            match connection.reader.next(kind, &mut connection.input, ended) {
                 Ok(Some(answer)) => return self.answered(key, answer, ended),
-                Ok(None) if line.reader.has_partial_message(&line.input) && !leg.has_response_begun => {
+                Ok(None)
+                    if connection.reader.has_partial_message(&connection.input)
+                        && !attempt.has_response_begun =>
+                {
                     // A length that does not fit keeps the rest of an answer waited for: an answer that has begun
                     // takes no longer than a connection does to come up.
-                    leg.has_response_begun = true;
-                    let due = leg.deadline.min(now + self.carriage.connect_within);
-                    self.timers.cancel(leg.timer);
-                    leg.timer = self.timers.schedule(due, Timer::Attempt(key));
+                    attempt.has_response_begun = true;
+                    let due = attempt.deadline.min(now + self.carriage.connect_within);
+                    self.timers.cancel(attempt.timer);
+                    attempt.timer = self.timers.schedule(due, Timer::Attempt(key));
                 }
                 Ok(None) => {}
-                Err(fault) => {
-                    warn!("{}: an answer that is none: {fault:?}", line.backend);
-                    return self.fail_connection(key, FailureCause::ParseError(fault));
+                Err(error) => {
+                    warn!("{}: an answer that is none: {error:?}", connection.backend);
+                    return self.fail_connection(key, FailureCause::ParseError(error));
                 }
             }
-            if line.input.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES {
+            if connection.input.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES {
                 return self.fail_connection(key, FailureCause::ParseError(ParseError::BodyTooLarge));
             }
-            match came {
+            match outcome {
                 Ok(ReadOutcome::Bytes) => {}
                 Ok(ReadOutcome::WouldBlock) => return,
                 Ok(ReadOutcome::EndOfStream) => return self.fail_connection(key, FailureCause::Closed),
@@ -381,96 +387,101 @@
     /// A complete answer has come.
     fn answered(&mut self, key: ConnectionKey, answer: Message, ended: bool) {
         let now = self.now();
-        let Some(line) = self.backends.connections.get_mut(key) else { return };
-        let Some(leg) = line.attempt.take() else { return };
-        self.timers.cancel(leg.timer);
-        let backend = line.backend.clone();
-        let whole = line.written == line.output.len();
-        clear_and_shrink(&mut line.output);
-        line.written = 0;
+        let Some(connection) = self.backends.connections.get_mut(key) else { return };
+        let Some(attempt) = connection.attempt.take() else { return };
+        self.timers.cancel(attempt.timer);
+        let backend = connection.backend.clone();
+        let is_request_written = connection.written == connection.output.len();
+        clear_and_shrink(&mut connection.output);
+        connection.written = 0;
         let mut record = self.backends.records.get_mut(&backend);
         if let Some(record) = &mut record {
             record.last_heard = now;
         }
         match record {
             Some(record)
-                if record.live && whole && !ended && answer.is_persistent() && line.input.is_empty() =>
+                if record.is_live
+                    && is_request_written
+                    && !ended
+                    && answer.is_persistent()
+                    && connection.input.is_empty() =>
             {
                 record.idle.push_back((now, key));
             }
             _ => drop(self.backends.connections.remove(key)),
         }
-        let ending = answered(&answer);
+        let outcome = answered(&answer);
         let units =
             answer.field("x-true-cost").and_then(|units| std::str::from_utf8(units).ok()?.parse().ok());
         let true_units = units.filter(|units: &f64| *units > 0.0 && *units < 1e6);
-        let took = now - leg.sent;
+        let elapsed = now - attempt.sent;
         let ended = AttemptEnded {
-            request: leg.request,
+            request: attempt.request,
             backend,
-            outcome: ending,
+            outcome,
             is_final: false,
-            elapsed: took,
+            elapsed,
             actual_units: true_units,
         };
         self.end_attempt(ended, Some(&answer));
     }
 
     /// An attempt's time is up, or its connection's to be made.
-    pub fn attempt_timed_out(&mut self, key: ConnectionKey) {
-        let begun = self
+    pub(crate) fn attempt_timed_out(&mut self, key: ConnectionKey) {
+        let has_response_begun = self
             .backends
             .connections
             .get(key)
-            .and_then(|line| line.attempt.as_ref())
-            .is_some_and(|leg| leg.has_response_begun);
+            .and_then(|connection| connection.attempt.as_ref())
+            .is_some_and(|attempt| attempt.has_response_begun);
         let stalled = FailureCause::ParseError(ParseError::Malformed("an answer that does not go on"));
-        self.fail_connection(key, if begun { stalled } else { FailureCause::TimedOut });
+        self.fail_connection(key, if has_response_begun { stalled } else { FailureCause::TimedOut });
     }
 
     /// Ends a connection and the attempt on it.
     fn fail_connection(&mut self, key: ConnectionKey, cause: FailureCause) {
         let now = self.now();
-        let Some(line) = self.backends.connections.remove(key) else { return };
-        let Some(leg) = line.attempt else { return };
-        self.timers.cancel(leg.timer);
-        let reached = match () {
-            () if !line.connected => Progress::NotConnected,
-            () if line.written < line.output.len() => Progress::PartlyWritten,
-            () if line.reader.has_partial_message(&line.input) => Progress::PartlyAnswered,
+        let Some(connection) = self.backends.connections.remove(key) else { return };
+        let Some(attempt) = connection.attempt else { return };
+        self.timers.cancel(attempt.timer);
+        let progress = match () {
+            () if !connection.is_connected => Progress::NotConnected,
+            () if connection.written < connection.output.len() => Progress::PartlyWritten,
+            () if connection.reader.has_partial_message(&connection.input) => Progress::PartlyAnswered,
             () => Progress::FullyWritten,
         };
-        let failure = Failure { progress: reached, cause };
+        let failure = Failure { progress, cause };
         // A machine that has vanished leaves its connections open and silent: an attempt over one of them may have
         // run for all we know, while a new connection that does not come up proves that nothing ran.
-        let heard = self.backends.records.get(&line.backend).map_or(now, |record| record.last_heard);
-        if cause == FailureCause::TimedOut && heard < leg.sent {
-            self.close_idle_connections(&line.backend);
+        let last_heard =
+            self.backends.records.get(&connection.backend).map_or(now, |record| record.last_heard);
+        if cause == FailureCause::TimedOut && last_heard < attempt.sent {
+            self.close_idle_connections(&connection.backend);
         }
-        debug!("{}: {failure:?}", line.backend);
-        let (command, backend, took) = (leg.request, line.backend, now - leg.sent);
+        debug!("{}: {failure:?}", connection.backend);
+        let (request, backend, elapsed) = (attempt.request, connection.backend, now - attempt.sent);
         let ended = AttemptEnded {
-            request: command,
+            request,
             backend,
             outcome: failure.outcome(),
             is_final: false,
-            elapsed: took,
+            elapsed,
             actual_units: None,
         };
         self.end_attempt(ended, None);
     }
 
     fn end_attempt(&mut self, mut ended: AttemptEnded, answer: Option<&Message>) {
-        let Some(command) = self.commands.get_mut(ended.request) else { return };
-        command.last_outcome = Some(ended.outcome);
-        let parted = command.state() == State::Abandoned;
-        if let Some(answer) = answer.filter(|_| ended.outcome == AttemptOutcome::Completed && !parted) {
+        let Some(request) = self.requests.get_mut(ended.request) else { return };
+        request.last_outcome = Some(ended.outcome);
+        let is_abandoned = request.state() == State::Abandoned;
+        if let Some(answer) = answer.filter(|_| ended.outcome == AttemptOutcome::Completed && !is_abandoned) {
             self.complete(ended.request, answer);
             ended.is_final = true;
         }
-        ended.is_final |= parted;
+        ended.is_final |= is_abandoned;
         let to = if ended.is_final { State::Finished } else { State::Queued };
-        self.commands.set_state(ended.request, to);
+        self.requests.set_state(ended.request, to);
         self.events.push_back(Event::AttemptEnded(ended));
     }
 }
@@ -485,7 +496,7 @@
         let refused = FailureCause::ConnectionError(Errno::CONNREFUSED);
         let reset = FailureCause::ConnectionError(Errno::CONNRESET);
         let nonsense = FailureCause::ParseError(ParseError::Malformed("nonsense"));
-        for (reached, cause, ending) in [
+        for (progress, cause, outcome) in [
             (NotConnected, refused, AttemptOutcome::Unreachable),
             (NotConnected, FailureCause::TimedOut, AttemptOutcome::Unreachable),
             (NotConnected, FailureCause::NotSendable, AttemptOutcome::NotSent),
@@ -498,13 +509,13 @@
             (PartlyAnswered, FailureCause::Closed, AttemptOutcome::ConnectionLost),
             (PartlyAnswered, nonsense, AttemptOutcome::Failed),
         ] {
-            assert_eq!(Failure { progress: reached, cause }.outcome(), ending, "{reached:?} {cause:?}");
+            assert_eq!(Failure { progress, cause }.outcome(), outcome, "{progress:?} {cause:?}");
         }
     }
 
     #[test]
     fn an_answer_means_what_the_protocol_says() {
-        for (text, ending) in [
+        for (text, outcome) in [
             ("200 OK", AttemptOutcome::Completed),
             ("500 No", AttemptOutcome::Failed),
             ("503 No", AttemptOutcome::Failed),
@@ -517,7 +528,7 @@
             let mut input = format!("HTTP/1.1 {text}\r\nContent-Length: 0\r\n\r\n").into_bytes();
             let answer =
                 MessageReader::default().next(MessageKind::Response { to_head: false }, &mut input, false);
-            assert_eq!(answered(&answer.unwrap().unwrap()), ending, "{text}");
+            assert_eq!(answered(&answer.unwrap().unwrap()), outcome, "{text}");
         }
     }
 }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,8 +1,8 @@
 //! Client connections: requests in, one at a time on each, and answers out.
 
-use crate::command::{Request, RequestKey, State};
 use crate::http::{Message, MessageKind, MessageReader, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use crate::poll::{self, clear_and_shrink, ClientKey, ReadOutcome, ReadyEvent, Source};
+use crate::request::{Request, RequestKey, State};
 use crate::request_head::RequestHead;
 use crate::runtime::{Event, Phase, Runtime, Timer};
 use kitepass_gateway_policy::AttemptOutcome;
@@ -13,7 +13,7 @@
 use slotmap::SlotMap;
 use std::io::Write;
 
-const READY_AT: &[u8] = b"/healthz";
+const READINESS_PATH: &[u8] = b"/healthz";
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 /// How long a connection that is being closed is read on, so that its last answer arrives: closing a socket
 /// with something unread in it resets it.
@@ -28,7 +28,7 @@
 /// How often connections are looked through for the two above.
 const SWEEP_INTERVAL: Duration = Duration::from_micros(250_000);
 
-pub struct Client {
+pub(crate) struct Client {
     socket: OwnedFd,
     input: Vec<u8>,
     reader: MessageReader,
@@ -37,11 +37,11 @@
     /// When it was let in or had its last answer,
     since: Timestamp,
     /// and when the message that is not complete yet began.
-    begun: Option<Timestamp>,
+    message_begun_at: Option<Timestamp>,
     /// It has had an answer.
-    served: bool,
+    has_been_answered: bool,
     /// What was read since nothing more is said.
-    lingered: usize,
+    lingered_bytes: usize,
     /// The socket may hold more than the input takes for now.
     has_unread_input: bool,
     request: Option<RequestKey>,
@@ -61,44 +61,50 @@
     Lingering,
 }
 
-pub struct Clients {
+pub(crate) struct Clients {
     all: SlotMap<ClientKey, Client>,
     listener: Option<OwnedFd>,
     /// From so many on, requests are turned away and their connections closed;
-    most: usize,
+    max_served: usize,
     /// beyond so many, no further client is let in.
-    utmost: usize,
+    max_accepted: usize,
     /// Somebody may be waiting to be let in.
-    waiting: bool,
+    has_pending_accept: bool,
 }
 
 impl Clients {
-    pub fn new(listener: OwnedFd, most: usize, utmost: usize) -> Clients {
-        Clients { all: SlotMap::with_key(), listener: Some(listener), most, utmost, waiting: false }
+    pub(crate) fn new(listener: OwnedFd, max_served: usize, max_accepted: usize) -> Clients {
+        Clients {
+            all: SlotMap::with_key(),
+            listener: Some(listener),
+            max_served,
+            max_accepted,
+            has_pending_accept: false,
+        }
     }
 
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 }
 
 impl Runtime {
     /// Lets clients in, as far as there is room.
-    pub fn let_in(&mut self) {
+    pub(crate) fn accept_clients(&mut self) {
         while let Some(listener) = &self.clients.listener {
-            self.clients.waiting = true;
-            if self.clients.all.len() > self.clients.utmost {
+            self.clients.has_pending_accept = true;
+            if self.clients.all.len() > self.clients.max_accepted {
                 return; // the next connection that ends makes room
             }
             match poll::accept(listener) {
                 Ok(Some(socket)) => {
-                    let key = self.enter(socket);
-                    if self.clients.all.len() > self.clients.utmost {
+                    let key = self.add_client(socket);
+                    if self.clients.all.len() > self.clients.max_accepted {
                         self.close_an_idle_client(key);
                     }
                 }
                 Ok(None) => {
-                    self.clients.waiting = false;
+                    self.clients.has_pending_accept = false;
                     return;
                 }
                 Err(error) => {
@@ -111,17 +117,17 @@
         }
     }
 
-    fn enter(&mut self, socket: OwnedFd) -> ClientKey {
-        let came = self.now();
+    fn add_client(&mut self, socket: OwnedFd) -> ClientKey {
+        let now = self.now();
         let key = self.clients.all.insert(Client {
             socket,
             input: Vec::new(),
             reader: MessageReader::default(),
-            received_at: came,
-            since: came,
-            begun: None,
-            served: false,
-            lingered: 0,
+            received_at: now,
+            since: now,
+            message_begun_at: None,
+            has_been_answered: false,
+            lingered_bytes: 0,
             has_unread_input: false,
             request: None,
             output: Vec::new(),
@@ -142,9 +148,10 @@
         // The one that has rested longest, and none that was let in just now: its request is on its way. One that
         // has sent a request which nobody has read yet is not idle: closing it would lose that.
         for _ in 0..4 {
-            let gives_way = |client: &Client| client.is_idle() || client.is_overdue(now);
-            let those = self.clients.all.iter_mut().filter(|(key, c)| *key != newcomer && gives_way(c));
-            let Some((key, client)) = those.min_by_key(|(_, client)| client.received_at) else {
+            let can_be_closed = |client: &Client| client.is_idle() || client.is_overdue(now);
+            let candidates =
+                self.clients.all.iter_mut().filter(|(key, c)| *key != newcomer && can_be_closed(c));
+            let Some((key, client)) = candidates.min_by_key(|(_, client)| client.received_at) else {
                 return false;
             };
             if poll::is_quiet(&client.socket) {
@@ -155,13 +162,13 @@
         false
     }
 
-    pub fn stop_letting_in(&mut self) {
-        self.let_in();
+    pub(crate) fn close_listener(&mut self) {
+        self.accept_clients();
         self.clients.listener = None;
     }
 
     /// Ends connections on which nothing is under way; the others end with their next answer.
-    pub fn close_idle_clients(&mut self) {
+    pub(crate) fn close_idle_clients(&mut self) {
         let keys: Vec<_> = self.clients.all.keys().collect();
         for key in keys {
             self.client_ready(
@@ -175,14 +182,14 @@
     }
 
     /// Lets go of connections that have been waited for long enough.
-    pub fn look_after_clients(&mut self) {
+    pub(crate) fn sweep_clients(&mut self) {
         let now = self.now();
         self.wake_at(now + SWEEP_INTERVAL, Timer::SweepClients);
         let overdue: Vec<_> =
             self.clients.all.iter().filter(|(_, c)| c.is_overdue(now)).map(|(key, _)| key).collect();
         for key in overdue {
             let Some(client) = self.clients.all.get(key) else { continue };
-            if client.begun.is_some() && client.output.is_empty() {
+            if client.message_begun_at.is_some() && client.output.is_empty() {
                 self.close(key, Closing::After);
                 self.respond(key, 408, None, "");
             } else if !client.output.is_empty() || poll::is_quiet(&client.socket) {
@@ -191,7 +198,7 @@
         }
     }
 
-    pub fn client_ready(&mut self, ready: ReadyEvent, key: ClientKey) {
+    pub(crate) fn client_ready(&mut self, ready: ReadyEvent, key: ClientKey) {
         if ready.read && !self.read_client(key, ready.ended) {
             return self.client_disconnected(key);
         }
@@ -210,8 +217,8 @@
         }
         loop {
             if client.closing == Closing::Lingering {
-                client.lingered += std::mem::take(&mut client.input).len();
-                if client.lingered > MAX_LINGER_BYTES {
+                client.lingered_bytes += std::mem::take(&mut client.input).len();
+                if client.lingered_bytes > MAX_LINGER_BYTES {
                     return true; // left unread, for its time to run out
                 }
             }
@@ -232,18 +239,18 @@
     }
 
     /// Drops a connection, whatever it is doing.
-    pub fn client_disconnected(&mut self, key: ClientKey) {
+    pub(crate) fn client_disconnected(&mut self, key: ClientKey) {
         let Some(client) = self.clients.all.remove(key) else { return };
-        if let Some(command) = client.request {
-            self.events.push_back(Event::ClientDisconnected(command));
+        if let Some(request) = client.request {
+            self.events.push_back(Event::ClientDisconnected(request));
         }
-        if self.clients.waiting {
-            self.let_in();
+        if self.clients.has_pending_accept {
+            self.accept_clients();
         }
     }
 
     /// Takes the next request off a client's input, if it is there and nothing else is under way.
-    pub fn next_command(&mut self, key: ClientKey) {
+    pub(crate) fn next_command(&mut self, key: ClientKey) {
         let now = self.now();
         loop {
             let Some(client) = self.clients.all.get_mut(key) else { return };
@@ -260,7 +267,7 @@
                 }
                 Ok(None) => {
                     if client.reader.has_partial_message(&client.input) {
-                        client.begun.get_or_insert(now);
+                        client.message_begun_at.get_or_insert(now);
                     }
                     if !client.continue_sent && client.reader.expects_continue(&client.input) {
                         client.continue_sent = true;
@@ -269,24 +276,24 @@
                     }
                     return;
                 }
-                Err(fault) => {
-                    debug!("a client's message: {fault:?}");
+                Err(error) => {
+                    debug!("a client's message: {error:?}");
                     self.close(key, Closing::After); // nobody knows where its next message would begin
-                    self.respond(key, fault.status(), None, &format!("{fault:?}\n"));
+                    self.respond(key, error.status(), None, &format!("{error:?}\n"));
                     return;
                 }
             };
             client.continue_sent = false;
-            client.begun = None;
+            client.message_begun_at = None;
             if !message.is_persistent() || self.phase == Phase::Closing {
                 self.close(key, Closing::After);
             }
-            self.take(key, message);
+            self.handle_message(key, message);
         }
     }
 
-    fn take(&mut self, key: ClientKey, message: Message) {
-        if message.start_line_part(1) == READY_AT {
+    fn handle_message(&mut self, key: ClientKey, message: Message) {
+        if message.start_line_part(1) == READINESS_PATH {
             let ready = self.phase == Phase::Serving;
             return self.respond(
                 key,
@@ -297,35 +304,35 @@
         }
         let head = match RequestHead::read(message, &self.config) {
             Ok(head) => head,
-            Err(wrong) => {
-                debug!("a client's command: {wrong}");
-                return self.respond(key, 400, None, &format!("{wrong}\n"));
+            Err(error) => {
+                debug!("a client's command: {error}");
+                return self.respond(key, 400, None, &format!("{error}\n"));
             }
         };
         // The id of a request that is open elsewhere: a backend would take one for the other. A client that has
         // gone, and whose end has not been read yet, may have sent its request once more.
-        if let Some(other) = self.commands.open_as(head.trace()).map(|command| command.client) {
+        if let Some(other) = self.requests.open_request(head.trace()).map(|request| request.client) {
             if self.clients.all.get(other).is_some_and(|client| !poll::has_ended(&client.socket)) {
                 return self.respond(key, 400, None, "X-Trace-Id: still open elsewhere\n");
             }
             self.client_disconnected(other);
         }
-        let full = self.clients.all.len() > self.clients.most && !self.close_an_idle_client(key);
+        let is_full = self.clients.all.len() > self.clients.max_served && !self.close_an_idle_client(key);
         let Some(client) = self.clients.all.get_mut(key) else { return };
-        if full {
+        if is_full {
             self.close(key, Closing::After);
             return self.respond(key, 503, None, "too many connections\n");
         }
         // The answer must be out and through before the client's time is up, however late a timer fires.
-        let outer_limit = client.received_at + head.expires - self.carriage.answer_slack;
-        let command = self.commands.take(Request::new(key, head, outer_limit));
-        client.request = Some(command);
-        self.events.push_back(Event::RequestArrived(command));
+        let deadline = client.received_at + head.expires - self.carriage.answer_slack;
+        let request = self.requests.insert(Request::new(key, head, deadline));
+        client.request = Some(request);
+        self.events.push_back(Event::RequestArrived(request));
     }
 
     /// Passes a backend's good answer on.
-    pub fn complete(&mut self, key: RequestKey, answer: &Message) {
-        let Some((client, to_head)) = self.commands.get(key).map(|c| (c.client, c.head.is_head())) else {
+    pub(crate) fn complete(&mut self, key: RequestKey, answer: &Message) {
+        let Some((client, to_head)) = self.requests.get(key).map(|c| (c.client, c.head.is_head())) else {
             return;
         };
         self.answer(
@@ -337,43 +344,43 @@
     }
 
     /// A final answer of our own.
-    pub fn give_up(&mut self, key: RequestKey, bounced: bool, retry_in: Option<Duration>) {
-        let Some(command) = self.commands.get(key) else { return };
-        let status = match (bounced, command.attempts, command.last_outcome) {
+    pub(crate) fn answer_failure(&mut self, key: RequestKey, is_rejected: bool, retry_in: Option<Duration>) {
+        let Some(request) = self.requests.get(key) else { return };
+        let status = match (is_rejected, request.attempts, request.last_outcome) {
             (true, 0, _) => 429,
             (true, ..) => 503,
             (false, _, Some(AttemptOutcome::TimedOut)) => 504,
             (false, ..) => 502,
         };
-        let client = command.client;
-        self.commands.set_state(key, State::Finished);
+        let client = request.client;
+        self.requests.set_state(key, State::Finished);
         self.respond(client, status, retry_in, "");
     }
 
     fn respond(&mut self, key: ClientKey, status: u16, retry_in: Option<Duration>, text: &str) {
-        let lines = |head: &mut Vec<u8>| {
-            if let Some(away) = retry_in {
-                let millis = (away.as_micros() + 999) / 1000;
+        let write_fields = |head: &mut Vec<u8>| {
+            if let Some(delay) = retry_in {
+                let millis = (delay.as_micros() + 999) / 1000;
                 let _ = write!(head, "Retry-After: {}.{:03}\r\n", millis / 1000, millis % 1000);
             }
             if !text.is_empty() {
                 head.extend_from_slice(b"Content-Type: text/plain\r\n");
             }
         };
-        self.answer(key, status, lines, text.as_bytes());
+        self.answer(key, status, write_fields, text.as_bytes());
     }
 
-    fn answer(&mut self, key: ClientKey, status: u16, lines: impl FnOnce(&mut Vec<u8>), body: &[u8]) {
+    fn answer(&mut self, key: ClientKey, status: u16, write_fields: impl FnOnce(&mut Vec<u8>), body: &[u8]) {
         if self.phase == Phase::Closing {
             self.close(key, Closing::After);
         }
         let now = self.now();
         let Some(client) = self.clients.all.get_mut(key) else { return };
-        (client.since, client.served) = (now, true);
+        (client.since, client.has_been_answered) = (now, true);
         let output = &mut client.output;
         // Writing to memory cannot fail.
         let _ = write!(output, "HTTP/1.1 {status} {}\r\n", reason(status));
-        lines(output);
+        write_fields(output);
         if client.closing != Closing::No {
             output.extend_from_slice(b"Connection: close\r\n");
         }
@@ -430,9 +437,11 @@
         if self.request.is_some() || self.closing == Closing::Lingering {
             return false;
         }
-        let (since, time) = match self.begun {
+        let (since, time) = match self.message_begun_at {
             _ if !self.output.is_empty() => (self.since, MESSAGE_TIMEOUT),
-            Some(begun) => (if self.served { begun } else { self.since }, MESSAGE_TIMEOUT),
+            Some(message_begun_at) => {
+                (if self.has_been_answered { message_begun_at } else { self.since }, MESSAGE_TIMEOUT)
+            }
             None => (self.since, IDLE_TIMEOUT),
         };
         now - since > time
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -12,9 +12,9 @@
 #[derive(Debug)]
 pub(crate) enum ControlMessage {
     End,
-    TakeUp(Addresses),
+    UpdateAddresses(Addresses),
     /// Read the configuration again, where it came from a file.
-    ReadAgain,
+    Reload,
 }
 
 /// Tells a gateway that runs on another thread what to do. What comes after its end is not heard.
@@ -32,11 +32,11 @@
 
     /// As SIGHUP, with the addresses themselves.
     pub fn take_up(&self, addresses: Addresses) {
-        self.send(ControlMessage::TakeUp(addresses));
+        self.send(ControlMessage::UpdateAddresses(addresses));
     }
 
-    fn send(&self, word: ControlMessage) {
-        if self.messages.send(word).is_ok() {
+    fn send(&self, message: ControlMessage) {
+        if self.messages.send(message).is_ok() {
             let _ = (&*self.waker).write(&[0]); // full of bytes unread, it wakes as well
         }
     }
@@ -49,7 +49,7 @@
     control: Control,
     /// A signal's handler may do no more than set one of these and wake the loop.
     end: Arc<AtomicBool>,
-    read_again: Arc<AtomicBool>,
+    reload: Arc<AtomicBool>,
 }
 
 impl ControlReceiver {
@@ -57,19 +57,13 @@
         let (socket, waker) = UnixStream::pair()?;
         socket.set_nonblocking(true)?;
         waker.set_nonblocking(true)?;
-        let (say, words) = channel();
-        let control = Control { messages: say, waker: Arc::new(waker) };
-        Ok(ControlReceiver {
-            socket,
-            messages: words,
-            control,
-            end: Arc::default(),
-            read_again: Arc::default(),
-        })
+        let (sender, messages) = channel();
+        let control = Control { messages: sender, waker: Arc::new(waker) };
+        Ok(ControlReceiver { socket, messages, control, end: Arc::default(), reload: Arc::default() })
     }
 
     pub fn heed_signals(&self) -> io::Result<()> {
-        for (signal, flag) in [(SIGTERM, &self.end), (SIGINT, &self.end), (SIGHUP, &self.read_again)] {
+        for (signal, flag) in [(SIGTERM, &self.end), (SIGINT, &self.end), (SIGHUP, &self.reload)] {
             // In this order: the loop must find the flag set when it wakes.
             signal_hook::flag::register(signal, flag.clone())?;
             signal_hook::low_level::pipe::register(signal, self.control.waker.try_clone()?)?;
@@ -85,11 +79,11 @@
         &self.socket
     }
 
-    pub fn heard(&self, scratch: &mut [u8]) -> Vec<ControlMessage> {
+    pub fn take_messages(&self, scratch: &mut [u8]) -> Vec<ControlMessage> {
         while poll::read(&self.socket, scratch, &mut Vec::new(), true) == Ok(poll::ReadOutcome::Bytes) {}
-        let mut words: Vec<_> = self.messages.try_iter().collect();
-        words.extend(self.read_again.swap(false, Ordering::Relaxed).then_some(ControlMessage::ReadAgain));
-        words.extend(self.end.swap(false, Ordering::Relaxed).then_some(ControlMessage::End));
-        words
+        let mut messages: Vec<_> = self.messages.try_iter().collect();
+        messages.extend(self.reload.swap(false, Ordering::Relaxed).then_some(ControlMessage::Reload));
+        messages.extend(self.end.swap(false, Ordering::Relaxed).then_some(ControlMessage::End));
+        messages
     }
 }
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -26,11 +26,11 @@
 struct Connection {
     number: u32,
     socket: OwnedFd,
-    connected: bool,
+    is_connected: bool,
     /// No more calls go to it, as its address was given up or it has fallen silent: it brings what it owes,
     is_closing: bool,
     /// and what comes late, until then.
-    until: Timestamp,
+    drain_deadline: Timestamp,
     begun: Timestamp,
     /// When it last brought an answer, or was last written to with nothing to answer.
     active_at: Timestamp,
@@ -44,7 +44,7 @@
     reported_late: usize,
 }
 
-pub struct Counter {
+pub(crate) struct Counter {
     address: Option<SocketAddr>,
     /// The newest is last; before it, those that part.
     connections: Vec<Connection>,
@@ -52,88 +52,95 @@
     unsent: VecDeque<Call>,
     /// Set while somebody waits for an answer.
     timer: Option<(Timestamp, TimerKey)>,
-    begun: u32,
+    last_number: u32,
     /// When a connection was last begun, until it is made.
-    tried: Option<Timestamp>,
+    connecting_since: Option<Timestamp>,
 }
 
 impl Counter {
-    pub fn new(address: Option<SocketAddr>) -> Counter {
+    pub(crate) fn new(address: Option<SocketAddr>) -> Counter {
         Counter {
             address,
             connections: Vec::new(),
             unsent: VecDeque::new(),
             timer: None,
-            begun: 0,
-            tried: None,
+            last_number: 0,
+            connecting_since: None,
         }
     }
 
     fn due(&self) -> Option<Timestamp> {
-        let sent = self.connections.iter().flat_map(|link| link.calls.get(link.reported_late));
-        let parting = self.connections.iter().filter(|link| link.is_closing).map(|link| link.until);
+        let sent =
+            self.connections.iter().flat_map(|connection| connection.calls.get(connection.reported_late));
+        let parting = self
+            .connections
+            .iter()
+            .filter(|connection| connection.is_closing)
+            .map(|connection| connection.drain_deadline);
         sent.chain(self.unsent.front()).map(|call| call.due).chain(parting).min()
     }
 }
 
 impl Runtime {
     /// Adds to a number on the counter.
-    pub fn call(&mut self, name: &str, amount: f64, keep: Duration) {
-        let (Some(_), Some(patience)) = (self.counter.address, self.config.counter_timeout) else {
+    pub(crate) fn call_counter(&mut self, name: &str, amount: f64, keep: Duration) {
+        let (Some(_), Some(timeout)) = (self.counter.address, self.config.counter_timeout) else {
             return self
                 .events
                 .push_back(Event::CounterAnswered { name: name.to_owned(), total: Reading::NotAdded });
         };
-        let rest = format!("?by={amount}&expire_ms={}", (keep.as_micros() / 1000).max(1));
-        let due = self.now() + patience;
-        self.counter.unsent.push_back(Call { due, name: name.to_owned(), target_suffix: rest });
-        self.wait_for_calls();
-        self.open_link(patience);
-        self.write_calls();
+        let target_suffix = format!("?by={amount}&expire_ms={}", (keep.as_micros() / 1000).max(1));
+        let due = self.now() + timeout;
+        self.counter.unsent.push_back(Call { due, name: name.to_owned(), target_suffix });
+        self.schedule_call_timeout();
+        self.connect_counter(timeout);
+        self.write_counter_calls();
     }
 
     /// Calls go to another address from now on. Those on the way are not sent again: the connection that has
     /// them brings their answers yet.
-    pub fn move_counter(&mut self, address: Option<SocketAddr>) {
+    pub(crate) fn move_counter(&mut self, address: Option<SocketAddr>) {
         if address == self.counter.address {
             return;
         }
-        let until = self.now() + self.config.counter_timeout.unwrap_or_default();
+        let drain_deadline = self.now() + self.config.counter_timeout.unwrap_or_default();
         self.counter.address = address;
-        self.counter.tried = None;
-        self.counter.connections.iter_mut().for_each(|link| (link.is_closing, link.until) = (true, until));
-        self.drop_parted();
-        self.wait_for_calls();
-        let Some(patience) = self.config.counter_timeout.filter(|_| address.is_some()) else {
+        self.counter.connecting_since = None;
+        self.counter.connections.iter_mut().for_each(|connection| {
+            (connection.is_closing, connection.drain_deadline) = (true, drain_deadline)
+        });
+        self.drop_closing_connections();
+        self.schedule_call_timeout();
+        let Some(timeout) = self.config.counter_timeout.filter(|_| address.is_some()) else {
             return self.fail_unsent();
         };
         if !self.counter.unsent.is_empty() {
-            self.open_link(patience);
+            self.connect_counter(timeout);
         }
     }
 
     /// Connects if there is no connection; where none comes up, not again within a call's time.
-    fn open_link(&mut self, patience: Duration) {
+    fn connect_counter(&mut self, timeout: Duration) {
         let now = self.now();
         let counter = &mut self.counter;
         let Some(address) =
-            counter.address.filter(|_| counter.connections.iter().all(|link| link.is_closing))
+            counter.address.filter(|_| counter.connections.iter().all(|connection| connection.is_closing))
         else {
             return;
         };
-        if counter.tried.is_some_and(|tried| now - tried < patience) {
+        if counter.connecting_since.is_some_and(|connecting_since| now - connecting_since < timeout) {
             return;
         }
-        counter.tried = Some(now);
-        counter.begun = counter.begun.wrapping_add(1);
-        let number = counter.begun;
+        counter.connecting_since = Some(now);
+        counter.last_number = counter.last_number.wrapping_add(1);
+        let number = counter.last_number;
         match self.poll.connect(&address, Source::Counter(number)) {
             Ok(socket) => counter.connections.push(Connection {
                 number,
                 socket,
-                connected: false,
+                is_connected: false,
                 is_closing: false,
-                until: now,
+                drain_deadline: now,
                 begun: now,
                 active_at: now,
                 reader: MessageReader::default(),
@@ -150,76 +157,82 @@
         }
     }
 
-    pub fn counter_ready(&mut self, ready: ReadyEvent, number: u32) {
-        let Some(place) = self.counter.connections.iter().position(|link| link.number == number) else {
+    pub(crate) fn counter_ready(&mut self, ready: ReadyEvent, number: u32) {
+        let Some(position) =
+            self.counter.connections.iter().position(|connection| connection.number == number)
+        else {
             return;
         };
-        let link = &mut self.counter.connections[place];
-        if ready.write && !link.connected {
-            if let Err(error) = poll::connect_result(&link.socket) {
-                return self.drop_link(place, &format!("no connection: {error}"));
+        let connection = &mut self.counter.connections[position];
+        if ready.write && !connection.is_connected {
+            if let Err(error) = poll::connect_result(&connection.socket) {
+                return self.drop_counter_connection(position, &format!("no connection: {error}"));
             }
-            link.connected = true;
-            self.counter.tried = None;
+            connection.is_connected = true;
+            self.counter.connecting_since = None;
         }
         if ready.read {
-            self.read_totals(place, ready.ended);
+            self.read_totals(position, ready.ended);
         }
         if ready.write {
-            self.write_calls();
+            self.write_counter_calls();
         }
     }
 
-    fn write_calls(&mut self) {
+    fn write_counter_calls(&mut self) {
         let now = self.now();
         // From the last on, so that one that is dropped moves none that is still to come.
-        for place in (0..self.counter.connections.len()).rev() {
+        for position in (0..self.counter.connections.len()).rev() {
             let counter = &mut self.counter;
-            let link = &mut counter.connections[place];
-            if !link.connected {
+            let connection = &mut counter.connections[position];
+            if !connection.is_connected {
                 continue;
             }
-            if link.calls.is_empty() {
-                link.active_at = now;
+            if connection.calls.is_empty() {
+                connection.active_at = now;
             }
-            if let Some(host) = counter.address.filter(|_| !link.is_closing) {
+            if let Some(host) = counter.address.filter(|_| !connection.is_closing) {
                 for call in counter.unsent.drain(..) {
-                    let Call { name, target_suffix: rest, .. } = &call;
+                    let Call { name, target_suffix, .. } = &call;
                     // Writing to memory cannot fail.
                     let _ = write!(
-                        link.output,
-                        "POST /counters/{name}{rest} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n"
+                        connection.output,
+                        "POST /counters/{name}{target_suffix} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n"
                     );
-                    link.calls.push_back(call);
+                    connection.calls.push_back(call);
                 }
             }
-            match poll::write(&link.socket, &link.output, &mut link.written) {
+            match poll::write(&connection.socket, &connection.output, &mut connection.written) {
                 Ok(true) => {
-                    poll::clear_and_shrink(&mut link.output);
-                    link.written = 0;
+                    poll::clear_and_shrink(&mut connection.output);
+                    connection.written = 0;
                 }
                 Ok(false) => {}
-                Err(error) => self.drop_link(place, &format!("broke: {error}")),
+                Err(error) => self.drop_counter_connection(position, &format!("broke: {error}")),
             }
         }
     }
 
-    fn read_totals(&mut self, place: usize, ended: bool) {
+    fn read_totals(&mut self, position: usize, ended: bool) {
         let now = self.now();
         loop {
-            let link = &mut self.counter.connections[place];
-            let came = poll::read(&link.socket, &mut self.scratch, &mut link.input, ended);
+            let connection = &mut self.counter.connections[position];
+            let outcome = poll::read(&connection.socket, &mut self.scratch, &mut connection.input, ended);
             loop {
                 let kind = MessageKind::Response { to_head: false };
-                match link.reader.next(kind, &mut link.input, came == Ok(ReadOutcome::EndOfStream)) {
+                match connection.reader.next(
+                    kind,
+                    &mut connection.input,
+                    outcome == Ok(ReadOutcome::EndOfStream),
+                ) {
                     Ok(Some(answer)) => {
-                        link.active_at = now;
-                        let Some(call) = link.calls.pop_front() else {
-                            return self.drop_link(place, "an answer to no call");
+                        connection.active_at = now;
+                        let Some(call) = connection.calls.pop_front() else {
+                            return self.drop_counter_connection(position, "an answer to no call");
                         };
                         let number = total(&answer);
-                        let late = link.reported_late > 0;
-                        link.reported_late -= usize::from(late);
+                        let late = connection.reported_late > 0;
+                        connection.reported_late -= usize::from(late);
                         let total = match (number, answer.status()) {
                             (Some(number), _) if late => Reading::Late(number),
                             (Some(number), _) => Reading::Known(number),
@@ -232,33 +245,33 @@
                         // A good answer without a number: the amount is added, the total unknown, and whose
                         // answer comes next on that connection is anybody's guess.
                         if number.is_none() && answer.status() == 200 {
-                            return self.drop_link(place, "an answer without a number");
+                            return self.drop_counter_connection(position, "an answer without a number");
                         }
                         if !answer.is_persistent() {
-                            return self.drop_link(place, "closed");
+                            return self.drop_counter_connection(position, "closed");
                         }
                     }
-                    Ok(None) if link.input.len() > MAX_BODY_BYTES => {
-                        return self.drop_link(place, "an answer too large");
+                    Ok(None) if connection.input.len() > MAX_BODY_BYTES => {
+                        return self.drop_counter_connection(position, "an answer too large");
                     }
                     Ok(None) => break,
-                    Err(fault) => {
-                        warn!("counter: an answer that is none: {fault:?}");
-                        return self.drop_link(place, "answers are lost");
+                    Err(error) => {
+                        warn!("counter: an answer that is none: {error:?}");
+                        return self.drop_counter_connection(position, "answers are lost");
                     }
                 }
             }
-            match came {
+            match outcome {
                 Ok(ReadOutcome::Bytes) => {}
-                Ok(ReadOutcome::WouldBlock) => return self.drop_parted(),
-                Ok(ReadOutcome::EndOfStream) => return self.drop_link(place, "closed"),
-                Err(error) => return self.drop_link(place, &format!("broke: {error}")),
+                Ok(ReadOutcome::WouldBlock) => return self.drop_closing_connections(),
+                Ok(ReadOutcome::EndOfStream) => return self.drop_counter_connection(position, "closed"),
+                Err(error) => return self.drop_counter_connection(position, &format!("broke: {error}")),
             }
         }
     }
 
     /// Sets one timer for all: most calls are answered long before, and a timer for each would wake for nothing.
-    fn wait_for_calls(&mut self) {
+    fn schedule_call_timeout(&mut self) {
         let Some(due) = self.counter.due() else { return };
         // A connection that parts may be waited for longer than a call that is made meanwhile.
         if let Some((_, later)) = self.counter.timer.take_if(|(set, _)| due < *set) {
@@ -270,66 +283,72 @@
     }
 
     /// Some calls' time may be up.
-    pub fn calls_due(&mut self) {
+    pub(crate) fn expire_counter_calls(&mut self) {
         let now = self.now();
         let allowed = self.carriage.connect_within;
-        let patience = self.config.counter_timeout.unwrap_or(allowed).min(allowed);
+        let timeout = self.config.counter_timeout.unwrap_or(allowed).min(allowed);
         let counter = &mut self.counter;
         counter.timer = None;
-        let room = counter.connections.len() < MAX_CONNECTIONS;
-        for link in &mut counter.connections {
-            let told = link.reported_late;
-            while let Some(call) = link.calls.get(link.reported_late).filter(|call| call.due <= now) {
+        let has_capacity = counter.connections.len() < MAX_CONNECTIONS;
+        for connection in &mut counter.connections {
+            let reported_before = connection.reported_late;
+            while let Some(call) =
+                connection.calls.get(connection.reported_late).filter(|call| call.due <= now)
+            {
                 self.events
                     .push_back(Event::CounterAnswered { name: call.name.clone(), total: Reading::Unknown });
-                link.reported_late += 1;
+                connection.reported_late += 1;
             }
             // A machine that has gone silent never ends its connections, one connection can stall while others
             // do not, and behind an answer that does not go on no other will come: a new one finds out. A
             // counter that is only slow is still heard over the old ones, of which there are not many.
-            let stuck = link.reader.has_partial_message(&link.input) || now - link.active_at > patience * 4;
-            if link.reported_late > told && stuck && room && !link.is_closing {
-                (link.is_closing, link.until) = (true, link.active_at + allowed * 8);
+            let stuck = connection.reader.has_partial_message(&connection.input)
+                || now - connection.active_at > timeout * 4;
+            if connection.reported_late > reported_before && stuck && has_capacity && !connection.is_closing {
+                (connection.is_closing, connection.drain_deadline) =
+                    (true, connection.active_at + allowed * 8);
                 // In this order: the next call of a name must not be answered before these are told of.
-                for call in link.calls.iter().skip(link.reported_late) {
+                for call in connection.calls.iter().skip(connection.reported_late) {
                     self.events.push_back(Event::CounterAnswered {
                         name: call.name.clone(),
                         total: Reading::Unknown,
                     });
                 }
-                link.reported_late = link.calls.len();
+                connection.reported_late = connection.calls.len();
             }
         }
         // What nobody waits for any more is not sent.
         while let Some(call) = counter.unsent.pop_front_if(|call| call.due <= now) {
             self.events.push_back(Event::CounterAnswered { name: call.name, total: Reading::NotAdded });
         }
-        if let Some(place) =
-            self.counter.connections.iter().position(|l| !l.connected && now - l.begun > allowed)
+        if let Some(position) =
+            self.counter.connections.iter().position(|l| !l.is_connected && now - l.begun > allowed)
         {
-            self.drop_link(place, "silent");
+            self.drop_counter_connection(position, "silent");
         }
-        self.drop_parted();
-        self.wait_for_calls();
+        self.drop_closing_connections();
+        self.schedule_call_timeout();
     }
 
     /// Drops the connections that part and owe nothing that anybody waits for, nor may bring it late.
-    fn drop_parted(&mut self) {
-        let now = self.at;
-        let owes =
-            |link: &Connection| link.connected && (link.reported_late < link.calls.len() || now < link.until);
-        self.counter.connections.retain(|link| !link.is_closing || owes(link));
+    fn drop_closing_connections(&mut self) {
+        let now = self.event_time;
+        let is_awaited = |connection: &Connection| {
+            connection.is_connected
+                && (connection.reported_late < connection.calls.len() || now < connection.drain_deadline)
+        };
+        self.counter.connections.retain(|connection| !connection.is_closing || is_awaited(connection));
     }
 
     /// Gives a connection up. Whether the calls written to it were added is not known; the others were not, and
     /// wait for the next one, unless none comes up.
-    fn drop_link(&mut self, place: usize, why: &str) {
+    fn drop_counter_connection(&mut self, position: usize, why: &str) {
         debug!("counter: {why}");
-        let link = self.counter.connections.remove(place);
-        for call in link.calls.into_iter().skip(link.reported_late) {
+        let connection = self.counter.connections.remove(position);
+        for call in connection.calls.into_iter().skip(connection.reported_late) {
             self.events.push_back(Event::CounterAnswered { name: call.name, total: Reading::Unknown });
         }
-        if !link.connected && !link.is_closing {
+        if !connection.is_connected && !connection.is_closing {
             self.fail_unsent();
         }
     }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -21,7 +21,7 @@
 struct Connection {
     number: u32,
     socket: OwnedFd,
-    connected: bool,
+    is_connected: bool,
     last_heard: Timestamp,
     reader: MessageReader,
     input: Vec<u8>,
@@ -30,23 +30,34 @@
     written: usize,
 }
 
-pub struct Watch {
+pub(crate) struct Watch {
     address: SocketAddr,
     index: u64,
     /// The newest is last. One at an address that was given up stays before it until the newest has spoken.
     connections: Vec<Connection>,
-    begun: u32,
+    last_number: u32,
     /// When a watch stood last, and when it was last said in the log that none does.
-    stood: Timestamp,
+    last_connected_at: Timestamp,
     logged_at: Option<Timestamp>,
 }
 
 impl Watch {
     /// Takes the list that the gateway had last; what discovery has comes on top.
-    pub fn new(address: SocketAddr, known: &Value, policy: &mut Gateway, runtime: &mut Runtime) -> Watch {
-        let (stood, told) = (runtime.now(), None);
-        let mut watch =
-            Watch { address, index: 0, connections: Vec::new(), begun: 0, stood, logged_at: told };
+    pub(crate) fn new(
+        address: SocketAddr,
+        known: &Value,
+        policy: &mut Gateway,
+        runtime: &mut Runtime,
+    ) -> Watch {
+        let (last_connected_at, logged_at) = (runtime.now(), None);
+        let mut watch = Watch {
+            address,
+            index: 0,
+            connections: Vec::new(),
+            last_number: 0,
+            last_connected_at,
+            logged_at,
+        };
         if !known.is_null() {
             watch.change(known, true, policy, runtime);
         }
@@ -56,7 +67,7 @@
     }
 
     /// Takes the watch up at another address, from the last version.
-    pub fn move_to(&mut self, address: SocketAddr, runtime: &mut Runtime) {
+    pub(crate) fn move_to(&mut self, address: SocketAddr, runtime: &mut Runtime) {
         if address != self.address {
             self.address = address;
             self.connections.truncate(1); // of several moves, only the last address is still wanted
@@ -65,8 +76,8 @@
     }
 
     fn open(&mut self, runtime: &mut Runtime) {
-        self.begun = self.begun.wrapping_add(1);
-        let number = self.begun;
+        self.last_number = self.last_number.wrapping_add(1);
+        let number = self.last_number;
         let source = Source::Watch(number);
         let opened = runtime.poll.connect(&self.address, source);
         let (index, address) = (self.index, self.address);
@@ -78,7 +89,7 @@
             Connection {
                 number,
                 socket,
-                connected: false,
+                is_connected: false,
                 last_heard: runtime.now(),
                 reader: MessageReader::default(),
                 input: Vec::new(),
@@ -90,89 +101,104 @@
     }
 
     /// Looks after the watch from time to time: one that is lost or has fallen silent is taken up again.
-    pub fn look_after(&mut self, runtime: &mut Runtime) {
+    pub(crate) fn maintain(&mut self, runtime: &mut Runtime) {
         let now = runtime.now();
-        let comes_up = runtime.carriage.connect_within;
-        self.connections.retain(|link| {
-            now - link.last_heard <= if link.connected { HEARTBEAT_INTERVAL * 3 } else { comes_up }
+        let connect_timeout = runtime.carriage.connect_within;
+        self.connections.retain(|connection| {
+            now - connection.last_heard
+                <= if connection.is_connected { HEARTBEAT_INTERVAL * 3 } else { connect_timeout }
         });
-        if self.connections.last().is_none_or(|link| link.number != self.begun) {
+        if self.connections.last().is_none_or(|connection| connection.number != self.last_number) {
             self.open(runtime);
         }
-        self.tell(now);
+        self.log_availability(now);
         runtime.wake_at(now + HEARTBEAT_INTERVAL / 4, Timer::Watch);
     }
 
     /// Says in the log that discovery is away, now and then, and that it is back. Invariant: a gateway that came up
     /// without a list bounces all, and nothing would say why.
-    fn tell(&mut self, now: Timestamp) {
+    fn log_availability(&mut self, now: Timestamp) {
         let address = self.address;
-        if self.connections.iter().any(|link| link.connected) {
-            self.stood = now;
+        if self.connections.iter().any(|connection| connection.is_connected) {
+            self.last_connected_at = now;
             if self.logged_at.take().is_some() {
                 info!("discovery at {address} answers again");
             }
-        } else if now - self.stood >= HEARTBEAT_INTERVAL
-            && self.logged_at.is_none_or(|told| now - told >= LOG_INTERVAL)
+        } else if now - self.last_connected_at >= HEARTBEAT_INTERVAL
+            && self.logged_at.is_none_or(|logged_at| now - logged_at >= LOG_INTERVAL)
         {
             self.logged_at = Some(now);
-            let past = (now - self.stood).as_secs();
-            warn!("discovery at {address} has not answered for {past:.0} s; the list of backends stays as it was");
+            let seconds_away = (now - self.last_connected_at).as_secs();
+            warn!("discovery at {address} has not answered for {seconds_away:.0} s; the list of backends stays as it was");
         }
     }
 
-    pub fn ready(&mut self, ready: ReadyEvent, number: u32, policy: &mut Gateway, runtime: &mut Runtime) {
-        let Some(place) = self.connections.iter().position(|link| link.number == number) else { return };
-        let mut link = self.connections.remove(place);
-        match self.go_on(&mut link, ready, policy, runtime) {
-            Ok(true) => self.connections.splice(..place, [link]).for_each(drop),
-            Ok(false) => self.connections.insert(place, link),
+    pub(crate) fn ready(
+        &mut self,
+        ready: ReadyEvent,
+        number: u32,
+        policy: &mut Gateway,
+        runtime: &mut Runtime,
+    ) {
+        let Some(position) = self.connections.iter().position(|connection| connection.number == number)
+        else {
+            return;
+        };
+        let mut connection = self.connections.remove(position);
+        match self.advance(&mut connection, ready, policy, runtime) {
+            Ok(true) => self.connections.splice(..position, [connection]).for_each(drop),
+            Ok(false) => self.connections.insert(position, connection),
             Err(why) => debug!("discovery: {why}"), // looked after in a moment
         }
     }
 
     /// Reads on; whether it has said anything.
-    fn go_on(
+    fn advance(
         &mut self,
-        link: &mut Connection,
+        connection: &mut Connection,
         ready: ReadyEvent,
         policy: &mut Gateway,
         runtime: &mut Runtime,
     ) -> Result<bool, String> {
         if ready.write {
-            if !link.connected {
-                poll::connect_result(&link.socket).map_err(|error| error.to_string())?;
-                link.connected = true;
+            if !connection.is_connected {
+                poll::connect_result(&connection.socket).map_err(|error| error.to_string())?;
+                connection.is_connected = true;
             }
-            let written = poll::write(&link.socket, &link.output, &mut link.written);
+            let written = poll::write(&connection.socket, &connection.output, &mut connection.written);
             written.map_err(|error| error.to_string())?;
         }
         if !ready.read {
             return Ok(false);
         }
-        let mut spoke = false;
+        let mut has_received_line = false;
         loop {
-            let came = poll::read(&link.socket, &mut runtime.scratch, &mut link.input, ready.ended);
-            link.last_heard = runtime.now();
-            let whole = link.reader.read_chunked_response(&mut link.input, &mut link.partial_lines);
-            let whole = whole.map_err(|fault| format!("{fault:?}"))?;
-            if whole.is_some() && link.reader.chunked_response_status(&link.input) != 200 {
-                return Err(format!("status {}", link.reader.chunked_response_status(&link.input)));
+            let outcome =
+                poll::read(&connection.socket, &mut runtime.scratch, &mut connection.input, ready.ended);
+            connection.last_heard = runtime.now();
+            let is_complete =
+                connection.reader.read_chunked_response(&mut connection.input, &mut connection.partial_lines);
+            let is_complete = is_complete.map_err(|error| format!("{error:?}"))?;
+            if is_complete.is_some() && connection.reader.chunked_response_status(&connection.input) != 200 {
+                return Err(format!(
+                    "status {}",
+                    connection.reader.chunked_response_status(&connection.input)
+                ));
             }
             let mut taken = 0;
-            while let Some(length) = memchr::memchr(b'\n', &link.partial_lines[taken..]) {
+            while let Some(length) = memchr::memchr(b'\n', &connection.partial_lines[taken..]) {
                 let line = taken..taken + length;
                 taken = line.end + 1;
-                self.line(link.partial_lines[line].trim_ascii(), policy, runtime)?;
-                spoke = true;
+                self.line(connection.partial_lines[line].trim_ascii(), policy, runtime)?;
+                has_received_line = true;
             }
-            link.partial_lines.drain(..taken);
-            if link.partial_lines.len() > MAX_LINE_BYTES {
+            connection.partial_lines.drain(..taken);
+            if connection.partial_lines.len() > MAX_LINE_BYTES {
                 return Err("a line too long".to_owned());
             }
-            match came {
-                Ok(ReadOutcome::Bytes) if whole != Some(true) => {}
-                Ok(ReadOutcome::WouldBlock) if whole != Some(true) => return Ok(spoke),
+            match outcome {
+                Ok(ReadOutcome::Bytes) if is_complete != Some(true) => {}
+                Ok(ReadOutcome::WouldBlock) if is_complete != Some(true) => return Ok(has_received_line),
                 Ok(_) => return Err("the watch has ended".to_owned()),
                 Err(error) => return Err(error.to_string()),
             }
@@ -191,40 +217,40 @@
         Ok(())
     }
 
-    fn change(&mut self, change: &Value, known: bool, policy: &mut Gateway, runtime: &mut Runtime) {
+    fn change(&mut self, change: &Value, is_initial: bool, policy: &mut Gateway, runtime: &mut Runtime) {
         let Some(entries) = change["instances"].as_array() else {
             return warn!("discovery: instances: expected an array");
         };
         self.index = change["generation"].as_u64().unwrap_or(self.index);
-        let whole = known || change["reset"].as_bool().unwrap_or(false);
+        let is_complete = is_initial || change["reset"].as_bool().unwrap_or(false);
         let mut lines = Vec::with_capacity(entries.len());
         for entry in entries {
-            match listed(entry) {
+            match parse_entry(entry) {
                 Ok((listed, address)) => {
                     runtime.list_backend(&listed.id, address, listed.status);
                     lines.push(listed);
                 }
-                Err(wrong) => warn!("discovery: {wrong}"),
+                Err(error) => warn!("discovery: {error}"),
             }
         }
-        if whole {
+        if is_complete {
             let ids: std::collections::BTreeSet<&str> = lines.iter().map(|line| line.id.as_str()).collect();
             runtime.retain_backends(|id| ids.contains(id));
         }
-        policy.update_backends(whole, &lines);
+        policy.update_backends(is_complete, &lines);
     }
 }
 
-fn listed(entry: &Value) -> Result<(BackendEntry, Option<SocketAddr>), String> {
+fn parse_entry(entry: &Value) -> Result<(BackendEntry, Option<SocketAddr>), String> {
     let id = entry["instanceId"].as_str().filter(|id| !id.is_empty()).ok_or("instanceId: expected an id")?;
-    let standing = match entry["lifecycle"].as_str() {
+    let status = match entry["lifecycle"].as_str() {
         Some("ready") => BackendStatus::Live,
         Some("draining") => BackendStatus::Draining,
         Some("gone") => BackendStatus::Removed,
         other => return Err(format!("{id}: lifecycle: expected a state, found {other:?}")),
     };
     let address = entry["hostPort"].as_str().and_then(|address| address.parse().ok());
-    if address.is_none() && standing == BackendStatus::Live {
+    if address.is_none() && status == BackendStatus::Live {
         warn!("discovery: {id}: hostPort: expected address and port, found {}", entry["hostPort"]);
     }
     let started = entry["startedAtMs"].as_f64().filter(|millis| *millis > 0.0);
@@ -232,7 +258,7 @@
         id: id.to_owned(),
         zone: entry["zone"].as_str().unwrap_or_default().to_owned(),
         cell: entry["cell"].as_i64().unwrap_or_default(),
-        status: standing,
+        status,
         weight: entry["weight"].as_f64().filter(|size| *size > 0.0 && size.is_finite()).unwrap_or(1.0),
         started: started.map(|millis| Timestamp::from_micros((millis * 1000.0) as i64)),
     };
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -9,12 +9,13 @@
 
 mod backends;
 mod clients;
-mod command;
+
 mod control;
 mod counter;
 mod discovery;
 mod poll;
 mod reload;
+mod request;
 mod request_head;
 mod runtime;
 mod server;
--- a/crates/gateway/src/poll.rs
+++ b/crates/gateway/src/poll.rs
@@ -1,6 +1,6 @@
 //! What waits for which socket: the shared epoll, with a source in each token.
 
-pub use kitepass_net::poller::{
+pub(crate) use kitepass_net::poller::{
     accept, clear_and_shrink, connect_result, has_ended, is_quiet, listen, read, write, Clock, ReadOutcome,
 };
 use kitepass_net::{poller, Errno};
@@ -13,14 +13,14 @@
 
 slotmap::new_key_type! {
     /// A client's connection.
-    pub struct ClientKey;
+    pub(crate) struct ClientKey;
     /// A connection to a backend.
-    pub struct ConnectionKey;
+    pub(crate) struct ConnectionKey;
 }
 
 /// What a socket belongs to. A closed one's late events are told from its successor's by key or number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub(crate) enum Source {
     Listener,
     Control,
     Counter(u32),
@@ -30,7 +30,7 @@
 }
 
 /// Keys have their place in the low half of 64 bits; the kind goes above any place that is ever used.
-const KIND_AT: u32 = 28;
+const KIND_SHIFT: u32 = 28;
 
 impl Source {
     fn pack(self) -> u64 {
@@ -42,13 +42,13 @@
             Source::Client(key) => (4, key.data().as_ffi()),
             Source::BackendConnection(key) => (5, key.data().as_ffi()),
         };
-        key | kind << KIND_AT
+        key | kind << KIND_SHIFT
     }
 
     fn unpack(data: u64) -> Option<Source> {
-        let key = || KeyData::from_ffi(data & !(15 << KIND_AT));
+        let key = || KeyData::from_ffi(data & !(15 << KIND_SHIFT));
         let number = (data >> 32) as u32;
-        Some(match (data & u64::from(u32::MAX)) >> KIND_AT {
+        Some(match (data & u64::from(u32::MAX)) >> KIND_SHIFT {
             0 => Source::Listener,
             1 => Source::Control,
             2 => Source::Counter(number),
@@ -62,38 +62,38 @@
 
 /// What a socket is ready for.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadyEvent {
-    pub source: Source,
-    pub read: bool,
-    pub write: bool,
+pub(crate) struct ReadyEvent {
+    pub(crate) source: Source,
+    pub(crate) read: bool,
+    pub(crate) write: bool,
     /// The other side has ended its sending: whatever is read, the end is still to be read behind it, and no
     /// further edge will tell of it.
-    pub ended: bool,
+    pub(crate) ended: bool,
 }
 
-pub struct Poller {
+pub(crate) struct Poller {
     poll: poller::Poller,
     /// What was ready last, with its tokens.
     raw: Vec<poller::ReadyEvent>,
 }
 
 impl Poller {
-    pub fn new() -> Result<Poller> {
+    pub(crate) fn new() -> Result<Poller> {
         Ok(Poller { poll: poller::Poller::new()?, raw: Vec::new() })
     }
 
     /// Watches a socket, once and for all: it tells each time that it has become ready again.
-    pub fn add(&self, socket: impl AsFd, source: Source) -> Result<()> {
+    pub(crate) fn add(&self, socket: impl AsFd, source: Source) -> Result<()> {
         self.poll.add(socket, source.pack())
     }
 
     /// Begins a connection and watches it; it becomes ready to write once it is made or has failed.
-    pub fn connect(&self, address: &SocketAddr, source: Source) -> Result<OwnedFd> {
+    pub(crate) fn connect(&self, address: &SocketAddr, source: Source) -> Result<OwnedFd> {
         self.poll.connect(address, source.pack())
     }
 
     /// Waits until a socket is ready or the time is over, and leaves what is ready in `ready`.
-    pub fn wait(&mut self, time: Option<Duration>, ready: &mut Vec<ReadyEvent>) -> Result<()> {
+    pub(crate) fn wait(&mut self, time: Option<Duration>, ready: &mut Vec<ReadyEvent>) -> Result<()> {
         self.poll.wait(time, &mut self.raw)?;
         ready.extend(self.raw.drain(..).filter_map(
             |poller::ReadyEvent { token, is_readable: read, is_writable: write, has_peer_ended: ended }| {
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -15,11 +15,11 @@
 
 impl Server {
     /// Reads the file that the configuration came from.
-    pub(crate) fn read_again(&mut self) {
+    pub(crate) fn reload(&mut self) {
         let Some(path) = &self.origin else { return warn!("nothing to read again: it came from no file") };
         match Launch::read(path) {
             Ok(launch) => self.take_up(launch.addresses),
-            Err(wrong) => error!("the old configuration stays: {wrong}"),
+            Err(error) => error!("the old configuration stays: {error}"),
         }
     }
 
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/request.rs
@@ -9,21 +9,21 @@
 use std::rc::Rc;
 
 slotmap::new_key_type! {
-    pub struct RequestKey;
+    pub(crate) struct RequestKey;
 }
 
 /// What the policy calls a request.
-pub fn id(key: RequestKey) -> String {
+pub(crate) fn id(key: RequestKey) -> String {
     key.data().as_ffi().to_string()
 }
 
-pub fn key(id: &str) -> Option<RequestKey> {
+pub(crate) fn key(id: &str) -> Option<RequestKey> {
     id.parse().ok().map(|ffi| KeyData::from_ffi(ffi).into())
 }
 
 /// A request's states. `Requests::shift` alone changes them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub(crate) enum State {
     /// Taken; no attempt is out.
     Queued,
     /// Its attempt is out.
@@ -35,76 +35,76 @@
 }
 
 #[derive(Debug)]
-pub struct Request {
-    pub client: ClientKey,
-    pub head: Rc<RequestHead>,
-    pub deadline: Timestamp,
-    pub attempts: u32,
-    pub last_outcome: Option<AttemptOutcome>,
+pub(crate) struct Request {
+    pub(crate) client: ClientKey,
+    pub(crate) head: Rc<RequestHead>,
+    pub(crate) deadline: Timestamp,
+    pub(crate) attempts: u32,
+    pub(crate) last_outcome: Option<AttemptOutcome>,
     state: State,
 }
 
 impl Request {
-    pub fn new(client: ClientKey, head: RequestHead, outer_limit: Timestamp) -> Request {
+    pub(crate) fn new(client: ClientKey, head: RequestHead, deadline: Timestamp) -> Request {
         Request {
             client,
             head: Rc::new(head),
-            deadline: outer_limit,
+            deadline,
             attempts: 0,
             last_outcome: None,
             state: State::Queued,
         }
     }
 
-    pub fn state(&self) -> State {
+    pub(crate) fn state(&self) -> State {
         self.state
     }
 }
 
 #[derive(Default)]
-pub struct Requests {
+pub(crate) struct Requests {
     all: SlotMap<RequestKey, Request>,
     /// Those that are to be answered, by their trace ids.
     open: HashMap<Box<[u8]>, RequestKey>,
 }
 
 impl Requests {
-    pub fn take(&mut self, command: Request) -> RequestKey {
-        let trace = command.head.trace().into();
-        let key = self.all.insert(command);
+    pub(crate) fn insert(&mut self, request: Request) -> RequestKey {
+        let trace = request.head.trace().into();
+        let key = self.all.insert(request);
         self.open.insert(trace, key);
         key
     }
 
     /// The request that is open under a trace id.
-    pub fn open_as(&self, trace: &[u8]) -> Option<&Request> {
+    pub(crate) fn open_request(&self, trace: &[u8]) -> Option<&Request> {
         self.get(*self.open.get(trace)?)
     }
 
-    pub fn get(&self, key: RequestKey) -> Option<&Request> {
+    pub(crate) fn get(&self, key: RequestKey) -> Option<&Request> {
         self.all.get(key)
     }
 
-    pub fn get_mut(&mut self, key: RequestKey) -> Option<&mut Request> {
+    pub(crate) fn get_mut(&mut self, key: RequestKey) -> Option<&mut Request> {
         self.all.get_mut(key)
     }
 
     /// Changes a request's state. One that is over is forgotten.
-    pub fn set_state(&mut self, key: RequestKey, to: State) {
-        if let (State::Abandoned | State::Finished, Some(command)) = (to, self.all.get(key)) {
-            let trace = command.head.trace();
+    pub(crate) fn set_state(&mut self, key: RequestKey, to: State) {
+        if let (State::Abandoned | State::Finished, Some(request)) = (to, self.all.get(key)) {
+            let trace = request.head.trace();
             if self.open.get(trace) == Some(&key) {
                 self.open.remove(trace);
             }
         }
         if to == State::Finished {
             self.all.remove(key);
-        } else if let Some(command) = self.all.get_mut(key) {
-            command.state = to;
+        } else if let Some(request) = self.all.get_mut(key) {
+            request.state = to;
         }
     }
 
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 }
@@ -118,7 +118,7 @@
     fn no_command_and_no_id_is_kept_once_it_is_over() {
         let settings = r#"{"Classes":[{"Name":"look"}],"Plans":[{"Name":"team"}]}"#;
         let (config, _) = kitepass_gateway_config::from_text("settings", settings).unwrap();
-        let mut commands = Requests::default();
+        let mut requests = Requests::default();
         for n in 0..1000 {
             let mut text = format!(
                 "GET /look/00000000b4d6{n:04x} HTTP/1.1\r\nX-Trace-Id: t{n}\r\nX-Tariff: team\r\n\
@@ -128,13 +128,13 @@
             let message =
                 MessageReader::default().next(MessageKind::Request, &mut text, false).unwrap().unwrap();
             let head = RequestHead::read(message, &config).unwrap();
-            let key = commands.take(Request::new(ClientKey::default(), head, Timestamp::from_micros(0)));
-            assert!(commands.open_as(format!("t{n}").as_bytes()).is_some());
-            commands.set_state(key, State::InFlight);
-            commands.set_state(key, State::Abandoned);
-            assert!(commands.open_as(format!("t{n}").as_bytes()).is_none());
-            commands.set_state(key, State::Finished);
+            let key = requests.insert(Request::new(ClientKey::default(), head, Timestamp::from_micros(0)));
+            assert!(requests.open_request(format!("t{n}").as_bytes()).is_some());
+            requests.set_state(key, State::InFlight);
+            requests.set_state(key, State::Abandoned);
+            assert!(requests.open_request(format!("t{n}").as_bytes()).is_none());
+            requests.set_state(key, State::Finished);
         }
-        assert!(commands.is_empty() && commands.open.is_empty());
+        assert!(requests.is_empty() && requests.open.is_empty());
     }
 }
--- a/crates/gateway/src/request_head.rs
+++ b/crates/gateway/src/request_head.rs
@@ -6,38 +6,38 @@
 use std::ops::Range;
 
 /// Customers are numbered below this.
-const CUSTOMERS: u64 = 1 << 33;
+const CUSTOMER_LIMIT: u64 = 1 << 33;
 /// The longest trace id.
 const MAX_TRACE_ID_BYTES: usize = 128;
 
 const TRACE: &str = "x-trace-id";
 const TARIFF: &str = "x-tariff";
-const EXPIRES: &str = "x-expires-in-ms";
+const EXPIRES_IN_MS: &str = "x-expires-in-ms";
 const WEIGHT: &str = "x-weight";
-const KEY: &str = "idempotency-key";
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// A request as it came, and what was read out of it.
 #[derive(Debug)]
-pub struct RequestHead {
-    pub message: Message,
+pub(crate) struct RequestHead {
+    pub(crate) message: Message,
     /// Its place in the target.
     workload: Range<usize>,
     /// In small letters: one tenant must not have a quota for each way to write it.
-    pub customer: String,
-    pub plan: String,
-    pub expires: Duration,
-    pub units: f64,
-    pub width: u32,
-    pub first: u32,
+    pub(crate) customer: String,
+    pub(crate) plan: String,
+    pub(crate) expires: Duration,
+    pub(crate) units: f64,
+    pub(crate) width: u32,
+    pub(crate) first: u32,
     /// The head that every attempt begins with; only the time that is left comes behind it.
-    lead: Vec<u8>,
+    attempt_head: Vec<u8>,
 }
 
 /// What is wrong with a request, for its client to read.
-pub type RequestError = &'static str;
+pub(crate) type RequestError = &'static str;
 
 impl RequestHead {
-    pub fn read(message: Message, config: &GatewayConfig) -> Result<RequestHead, RequestError> {
+    pub(crate) fn read(message: Message, config: &GatewayConfig) -> Result<RequestHead, RequestError> {
         let target = text(message.start_line_part(1)).ok_or("target")?;
         let path = target.split('?').next().unwrap_or_default();
         let (class, customer) = path[1..].split_once('/').ok_or("target: expected class and customer")?;
@@ -45,71 +45,72 @@
         let customer = customer.rsplit('/').next().unwrap_or_default().to_ascii_lowercase();
         let digits_alone = customer.len() == 16 && customer.bytes().all(|b| b.is_ascii_hexdigit());
         let number = u64::from_str_radix(&customer, 16).ok().filter(|_| digits_alone);
-        if number.is_none_or(|c| c >= CUSTOMERS) {
+        if number.is_none_or(|c| c >= CUSTOMER_LIMIT) {
             return Err("customer: expected 16 hex digits, a number below 2^33");
         }
         let class = config.workloads.iter().find(|w| w.name == class).ok_or("class: not known")?;
 
-        let trace = one(&message, TRACE)?.ok_or("X-Trace-Id: expected one")?;
+        let trace = single_field(&message, TRACE)?.ok_or("X-Trace-Id: expected one")?;
         if !(1..=MAX_TRACE_ID_BYTES).contains(&trace.len()) || !trace.iter().all(u8::is_ascii_graphic) {
             return Err("X-Trace-Id: expected an id");
         }
-        let plan = one(&message, TARIFF)?.and_then(text).ok_or("X-Tariff: expected a plan")?;
+        let plan = single_field(&message, TARIFF)?.and_then(text).ok_or("X-Tariff: expected a plan")?;
         if !config.plans.iter().any(|p| p.name == plan) {
             return Err("X-Tariff: not known");
         }
-        let expires = one(&message, EXPIRES)?.and_then(parse_decimal).filter(|millis| *millis < 1 << 32);
+        let expires =
+            single_field(&message, EXPIRES_IN_MS)?.and_then(parse_decimal).filter(|millis| *millis < 1 << 32);
         let expires = expires.ok_or("X-Expires-In-Ms: expected whole milliseconds")?;
-        let key = one(&message, KEY)?.filter(|key| !key.is_empty());
+        let key = single_field(&message, IDEMPOTENCY_KEY)?.filter(|key| !key.is_empty());
         if matches!(class.idempotency, Idempotency::Deduplicated { .. }) && key.is_none() {
             return Err("Idempotency-Key: expected one"); // without it a repeat would take effect twice
         }
-        if [TRACE, KEY].iter().any(|name| message.has_connection_option(name.as_bytes())) {
+        if [TRACE, IDEMPOTENCY_KEY].iter().any(|name| message.has_connection_option(name.as_bytes())) {
             return Err("Connection: names a field that a backend must see"); // a key left out repeats effects
         }
-        let weight = one(&message, WEIGHT)?.and_then(text).ok_or("X-Weight: expected one")?;
-        let (units, width, first) = weigh(weight, config).ok_or("X-Weight: expected units and set")?;
+        let weight = single_field(&message, WEIGHT)?.and_then(text).ok_or("X-Weight: expected one")?;
+        let (units, width, first) = parse_weight(weight, config).ok_or("X-Weight: expected units and set")?;
 
         let (plan, expires) = (plan.to_owned(), Duration::from_micros(expires as i64 * 1000));
-        let lead = lead(&message);
-        Ok(RequestHead { workload, customer, plan, expires, units, width, first, lead, message })
+        let attempt_head = attempt_head(&message);
+        Ok(RequestHead { workload, customer, plan, expires, units, width, first, attempt_head, message })
     }
 
-    pub fn workload(&self) -> &str {
+    pub(crate) fn workload(&self) -> &str {
         text(&self.message.start_line_part(1)[self.workload.clone()]).unwrap_or_default()
     }
 
     /// As long as the request is open, no other may have it.
-    pub fn trace(&self) -> &[u8] {
+    pub(crate) fn trace(&self) -> &[u8] {
         self.message.field(TRACE).unwrap_or_default()
     }
 
-    pub fn is_head(&self) -> bool {
+    pub(crate) fn is_head(&self) -> bool {
         self.message.start_line_part(0) == b"HEAD"
     }
 
     /// The message of one attempt, which will be waited for so long.
-    pub fn leg(&self, wait: Duration, into: &mut Vec<u8>) {
-        into.extend_from_slice(&self.lead);
+    pub(crate) fn append_attempt(&self, wait: Duration, into: &mut Vec<u8>) {
+        into.extend_from_slice(&self.attempt_head);
         into.extend_from_slice(format!("X-Expires-In-Ms: {}\r\n\r\n", wait.as_micros() / 1000).as_bytes());
         into.extend_from_slice(self.message.body());
     }
 }
 
-fn lead(message: &Message) -> Vec<u8> {
-    let mut lead = Vec::with_capacity(512);
+fn attempt_head(message: &Message) -> Vec<u8> {
+    let mut attempt_head = Vec::with_capacity(512);
     for part in [message.start_line_part(0), b" ", message.start_line_part(1), b" HTTP/1.1\r\n"] {
-        lead.extend_from_slice(part);
+        attempt_head.extend_from_slice(part);
     }
-    message.append_forwarded_fields(&[EXPIRES], &mut lead);
+    message.append_forwarded_fields(&[EXPIRES_IN_MS], &mut attempt_head);
     if !message.body().is_empty() || message.start_line_part(0) != b"GET" {
-        lead.extend_from_slice(format!("Content-Length: {}\r\n", message.body().len()).as_bytes());
+        attempt_head.extend_from_slice(format!("Content-Length: {}\r\n", message.body().len()).as_bytes());
     }
-    lead
+    attempt_head
 }
 
 /// A field that may stand only once.
-fn one<'a>(message: &'a Message, name: &str) -> Result<Option<&'a [u8]>, RequestError> {
+fn single_field<'a>(message: &'a Message, name: &str) -> Result<Option<&'a [u8]>, RequestError> {
     let mut found = message.fields().filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()));
     let first = found.next().map(|(_, value)| value);
     match found.next() {
@@ -123,14 +124,14 @@
 }
 
 /// Units, width and first gateway. Where no set is told, the width is 0.
-fn weigh(text: &str, config: &GatewayConfig) -> Option<(f64, u32, u32)> {
+fn parse_weight(text: &str, config: &GatewayConfig) -> Option<(f64, u32, u32)> {
     let (mut units, mut width, mut first) = (None, None, None);
     for part in text.split(',') {
         let (name, value) = part.trim().split_once('=')?;
         match name {
             "units" if units.is_none() => units = Some(value.parse::<f64>().ok()?),
-            "spread" if width.is_none() => width = Some(whole(value).filter(|width| *width >= 1)?),
-            "first" if first.is_none() => first = Some(whole(value)?),
+            "spread" if width.is_none() => width = Some(parse_u32(value).filter(|width| *width >= 1)?),
+            "first" if first.is_none() => first = Some(parse_u32(value)?),
             "units" | "spread" | "first" => return None, // which of two is meant is anybody's guess
             _ => {}                                      // names may be added
         }
@@ -142,6 +143,6 @@
     Some((units, width, first))
 }
 
-fn whole(text: &str) -> Option<u32> {
+fn parse_u32(text: &str) -> Option<u32> {
     parse_decimal(text.as_bytes()).and_then(|number| number.try_into().ok())
 }
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -3,9 +3,9 @@
 
 use crate::backends::Backends;
 use crate::clients::Clients;
-use crate::command::{self, RequestKey, Requests, State};
 use crate::counter::Counter;
 use crate::poll::{ClientKey, Clock, ConnectionKey, Poller};
+use crate::request::{self, RequestKey, Requests, State};
 use crate::timer_wheel::TimerWheel;
 use kitepass_gateway_config::Carriage;
 use kitepass_gateway_policy::{
@@ -17,7 +17,7 @@
 
 /// What the policy is to be told.
 #[derive(Debug)]
-pub enum Event {
+pub(crate) enum Event {
     RequestArrived(RequestKey),
     ClientDisconnected(RequestKey),
     AttemptEnded(AttemptEnded),
@@ -30,17 +30,17 @@
 }
 
 #[derive(Debug)]
-pub struct AttemptEnded {
-    pub request: RequestKey,
-    pub backend: Rc<str>,
-    pub outcome: AttemptOutcome,
-    pub is_final: bool,
-    pub elapsed: Duration,
-    pub actual_units: Option<f64>,
+pub(crate) struct AttemptEnded {
+    pub(crate) request: RequestKey,
+    pub(crate) backend: Rc<str>,
+    pub(crate) outcome: AttemptOutcome,
+    pub(crate) is_final: bool,
+    pub(crate) elapsed: Duration,
+    pub(crate) actual_units: Option<f64>,
 }
 
 #[derive(Debug)]
-pub enum Timer {
+pub(crate) enum Timer {
     Policy(String),
     Attempt(ConnectionKey),
     CounterCalls,
@@ -55,79 +55,79 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub(crate) enum Phase {
     Starting,
     Serving,
     /// Told to end: serving on for those who have not heard of it.
-    Leaving,
+    ShuttingDown,
     /// Each connection ends with its next answer.
     Closing,
 }
 
-pub struct Runtime {
-    pub clock: Clock,
+pub(crate) struct Runtime {
+    pub(crate) clock: Clock,
     /// The time that everything in hand is held to happen at. Read off the clock once for each event and
     /// timer: a request takes microseconds, and reading it at every step was a part of its cost.
-    pub at: Timestamp,
-    pub poll: Poller,
-    pub timers: TimerWheel<Timer>,
-    pub events: VecDeque<Event>,
-    pub config: Rc<GatewayConfig>,
-    pub carriage: Carriage,
-    pub phase: Phase,
-    pub clients: Clients,
-    pub commands: Requests,
-    pub backends: Backends,
-    pub counter: Counter,
+    pub(crate) event_time: Timestamp,
+    pub(crate) poll: Poller,
+    pub(crate) timers: TimerWheel<Timer>,
+    pub(crate) events: VecDeque<Event>,
+    pub(crate) config: Rc<GatewayConfig>,
+    pub(crate) carriage: Carriage,
+    pub(crate) phase: Phase,
+    pub(crate) clients: Clients,
+    pub(crate) requests: Requests,
+    pub(crate) backends: Backends,
+    pub(crate) counter: Counter,
     /// Whose request the policy is being told of.
-    pub in_hand: Option<ClientKey>,
+    pub(crate) current_client: Option<ClientKey>,
     /// What a read lands in.
-    pub scratch: Vec<u8>,
+    pub(crate) scratch: Vec<u8>,
 }
 
 impl Runtime {
-    pub fn now(&self) -> Timestamp {
-        self.at
+    pub(crate) fn now(&self) -> Timestamp {
+        self.event_time
     }
 
-    pub fn read_clock(&mut self) -> Timestamp {
-        self.at = self.clock.now();
-        self.at
+    pub(crate) fn read_clock(&mut self) -> Timestamp {
+        self.event_time = self.clock.now();
+        self.event_time
     }
 
-    pub fn wake_at(&mut self, due: Timestamp, timer: Timer) {
+    pub(crate) fn wake_at(&mut self, due: Timestamp, timer: Timer) {
         self.timers.schedule(due, timer);
     }
 
     /// A client has gone: nothing is answered, and an attempt that is out only ends.
-    pub fn left(&mut self, key: RequestKey) {
-        let Some(command) = self.commands.get(key) else { return };
-        let out = command.state() == State::InFlight;
-        self.commands.set_state(key, if out { State::Abandoned } else { State::Finished });
+    pub(crate) fn client_left(&mut self, key: RequestKey) {
+        let Some(request) = self.requests.get(key) else { return };
+        let has_attempt = request.state() == State::InFlight;
+        self.requests.set_state(key, if has_attempt { State::Abandoned } else { State::Finished });
     }
 }
 
 impl Host for Runtime {
-    fn send_attempt(&mut self, command: &str, backend: &str, allow: Duration) {
-        if let Some(key) = command::key(command) {
-            self.begin_attempt(key, backend, allow);
+    fn send_attempt(&mut self, request: &str, backend: &str, timeout: Duration) {
+        if let Some(key) = request::key(request) {
+            self.begin_attempt(key, backend, timeout);
         }
     }
 
-    fn reject(&mut self, command: &str, retry_in: Option<Duration>) {
-        if let Some(key) = command::key(command) {
-            self.give_up(key, true, retry_in);
+    fn reject(&mut self, request: &str, retry_in: Option<Duration>) {
+        if let Some(key) = request::key(request) {
+            self.answer_failure(key, true, retry_in);
         }
     }
 
-    fn fail(&mut self, command: &str) {
-        if let Some(key) = command::key(command) {
-            self.give_up(key, false, None);
+    fn fail(&mut self, request: &str) {
+        if let Some(key) = request::key(request) {
+            self.answer_failure(key, false, None);
         }
     }
 
     fn add_to_counter(&mut self, name: &str, amount: f64, keep: Duration) {
-        self.call(name, amount, keep);
+        self.call_counter(name, amount, keep);
     }
 
     // Gateways on sockets are not told each other's addresses, so start-up leaves the policy no peers to
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -2,13 +2,13 @@
 
 use crate::backends::Backends;
 use crate::clients::Clients;
-use crate::command::{self, Requests};
 use crate::control::{Control, ControlMessage, ControlReceiver};
 use crate::counter::Counter;
 use crate::discovery::Watch;
 use crate::poll::{self, Clock, Poller, ReadyEvent, Source};
+use crate::request::{self, Requests};
 use crate::runtime::{Event, Phase, Runtime, Timer};
-use crate::startup::{Launch, SILENCE};
+use crate::startup::{Launch, INITIAL_LIST_TIMEOUT};
 use crate::timer_wheel::TimerWheel;
 use kitepass_gateway_policy::{AttemptEnd, Gateway, IncomingRequest};
 use log::{error, info};
@@ -19,14 +19,14 @@
 
 /// Descriptors for everything but clients and backends: standard streams, epoll, the listener, signals,
 /// discovery, the counter, and some to spare.
-const OTHERS: usize = 24;
+const RESERVED_SOCKETS: usize = 24;
 
 /// A gateway that listens, to be run on one thread.
 pub struct Server {
     policy: Gateway,
     pub(crate) runtime: Runtime,
     pub(crate) watch: Watch,
-    ear: ControlReceiver,
+    control_receiver: ControlReceiver,
     pub(crate) origin: Option<PathBuf>,
 }
 
@@ -43,45 +43,46 @@
         let poll = Poller::new().map_err(failed("epoll"))?;
         let listener = poll::listen(&launch.listen).map_err(failed(&format!("listen {}", launch.listen)))?;
         poll.add(&listener, Source::Listener).map_err(failed("listen"))?;
-        let ear = ControlReceiver::open().map_err(|error| format!("control: {error}"))?;
-        poll.add(ear.socket(), Source::Control).map_err(failed("control"))?;
+        let control_receiver = ControlReceiver::open().map_err(|error| format!("control: {error}"))?;
+        poll.add(control_receiver.socket(), Source::Control).map_err(failed("control"))?;
         // A request holds a client's connection and at most one to a backend. Clients have no more than a third:
         // who brings them in counts those at rest as well, and opens no other for a request once they are so many.
         // Some more are let in to be told that there is no room.
-        let (lines, places) = ((launch.sockets - OTHERS) / 2, launch.sockets / 3);
+        let (max_backend_connections, max_clients) =
+            ((launch.sockets - RESERVED_SOCKETS) / 2, launch.sockets / 3);
         let spare = launch.sockets / 32;
         let mut runtime = Runtime {
             clock,
-            at: now,
+            event_time: now,
             poll,
             timers: TimerWheel::new(now),
             events: VecDeque::new(),
             config,
             carriage: launch.carriage,
             phase: Phase::Starting,
-            clients: Clients::new(listener, places - spare, places - 1),
-            commands: Requests::default(),
-            backends: Backends::new(lines),
+            clients: Clients::new(listener, max_clients - spare, max_clients - 1),
+            requests: Requests::default(),
+            backends: Backends::new(max_backend_connections),
             counter: Counter::new(launch.addresses.counter),
-            in_hand: None,
+            current_client: None,
             scratch: vec![0; 1 << 16],
         };
         let watch = Watch::new(launch.addresses.discovery, &launch.known, &mut policy, &mut runtime);
         runtime.drop_idle_connections();
-        runtime.look_after_clients();
-        runtime.wake_at(now + SILENCE, Timer::UseInitialList);
+        runtime.sweep_clients();
+        runtime.wake_at(now + INITIAL_LIST_TIMEOUT, Timer::UseInitialList);
         info!("{} listens on {}", launch.name, launch.listen);
-        Ok(Server { policy, runtime, watch, ear, origin: launch.origin })
+        Ok(Server { policy, runtime, watch, control_receiver, origin: launch.origin })
     }
 
     /// SIGTERM and SIGINT end it, SIGHUP has it read its configuration again.
     pub fn heed_signals(&self) -> Result<(), String> {
-        self.ear.heed_signals().map_err(|error| format!("signals: {error}"))
+        self.control_receiver.heed_signals().map_err(|error| format!("signals: {error}"))
     }
 
     /// Tells it what to do while it runs.
     pub fn control(&self) -> Control {
-        self.ear.control()
+        self.control_receiver.control()
     }
 
     /// Serves until it has been told to end and has answered all that it took.
@@ -107,7 +108,7 @@
     fn is_done(&self) -> bool {
         self.runtime.phase == Phase::Closing
             && self.runtime.clients.is_empty()
-            && self.runtime.commands.is_empty()
+            && self.runtime.requests.is_empty()
     }
 
     /// A panic ends the connection that brought it about, and nothing else.
@@ -115,12 +116,12 @@
         self.runtime.read_clock();
         let worked = catch_unwind(AssertUnwindSafe(|| {
             work(self);
-            self.tell();
+            self.deliver_events();
         }));
         if worked.is_err() {
             error!("a panic at {source:?}");
             let of_source = if let Some(Source::Client(key)) = source { Some(key) } else { None };
-            for key in [of_source, self.runtime.in_hand.take()].into_iter().flatten() {
+            for key in [of_source, self.runtime.current_client.take()].into_iter().flatten() {
                 self.runtime.client_disconnected(key);
             }
         }
@@ -128,8 +129,8 @@
 
     fn ready(&mut self, ready: ReadyEvent) {
         match ready.source {
-            Source::Listener => self.runtime.let_in(),
-            Source::Control => self.heard(),
+            Source::Listener => self.runtime.accept_clients(),
+            Source::Control => self.handle_control(),
             Source::Counter(number) => self.runtime.counter_ready(ready, number),
             Source::Watch(number) => self.watch.ready(ready, number, &mut self.policy, &mut self.runtime),
             Source::Client(key) => self.runtime.client_ready(ready, key),
@@ -137,12 +138,12 @@
         }
     }
 
-    fn heard(&mut self) {
-        for word in self.ear.heard(&mut self.runtime.scratch) {
-            match word {
-                ControlMessage::End => self.runtime.told_to_end(),
-                ControlMessage::TakeUp(addresses) => self.take_up(addresses),
-                ControlMessage::ReadAgain => self.read_again(),
+    fn handle_control(&mut self) {
+        for message in self.control_receiver.take_messages(&mut self.runtime.scratch) {
+            match message {
+                ControlMessage::End => self.runtime.begin_shutdown(),
+                ControlMessage::UpdateAddresses(addresses) => self.take_up(addresses),
+                ControlMessage::Reload => self.reload(),
             }
         }
     }
@@ -151,33 +152,33 @@
         match timer {
             Timer::Policy(token) => self.policy.timer_fired(self.runtime.now(), &token, &mut self.runtime),
             Timer::Attempt(key) => self.runtime.attempt_timed_out(key),
-            Timer::CounterCalls => self.runtime.calls_due(),
+            Timer::CounterCalls => self.runtime.expire_counter_calls(),
             Timer::Linger(key) => self.runtime.client_disconnected(key),
-            Timer::AcceptClients => self.runtime.let_in(),
+            Timer::AcceptClients => self.runtime.accept_clients(),
             Timer::DropIdleConnections => self.runtime.drop_idle_connections(),
-            Timer::Watch => self.watch.look_after(&mut self.runtime),
-            Timer::UseInitialList => self.runtime.do_with_known(),
-            Timer::StopAccepting => self.runtime.close_down(),
-            Timer::SweepClients => self.runtime.look_after_clients(),
+            Timer::Watch => self.watch.maintain(&mut self.runtime),
+            Timer::UseInitialList => self.runtime.use_initial_list(),
+            Timer::StopAccepting => self.runtime.stop_accepting(),
+            Timer::SweepClients => self.runtime.sweep_clients(),
         }
     }
 
     /// Tells the policy what has happened, until its orders bring about nothing more.
-    fn tell(&mut self) {
+    fn deliver_events(&mut self) {
         let (policy, runtime) = (&mut self.policy, &mut self.runtime);
         while let Some(event) = runtime.events.pop_front() {
             let now = runtime.now();
             match event {
                 Event::RequestArrived(key) => {
-                    let Some(command) = runtime.commands.get(key) else { continue };
-                    let (head, outer_limit) = (command.head.clone(), command.deadline);
-                    runtime.in_hand = Some(command.client);
+                    let Some(request) = runtime.requests.get(key) else { continue };
+                    let (head, deadline) = (request.head.clone(), request.deadline);
+                    runtime.current_client = Some(request.client);
                     let asked = IncomingRequest {
-                        id: &command::id(key),
+                        id: &request::id(key),
                         tenant: &head.customer,
                         workload: head.workload(),
                         plan: &head.plan,
-                        deadline: outer_limit,
+                        deadline,
                         units: head.units,
                         gateways: head.width,
                         first_gateway: head.first,
@@ -185,13 +186,14 @@
                     policy.request_arrived(now, &asked, runtime);
                 }
                 Event::ClientDisconnected(key) => {
-                    runtime.left(key);
-                    policy.client_disconnected(&command::id(key));
+                    runtime.client_left(key);
+                    policy.client_disconnected(&request::id(key));
                 }
                 Event::AttemptEnded(ended) => {
-                    runtime.in_hand = runtime.commands.get(ended.request).map(|command| command.client);
+                    runtime.current_client =
+                        runtime.requests.get(ended.request).map(|request| request.client);
                     let end = AttemptEnd {
-                        request_id: &command::id(ended.request),
+                        request_id: &request::id(ended.request),
                         backend: &ended.backend,
                         outcome: ended.outcome,
                         is_final: ended.is_final,
@@ -203,7 +205,7 @@
                 Event::CounterAnswered { name, total } => policy.counter_answered(now, &name, total, runtime),
                 Event::Pipelined(client) => runtime.next_command(client),
             }
-            runtime.in_hand = None;
+            runtime.current_client = None;
         }
     }
 }
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -27,9 +27,9 @@
 }
 
 /// A start waits for so long for discovery before the list that it came with has to do.
-pub const SILENCE: Duration = Duration::from_secs(1);
+pub const INITIAL_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 /// Fewer descriptors than this serve nobody.
-const FEWEST: u64 = 64;
+const MIN_SOCKETS: u64 = 64;
 
 impl Launch {
     /// Reads the configuration that `BALANCER_CONFIG` names.
@@ -41,7 +41,7 @@
 
     pub fn read(path: &Path) -> Result<Launch, String> {
         let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
-        let mut launch = Launch::from_text(&text).map_err(|wrong| format!("{}: {wrong}", path.display()))?;
+        let mut launch = Launch::from_text(&text).map_err(|error| format!("{}: {error}", path.display()))?;
         launch.origin = Some(path.to_owned());
         Ok(launch)
     }
@@ -59,8 +59,8 @@
             Value::Null => u64::MAX,
             found => found
                 .as_u64()
-                .filter(|sockets| *sockets >= FEWEST)
-                .ok_or_else(|| format!("limits.sockets: expected a whole number from {FEWEST}"))?,
+                .filter(|sockets| *sockets >= MIN_SOCKETS)
+                .ok_or_else(|| format!("limits.sockets: expected a whole number from {MIN_SOCKETS}"))?,
         };
         let allowed = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
         let known = &all["known"];
@@ -86,7 +86,7 @@
 
 impl Runtime {
     /// Discovery is silent: without any list there is nothing to serve with.
-    pub fn do_with_known(&mut self) {
+    pub fn use_initial_list(&mut self) {
         if self.phase == Phase::Starting && self.backends.any_listed() {
             self.phase = Phase::Serving;
         }
