--- /dev/null
+++ b/crates/gateway/src/backends/connection.rs
@@ -0,0 +1,114 @@
+//! Input and output on the connections to backends.
+
+use super::failure::FailureCause;
+use crate::http::{MessageKind, ParseError, MAX_BODY_BYTES, MAX_HEAD_BYTES};
+use crate::poll::{self, ConnectionKey, ReadOutcome, ReadyEvent};
+use crate::request::State;
+use crate::runtime::{Runtime, Timer};
+use log::warn;
+
+impl Runtime {
+    /// Serves a connection whose socket has become ready.
+    pub(crate) fn backend_ready(&mut self, ready: ReadyEvent, key: ConnectionKey) {
+        if ready.write && !self.finish_connecting(key) {
+            return;
+        }
+        if ready.read {
+            self.read_backend(key, ready.ended);
+        }
+    }
+
+    /// Takes note that a connection is up, or has failed, and writes to it; false if it was dropped. A socket becomes
+    /// ready to write once its connection is made or has failed.
+    fn finish_connecting(&mut self, key: ConnectionKey) -> bool {
+        let now = self.now();
+        let Some(connection) = self.backends.connections.get_mut(key) else { return false };
+        if !connection.is_connected {
+            if let Err(error) = poll::connect_result(&connection.socket) {
+                self.fail_connection(key, FailureCause::ConnectionError(error));
+                return false;
+            }
+            let Some(attempt) = &mut connection.attempt else { return true };
+            let deadline = attempt.deadline;
+            self.timers.cancel(attempt.timer);
+            attempt.timer = self.timers.schedule(deadline, Timer::Attempt(key));
+            // While the connection was being made, the backend may have begun to drain, or the client have left.
+            let is_awaited = self.requests.get(attempt.request).is_some_and(|c| c.state() == State::InFlight);
+            let is_live = self.backends.records.get(&connection.backend).is_some_and(|record| record.is_live);
+            if !is_live || !is_awaited {
+                self.fail_connection(key, FailureCause::NotSendable);
+                return false;
+            }
+            if deadline <= now {
+                self.fail_connection(key, FailureCause::TimedOut);
+                return false;
+            }
+            if let Some(connection) = self.backends.connections.get_mut(key) {
+                connection.is_connected = true;
+            }
+        }
+        self.write_backend(key);
+        true
+    }
+
+    /// Writes as much of the attempt as the socket takes.
+    pub(super) fn write_backend(&mut self, key: ConnectionKey) {
+        let Some(connection) = self.backends.connections.get_mut(key) else { return };
+        if let Err(error) = poll::write(&connection.socket, &connection.output, &mut connection.written) {
+            // A backend may have answered before it closed the connection.
+            if connection.written > 0 && connection.attempt.is_some() {
+                self.read_backend(key, true);
+            }
+            self.fail_connection(key, FailureCause::ConnectionError(error));
+        }
+    }
+
+    /// Reads what has come, and ends the attempt with its answer once that is complete.
+    fn read_backend(&mut self, key: ConnectionKey, ended: bool) {
+        let now = self.now();
+        loop {
+            let Some(connection) = self.backends.connections.get_mut(key) else { return };
+            if !connection.is_connected {
+                return;
+            }
+            let outcome = poll::read(&connection.socket, &mut self.scratch, &mut connection.input, ended);
+            let Some(attempt) = &mut connection.attempt else {
+                // An idle connection that the backend closes, or on which it sends bytes unasked, cannot be reused.
+                if outcome != Ok(ReadOutcome::WouldBlock) || !connection.input.is_empty() {
+                    self.backends.connections.remove(key);
+                }
+                return;
+            };
+            let kind = MessageKind::Response { to_head: attempt.is_head_request };
+            let ended = matches!(outcome, Ok(ReadOutcome::EndOfStream));
+            match connection.reader.next(kind, &mut connection.input, ended) {
+                Ok(Some(answer)) => return self.finish_attempt(key, answer, ended),
+                Ok(None)
+                    if connection.reader.has_partial_message(&connection.input)
+                        && !attempt.has_response_begun =>
+                {
+                    // An answer whose Content-Length is too large would be waited for until the deadline: one that
+                    // has begun gets no longer than a connection does to come up.
+                    attempt.has_response_begun = true;
+                    let due = attempt.deadline.min(now + self.carriage.connect_within);
+                    self.timers.cancel(attempt.timer);
+                    attempt.timer = self.timers.schedule(due, Timer::Attempt(key));
+                }
+                Ok(None) => {}
+                Err(error) => {
+                    warn!("{}: an answer that is none: {error:?}", connection.backend);
+                    return self.fail_connection(key, FailureCause::ParseError(error));
+                }
+            }
+            if connection.input.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES {
+                return self.fail_connection(key, FailureCause::ParseError(ParseError::BodyTooLarge));
+            }
+            match outcome {
+                Ok(ReadOutcome::Bytes) => {}
+                Ok(ReadOutcome::WouldBlock) => return,
+                Ok(ReadOutcome::EndOfStream) => return self.fail_connection(key, FailureCause::Closed),
+                Err(error) => return self.fail_connection(key, FailureCause::ConnectionError(error)),
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/backends/pool.rs
@@ -0,0 +1,88 @@
+//! Connections to backends that are kept for reuse.
+
+use super::{BackendConnection, IdleConnection};
+use crate::http::MessageReader;
+use crate::poll::{self, ConnectionKey, Source};
+use crate::runtime::{Runtime, Timer};
+use kitepass_time::{Duration, Timestamp};
+use rustix::io::Errno;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+impl Runtime {
+    /// Takes the connection that was idle for the shortest time, if the backend has not closed it.
+    pub(super) fn reuse_connection(&mut self, backend: &str, now: Timestamp) -> Option<ConnectionKey> {
+        let oldest = now - self.idle_timeout();
+        let record = self.backends.records.get_mut(backend)?;
+        while let Some(IdleConnection { since, key }) = record.idle.pop_back() {
+            let Some(connection) = self.backends.connections.get(key) else { continue };
+            // Invariant: no request is written to a connection that the backend has closed. It would be lost, and the
+            // policy would have to take it for one that may have run.
+            if since > oldest && poll::is_quiet(&connection.socket) {
+                return Some(key);
+            }
+            self.backends.connections.remove(key);
+        }
+        None
+    }
+
+    /// How long a connection may be idle: a little less than the time after which backends close it themselves.
+    fn idle_timeout(&self) -> Duration {
+        self.carriage.idle / 8 * 7
+    }
+
+    /// Opens a connection to a backend, closing idle ones where there are too many.
+    ///
+    /// # Errors
+    /// `MFILE` where as many connections as are allowed carry attempts; else what the system says.
+    pub(super) fn open_connection(
+        &mut self,
+        backend: &Rc<str>,
+        address: &SocketAddr,
+    ) -> rustix::io::Result<ConnectionKey> {
+        if self.backends.connections.len() >= self.backends.max_connections {
+            self.close_longest_idle();
+        }
+        if self.backends.connections.len() >= self.backends.max_connections {
+            return Err(Errno::MFILE);
+        }
+        let connect = |key| {
+            Ok(BackendConnection {
+                socket: self.poll.connect(address, Source::BackendConnection(key))?,
+                backend: backend.clone(),
+                is_connected: false,
+                attempt: None,
+                reader: MessageReader::default(),
+                input: Vec::new(),
+                output: Vec::new(),
+                written: 0,
+            })
+        };
+        self.backends.connections.try_insert_with_key(connect)
+    }
+
+    /// Closes the connections that have been idle longest until there is room for another.
+    fn close_longest_idle(&mut self) {
+        while self.backends.connections.len() >= self.backends.max_connections {
+            let idle = self.backends.records.values_mut().filter(|record| !record.idle.is_empty());
+            let Some(record) = idle.min_by_key(|record| record.idle[0].since) else { return };
+            if let Some(IdleConnection { key, .. }) = record.idle.pop_front() {
+                self.backends.connections.remove(key);
+            }
+        }
+    }
+
+    /// Closes connections that have been idle for too long, and sets the timer that does so again.
+    pub(crate) fn drop_idle_connections(&mut self) {
+        let now = self.now();
+        let oldest = now - self.idle_timeout();
+        for record in self.backends.records.values_mut() {
+            while record.idle.front().is_some_and(|idle| idle.since <= oldest) {
+                if let Some(IdleConnection { key, .. }) = record.idle.pop_front() {
+                    self.backends.connections.remove(key);
+                }
+            }
+        }
+        self.wake_at(now + self.carriage.idle / 16, Timer::DropIdleConnections);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/request/tests.rs
@@ -0,0 +1,30 @@
+//! The table of requests under way.
+
+use super::{Request, Requests, State};
+use crate::http::{MessageKind, MessageReader};
+use crate::poll::ClientKey;
+use crate::request_head::RequestHead;
+use kitepass_time::Timestamp;
+
+#[test]
+fn no_request_and_no_trace_id_is_kept_once_it_is_finished() {
+    let settings = r#"{"Classes":[{"Name":"look"}],"Plans":[{"Name":"team"}]}"#;
+    let (config, _) = kitepass_gateway_config::from_text("settings", settings).unwrap();
+    let mut requests = Requests::default();
+    for n in 0..1000 {
+        let mut text = format!(
+            "GET /look/00000000b4d6{n:04x} HTTP/1.1\r\nX-Trace-Id: t{n}\r\nX-Tariff: team\r\n\
+             X-Expires-In-Ms: 100\r\nX-Weight: units=1\r\n\r\n"
+        )
+        .into_bytes();
+        let message = MessageReader::default().next(MessageKind::Request, &mut text, false).unwrap().unwrap();
+        let head = RequestHead::read(message, &config).unwrap();
+        let key = requests.insert(Request::new(ClientKey::default(), head, Timestamp::from_micros(0)));
+        assert!(requests.open_request(format!("t{n}").as_bytes()).is_some());
+        requests.set_state(key, State::InFlight);
+        requests.set_state(key, State::Abandoned);
+        assert!(requests.open_request(format!("t{n}").as_bytes()).is_none());
+        requests.set_state(key, State::Finished);
+    }
+    assert!(requests.is_empty() && requests.open.is_empty());
+}
