--- a/crates/gateway/tests/sockets/reload.rs
+++ b/crates/gateway/tests/sockets/reload.rs
@@ -1,58 +1,61 @@
 //! A new configuration while the gateway runs.
 
-use crate::stand::*;
-use crate::{ask, pass, spent};
+use crate::harness::{
+    backend, ok, request_head, settings, unused_address, Gateway, Options, StubServer, Watch, TEST_TIMEOUT,
+};
+use crate::{gateway_with_spent_quota, pass, send_pooled_request};
 use kitepass_gateway::{Addresses, Launch, Server};
 use rustix::process::Signal;
 
 #[test]
-fn a_reload_under_load_takes_up_discovery_and_counter_and_loses_nothing() {
-    let (old, new) = (Stand::open(), Stand::open());
-    let (mut gateway, watch, mut client, mut line) = spent(old.address);
-    ask(&mut client, "t2");
-    let mut calls = old.line();
-    calls.hear();
-    let mut other = gateway.line();
-    other.say(command("once", "t3").replace("b4d65521", "b4d65522") + "\r\n");
-    let leg = line.hear();
-    assert_eq!(leg.field("X-Trace-Id"), Some("t3"));
+fn a_reload_under_load_moves_discovery_and_counter_and_loses_no_request() {
+    let (old, new) = (StubServer::open(), StubServer::open());
+    let (mut gateway, watch, mut client, mut connection) = gateway_with_spent_quota(old.address);
+    send_pooled_request(&mut client, "t2");
+    let mut calls = old.accept();
+    calls.receive();
+    let mut other = gateway.connect();
+    other.send(request_head("once", "t3").replace("b4d65521", "b4d65522") + "\r\n");
+    let attempt = connection.receive();
+    assert_eq!(attempt.field("X-Trace-Id"), Some("t3"));
     // Told twice while the first is still under way.
-    let (discovery, moved) = (gateway.discovery.address.to_string(), Stand::open());
+    let (discovery, moved) = (gateway.discovery.address.to_string(), StubServer::open());
     let addresses =
         [(discovery, moved.address.to_string()), (old.address.to_string(), new.address.to_string())];
     gateway.reload(&addresses.each_ref().map(|(from, to)| (from.as_str(), to.as_str())));
-    let (mut next, asked) = Watch::begin(&moved);
-    assert!(asked.head.contains("index=8 "), "from the last version: {}", asked.head);
+    let (mut next, request) = Watch::begin(&moved);
+    assert!(request.head.contains("index=8 "), "from the last version: {}", request.head);
     gateway.signal(Signal::HUP);
     // What is under way at the old addresses is finished there, and nothing of it is sent again.
-    line.say(ok("fine"));
-    assert_eq!(other.hear().body, b"fine");
-    calls.say(ok("0.5"));
-    pass(&mut client, &mut line);
+    connection.send(ok("fine"));
+    assert_eq!(other.receive().body, b"fine");
+    calls.send(ok("0.5"));
+    pass(&mut client, &mut connection);
     assert!(calls.ends(), "nothing more goes to the old counter");
-    ask(&mut client, "t4");
-    let mut calls = new.line();
-    assert!(calls.hear().head.contains("/counters/00000000b4d65521/."));
-    calls.say(ok("0.5"));
-    pass(&mut client, &mut line);
+    send_pooled_request(&mut client, "t4");
+    let mut calls = new.accept();
+    assert!(calls.receive().head.contains("/counters/00000000b4d65521/."));
+    calls.send(ok("0.5"));
+    pass(&mut client, &mut connection);
     // The old watch tells until the new one has spoken; drains are kept.
-    next.tell(9, false, &[backend("b1", nobody(), "draining")]);
-    assert!(line.ends(), "an idle connection to a backend that drains");
+    next.send_list(9, false, &[backend("b1", unused_address(), "draining")]);
+    assert!(connection.ends(), "an idle connection to a backend that drains");
     assert!(watch.ends());
     assert!(old.is_untouched() && new.is_untouched() && gateway.discovery.is_untouched());
     gateway.signal(Signal::HUP);
     gateway.terminate();
     drop((client, other));
     assert!(gateway.ends_well());
-    assert!(gateway.has_said_nothing());
+    assert!(gateway.has_logged_nothing());
 }
 
 #[test]
-fn a_configuration_that_cannot_be_read_again_changes_nothing() {
-    let stand = Stand::open();
-    let (mut gateway, mut watch) = Gateway::ready(&Plan::default(), &[backend("b0", stand.address, "ready")]);
-    let mut client = gateway.line();
-    let mut idle = crate::see_through(&mut client, &stand, "t0");
+fn an_invalid_reload_changes_nothing() {
+    let backend_stub = StubServer::open();
+    let (mut gateway, mut watch) =
+        Gateway::ready(&Options::default(), &[backend("b0", backend_stub.address, "ready")]);
+    let mut client = gateway.connect();
+    let mut idle = crate::serve_request(&mut client, &backend_stub, "t0");
     let discovery = format!("\"discovery\":\"{}\"", gateway.discovery.address);
     let (there, bad_counter) = ("\"discovery\":\"there\"", "\"counter\":5");
     for (changes, what) in [
@@ -61,40 +64,40 @@
         (vec![(bad_counter, "\"counter\":null"), ("{\"name\"", "{,\"name\"")], "expected JSON"),
     ] {
         gateway.reload(&changes);
-        let line = gateway.said();
-        assert!(line.contains(what) && line.contains("the old configuration stays"), "{line}");
+        let log_line = gateway.next_log_line();
+        assert!(log_line.contains(what) && log_line.contains("the old configuration stays"), "{log_line}");
     }
     gateway.remove_config();
     gateway.signal(Signal::HUP);
-    assert!(gateway.said().contains("No such file"));
+    assert!(gateway.next_log_line().contains("No such file"));
     // The watch is the old one still.
-    watch.tell(9, true, &[backend("b1", stand.address, "ready")]);
+    watch.send_list(9, true, &[backend("b1", backend_stub.address, "ready")]);
     assert!(idle.ends(), "closed on the news that b0 is gone");
-    crate::see_through(&mut client, &stand, "t1");
-    assert!(gateway.discovery.is_untouched() && gateway.has_said_nothing());
+    crate::serve_request(&mut client, &backend_stub, "t1");
+    assert!(gateway.discovery.is_untouched() && gateway.has_logged_nothing());
 }
 
 #[test]
-fn a_program_that_embeds_a_gateway_moves_and_ends_it_without_signals() {
-    let (discovery, moved) = (Stand::open(), Stand::open());
+fn an_embedding_program_reloads_and_ends_a_gateway_without_signals() {
+    let (discovery, moved) = (StubServer::open(), StubServer::open());
     let text = format!(
         r#"{{"name":"g0","listen":"{}","discovery":"{}","seed":"1","settings":{}}}"#,
-        nobody(),
+        unused_address(),
         discovery.address,
         settings(false)
     );
-    let (told, hear) = std::sync::mpsc::channel();
+    let (told, receive) = std::sync::mpsc::channel();
     // A gateway stays on the thread where it is opened.
     let running = std::thread::spawn(move || {
         let server = Server::open(Launch::from_text(&text)?)?;
         told.send(server.control()).unwrap();
         server.run()
     });
-    let control = hear.recv_timeout(PATIENCE).unwrap();
+    let control = receive.recv_timeout(TEST_TIMEOUT).unwrap();
     let (watch, _) = Watch::begin(&discovery);
     control.take_up(Addresses { discovery: moved.address, counter: None });
     let (mut next, _) = Watch::begin(&moved);
-    next.tell(9, true, &[]);
+    next.send_list(9, true, &[]);
     assert!(watch.ends());
     control.end();
     assert_eq!(running.join().unwrap(), Ok(()));
