--- a/crates/gateway/tests/sockets/harness.rs
+++ b/crates/gateway/tests/sockets/harness.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what a gateway talks to, all of them led by the test step by step: a connection that comes in
-//! is handed over, and each side says only what the test has it say. Nothing waits for longer than `PATIENCE`.
+//! Stubs of what a gateway talks to, driven by the test step by step: an accepted connection is handed to the test, and
+//! each side sends only what the test sends. Nothing waits for longer than [`TEST_TIMEOUT`].
 
 use rustix::net::{self, AddressFamily, SocketFlags, SocketType};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -12,14 +12,14 @@
 
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An address that nobody else uses: of this process, and of one test in it.
+/// A loopback address of this process that no other test uses.
 fn own_address() -> IpAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let [.., high, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, high | 128, low, NEXT.fetch_add(1, Ordering::Relaxed)).into()
 }
 
-/// A message as it came, the head with its empty line.
+/// A message as received, the head with its empty line.
 #[derive(Debug)]
 pub(crate) struct Message {
     pub(crate) head: String,
@@ -59,17 +59,17 @@
         self
     }
 
-    /// Says it, unless the other side has ended the connection.
+    /// Sends the bytes; false if the peer has closed the connection.
     pub(crate) fn try_send(&mut self, text: impl AsRef<[u8]>) -> bool {
         self.stream.write_all(text.as_ref()).is_ok()
     }
 
-    /// The next whole message.
+    /// The next complete message.
     pub(crate) fn receive(&mut self) -> Message {
         self.receive_or_end().expect("a message")
     }
 
-    /// The next whole message, or nothing if the other side has ended the connection without one.
+    /// The next complete message; `None` if the peer has closed the connection before it.
     pub(crate) fn receive_or_end(&mut self) -> Option<Message> {
         loop {
             if let Some(end) = self.input.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
@@ -96,7 +96,7 @@
                     self.input.extend_from_slice(&buffer[..length]);
                     length > 0
                 }
-                // A machine or program that is stopped and goes on cuts a read short that has a time.
+                // A stopped and resumed process interrupts a read that has a time-out.
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => false,
                 Err(error) => panic!("nothing came: {error}"),
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Whether the other side ends the connection, saying nothing more.
+    /// Whether the peer closes the connection without sending anything more.
     pub(crate) fn ends(&mut self) -> bool {
         !self.more() && self.input.is_empty()
     }
@@ -114,7 +114,7 @@
     }
 }
 
-/// Takes connections in and hands each to the test.
+/// A server that accepts connections and hands each to the test.
 pub(crate) struct StubServer {
     pub(crate) address: SocketAddr,
     connections: Receiver<Connection>,
@@ -144,7 +144,7 @@
     }
 }
 
-/// A backend that is full of connections: further ones do not come up until it takes one in.
+/// A backend whose accept queue is full: further connections are not made until it accepts one.
 pub(crate) struct FullListener {
     pub(crate) address: SocketAddr,
     listener: TcpListener,
@@ -154,12 +154,12 @@
 impl FullListener {
     pub(crate) fn open() -> FullListener {
         let listener = TcpListener::bind((own_address(), 0)).unwrap();
-        net::listen(&listener, 0).unwrap(); // one may wait
+        net::listen(&listener, 0).unwrap(); // a queue of one
         let address = listener.local_addr().unwrap();
         FullListener { address, listener, _first: TcpStream::connect(address).unwrap() }
     }
 
-    /// Takes the one that waits in, and the next one that comes up.
+    /// Accepts the connection in the queue, and then the next one that is made.
     pub(crate) fn accept_second(self) -> Connection {
         self.listener.accept().unwrap();
         Connection::new(self.listener.accept().unwrap().0)
@@ -168,8 +168,8 @@
 
 /// An address where connections are refused, and where a gateway can listen.
 pub(crate) fn unused_address() -> SocketAddr {
-    // It never listens. Danger: a program that another test starts just now holds a copy of every descriptor until
-    // it runs; a listener would go on in it, take connections in and keep the address from the gateway.
+    // Invariant: this socket never listens. A program that another test starts at this moment holds a copy of every
+    // descriptor until it executes; a listener would live on in it, accept connections and keep the address in use.
     let socket =
         net::socket_with(AddressFamily::INET, SocketType::STREAM, SocketFlags::CLOEXEC, None).unwrap();
     net::sockopt::set_socket_reuseaddr(&socket, true).unwrap();
@@ -187,7 +187,7 @@
 pub(crate) struct Watch(Connection);
 
 impl Watch {
-    /// Takes the gateway's next watch up; the request that it came with is in the second place.
+    /// Accepts the gateway's next watch, and returns it with the gateway's request.
     pub(crate) fn begin(discovery: &StubServer) -> (Watch, Message) {
         let mut connection = discovery.accept();
         let request = connection.receive();
@@ -209,7 +209,7 @@
     }
 }
 
-/// One gateway without a counter, or one of two with it.
+/// Settings of a single gateway without a counter, or of one of two gateways with one.
 pub(crate) fn settings(counted: bool) -> String {
     let (counter, gateways) = if counted { ("true", "2") } else { ("false", "1") };
     SETTINGS.replace("COUNTED", counter).replace("GATEWAYS", gateways)
@@ -225,13 +225,13 @@
   {"Name":"pooled","Refill":0.000001,"StoreSize":2.8}],
  "Safety":{"AnswerSlack":0.016,"DrainGrace":0.5,"Fall":1.0,"FallMultiple":3.0,"WarmWithin":10.0,"ColdFrom":0.3}}"#;
 
-/// What a gateway is started with, beside the settings.
+/// What a gateway is started with, besides the settings.
 pub(crate) struct Options<'a> {
     pub(crate) sockets: u32,
     pub(crate) counter: Option<SocketAddr>,
     pub(crate) known: &'a [String],
     pub(crate) connect_within: f64,
-    /// The time of a call to the counter.
+    /// The time-out of a call to the counter, in seconds.
     pub(crate) counter_timeout: f64,
 }
 
@@ -275,7 +275,7 @@
         Gateway { address, discovery, child, config, text, log }
     }
 
-    /// Changes its configuration and has it read that again.
+    /// Changes the configuration file and has the gateway reload it.
     pub(crate) fn reload(&mut self, changes: &[(&str, &str)]) {
         for (from, to) in changes {
             assert!(self.text.contains(from), "{from}");
@@ -310,7 +310,7 @@
         self.log.try_recv().is_err()
     }
 
-    /// Starts one with these backends and waits until it is ready.
+    /// Starts a gateway with these backends and waits until it is ready.
     pub(crate) fn ready(options: &Options, backends: &[String]) -> (Gateway, Watch) {
         let gateway = Gateway::start(options);
         let (mut watch, _) = Watch::begin(&gateway.discovery);
@@ -323,7 +323,7 @@
         Connection::to(self.address)
     }
 
-    /// Asks until it answers so whether it is ready.
+    /// Polls the readiness check until it answers this status.
     pub(crate) fn wait_until(&self, status: u16) {
         let (mut connection, begun) = (self.connect(), Instant::now());
         while connection.send("GET /healthz HTTP/1.1\r\nHost: g\r\n\r\n").receive().status() != status {
@@ -340,7 +340,7 @@
         rustix::process::kill_process(id, signal).expect("signalled");
     }
 
-    /// Waits for its end and says whether that was a good one.
+    /// Waits until the program has ended; whether it ended with success.
     pub(crate) fn ends_well(&mut self) -> bool {
         let begun = Instant::now();
         while begun.elapsed() < TEST_TIMEOUT {
@@ -379,8 +379,8 @@
     program
 }
 
-/// A command's head, as clients send it, up to its last field. Only a `once` command's leg has all the time that
-/// the client gives it: others are cut, and go again, once they are overdue.
+/// A request's head, as clients send it, without its empty line. Only an attempt of a `once` request has all of the
+/// client's time: an attempt of another class is cancelled once it is overdue, and the request is retried.
 pub(crate) fn request_head(class: &str, trace: &str) -> String {
     let method = if class == "door" { "POST" } else { "GET" };
     format!(
--- a/crates/gateway/tests/sockets/main.rs
+++ b/crates/gateway/tests/sockets/main.rs
@@ -1,5 +1,6 @@
-//! The program as it is started, spoken to over sockets.
+//! The program `kitepass`, tested over sockets.
 
+mod counter;
 mod harness;
 mod reload;
 mod service;
@@ -8,15 +9,14 @@
     backend, ok, request_head, settings, start, unused_address, write_config, Connection, FullListener,
     Gateway, Options, StubServer, Watch,
 };
-use std::net::SocketAddr;
 use std::process::Stdio;
-use std::time::{Instant, SystemTime};
+use std::time::Instant;
 
 fn serving(sockets: u32) -> (Gateway, Watch, StubServer) {
     serving_with(sockets, 1)
 }
 
-/// The same stand-in as several backends: where there is one, the module soon sees an overload.
+/// One stub listed as several backends: with a single backend, the policy soon takes failures for an overload.
 fn serving_with(sockets: u32, backends: usize) -> (Gateway, Watch, StubServer) {
     let backend_stub = StubServer::open();
     let options = Options { sockets, ..Options::default() };
@@ -25,9 +25,9 @@
     (gateway, watch, backend_stub)
 }
 
-/// Sends a command, answers it over the backend's next connection and returns that.
+/// Sends a request, answers it over the backend's next connection and returns that connection.
 fn serve_request(client: &mut Connection, backend_stub: &StubServer, trace: &str) -> Connection {
-    client.send(request_head("once", trace) + "\r\n"); // its leg has all of the time
+    client.send(request_head("once", trace) + "\r\n"); // its attempt has all of the client's time
     let mut connection = backend_stub.accept();
     assert_eq!(connection.receive().field("x-trace-id"), Some(trace));
     connection.send(ok("fine"));
@@ -57,7 +57,7 @@
     let answer = client.receive();
     assert_eq!((answer.status(), answer.field("X-More")), (200, Some("y")));
     assert_eq!(answer.body, b"ab\n\0\r\n.");
-    // The next one comes chunked, over the same two connections.
+    // The next request is chunked, over the same two connections.
     let head = request_head("door", "t2") + "Idempotency-Key: k-2\r\nTransfer-Encoding: chunked\r\n\r\n";
     client.send(head + "5\r\nhello\r\n1\r\n!\r\n0\r\n\r\n");
     assert_eq!(connection.receive().body, b"hello!");
@@ -73,7 +73,7 @@
     let tiny = |trace| request_head("look", trace).replace("team", "tiny") + "\r\n";
     client.send(tiny("t1"));
     backend_stub.accept().receive();
-    // However it is written, it is the same customer.
+    // Upper and lower case name the same customer.
     let mut other = gateway.connect();
     other.send(tiny("t2").replace("b4d65521", "B4D65521"));
     let answer = other.receive();
@@ -86,14 +86,14 @@
 fn an_attempt_that_never_ran_is_retried_and_one_that_may_have_run_is_not() {
     let (gateway, mut watch, backend_stub) = serving_with(256, 12);
     let mut client = gateway.connect();
-    // Turned away with the proof that it never ran: once more, though it is a once-only command.
+    // Rejected with the proof that it never ran: retried, although it is not idempotent.
     client.send(request_head("once", "t1") + "\r\n");
     let mut connection = backend_stub.accept();
     connection.receive();
     connection.send("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
     let mut connection = backend_stub.accept();
     assert_eq!(connection.receive().field("X-Trace-Id"), Some("t1"));
-    // After the last byte nobody knows: it is scrapped, whether the connection breaks or an answer says so.
+    // After the last byte it may have run: it fails, whether the connection breaks or an answer reports a failure.
     drop(connection);
     assert_eq!(client.receive().status(), 502);
     for answer in
@@ -107,7 +107,7 @@
         let answer = client.receive();
         assert_eq!((answer.status(), answer.body.len()), (502, 0));
     }
-    // Nobody listens: it never ran, so a once-only command may be bounced.
+    // Nobody listens: it never ran, so even a non-idempotent request may be rejected.
     let mut idle = serve_request(&mut client, &backend_stub, "t3");
     watch.send_list(9, true, &[backend("b2", unused_address(), "ready")]);
     assert!(idle.ends(), "closed on the news that b1 is gone");
@@ -132,7 +132,7 @@
     let (gateway, _watch) = Gateway::ready(&options, &[backend("b1", crowded.address, "ready")]);
     let mut client = gateway.connect();
     client.send(request_head("once", "t1") + "\r\n");
-    gateway.wait_until(200); // it has the command by now
+    gateway.wait_until(200); // it has the request by now
     drop(client);
     gateway.wait_until(200);
     assert!(crowded.accept_second().ends());
@@ -166,7 +166,7 @@
         connection.send(ok("fine"));
         assert_eq!(client.receive().status(), 200);
     }
-    // Both are kept; the newest is used again and brings nothing, nor does anything else come from there.
+    // Both connections are kept; the newer is reused, and nothing comes from the backend any more.
     let [first, accept_second] = &mut connections;
     clients[0].send(request_head("once", "t2").replace("20000", "700") + "\r\n");
     accept_second.receive();
@@ -192,7 +192,7 @@
     );
     for (trace, answer) in [("t2", "two"), ("t3", "three")] {
         assert_eq!(connection.receive().field("X-Trace-Id"), Some(trace));
-        // What a client says behind its last command is not heard, and does not end the wait for the answer.
+        // Bytes behind a client's last request are ignored, and do not end the wait for the answer.
         if trace == "t3" {
             client.send("GET ");
             gateway.wait_until(200);
@@ -211,9 +211,9 @@
     let mut connection = backend_stub.accept();
     connection.receive();
     drop(client);
-    // The next client's leg goes over a connection of its own while that one is out.
+    // The next client's attempt has a connection of its own while the first is in flight.
     serve_request(&mut gateway.connect(), &backend_stub, "t2");
-    // A gateway ends once nothing is out any more.
+    // A gateway ends once no attempt is in flight.
     gateway.terminate();
     gateway.wait_until(503);
     connection.send(ok("for nobody"));
@@ -225,7 +225,7 @@
     let (gateway, _watch, backend_stub) = serving(256);
     let mut client = gateway.connect();
     for trace in ["t1", "t2", "t3"] {
-        // Each time the line is dropped once it has answered; a once-only command must not be lost in it.
+        // The backend closes each connection after its answer; a non-idempotent request must not be lost on it.
         client.send(request_head("once", trace) + "\r\n");
         let mut connection = backend_stub.accept();
         connection.receive();
@@ -238,7 +238,7 @@
 fn a_draining_or_removed_backend_gets_no_new_request_and_a_lost_watch_removes_none() {
     let (one, two) = (StubServer::open(), StubServer::open());
     let entry = |id, backend_stub: &StubServer, lifecycle| backend(id, backend_stub.address, lifecycle);
-    // What it knows from before does for a start.
+    // The list in its configuration is enough to start with.
     let known = [entry("b1", &one, "ready")];
     let gateway = Gateway::start(&Options { known: &known, ..Options::default() });
     let (mut watch, request) = Watch::begin(&gateway.discovery);
@@ -250,7 +250,7 @@
     assert!(idle.ends(), "closed on the news");
     let mut idle = serve_request(&mut client, &two, "t2");
     assert!(one.is_untouched());
-    // A line that is none, then the end of the watch: it is taken up from the last version.
+    // An invalid line, then the end of the watch: it is resumed from the last version.
     watch.send_line("{\"generation\":");
     drop(watch);
     let (mut watch, request) = Watch::begin(&gateway.discovery);
@@ -259,7 +259,7 @@
     assert_eq!(idle.receive().field("X-Trace-Id"), Some("t3"), "silence took b2 away");
     idle.send(ok(""));
     assert_eq!(client.receive().status(), 200);
-    // One entry that makes no sense takes nothing from the others; what a whole list leaves out is gone.
+    // An invalid entry does not affect the others; backends that a complete list leaves out are removed.
     watch.send_list(10, true, &["{\"instanceId\":5}".to_owned(), entry("b1", &one, "ready")]);
     assert!(idle.ends());
     serve_request(&mut client, &one, "t4");
@@ -275,7 +275,7 @@
     serve_request(&mut idle, &backend_stub, "t2");
     gateway.terminate();
     gateway.wait_until(503);
-    // Clients go on connecting for a while.
+    // Clients still connect for a while.
     serve_request(&mut gateway.connect(), &backend_stub, "t3");
     assert!(idle.ends(), "idle connections are closed in the end");
     connection.send(ok("late"));
@@ -289,8 +289,8 @@
 #[test]
 fn clients_beyond_the_limit_are_rejected_and_idle_ones_are_closed() {
     let (mut gateway, _watch, backend_stub) = serving_with(64, 12);
-    // Of 64 descriptors 24 are kept for other things and half of the rest for backends; 21 are for clients, two
-    // of them for those who are told that there is no room.
+    // Of 64 descriptors 24 are reserved and half of the rest are for backends; 21 are for clients, two of them for those
+    // that are answered that there are too many.
     let (mut clients, mut connections) = (Vec::new(), Vec::new());
     for n in 0..19 {
         let mut client = gateway.connect();
@@ -310,7 +310,7 @@
         connection.send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nfine");
         assert_eq!(client.receive().body, b"fine");
     }
-    // These have nothing under way now and make room for others.
+    // These are idle now and are closed for others.
     for n in 0..19 {
         serve_request(&mut gateway.connect(), &backend_stub, &format!("v{n}")).end_sending();
     }
@@ -327,7 +327,7 @@
     connection.receive();
     let good = request_head("look", "t2") + "\r\n";
     let door = request_head("door", "t2") + "Idempotency-Key: k\r\n";
-    // The framing stands: the connection goes on.
+    // The framing is intact: the connection stays open.
     let mut client = gateway.connect();
     for (from, to) in [
         ("X-Trace-Id: t2\r\n", ""),
@@ -342,7 +342,7 @@
         ("units=1", "units=-1"),
         ("units=1", "units=1e300"),
         ("units=1", "units=nan"),
-        ("units=1", "units=6.5"), // more than the largest command has
+        ("units=1", "units=6.5"), // more than the largest request may cost
         ("units=1", "units=2,units=1"),
         ("spread=1", "spread=+1"),
         ("first=0", "first=4294967296"),
@@ -361,7 +361,7 @@
         assert!(good.contains(from), "{from}");
         assert_eq!(client.send(good.replace(from, to)).receive().status(), 400, "{from} -> {to}");
     }
-    // It is lost: the connection is closed behind the answer.
+    // The framing is lost: the connection is closed after the answer.
     let large = "a".repeat(20_000);
     for (text, status) in [
         ("nonsense\r\n\r\n".to_owned(), 400),
@@ -406,85 +406,10 @@
     }
 }
 
-/// A command of which the part of the quota here holds one; of the pool it may borrow less than one.
-pub(crate) fn send_pooled_request(client: &mut Connection, trace: &str) {
-    let head = request_head("look", trace).replace("team", "pooled");
-    client.send(head.replace("spread=1", "spread=2") + "\r\n");
-}
-
-pub(crate) fn pass(client: &mut Connection, connection: &mut Connection) {
-    connection.receive();
-    connection.send(ok("fine"));
-    let answer = client.receive();
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, b"fine".as_slice()));
-}
-
-/// A gateway, a client of it and a connection to its backend, after the first command: for the next the counter
-/// is asked.
-pub(crate) fn gateway_with_spent_quota(counter: SocketAddr) -> (Gateway, Watch, Connection, Connection) {
-    gateway_with_spent_quota_from(&Options { counter: Some(counter), ..Options::default() })
-}
-
-fn gateway_with_spent_quota_from(options: &Options) -> (Gateway, Watch, Connection, Connection) {
-    let backend_stub = StubServer::open();
-    let (gateway, watch) = Gateway::ready(options, &[backend("b1", backend_stub.address, "ready")]);
-    let mut client = gateway.connect();
-    send_pooled_request(&mut client, "t1");
-    let mut connection = backend_stub.accept();
-    pass(&mut client, &mut connection);
-    (gateway, watch, client, connection)
-}
-
-#[test]
-fn a_counter_that_is_down_costs_no_time() {
-    let (_gateway, _watch, mut client, _line) = gateway_with_spent_quota(unused_address());
-    send_pooled_request(&mut client, "t2");
-    assert_eq!(client.receive().status(), 429);
-}
-
-#[test]
-fn a_counter_that_does_not_answer_is_called_over_a_new_connection() {
-    let counter = StubServer::open();
-    let (_gateway, _watch, mut client, mut connection) = gateway_with_spent_quota(counter.address);
-    send_pooled_request(&mut client, "t2");
-    let mut silent = counter.accept();
-    silent.receive();
-    let mut calls = counter.accept();
-    calls.receive();
-    calls.send(ok("0.5"));
-    pass(&mut client, &mut connection);
-    while silent.receive_or_end().is_some() {}
-}
-
-#[test]
-fn a_stalled_counter_connection_is_replaced_long_before_the_connect_timeout() {
-    let counter = StubServer::open();
-    let options = Options {
-        counter: Some(counter.address),
-        connect_within: 8.0,
-        counter_timeout: 0.05,
-        ..Options::default()
-    };
-    let (_gateway, _watch, mut client, mut connection) = gateway_with_spent_quota_from(&options);
-    send_pooled_request(&mut client, "t2");
-    let mut stalled = counter.accept();
-    stalled.receive();
-    let mut calls = counter.accept();
-    calls.receive();
-    // What it brings late is heard, and is not taken for the answer to a later call.
-    stalled.send(ok("999"));
-    calls.send(ok("0.5"));
-    pass(&mut client, &mut connection);
-    // The old connection is kept for long, but no call waits for its end.
-    send_pooled_request(&mut client, "t3");
-    calls.receive();
-    assert_eq!(client.receive().status(), 429);
-}
-
 #[test]
 fn an_unresponsive_watch_is_resumed() {
     let (gateway, _silent, backend_stub) = serving(256);
-    // Its empty lines stay out; the next watch begins at the version that was told last.
+    // No empty lines come; the next watch begins at the last version sent.
     let (mut watch, request) = Watch::begin(&gateway.discovery);
     assert!(request.head.contains("index=8 "), "{}", request.head);
     let mut idle = serve_request(&mut gateway.connect(), &backend_stub, "t1");
@@ -498,75 +423,14 @@
     let (mut watch, _) = Watch::begin(&gateway.discovery);
     let begun = Instant::now();
     while begun.elapsed().as_millis() < 1300 {
-        gateway.wait_until(503); // also past the time after which a list from before would do
+        gateway.wait_until(503); // also after the time-out for using the configured list
     }
     watch.send_list(1, true, &[]);
     gateway.wait_until(200);
-    // It has been told that there are no backends: what comes is refused.
+    // The list is complete and empty: requests are rejected.
     assert_eq!(gateway.connect().send(request_head("look", "t1") + "\r\n").receive().status(), 429);
 }
 
-#[test]
-fn counter_calls_are_pipelined_and_late_answers_match_their_call() {
-    let counter = StubServer::open();
-    let (_gateway, _watch, mut client, mut connection) = gateway_with_spent_quota(counter.address);
-    let (client, connection) = (&mut client, &mut connection);
-    send_pooled_request(client, "t2");
-    let calls = &mut counter.accept();
-    let call = calls.receive().head;
-    assert!(
-        call.starts_with("POST /counters/00000000b4d65521/.") && call.contains("?by=1&expire_ms="),
-        "{call}"
-    );
-    // No answer in its time: the next call goes behind it, and the late answer is not taken for its.
-    assert_eq!(calls.receive().head, call);
-    calls.send(ok("999") + &ok("0.5"));
-    pass(client, connection);
-    // Nonsense from it, or no number: the call has failed, and the next one goes over a new connection.
-    send_pooled_request(client, "t3");
-    calls.receive();
-    calls.send("nonsense\r\n\r\n");
-    assert!(calls.ends());
-    let mut calls = counter.accept();
-    calls.receive();
-    calls.send(ok("many"));
-    assert!(calls.ends());
-    let mut calls = counter.accept();
-    calls.receive();
-    calls.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-    calls.receive();
-    calls.send(ok("999"));
-    assert_eq!(client.receive().status(), 429);
-}
-
-#[test]
-fn a_late_total_still_reports_the_usage_of_others() {
-    let (counter, backend_stub) = (StubServer::open(), StubServer::open());
-    let options = Options { counter: Some(counter.address), connect_within: 8.0, ..Options::default() };
-    let (gateway, _watch) = Gateway::ready(&options, &[backend("b1", backend_stub.address, "ready")]);
-    let mut client = gateway.connect();
-    let one = |trace| request_head("once", trace).replace("spread=1", "spread=2") + "\r\n";
-    // A sum runs on for 8 s of the wall clock under one name. A total of the last one says nothing of what is left
-    // now, so all calls, a second's worth, have to fall into one sum.
-    let into_sum = || SystemTime::UNIX_EPOCH.elapsed().unwrap().as_millis() % 8000;
-    while into_sum() > 5000 {
-        client.send("GET /healthz HTTP/1.1\r\nHost: g\r\n\r\n").receive();
-    }
-    let (mut connection, mut calls, mut names) = (None, None, Vec::new());
-    // The third call goes half of the call's time after the second, and that one as long after the first.
-    for trace in ["t1", "t2", "t3"] {
-        client.send(one(trace));
-        pass(&mut client, connection.get_or_insert_with(|| backend_stub.accept()));
-        let call = calls.get_or_insert_with(|| counter.accept()).receive().head;
-        assert!(call.contains("/counters/00000000b4d65521."), "{call}");
-        names.push(call.split('?').next().unwrap().to_owned());
-    }
-    assert!(names.iter().all(|name| *name == names[0]), "not one sum: {names:?}");
-    // The others were offered so much that nothing is left of the quota.
-    calls.unwrap().send(ok("900000000000000"));
-    assert_eq!(client.send(one("t4")).receive().status(), 429);
-}
-
 #[test]
 fn an_invalid_configuration_ends_the_program_with_one_error_message() {
     let good = format!(
--- a/crates/gateway/tests/sockets/reload.rs
+++ b/crates/gateway/tests/sockets/reload.rs
@@ -1,9 +1,9 @@
-//! A new configuration while the gateway runs.
+//! Reloading the configuration of a running gateway.
 
+use crate::counter::{gateway_with_spent_quota, pass, send_pooled_request};
 use crate::harness::{
     backend, ok, request_head, settings, unused_address, Gateway, Options, StubServer, Watch, TEST_TIMEOUT,
 };
-use crate::{gateway_with_spent_quota, pass, send_pooled_request};
 use kitepass_gateway::{Addresses, Launch, Server};
 use rustix::process::Signal;
 
@@ -18,7 +18,7 @@
     other.send(request_head("once", "t3").replace("b4d65521", "b4d65522") + "\r\n");
     let attempt = connection.receive();
     assert_eq!(attempt.field("X-Trace-Id"), Some("t3"));
-    // Told twice while the first is still under way.
+    // Two reloads, the second while the first is still in progress.
     let (discovery, moved) = (gateway.discovery.address.to_string(), StubServer::open());
     let addresses =
         [(discovery, moved.address.to_string()), (old.address.to_string(), new.address.to_string())];
@@ -26,7 +26,7 @@
     let (mut next, request) = Watch::begin(&moved);
     assert!(request.head.contains("index=8 "), "from the last version: {}", request.head);
     gateway.signal(Signal::HUP);
-    // What is under way at the old addresses is finished there, and nothing of it is sent again.
+    // Calls in flight at the old addresses finish there, and none is sent again.
     connection.send(ok("fine"));
     assert_eq!(other.receive().body, b"fine");
     calls.send(ok("0.5"));
@@ -37,7 +37,7 @@
     assert!(calls.receive().head.contains("/counters/00000000b4d65521/."));
     calls.send(ok("0.5"));
     pass(&mut client, &mut connection);
-    // The old watch tells until the new one has spoken; drains are kept.
+    // The old watch stays open until the new one has brought a line; draining takes effect.
     next.send_list(9, false, &[backend("b1", unused_address(), "draining")]);
     assert!(connection.ends(), "an idle connection to a backend that drains");
     assert!(watch.ends());
@@ -70,7 +70,7 @@
     gateway.remove_config();
     gateway.signal(Signal::HUP);
     assert!(gateway.next_log_line().contains("No such file"));
-    // The watch is the old one still.
+    // The old watch is still in use.
     watch.send_list(9, true, &[backend("b1", backend_stub.address, "ready")]);
     assert!(idle.ends(), "closed on the news that b0 is gone");
     crate::serve_request(&mut client, &backend_stub, "t1");
@@ -87,7 +87,7 @@
         settings(false)
     );
     let (told, receive) = std::sync::mpsc::channel();
-    // A gateway stays on the thread where it is opened.
+    // A gateway runs on the thread that opened it.
     let running = std::thread::spawn(move || {
         let server = Server::open(Launch::from_text(&text)?)?;
         told.send(server.control()).unwrap();
--- a/crates/gateway/tests/sockets/service.rs
+++ b/crates/gateway/tests/sockets/service.rs
@@ -1,10 +1,10 @@
-//! Clients and backends that behave badly, and usual ones served beside them.
+//! Clients and backends that misbehave, while others are served.
 
 use crate::harness::{backend, ok, request_head, Connection};
 use crate::{serve_request, serving, serving_with};
 use std::time::Instant;
 
-/// Whether the connection ends within the time that its client is owed, whatever it says before.
+/// Whether the connection closes within the gateway's time-outs, whatever comes on it before.
 fn ends_in_time(connection: &mut Connection, begun: Instant) -> bool {
     while connection.receive_or_end().is_some() {}
     begun.elapsed().as_millis() < 3000
@@ -20,7 +20,7 @@
     slow.send("GET /look/00000000b4d65521 HTTP/1.1\r\nX-A: ");
     let mut usual = gateway.connect();
     let mut connection = serve_request(&mut usual, &backend_stub, "t1");
-    // Byte by byte, for as long as it is let: each one comes in time, the head never does.
+    // Byte by byte, for as long as the connection is open: each byte comes in time, the complete head never does.
     let mut left = 8000;
     while begun.elapsed().as_millis() < 2800 {
         left -= i32::from(left > 0 && slow.try_send("a")); // less than a head may hold
@@ -34,7 +34,7 @@
     for connection in silent.iter_mut().chain([&mut half]) {
         assert!(ends_in_time(connection, begun));
     }
-    // One that asks once and holds on is let go as well, if later.
+    // A client that sends requests and then stays idle is closed as well, if later.
     assert!(usual.ends());
 }
 
@@ -60,14 +60,14 @@
 #[test]
 fn the_longest_idle_clients_are_closed_and_none_that_was_just_accepted() {
     let (gateway, _watch, backend_stub) = serving_with(96, 12);
-    // A third of the descriptors is for clients, and one place of it stays free.
+    // A third of the descriptors is for clients, and one of these stays free.
     let rest = |_| {
         let mut connection = gateway.connect();
         connection.send("GET /healthz HTTP/1.1\r\nHost: g\r\n\r\n").receive();
         connection
     };
     let mut at_rest: Vec<_> = (0..31).map(rest).collect();
-    // These connect together, before any of them says a word.
+    // These all connect before any of them sends a byte.
     let mut usual: Vec<_> = (0..5).map(|_| gateway.connect()).collect();
     for connection in &mut at_rest[..4] {
         assert!(connection.ends());
@@ -87,7 +87,7 @@
     assert_eq!(other.send(request_head("look", "t1") + "\r\n").receive().status(), 400);
     connection.send(ok("fine"));
     assert_eq!(first.receive().body, b"fine");
-    // It is free again, and so is that of a command whose client has gone.
+    // The id is free again, and so is that of a request whose client has disconnected.
     other.send(request_head("once", "t1") + "\r\n");
     connection.receive();
     drop(other);
@@ -114,7 +114,7 @@
         assert_eq!(client.receive().status(), 502, "{answer}");
         assert!(connection.ends() && begun.elapsed().as_millis() < 2000, "{answer}");
     }
-    // What stands behind a good answer costs the connection, not the answer.
+    // Bytes behind a valid answer close the connection, and do not affect the answer.
     let mut client = gateway.connect();
     client.send(request_head("once", "t2") + "\r\n");
     let mut connection = backend_stub.accept();
@@ -123,7 +123,7 @@
     assert_eq!(client.receive().body, b"fine");
     assert!(connection.ends());
     let mut connection = serve_request(&mut client, &backend_stub, "t3");
-    connection.send("noise"); // later, while it rests
+    connection.send("noise"); // later, while it is idle
     serve_request(&mut client, &backend_stub, "t4");
 }
 
@@ -133,18 +133,19 @@
     let mut last = serve_request(&mut gateway.connect(), &backend_stub, "t");
     let before = gateway.descriptors();
     for n in 0..200 {
-        // A new backend at the address of the one that goes: nothing of the old one serves it.
+        // A new backend at the address of the removed one: no connection of the old one is reused for it.
         watch.send_list(10 + n, true, &[backend(&format!("n{n}"), backend_stub.address, "ready")]);
         assert!(last.ends());
         let mut client = gateway.connect();
-        // Once-only: another would be cut and sent again where the machine is slow, over a line that nobody answers.
+        // Not idempotent: another class would be cancelled and retried on a slow machine, over a connection that the
+        // test does not answer.
         client.send(request_head("once", "t").replace("b4d65521", &format!("{n:08x}")) + "\r\n");
         last = backend_stub.accept();
         last.receive();
         last.send(ok("fine"));
         assert_eq!(client.receive().body, b"fine");
     }
-    // Clients that have just left may not have been read yet.
+    // The gateway may not have read yet that the last clients disconnected.
     gateway.wait_until(200);
     assert!(gateway.descriptors() <= before + 4, "{} after {before}", gateway.descriptors());
 }
@@ -162,7 +163,7 @@
         assert_eq!(connection.receive().body.len(), 60_000);
         connection.send(ok(&large));
         assert_eq!(client.receive().body.len(), 60_000);
-        // Bad ones beside them: half a body, and a head that does not end.
+        // Incomplete requests as well: half a body, and a head that does not end.
         gateway
             .connect()
             .send(request_head("door", "h") + "Content-Length: 60000\r\n\r\n" + &large[..30_000]);
@@ -173,6 +174,6 @@
     let before = gateway.memory_kb();
     (40..240).for_each(&mut round);
     gateway.wait_until(200);
-    // Of 24 MB that went through twice, less than a tenth of a body for each round.
+    // 24 MB went through in both directions; less than a tenth of a body may stay for each round.
     assert!(gateway.memory_kb() <= before + 1000, "{} after {before}", gateway.memory_kb());
 }
