--- /dev/null
+++ b/crates/gateway/src/clients/accept.rs
@@ -0,0 +1,129 @@
+//! Accepting clients, and closing connections that are idle or overdue.
+
+use super::{Client, Closing};
+use crate::http::MessageReader;
+use crate::poll::{self, ClientKey, ReadyEvent, Source};
+use crate::runtime::{Runtime, Timer};
+use kitepass_time::Duration;
+use log::warn;
+use rustix::fd::OwnedFd;
+
+/// How often connections are checked for their time-outs.
+const SWEEP_INTERVAL: Duration = Duration::from_micros(250_000);
+/// How long accepting pauses after an error.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_micros(10_000);
+
+impl Runtime {
+    /// Accepts clients as far as there is room.
+    pub(crate) fn accept_clients(&mut self) {
+        while let Some(listener) = &self.clients.listener {
+            self.clients.has_pending_accept = true;
+            if self.clients.all.len() > self.clients.max_accepted {
+                return; // the next connection that closes makes room
+            }
+            match poll::accept(listener) {
+                Ok(Some(socket)) => {
+                    let key = self.add_client(socket);
+                    if self.clients.all.len() > self.clients.max_accepted {
+                        self.close_an_idle_client(key);
+                    }
+                }
+                Ok(None) => {
+                    self.clients.has_pending_accept = false;
+                    return;
+                }
+                Err(error) => {
+                    // Without a pause the loop would spin for as long as no descriptor is free.
+                    warn!("cannot let a client in: {error}");
+                    self.close_an_idle_client(ClientKey::default());
+                    return self.wake_at(self.now() + ACCEPT_RETRY_INTERVAL, Timer::AcceptClients);
+                }
+            }
+        }
+    }
+
+    /// Adds an accepted connection and watches its socket.
+    fn add_client(&mut self, socket: OwnedFd) -> ClientKey {
+        let now = self.now();
+        let key = self.clients.all.insert(Client {
+            socket,
+            input: Vec::new(),
+            reader: MessageReader::default(),
+            received_at: now,
+            since: now,
+            message_begun_at: None,
+            has_been_answered: false,
+            lingered_bytes: 0,
+            has_unread_input: false,
+            request: None,
+            output: Vec::new(),
+            written: 0,
+            closing: Closing::No,
+            continue_sent: false,
+        });
+        if let Err(error) = self.poll.add(&self.clients.all[key].socket, Source::Client(key)) {
+            warn!("a client cannot be watched: {error}");
+            self.clients.all.remove(key);
+        }
+        key
+    }
+
+    /// Closes an idle or overdue connection to make room for `newcomer`; false if there is none. Called only
+    /// when all places are taken, so that the search is bounded.
+    pub(super) fn close_an_idle_client(&mut self, newcomer: ClientKey) -> bool {
+        let now = self.now();
+        // The one that has been idle longest goes, and never the one just accepted: its request is on its
+        // way. Invariant: a connection whose socket holds an unread request is not closed; the request would
+        // be lost.
+        for _ in 0..4 {
+            let can_be_closed = |client: &Client| client.is_idle() || client.is_overdue(now);
+            let candidates =
+                self.clients.all.iter_mut().filter(|(key, c)| *key != newcomer && can_be_closed(c));
+            let Some((key, client)) = candidates.min_by_key(|(_, client)| client.received_at) else {
+                return false;
+            };
+            if poll::is_quiet(&client.socket) {
+                return self.clients.all.remove(key).is_some();
+            }
+            client.received_at = now;
+        }
+        false
+    }
+
+    /// Accepts the clients that are waiting already, and no others from then on.
+    pub(crate) fn close_listener(&mut self) {
+        self.accept_clients();
+        self.clients.listener = None;
+    }
+
+    /// Closes connections without a request in progress; the others close after their next answer.
+    pub(crate) fn close_idle_clients(&mut self) {
+        let keys: Vec<_> = self.clients.all.keys().collect();
+        for key in keys {
+            self.client_ready(
+                ReadyEvent { source: Source::Client(key), read: true, write: false, ended: true },
+                key,
+            );
+            if self.clients.all.get(key).is_some_and(Client::is_idle) {
+                self.close(key, Closing::Lingering);
+            }
+        }
+    }
+
+    /// Closes connections that have exceeded their time-outs, and sets the timer that does so again.
+    pub(crate) fn sweep_clients(&mut self) {
+        let now = self.now();
+        self.wake_at(now + SWEEP_INTERVAL, Timer::SweepClients);
+        let overdue: Vec<_> =
+            self.clients.all.iter().filter(|(_, c)| c.is_overdue(now)).map(|(key, _)| key).collect();
+        for key in overdue {
+            let Some(client) = self.clients.all.get(key) else { continue };
+            if client.message_begun_at.is_some() && client.output.is_empty() {
+                self.close(key, Closing::AfterOutput);
+                self.respond(key, 408, None, "");
+            } else if !client.output.is_empty() || poll::is_quiet(&client.socket) {
+                self.client_disconnected(key);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/clients/response.rs
@@ -0,0 +1,131 @@
+//! Writing answers to clients, and closing connections behind them.
+
+use super::Closing;
+use crate::http::Message;
+use crate::poll::{self, clear_and_shrink, ClientKey};
+use crate::request::{RequestKey, State};
+use crate::runtime::{Event, Phase, Runtime, Timer};
+use kitepass_gateway_policy::AttemptOutcome;
+use kitepass_time::Duration;
+use log::debug;
+use rustix::net::Shutdown;
+use std::io::Write;
+
+/// For how long a connection that is being closed is still read, so that its last answer arrives: closing a
+/// socket that holds unread bytes resets the connection.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+
+impl Runtime {
+    /// Forwards a backend's successful answer to the client.
+    pub(crate) fn complete(&mut self, key: RequestKey, answer: &Message) {
+        let Some((client, to_head)) = self.requests.get(key).map(|c| (c.client, c.head.is_head())) else {
+            return;
+        };
+        self.answer(
+            client,
+            200,
+            |head| answer.append_forwarded_fields(&[], head),
+            if to_head { b"" } else { answer.body() },
+        );
+    }
+
+    /// Answers a request that the policy has rejected or given up; `retry_in` becomes `Retry-After`.
+    pub(crate) fn answer_failure(&mut self, key: RequestKey, is_rejected: bool, retry_in: Option<Duration>) {
+        let Some(request) = self.requests.get(key) else { return };
+        let status = match (is_rejected, request.attempts, request.last_outcome) {
+            (true, 0, _) => 429,
+            (true, ..) => 503,
+            (false, _, Some(AttemptOutcome::TimedOut)) => 504,
+            (false, ..) => 502,
+        };
+        let client = request.client;
+        self.requests.set_state(key, State::Finished);
+        self.respond(client, status, retry_in, "");
+    }
+
+    /// Writes an answer of the gateway's own, with `text` as its body.
+    pub(super) fn respond(&mut self, key: ClientKey, status: u16, retry_in: Option<Duration>, text: &str) {
+        let write_fields = |head: &mut Vec<u8>| {
+            if let Some(delay) = retry_in {
+                let millis = (delay.as_micros() + 999) / 1000;
+                let _ = write!(head, "Retry-After: {}.{:03}\r\n", millis / 1000, millis % 1000);
+            }
+            if !text.is_empty() {
+                head.extend_from_slice(b"Content-Type: text/plain\r\n");
+            }
+        };
+        self.answer(key, status, write_fields, text.as_bytes());
+    }
+
+    /// Writes an answer; `write_fields` adds its header fields.
+    fn answer(&mut self, key: ClientKey, status: u16, write_fields: impl FnOnce(&mut Vec<u8>), body: &[u8]) {
+        if self.phase == Phase::Closing {
+            self.close(key, Closing::AfterOutput);
+        }
+        let now = self.now();
+        let Some(client) = self.clients.all.get_mut(key) else { return };
+        (client.since, client.has_been_answered) = (now, true);
+        let output = &mut client.output;
+        // Writing to memory cannot fail.
+        let _ = write!(output, "HTTP/1.1 {status} {}\r\n", reason_phrase(status));
+        write_fields(output);
+        if client.closing != Closing::No {
+            output.extend_from_slice(b"Connection: close\r\n");
+        }
+        let _ = write!(output, "Content-Length: {}\r\n\r\n", body.len());
+        output.extend_from_slice(body);
+        client.request = None;
+        self.write_client(key);
+        if self.clients.all.get(key).is_some_and(|client| !client.input.is_empty()) {
+            self.events.push_back(Event::Pipelined(key));
+        }
+    }
+
+    /// Writes as much of the answer as the socket takes, and closes the connection behind it where that is
+    /// due.
+    pub(super) fn write_client(&mut self, key: ClientKey) {
+        // Without output, nothing is closed either: the answer may be still to come.
+        let Some(client) = self.clients.all.get_mut(key).filter(|c| !c.output.is_empty()) else { return };
+        match poll::write(&client.socket, &client.output, &mut client.written) {
+            Ok(false) => {}
+            Ok(true) => {
+                clear_and_shrink(&mut client.output);
+                client.written = 0;
+                if client.closing == Closing::AfterOutput {
+                    self.close(key, Closing::Lingering);
+                }
+            }
+            Err(error) => {
+                debug!("an answer could not be written: {error}");
+                self.client_disconnected(key);
+            }
+        }
+    }
+
+    /// Moves the closing of a connection on to `to`.
+    pub(super) fn close(&mut self, key: ClientKey, to: Closing) {
+        let until = self.now() + LINGER_TIMEOUT;
+        let Some(client) = self.clients.all.get_mut(key).filter(|client| client.closing < to) else { return };
+        client.closing = to;
+        if to == Closing::Lingering {
+            let _ = rustix::net::shutdown(&client.socket, Shutdown::Write);
+            self.wake_at(until, Timer::Linger(key));
+        }
+    }
+}
+
+/// The reason phrase of a status.
+fn reason_phrase(status: u16) -> &'static str {
+    match status {
+        200 => "OK",
+        400 => "Bad Request",
+        408 => "Request Timeout",
+        413 => "Content Too Large",
+        429 => "Too Many Requests",
+        431 => "Request Header Fields Too Large",
+        502 => "Bad Gateway",
+        503 => "Service Unavailable",
+        504 => "Gateway Timeout",
+        _ => "Answer",
+    }
+}
