--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -35,7 +35,7 @@
     }
 
     /// Changes the addresses of discovery and the counter, as SIGHUP does from the configuration file.
-    pub fn take_up(&self, addresses: Addresses) {
+    pub fn update_addresses(&self, addresses: Addresses) {
         self.send(ControlMessage::UpdateAddresses(addresses));
     }
 
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     /// What the system says where a handler cannot be registered.
-    pub(crate) fn heed_signals(&self) -> io::Result<()> {
+    pub(crate) fn register_signals(&self) -> io::Result<()> {
         for (signal, flag) in [(SIGTERM, &self.end), (SIGINT, &self.end), (SIGHUP, &self.reload)] {
             // Invariant: the flag is registered before the waker, so that the loop finds it set when it
             // wakes.
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -233,52 +233,12 @@
 
     /// Reads answers and reports their totals.
     fn read_totals(&mut self, position: usize, ended: bool) {
-        let now = self.now();
         loop {
             let connection = &mut self.counter.connections[position];
             let outcome = poll::read(&connection.socket, &mut self.scratch, &mut connection.input, ended);
-            loop {
-                let kind = MessageKind::Response { to_head: false };
-                match connection.reader.next(
-                    kind,
-                    &mut connection.input,
-                    outcome == Ok(ReadOutcome::EndOfStream),
-                ) {
-                    Ok(Some(answer)) => {
-                        connection.active_at = now;
-                        let Some(call) = connection.calls.pop_front() else {
-                            return self.drop_counter_connection(position, "an answer to no call");
-                        };
-                        let number = total(&answer);
-                        let is_late = connection.reported_late > 0;
-                        connection.reported_late -= usize::from(is_late);
-                        let total = match (number, answer.status()) {
-                            (Some(number), _) if is_late => Reading::Late(number),
-                            (Some(number), _) => Reading::Known(number),
-                            (None, 400 | 404 | 503) => Reading::NotAdded,
-                            (None, _) => Reading::Unknown,
-                        };
-                        if !is_late || number.is_some() {
-                            self.events.push_back(Event::CounterAnswered { name: call.name, total });
-                        }
-                        // Status 200 without a number: the amount was added, the total is unknown, and the
-                        // answers that follow on that connection cannot be matched to calls.
-                        if number.is_none() && answer.status() == 200 {
-                            return self.drop_counter_connection(position, "an answer without a number");
-                        }
-                        if !answer.is_persistent() {
-                            return self.drop_counter_connection(position, "closed");
-                        }
-                    }
-                    Ok(None) if connection.input.len() > MAX_BODY_BYTES => {
-                        return self.drop_counter_connection(position, "an answer too large");
-                    }
-                    Ok(None) => break,
-                    Err(error) => {
-                        warn!("counter: an answer that is none: {error:?}");
-                        return self.drop_counter_connection(position, "answers are lost");
-                    }
-                }
+            let has_ended = outcome == Ok(ReadOutcome::EndOfStream);
+            if let Err(why) = self.take_answers(position, has_ended) {
+                return self.drop_counter_connection(position, why);
             }
             match outcome {
                 Ok(ReadOutcome::Bytes) => {}
@@ -289,6 +249,58 @@
         }
     }
 
+    /// Takes all complete answers off a connection's input.
+    ///
+    /// # Errors
+    /// Says why the connection is of no more use.
+    fn take_answers(&mut self, position: usize, has_ended: bool) -> Result<(), &'static str> {
+        loop {
+            let connection = &mut self.counter.connections[position];
+            let kind = MessageKind::Response { to_head: false };
+            match connection.reader.next(kind, &mut connection.input, has_ended) {
+                Ok(Some(answer)) => self.take_answer(position, &answer)?,
+                Ok(None) if connection.input.len() > MAX_BODY_BYTES => return Err("an answer too large"),
+                Ok(None) => return Ok(()),
+                Err(error) => {
+                    warn!("counter: an answer that is none: {error:?}");
+                    return Err("answers are lost");
+                }
+            }
+        }
+    }
+
+    /// Reports the answer to the oldest unanswered call of a connection.
+    ///
+    /// # Errors
+    /// Says why the connection is of no more use.
+    fn take_answer(&mut self, position: usize, answer: &Message) -> Result<(), &'static str> {
+        let now = self.now();
+        let connection = &mut self.counter.connections[position];
+        connection.active_at = now;
+        let call = connection.calls.pop_front().ok_or("an answer to no call")?;
+        let number = total(answer);
+        let is_late = connection.reported_late > 0;
+        connection.reported_late -= usize::from(is_late);
+        let total = match (number, answer.status()) {
+            (Some(number), _) if is_late => Reading::Late(number),
+            (Some(number), _) => Reading::Known(number),
+            (None, 400 | 404 | 503) => Reading::NotAdded,
+            (None, _) => Reading::Unknown,
+        };
+        if !is_late || number.is_some() {
+            self.events.push_back(Event::CounterAnswered { name: call.name, total });
+        }
+        // Status 200 without a number: the amount was added, the total is unknown, and the answers that follow
+        // on that connection cannot be matched to calls.
+        if number.is_none() && answer.status() == 200 {
+            return Err("an answer without a number");
+        }
+        if !answer.is_persistent() {
+            return Err("closed");
+        }
+        Ok(())
+    }
+
     /// Sets one timer for all calls: most are answered well before, and a timer for each would mostly fire in
     /// vain.
     fn schedule_call_timeout(&mut self) {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -32,6 +32,6 @@
 /// What keeps the gateway from starting or going on, as one line of text.
 pub fn run(launch: Launch) -> Result<(), String> {
     let server = Server::open(launch)?;
-    server.heed_signals()?;
+    server.register_signals()?;
     server.run()
 }
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -20,13 +20,13 @@
     pub(crate) fn reload(&mut self) {
         let Some(path) = &self.origin else { return warn!("nothing to read again: it came from no file") };
         match Launch::read(path) {
-            Ok(launch) => self.take_up(launch.addresses),
+            Ok(launch) => self.update_addresses(launch.addresses),
             Err(error) => error!("the old configuration stays: {error}"),
         }
     }
 
     /// Connects to discovery and the counter at other addresses.
-    pub(crate) fn take_up(&mut self, addresses: Addresses) {
+    pub(crate) fn update_addresses(&mut self, addresses: Addresses) {
         info!("discovery at {}, counter at {:?}", addresses.discovery, addresses.counter);
         self.watch.move_to(addresses.discovery, &mut self.runtime);
         self.runtime.move_counter(addresses.counter);
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -86,8 +86,8 @@
     ///
     /// # Errors
     /// A handler cannot be registered.
-    pub fn heed_signals(&self) -> Result<(), String> {
-        self.control_receiver.heed_signals().map_err(|error| format!("signals: {error}"))
+    pub fn register_signals(&self) -> Result<(), String> {
+        self.control_receiver.register_signals().map_err(|error| format!("signals: {error}"))
     }
 
     /// A sender of messages to this gateway while it runs.
@@ -158,7 +158,7 @@
         for message in self.control_receiver.take_messages(&mut self.runtime.scratch) {
             match message {
                 ControlMessage::End => self.runtime.begin_shutdown(),
-                ControlMessage::UpdateAddresses(addresses) => self.take_up(addresses),
+                ControlMessage::UpdateAddresses(addresses) => self.update_addresses(addresses),
                 ControlMessage::Reload => self.reload(),
             }
         }
--- a/crates/gateway/tests/sockets/main.rs
+++ b/crates/gateway/tests/sockets/main.rs
@@ -1,15 +1,14 @@
 //! The program `kitepass`, tested over sockets.
 
+mod bad_input;
 mod counter;
 mod harness;
 mod reload;
 mod service;
 
 use harness::{
-    backend, ok, request_head, settings, start, unused_address, write_config, Connection, FullListener,
-    Gateway, Options, StubServer, Watch,
+    backend, ok, request_head, unused_address, Connection, FullListener, Gateway, Options, StubServer, Watch,
 };
-use std::process::Stdio;
 use std::time::Instant;
 
 fn serving(sockets: u32) -> (Gateway, Watch, StubServer) {
@@ -318,94 +317,6 @@
     assert!(gateway.is_running());
 }
 
-#[test]
-fn bad_input_from_a_client_is_answered_and_affects_no_other() {
-    let (gateway, _watch, backend_stub) = serving(256);
-    let mut other = gateway.connect();
-    other.send(request_head("once", "t1") + "\r\n");
-    let mut connection = backend_stub.accept();
-    connection.receive();
-    let good = request_head("look", "t2") + "\r\n";
-    let door = request_head("door", "t2") + "Idempotency-Key: k\r\n";
-    // The framing is intact: the connection stays open.
-    let mut client = gateway.connect();
-    for (from, to) in [
-        ("X-Trace-Id: t2\r\n", ""),
-        ("X-Trace-Id: t2", "X-Trace-Id: a b"),
-        ("X-Trace-Id: t2", "Connection: x-trace-id\r\nX-Trace-Id: t2"),
-        ("X-Trace-Id: t2", "Connection: a, Idempotency-Key\r\nX-Trace-Id: t2"),
-        ("X-Trace-Id: t2", "X-Trace-Id: t2\r\nX-Trace-Id: t3"),
-        ("X-Expires-In-Ms: 20000", "X-Expires-In-Ms: soon"),
-        ("X-Expires-In-Ms: 20000", "X-Expires-In-Ms: -1"),
-        ("X-Expires-In-Ms: 20000\r\n", ""),
-        ("units=1,", ""),
-        ("units=1", "units=-1"),
-        ("units=1", "units=1e300"),
-        ("units=1", "units=nan"),
-        ("units=1", "units=6.5"), // more than the largest request may cost
-        ("units=1", "units=2,units=1"),
-        ("spread=1", "spread=+1"),
-        ("first=0", "first=4294967296"),
-        ("spread=1", "spread=0"),
-        ("spread=1", "spread=2"),
-        ("first=0", "first=1"),
-        ("X-Weight: units=1,spread=1,first=0\r\n", ""),
-        ("00000000b4d65521", "0000000200000000"),
-        ("00000000b4d65521", "b4d65521"),
-        ("00000000b4d65521", "+0000000b4d65521"),
-        ("/look/00000000b4d65521", "/"),
-        ("/look/", "/odd/"),
-        ("X-Tariff: team", "X-Tariff: odd"),
-        ("/look/", "/door/"), // without a key
-    ] {
-        assert!(good.contains(from), "{from}");
-        assert_eq!(client.send(good.replace(from, to)).receive().status(), 400, "{from} -> {to}");
-    }
-    // The framing is lost: the connection is closed after the answer.
-    let large = "a".repeat(20_000);
-    for (text, status) in [
-        ("nonsense\r\n\r\n".to_owned(), 400),
-        ("\u{16}\u{3}\u{1}noise without an end of line".to_owned(), 400),
-        (good.replace("HTTP/1.1", "HTTP/3"), 400),
-        (good.replace("X-Tariff:", "X-Tariff :"), 400),
-        (good.replace("\r\n", "\n"), 400),
-        (format!("{door}Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello"), 400),
-        (format!("{door}Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\nhello"), 400),
-        (format!("{door}Content-Length: +5\r\n\r\nhello"), 400),
-        (format!("{door}Transfer-Encoding: chunked\r\n\r\nhello\r\n"), 400),
-        (format!("{door}Content-Length: 65537\r\n\r\n"), 413),
-        (format!("{door}Transfer-Encoding: chunked\r\n\r\n10001\r\n"), 413),
-        (good.replace("X-Tariff: team", &format!("X-Tariff: {large}")), 431),
-    ] {
-        let mut client = gateway.connect();
-        assert_eq!(client.send(&text).receive().status(), status, "{}", &text[..text.len().min(300)]);
-        assert!(client.ends());
-    }
-    assert!(backend_stub.is_untouched(), "a leg was sent");
-    connection.send(ok("fine"));
-    assert_eq!(other.receive().body, b"fine");
-}
-
-#[test]
-fn bad_input_from_a_backend_ends_its_connection_and_no_other() {
-    let (gateway, _watch, backend_stub) = serving_with(256, 12);
-    let large = format!("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n{}", "a".repeat(65537));
-    for answer in [
-        "nonsense\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
-        "HTTP/1.1 101 Go\r\n\r\n",
-        &large,
-    ] {
-        let mut client = gateway.connect();
-        client.send(request_head("once", "t1") + "\r\n");
-        let mut connection = backend_stub.accept();
-        connection.receive();
-        connection.send(answer);
-        assert_eq!(client.receive().status(), 502);
-        assert!(connection.ends());
-    }
-}
-
 #[test]
 fn an_unresponsive_watch_is_resumed() {
     let (gateway, _silent, backend_stub) = serving(256);
@@ -430,37 +341,3 @@
     // The list is complete and empty: requests are rejected.
     assert_eq!(gateway.connect().send(request_head("look", "t1") + "\r\n").receive().status(), 429);
 }
-
-#[test]
-fn an_invalid_configuration_ends_the_program_with_one_error_message() {
-    let good = format!(
-        r#"{{"name":"g0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{}}}"#,
-        settings(false)
-    );
-    for (text, what) in [
-        ("{".to_owned(), "expected JSON"),
-        (good.replace("\"g0\"", "5"), "name:"),
-        (good.replace("127.0.0.1:0", "here"), "listen:"),
-        (good.replace("127.0.0.1:1", "there"), "discovery:"),
-        (good.replace("\"seed\":\"1\"", "\"seed\":\"x\""), "seed:"),
-        (good.replace("\"seed\"", "\"limits\":{\"sockets\":5},\"seed\""), "limits.sockets:"),
-        (good.replace("\"seed\"", "\"known\":{},\"seed\""), "known.instances:"),
-        (good.replace("\"Me\":0", "\"Me\":1"), "settings.Me:"),
-        (good.replace("\"Refill\":0.001", "\"Refill\":-1"), "settings.Plans[1].Refill:"),
-        (good.replace("\"ConnIdle\":15.0", "\"ConnIdle\":\"x\""), "settings.Caps.ConnIdle:"),
-    ] {
-        let path = write_config(&text);
-        refused(&path, what);
-        std::fs::remove_file(path).unwrap();
-    }
-    refused(std::path::Path::new("/nowhere/config.json"), "/nowhere/config.json");
-}
-
-fn refused(path: &std::path::Path, what: &str) {
-    let output = start(path).stderr(Stdio::piped()).output().unwrap();
-    let next_log_line = String::from_utf8(output.stderr).unwrap();
-    assert!(
-        !output.status.success() && next_log_line.contains(what) && next_log_line.lines().count() == 1,
-        "{what}: {next_log_line}"
-    );
-}
--- a/crates/gateway/tests/sockets/reload.rs
+++ b/crates/gateway/tests/sockets/reload.rs
@@ -95,7 +95,7 @@
     });
     let control = receive.recv_timeout(TEST_TIMEOUT).unwrap();
     let (watch, _) = Watch::begin(&discovery);
-    control.take_up(Addresses { discovery: moved.address, counter: None });
+    control.update_addresses(Addresses { discovery: moved.address, counter: None });
     let (mut next, _) = Watch::begin(&moved);
     next.send_list(9, true, &[]);
     assert!(watch.ends());
