--- a/crates/gateway/src/poll.rs
+++ b/crates/gateway/src/poll.rs
@@ -1,6 +1,6 @@
-//! What waits for which socket: the shared epoll, with a source in each token.
+//! Readiness of sockets: the shared poller, with a [`Source`] packed into each token.
 
-pub use kitepass_net::poller::{
+pub(crate) use kitepass_net::poller::{
     accept, clear_and_shrink, connect_result, has_ended, is_quiet, listen, read, write, Clock, ReadOutcome,
 };
 use kitepass_net::{poller, Errno};
@@ -13,26 +13,35 @@
 
 slotmap::new_key_type! {
     /// A client's connection.
-    pub struct ClientKey;
+    pub(crate) struct ClientKey;
     /// A connection to a backend.
-    pub struct ConnectionKey;
+    pub(crate) struct ConnectionKey;
 }
 
-/// What a socket belongs to. A closed one's late events are told from its successor's by key or number.
+/// What a socket belongs to. The key or number tells late events of a closed socket from those of its
+/// successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub(crate) enum Source {
+    /// The socket that accepts clients.
     Listener,
+    /// The pipe that signals and other threads wake the loop by.
     Control,
+    /// A connection to the counter, by its number.
     Counter(u32),
+    /// A connection to discovery, by its number.
     Watch(u32),
+    /// A client's connection.
     Client(ClientKey),
+    /// A connection to a backend.
     BackendConnection(ConnectionKey),
 }
 
-/// Keys have their place in the low half of 64 bits; the kind goes above any place that is ever used.
-const KIND_AT: u32 = 28;
+/// A key's slot index is in the low half of the 64 bits; the kind of source goes above any index that is ever
+/// used.
+const KIND_SHIFT: u32 = 28;
 
 impl Source {
+    /// The token that the source is watched under.
     fn pack(self) -> u64 {
         let (kind, key) = match self {
             Source::Listener => (0, 0),
@@ -42,13 +51,14 @@
             Source::Client(key) => (4, key.data().as_ffi()),
             Source::BackendConnection(key) => (5, key.data().as_ffi()),
         };
-        key | kind << KIND_AT
+        key | kind << KIND_SHIFT
     }
 
+    /// The source of a token; `None` for a token that `pack` never gives.
     fn unpack(data: u64) -> Option<Source> {
-        let key = || KeyData::from_ffi(data & !(15 << KIND_AT));
+        let key = || KeyData::from_ffi(data & !(15 << KIND_SHIFT));
         let number = (data >> 32) as u32;
-        Some(match (data & u64::from(u32::MAX)) >> KIND_AT {
+        Some(match (data & u64::from(u32::MAX)) >> KIND_SHIFT {
             0 => Source::Listener,
             1 => Source::Control,
             2 => Source::Counter(number),
@@ -62,38 +72,42 @@
 
 /// What a socket is ready for.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadyEvent {
-    pub source: Source,
-    pub read: bool,
-    pub write: bool,
-    /// The other side has ended its sending: whatever is read, the end is still to be read behind it, and no
-    /// further edge will tell of it.
-    pub ended: bool,
+pub(crate) struct ReadyEvent {
+    pub(crate) source: Source,
+    /// Whether it can be read.
+    pub(crate) read: bool,
+    /// Whether it can be written.
+    pub(crate) write: bool,
+    /// Whether the peer has ended its sending. The end of the stream is then still to be read after the
+    /// bytes, and no further event will report it.
+    pub(crate) ended: bool,
 }
 
-pub struct Poller {
+/// The poller of all of a gateway's sockets.
+pub(crate) struct Poller {
     poll: poller::Poller,
-    /// What was ready last, with its tokens.
+    /// The events of the last wait, with their tokens.
     raw: Vec<poller::ReadyEvent>,
 }
 
 impl Poller {
-    pub fn new() -> Result<Poller> {
+    /// Opens the poller.
+    pub(crate) fn new() -> Result<Poller> {
         Ok(Poller { poll: poller::Poller::new()?, raw: Vec::new() })
     }
 
-    /// Watches a socket, once and for all: it tells each time that it has become ready again.
-    pub fn add(&self, socket: impl AsFd, source: Source) -> Result<()> {
+    /// Watches a socket until it is closed: edge-triggered, an event each time that it becomes ready.
+    pub(crate) fn add(&self, socket: impl AsFd, source: Source) -> Result<()> {
         self.poll.add(socket, source.pack())
     }
 
     /// Begins a connection and watches it; it becomes ready to write once it is made or has failed.
-    pub fn connect(&self, address: &SocketAddr, source: Source) -> Result<OwnedFd> {
+    pub(crate) fn connect(&self, address: &SocketAddr, source: Source) -> Result<OwnedFd> {
         self.poll.connect(address, source.pack())
     }
 
-    /// Waits until a socket is ready or the time is over, and leaves what is ready in `ready`.
-    pub fn wait(&mut self, time: Option<Duration>, ready: &mut Vec<ReadyEvent>) -> Result<()> {
+    /// Waits until a socket is ready or `time` is over, and adds the events to `ready`.
+    pub(crate) fn wait(&mut self, time: Option<Duration>, ready: &mut Vec<ReadyEvent>) -> Result<()> {
         self.poll.wait(time, &mut self.raw)?;
         ready.extend(self.raw.drain(..).filter_map(
             |poller::ReadyEvent { token, is_readable: read, is_writable: write, has_peer_ended: ended }| {
@@ -109,11 +123,11 @@
     use super::*;
 
     #[test]
-    fn a_source_comes_back_from_its_number() {
-        let mut lines = slotmap::SlotMap::<ConnectionKey, ()>::with_key();
-        let gone = lines.insert(());
-        lines.remove(gone);
-        let (old, new) = (Source::BackendConnection(gone), Source::BackendConnection(lines.insert(())));
+    fn a_source_is_unpacked_from_its_token() {
+        let mut connections = slotmap::SlotMap::<ConnectionKey, ()>::with_key();
+        let gone = connections.insert(());
+        connections.remove(gone);
+        let (old, new) = (Source::BackendConnection(gone), Source::BackendConnection(connections.insert(())));
         assert_ne!(old, new);
         for source in [Source::Listener, Source::Control, Source::Counter(7), Source::Watch(9), old, new] {
             assert_eq!(Source::unpack(source.pack()), Some(source));
