--- a/crates/control-plane/tests/support/cluster.rs
+++ b/crates/control-plane/tests/support/cluster.rs
@@ -80,9 +80,12 @@
         let others = [cluster.addresses[1], cluster.addresses[2]];
         cluster.spawn(0, &others);
         let since = Instant::now();
-        while TcpStream::connect(cluster.operator_api).is_err() {
-            assert!(since.elapsed() < TIMEOUT, "it does not listen");
-            std::thread::yield_now();
+        // Its listeners are opened one after the other: it listens once all of them do.
+        for address in [cluster.operator_api, cluster.directory_api, cluster.peer_listener] {
+            while TcpStream::connect(address).is_err() {
+                assert!(since.elapsed() < TIMEOUT, "it does not listen");
+                std::thread::yield_now();
+            }
         }
         cluster
     }
