--- a/crates/control-plane/src/request.rs
+++ b/crates/control-plane/src/request.rs
@@ -4,6 +4,9 @@
 use kitepass_coordination::consensus::Proposal;
 use kitepass_coordination::membership::ReplicaSet;
 
+/// What a client is told, along with another address or none, by a process that cannot know what is current.
+pub(crate) const OUT_OF_CONTACT: &str = "out of contact with the core";
+
 /// The paths of the operators' and directory APIs, which are their clients' contract.
 pub(crate) mod path {
     /// The directory: which gateways a client is to use.
--- a/crates/control-plane/src/server/directory_api.rs
+++ b/crates/control-plane/src/server/directory_api.rs
@@ -1,8 +1,9 @@
 //! The directory API: which gateways a client of the service connects to.
 
 use super::connections::ConnectionId;
-use super::http_response::{HttpResponse, OUT_OF_CONTACT};
+use super::http_response::HttpResponse;
 use super::Server;
+use crate::request::OUT_OF_CONTACT;
 use serde_json::json;
 
 /// Seconds for which an answer of the directory is valid, if the settings' bound is not below. A look-up is cheap, and
--- a/crates/control-plane/src/server/http_response.rs
+++ b/crates/control-plane/src/server/http_response.rs
@@ -2,14 +2,12 @@
 
 use super::connections::{ConnectionId, Role, ServerConnection};
 use super::Server;
-use crate::request::{redirect_location, Response};
+use crate::request::{redirect_location, Response, OUT_OF_CONTACT};
 use log::debug;
 use std::fmt::Write;
 
 const JSON: &str = "application/json";
 const TEXT: &str = "text/plain";
-/// What a client is told, along with another address or none, by a process that cannot know what is current.
-pub(super) const OUT_OF_CONTACT: &str = "out of contact with the core";
 /// Seconds after which a client may retry what was unavailable.
 pub(super) const RETRY_AFTER_S: u32 = 1;
 
--- a/crates/control-plane/src/state_machine/handlers/contact.rs
+++ b/crates/control-plane/src/state_machine/handlers/contact.rs
@@ -1,6 +1,6 @@
 //! Contact with a majority: what follows when it is lost, and what may be answered with and without it.
 
-use crate::request::Response;
+use crate::request::{Response, OUT_OF_CONTACT};
 use crate::state_machine::{ReplicaContact, ReplicaState, StateMachine};
 use kitepass_coordination::membership::{Replica, ReplicaSet};
 use kitepass_time::{Duration, Timestamp};
@@ -54,7 +54,7 @@
     pub(in crate::state_machine) fn redirect(&self, now: Timestamp) -> Response {
         match self.quorum.serving_address(now) {
             Some(address) => Response::Redirect(address.to_owned()),
-            None => Response::Unavailable("out of contact with the core"),
+            None => Response::Unavailable(OUT_OF_CONTACT),
         }
     }
 
