--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -19,7 +19,7 @@
 mod turn_monitor;
 mod worker;
 
-use crate::state_machine::{Start, StateMachine};
+use crate::state_machine::{StartParameters, StateMachine};
 use connections::{ConnectionId, ConnectionTable};
 use http_response::HttpResponse;
 use kitepass_config::SchemaValidator;
@@ -379,10 +379,10 @@
 }
 
 /// What the state machine is started with.
-fn start_state(settings: &Settings, records: Vec<Record>) -> Start {
+fn start_state(settings: &Settings, records: Vec<Record>) -> StartParameters {
     let bounds = &settings.bounds;
     let first_bootstrap = settings.bootstrap_addresses.first();
-    Start {
+    StartParameters {
         replica: Replica {
             node_id: settings.node_id.clone(),
             address: settings.address.to_string(),
--- a/crates/control-plane/src/state_machine/configuration.rs
+++ b/crates/control-plane/src/state_machine/configuration.rs
@@ -42,7 +42,7 @@
         configuration
     }
 
-    pub(super) fn items(&self) -> &ItemStore {
+    pub(super) fn item_store(&self) -> &ItemStore {
         &self.item_store
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// The item that evacuates a zone, or takes that back: one version above the one that stands.
-    pub(super) fn evacuation(&self, zone: &str, is_on: bool) -> Item {
+    pub(super) fn evacuation_item(&self, zone: &str, is_on: bool) -> Item {
         let known = self.item_store.get(Kind::Evacuation, zone);
         let version = known.map_or(0, |item| item.version) + 1;
         let value = is_on.then(|| Bytes::from_static(b"1"));
@@ -148,7 +148,7 @@
     }
 
     /// Whether the replica of this name is known not to be a member.
-    pub(super) fn is_outsider(&self, name: &str) -> bool {
+    pub(super) fn is_known_non_member(&self, name: &str) -> bool {
         !self.is_member_or_unknown(name)
     }
 
--- a/crates/control-plane/src/state_machine/coordinator.rs
+++ b/crates/control-plane/src/state_machine/coordinator.rs
@@ -40,7 +40,7 @@
 }
 
 /// What a voter must know to answer a lease request.
-pub(super) struct VoterView<'a> {
+pub(super) struct VoteContext<'a> {
     /// The replica set in force, and the incoming one.
     pub(super) replica_sets: Option<&'a JointReplicaSets>,
     /// The epoch that fences off requests of earlier ones, by what this replica has accepted.
@@ -126,7 +126,7 @@
     }
 
     /// What a read quorum holds has been read; true if this process acts as coordinator from now on.
-    pub(super) fn recovered(&mut self, now: Timestamp) -> bool {
+    pub(super) fn complete_recovery(&mut self, now: Timestamp) -> bool {
         match self.state {
             CoordinatorState::Recovering(term) if self.lease_term(now) == Some(term) => {
                 self.set_state(CoordinatorState::Active(term));
@@ -152,7 +152,7 @@
         now: Timestamp,
         candidate: &str,
         request: &LeaseRequest,
-        view: &VoterView,
+        view: &VoteContext,
     ) -> VoteDecision {
         let newest = view.replica_sets.map(JointReplicaSets::newest);
         if let Some(newest) = newest {
--- a/crates/control-plane/src/state_machine/handlers/accept.rs
+++ b/crates/control-plane/src/state_machine/handlers/accept.rs
@@ -59,7 +59,7 @@
             ballot: Some(pending.ballot),
             ..request
         };
-        self.send_all(&Message::AcceptRequest(request.clone()));
+        self.send_to_all_peers(&Message::AcceptRequest(request.clone()));
         let own_node_id = self.identity.replica.node_id.clone();
         self.handle_accept_request(now, &own_node_id, request);
     }
@@ -160,7 +160,7 @@
         let pending = self.proposals.pending.get(id);
         let Some(proposal) = pending.and_then(|pending| pending.proposal.clone()) else { return };
         let proposal_id = Bytes::copy_from_slice(&proposal.proposal_id().0);
-        self.send_all(&Message::Commit(Commit { proposal_id }));
+        self.send_to_all_peers(&Message::Commit(Commit { proposal_id }));
         self.apply_items(proposal.items());
         self.finish_change(now, id);
     }
--- a/crates/control-plane/src/state_machine/handlers/catch_up.rs
+++ b/crates/control-plane/src/state_machine/handlers/catch_up.rs
@@ -19,7 +19,7 @@
     /// Invariant: without contact, reads that are complete do not count in the next round. What was heard before contact was lost, or from a replica that is
     /// cut off alike, may be old by now.
     pub(in crate::state_machine) fn read_all_peers(&mut self, now: Timestamp) {
-        if self.quorum.is_lost() {
+        if self.quorum.was_disconnected() {
             self.catch_up.restart();
         }
         self.catch_up.all_asked(now);
@@ -113,7 +113,7 @@
     /// Tells the gateways that this process holds whole changes again, once it does.
     pub(in crate::state_machine) fn end_transfer(&mut self) {
         if !self.catch_up.is_transferring() {
-            let actions = self.sessions.end_transfer(self.configuration.items());
+            let actions = self.sessions.end_transfer(self.configuration.item_store());
             self.extend(actions);
         }
     }
@@ -135,7 +135,7 @@
         // Invariant: only a peer that serves is believed in this. One that was away as well may know an older replica set than
         // the one that counts on what this process holds.
         let is_serving = self.quorum.get(node_id).is_some_and(|peer| peer.hello.is_serving);
-        if is_serving && self.discard_if_outsider(now) {
+        if is_serving && self.discard_if_non_member(now) {
             return;
         }
         let Some(response) = complete else { return };
@@ -198,7 +198,8 @@
         let is_catching_up =
             matches!(self.replica_state(), ReplicaState::CatchingUp | ReplicaState::Isolated);
         let is_read = || self.configuration.is_read_quorum(&read, activated_version);
-        if self.quorum.is_lost() || !is_catching_up || !is_read() || self.discard_if_outsider(now) {
+        if self.quorum.was_disconnected() || !is_catching_up || !is_read() || self.discard_if_non_member(now)
+        {
             return;
         }
         if self.lifecycle.is_complete() {
--- a/crates/control-plane/src/state_machine/handlers/commit.rs
+++ b/crates/control-plane/src/state_machine/handlers/commit.rs
@@ -38,12 +38,12 @@
         }
         // A committed proposal is on enough disks as accepted already, so that it is committed can wait for the next write.
         // A write of its own would hold the next proposal's up for as long as a disk takes.
-        let item_store = self.configuration.items();
+        let item_store = self.configuration.item_store();
         let entries = merged.changed.iter().filter_map(|item| item_store.entry(item.kind, &item.name));
         self.persistence.defer(entries.map(kitepass_config::encode_record));
         let resolved = self.proposals.items_committed(&self.configuration, &merged.changed);
         self.persistence.defer(resolved);
-        let actions = self.sessions.items_to_all(&merged.newer, extent);
+        let actions = self.sessions.broadcast_items(&merged.newer, extent);
         self.extend(actions);
         self.finish_bootstrap();
         !merged.newer.is_empty()
@@ -88,7 +88,7 @@
         let replica_set = ReplicaSet { replicas, version: 1 };
         info!("event=bootstrap replicas={}", replica_set.replicas.len());
         let item = replica_set.to_item(CURRENT);
-        self.send_all(&Message::Items(Items::complete(vec![(&item).into()])));
+        self.send_to_all_peers(&Message::Items(Items::complete(vec![(&item).into()])));
         self.apply_items(&[item]);
     }
 }
--- a/crates/control-plane/src/state_machine/handlers/contact.rs
+++ b/crates/control-plane/src/state_machine/handlers/contact.rs
@@ -11,7 +11,7 @@
     pub(in crate::state_machine) fn evaluate_contact(&mut self, now: Timestamp) {
         let replica_sets = self.deciding_replica_sets();
         self.quorum.evaluate(now, &replica_sets);
-        if self.quorum.is_lost() && self.replica_state() == ReplicaState::Serving {
+        if self.quorum.was_disconnected() && self.replica_state() == ReplicaState::Serving {
             self.isolate(now);
         }
     }
--- a/crates/control-plane/src/state_machine/handlers/election.rs
+++ b/crates/control-plane/src/state_machine/handlers/election.rs
@@ -2,7 +2,7 @@
 
 use crate::endpoints::Endpoint;
 use crate::request::Request;
-use crate::state_machine::coordinator::{CoordinatorState, VoteDecision, VoterView};
+use crate::state_machine::coordinator::{CoordinatorState, VoteContext, VoteDecision};
 use crate::state_machine::persistence::PendingWrite;
 use crate::state_machine::{ReplicaState, StateMachine};
 use kitepass_coordination::protocol::{ItemMessage, Items, LeaseRequest, LeaseVote, Message};
@@ -29,7 +29,7 @@
         // Invariant: only members with a complete disk vote. One that lost its disk may have been replaced.
         let is_member = replica_sets.as_ref().is_some_and(|sets| sets.contains(&self.identity.name));
         let may_grant = self.lifecycle.is_complete() && is_member;
-        let view = VoterView { replica_sets: replica_sets.as_ref(), fencing_epoch, may_grant };
+        let view = VoteContext { replica_sets: replica_sets.as_ref(), fencing_epoch, may_grant };
         match self.coordinator.vote(now, candidate, request, &view) {
             VoteDecision::Ready(vote) => self.deliver_lease_vote(now, node_id, vote),
             VoteDecision::AfterRecord(recorded, vote) => {
@@ -71,7 +71,7 @@
 
     /// A read quorum has been read since the lease was won: this process acts as coordinator.
     pub(in crate::state_machine) fn activate_coordinator(&mut self, now: Timestamp) {
-        if self.coordinator.recovered(now) {
+        if self.coordinator.complete_recovery(now) {
             self.send_heartbeats(now);
         }
     }
@@ -137,7 +137,7 @@
 
     /// Sends a lease request to all, this process too.
     pub(in crate::state_machine) fn send_lease_request(&mut self, now: Timestamp, request: &LeaseRequest) {
-        self.send_all(&Message::LeaseRequest(request.clone()));
+        self.send_to_all_peers(&Message::LeaseRequest(request.clone()));
         let (node_id, name) = (self.identity.replica.node_id.clone(), self.identity.name.clone());
         self.handle_lease_request(now, &node_id, &name, request);
     }
@@ -147,12 +147,13 @@
         if self.active_term(now).is_none() {
             return;
         }
-        let changed_items = self.coordinator.update_endpoints(now, endpoints, self.configuration.items());
+        let changed_items =
+            self.coordinator.update_endpoints(now, endpoints, self.configuration.item_store());
         if !changed_items.is_empty() {
             debug!("event=endpoints-changed items={}", changed_items.len());
             self.apply_items(&changed_items);
             let items = changed_items.iter().map(ItemMessage::from).collect();
-            self.send_all(&Message::Items(Items::complete(items)));
+            self.send_to_all_peers(&Message::Items(Items::complete(items)));
         }
     }
 }
--- a/crates/control-plane/src/state_machine/handlers/gateways.rs
+++ b/crates/control-plane/src/state_machine/handlers/gateways.rs
@@ -72,13 +72,13 @@
     }
 
     fn handle_gateway_heartbeat(&mut self, now: Timestamp, id: u64, heartbeat: &Heartbeat) {
-        let item_store = self.configuration.items();
+        let item_store = self.configuration.item_store();
         let outcome = self.sessions.receive_heartbeat(id, heartbeat, item_store.digest());
         if outcome.is_stale {
             let digests = BucketDigests { digests: item_store.buckets().to_vec(), wants_reply: false };
             self.send_to_session(id, Message::BucketDigests(digests));
         }
-        if outcome.is_readiness_changed {
+        if outcome.has_readiness_changed {
             self.announce_sessions(now);
         }
     }
@@ -112,7 +112,7 @@
 
     /// Sends totals to the gateway that reported, if its session is here.
     pub(in crate::state_machine) fn forward_usage_totals(&mut self, totals: UsageTotals) {
-        if let Some(id) = self.sessions.newest_of(totals.incarnation) {
+        if let Some(id) = self.sessions.newest_session_of(totals.incarnation) {
             self.send_to_session(id, Message::UsageTotals(totals));
         }
     }
@@ -136,7 +136,7 @@
         if self.catch_up.is_transferring() {
             return;
         }
-        let actions = self.sessions.send_chunks(now, self.configuration.items());
+        let actions = self.sessions.send_chunks(now, self.configuration.item_store());
         self.extend(actions);
     }
 
--- a/crates/control-plane/src/state_machine/handlers/heartbeat.rs
+++ b/crates/control-plane/src/state_machine/handlers/heartbeat.rs
@@ -29,7 +29,7 @@
         self.expire(now);
         self.refresh_live_gateways();
         let heartbeat = Heartbeat { digest: self.item_store().digest(), ..to_gateways };
-        let actions = self.sessions.to_all(&Message::Heartbeat(heartbeat));
+        let actions = self.sessions.broadcast(&Message::Heartbeat(heartbeat));
         self.extend(actions);
     }
 
@@ -52,19 +52,19 @@
     pub(in crate::state_machine) fn announce_sessions(&mut self, now: Timestamp) {
         let (node_id, incarnation) = (&self.identity.replica.node_id, self.identity.incarnation);
         if let Some(list) = self.sessions.announcement(now, node_id, incarnation) {
-            self.send_all(&Message::SessionList(list));
+            self.send_to_all_peers(&Message::SessionList(list));
         }
     }
 
     /// Evaluates which gateways count as live. A change is written, and told to the gateways.
     fn refresh_live_gateways(&mut self) {
-        if !self.sessions.refresh_live() {
+        if !self.sessions.refresh_live_gateways() {
             return;
         }
         let record = records::live_gateways(self.sessions.live_node_ids());
         self.persist(vec![record], PendingWrite::Nothing);
         let message = Message::MembershipUpdate(self.membership_update());
-        let actions = self.sessions.to_all(&message);
+        let actions = self.sessions.broadcast(&message);
         self.extend(actions);
     }
 
--- a/crates/control-plane/src/state_machine/handlers/peers.rs
+++ b/crates/control-plane/src/state_machine/handlers/peers.rs
@@ -31,7 +31,7 @@
         if let Some(replaced) = self.quorum.connect(now, hello) {
             self.membership.replica_lost(now, replaced);
         }
-        self.sessions.announce_again();
+        self.sessions.force_announcement();
         self.catch_up.retry_soon();
         let control_addresses = self.known_addresses().into_iter().collect();
         let update = MembershipUpdate { control_addresses, ..MembershipUpdate::default() };
--- a/crates/control-plane/src/state_machine/handlers/persisted.rs
+++ b/crates/control-plane/src/state_machine/handlers/persisted.rs
@@ -17,7 +17,7 @@
 
     /// The records of the [`Action::Persist`](crate::state_machine::Action::Persist) with this request id are on disk.
     pub fn records_persisted(&mut self, now: Timestamp, request_id: u64) {
-        match self.persistence.written(request_id) {
+        match self.persistence.write_completed(request_id) {
             Some(PendingWrite::Accept { node_id, response, reservation }) => {
                 reservation.into_iter().for_each(|it| self.proposals.reservation_persisted(it));
                 let response = AcceptResponse { is_complete: self.lifecycle.is_complete(), ..response };
--- a/crates/control-plane/src/state_machine/handlers/prepare.rs
+++ b/crates/control-plane/src/state_machine/handlers/prepare.rs
@@ -39,13 +39,13 @@
         let ballot = self.proposals.next_ballot(epoch, self.identity.incarnation);
         let pending = self.proposals.pending.get_mut(id)?;
         if let Request::Evacuate { zone, on } = &pending.request {
-            pending.proposal = Some(Proposal::new(vec![self.configuration.evacuation(zone, *on)]));
+            pending.proposal = Some(Proposal::new(vec![self.configuration.evacuation_item(zone, *on)]));
         }
         pending.start_attempt(attempt_id, ballot);
         let is_read_only = pending.proposal.is_none();
         Some(PrepareRequest {
             request_id: attempt_id,
-            bucket_digests: self.configuration.items().history_buckets().to_vec(),
+            bucket_digests: self.configuration.item_store().history_buckets().to_vec(),
             incarnation: self.identity.incarnation,
             epoch,
             ballot: (!is_read_only).then_some(ballot),
--- a/crates/control-plane/src/state_machine/handlers/resolve.rs
+++ b/crates/control-plane/src/state_machine/handlers/resolve.rs
@@ -20,7 +20,7 @@
 impl StateMachine {
     /// Watches a proposal that was reported with a ballot.
     pub(in crate::state_machine) fn watch(&mut self, now: Timestamp, ballot: Ballot, proposal: &Proposal) {
-        if is_resolved(proposal, self.configuration.items()) || !self.proposals.watch_list.has_room() {
+        if is_resolved(proposal, self.configuration.item_store()) || !self.proposals.watch_list.has_room() {
             return;
         }
         // A time is drawn also where the proposal is watched already: the order of draws is part of a recorded run.
--- a/crates/control-plane/src/state_machine/handlers/tombstones.rs
+++ b/crates/control-plane/src/state_machine/handlers/tombstones.rs
@@ -12,8 +12,8 @@
 
 impl StateMachine {
     /// For tests: tombstones are forgotten after this time, and a process may be away for half of it.
-    pub fn set_tombstone_age(&mut self, age: Duration) {
-        self.tombstones.set_age(age);
+    pub fn set_tombstone_retention(&mut self, age: Duration) {
+        self.tombstones.set_retention(age);
     }
 
     /// Whether all that is held here is on disk, and nothing is accepted and undecided.
@@ -52,9 +52,9 @@
         let replica_sets = [Some(replica_sets.current), replica_sets.incoming];
         let replicas = replica_sets.into_iter().flatten().flat_map(|set| set.replicas);
         let names = replicas.map(|replica| replica.name()).collect();
-        let expired = self.tombstones.expired(now, self.configuration.items(), &names);
+        let expired = self.tombstones.expired(now, self.configuration.item_store(), &names);
         if !expired.is_empty() {
-            self.send_all(&Message::PurgeTombstones(PurgeTombstones::from_expired(&expired)));
+            self.send_to_all_peers(&Message::PurgeTombstones(PurgeTombstones::from_expired(&expired)));
             self.purge_tombstones(expired);
         }
     }
@@ -70,7 +70,7 @@
         let records = purged.iter().map(|(kind, name, _)| (encode_key(*kind, name), Vec::new())).collect();
         self.persist(records, PendingWrite::Nothing);
         let message = Message::PurgeTombstones(PurgeTombstones::from_expired(&purged));
-        let actions = self.sessions.to_all(&message);
+        let actions = self.sessions.broadcast(&message);
         self.extend(actions);
     }
 
@@ -79,7 +79,7 @@
         if self.replica_state() == ReplicaState::Serving && self.quorum.was_connected() {
             self.tombstones.contact_confirmed(now);
         } else {
-            self.tombstones.contact_missing(now, !self.configuration.items().is_empty());
+            self.tombstones.contact_missing(now, !self.configuration.item_store().is_empty());
         }
     }
 
@@ -91,8 +91,8 @@
     ///
     /// Assumption: a tombstone is forgotten only once every member holds it. Invariant: what a process held while it was no
     /// member counts for nothing. Why: it may hold what was dropped meanwhile, and nobody knows any more that it was.
-    pub(in crate::state_machine) fn discard_if_outsider(&mut self, now: Timestamp) -> bool {
-        let is_discarded = self.is_stale_outsider() && self.replica_state() != ReplicaState::ShuttingDown;
+    pub(in crate::state_machine) fn discard_if_non_member(&mut self, now: Timestamp) -> bool {
+        let is_discarded = self.is_stale_non_member() && self.replica_state() != ReplicaState::ShuttingDown;
         if is_discarded {
             self.discard(now);
         }
@@ -100,11 +100,12 @@
     }
 
     /// Whether, by what is known here, this process was away and is no member.
-    pub(in crate::state_machine) fn is_stale_outsider(&self) -> bool {
+    pub(in crate::state_machine) fn is_stale_non_member(&self) -> bool {
         let own_name = &self.identity.name;
-        let is_outsider = self.tombstones.is_unproven() && self.configuration.is_outsider(own_name);
+        let is_non_member =
+            self.tombstones.may_be_stale() && self.configuration.is_known_non_member(own_name);
         // A replica set that it belongs to may be chosen, or need what it holds to be chosen, and not be known to be.
-        is_outsider && !self.proposals.may_be_member(own_name, self.configuration.replica_set().as_ref())
+        is_non_member && !self.proposals.may_be_member(own_name, self.configuration.replica_set().as_ref())
     }
 
     /// Discards all items but the replica sets, and catches up from nothing.
--- a/crates/control-plane/src/state_machine/mod.rs
+++ b/crates/control-plane/src/state_machine/mod.rs
@@ -59,7 +59,7 @@
 pub use coordinator::COORDINATOR_ROLE;
 pub use lifecycle::ReplicaState;
 pub use sessions::SESSION_TIMEOUT;
-pub use startup::Start;
+pub use startup::StartParameters;
 
 /// Time between two heartbeats to each peer and each session.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_micros(500_000);
@@ -171,7 +171,7 @@
     /// Whether the coordinator may bring this replica in: its disk is complete, and it will not be discarded as soon as a peer
     /// confirms that this replica is no member.
     fn is_ready_to_join(&self) -> bool {
-        self.lifecycle.is_complete() && !self.is_stale_outsider()
+        self.lifecycle.is_complete() && !self.is_stale_non_member()
     }
 
     /// How far this process may be relied on.
@@ -181,7 +181,7 @@
 
     /// The committed items that are known here.
     pub fn item_store(&self) -> &ItemStore {
-        self.configuration.items()
+        self.configuration.item_store()
     }
 
     /// To be called about ten times a second.
@@ -218,7 +218,7 @@
     }
 
     fn change_state(&mut self, to: ReplicaState) {
-        self.lifecycle.change_state(to, self.configuration.items().len());
+        self.lifecycle.change_state(to, self.configuration.item_store().len());
     }
 
     fn next_request_id(&mut self) -> u64 {
@@ -237,8 +237,8 @@
         self.push(Action::SendToPeer(node_id.to_owned(), message));
     }
 
-    fn send_all(&mut self, message: &Message) {
-        let actions = self.quorum.to_all(message);
+    fn send_to_all_peers(&mut self, message: &Message) {
+        let actions = self.quorum.broadcast(message);
         self.extend(actions);
     }
 
--- a/crates/control-plane/src/state_machine/persistence.rs
+++ b/crates/control-plane/src/state_machine/persistence.rs
@@ -48,7 +48,7 @@
 
     /// A write is on disk; returns what waited for it. Writes complete in order, so an earlier one that is still
     /// in flight was dropped by the store: what waited for it is given up.
-    pub(super) fn written(&mut self, request_id: u64) -> Option<PendingWrite> {
+    pub(super) fn write_completed(&mut self, request_id: u64) -> Option<PendingWrite> {
         let then = self.in_flight.remove(&request_id);
         self.in_flight = self.in_flight.split_off(&request_id);
         then
--- a/crates/control-plane/src/state_machine/proposals/acceptor.rs
+++ b/crates/control-plane/src/state_machine/proposals/acceptor.rs
@@ -57,7 +57,7 @@
             return Some(self.acceptor.reject(ballot, rejected, &request.keys));
         };
         let reason = if request.was_accepted_before { AcceptReason::Resolve } else { AcceptReason::New };
-        Some(self.acceptor.accept(ballot, proposal, reason, configuration.items()))
+        Some(self.acceptor.accept(ballot, proposal, reason, configuration.item_store()))
     }
 
     /// A reservation is on disk.
--- a/crates/control-plane/src/state_machine/proposals/decision.rs
+++ b/crates/control-plane/src/state_machine/proposals/decision.rs
@@ -43,11 +43,11 @@
     let observed = possibly_chosen(&pending.observed, watch_list.rejections());
     let Some(proposal) = &pending.proposal else { return decide_read(pending, &observed, configuration) };
     if let Request::Evacuate { zone, on } = &pending.request {
-        if proposal.items()[0].version != configuration.evacuation(zone, *on).version {
+        if proposal.items()[0].version != configuration.evacuation_item(zone, *on).version {
             return Decision::Retry;
         }
     }
-    match proposal_status(proposal, &observed, configuration.items()) {
+    match proposal_status(proposal, &observed, configuration.item_store()) {
         ProposalStatus::Committed => Decision::Committed,
         // Two that evacuate one zone draw the same version: the later one takes the next.
         ProposalStatus::Conflicting(_) if matches!(pending.request, Request::Evacuate { .. }) => {
@@ -79,7 +79,7 @@
     };
     let proposals = observed.values().map(|(_, proposal)| proposal);
     let open = proposals
-        .filter(|proposal| !is_resolved(proposal, configuration.items()) && !is_passed_over(proposal))
+        .filter(|proposal| !is_resolved(proposal, configuration.item_store()) && !is_passed_over(proposal))
         .map(Proposal::proposal_id);
     let open: BTreeSet<ProposalId> = open.collect();
     if open.is_empty() {
@@ -100,7 +100,7 @@
         // Invariant: an evacuation that stands already is answered only now that all that others accepted for the zone is
         // resolved. Answered before, it could be undone by what came before it.
         Request::Evacuate { zone, on } if configuration.is_evacuated(zone) == *on => Decision::NotNeeded,
-        Request::Patch(items) => match kitepass_config::validate(configuration.items(), items) {
+        Request::Patch(items) => match kitepass_config::validate(configuration.item_store(), items) {
             Ok(()) => Decision::Propose(proposal.clone()),
             Err(error) => Decision::Reject { proposal: proposal.clone(), reason: error.to_string() },
         },
--- a/crates/control-plane/src/state_machine/proposals/mod.rs
+++ b/crates/control-plane/src/state_machine/proposals/mod.rs
@@ -94,7 +94,7 @@
 
     /// Takes out accepted proposals that are resolved by these committed items; gives the records of that.
     pub(super) fn items_committed(&mut self, configuration: &Configuration, items: &[Item]) -> Vec<Record> {
-        self.acceptor.commit(configuration.items(), items)
+        self.acceptor.commit(configuration.item_store(), items)
     }
 
     /// Takes out all that is accepted; gives the records of that.
@@ -110,7 +110,7 @@
         };
         let mut accepted = self.acceptor.pending();
         let undecided = accepted.find(|(_, proposal)| {
-            proposal.items().iter().any(is_incoming) && !is_resolved(proposal, configuration.items())
+            proposal.items().iter().any(is_incoming) && !is_resolved(proposal, configuration.item_store())
         });
         undecided.map(|(ballot, proposal)| (ballot, proposal.clone()))
     }
--- a/crates/control-plane/src/state_machine/quorum.rs
+++ b/crates/control-plane/src/state_machine/quorum.rs
@@ -86,7 +86,7 @@
     }
 
     /// Whether this process was out of contact at the last evaluation, which is so at the start too.
-    pub(super) fn is_lost(&self) -> bool {
+    pub(super) fn was_disconnected(&self) -> bool {
         self.contact.state() == ContactState::Disconnected
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// A message to every peer.
-    pub(super) fn to_all(&self, message: &Message) -> Vec<Action> {
+    pub(super) fn broadcast(&self, message: &Message) -> Vec<Action> {
         self.peers.keys().map(|node_id| Action::SendToPeer(node_id.clone(), message.clone())).collect()
     }
 
--- a/crates/control-plane/src/state_machine/records.rs
+++ b/crates/control-plane/src/state_machine/records.rs
@@ -42,7 +42,7 @@
 }
 
 /// A record of the state machine's own, decoded.
-pub(super) enum OwnRecord {
+pub(super) enum StateMachineRecord {
     Complete,
     ReplicaId(u64),
     Vote(RecordedVote),
@@ -50,18 +50,18 @@
 }
 
 /// Decodes a record, if it is one of the state machine's own.
-pub(super) fn decode(key: &[u8], value: &[u8]) -> Option<OwnRecord> {
+pub(super) fn decode(key: &[u8], value: &[u8]) -> Option<StateMachineRecord> {
     match key {
-        COMPLETE_KEY => Some(OwnRecord::Complete),
+        COMPLETE_KEY => Some(StateMachineRecord::Complete),
         REPLICA_ID_KEY => {
             let id = value.first_chunk().map_or(0, |bytes| u64::from_be_bytes(*bytes));
-            Some(OwnRecord::ReplicaId(id))
+            Some(StateMachineRecord::ReplicaId(id))
         }
-        VOTE_KEY => Some(OwnRecord::Vote(RecordedVote::from_value(value))),
+        VOTE_KEY => Some(StateMachineRecord::Vote(RecordedVote::from_value(value))),
         LIVE_GATEWAYS_KEY => {
             let node_ids = String::from_utf8_lossy(value);
             let node_ids = node_ids.split(',').filter(|node_id| !node_id.is_empty());
-            Some(OwnRecord::LiveGateways(node_ids.map(str::to_owned).collect()))
+            Some(StateMachineRecord::LiveGateways(node_ids.map(str::to_owned).collect()))
         }
         _ => None,
     }
--- a/crates/control-plane/src/state_machine/sessions.rs
+++ b/crates/control-plane/src/state_machine/sessions.rs
@@ -47,7 +47,7 @@
     /// Its copy of the configuration has differed in [`DIFFERING_HEARTBEATS`] heartbeats in a row.
     pub(super) is_stale: bool,
     /// It has become ready, or ceased to be.
-    pub(super) is_readiness_changed: bool,
+    pub(super) has_readiness_changed: bool,
 }
 
 /// The sessions of this process, by connection number, and the table of all gateways.
@@ -117,7 +117,7 @@
         if is_stale {
             session.differing_heartbeats = 0;
         }
-        HeartbeatOutcome { is_stale, is_readiness_changed: was_ready != heartbeat.is_ready }
+        HeartbeatOutcome { is_stale, has_readiness_changed: was_ready != heartbeat.is_ready }
     }
 
     /// Sessions of gateways that have never caught up.
@@ -135,19 +135,19 @@
     ///
     /// Invariant: connection numbers grow, so the highest is the newest. A gateway that has reconnected may be held to be
     /// on its old connection too for a while; what went there would be lost.
-    pub(super) fn newest_of(&self, incarnation: u64) -> Option<u64> {
+    pub(super) fn newest_session_of(&self, incarnation: u64) -> Option<u64> {
         let mut newest_first = self.open.iter().rev();
         newest_first.find(|(_, session)| session.hello.incarnation == incarnation).map(|(id, _)| *id)
     }
 
     /// A message to every session.
-    pub(super) fn to_all(&self, message: &Message) -> Vec<Action> {
+    pub(super) fn broadcast(&self, message: &Message) -> Vec<Action> {
         self.open.keys().map(|id| Action::SendToSession(*id, message.clone())).collect()
     }
 
     /// Items to every session, which share them: a whole change, or part of a transfer to this process, whose end the
     /// sessions are told by [`Sessions::end_transfer`].
-    pub(super) fn items_to_all(&mut self, items: &[Item], extent: Extent) -> Vec<Action> {
+    pub(super) fn broadcast_items(&mut self, items: &[Item], extent: Extent) -> Vec<Action> {
         if items.is_empty() || self.open.is_empty() {
             return Vec::new();
         }
@@ -162,7 +162,7 @@
             return Vec::new();
         }
         let digests = BucketDigests { digests: item_store.buckets().to_vec(), wants_reply: true };
-        self.to_all(&Message::BucketDigests(digests))
+        self.broadcast(&Message::BucketDigests(digests))
     }
 
     /// A gateway has told the digests of what it holds: it is told what it lacks when its turn comes.
@@ -234,7 +234,7 @@
     }
 
     /// Somebody has come who was not told of the sessions here: they are announced at the next heartbeat.
-    pub(super) fn announce_again(&mut self) {
+    pub(super) fn force_announcement(&mut self) {
         self.announced.sent_at = Timestamp::default();
     }
 
@@ -259,13 +259,13 @@
         self.table.expire(now);
     }
 
-    /// Gateways that count as live, as of the last [`Sessions::refresh_live`].
+    /// Gateways that count as live, as of the last [`Sessions::refresh_live_gateways`].
     pub(super) fn live_node_ids(&self) -> &[String] {
         &self.live_node_ids
     }
 
     /// Evaluates which gateways count as live; true if that has changed.
-    pub(super) fn refresh_live(&mut self) -> bool {
+    pub(super) fn refresh_live_gateways(&mut self) -> bool {
         let live = self.table.live_node_ids();
         let is_changed = live != self.live_node_ids;
         self.live_node_ids = live;
--- a/crates/control-plane/src/state_machine/startup.rs
+++ b/crates/control-plane/src/state_machine/startup.rs
@@ -9,7 +9,7 @@
 use super::persistence::{PendingWrite, Persistence};
 use super::proposals::Proposals;
 use super::quorum::Quorum;
-use super::records::{self, OwnRecord, Record, RecordedVote};
+use super::records::{self, Record, RecordedVote, StateMachineRecord};
 use super::sessions::Sessions;
 use super::tombstones::Tombstones;
 use super::{Identity, RequestIds, StateMachine};
@@ -22,7 +22,7 @@
 use log::{error, info};
 
 /// What a process is at its start.
-pub struct Start {
+pub struct StartParameters {
     /// This process' replica. Its replica id is taken from the records, or drawn if there are none.
     pub replica: Replica,
     /// Drawn anew at each start.
@@ -67,12 +67,12 @@
 
     fn add(&mut self, now: Timestamp, key: &[u8], value: &[u8]) {
         let own = records::decode(key, value);
-        self.has_state |= !matches!(own, Some(OwnRecord::ReplicaId(_)));
+        self.has_state |= !matches!(own, Some(StateMachineRecord::ReplicaId(_)));
         match own {
-            Some(OwnRecord::Complete) => self.is_complete = true,
-            Some(OwnRecord::ReplicaId(id)) => self.replica_id = id,
-            Some(OwnRecord::Vote(vote)) => self.vote = vote,
-            Some(OwnRecord::LiveGateways(node_ids)) => {
+            Some(StateMachineRecord::Complete) => self.is_complete = true,
+            Some(StateMachineRecord::ReplicaId(id)) => self.replica_id = id,
+            Some(StateMachineRecord::Vote(vote)) => self.vote = vote,
+            Some(StateMachineRecord::LiveGateways(node_ids)) => {
                 node_ids.iter().for_each(|node_id| self.sessions.restore(now, node_id));
             }
             None => self.add_item_or_proposal(key, value),
@@ -91,7 +91,7 @@
 
 impl StateMachine {
     /// Builds a state machine from what its disk holds. The first actions may be waiting when it returns.
-    pub fn new(now: Timestamp, start: Start) -> StateMachine {
+    pub fn new(now: Timestamp, start: StartParameters) -> StateMachine {
         let mut restored = RestoredRecords::read(now, &start.records);
         let is_garbled = !restored.removals.is_empty();
         // The disk of a version that had no replica ids stays the replica that it was, with id 0.
@@ -115,7 +115,7 @@
 
     fn assemble(
         now: Timestamp,
-        start: &Start,
+        start: &StartParameters,
         identity: Identity,
         restored: RestoredRecords,
     ) -> StateMachine {
--- a/crates/control-plane/src/state_machine/tests/coordinator.rs
+++ b/crates/control-plane/src/state_machine/tests/coordinator.rs
@@ -1,6 +1,6 @@
 use super::{at, replica};
 use crate::state_machine::coordinator::{
-    Coordinator, CoordinatorState, VoteDecision, VoterView, COORDINATOR_ROLE,
+    Coordinator, CoordinatorState, VoteContext, VoteDecision, COORDINATOR_ROLE,
 };
 use crate::state_machine::records::RecordedVote;
 use kitepass_config::ItemStore;
@@ -57,22 +57,22 @@
 #[test]
 fn the_winner_of_the_lease_acts_only_after_it_has_read_a_majority() {
     let mut coordinator = coordinator(RecordedVote::default(), true);
-    assert!(!coordinator.recovered(at(0)));
+    assert!(!coordinator.complete_recovery(at(0)));
     let millis = win(&mut coordinator);
     let term = coordinator.lease_term(at(millis));
     assert!(term.is_some());
     assert_eq!(coordinator.state(), CoordinatorState::Recovering(term.unwrap_or_default()));
     assert_eq!(coordinator.active_term(at(millis)), None);
-    assert!(coordinator.recovered(at(millis)));
+    assert!(coordinator.complete_recovery(at(millis)));
     assert_eq!(coordinator.active_term(at(millis)), term);
-    assert!(!coordinator.recovered(at(millis)), "it acts already");
+    assert!(!coordinator.complete_recovery(at(millis)), "it acts already");
 }
 
 #[test]
 fn a_lease_that_has_expired_makes_nobody_act() {
     let mut coordinator = coordinator(RecordedVote::default(), true);
     let millis = win(&mut coordinator);
-    assert!(!coordinator.recovered(at(millis + 10_000)));
+    assert!(!coordinator.complete_recovery(at(millis + 10_000)));
     assert_eq!(coordinator.active_term(at(millis + 10_000)), None);
     coordinator.step_down();
     assert_eq!(coordinator.state(), CoordinatorState::Follower);
@@ -80,7 +80,7 @@
 
 fn vote(coordinator: &mut Coordinator, candidate: u64, may_grant: bool) -> VoteDecision {
     let replica_sets = replica_sets();
-    let view = VoterView { replica_sets: Some(&replica_sets), fencing_epoch: 0, may_grant };
+    let view = VoteContext { replica_sets: Some(&replica_sets), fencing_epoch: 0, may_grant };
     let request = LeaseRequest {
         role: COORDINATOR_ROLE.to_owned(),
         term: 3,
--- a/crates/control-plane/src/state_machine/tests/sessions.rs
+++ b/crates/control-plane/src/state_machine/tests/sessions.rs
@@ -38,7 +38,7 @@
 fn a_change_of_readiness_is_told_once() {
     let mut sessions = sessions([1]);
     let changes = [false, true, true, false]
-        .map(|is_ready| sessions.receive_heartbeat(1, &heartbeat(5, is_ready), 5).is_readiness_changed);
+        .map(|is_ready| sessions.receive_heartbeat(1, &heartbeat(5, is_ready), 5).has_readiness_changed);
     assert_eq!(changes, [false, true, false, true]);
 }
 
@@ -54,7 +54,7 @@
     assert_eq!(announce(&mut sessions, 4_000), Some((1, 1)), "the same list");
     sessions.open(at(4_100), 2, gateway(2));
     assert_eq!(announce(&mut sessions, 4_100), Some((2, 2)));
-    sessions.announce_again();
+    sessions.force_announcement();
     assert_eq!(announce(&mut sessions, 4_200), Some((2, 2)), "somebody new has to be told");
 }
 
@@ -62,17 +62,17 @@
 fn a_gateway_is_reached_on_its_newest_connection() {
     let mut sessions = sessions([3]);
     sessions.open(at(10), 8, gateway(3));
-    assert_eq!(sessions.newest_of(3), Some(8));
+    assert_eq!(sessions.newest_session_of(3), Some(8));
     assert_eq!(sessions.close(8).as_deref(), Some("g3"));
-    assert_eq!(sessions.newest_of(3), Some(3));
-    assert_eq!(sessions.newest_of(4), None);
+    assert_eq!(sessions.newest_session_of(3), Some(3));
+    assert_eq!(sessions.newest_session_of(4), None);
 }
 
 #[test]
 fn a_gateway_that_says_nothing_is_no_member_and_later_loses_its_session() {
     let mut sessions = sessions([1, 2]);
     let members = |sessions: &mut Sessions, millis| {
-        sessions.announce_again();
+        sessions.force_announcement();
         let list = sessions.announcement(at(millis), "s0", 7).expect("it is to be announced again");
         list.members.into_iter().map(|member| member.node_id).collect::<Vec<_>>()
     };
@@ -121,9 +121,9 @@
 #[test]
 fn the_live_gateways_change_with_the_table() {
     let mut sessions = sessions([1]);
-    assert!(!sessions.refresh_live());
+    assert!(!sessions.refresh_live_gateways());
     sessions.announcement(at(0), "s0", 7);
-    assert!(sessions.refresh_live());
+    assert!(sessions.refresh_live_gateways());
     assert_eq!(sessions.live_node_ids(), ["g1"]);
-    assert!(!sessions.refresh_live());
+    assert!(!sessions.refresh_live_gateways());
 }
--- a/crates/control-plane/src/state_machine/tombstones.rs
+++ b/crates/control-plane/src/state_machine/tombstones.rs
@@ -17,7 +17,7 @@
     age: Duration,
     last_collection_at: Timestamp,
     last_contact_at: Timestamp,
-    is_unproven: bool,
+    may_be_stale: bool,
 }
 
 impl Tombstones {
@@ -28,11 +28,11 @@
             age: TOMBSTONE_AGE,
             last_collection_at: now,
             last_contact_at: now,
-            is_unproven: holds_items,
+            may_be_stale: holds_items,
         }
     }
 
-    pub(super) fn set_age(&mut self, age: Duration) {
+    pub(super) fn set_retention(&mut self, age: Duration) {
         self.age = age;
         self.collector = TombstoneCollector::new(age);
     }
@@ -69,23 +69,23 @@
     /// This process serves and is in contact with a majority: what it holds is what all hold.
     pub(super) fn contact_confirmed(&mut self, now: Timestamp) {
         self.last_contact_at = now;
-        self.is_unproven = false;
+        self.may_be_stale = false;
     }
 
     /// This process is not in contact. After half a tombstone's age what it holds is in doubt.
     pub(super) fn contact_missing(&mut self, now: Timestamp, holds_items: bool) {
         if (now - self.last_contact_at).as_micros() > self.age.as_micros() / 2 {
-            self.is_unproven |= holds_items;
+            self.may_be_stale |= holds_items;
         }
     }
 
     /// Whether this process holds what it held before it was away for long, and has yet to be found a member.
-    pub(super) fn is_unproven(&self) -> bool {
-        self.is_unproven
+    pub(super) fn may_be_stale(&self) -> bool {
+        self.may_be_stale
     }
 
     /// What was in doubt is discarded.
     pub(super) fn discarded(&mut self) {
-        self.is_unproven = false;
+        self.may_be_stale = false;
     }
 }
--- a/crates/control-plane/tests/catch_up.rs
+++ b/crates/control-plane/tests/catch_up.rs
@@ -173,7 +173,7 @@
         let mut cluster = Cluster::new(seed);
         cluster.add_gateways(12);
         cluster.run(8_000);
-        cluster.set_tombstone_age(AGE);
+        cluster.set_tombstone_retention(AGE);
         change_x(&mut cluster, 0, 5, Some(SERVICE));
         let is_set = |item_store: &ItemStore| item_store.get(Kind::Service, "x").is_some_and(Item::is_set);
         assert!(cluster.gateways.iter().all(|gateway| is_set(&gateway.session.item_store)), "seed {seed}");
@@ -247,7 +247,7 @@
     for seed in 20..24 {
         let mut cluster = Cluster::new(seed);
         cluster.run(5_000);
-        cluster.set_tombstone_age(AGE);
+        cluster.set_tombstone_retention(AGE);
         cluster.patch(0, "x", 5, Some(SERVICE));
         cluster.run(3_000);
         cluster.disk_delay[4] = 300_000;
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -10,7 +10,7 @@
 use gateways::SessionMessage;
 use kitepass_config::{Item, Kind};
 use kitepass_control_plane::request::{Request, Response};
-use kitepass_control_plane::state_machine::{Action, ReplicaState, Start, StateMachine};
+use kitepass_control_plane::state_machine::{Action, ReplicaState, StartParameters, StateMachine};
 use kitepass_coordination::membership::Replica;
 use kitepass_coordination::protocol::{pack, ItemMessage, Items, Message};
 use kitepass_coordination::usage::QuotaTolerance;
@@ -180,7 +180,7 @@
     pub(crate) fn start(&mut self, n: usize, is_first_start: bool) {
         let node = &mut self.nodes[n];
         node.incarnation = self.random.rand_u64();
-        let start = Start {
+        let start = StartParameters {
             replica: node.replica.clone(),
             incarnation: node.incarnation,
             is_first_start,
@@ -190,17 +190,17 @@
         };
         let mut state_machine = StateMachine::new(at(self.now), start);
         if let Some(age) = self.tombstone_age {
-            state_machine.set_tombstone_age(Duration::from_micros(age * 1000));
+            state_machine.set_tombstone_retention(Duration::from_micros(age * 1000));
         }
         node.state_machine = Some(state_machine);
     }
 
     /// Tombstones are forgotten at this age; gateways may be without a session for half of it.
-    pub(crate) fn set_tombstone_age(&mut self, age: i64) {
+    pub(crate) fn set_tombstone_retention(&mut self, age: i64) {
         self.tombstone_age = Some(age);
         let duration = Duration::from_micros(age * 1000);
         let state_machines = self.nodes.iter_mut().filter_map(|node| node.state_machine.as_mut());
-        state_machines.for_each(|state_machine| state_machine.set_tombstone_age(duration));
+        state_machines.for_each(|state_machine| state_machine.set_tombstone_retention(duration));
         self.set_gateways_alone(Duration::from_micros(age * 500));
     }
 
--- a/crates/control-plane/tests/golden_store.rs
+++ b/crates/control-plane/tests/golden_store.rs
@@ -8,7 +8,9 @@
 
 use kitepass_config::{decode_record, encode_record, Item, ItemStore, Kind, MAX_OLDER_VERSIONS};
 use kitepass_control_plane::request::{Request, Response};
-use kitepass_control_plane::state_machine::{Action, ReplicaState, Start, StateMachine, COORDINATOR_ROLE};
+use kitepass_control_plane::state_machine::{
+    Action, ReplicaState, StartParameters, StateMachine, COORDINATOR_ROLE,
+};
 use kitepass_coordination::consensus::{key, Ballot, Proposal};
 use kitepass_coordination::membership::{Replica, ReplicaSet, CURRENT, INCOMING};
 use kitepass_coordination::protocol::{Hello, LeaseRequest, Message, PrepareRequest, PrepareResponse};
@@ -196,7 +198,7 @@
 
 fn start(number: usize, incarnation: u64, records: Vec<Record>) -> StateMachine {
     let is_first_run = records.is_empty();
-    let start = Start {
+    let start = StartParameters {
         replica: Replica { replica_id: 0, ..replica(number) },
         incarnation,
         is_first_start: is_first_run,
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -8,7 +8,9 @@
 use kitepass_config::{Item, ItemStore, Kind};
 use kitepass_control_plane::endpoints::Endpoint;
 use kitepass_control_plane::request::{Request, Response};
-use kitepass_control_plane::state_machine::{Action, ItemUpdate, ReplicaState, Start, StateMachine};
+use kitepass_control_plane::state_machine::{
+    Action, ItemUpdate, ReplicaState, StartParameters, StateMachine,
+};
 use kitepass_coordination::membership::{Replica, ReplicaSet, CURRENT, INCOMING};
 use kitepass_coordination::protocol::{Hello, Items, Message};
 use kitepass_coordination::usage::QuotaTolerance;
@@ -140,7 +142,7 @@
     /// Starts an incarnation.
     pub fn start(now: Timestamp, start: ProcessStart) -> Process {
         let NodeLocation { node_id, address, zone, region } = start.location;
-        let start = Start {
+        let start = StartParameters {
             replica: Replica { node_id, address, zone, region, ..Replica::default() },
             incarnation: start.incarnation,
             is_first_start: start.is_first_start,
