--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -306,7 +306,7 @@
     /// Tells the state machine which sessions can be sent their next chunk.
     fn report_drained_sessions(&mut self, now: Timestamp) {
         for id in std::mem::take(&mut self.drained_sessions) {
-            self.state_machine.session_drained(now, id.0);
+            self.state_machine.session_output_drained(now, id.0);
         }
     }
 
--- a/crates/control-plane/src/server/peer_connections.rs
+++ b/crates/control-plane/src/server/peer_connections.rs
@@ -73,9 +73,9 @@
         // time after which an unresponsive process is given up.
         match &connection.role {
             Role::IncomingPeer { node_id, .. } if !input.is_empty() => {
-                self.state_machine.peer_alive(now, node_id);
+                self.state_machine.peer_data_received(now, node_id);
             }
-            Role::GatewaySession if !input.is_empty() => self.state_machine.session_alive(now, id.0),
+            Role::GatewaySession if !input.is_empty() => self.state_machine.session_data_received(now, id.0),
             _ => {}
         }
         let mut offset = 0;
--- a/crates/control-plane/src/state_machine/catch_up/mod.rs
+++ b/crates/control-plane/src/state_machine/catch_up/mod.rs
@@ -41,9 +41,9 @@
     /// The id under which all are asked, or 0 where nobody has been asked yet.
     catch_up_id: u64,
     /// When somebody was asked first under it.
-    first_asked_at: Timestamp,
+    first_requested_at: Timestamp,
     /// When all were asked last.
-    last_asked_at: Timestamp,
+    last_requested_at: Timestamp,
     readings: BTreeMap<ReadingKey, Reading>,
     /// By the node id of the proposer.
     delayed_accepts: BTreeMap<String, DelayedAccept>,
@@ -55,20 +55,20 @@
             completed: BTreeSet::new(),
             activated_version: 0,
             catch_up_id: 0,
-            first_asked_at: now,
-            last_asked_at: Timestamp::default(),
+            first_requested_at: now,
+            last_requested_at: Timestamp::default(),
             readings: BTreeMap::new(),
             delayed_accepts: BTreeMap::new(),
         }
     }
 
-    pub(super) fn last_asked_at(&self) -> Timestamp {
-        self.last_asked_at
+    pub(super) fn last_requested_at(&self) -> Timestamp {
+        self.last_requested_at
     }
 
     /// All are to be asked again at the next tick.
     pub(super) fn retry_soon(&mut self) {
-        self.last_asked_at = Timestamp::default();
+        self.last_requested_at = Timestamp::default();
     }
 
     /// Whom this process has read so far counts no longer; all are asked under a new id.
@@ -86,7 +86,7 @@
     }
 
     pub(super) fn all_asked(&mut self, now: Timestamp) {
-        self.last_asked_at = now;
+        self.last_requested_at = now;
     }
 
     /// The id under which all are asked; `next_id` gives one where there is none.
@@ -95,7 +95,7 @@
     /// and [`CatchUp::restart`] makes for a new id.
     pub(super) fn catch_up_id(&mut self, now: Timestamp, next_id: impl FnOnce() -> u64) -> u64 {
         if self.catch_up_id == 0 {
-            (self.catch_up_id, self.first_asked_at) = (next_id(), now);
+            (self.catch_up_id, self.first_requested_at) = (next_id(), now);
         }
         self.catch_up_id
     }
@@ -106,29 +106,29 @@
 
     /// When a replica was asked first under the current id. An answer proves contact no later than that, as it may be the
     /// answer to that first request.
-    pub(super) fn first_asked_at(&self) -> Timestamp {
-        self.first_asked_at
+    pub(super) fn first_requested_at(&self) -> Timestamp {
+        self.first_requested_at
     }
 
     /// The replica of this name has been read. `activated_version` is what it told.
-    pub(super) fn replica_read(&mut self, name: &str, activated_version: u64) {
+    pub(super) fn replica_read_completed(&mut self, name: &str, activated_version: u64) {
         self.completed.insert(name.to_owned());
         self.activated_version = self.activated_version.max(activated_version);
     }
 
     /// Names of the replicas that were read, and the highest activated version that they told.
-    pub(super) fn completed(&self) -> (BTreeSet<String>, u64) {
+    pub(super) fn completed_reads(&self) -> (BTreeSet<String>, u64) {
         (self.completed.clone(), self.activated_version)
     }
 
     /// Begins a reading: `request` goes to the peer.
-    pub(super) fn start_reading(&mut self, now: Timestamp, node_id: &str, request: &PrepareRequest) {
+    pub(super) fn start_read(&mut self, now: Timestamp, node_id: &str, request: &PrepareRequest) {
         let key = ReadingKey { request_id: request.request_id, node_id: node_id.to_owned() };
         self.readings.insert(key, Reading::new(now, request));
     }
 
     /// Whether an answer of this peer under this id may still come.
-    pub(super) fn is_reading(&self, now: Timestamp, request_id: u64, node_id: &str) -> bool {
+    pub(super) fn is_read_in_progress(&self, now: Timestamp, request_id: u64, node_id: &str) -> bool {
         let key = ReadingKey { request_id, node_id: node_id.to_owned() };
         self.readings.get(&key).is_some_and(|reading| !reading.is_overdue(now))
     }
@@ -148,7 +148,7 @@
     }
 
     /// Whether an answer of this peer may still come, under whatever id.
-    pub(super) fn is_reading_any(&self, now: Timestamp, node_id: &str) -> bool {
+    pub(super) fn is_any_read_in_progress(&self, now: Timestamp, node_id: &str) -> bool {
         self.readings.iter().any(|(key, reading)| key.node_id == node_id && !reading.is_overdue(now))
     }
 
@@ -193,7 +193,7 @@
     }
 
     /// Forgets overdue readings that nothing waits for. `is_waited_for` says whether a pending request does.
-    pub(super) fn expire_readings(&mut self, now: Timestamp, is_waited_for: impl Fn(u64) -> bool) {
+    pub(super) fn expire_reads(&mut self, now: Timestamp, is_waited_for: impl Fn(u64) -> bool) {
         let (delayed_accepts, catch_up_id) = (&self.delayed_accepts, self.catch_up_id);
         let is_delaying = |id: u64| delayed_accepts.values().any(|delayed| delayed.request_id == id);
         self.readings.retain(|key, reading| {
--- a/crates/control-plane/src/state_machine/handlers/accept.rs
+++ b/crates/control-plane/src/state_machine/handlers/accept.rs
@@ -139,7 +139,7 @@
         name: &str,
         response: &AcceptResponse,
     ) {
-        let id = self.proposals.pending.of_ballot(response.request_id, response.answered_ballot);
+        let id = self.proposals.pending.find_by_ballot(response.request_id, response.answered_ballot);
         let Some(id) = id else { return };
         if response.is_rejected {
             self.proposals.observe_ballot(response.ballot.unwrap_or_default());
--- a/crates/control-plane/src/state_machine/handlers/catch_up.rs
+++ b/crates/control-plane/src/state_machine/handlers/catch_up.rs
@@ -27,29 +27,31 @@
         let catch_up_id = self.catch_up.catch_up_id(now, || request_ids.next());
         let request = self.catch_up_request(catch_up_id, self.configuration.epoch());
         for node_id in self.quorum.node_ids() {
-            if !self.catch_up.is_reading(now, catch_up_id, &node_id) {
-                self.start_reading(now, &node_id, request.clone());
+            if !self.catch_up.is_read_in_progress(now, catch_up_id, &node_id) {
+                self.start_read(now, &node_id, request.clone());
             }
         }
     }
 
     /// Reads a peer whose copy has differed for some time, unless it is being read already.
     pub(in crate::state_machine) fn repair(&mut self, now: Timestamp, node_id: &str, name: &str) {
-        if self.configuration.is_member_or_unknown(name) && !self.catch_up.is_reading_any(now, node_id) {
+        if self.configuration.is_member_or_unknown(name)
+            && !self.catch_up.is_any_read_in_progress(now, node_id)
+        {
             let request_id = self.next_request_id();
             let request = self.catch_up_request(request_id, self.configuration.epoch());
-            self.start_reading(now, node_id, request);
+            self.start_read(now, node_id, request);
         }
     }
 
     /// Begins a reading, which goes on until all that the peer holds is known here.
-    pub(in crate::state_machine) fn start_reading(
+    pub(in crate::state_machine) fn start_read(
         &mut self,
         now: Timestamp,
         node_id: &str,
         request: PrepareRequest,
     ) {
-        self.catch_up.start_reading(now, node_id, &request);
+        self.catch_up.start_read(now, node_id, &request);
         self.send(node_id, Message::PrepareRequest(request));
     }
 
@@ -148,7 +150,7 @@
         } else if response.is_rejected {
             self.catch_up.retry_soon(); // it is of a newer epoch, which has come with the answer
         } else {
-            self.catch_up.replica_read(name, response.activated_version);
+            self.catch_up.replica_read_completed(name, response.activated_version);
             self.finish_catch_up(now);
         }
     }
@@ -173,7 +175,7 @@
         let request_id = self.next_request_id();
         let reading = self.catch_up_request(request_id, request.epoch);
         self.catch_up.delay_accept(node_id, request_id, request);
-        self.start_reading(now, node_id, reading);
+        self.start_read(now, node_id, reading);
     }
 
     /// Goes on with the accept request that waited for this reading; true if there was one.
@@ -190,7 +192,7 @@
 
     /// Serves, if enough replicas have been read since contact was lost or the process started.
     pub(in crate::state_machine) fn finish_catch_up(&mut self, now: Timestamp) {
-        let (mut read, mut activated_version) = self.catch_up.completed();
+        let (mut read, mut activated_version) = self.catch_up.completed_reads();
         if self.lifecycle.is_complete() {
             read.insert(self.identity.name.clone());
             activated_version = activated_version.max(self.proposals.activated_version());
@@ -213,8 +215,8 @@
     }
 
     /// Forgets overdue readings that nothing waits for.
-    pub(in crate::state_machine) fn expire_readings(&mut self, now: Timestamp) {
+    pub(in crate::state_machine) fn expire_reads(&mut self, now: Timestamp) {
         let pending = &self.proposals.pending;
-        self.catch_up.expire_readings(now, |request_id| pending.of_attempt(request_id).is_some());
+        self.catch_up.expire_reads(now, |request_id| pending.find_by_attempt(request_id).is_some());
     }
 }
--- a/crates/control-plane/src/state_machine/handlers/gateways.rs
+++ b/crates/control-plane/src/state_machine/handlers/gateways.rs
@@ -34,7 +34,7 @@
     }
 
     /// Bytes have come of a gateway that are no complete message yet.
-    pub fn session_alive(&mut self, now: Timestamp, id: u64) {
+    pub fn session_data_received(&mut self, now: Timestamp, id: u64) {
         self.sessions.message_received(now, id);
     }
 
@@ -117,13 +117,13 @@
         }
     }
 
-    /// Whether a chunk is in flight to a session: [`StateMachine::session_drained`] is to be called once it has left.
+    /// Whether a chunk is in flight to a session: [`StateMachine::session_output_drained`] is to be called once it has left.
     pub fn is_session_catching_up(&self, id: u64) -> bool {
         self.sessions.is_catching_up(id)
     }
 
     /// What was in flight to a session has left, or nearly.
-    pub fn session_drained(&mut self, now: Timestamp, id: u64) {
+    pub fn session_output_drained(&mut self, now: Timestamp, id: u64) {
         self.sessions.chunk_delivered(id);
         self.send_chunks(now);
     }
--- a/crates/control-plane/src/state_machine/handlers/peers.rs
+++ b/crates/control-plane/src/state_machine/handlers/peers.rs
@@ -49,7 +49,7 @@
     }
 
     /// Bytes have come of a peer that are no complete message yet.
-    pub fn peer_alive(&mut self, now: Timestamp, node_id: &str) {
+    pub fn peer_data_received(&mut self, now: Timestamp, node_id: &str) {
         self.quorum.message_received(now, node_id);
     }
 
@@ -84,7 +84,7 @@
             Message::PrepareResponse(response) => {
                 let is_own_answer = response.incarnation == self.identity.incarnation;
                 if is_own_answer && self.catch_up.is_catch_up_id(response.request_id) {
-                    self.quorum.response_received(now, &sender.name, self.catch_up.first_asked_at());
+                    self.quorum.response_received(now, &sender.name, self.catch_up.first_requested_at());
                 }
             }
             _ => return,
--- a/crates/control-plane/src/state_machine/handlers/prepare.rs
+++ b/crates/control-plane/src/state_machine/handlers/prepare.rs
@@ -26,7 +26,7 @@
         }
         let Some(request) = self.new_attempt(id) else { return };
         for node_id in self.quorum.node_ids() {
-            self.start_reading(now, &node_id, request.clone());
+            self.start_read(now, &node_id, request.clone());
         }
         let own_node_id = self.identity.replica.node_id.clone();
         self.handle_prepare_request(now, &own_node_id, &request);
@@ -110,7 +110,7 @@
         name: &str,
         response: PrepareResponse,
     ) {
-        let Some(id) = self.proposals.pending.of_attempt(response.request_id) else { return };
+        let Some(id) = self.proposals.pending.find_by_attempt(response.request_id) else { return };
         let accepted: Vec<(Ballot, Proposal)> =
             response.accepted.into_iter().filter_map(ProposalMessage::into_proposal).collect();
         for (ballot, proposal) in &accepted {
@@ -143,9 +143,9 @@
             // Another process is resolving it. If that comes to nothing, it becomes due here again.
             return self.finish_request(id, Response::Done);
         }
-        let max_pause = pending.max_pause();
-        let pause = Duration::from_micros(self.random.rand_range(0..max_pause) as i64);
-        pending.pause_until(now + pause);
+        let max_backoff_micros = pending.max_backoff_micros();
+        let pause = Duration::from_micros(self.random.rand_range(0..max_backoff_micros) as i64);
+        pending.back_off_until(now + pause);
     }
 
     /// Goes on with a request if enough replicas have answered.
--- a/crates/control-plane/src/state_machine/handlers/requests.rs
+++ b/crates/control-plane/src/state_machine/handlers/requests.rs
@@ -95,7 +95,7 @@
 
     /// Resumes the requests that wait no longer. To be called after whatever may have changed that.
     pub(in crate::state_machine) fn resume_requests(&mut self, now: Timestamp) {
-        self.proposals.watch_list.expire(self.configuration.item_store());
+        self.proposals.watch_list.remove_resolved(self.configuration.item_store());
         let watch_list = &self.proposals.watch_list;
         let resumable = self.proposals.pending.resumable(now, |id| watch_list.contains(*id));
         let epoch = self.configuration.epoch();
--- a/crates/control-plane/src/state_machine/handlers/resolve.rs
+++ b/crates/control-plane/src/state_machine/handlers/resolve.rs
@@ -3,7 +3,9 @@
 //! Assumption: a proposer may die after its proposal was chosen, and even confirmed, and before anybody was told.
 //! Invariant: every proposal that is accepted anywhere is resolved by somebody. Otherwise it would never come in force.
 
-use crate::state_machine::proposals::{is_resolved, transfer_time, MAX_FIRST_PAUSE, MAX_PAUSE_DOUBLINGS};
+use crate::state_machine::proposals::{
+    is_resolved, transfer_time, INITIAL_MAX_BACKOFF_MICROS, MAX_BACKOFF_DOUBLINGS,
+};
 use crate::state_machine::{ReplicaState, StateMachine};
 use kitepass_coordination::consensus::{Ballot, Proposal, ProposalId};
 use kitepass_time::{Duration, Timestamp};
@@ -38,11 +40,11 @@
     /// When this process resolves a proposal that was reported now, or that it has tried to resolve `attempts` times.
     fn draw_resolve_time(&mut self, now: Timestamp, proposal: &Proposal, attempts: u32) -> Timestamp {
         let delay = if self.active_term(now).is_some() {
-            self.random.rand_range(0..MAX_FIRST_PAUSE)
+            self.random.rand_range(0..INITIAL_MAX_BACKOFF_MICROS)
         } else if self.quorum.coordinator().is_some() {
             MAX_RESOLVE_DELAY / 2 + self.random.rand_range(0..MAX_RESOLVE_DELAY / 2)
         } else {
-            self.random.rand_range(0..MAX_RESOLVE_DELAY << attempts.min(MAX_PAUSE_DOUBLINGS))
+            self.random.rand_range(0..MAX_RESOLVE_DELAY << attempts.min(MAX_BACKOFF_DOUBLINGS))
         };
         now + RESOLVE_TIMEOUT + transfer_time(proposal.bytes()) + Duration::from_micros(delay as i64)
     }
@@ -79,7 +81,7 @@
         let overdue = self.proposals.watch_list.overdue(now, only, &busy);
         for it in &overdue {
             let resolve_at = self.draw_resolve_time(now, &it.proposal, it.attempts);
-            self.proposals.watch_list.attempted(it.proposal.proposal_id(), it.attempts, resolve_at);
+            self.proposals.watch_list.resolve_attempted(it.proposal.proposal_id(), it.attempts, resolve_at);
         }
         for it in overdue {
             debug!("event=resolve-proposal items={}", it.proposal.items().len());
--- a/crates/control-plane/src/state_machine/mod.rs
+++ b/crates/control-plane/src/state_machine/mod.rs
@@ -191,7 +191,7 @@
         }
         self.evaluate_contact(now);
         self.tick_catch_up(now);
-        self.expire_readings(now);
+        self.expire_reads(now);
         self.track_contact(now);
         self.end_transfer();
         self.send_chunks(now);
@@ -211,7 +211,7 @@
             self.replica_state(),
             ReplicaState::Uninitialized | ReplicaState::CatchingUp | ReplicaState::Isolated
         );
-        if is_behind && now - self.catch_up.last_asked_at() > HEARTBEAT_INTERVAL {
+        if is_behind && now - self.catch_up.last_requested_at() > HEARTBEAT_INTERVAL {
             self.read_all_peers(now);
             self.bootstrap_replica_set(now);
         }
--- a/crates/control-plane/src/state_machine/proposals/pending.rs
+++ b/crates/control-plane/src/state_machine/proposals/pending.rs
@@ -12,13 +12,13 @@
 /// Added to the time-out for each MiB of a request: its caller waits longer, too.
 const REQUEST_TIMEOUT_PER_MIB: Duration = Duration::from_micros(1_000_000);
 /// Bound of the drawn pause before a request's next attempt after the first rejection, in microseconds. It doubles with
-/// each further rejection, [`MAX_PAUSE_DOUBLINGS`] times at most.
+/// each further rejection, [`MAX_BACKOFF_DOUBLINGS`] times at most.
 ///
 /// Invariant: proposers that reject each other come again at different times, or none would ever finish. The pauses stay
 /// bounded, as growing ones would keep callers beyond their time-outs (docs/control-consensus.md).
-pub(in crate::state_machine) const MAX_FIRST_PAUSE: u64 = 100_000;
-/// See [`MAX_FIRST_PAUSE`].
-pub(in crate::state_machine) const MAX_PAUSE_DOUBLINGS: u32 = 2;
+pub(in crate::state_machine) const INITIAL_MAX_BACKOFF_MICROS: u64 = 100_000;
+/// See [`INITIAL_MAX_BACKOFF_MICROS`].
+pub(in crate::state_machine) const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
 /// How much longer a message of `bytes` bytes may take than an empty one.
 pub(in crate::state_machine) fn transfer_time(bytes: usize) -> Duration {
@@ -35,7 +35,7 @@
     /// Reading what the others hold, and having them promise the ballot.
     Preparing(BTreeSet<String>),
     /// Another attempt begins at that time.
-    Paused(Timestamp),
+    BackingOff(Timestamp),
     /// Proposals that may be chosen already have to be resolved first.
     Blocked(BTreeSet<ProposalId>),
     /// Waiting for enough replicas to have accepted the proposal on disk.
@@ -83,7 +83,7 @@
             observed,
             activated_version: 0,
             rejections: 0,
-            phase: Phase::Paused(now),
+            phase: Phase::BackingOff(now),
             started_at: now,
         }
     }
@@ -95,9 +95,9 @@
     }
 
     /// The attempt was rejected: another one begins at that time.
-    pub(in crate::state_machine) fn pause_until(&mut self, time: Timestamp) {
+    pub(in crate::state_machine) fn back_off_until(&mut self, time: Timestamp) {
         self.rejections += 1;
-        self.phase = Phase::Paused(time);
+        self.phase = Phase::BackingOff(time);
     }
 
     /// The replica of this name has promised the attempt's ballot, and told the activated version that it knows. False if
@@ -120,7 +120,7 @@
 
     /// Whether it waits for its next attempt already.
     pub(in crate::state_machine) fn is_waiting(&self) -> bool {
-        matches!(self.phase, Phase::Paused(_) | Phase::Blocked(_))
+        matches!(self.phase, Phase::BackingOff(_) | Phase::Blocked(_))
     }
 
     /// Whether proposals have to be resolved first, none of which changes the replica set.
@@ -161,11 +161,11 @@
     ///
     /// Where a change was sent again to many processes, all of them push the same proposal and take each other's promises
     /// away. Once it is accepted anywhere they come again at times further apart.
-    pub(in crate::state_machine) fn max_pause(&self) -> u64 {
+    pub(in crate::state_machine) fn max_backoff_micros(&self) -> u64 {
         let proposal_id = self.proposal.as_ref().map(Proposal::proposal_id);
         let is_observed = proposal_id.is_some_and(|id| self.observed.contains_key(&id));
-        let doublings = if is_observed { MAX_PAUSE_DOUBLINGS + 1 } else { MAX_PAUSE_DOUBLINGS };
-        MAX_FIRST_PAUSE << self.rejections.min(doublings)
+        let doublings = if is_observed { MAX_BACKOFF_DOUBLINGS + 1 } else { MAX_BACKOFF_DOUBLINGS };
+        INITIAL_MAX_BACKOFF_MICROS << self.rejections.min(doublings)
     }
 }
 
@@ -207,13 +207,13 @@
     }
 
     /// The request whose attempt has this request id.
-    pub(in crate::state_machine) fn of_attempt(&self, attempt_id: u64) -> Option<PendingId> {
+    pub(in crate::state_machine) fn find_by_attempt(&self, attempt_id: u64) -> Option<PendingId> {
         let mut requests = self.requests.iter();
         requests.find(|(_, pending)| pending.attempt_id == attempt_id).map(|(id, _)| *id)
     }
 
     /// The request whose attempt has this request id and ballot.
-    pub(in crate::state_machine) fn of_ballot(
+    pub(in crate::state_machine) fn find_by_ballot(
         &self,
         attempt_id: u64,
         ballot: Option<Ballot>,
@@ -259,7 +259,7 @@
         is_watched: impl Fn(&ProposalId) -> bool,
     ) -> Vec<PendingId> {
         let is_resumable = |pending: &PendingRequest| match &pending.phase {
-            Phase::Paused(until) => *until <= now,
+            Phase::BackingOff(until) => *until <= now,
             Phase::Blocked(proposal_ids) => !proposal_ids.iter().any(&is_watched),
             _ => false,
         };
--- a/crates/control-plane/src/state_machine/proposals/watch.rs
+++ b/crates/control-plane/src/state_machine/proposals/watch.rs
@@ -71,7 +71,7 @@
     }
 
     /// Takes resolved proposals out, and keeps the rejections in bounds: prepare responses tell them again.
-    pub(in crate::state_machine) fn expire(&mut self, item_store: &ItemStore) {
+    pub(in crate::state_machine) fn remove_resolved(&mut self, item_store: &ItemStore) {
         self.watched.retain(|_, watched| !is_resolved(&watched.proposal, item_store));
         if self.rejected.len() > MAX_WATCHED {
             self.rejected.clear();
@@ -99,7 +99,7 @@
     }
 
     /// A proposal is being resolved; should that fail, it is due again at `resolve_at`.
-    pub(in crate::state_machine) fn attempted(
+    pub(in crate::state_machine) fn resolve_attempted(
         &mut self,
         id: ProposalId,
         attempts: u32,
--- a/crates/control-plane/src/state_machine/tests/catch_up.rs
+++ b/crates/control-plane/src/state_machine/tests/catch_up.rs
@@ -40,7 +40,7 @@
 
 fn reading() -> CatchUp {
     let mut catch_up = CatchUp::new(at(0));
-    catch_up.start_reading(at(0), "s1", &request());
+    catch_up.start_read(at(0), "s1", &request());
     catch_up
 }
 
@@ -62,7 +62,7 @@
     }
     assert_eq!(items_read, 30);
     assert!(chunks > 1, "{chunks} chunks");
-    assert!(!catch_up.is_reading_any(at(10), "s1"));
+    assert!(!catch_up.is_any_read_in_progress(at(10), "s1"));
 }
 
 #[test]
@@ -92,7 +92,7 @@
     assert!(matches!(outcome, ChunkOutcome::Continue(_)));
     let outcome = catch_up.receive_chunk(at(20), "s1", true, true, &items, response);
     assert!(matches!(outcome, ChunkOutcome::Ignored));
-    assert!(catch_up.is_reading(at(20), REQUEST_ID, "s1"));
+    assert!(catch_up.is_read_in_progress(at(20), REQUEST_ID, "s1"));
 }
 
 #[test]
@@ -107,22 +107,22 @@
     }
     let outcome = catch_up.receive_chunk(at(4), "s1", true, true, short, response);
     assert!(matches!(outcome, ChunkOutcome::Ignored));
-    assert!(!catch_up.is_reading(at(4), REQUEST_ID, "s1"));
+    assert!(!catch_up.is_read_in_progress(at(4), REQUEST_ID, "s1"));
 }
 
 #[test]
 fn an_overdue_reading_is_kept_only_for_what_waits_for_it() {
     let mut catch_up = reading();
-    assert!(catch_up.is_reading(at(500), REQUEST_ID, "s1"));
-    assert!(!catch_up.is_reading(at(501), REQUEST_ID, "s1"));
+    assert!(catch_up.is_read_in_progress(at(500), REQUEST_ID, "s1"));
+    assert!(!catch_up.is_read_in_progress(at(501), REQUEST_ID, "s1"));
     let (items, response) = chunk(&request(), usize::MAX);
-    catch_up.expire_readings(at(501), |id| id == REQUEST_ID);
+    catch_up.expire_reads(at(501), |id| id == REQUEST_ID);
     catch_up.delay_accept("s2", REQUEST_ID, AcceptRequest::default());
-    catch_up.expire_readings(at(502), |_| false);
+    catch_up.expire_reads(at(502), |_| false);
     let (node_id, _) = catch_up.take_delayed_accept(REQUEST_ID).expect("it waits");
     assert_eq!(node_id, "s2");
     assert!(catch_up.take_delayed_accept(REQUEST_ID).is_none());
-    catch_up.expire_readings(at(503), |_| false);
+    catch_up.expire_reads(at(503), |_| false);
     let outcome = catch_up.receive_chunk(at(504), "s1", true, true, &items, response);
     assert!(matches!(outcome, ChunkOutcome::Ignored), "nothing waited for it any more");
 }
@@ -132,11 +132,11 @@
     let mut catch_up = CatchUp::new(at(0));
     assert_eq!(catch_up.catch_up_id(at(5), || 8), 8);
     assert_eq!(catch_up.catch_up_id(at(6), || 9), 8);
-    assert_eq!(catch_up.first_asked_at(), at(5));
-    catch_up.replica_read("a", 4);
-    catch_up.replica_read("b", 2);
-    assert_eq!(catch_up.completed(), (["a".to_owned(), "b".to_owned()].into(), 4));
+    assert_eq!(catch_up.first_requested_at(), at(5));
+    catch_up.replica_read_completed("a", 4);
+    catch_up.replica_read_completed("b", 2);
+    assert_eq!(catch_up.completed_reads(), (["a".to_owned(), "b".to_owned()].into(), 4));
     catch_up.restart();
-    assert_eq!(catch_up.completed(), (Default::default(), 0));
+    assert_eq!(catch_up.completed_reads(), (Default::default(), 0));
     assert_eq!(catch_up.catch_up_id(at(7), || 9), 9);
 }
--- a/crates/control-plane/src/state_machine/tests/proposals.rs
+++ b/crates/control-plane/src/state_machine/tests/proposals.rs
@@ -47,7 +47,7 @@
     let blocking = proposal("a").proposal_id();
     let mut requests = PendingRequests::default();
     for (id, phase) in [
-        (1, Phase::Paused(at(100))),
+        (1, Phase::BackingOff(at(100))),
         (2, Phase::Blocked([blocking].into())),
         (3, Phase::Preparing(BTreeSet::new())),
     ] {
@@ -66,7 +66,7 @@
     observe(&mut observed, is_observed.then(|| (ballot(1), proposal("a"))));
     let pauses = [0, 1, 2, 3, 9].map(|rejections| {
         let request = PendingRequest::new(at(0), None, Request::Get, Some(proposal("a")), observed.clone());
-        PendingRequest { rejections, ..request }.max_pause()
+        PendingRequest { rejections, ..request }.max_backoff_micros()
     });
     assert_eq!(pauses, expected);
 }
@@ -76,10 +76,10 @@
     let mut requests = PendingRequests::default();
     let request = PendingRequest { attempt_id: 7, ballot: ballot(2), ..pending(Request::Get) };
     requests.insert(PendingId(1), request);
-    assert_eq!(requests.of_attempt(7), Some(PendingId(1)));
-    assert_eq!(requests.of_attempt(8), None);
-    assert_eq!(requests.of_ballot(7, Some(ballot(2))), Some(PendingId(1)));
-    assert_eq!(requests.of_ballot(7, Some(ballot(1))), None, "of an earlier attempt");
+    assert_eq!(requests.find_by_attempt(7), Some(PendingId(1)));
+    assert_eq!(requests.find_by_attempt(8), None);
+    assert_eq!(requests.find_by_ballot(7, Some(ballot(2))), Some(PendingId(1)));
+    assert_eq!(requests.find_by_ballot(7, Some(ballot(1))), None, "of an earlier attempt");
 }
 
 #[test]
@@ -99,7 +99,7 @@
     assert_eq!(overdue(&watch_list, 100, None, &[]), [(a.clone(), 1)], "it keeps its first time");
     assert_eq!(overdue(&watch_list, 200, None, &[&a]), [(b.clone(), 1)]);
     assert_eq!(overdue(&watch_list, 200, Some(b.proposal_id()), &[]), [(b.clone(), 1)]);
-    watch_list.attempted(a.proposal_id(), 1, at(500));
+    watch_list.resolve_attempted(a.proposal_id(), 1, at(500));
     assert_eq!(overdue(&watch_list, 499, None, &[&b]), []);
     assert_eq!(overdue(&watch_list, 500, None, &[&b]), [(a, 2)]);
 }
@@ -114,7 +114,7 @@
     let mut item_store = ItemStore::new();
     item_store.apply(item("a", 1));
     item_store.apply(Item { value: None, ..item("b", 1) });
-    watch_list.expire(&item_store);
+    watch_list.remove_resolved(&item_store);
     let is_watched = [&committed, &conflicting, &open].map(|it| watch_list.contains(it.proposal_id()));
     assert_eq!(is_watched, [false, false, true]);
 }
@@ -138,7 +138,7 @@
     assert!(request.replica_prepared("a", 4));
     assert!(!request.replica_accepted("a"), "nothing is proposed yet");
     assert_eq!((request.attempt_id, request.activated_version), (7, 4));
-    request.pause_until(at(50));
+    request.back_off_until(at(50));
     assert!(request.is_waiting());
     assert!(!request.replica_prepared("b", 0), "the attempt is over");
     request.start_attempt(8, ballot(2));
--- a/crates/control-plane/tests/cluster/gateways.rs
+++ b/crates/control-plane/tests/cluster/gateways.rs
@@ -204,7 +204,7 @@
         let now = at(self.now);
         let state_machine = self.nodes[node].state_machine.as_mut();
         if let Some(state_machine) = state_machine.filter(|_| matches!(due.message, Message::Items(_))) {
-            state_machine.session_drained(now, due.connection_id);
+            state_machine.session_output_drained(now, due.connection_id);
         }
         if self.gateways[gateway].candidate.is_some_and(|candidate| candidate.id == due.connection_id) {
             return self.deliver_hello(gateway, &due.message);
