--- a/crates/control-plane/src/state_machine/configuration.rs
+++ b/crates/control-plane/src/state_machine/configuration.rs
@@ -89,12 +89,12 @@
     }
 
     /// Forgets a dropped item. False if another version of it stands.
-    pub(super) fn purge(&mut self, kind: Kind, name: &str, version: u64) -> bool {
+    pub(super) fn purge_tombstone(&mut self, kind: Kind, name: &str, version: u64) -> bool {
         self.item_store.purge(kind, name, version)
     }
 
     /// Keeps the number of dropped backends in bounds.
-    pub(super) fn purge_dropped_backends(&mut self) {
+    pub(super) fn purge_backend_tombstones(&mut self) {
         self.item_store.purge_oldest_tombstones(Kind::Backend, MAX_DROPPED_BACKENDS);
     }
 
--- a/crates/control-plane/src/state_machine/handlers/heartbeat.rs
+++ b/crates/control-plane/src/state_machine/handlers/heartbeat.rs
@@ -43,7 +43,7 @@
     }
 
     fn expire(&mut self, now: Timestamp) {
-        self.configuration.purge_dropped_backends();
+        self.configuration.purge_backend_tombstones();
         self.sessions.expire(now);
         self.coordinator.expire_usage(now);
     }
--- a/crates/control-plane/src/state_machine/handlers/peers.rs
+++ b/crates/control-plane/src/state_machine/handlers/peers.rs
@@ -29,7 +29,7 @@
         self.catch_up.forget_peer(node_id);
         self.membership.replica_connected(&Replica::from(hello).name());
         if let Some(replaced) = self.quorum.connect(now, hello) {
-            self.membership.replica_lost(now, replaced);
+            self.membership.replica_disconnected(now, replaced);
         }
         self.sessions.force_announcement();
         self.catch_up.retry_soon();
@@ -57,7 +57,7 @@
         self.catch_up.forget_peer(node_id);
         if let Some(peer) = self.quorum.remove(node_id) {
             info!("event=peer-lost node-id={node_id} why={why}");
-            self.membership.replica_lost(now, peer.name);
+            self.membership.replica_disconnected(now, peer.name);
         }
     }
 
--- a/crates/control-plane/src/state_machine/handlers/tombstones.rs
+++ b/crates/control-plane/src/state_machine/handlers/tombstones.rs
@@ -45,7 +45,7 @@
         if self.is_persisted() {
             self.tombstones.replica_persisted(now, &self.identity.name);
         }
-        if !self.tombstones.start_collection(now) {
+        if !self.tombstones.start_collection_if_due(now) {
             return;
         }
         let Some(replica_sets) = self.configuration.joint_replica_sets() else { return };
@@ -62,7 +62,7 @@
     /// Forgets tombstones, here and at the gateways. An item of another version stays.
     pub(in crate::state_machine) fn purge_tombstones(&mut self, expired: Vec<ExpiredTombstone>) {
         let mut purged = expired;
-        purged.retain(|(kind, name, version)| self.configuration.purge(*kind, name, *version));
+        purged.retain(|(kind, name, version)| self.configuration.purge_tombstone(*kind, name, *version));
         if purged.is_empty() {
             return;
         }
--- a/crates/control-plane/src/state_machine/membership.rs
+++ b/crates/control-plane/src/state_machine/membership.rs
@@ -30,7 +30,7 @@
 }
 
 impl Membership {
-    pub(super) fn replica_lost(&mut self, now: Timestamp, name: String) {
+    pub(super) fn replica_disconnected(&mut self, now: Timestamp, name: String) {
         self.lost_since.insert(name, now);
     }
 
--- a/crates/control-plane/src/state_machine/mod.rs
+++ b/crates/control-plane/src/state_machine/mod.rs
@@ -186,7 +186,7 @@
 
     /// To be called about ten times a second.
     pub fn tick(&mut self, now: Timestamp) {
-        if self.quorum.start_heartbeat(now) {
+        if self.quorum.start_heartbeat_if_due(now) {
             self.send_heartbeats(now);
         }
         self.evaluate_contact(now);
--- a/crates/control-plane/src/state_machine/quorum.rs
+++ b/crates/control-plane/src/state_machine/quorum.rs
@@ -47,7 +47,7 @@
     }
 
     /// Whether the next heartbeat is to be sent; that time is noted.
-    pub(super) fn start_heartbeat(&mut self, now: Timestamp) -> bool {
+    pub(super) fn start_heartbeat_if_due(&mut self, now: Timestamp) -> bool {
         let is_due = now - self.heartbeat_at >= HEARTBEAT_INTERVAL;
         if is_due {
             self.heartbeat_at = now;
--- a/crates/control-plane/src/state_machine/tests/membership.rs
+++ b/crates/control-plane/src/state_machine/tests/membership.rs
@@ -38,7 +38,7 @@
 fn a_lost_replica_is_unresponsive_some_time_after_its_loss_until_it_is_back() {
     let (mut membership, mut quorum) = (Membership::default(), quorum([1, 2]));
     let lost = quorum.remove("s2").expect("it was connected");
-    membership.replica_lost(at(5_000), lost.name);
+    membership.replica_disconnected(at(5_000), lost.name);
     assert!(observe(&mut membership, &quorum, 6_000).unresponsive.is_empty());
     assert_eq!(observe(&mut membership, &quorum, 6_001).unresponsive, names(&[2]));
     quorum.connect(at(6_002), &peer(2));
--- a/crates/control-plane/src/state_machine/tests/quorum.rs
+++ b/crates/control-plane/src/state_machine/tests/quorum.rs
@@ -20,7 +20,8 @@
 #[test]
 fn a_heartbeat_is_due_twice_a_second() {
     let mut quorum = quorum_with_peers([]);
-    let due: Vec<i64> = (0..=1_200).step_by(100).filter(|ms| quorum.start_heartbeat(at(*ms))).collect();
+    let due: Vec<i64> =
+        (0..=1_200).step_by(100).filter(|ms| quorum.start_heartbeat_if_due(at(*ms))).collect();
     assert_eq!(due, [500, 1_000]);
 }
 
--- a/crates/control-plane/src/state_machine/tests/tombstones.rs
+++ b/crates/control-plane/src/state_machine/tests/tombstones.rs
@@ -30,6 +30,6 @@
 fn tombstones_are_looked_through_now_and_then() {
     let mut tombstones = Tombstones::new(at(0), false);
     let times: Vec<i64> =
-        (0..=5_000).step_by(500).filter(|millis| tombstones.start_collection(at(*millis))).collect();
+        (0..=5_000).step_by(500).filter(|millis| tombstones.start_collection_if_due(at(*millis))).collect();
     assert_eq!(times, [2_000, 4_000]);
 }
--- a/crates/control-plane/src/state_machine/tombstones.rs
+++ b/crates/control-plane/src/state_machine/tombstones.rs
@@ -48,7 +48,7 @@
     }
 
     /// Whether tombstones are to be looked through now; that time is noted.
-    pub(super) fn start_collection(&mut self, now: Timestamp) -> bool {
+    pub(super) fn start_collection_if_due(&mut self, now: Timestamp) -> bool {
         let is_due = now - self.last_collection_at >= COLLECTION_INTERVAL;
         if is_due {
             self.last_collection_at = now;
