--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -25,8 +25,8 @@
     }
 
     /// About how many bytes its JSON has.
-    pub fn bytes(&self) -> usize {
-        self.items.iter().map(Item::wire_bytes).sum()
+    pub fn estimated_json_bytes(&self) -> usize {
+        self.items.iter().map(Item::max_wire_bytes).sum()
     }
 
     /// As JSON: the three tables, rows by name, and the limits if there are any.
--- a/crates/config/src/host_key.rs
+++ b/crates/config/src/host.rs
@@ -3,10 +3,10 @@
 use smallvec::SmallVec;
 
 /// A host in lower case and without a port; most need no allocation.
-pub type HostKey = SmallVec<[u8; 64]>;
+pub type NormalizedHost = SmallVec<[u8; 64]>;
 
 /// The key of a route's host, or of the host that a request names.
-pub fn host_key(host: &[u8]) -> HostKey {
+pub fn normalize_host(host: &[u8]) -> NormalizedHost {
     let colon = host.iter().rposition(|byte| *byte == b':');
     // In "[::1]" the last colon begins no port.
     let port_start = colon.filter(|at| host[at + 1..].iter().all(u8::is_ascii_digit));
--- a/crates/config/src/item.rs
+++ b/crates/config/src/item.rs
@@ -66,7 +66,7 @@
 
 impl Item {
     /// An upper bound of what the item takes on the wire without its older versions. Bytes.
-    pub fn wire_bytes(&self) -> usize {
+    pub fn max_wire_bytes(&self) -> usize {
         self.name.len() + self.value.as_ref().map_or(0, |value| value.len()) + MAX_WIRE_OVERHEAD
     }
 
--- a/crates/config/src/item_json.rs
+++ b/crates/config/src/item_json.rs
@@ -45,7 +45,7 @@
     #[serde(rename = "tries")]
     pub max_attempts: Option<f64>,
     #[serde(rename = "unstamped")]
-    pub allows_no_key: Option<bool>,
+    pub allows_anonymous: Option<bool>,
     #[serde(rename = "home-provinces")]
     pub home_regions: Option<Vec<Arc<str>>>,
 }
@@ -117,13 +117,13 @@
 #[derive(Deserialize)]
 pub(crate) struct LimitsJson {
     #[serde(rename = "envelope-bytes")]
-    pub head_bytes: Option<f64>,
+    pub max_head_bytes: Option<f64>,
     #[serde(rename = "body-bytes")]
-    pub body_bytes: Option<f64>,
+    pub max_body_bytes: Option<f64>,
     #[serde(rename = "envelope-ms")]
-    pub head_ms: Option<f64>,
+    pub head_timeout_ms: Option<f64>,
     #[serde(rename = "idle-ms")]
-    pub idle_ms: Option<f64>,
+    pub idle_timeout_ms: Option<f64>,
 }
 
 /// Parses the value of an item of a kind; `None` if it is of another kind, removed, or cannot be parsed.
--- a/crates/config/src/item_store/chunks.rs
+++ b/crates/config/src/item_store/chunks.rs
@@ -4,16 +4,16 @@
 
 use super::hashes::{digest_of_hashes, BucketHashes};
 use super::stored_item::StoredItem;
-use super::{ItemStore, BUCKETS};
+use super::{ItemStore, BUCKET_COUNT};
 use crate::item::Item;
-use crate::version_history::{Entry, VersionDigest};
+use crate::version_history::{ItemWithHistory, VersionDigest};
 
 /// One chunk: what differs in the buckets from the one that was asked for up to `next_bucket`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Chunk<T> {
     /// All items of the covered buckets that differ.
     pub items: Vec<T>,
-    /// The first bucket that is not covered; [`BUCKETS`] when all are.
+    /// The first bucket that is not covered; [`BUCKET_COUNT`] when all are.
     pub next_bucket: usize,
     /// A bitmap of the covered buckets that differ; empty if none does.
     pub differing_buckets: Vec<u8>,
@@ -32,13 +32,13 @@
 /// What [`Chunk::digest`] must be if a chunk was received completely: `received` are the hashes of a store that holds
 /// the chunk's items and nothing else, `requested` those that the chunk was computed against.
 pub fn chunk_digest(
-    received: &[u64; BUCKETS],
+    received: &[u64; BUCKET_COUNT],
     requested: &[u64],
     from_bucket: usize,
     next_bucket: usize,
     differing_buckets: &[u8],
 ) -> u64 {
-    let covered = from_bucket.min(BUCKETS)..next_bucket.min(BUCKETS);
+    let covered = from_bucket.min(BUCKET_COUNT)..next_bucket.min(BUCKET_COUNT);
     let hash_of = |bucket: usize| {
         if is_marked(differing_buckets, bucket) {
             received[bucket]
@@ -53,17 +53,17 @@
     /// The items of buckets that differ from another store's, from a bucket on: whole buckets of at most `max_bytes`
     /// in all, but at least one that differs. A bucket that `their_hashes` is too short for differs.
     pub fn chunk(&self, their_hashes: &[u64], from_bucket: usize, max_bytes: usize) -> Chunk<&Item> {
-        self.chunk_by(&self.buckets, their_hashes, from_bucket, max_bytes, |stored| &stored.item)
+        self.chunk_by(&self.bucket_hashes, their_hashes, from_bucket, max_bytes, |stored| &stored.item)
     }
 
-    /// As [`ItemStore::chunk`], by [`ItemStore::history_buckets`] and with the older versions.
+    /// As [`ItemStore::chunk`], by [`ItemStore::history_bucket_hashes`] and with the older versions.
     pub fn history_chunk(
         &self,
         their_hashes: &[u64],
         from_bucket: usize,
         max_bytes: usize,
-    ) -> Chunk<Entry<'_>> {
-        self.chunk_by(&self.history_buckets, their_hashes, from_bucket, max_bytes, StoredItem::entry)
+    ) -> Chunk<ItemWithHistory<'_>> {
+        self.chunk_by(&self.history_bucket_hashes, their_hashes, from_bucket, max_bytes, StoredItem::entry)
     }
 
     fn chunk_by<'a, T>(
@@ -75,11 +75,11 @@
         to_content: impl Fn(&'a StoredItem) -> T,
     ) -> Chunk<T> {
         let own_hashes = own_hashes.as_array();
-        let from_bucket = from_bucket.min(BUCKETS);
+        let from_bucket = from_bucket.min(BUCKET_COUNT);
         let bucket_bytes = self.bucket_bytes();
         let (mut next_bucket, mut bytes) = (from_bucket, 0);
-        let mut differing_buckets = vec![0; BUCKETS / 8];
-        while next_bucket < BUCKETS {
+        let mut differing_buckets = vec![0; BUCKET_COUNT / 8];
+        while next_bucket < BUCKET_COUNT {
             if their_hashes.get(next_bucket) != Some(&own_hashes[next_bucket]) {
                 if bytes > 0 && bytes + bucket_bytes[next_bucket] > max_bytes {
                     break;
@@ -100,11 +100,11 @@
     }
 
     /// The size of each bucket's content. Bytes.
-    fn bucket_bytes(&self) -> [usize; BUCKETS] {
-        let mut bucket_bytes = [0; BUCKETS];
+    fn bucket_bytes(&self) -> [usize; BUCKET_COUNT] {
+        let mut bucket_bytes = [0; BUCKET_COUNT];
         for stored in self.stored_items() {
             let history_bytes = stored.older_versions.len() * size_of::<VersionDigest>();
-            bucket_bytes[stored.bucket] += stored.item.wire_bytes() + history_bytes;
+            bucket_bytes[stored.bucket] += stored.item.max_wire_bytes() + history_bytes;
         }
         bucket_bytes
     }
--- a/crates/config/src/item_store/hashes.rs
+++ b/crates/config/src/item_store/hashes.rs
@@ -1,18 +1,18 @@
 //! Hashes by which replicas find out where their items differ. They are compared between processes and machines, so
 //! what is hashed, and in which order, never changes.
 
-use super::BUCKETS;
+use super::BUCKET_COUNT;
 use crate::item::Item;
 use crate::version_history::VersionDigest;
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
 /// For each bucket, the xor of the hashes of its items; 0 for an empty bucket.
 #[derive(Clone, Debug)]
-pub(super) struct BucketHashes(Box<[u64; BUCKETS]>);
+pub(super) struct BucketHashes(Box<[u64; BUCKET_COUNT]>);
 
 impl BucketHashes {
     pub(super) fn new() -> BucketHashes {
-        BucketHashes(Box::new([0; BUCKETS]))
+        BucketHashes(Box::new([0; BUCKET_COUNT]))
     }
 
     /// Adds an item's hash to its bucket, or takes it out again.
@@ -20,7 +20,7 @@
         self.0[bucket] ^= hash;
     }
 
-    pub(super) fn as_array(&self) -> &[u64; BUCKETS] {
+    pub(super) fn as_array(&self) -> &[u64; BUCKET_COUNT] {
         &self.0
     }
 
@@ -69,5 +69,5 @@
     let mut hasher = Xxh3::new();
     hasher.update(&[item.kind as u8]);
     hasher.update(item.name.as_bytes());
-    hasher.digest() as usize % BUCKETS
+    hasher.digest() as usize % BUCKET_COUNT
 }
--- a/crates/config/src/item_store/mod.rs
+++ b/crates/config/src/item_store/mod.rs
@@ -5,7 +5,7 @@
 mod stored_item;
 
 use crate::item::{Item, Kind};
-use crate::version_history::{Entry, MergeOutcome, VersionDigest, VersionStatus};
+use crate::version_history::{ItemWithHistory, MergeOutcome, VersionDigest, VersionStatus};
 use hashes::BucketHashes;
 use std::collections::btree_map;
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 pub use chunks::{chunk_digest, Chunk};
 
 /// How many buckets the items are spread over for comparing stores. Both ends of a connection go by it.
-pub const BUCKETS: usize = 256;
+pub const BUCKET_COUNT: usize = 256;
 
 /// All known items, removed ones as tombstones.
 ///
@@ -30,7 +30,7 @@
 ///
 /// Of durable items up to [`MAX_OLDER_VERSIONS`](crate::MAX_OLDER_VERSIONS) older committed versions are remembered by
 /// their digests, so that a repeated change is recognized. Data planes compare stores by the newest versions alone
-/// ([`ItemStore::buckets`]), control planes by the older ones too ([`ItemStore::history_buckets`]).
+/// ([`ItemStore::bucket_hashes`]), control planes by the older ones too ([`ItemStore::history_bucket_hashes`]).
 #[derive(Clone, Debug)]
 pub struct ItemStore {
     /// By kind (at its [`index_of`]), then by name.
@@ -38,9 +38,9 @@
     /// By kind, as `items`.
     highest_versions: [u64; Kind::ALL.len()],
     /// Over the newest versions.
-    buckets: BucketHashes,
+    bucket_hashes: BucketHashes,
     /// Over the newest versions and the older ones.
-    history_buckets: BucketHashes,
+    history_bucket_hashes: BucketHashes,
 }
 
 /// The position of a kind in [`Kind::ALL`].
@@ -60,8 +60,8 @@
         ItemStore {
             items: Default::default(),
             highest_versions: [0; Kind::ALL.len()],
-            buckets: BucketHashes::new(),
-            history_buckets: BucketHashes::new(),
+            bucket_hashes: BucketHashes::new(),
+            history_bucket_hashes: BucketHashes::new(),
         }
     }
 
@@ -77,16 +77,16 @@
         match self.items[index].entry(item.name.clone()) {
             btree_map::Entry::Vacant(vacant) => {
                 let stored = vacant.insert(StoredItem::new(item, older_versions));
-                self.buckets.toggle(stored.bucket, stored.hash);
-                self.history_buckets.toggle(stored.bucket, stored.history_hash);
+                self.bucket_hashes.toggle(stored.bucket, stored.hash);
+                self.history_bucket_hashes.toggle(stored.bucket, stored.history_hash);
                 MergeOutcome::NewestChanged
             }
             btree_map::Entry::Occupied(mut occupied) => {
                 let stored = occupied.get_mut();
                 let (hash_before, history_hash_before) = (stored.hash, stored.history_hash);
                 let outcome = stored.merge(item, older_versions);
-                self.buckets.toggle(stored.bucket, hash_before ^ stored.hash);
-                self.history_buckets.toggle(stored.bucket, history_hash_before ^ stored.history_hash);
+                self.bucket_hashes.toggle(stored.bucket, hash_before ^ stored.hash);
+                self.history_bucket_hashes.toggle(stored.bucket, history_hash_before ^ stored.history_hash);
                 outcome
             }
         }
@@ -115,7 +115,7 @@
     }
 
     /// The item with its older versions.
-    pub fn entry(&self, kind: Kind, name: &str) -> Option<Entry<'_>> {
+    pub fn entry(&self, kind: Kind, name: &str) -> Option<ItemWithHistory<'_>> {
         self.items[index_of(kind)].get(name).map(StoredItem::entry)
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// All items with their older versions, by kind and name.
-    pub fn entries(&self) -> impl Iterator<Item = Entry<'_>> {
+    pub fn entries(&self) -> impl Iterator<Item = ItemWithHistory<'_>> {
         self.stored_items().map(StoredItem::entry)
     }
 
@@ -160,36 +160,39 @@
 
     /// One number for all newest versions: equal for equal stores, and different for others but for hash collisions.
     pub fn digest(&self) -> u64 {
-        self.buckets.digest()
+        self.bucket_hashes.digest()
     }
 
     /// As [`ItemStore::digest`], over the older versions too.
     pub fn history_digest(&self) -> u64 {
-        self.history_buckets.digest()
+        self.history_bucket_hashes.digest()
     }
 
     /// A hash over the newest versions of each bucket's items; 0 for an empty bucket.
-    pub fn buckets(&self) -> &[u64; BUCKETS] {
-        self.buckets.as_array()
+    pub fn bucket_hashes(&self) -> &[u64; BUCKET_COUNT] {
+        self.bucket_hashes.as_array()
     }
 
-    /// As [`ItemStore::buckets`], over the older versions too.
-    pub fn history_buckets(&self) -> &[u64; BUCKETS] {
-        self.history_buckets.as_array()
+    /// As [`ItemStore::bucket_hashes`], over the older versions too.
+    pub fn history_bucket_hashes(&self) -> &[u64; BUCKET_COUNT] {
+        self.history_bucket_hashes.as_array()
     }
 
     /// The items in the buckets whose hash differs from another store's. A bucket that `their_hashes` is too short for
     /// differs.
-    pub fn differing<'a>(&'a self, their_hashes: &'a [u64]) -> impl Iterator<Item = &'a Item> {
-        let own_hashes = self.buckets();
+    pub fn differing_items<'a>(&'a self, their_hashes: &'a [u64]) -> impl Iterator<Item = &'a Item> {
+        let own_hashes = self.bucket_hashes();
         self.stored_items()
             .filter(move |stored| their_hashes.get(stored.bucket) != Some(&own_hashes[stored.bucket]))
             .map(|stored| &stored.item)
     }
 
-    /// As [`ItemStore::differing`], by [`ItemStore::history_buckets`] and with the older versions.
-    pub fn history_differing<'a>(&'a self, their_hashes: &'a [u64]) -> impl Iterator<Item = Entry<'a>> {
-        let own_hashes = self.history_buckets();
+    /// As [`ItemStore::differing_items`], by [`ItemStore::history_bucket_hashes`] and with the older versions.
+    pub fn differing_entries<'a>(
+        &'a self,
+        their_hashes: &'a [u64],
+    ) -> impl Iterator<Item = ItemWithHistory<'a>> {
+        let own_hashes = self.history_bucket_hashes();
         self.stored_items()
             .filter(move |stored| their_hashes.get(stored.bucket) != Some(&own_hashes[stored.bucket]))
             .map(StoredItem::entry)
@@ -228,8 +231,8 @@
     /// Takes an item out, with all that is known of it.
     fn forget(&mut self, kind: Kind, name: &str) {
         if let Some(stored) = self.items[index_of(kind)].remove(name) {
-            self.buckets.toggle(stored.bucket, stored.hash);
-            self.history_buckets.toggle(stored.bucket, stored.history_hash);
+            self.bucket_hashes.toggle(stored.bucket, stored.hash);
+            self.history_bucket_hashes.toggle(stored.bucket, stored.history_hash);
         }
     }
 }
--- a/crates/config/src/item_store/stored_item.rs
+++ b/crates/config/src/item_store/stored_item.rs
@@ -3,7 +3,7 @@
 use super::hashes::{bucket_of, history_hash, item_hash};
 use crate::item::Item;
 use crate::version_history::{
-    merge_older_versions, Entry, MergeOutcome, VersionDigest, VersionStatus, MAX_OLDER_VERSIONS,
+    merge_older_versions, ItemWithHistory, MergeOutcome, VersionDigest, VersionStatus, MAX_OLDER_VERSIONS,
 };
 
 #[derive(Clone, Debug)]
@@ -26,8 +26,8 @@
         stored
     }
 
-    pub(super) fn entry(&self) -> Entry<'_> {
-        Entry { item: &self.item, older_versions: &self.older_versions }
+    pub(super) fn entry(&self) -> ItemWithHistory<'_> {
+        ItemWithHistory { item: &self.item, older_versions: &self.older_versions }
     }
 
     /// Merges another replica's newest version of the same item, and its older ones.
@@ -67,7 +67,7 @@
             let mut older_versions = self.older_versions.iter();
             match older_versions.find(|version_digest| version_digest.version == item.version) {
                 Some(version_digest) => *version_digest == item.version_digest(),
-                None if self.has_forgotten(item.version) => return VersionStatus::Forgotten,
+                None if self.has_forgotten(item.version) => return VersionStatus::Pruned,
                 None => return VersionStatus::Undecided,
             }
         };
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -41,7 +41,7 @@
     /// How many attempts a request may take in all; at least 1.
     pub max_attempts: u32,
     /// Whether requests need no key.
-    pub allows_no_key: bool,
+    pub allows_anonymous: bool,
     /// The regions whose backends may serve the requests; none for any.
     pub home_regions: Vec<Arc<str>>,
 }
@@ -86,18 +86,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// The greatest request head. Bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// The greatest request body. Bytes.
-    pub body_bytes: u64,
+    pub max_body_bytes: u64,
     /// How long a request head may take to arrive. Milliseconds.
-    pub head_ms: u32,
+    pub head_timeout_ms: u32,
     /// How long a connection may be idle. Milliseconds.
-    pub idle_ms: u32,
+    pub idle_timeout_ms: u32,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { head_bytes: 16_384, body_bytes: 64 << 20, head_ms: 3_000, idle_ms: 15_000 }
+        Limits {
+            max_head_bytes: 16_384,
+            max_body_bytes: 64 << 20,
+            head_timeout_ms: 3_000,
+            idle_timeout_ms: 15_000,
+        }
     }
 }
 
@@ -124,7 +129,7 @@
             class: json.class.map_or(Route::DEFAULT_CLASS, |class| class as u8),
             services: services_of(&json),
             max_attempts: json.max_attempts.map_or(1, |max_attempts| (max_attempts as u32).max(1)),
-            allows_no_key: json.allows_no_key.unwrap_or(false),
+            allows_anonymous: json.allows_anonymous.unwrap_or(false),
             home_regions: json.home_regions.unwrap_or_default(),
         })
     }
@@ -180,10 +185,10 @@
         let json: LimitsJson = parse_value(item, Kind::Limits)?;
         let default = Limits::default();
         Some(Limits {
-            head_bytes: json.head_bytes.map_or(default.head_bytes, |bytes| bytes as usize),
-            body_bytes: json.body_bytes.map_or(default.body_bytes, |bytes| bytes as u64),
-            head_ms: json.head_ms.map_or(default.head_ms, |ms| ms as u32),
-            idle_ms: json.idle_ms.map_or(default.idle_ms, |ms| ms as u32),
+            max_head_bytes: json.max_head_bytes.map_or(default.max_head_bytes, |bytes| bytes as usize),
+            max_body_bytes: json.max_body_bytes.map_or(default.max_body_bytes, |bytes| bytes as u64),
+            head_timeout_ms: json.head_timeout_ms.map_or(default.head_timeout_ms, |ms| ms as u32),
+            idle_timeout_ms: json.idle_timeout_ms.map_or(default.idle_timeout_ms, |ms| ms as u32),
         })
     }
 }
--- a/crates/config/src/record.rs
+++ b/crates/config/src/record.rs
@@ -7,7 +7,7 @@
 //! An empty value deletes a record from the store.
 
 use crate::item::{Item, Kind};
-use crate::version_history::{Entry, VersionDigest};
+use crate::version_history::{ItemWithHistory, VersionDigest};
 use bytes::Bytes;
 use std::sync::Arc;
 
@@ -24,8 +24,8 @@
 }
 
 /// The record (key and value) of an item with its older versions.
-pub fn encode_record(entry: Entry) -> (Vec<u8>, Vec<u8>) {
-    let Entry { item, older_versions } = entry;
+pub fn encode_record(entry: ItemWithHistory) -> (Vec<u8>, Vec<u8>) {
+    let ItemWithHistory { item, older_versions } = entry;
     let key = encode_key(item.kind, &item.name);
     if item.is_removed_backend() {
         return (key, Vec::new());
--- a/crates/config/src/routing_table.rs
+++ b/crates/config/src/routing_table.rs
@@ -1,6 +1,6 @@
 //! What the data plane routes by: the items in force, parsed and indexed.
 
-use crate::host_key::host_key;
+use crate::host::normalize_host;
 use crate::item::{Item, Kind};
 use crate::item_store::ItemStore;
 use crate::model::{Limits, Route, Service, Tenant};
@@ -26,7 +26,7 @@
     pub limits: Limits,
     /// The zones that are evacuated.
     pub evacuated_zones: BTreeSet<Arc<str>>,
-    /// By [`host_key`].
+    /// By [`normalize_host`].
     hosts: HashMap<Box<[u8]>, HostRoutes>,
     /// By key: the index in `tenants`.
     tenant_indexes: HashMap<Arc<str>, usize>,
@@ -106,7 +106,7 @@
 
     fn index_routes(&mut self) {
         for parsed in &self.parsed_routes {
-            let host = host_key(parsed.value.host.as_bytes()).into_boxed_slice();
+            let host = normalize_host(parsed.value.host.as_bytes()).into_boxed_slice();
             self.hosts.entry(host).or_default().add(&parsed.value);
         }
     }
@@ -134,7 +134,7 @@
     /// The route of the longest prefix that begins the path. The host may be in any case and have a port, the path may
     /// have a query.
     pub fn route(&self, host: &[u8], path: &[u8]) -> Option<&Arc<Route>> {
-        self.hosts.get(&*host_key(host))?.find(path)
+        self.hosts.get(&*normalize_host(host))?.find(path)
     }
 
     /// The index in `tenants` of the one that has this key.
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -3,7 +3,7 @@
 use crate::error::{
     DuplicateRouteSnafu, ServiceInUseSnafu, SharedKeySnafu, UnknownServiceSnafu, ValidationError,
 };
-use crate::host_key::{host_key, HostKey};
+use crate::host::{normalize_host, NormalizedHost};
 use crate::item::{Item, Kind};
 use crate::item_json::{parse_value, JsonStr, RouteJson, TenantKeysJson};
 use crate::item_store::ItemStore;
@@ -72,7 +72,7 @@
 
 /// Of the routes that the change sets: their services exist, and no other route has their host and path prefix.
 fn check_routes(proposed: &ProposedConfiguration) -> Result<(), ValidationError> {
-    let mut routes: HashMap<(HostKey, JsonStr), &Item> = HashMap::new();
+    let mut routes: HashMap<(NormalizedHost, JsonStr), &Item> = HashMap::new();
     for item in proposed.set_items(Kind::Route) {
         let Some(route) = parse_value::<RouteJson>(item, Kind::Route) else { continue };
         if let Some(service) = route.service_names().find(|service| !proposed.has_service(service)) {
@@ -95,8 +95,8 @@
 }
 
 /// What a route matches requests by.
-fn match_key(route: RouteJson) -> (HostKey, JsonStr) {
-    (host_key(route.host.as_bytes()), route.path_prefix)
+fn match_key(route: RouteJson) -> (NormalizedHost, JsonStr) {
+    (normalize_host(route.host.as_bytes()), route.path_prefix)
 }
 
 /// No route that the change does not touch names a service that the change removes.
--- a/crates/config/src/version_history.rs
+++ b/crates/config/src/version_history.rs
@@ -27,7 +27,7 @@
 
 /// An item with the older versions of it that are remembered.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry<'a> {
+pub struct ItemWithHistory<'a> {
     /// The newest version.
     pub item: &'a Item,
     /// The older ones, by ascending number.
@@ -44,7 +44,7 @@
     /// It is committed with another content.
     DifferentContent,
     /// It is below all versions that are remembered: it has no effect, and its content is no longer known.
-    Forgotten,
+    Pruned,
 }
 
 /// What a merge changed.
--- a/crates/config/tests/chunks.rs
+++ b/crates/config/tests/chunks.rs
@@ -2,7 +2,7 @@
 //! passes for a complete one.
 
 use bytes::Bytes;
-use kitepass_config::{chunk_digest, Chunk, Item, ItemStore, Kind, BUCKETS};
+use kitepass_config::{chunk_digest, Chunk, Item, ItemStore, Kind, BUCKET_COUNT};
 use oorandom::Rand64;
 
 fn random_store(rng: &mut Rand64, max_items: u64) -> ItemStore {
@@ -27,7 +27,7 @@
 
 /// But for a bucket that is too large by a single item, and is sent alone.
 fn assert_bounded(chunk: &Chunk<&Item>, max_bytes: usize, seed: u128) {
-    let sizes = || chunk.items.iter().map(|item| item.wire_bytes());
+    let sizes = || chunk.items.iter().map(|item| item.max_wire_bytes());
     let beside = sizes().sum::<usize>() - sizes().max().unwrap_or(0);
     assert!(beside <= max_bytes, "seed {seed}: {beside} bytes beside the largest item");
 }
@@ -35,7 +35,13 @@
 /// The chunk passes for complete, and with any one item missing, or old, it does not.
 fn assert_digest_detects_loss(chunk: &Chunk<&Item>, requested: &[u64], from_bucket: usize) {
     let digest_of = |received: ItemStore| {
-        chunk_digest(received.buckets(), requested, from_bucket, chunk.next_bucket, &chunk.differing_buckets)
+        chunk_digest(
+            received.bucket_hashes(),
+            requested,
+            from_bucket,
+            chunk.next_bucket,
+            &chunk.differing_buckets,
+        )
     };
     assert_eq!(digest_of(store_of(chunk.items.iter().copied())), chunk.digest);
     if let Some(missing) = chunk.items.iter().find(|item| item.kind != Kind::Backend) {
@@ -52,8 +58,8 @@
         let mut rng = Rand64::new(seed);
         let (mut receiver, mut sender) = (random_store(&mut rng, 700), random_store(&mut rng, 700));
         let at_first: Vec<Item> = sender.items().cloned().collect();
-        let (mut requested, mut from_bucket) = (receiver.buckets().to_vec(), 0);
-        while from_bucket < BUCKETS {
+        let (mut requested, mut from_bucket) = (receiver.bucket_hashes().to_vec(), 0);
+        while from_bucket < BUCKET_COUNT {
             let chunk = sender.chunk(&requested, from_bucket, MAX_BYTES);
             chunks += 1;
             assert_bounded(&chunk, MAX_BYTES, seed);
@@ -62,7 +68,7 @@
             let items: Vec<Item> = chunk.items.into_iter().cloned().collect();
             if rng.rand_range(0..5) == 0 {
                 // The connection breaks: the chunk is lost, and all begins anew against what has been merged.
-                (requested, from_bucket, breaks) = (receiver.buckets().to_vec(), 0, breaks + 1);
+                (requested, from_bucket, breaks) = (receiver.bucket_hashes().to_vec(), 0, breaks + 1);
             } else {
                 items.into_iter().for_each(|item| _ = receiver.merge(item));
                 from_bucket = next_bucket;
@@ -96,7 +102,7 @@
     let (mut receiver, mut sent_items) = (ItemStore::new(), 0);
     while receiver.digest() != sender.digest() {
         // Each connection carries one chunk, and ends.
-        let chunk = sender.chunk(receiver.buckets(), 0, 32_000);
+        let chunk = sender.chunk(receiver.bucket_hashes(), 0, 32_000);
         sent_items += chunk.items.len();
         chunk.items.into_iter().for_each(|item| _ = receiver.merge(item.clone()));
     }
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use kitepass_config::{
     chunk_digest, parse_change_request, validate, ConfigurationSnapshot, Item, ItemStore, Kind,
-    SchemaValidator, BUCKETS, MAX_OLDER_VERSIONS,
+    SchemaValidator, BUCKET_COUNT, MAX_OLDER_VERSIONS,
 };
 use std::fmt::Write;
 use std::sync::OnceLock;
@@ -140,7 +140,7 @@
 }
 
 /// A line a bucket that holds something: its number and its hash.
-fn describe_buckets(text: &mut String, name: &str, buckets: &[u64; BUCKETS]) {
+fn describe_buckets(text: &mut String, name: &str, buckets: &[u64; BUCKET_COUNT]) {
     for (number, hash) in buckets.iter().enumerate().filter(|(_, hash)| **hash != 0) {
         writeln!(text, "{name} {number} {hash:016x}").unwrap();
     }
@@ -149,8 +149,8 @@
 fn hashes_of(text: &mut String, name: &str, store: &ItemStore) {
     writeln!(text, "{name}.digest {:016x}", store.digest()).unwrap();
     writeln!(text, "{name}.digest-with-history {:016x}", store.history_digest()).unwrap();
-    describe_buckets(text, &format!("{name}.bucket"), store.buckets());
-    describe_buckets(text, &format!("{name}.bucket-with-history"), store.history_buckets());
+    describe_buckets(text, &format!("{name}.bucket"), store.bucket_hashes());
+    describe_buckets(text, &format!("{name}.bucket-with-history"), store.history_bucket_hashes());
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -180,7 +180,7 @@
     let mut received = ItemStore::new();
     chunk.items.iter().for_each(|item| _ = received.merge((*item).clone()));
     let calculated =
-        chunk_digest(received.buckets(), theirs, from, chunk.next_bucket, &chunk.differing_buckets);
+        chunk_digest(received.bucket_hashes(), theirs, from, chunk.next_bucket, &chunk.differing_buckets);
     assert_eq!(calculated, chunk.digest);
     chunk.next_bucket
 }
@@ -203,16 +203,16 @@
     hashes_of(&mut text, "change", &store);
     hashes_of(&mut text, "history", &with_history);
     let mut from = 0;
-    while from < BUCKETS {
-        from = describe_chunk(&mut text, &with_history, store.buckets(), from, 100);
+    while from < BUCKET_COUNT {
+        from = describe_chunk(&mut text, &with_history, store.bucket_hashes(), from, 100);
     }
     describe_chunk(&mut text, &with_history, &[], 0, usize::MAX);
-    describe_chunk(&mut text, &with_history, with_history.buckets(), 0, usize::MAX);
+    describe_chunk(&mut text, &with_history, with_history.bucket_hashes(), 0, usize::MAX);
     assert_eq!(text, HASHES);
 }
 
 /// Constants that both ends of a connection go by.
 #[test]
 fn numbers_of_buckets_and_remembered_versions() {
-    assert_eq!((BUCKETS, MAX_OLDER_VERSIONS), (256, 64));
+    assert_eq!((BUCKET_COUNT, MAX_OLDER_VERSIONS), (256, 64));
 }
--- a/crates/config/tests/merge.rs
+++ b/crates/config/tests/merge.rs
@@ -45,13 +45,13 @@
         let (left, right) = shuffled.split_at(at.min(shuffled.len()));
         let (mut left, right) = (item_store(left), item_store(right));
         // Only what differs is transferred, and is transferred twice.
-        let transferred: Vec<Item> = right.differing(left.buckets()).cloned().collect();
+        let transferred: Vec<Item> = right.differing_items(left.bucket_hashes()).cloned().collect();
         for item in transferred.iter().chain(&transferred) {
             left.merge(item.clone());
         }
         prop_assert_eq!(compared_items(&complete), compared_items(&left));
-        prop_assert_eq!(complete.buckets(), left.buckets());
-        prop_assert_eq!(complete.differing(left.buckets()).count(), 0);
+        prop_assert_eq!(complete.bucket_hashes(), left.bucket_hashes());
+        prop_assert_eq!(complete.differing_items(left.bucket_hashes()).count(), 0);
         // The winner by the rule, found without a store; so a removed item does not come back.
         let mut winner: BTreeMap<_, &Item> = BTreeMap::new();
         for item in &items {
@@ -80,8 +80,8 @@
 
 /// Merges one store's items with their older versions into another.
 fn transfer(from: &ItemStore, into: &mut ItemStore) {
-    let theirs = into.history_buckets().to_vec();
-    for entry in from.history_differing(&theirs) {
+    let theirs = into.history_bucket_hashes().to_vec();
+    for entry in from.differing_entries(&theirs) {
         into.merge_with_history(entry.item.clone(), entry.older_versions);
     }
 }
@@ -102,7 +102,7 @@
         transfer(&left, &mut right);
         for store in [&left, &right] {
             prop_assert_eq!(store.older_versions(Kind::Service, "a"), complete.older_versions(Kind::Service, "a"));
-            prop_assert_eq!(store.history_buckets(), complete.history_buckets());
+            prop_assert_eq!(store.history_bucket_hashes(), complete.history_bucket_hashes());
             prop_assert_eq!(store.digest(), complete.digest());
         }
         let mut sorted = versions;
@@ -153,7 +153,7 @@
     assert_eq!(item_store.older_versions(Kind::Service, "a").len(), MAX_OLDER_VERSIONS);
     assert_eq!(
         (item_store.version_status(&committed(1)), item_store.version_status(&other(1))),
-        (VersionStatus::Forgotten, VersionStatus::Forgotten)
+        (VersionStatus::Pruned, VersionStatus::Pruned)
     );
     assert_eq!(item_store.get(Kind::Service, "a"), Some(&committed(newest)));
     // A record of an earlier release, without older versions, can still be decoded.
--- a/crates/config/tests/model.rs
+++ b/crates/config/tests/model.rs
@@ -33,7 +33,7 @@
         class: 2,
         services: services.into_iter().collect(),
         max_attempts: 3,
-        allows_no_key: true,
+        allows_anonymous: true,
         home_regions: names(&["r1", "r2"]),
     };
     assert_eq!(route, expected);
@@ -48,7 +48,7 @@
         json!({"depot": "x", "lane-prefix": "/", "mail-kind": safety, "deadline-ms": 10, "line": "s"});
     let route = Route::from_item(&item(Kind::Route, &value)).expect("readable");
     assert_eq!((route.safety, route.deadline_ms, route.target_ms), (expected, 10, 10));
-    assert_eq!((route.class, route.max_attempts, route.allows_no_key), (1, 1, false));
+    assert_eq!((route.class, route.max_attempts, route.allows_anonymous), (1, 1, false));
     assert_eq!((&route.services[..], &route.home_regions[..]), (&[(Arc::from("s"), 1.0)][..], &[][..]));
 }
 
@@ -108,9 +108,14 @@
 #[test]
 fn limits_with_all_fields_and_with_none() {
     let value = json!({"envelope-bytes": 1, "body-bytes": 2, "envelope-ms": 3, "idle-ms": 4});
-    let all = Limits { head_bytes: 1, body_bytes: 2, head_ms: 3, idle_ms: 4 };
+    let all = Limits { max_head_bytes: 1, max_body_bytes: 2, head_timeout_ms: 3, idle_timeout_ms: 4 };
     assert_eq!(Limits::from_item(&item(Kind::Limits, &value)), Some(all));
-    let none = Limits { head_bytes: 16_384, body_bytes: 64 << 20, head_ms: 3_000, idle_ms: 15_000 };
+    let none = Limits {
+        max_head_bytes: 16_384,
+        max_body_bytes: 64 << 20,
+        head_timeout_ms: 3_000,
+        idle_timeout_ms: 15_000,
+    };
     assert_eq!(Limits::from_item(&item(Kind::Limits, &json!({}))), Some(none));
 }
 
--- a/crates/control-plane/src/request.rs
+++ b/crates/control-plane/src/request.rs
@@ -50,7 +50,7 @@
     /// Bytes of items that have to be moved for it, its own alone.
     pub fn bytes(&self) -> usize {
         match self {
-            Request::Patch(items) => items.iter().map(Item::wire_bytes).sum(),
+            Request::Patch(items) => items.iter().map(Item::max_wire_bytes).sum(),
             Request::ResolveProposal(proposal) => proposal.bytes(),
             _ => 0,
         }
--- a/crates/control-plane/src/server/http_response.rs
+++ b/crates/control-plane/src/server/http_response.rs
@@ -107,7 +107,7 @@
     /// Sends the configuration to the client that waits for it, at once or, if it is long, once it is encoded; false if that
     /// is later.
     fn send_configuration(&mut self, id: ConnectionId, snapshot: ConfigurationSnapshot) -> bool {
-        if snapshot.bytes() >= MIN_JOB_BYTES {
+        if snapshot.estimated_json_bytes() >= MIN_JOB_BYTES {
             self.worker.submit(Job::EncodeConfiguration { client: id, snapshot });
             return false;
         }
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -28,7 +28,7 @@
 use kitepass_net::poller::{self, Clock, Poller, ReadyEvent};
 use kitepass_net::{Errno, OwnedFd};
 use kitepass_node::process::{new_incarnation, Signals};
-use kitepass_node::{Settings, Watch};
+use kitepass_node::{Settings, SettingsWatcher};
 use kitepass_storage::Store;
 use kitepass_time::{Duration, Timestamp};
 use log::{error, info, warn};
@@ -160,7 +160,7 @@
 /// A control process: the state machine with its sockets, its store and its clock.
 pub struct Server {
     settings: Settings,
-    settings_watch: Watch,
+    settings_watcher: SettingsWatcher,
     signals: Signals,
     clock: Clock,
     poller: Poller,
@@ -206,7 +206,7 @@
         Ok(Server {
             state_machine: StateMachine::new(clock.now(), start),
             settings,
-            settings_watch: Watch::new(path),
+            settings_watcher: SettingsWatcher::new(path),
             signals,
             clock,
             poller,
@@ -331,7 +331,7 @@
     }
 
     fn reload_settings(&mut self) {
-        match self.settings_watch.take_change() {
+        match self.settings_watcher.poll() {
             Some(Ok(settings)) if settings == self.settings => {}
             Some(Ok(settings)) => {
                 info!("event=settings");
--- a/crates/control-plane/src/state_machine/catch_up/reading.rs
+++ b/crates/control-plane/src/state_machine/catch_up/reading.rs
@@ -1,6 +1,6 @@
 //! The reading of one other process, chunk by chunk: what it holds and this process does not.
 
-use kitepass_config::{chunk_digest, Item, ItemStore, VersionDigest, BUCKETS};
+use kitepass_config::{chunk_digest, Item, ItemStore, VersionDigest, BUCKET_COUNT};
 use kitepass_coordination::protocol::{PrepareRequest, PrepareResponse};
 use kitepass_time::{Duration, Timestamp};
 use log::warn;
@@ -91,7 +91,7 @@
             if self.incomplete_chunks > MAX_INCOMPLETE_CHUNKS {
                 return ReadingOutcome::Abandoned;
             }
-        } else if next_bucket >= BUCKETS {
+        } else if next_bucket >= BUCKET_COUNT {
             return ReadingOutcome::Complete(first_response);
         } else {
             self.next_bucket = next_bucket as u32;
@@ -107,7 +107,7 @@
             received.merge_with_history(item.clone(), history);
         }
         chunk_digest(
-            received.history_buckets(),
+            received.history_bucket_hashes(),
             &self.bucket_digests,
             response.first_bucket as usize,
             response.next_bucket as usize,
--- a/crates/control-plane/src/state_machine/handlers/accept.rs
+++ b/crates/control-plane/src/state_machine/handlers/accept.rs
@@ -18,7 +18,7 @@
         info!("event=propose request={} items={}", pending.request.name(), proposal.items().len());
         // Invariant: who accepts that a replica set is in force holds all that the proposer does: it compares these digests.
         let bucket_digests = match activated_replica_set(proposal) {
-            Some(_) => self.item_store().history_buckets().to_vec(),
+            Some(_) => self.item_store().history_bucket_hashes().to_vec(),
             None => Vec::new(),
         };
         let request = AcceptRequest {
@@ -113,7 +113,7 @@
     /// Invariant: such a request waits until this replica has read what it lacks. Otherwise a replica set would be in force
     /// whose members lack what was committed under the one before.
     fn lacks_items_of_proposer(&self, request: &AcceptRequest) -> bool {
-        let mut digests = request.bucket_digests.iter().zip(self.item_store().history_buckets());
+        let mut digests = request.bucket_digests.iter().zip(self.item_store().history_bucket_hashes());
         digests.any(|(theirs, own)| theirs != own)
     }
 
--- a/crates/control-plane/src/state_machine/handlers/catch_up.rs
+++ b/crates/control-plane/src/state_machine/handlers/catch_up.rs
@@ -59,7 +59,7 @@
     fn catch_up_request(&self, request_id: u64, epoch: u64) -> PrepareRequest {
         PrepareRequest {
             request_id,
-            bucket_digests: self.item_store().history_buckets().to_vec(),
+            bucket_digests: self.item_store().history_bucket_hashes().to_vec(),
             incarnation: self.identity.incarnation,
             epoch,
             ..PrepareRequest::default()
--- a/crates/control-plane/src/state_machine/handlers/prepare.rs
+++ b/crates/control-plane/src/state_machine/handlers/prepare.rs
@@ -45,7 +45,7 @@
         let is_read_only = pending.proposal.is_none();
         Some(PrepareRequest {
             request_id: attempt_id,
-            bucket_digests: self.configuration.item_store().history_buckets().to_vec(),
+            bucket_digests: self.configuration.item_store().history_bucket_hashes().to_vec(),
             incarnation: self.identity.incarnation,
             epoch,
             ballot: (!is_read_only).then_some(ballot),
--- a/crates/control-plane/src/state_machine/host_homes.rs
+++ b/crates/control-plane/src/state_machine/host_homes.rs
@@ -1,12 +1,12 @@
 //! The home regions of each host's routes, for the directory.
 
-use kitepass_config::{host_key, HostKey, Item, Route};
+use kitepass_config::{normalize_host, Item, NormalizedHost, Route};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// What the directory needs of a route.
 struct RouteHomes {
-    host: HostKey,
+    host: NormalizedHost,
     home_regions: Vec<Arc<str>>,
 }
 
@@ -21,8 +21,10 @@
     pub(super) fn update(&mut self, item: &Item) {
         match Route::from_item(item) {
             Some(route) => {
-                let homes =
-                    RouteHomes { host: host_key(route.host.as_bytes()), home_regions: route.home_regions };
+                let homes = RouteHomes {
+                    host: normalize_host(route.host.as_bytes()),
+                    home_regions: route.home_regions,
+                };
                 self.routes.insert(item.name.clone(), homes);
             }
             None => _ = self.routes.remove(&item.name),
@@ -31,7 +33,7 @@
 
     /// The home regions that all routes of a host have, or none where they differ or there is no route.
     pub(super) fn of_host(&self, host: &str) -> &[Arc<str>] {
-        let host = host_key(host.as_bytes());
+        let host = normalize_host(host.as_bytes());
         let mut of_host = self.routes.values().filter(|route| route.host == host);
         let Some(first) = of_host.next() else { return &[] };
         let agree = of_host.all(|route| route.home_regions == first.home_regions);
--- a/crates/control-plane/src/state_machine/sessions.rs
+++ b/crates/control-plane/src/state_machine/sessions.rs
@@ -2,7 +2,7 @@
 //! have their sessions elsewhere.
 
 use super::{Action, ItemUpdate, HEARTBEAT_INTERVAL, UNRESPONSIVE_TIMEOUT};
-use kitepass_config::{Item, ItemStore, BUCKETS};
+use kitepass_config::{Item, ItemStore, BUCKET_COUNT};
 use kitepass_coordination::catch_up_queue::CatchUpQueue;
 use kitepass_coordination::protocol::{
     BucketDigests, Extent, Heartbeat, Hello, Member, Message, SessionList,
@@ -161,7 +161,7 @@
         if !std::mem::take(&mut self.is_transfer_open) {
             return Vec::new();
         }
-        let digests = BucketDigests { digests: item_store.buckets().to_vec(), wants_reply: true };
+        let digests = BucketDigests { digests: item_store.bucket_hashes().to_vec(), wants_reply: true };
         self.broadcast(&Message::BucketDigests(digests))
     }
 
@@ -183,16 +183,17 @@
         let mut actions = Vec::new();
         while let Some(turn) = self.queue.next_turn(now) {
             let chunk = item_store.chunk(&turn.bucket_digests, turn.first_bucket, CHUNK_BYTES);
-            let next_bucket = (chunk.next_bucket < BUCKETS).then_some(chunk.next_bucket);
+            let next_bucket = (chunk.next_bucket < BUCKET_COUNT).then_some(chunk.next_bucket);
             let items: Arc<[Item]> = chunk.items.into_iter().cloned().collect();
-            let bytes = items.iter().map(Item::wire_bytes).sum();
+            let bytes = items.iter().map(Item::max_wire_bytes).sum();
             let (id, wants_reply) = (turn.id, turn.wants_reply);
             self.queue.chunk_sent(now, turn, bytes, next_bucket);
             if !items.is_empty() {
                 actions.push(Action::SendItems(id, ItemUpdate { items, extent: Extent::Transfer }));
             }
             if next_bucket.is_none() && wants_reply {
-                let digests = BucketDigests { digests: item_store.buckets().to_vec(), wants_reply: true };
+                let digests =
+                    BucketDigests { digests: item_store.bucket_hashes().to_vec(), wants_reply: true };
                 actions.push(Action::SendToSession(id, Message::BucketDigests(digests)));
             }
         }
--- a/crates/control-plane/src/state_machine/tests/catch_up.rs
+++ b/crates/control-plane/src/state_machine/tests/catch_up.rs
@@ -1,6 +1,6 @@
 use super::at;
 use crate::state_machine::catch_up::{CatchUp, ChunkOutcome};
-use kitepass_config::{Item, ItemStore, Kind, VersionDigest, BUCKETS};
+use kitepass_config::{Item, ItemStore, Kind, VersionDigest, BUCKET_COUNT};
 use kitepass_coordination::protocol::{AcceptRequest, PrepareRequest, PrepareResponse};
 
 const REQUEST_ID: u64 = 3;
@@ -15,7 +15,7 @@
 }
 
 fn request() -> PrepareRequest {
-    let bucket_digests = ItemStore::new().history_buckets().to_vec();
+    let bucket_digests = ItemStore::new().history_bucket_hashes().to_vec();
     PrepareRequest { request_id: REQUEST_ID, bucket_digests, ..PrepareRequest::default() }
 }
 
@@ -69,7 +69,7 @@
 fn an_answer_to_an_earlier_incarnation_ends_no_reading() {
     let mut catch_up = reading();
     let (items, response) = chunk(&request(), usize::MAX);
-    assert_eq!(response.next_bucket as usize, BUCKETS);
+    assert_eq!(response.next_bucket as usize, BUCKET_COUNT);
     let outcome = catch_up.receive_chunk(at(10), "s1", false, true, &items, response.clone());
     assert!(matches!(outcome, ChunkOutcome::Ignored));
     let outcome = catch_up.receive_chunk(at(10), "s1", true, true, &items, response);
--- a/crates/control-plane/tests/golden_store.rs
+++ b/crates/control-plane/tests/golden_store.rs
@@ -416,7 +416,7 @@
     }
     let _ = writeln!(text, "digest {:016x}", core.item_store().digest());
     let _ = writeln!(text, "digest with older versions {:016x}", core.item_store().history_digest());
-    let hashes = core.item_store().history_buckets().to_vec();
+    let hashes = core.item_store().history_bucket_hashes().to_vec();
     let all = read(
         core,
         PrepareRequest { bucket_digests: hashes, wants_all_undecided: true, ..PrepareRequest::default() },
--- a/crates/control-plane/tests/membership.rs
+++ b/crates/control-plane/tests/membership.rs
@@ -418,7 +418,7 @@
     for (lacks, node) in [(true, 4), (false, 5)] {
         let incarnation = scenario.cluster.nodes[0].incarnation;
         let state_machine = scenario.cluster.nodes[node].state_machine.as_mut().expect("it runs");
-        let mut whole = state_machine.item_store().history_buckets().to_vec();
+        let mut whole = state_machine.item_store().history_bucket_hashes().to_vec();
         whole[7] ^= u64::from(lacks);
         let ballot = Some(Ballot { epoch: 3, round: 1, proposer: incarnation });
         let items = vec![(&next.to_item(CURRENT)).into()];
--- a/crates/coordination/src/consensus/proposer.rs
+++ b/crates/coordination/src/consensus/proposer.rs
@@ -42,7 +42,7 @@
 /// Whether all items of a proposal are committed, or too old to have an effect.
 pub fn is_committed(proposal: &Proposal, item_store: &ItemStore) -> bool {
     proposal.items().iter().all(|item| {
-        matches!(item_store.version_status(item), VersionStatus::SameContent | VersionStatus::Forgotten)
+        matches!(item_store.version_status(item), VersionStatus::SameContent | VersionStatus::Pruned)
     })
 }
 
--- a/crates/coordination/src/protocol/messages/items.rs
+++ b/crates/coordination/src/protocol/messages/items.rs
@@ -4,7 +4,7 @@
 use crate::protocol::framing::pack;
 use crate::tombstones::ExpiredTombstone;
 use bytes::Bytes;
-use kitepass_config::{Entry, Item, Kind, VersionDigest, MAX_OLDER_VERSIONS};
+use kitepass_config::{Item, ItemWithHistory, Kind, VersionDigest, MAX_OLDER_VERSIONS};
 use std::sync::Arc;
 
 /// About how many bytes of items go in one message, so that no message occupies a connection for long.
@@ -60,12 +60,12 @@
 
 impl From<&Item> for ItemMessage {
     fn from(item: &Item) -> ItemMessage {
-        ItemMessage::from(Entry { item, older_versions: &[] })
+        ItemMessage::from(ItemWithHistory { item, older_versions: &[] })
     }
 }
 
-impl From<Entry<'_>> for ItemMessage {
-    fn from(entry: Entry) -> ItemMessage {
+impl From<ItemWithHistory<'_>> for ItemMessage {
+    fn from(entry: ItemWithHistory) -> ItemMessage {
         let Item { kind, name, version, value } = entry.item;
         ItemMessage {
             kind: *kind as u32,
@@ -189,7 +189,7 @@
             batches.push(Vec::new());
             bytes = 0;
         }
-        bytes += item.wire_bytes();
+        bytes += item.max_wire_bytes();
         batches.last_mut().into_iter().for_each(|batch| batch.push(ItemMessage::from(item)));
     }
     let count = batches.len();
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -2,7 +2,7 @@
 //! upgrade, so no line of the golden files may ever change; new messages and fields get lines of their own.
 
 use bytes::Bytes;
-use kitepass_config::{Entry, Item, Kind, VersionDigest};
+use kitepass_config::{Item, ItemWithHistory, Kind, VersionDigest};
 use kitepass_coordination::consensus::{key, Ballot, Proposal, ProposalMessage};
 use kitepass_coordination::membership::{ReplicaSet, CURRENT, INCOMING};
 use kitepass_coordination::protocol::framing::{
@@ -158,7 +158,7 @@
         VersionDigest { version: 301, digest: 0x7172_7374_7576_7701_8182_8384_8586_8701 },
         VersionDigest { version: 302, digest: 0x7172_7374_7576_7702_8182_8384_8586_8702 },
     ];
-    let message = ItemMessage::from(Entry { item: &item, older_versions: &history });
+    let message = ItemMessage::from(ItemWithHistory { item: &item, older_versions: &history });
     assert_eq!(to_hex(&message.encode_to_vec()), to_hex(&golden(NESTED, "item")));
     assert!(message.into_entry() == Some((item, history.to_vec())));
 }
--- a/crates/data-plane/src/control_session/mod.rs
+++ b/crates/data-plane/src/control_session/mod.rs
@@ -290,7 +290,7 @@
 
     /// The digests of what is held here, by which the control process finds what is missing.
     fn digests(&self) -> Message {
-        let digests = self.synced_store().buckets().to_vec();
+        let digests = self.synced_store().bucket_hashes().to_vec();
         Message::BucketDigests(BucketDigests { digests, wants_reply: false })
     }
 
@@ -414,11 +414,11 @@
         // Backends that the control process has lost are sent back; whoever reads the list corrects what is wrong in
         // it. Invariant: no item of the configuration is, for an old one could come back that way. The control plane
         // has all of them: it tells them here only once they are committed.
-        let differing = self.synced_store().differing(&theirs.digests);
+        let differing = self.synced_store().differing_items(&theirs.digests);
         let sent_back: Vec<Item> = differing.filter(|item| item.kind == Kind::Backend).cloned().collect();
         self.outgoing_items.extend(sent_back);
         if theirs.wants_reply {
-            self.sync_finished(now, theirs.digests == self.synced_store().buckets(), updates);
+            self.sync_finished(now, theirs.digests == self.synced_store().bucket_hashes(), updates);
         } else {
             let digests = self.digests();
             self.outgoing.push(digests);
--- a/crates/data-plane/src/server/configuration.rs
+++ b/crates/data-plane/src/server/configuration.rs
@@ -39,7 +39,7 @@
     /// No configuration is known.
     pub(super) fn new() -> Configuration {
         // Invariant: no head is too long as long as nobody has told how long one may be, if it fits the buffer at all.
-        let initial_limits = Limits { head_bytes: MAX_UNSENT_BYTES, ..Limits::default() };
+        let initial_limits = Limits { max_head_bytes: MAX_UNSENT_BYTES, ..Limits::default() };
         Configuration { state: State::Unknown, is_stale: false, initial_limits }
     }
 
--- a/crates/data-plane/src/server/downstream.rs
+++ b/crates/data-plane/src/server/downstream.rs
@@ -214,8 +214,8 @@
     /// Closes the connections of clients that have used up their time.
     pub(super) fn close_idle_clients(&mut self, now: Timestamp) {
         let limits = self.configuration.limits();
-        let head = Duration::from_micros(i64::from(limits.head_ms) * 1000);
-        let idle = Duration::from_micros(i64::from(limits.idle_ms) * 1000);
+        let head = Duration::from_micros(i64::from(limits.head_timeout_ms) * 1000);
+        let idle = Duration::from_micros(i64::from(limits.idle_timeout_ms) * 1000);
         let timed_out: Vec<(ClientId, ClientTimeout)> = self
             .clients
             .iter()
@@ -268,7 +268,7 @@
 
     /// Reads a head; true if it is complete, and what follows it may be read.
     fn read_head(&mut self, now: Timestamp, id: ClientId) -> bool {
-        let max_head_bytes = self.configuration.limits().head_bytes;
+        let max_head_bytes = self.configuration.limits().max_head_bytes;
         let Some(client) = self.clients.get_mut(&id) else { return false };
         let input = &mut client.connection.input;
         match client.head_reader.next(MessageKind::Request, input, max_head_bytes) {
--- a/crates/data-plane/src/server/local_response.rs
+++ b/crates/data-plane/src/server/local_response.rs
@@ -39,7 +39,7 @@
     /// Writes the rest of a response's head, with the fields that tell whether the connection stays open.
     pub(super) fn finish_head(&mut self, id: ClientId, mut head: String) {
         let is_shutting_down = self.shutdown_began.is_some();
-        let idle_secs = self.configuration.limits().idle_ms / 1000;
+        let idle_secs = self.configuration.limits().idle_timeout_ms / 1000;
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.is_closing |= client.wants_close || is_shutting_down;
         head.push_str(&connection_fields(client, idle_secs));
--- a/crates/data-plane/src/server/mod.rs
+++ b/crates/data-plane/src/server/mod.rs
@@ -45,7 +45,7 @@
 use kitepass_net::timer_wheel::TimerWheel;
 use kitepass_net::{Errno, OwnedFd};
 use kitepass_node::process::{new_incarnation, Signals};
-use kitepass_node::{Settings, Watch};
+use kitepass_node::{Settings, SettingsWatcher};
 use kitepass_time::{Duration, Timestamp};
 use log::{error, info};
 use rejection_log::RejectionLog;
@@ -127,7 +127,7 @@
 /// The gateway process.
 pub struct Server {
     settings: Settings,
-    settings_watch: Watch,
+    settings_watcher: SettingsWatcher,
     signals: Signals,
     poller: Poller,
     clock: Clock,
@@ -236,7 +236,7 @@
             retry_budget: RetryBudget::new(retry_limits(&settings)),
             rng: oorandom::Rand64::new(u128::from(incarnation ^ 2)),
             settings,
-            settings_watch: Watch::new(settings_path),
+            settings_watcher: SettingsWatcher::new(settings_path),
             signals,
             poller,
             clock,
@@ -346,7 +346,7 @@
     }
 
     fn reload_settings(&mut self) {
-        match self.settings_watch.take_change() {
+        match self.settings_watcher.poll() {
             Some(Ok(settings)) if settings == self.settings => {}
             Some(Ok(settings)) => {
                 info!("event=settings");
--- a/crates/data-plane/src/server/request_body.rs
+++ b/crates/data-plane/src/server/request_body.rs
@@ -51,7 +51,7 @@
     fn body_rejection(&self, id: RequestId) -> Option<u16> {
         let request = self.requests.get(&id)?;
         let length = request.body_offset + request.body.len() as u64;
-        if length > request.info.routing_table.limits.body_bytes {
+        if length > request.info.routing_table.limits.max_body_bytes {
             return Some(413);
         }
         let is_out_of_memory = self.buffered_body_bytes > MAX_BUFFERED_BYTES_OF_ALL;
--- a/crates/data-plane/src/server/request_head.rs
+++ b/crates/data-plane/src/server/request_head.rs
@@ -74,13 +74,13 @@
         let Some(routing_table) = self.configuration.routing_table() else {
             return Err(Rejection { retry_after_ms: Some(NOT_READY_RETRY_MS), ..Rejection::of(503) });
         };
-        if content_length.is_some_and(|length| length > routing_table.limits.body_bytes) {
+        if content_length.is_some_and(|length| length > routing_table.limits.max_body_bytes) {
             return Err(Rejection { closes_connection: true, ..Rejection::of(413) });
         }
         let host = head.field("host").unwrap_or_default();
         let route = routing_table.route(host, head.start_line_part(1)).cloned().ok_or(Rejection::of(404))?;
         let mut tenant = None;
-        if routing_table.has_tenants() && !route.allows_no_key {
+        if routing_table.has_tenants() && !route.allows_anonymous {
             let key = head.field("authorization").and_then(|value| value.strip_prefix(b"Bearer "));
             let found = key.and_then(|key| routing_table.tenant_index(key.trim_ascii()));
             tenant = Some(routing_table.tenants[found.ok_or(Rejection::of(401))?].clone());
--- a/crates/data-plane/tests/sockets/harness.rs
+++ b/crates/data-plane/tests/sockets/harness.rs
@@ -292,7 +292,7 @@
         let mut bytes = Vec::new();
         pack_items(self.item_store.items(), &mut bytes);
         self.send_bytes(&bytes);
-        let digests = self.item_store.buckets().to_vec();
+        let digests = self.item_store.bucket_hashes().to_vec();
         let live = MembershipUpdate {
             gateway_count: 1,
             node_ids: vec!["gateway".into()],
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
 //! What every process of the system needs as a node:
 //!
 //! - [`Settings`]: the settings file, TOML, which the variable [`SETTINGS_VARIABLE`] names and which is checked against
-//!   `schema/settings.json`. [`Watch`] notices its changes.
+//!   `schema/settings.json`. [`SettingsWatcher`] notices its changes.
 //! - [`log_to_stderr`]: the log, one line an event.
 //! - [`process`]: signals, and the process' incarnation.
 
@@ -15,4 +15,4 @@
     Bounds, Error, Listeners, MachineLimits, Platform, Settings, Tolerance, MAX_SETTINGS_BYTES,
     SETTINGS_VARIABLE,
 };
-pub use watch::Watch;
+pub use watch::SettingsWatcher;
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -12,7 +12,7 @@
 
 /// Notices changes of a settings file.
 #[derive(Debug)]
-pub struct Watch {
+pub struct SettingsWatcher {
     path: PathBuf,
     last_read: LastRead,
 }
@@ -53,10 +53,10 @@
     }
 }
 
-impl Watch {
-    /// Watches the file at `path`, which need not exist yet. Nothing is read before [`Watch::take_change`].
-    pub fn new(path: impl AsRef<Path>) -> Watch {
-        Watch { path: path.as_ref().to_owned(), last_read: LastRead::Never }
+impl SettingsWatcher {
+    /// Watches the file at `path`, which need not exist yet. Nothing is read before [`SettingsWatcher::poll`].
+    pub fn new(path: impl AsRef<Path>) -> SettingsWatcher {
+        SettingsWatcher { path: path.as_ref().to_owned(), last_read: LastRead::Never }
     }
 
     /// `None` if the file is as it was at the last call; else its settings, or why they are rejected: the caller then
@@ -65,7 +65,7 @@
     ///
     /// Does not wait; meant to be called once a second and at SIGHUP. A file that is found half written is reported
     /// as it is, and again at the next call once it is complete; writers had better rename a complete file.
-    pub fn take_change(&mut self) -> Option<Result<Settings, Error>> {
+    pub fn poll(&mut self) -> Option<Result<Settings, Error>> {
         // The stamp is taken before the content: a change in between shows at the next call, at the latest.
         let metadata = std::fs::metadata(&self.path).ok();
         if self.is_known_unchanged(metadata.as_ref()) {
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use kitepass_node::{pair, Bounds, Error, MachineLimits, Settings, Tolerance, Watch};
+use kitepass_node::{pair, Bounds, Error, MachineLimits, Settings, SettingsWatcher, Tolerance};
 use rstest::rstest;
 
 const REQUIRED_FIELDS: &str =
@@ -79,20 +79,20 @@
     let path = std::env::temp_dir().join(format!("kitepass-node-{}.toml", std::process::id()));
     let write = |text: &str| std::fs::write(&path, text).unwrap();
     write(REQUIRED_FIELDS);
-    let mut watch = Watch::new(&path);
-    assert_eq!(watch.take_change().unwrap().unwrap().node_id, "a");
-    assert!(watch.take_change().is_none());
+    let mut watch = SettingsWatcher::new(&path);
+    assert_eq!(watch.poll().unwrap().unwrap().node_id, "a");
+    assert!(watch.poll().is_none());
     // The same length, and most likely the same tick of the file system's clock.
     write(&REQUIRED_FIELDS.replace("\"a\"", "\"b\""));
-    assert_eq!(watch.take_change().unwrap().unwrap().node_id, "b");
+    assert_eq!(watch.poll().unwrap().unwrap().node_id, "b");
     write("station = ");
-    assert!(matches!(watch.take_change(), Some(Err(Error::NotToml { .. }))));
-    assert!(watch.take_change().is_none());
+    assert!(matches!(watch.poll(), Some(Err(Error::NotToml { .. }))));
+    assert!(watch.poll().is_none());
     std::fs::remove_file(&path).unwrap();
-    assert!(matches!(watch.take_change(), Some(Err(Error::Unreadable { .. }))));
-    assert!(watch.take_change().is_none());
+    assert!(matches!(watch.poll(), Some(Err(Error::Unreadable { .. }))));
+    assert!(watch.poll().is_none());
     write(REQUIRED_FIELDS);
-    assert_eq!(watch.take_change().unwrap().unwrap().node_id, "a");
+    assert_eq!(watch.poll().unwrap().unwrap().node_id, "a");
     std::fs::remove_file(&path).unwrap();
 }
 
