--- a/crates/control-plane/src/server/actions.rs
+++ b/crates/control-plane/src/server/actions.rs
@@ -1,10 +1,10 @@
 //! Carries out the state machine's actions: messages, responses, records and the ends of sessions.
 
 use super::connections::ConnectionId;
-use super::packed_messages::{ItemBatchCache, LongMessageCache};
+use super::encoded_messages::{ItemBatchCache, LongMessageCache};
 use super::Server;
 use crate::state_machine::{Action, ItemUpdate};
-use kitepass_coordination::protocol::framing::Packed;
+use kitepass_coordination::protocol::framing::EncodedMessage;
 use kitepass_coordination::protocol::Message;
 use log::debug;
 use std::collections::BTreeSet;
@@ -65,21 +65,21 @@
             return;
         }
         let is_urgent = is_urgent(&message);
-        connection.queue(outgoing.long_messages.pack(message), is_urgent);
+        connection.queue(outgoing.long_messages.encode(message), is_urgent);
         outgoing.connections.insert(id);
     }
 
     fn send_to_session(&mut self, id: ConnectionId, message: Message, outgoing: &mut Outgoing) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let is_urgent = is_urgent(&message);
-        connection.queue(Packed::new(message), is_urgent);
+        connection.queue(EncodedMessage::new(message), is_urgent);
         outgoing.connections.insert(id);
     }
 
     fn send_items(&mut self, id: ConnectionId, update: &ItemUpdate, outgoing: &mut Outgoing) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        for packed in outgoing.item_batches.pack(update) {
-            connection.queue(packed, false);
+        for encoded in outgoing.item_batches.encode(update) {
+            connection.queue(encoded, false);
         }
         outgoing.connections.insert(id);
     }
--- a/crates/control-plane/src/server/connections.rs
+++ b/crates/control-plane/src/server/connections.rs
@@ -2,7 +2,7 @@
 
 use super::api_client::ApiClient;
 use super::platform_client::ResponseReader;
-use kitepass_coordination::protocol::framing::{Assembler, Outbox, Packed};
+use kitepass_coordination::protocol::framing::{EncodedMessage, MessageDecoder, SendQueue};
 use kitepass_net::connection::{error_label, Connection};
 use kitepass_net::poller::Poller;
 use kitepass_net::Errno;
@@ -73,9 +73,9 @@
 pub(super) struct ServerConnection {
     pub(super) transport: Connection,
     /// Reassembles the messages of a peer or gateway.
-    pub(super) assembler: Assembler,
+    pub(super) decoder: MessageDecoder,
     /// Messages that wait for space in the transport's output.
-    pub(super) outbox: Outbox,
+    pub(super) send_queue: SendQueue,
     pub(super) role: Role,
     /// When it was opened, or bytes came on it last, or its client was answered last.
     pub(super) last_active: Timestamp,
@@ -87,8 +87,8 @@
     pub(super) fn new(transport: Connection, role: Role, now: Timestamp) -> ServerConnection {
         ServerConnection {
             transport,
-            assembler: Assembler::default(),
-            outbox: Outbox::default(),
+            decoder: MessageDecoder::default(),
+            send_queue: SendQueue::default(),
             role,
             last_active: now,
             closes_after_flush: false,
@@ -105,12 +105,12 @@
 
     /// Bytes that are still to be sent.
     pub(super) fn unsent_bytes(&self) -> usize {
-        self.transport.unsent_bytes() + self.outbox.queued_bytes()
+        self.transport.unsent_bytes() + self.send_queue.queued_bytes()
     }
 
     /// Queues a message; an urgent one passes those that are sent in pieces.
-    pub(super) fn queue(&mut self, message: Packed, is_urgent: bool) {
-        self.outbox.push(message, is_urgent, &mut self.transport.output);
+    pub(super) fn queue(&mut self, message: EncodedMessage, is_urgent: bool) {
+        self.send_queue.push(message, is_urgent, &mut self.transport.output);
     }
 
     /// Writes as much of the queued output as the socket takes; true if all of it is sent.
@@ -121,9 +121,9 @@
     pub(super) fn write_queued(&mut self) -> Result<bool, Errno> {
         loop {
             let unsent = self.transport.unsent_bytes();
-            self.outbox.append_frames(&mut self.transport.output, unsent);
+            self.send_queue.append_frames(&mut self.transport.output, unsent);
             let is_all_written = self.transport.flush()?;
-            if !is_all_written || self.outbox.queued_bytes() == 0 {
+            if !is_all_written || self.send_queue.queued_bytes() == 0 {
                 return Ok(is_all_written);
             }
         }
--- a/crates/control-plane/src/server/operator_api.rs
+++ b/crates/control-plane/src/server/operator_api.rs
@@ -9,7 +9,7 @@
 use crate::request::{ApiCall, Request};
 use crate::state_machine::{millis, ReplicaContact, COORDINATOR_ROLE};
 use kitepass_coordination::protocol::Member;
-use kitepass_coordination::quorum_contact::CONTACT;
+use kitepass_coordination::quorum_contact::CONTACT_TIMEOUT;
 use kitepass_time::Timestamp;
 use log::info;
 use serde_json::{json, Value};
@@ -112,7 +112,7 @@
         "ip": replica.address,
         "district": replica.zone,
         "heard": heard,
-        "contact": age.is_some_and(|age| age <= CONTACT),
+        "contact": age.is_some_and(|age| age <= CONTACT_TIMEOUT),
         "contact-age-ms": age.map(millis),
     })
 }
--- a/crates/control-plane/src/server/peer_connections.rs
+++ b/crates/control-plane/src/server/peer_connections.rs
@@ -81,7 +81,7 @@
         let mut offset = 0;
         loop {
             let Some(connection) = self.connections.get_mut(id) else { return Ok(()) };
-            match connection.assembler.next(&input, &mut offset) {
+            match connection.decoder.next(&input, &mut offset) {
                 Ok(Some(message)) => self.handle_message(now, id, message),
                 Err(error) => {
                     warn!("event=malformed-message why={:?}", error.to_string());
@@ -158,7 +158,7 @@
         };
         if let Some(connection) = self.connections.get_mut(id) {
             let hello = Message::Hello(self.state_machine.hello());
-            protocol::pack(hello, &mut connection.transport.output);
+            protocol::encode_message(hello, &mut connection.transport.output);
         }
         self.peers.outgoing.insert(address, id);
     }
--- a/crates/control-plane/src/state_machine/handlers/accept.rs
+++ b/crates/control-plane/src/state_machine/handlers/accept.rs
@@ -40,7 +40,7 @@
     ) {
         info!("event=proposal-rejected why={reason:?}");
         let request = AcceptRequest {
-            rejects: Bytes::copy_from_slice(&proposal.proposal_id().0),
+            rejected_proposal_id: Bytes::copy_from_slice(&proposal.proposal_id().0),
             keys: proposal.keys().to_vec(),
             ..AcceptRequest::default()
         };
@@ -80,7 +80,7 @@
             answered_ballot: Some(ballot),
             ..AcceptResponse::default()
         };
-        let is_rejection = !request.rejects.is_empty();
+        let is_rejection = !request.rejected_proposal_id.is_empty();
         let proposal = if is_rejection { None } else { Proposal::from_messages(request.items.clone()) };
         let keys = proposal.as_ref().map_or(&request.keys[..], |proposal| proposal.keys());
         if self.proposals.is_fenced(request.epoch, keys, &self.configuration) {
--- a/crates/control-plane/src/state_machine/proposals/acceptor.rs
+++ b/crates/control-plane/src/state_machine/proposals/acceptor.rs
@@ -53,7 +53,7 @@
         configuration: &Configuration,
     ) -> Option<Result<Acceptance, AcceptError>> {
         let Some(proposal) = proposal else {
-            let rejected = ProposalId::from_bytes(&request.rejects)?;
+            let rejected = ProposalId::from_bytes(&request.rejected_proposal_id)?;
             return Some(self.acceptor.reject(ballot, rejected, &request.keys));
         };
         let reason = if request.was_accepted_before { AcceptReason::Resolve } else { AcceptReason::New };
--- a/crates/control-plane/src/state_machine/quorum.rs
+++ b/crates/control-plane/src/state_machine/quorum.rs
@@ -63,13 +63,14 @@
 
     /// Evaluates the contact after one proof of it, by which it may be back.
     pub(super) fn evaluate_proof(&mut self, now: Timestamp, replica_sets: &[ReplicaSet]) {
-        let change = self.contact.evaluate_proof(now, replica_sets);
+        let change = self.contact.check_reconnected(now, replica_sets);
         self.log_contact(now, change);
     }
 
     fn log_contact(&self, now: Timestamp, change: Option<ContactState>) {
         if let Some(state) = change {
-            let age = self.contact.age(now).map_or("none".to_owned(), |age| super::millis(age).to_string());
+            let age =
+                self.contact.contact_age(now).map_or("none".to_owned(), |age| super::millis(age).to_string());
             info!("event=quorum-contact state={state:?} age-ms={age}");
         }
     }
@@ -92,7 +93,7 @@
 
     /// How long ago a majority is known to have heard this process.
     pub(super) fn contact_age(&self, now: Timestamp) -> Option<Duration> {
-        self.contact.age(now)
+        self.contact.contact_age(now)
     }
 
     /// When the replica of this name is known to have heard this process last.
@@ -102,7 +103,7 @@
 
     /// Whether what is known of the gateways is recent enough for a look-up.
     pub(super) fn can_look_up(&self, now: Timestamp) -> bool {
-        self.contact.age(now).is_some_and(|age| age <= LOOK_UP_TIMEOUT)
+        self.contact.contact_age(now).is_some_and(|age| age <= LOOK_UP_TIMEOUT)
     }
 
     /// A peer has connected. Gives the name of the replica that was known at its node id, if it is another now.
@@ -167,7 +168,7 @@
             let heartbeat = Heartbeat { sequence, echoed_sequence, ..template.clone() };
             actions.push(Action::SendToPeer(node_id.clone(), Message::Heartbeat(heartbeat)));
         }
-        self.contact.sweep(now);
+        self.contact.expire_peers(now);
         actions
     }
 
--- a/crates/control-plane/src/state_machine/sessions.rs
+++ b/crates/control-plane/src/state_machine/sessions.rs
@@ -181,7 +181,7 @@
     /// The next chunks for gateways that wait for what they lack, as far as there is room.
     pub(super) fn send_chunks(&mut self, now: Timestamp, item_store: &ItemStore) -> Vec<Action> {
         let mut actions = Vec::new();
-        while let Some(turn) = self.queue.next_turn(now) {
+        while let Some(turn) = self.queue.next_chunk(now) {
             let chunk = item_store.chunk(&turn.bucket_digests, turn.first_bucket, CHUNK_BYTES);
             let next_bucket = (chunk.next_bucket < BUCKET_COUNT).then_some(chunk.next_bucket);
             let items: Arc<[Item]> = chunk.items.into_iter().cloned().collect();
--- a/crates/control-plane/src/state_machine/startup.rs
+++ b/crates/control-plane/src/state_machine/startup.rs
@@ -14,7 +14,7 @@
 use super::tombstones::Tombstones;
 use super::{Identity, RequestIds, StateMachine};
 use kitepass_config::ItemStore;
-use kitepass_coordination::consensus::{Acceptor, Restored};
+use kitepass_coordination::consensus::{Acceptor, RestoreOutcome};
 use kitepass_coordination::membership::{JointReplicaSets, Replica, ReplicaSet, CURRENT};
 use kitepass_coordination::sessions::SessionTable;
 use kitepass_coordination::usage::QuotaTolerance;
@@ -82,7 +82,7 @@
     fn add_item_or_proposal(&mut self, key: &[u8], value: &[u8]) {
         if let Some((item, history)) = kitepass_config::decode_record(key, value) {
             self.item_store.merge_with_history(item, &history);
-        } else if self.acceptor.restore(key, value) == Restored::Malformed {
+        } else if self.acceptor.restore(key, value) == RestoreOutcome::Malformed {
             error!("event=record-garbled key={:?}", String::from_utf8_lossy(key));
             self.removals.push((key.to_owned(), Vec::new()));
         }
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -12,7 +12,7 @@
 use kitepass_control_plane::request::{Request, Response};
 use kitepass_control_plane::state_machine::{Action, ReplicaState, StartParameters, StateMachine};
 use kitepass_coordination::membership::Replica;
-use kitepass_coordination::protocol::{pack, ItemMessage, Items, Message};
+use kitepass_coordination::protocol::{encode_message, ItemMessage, Items, Message};
 use kitepass_coordination::usage::QuotaTolerance;
 use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
@@ -354,7 +354,7 @@
             Some(rate) if !is_urgent(&message) => {
                 let rate = if to == 0 { rate * 4 } else { rate };
                 let mut bytes = Vec::new();
-                pack(message.clone(), &mut bytes);
+                encode_message(message.clone(), &mut bytes);
                 let duration = bytes.len() as i64 / rate;
                 late.max(last + duration).max(self.now + duration)
             }
--- a/crates/control-plane/tests/operator_api.rs
+++ b/crates/control-plane/tests/operator_api.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use kitepass_coordination::protocol::{Assembler, Heartbeat, Hello, Message, UsageReport, UsageTotals};
+use kitepass_coordination::protocol::{Heartbeat, Hello, Message, MessageDecoder, UsageReport, UsageTotals};
 use std::io::Write;
 use std::net::Shutdown;
 use std::time::Instant;
@@ -132,10 +132,10 @@
         ..Hello::default()
     };
     let mut connections = [Connection::to(cluster.peer_listener), Connection::to(cluster.peer_listener)];
-    let mut assemblers = [Assembler::default(), Assembler::default()];
+    let mut decoders = [MessageDecoder::default(), MessageDecoder::default()];
     let mut next = |connection: &mut Connection, n: usize| loop {
         let mut at = 0;
-        let message = assemblers[n].next(&connection.input, &mut at).expect("a message");
+        let message = decoders[n].next(&connection.input, &mut at).expect("a message");
         connection.input.drain(..at);
         if let Some(message) = message {
             return message;
--- a/crates/control-plane/tests/support/cluster.rs
+++ b/crates/control-plane/tests/support/cluster.rs
@@ -1,7 +1,7 @@
 //! Control processes on loopback addresses of their own, and connections to them.
 
 use super::command::PROGRAM;
-use kitepass_coordination::protocol::framing::pack;
+use kitepass_coordination::protocol::framing::encode_message;
 use kitepass_coordination::protocol::Message;
 use rustix::net::sockopt;
 use std::io::{ErrorKind, Read, Write};
@@ -139,7 +139,7 @@
     /// Sends a message as other processes of the system do.
     pub(crate) fn send_message(&mut self, message: Message) -> std::io::Result<()> {
         let mut bytes = Vec::new();
-        pack(message, &mut bytes);
+        encode_message(message, &mut bytes);
         self.stream.write_all(&bytes)
     }
 
--- a/crates/coordination/src/catch_up_queue.rs
+++ b/crates/coordination/src/catch_up_queue.rs
@@ -33,7 +33,7 @@
 
 /// A turn: to whom to send which chunk.
 #[derive(Debug, PartialEq)]
-pub struct CatchUpTurn {
+pub struct ChunkRequest {
     /// The receiver, by the number that the caller gave it.
     pub id: u64,
     /// What the receiver said that it holds.
@@ -75,7 +75,7 @@
     }
 
     /// Whose turn it is now, if there is room. [`CatchUpQueue::chunk_sent`] is to be called with the turn.
-    pub fn next_turn(&mut self, now: Timestamp) -> Option<CatchUpTurn> {
+    pub fn next_chunk(&mut self, now: Timestamp) -> Option<ChunkRequest> {
         self.release_stalled(now);
         if self.bytes_in_flight >= self.max_bytes_in_flight {
             return None;
@@ -83,7 +83,7 @@
         let id = self.queue.pop_front()?;
         let receiver = self.receivers.get_mut(&id)?;
         receiver.progress = Progress::Chosen;
-        Some(CatchUpTurn {
+        Some(ChunkRequest {
             id,
             bucket_digests: std::mem::take(&mut receiver.bucket_digests),
             first_bucket: receiver.next_bucket,
@@ -95,7 +95,7 @@
     pub fn chunk_sent(
         &mut self,
         now: Timestamp,
-        turn: CatchUpTurn,
+        turn: ChunkRequest,
         bytes: usize,
         next_bucket: Option<usize>,
     ) {
--- a/crates/coordination/src/consensus/acceptor.rs
+++ b/crates/coordination/src/consensus/acceptor.rs
@@ -6,7 +6,7 @@
 use super::proposal::{Proposal, ProposalId};
 use super::proposer::{conflicting_item, is_committed};
 use super::records::{
-    accepted_deletion, accepted_record, AcceptorRecord, BallotReservation, Record, Restored,
+    accepted_deletion, accepted_record, AcceptorRecord, BallotReservation, Record, RestoreOutcome,
 };
 use super::rejected::RejectedProposals;
 use super::safeguard::Safeguard;
@@ -79,7 +79,7 @@
     }
 
     /// Takes over a record of an earlier incarnation. After the last one, [`Acceptor::commit_all`] is to be called.
-    pub fn restore(&mut self, key: &[u8], value: &[u8]) -> Restored {
+    pub fn restore(&mut self, key: &[u8], value: &[u8]) -> RestoreOutcome {
         match AcceptorRecord::decode(key, value) {
             Ok(AcceptorRecord::Floor(floor)) => self.restore_floor(floor),
             Ok(AcceptorRecord::Accepted { ballot, proposal }) => self.accepted.insert(ballot, proposal),
@@ -88,7 +88,7 @@
             }
             Err(restored) => return restored,
         }
-        Restored::Applied
+        RestoreOutcome::Applied
     }
 
     /// Invariant: a promise binds the next incarnation too. Which ballots the earlier one promised since the floor was
--- a/crates/coordination/src/consensus/mod.rs
+++ b/crates/coordination/src/consensus/mod.rs
@@ -50,4 +50,4 @@
     conflicting_item, is_committed, observe, possibly_chosen, proposal_status, ObservedProposals,
     ProposalStatus,
 };
-pub use records::{BallotReservation, Record, Restored};
+pub use records::{BallotReservation, Record, RestoreOutcome};
--- a/crates/coordination/src/consensus/records.rs
+++ b/crates/coordination/src/consensus/records.rs
@@ -39,9 +39,9 @@
 
 /// What a record of an earlier incarnation was to the acceptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Restored {
+pub enum RestoreOutcome {
     /// It is not one of the acceptor's records.
-    Other,
+    Ignored,
     /// It was decoded, and the acceptor's state now includes it.
     Applied,
     /// It cannot be read.
@@ -62,8 +62,8 @@
     /// Reads a record.
     ///
     /// # Errors
-    /// [`Restored::Other`] if the key is none of the acceptor's, [`Restored::Malformed`] if the value cannot be read.
-    pub(super) fn decode(key: &[u8], value: &[u8]) -> Result<AcceptorRecord, Restored> {
+    /// [`RestoreOutcome::Ignored`] if the key is none of the acceptor's, [`RestoreOutcome::Malformed`] if the value cannot be read.
+    pub(super) fn decode(key: &[u8], value: &[u8]) -> Result<AcceptorRecord, RestoreOutcome> {
         let record = if key == FLOOR_KEY {
             decode_floor(value)
         } else if let Some(proposal_id) = key.strip_prefix(REJECTED_PREFIX) {
@@ -71,9 +71,9 @@
         } else if let Some(proposal_id) = key.strip_prefix(ACCEPTED_PREFIX) {
             decode_accepted(proposal_id, value)
         } else {
-            return Err(Restored::Other);
+            return Err(RestoreOutcome::Ignored);
         };
-        record.ok_or(Restored::Malformed)
+        record.ok_or(RestoreOutcome::Malformed)
     }
 }
 
--- a/crates/coordination/src/consensus/tests.rs
+++ b/crates/coordination/src/consensus/tests.rs
@@ -29,7 +29,7 @@
 fn restarted(disk: &BTreeMap<Vec<u8>, Vec<u8>>) -> Acceptor {
     let mut acceptor = Acceptor::new();
     for (key, value) in disk {
-        assert_eq!(acceptor.restore(key, value), Restored::Applied);
+        assert_eq!(acceptor.restore(key, value), RestoreOutcome::Applied);
     }
     acceptor
 }
@@ -94,10 +94,10 @@
     let mut next = restarted(&disk);
     assert_eq!(next.get(first.proposal_id()), Some((ballot(0, 1), &first)));
     for (key, value) in &disk {
-        assert_eq!(next.restore(key, &value[..value.len() - 1]), Restored::Malformed);
+        assert_eq!(next.restore(key, &value[..value.len() - 1]), RestoreOutcome::Malformed);
     }
-    assert_eq!(next.restore(b"full", &[1]), Restored::Other);
-    assert_eq!(next.restore(&[Kind::Service as u8, b'a'], &[0; 9]), Restored::Other);
+    assert_eq!(next.restore(b"full", &[1]), RestoreOutcome::Ignored);
+    assert_eq!(next.restore(&[Kind::Service as u8, b'a'], &[0; 9]), RestoreOutcome::Ignored);
 }
 
 /// What is committed, and what no longer can be, is dropped; the rest stays, also where it shares an item.
--- a/crates/coordination/src/protocol/framing.rs
+++ b/crates/coordination/src/protocol/framing.rs
@@ -55,41 +55,41 @@
 
 /// A message, encoded to be sent.
 #[derive(Clone, Debug)]
-pub enum Packed {
+pub enum EncodedMessage {
     /// One frame, with its header.
     SingleFrame(Bytes),
     /// The bytes of a message that goes in fragments, or those of them that are left. Clones share them.
     Fragmented(Bytes),
 }
 
-impl Packed {
+impl EncodedMessage {
     /// Encodes a message.
-    pub fn new(message: Message) -> Packed {
+    pub fn new(message: Message) -> EncodedMessage {
         let envelope = Envelope { message: Some(message) };
         let length = envelope.encoded_len();
         if length > MAX_FRAME_BYTES {
-            return Packed::Fragmented(envelope.encode_to_vec().into());
+            return EncodedMessage::Fragmented(envelope.encode_to_vec().into());
         }
         let mut frame = Vec::with_capacity(HEADER_BYTES + length);
         frame.extend_from_slice(&(length as u32).to_be_bytes());
         envelope.encode_raw(&mut frame);
-        Packed::SingleFrame(frame.into())
+        EncodedMessage::SingleFrame(frame.into())
     }
 
     fn len(&self) -> usize {
         match self {
-            Packed::SingleFrame(bytes) | Packed::Fragmented(bytes) => bytes.len(),
+            EncodedMessage::SingleFrame(bytes) | EncodedMessage::Fragmented(bytes) => bytes.len(),
         }
     }
 
     /// Appends the next frame; whether it was the last.
     fn append_frame(&mut self, into: &mut Vec<u8>) -> bool {
         match self {
-            Packed::SingleFrame(frame) => {
+            EncodedMessage::SingleFrame(frame) => {
                 into.extend_from_slice(frame);
                 true
             }
-            Packed::Fragmented(rest) => {
+            EncodedMessage::Fragmented(rest) => {
                 let fragment = rest.split_to(rest.len().min(MAX_FRAME_BYTES));
                 let bits = if rest.is_empty() { LAST_FRAGMENT } else { FRAGMENT };
                 into.extend_from_slice(&(fragment.len() as u32 | bits).to_be_bytes());
@@ -101,9 +101,9 @@
 }
 
 /// Appends a message in as many frames as it needs.
-pub fn pack(message: Message, into: &mut Vec<u8>) {
-    let mut packed = Packed::new(message);
-    while !packed.append_frame(into) {}
+pub fn encode_message(message: Message, into: &mut Vec<u8>) {
+    let mut encoded = EncodedMessage::new(message);
+    while !encoded.append_frame(into) {}
 }
 
 /// Messages that wait for a connection to have room.
@@ -111,16 +111,16 @@
 /// Urgent messages overtake the others. Behind a message of many MiB on a slow connection, heartbeats would come so late
 /// that both ends took each other for lost.
 #[derive(Debug, Default)]
-pub struct Outbox {
-    queue: VecDeque<Packed>,
+pub struct SendQueue {
+    queue: VecDeque<EncodedMessage>,
     bytes: usize,
 }
 
-impl Outbox {
+impl SendQueue {
     /// Takes a message; an urgent one of one frame goes at once, the others in their order.
-    pub fn push(&mut self, mut message: Packed, is_urgent: bool, into: &mut Vec<u8>) {
+    pub fn push(&mut self, mut message: EncodedMessage, is_urgent: bool, into: &mut Vec<u8>) {
         let has_room = self.queue.is_empty() && into.len() < MAX_FRAME_BYTES;
-        if matches!(message, Packed::SingleFrame(_)) && (is_urgent || has_room) {
+        if matches!(message, EncodedMessage::SingleFrame(_)) && (is_urgent || has_room) {
             message.append_frame(into);
             return;
         }
@@ -152,12 +152,12 @@
 
 /// Takes messages off one connection's input. After an error the connection is of no more use.
 #[derive(Debug, Default)]
-pub struct Assembler {
+pub struct MessageDecoder {
     /// The fragments that have come of a long message.
     fragments: Option<Vec<u8>>,
 }
 
-impl Assembler {
+impl MessageDecoder {
     /// Takes the next complete message off the input from `offset` on, which is moved past all frames that were
     /// used. None if more bytes are needed. A message of a kind that this version does not know is skipped.
     ///
--- a/crates/coordination/src/protocol/messages/consensus.rs
+++ b/crates/coordination/src/protocol/messages/consensus.rs
@@ -146,7 +146,7 @@
     pub ballot: Option<Ballot>,
     /// If not empty, the proposal of this id is to be rejected, not accepted: the items are left out.
     #[prost(bytes = "bytes", tag = "6")]
-    pub rejects: Bytes,
+    pub rejected_proposal_id: Bytes,
     /// The keys of the proposal that is to be rejected.
     #[prost(fixed64, repeated, tag = "7")]
     pub keys: Vec<u64>,
--- a/crates/coordination/src/protocol/messages/items.rs
+++ b/crates/coordination/src/protocol/messages/items.rs
@@ -1,7 +1,7 @@
 //! Configuration items as they travel, and the messages that bring a receiver up to date.
 
 use super::Message;
-use crate::protocol::framing::pack;
+use crate::protocol::framing::encode_message;
 use crate::tombstones::ExpiredTombstone;
 use bytes::Bytes;
 use kitepass_config::{Item, ItemWithHistory, Kind, VersionDigest, MAX_OLDER_VERSIONS};
@@ -108,7 +108,7 @@
 
 impl Extent {
     /// The extent of one of `count` messages that carry items of this extent together.
-    pub fn of_message(self, index: usize, count: usize) -> Extent {
+    pub fn for_message(self, index: usize, count: usize) -> Extent {
         if self == Extent::Complete && index + 1 < count {
             Extent::Continued
         } else {
@@ -174,14 +174,14 @@
 }
 
 /// Appends the items of one change in as many messages as they need.
-pub fn pack_items<'a>(items: impl Iterator<Item = &'a Item>, into: &mut Vec<u8>) {
-    for message in batches(items, Extent::Complete) {
-        pack(message, into);
+pub fn encode_items<'a>(items: impl Iterator<Item = &'a Item>, into: &mut Vec<u8>) {
+    for message in batch_items(items, Extent::Complete) {
+        encode_message(message, into);
     }
 }
 
 /// Items in as many messages as they need: a whole change, where `extent` is [`Extent::Complete`], or part of a transfer.
-pub fn batches<'a>(items: impl Iterator<Item = &'a Item>, extent: Extent) -> Vec<Message> {
+pub fn batch_items<'a>(items: impl Iterator<Item = &'a Item>, extent: Extent) -> Vec<Message> {
     let mut batches: Vec<Vec<ItemMessage>> = Vec::new();
     let mut bytes = MAX_BATCH_BYTES + 1;
     for item in items {
@@ -194,6 +194,6 @@
     }
     let count = batches.len();
     let message =
-        |(index, items)| Message::Items(Items { items, extent: extent.of_message(index, count).into() });
+        |(index, items)| Message::Items(Items { items, extent: extent.for_message(index, count).into() });
     batches.into_iter().enumerate().map(message).collect()
 }
--- a/crates/coordination/src/protocol/messages/mod.rs
+++ b/crates/coordination/src/protocol/messages/mod.rs
@@ -14,7 +14,7 @@
     RejectedProposal,
 };
 pub use items::{
-    batches, pack_items, BucketDigests, Extent, ItemMessage, Items, PurgeTombstones, VersionMessage,
+    batch_items, encode_items, BucketDigests, Extent, ItemMessage, Items, PurgeTombstones, VersionMessage,
 };
 pub use leases::{LeaseRequest, LeaseVote};
 pub use presence::{Heartbeat, Hello};
--- a/crates/coordination/src/protocol/mod.rs
+++ b/crates/coordination/src/protocol/mod.rs
@@ -6,10 +6,10 @@
 pub mod framing;
 mod messages;
 
-pub use framing::{pack, Assembler};
+pub use framing::{encode_message, MessageDecoder};
 pub use messages::{
-    batches, pack_items, AcceptRequest, AcceptResponse, Ballot, BucketDigests, Commit, Envelope, Extent,
-    Heartbeat, Hello, ItemMessage, Items, LeaseRequest, LeaseVote, Member, MembershipUpdate, Message,
+    batch_items, encode_items, AcceptRequest, AcceptResponse, Ballot, BucketDigests, Commit, Envelope,
+    Extent, Heartbeat, Hello, ItemMessage, Items, LeaseRequest, LeaseVote, Member, MembershipUpdate, Message,
     PrepareRequest, PrepareResponse, ProposalMessage, PurgeTombstones, RejectedProposal, SessionList,
     TenantTotal, TenantUsage, UsageReport, UsageTotals, VersionMessage,
 };
--- a/crates/coordination/src/quorum_contact.rs
+++ b/crates/coordination/src/quorum_contact.rs
@@ -10,9 +10,9 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// A process is in contact while its newest proof that a majority of the replicas heard it is no older than this.
-pub const CONTACT: Duration = Duration::from_micros(2_000_000);
+pub const CONTACT_TIMEOUT: Duration = Duration::from_micros(2_000_000);
 /// How many of the sequence numbers last sent to one peer are remembered. A heartbeat goes out every half second, and a few in
-/// between: what falls out is older than [`CONTACT`] and proves nothing any longer.
+/// between: what falls out is older than [`CONTACT_TIMEOUT`] and proves nothing any longer.
 const MAX_REMEMBERED_SEQUENCES: usize = 16;
 /// A peer that has sent nothing for this long is forgotten; otherwise peers that come and go would be kept for ever.
 const PEER_EXPIRY: Duration = Duration::from_micros(60_000_000);
@@ -123,7 +123,7 @@
     }
 
     /// Forgets peers that have been silent for long; to be called about once a second.
-    pub fn sweep(&mut self, now: Timestamp) {
+    pub fn expire_peers(&mut self, now: Timestamp) {
         self.peers.retain(|_, peer| now - peer.last_heard_at <= PEER_EXPIRY);
     }
 
@@ -142,7 +142,7 @@
     ///
     /// After a pause of this process several heartbeats of each peer wait to be read. By the first of them, the oldest,
     /// contact may be lost; by the last it is not.
-    pub fn evaluate_proof(&mut self, now: Timestamp, replica_sets: &[ReplicaSet]) -> Option<ContactState> {
+    pub fn check_reconnected(&mut self, now: Timestamp, replica_sets: &[ReplicaSet]) -> Option<ContactState> {
         self.update_quorum_contact(now, replica_sets);
         self.is_connected(now).then(|| self.change_state(ContactState::Connected)).flatten()
     }
@@ -171,11 +171,11 @@
     /// Whether it is in contact at this very moment, even if nothing has been evaluated for a while: a process that was
     /// suspended would go on with what was true before.
     pub fn is_connected(&self, now: Timestamp) -> bool {
-        self.age(now).is_some_and(|age| age <= CONTACT)
+        self.contact_age(now).is_some_and(|age| age <= CONTACT_TIMEOUT)
     }
 
     /// How long ago a majority is known to have heard this process.
-    pub fn age(&self, now: Timestamp) -> Option<Duration> {
+    pub fn contact_age(&self, now: Timestamp) -> Option<Duration> {
         self.last_quorum_contact.map(|last_contact| now - last_contact)
     }
 
--- a/crates/coordination/src/usage.rs
+++ b/crates/coordination/src/usage.rs
@@ -26,7 +26,7 @@
 const GATEWAY_TIMEOUT: Duration = Duration::from_micros(2_500_000);
 /// A gateway that has waited this long for an answer goes by its quota share. This is shorter than the coordinator's
 /// time-out for gateways: the tolerance covers the overlap, and the loss of a coordinator is felt for a shorter time.
-pub const ALONE: Duration = Duration::from_micros(1_300_000);
+pub const COORDINATOR_TIMEOUT: Duration = Duration::from_micros(1_300_000);
 /// What a silent gateway was granted is assumed to be used up after this time.
 const GRANT_EXPIRY: Duration = Duration::from_micros(10_000_000);
 /// How many seconds a bucket that no gateway reports to is kept. It fills meanwhile, and a full one grants more than a new
--- a/crates/coordination/tests/catch_up_queue.rs
+++ b/crates/coordination/tests/catch_up_queue.rs
@@ -37,7 +37,7 @@
     }
 
     fn send_chunks(&mut self) {
-        while let Some(turn) = self.queue.next_turn(Timestamp::from_micros(self.now)) {
+        while let Some(turn) = self.queue.next_chunk(Timestamp::from_micros(self.now)) {
             let id = turn.id;
             let sent = &mut self.sent[id as usize];
             assert_eq!((turn.first_bucket, &turn.bucket_digests), (*sent, &vec![id]));
--- a/crates/coordination/tests/consensus_model/replicas.rs
+++ b/crates/coordination/tests/consensus_model/replicas.rs
@@ -3,7 +3,7 @@
 use super::setup::{ReplicaSetSafeguard, Setup};
 use super::state::{AcceptRequest, Action, Node, Phase, Proposer, State};
 use kitepass_coordination::consensus::{
-    AcceptError, AcceptReason, Ballot, BallotReservation, Record, Restored,
+    AcceptError, AcceptReason, Ballot, BallotReservation, Record, RestoreOutcome,
 };
 
 impl Setup {
@@ -32,7 +32,7 @@
     fn restart(&self, node: &mut Node) {
         node.acceptor = (self.new_acceptor)();
         for (key, value) in &node.disk {
-            assert_eq!(node.acceptor.restore(key, value), Restored::Applied);
+            assert_eq!(node.acceptor.restore(key, value), RestoreOutcome::Applied);
         }
         self.settle(node);
     }
--- a/crates/coordination/tests/framing.rs
+++ b/crates/coordination/tests/framing.rs
@@ -1,6 +1,8 @@
 //! Messages as they travel over a connection: complete and in fragments, however the input is split, and malformed frames.
 
-use kitepass_coordination::protocol::framing::{pack, Assembler, Error, MAX_FRAME_BYTES, MAX_MESSAGE_BYTES};
+use kitepass_coordination::protocol::framing::{
+    encode_message, Error, MessageDecoder, MAX_FRAME_BYTES, MAX_MESSAGE_BYTES,
+};
 use kitepass_coordination::protocol::{
     AcceptRequest, Heartbeat, Hello, ItemMessage, Message, TenantUsage, UsageReport,
 };
@@ -13,14 +15,14 @@
     Message::AcceptRequest(AcceptRequest { request_id: 3, items: vec![item], ..AcceptRequest::default() })
 }
 
-fn packed(messages: &[Message]) -> Vec<u8> {
+fn encoded(messages: &[Message]) -> Vec<u8> {
     let mut bytes = Vec::new();
-    messages.iter().for_each(|message| pack(message.clone(), &mut bytes));
+    messages.iter().for_each(|message| encode_message(message.clone(), &mut bytes));
     bytes
 }
 
-fn read(assembler: &mut Assembler, input: &[u8], at: &mut usize) -> Vec<Message> {
-    std::iter::from_fn(|| assembler.next(input, at).unwrap()).collect()
+fn read(decoder: &mut MessageDecoder, input: &[u8], at: &mut usize) -> Vec<Message> {
+    std::iter::from_fn(|| decoder.next(input, at).unwrap()).collect()
 }
 
 #[test]
@@ -37,11 +39,11 @@
         }),
         Message::Heartbeat(Heartbeat { digest: 5, is_ready: true, ..Heartbeat::default() }),
     ];
-    let bytes = packed(&messages);
+    let bytes = encoded(&messages);
     for split in 0..=bytes.len() {
-        let (mut assembler, mut at) = (Assembler::default(), 0);
-        let mut received = read(&mut assembler, &bytes[..split], &mut at);
-        received.extend(read(&mut assembler, &bytes, &mut at));
+        let (mut decoder, mut at) = (MessageDecoder::default(), 0);
+        let mut received = read(&mut decoder, &bytes[..split], &mut at);
+        received.extend(read(&mut decoder, &bytes, &mut at));
         assert_eq!(received, messages);
     }
 }
@@ -53,24 +55,24 @@
         large_message(3 * MAX_FRAME_BYTES + 9),
         large_message(16 << 20),
     ];
-    let bytes = packed(&messages);
+    let bytes = encoded(&messages);
     // In odd slices, as a socket gives them.
-    let (mut assembler, mut input) = (Assembler::default(), Vec::new());
+    let (mut decoder, mut input) = (MessageDecoder::default(), Vec::new());
     let (mut received, mut most_kept) = (Vec::new(), 0);
     for slice in bytes.chunks(100_003) {
         input.extend_from_slice(slice);
         let mut at = 0;
-        received.extend(read(&mut assembler, &input, &mut at));
+        received.extend(read(&mut decoder, &input, &mut at));
         input.drain(..at);
         assert!(input.len() < MAX_FRAME_BYTES + 4);
-        most_kept = most_kept.max(assembler.buffered_bytes());
+        most_kept = most_kept.max(decoder.buffered_bytes());
     }
-    assert!(received == messages && assembler.buffered_bytes() == 0 && most_kept > 15 << 20);
+    assert!(received == messages && decoder.buffered_bytes() == 0 && most_kept > 15 << 20);
     // A heartbeat between two fragments comes first.
     let heartbeat = Message::Heartbeat(Heartbeat { digest: 5, ..Heartbeat::default() });
-    let mut mixed = packed(&messages[1..2]);
-    mixed.splice(MAX_FRAME_BYTES + 4..MAX_FRAME_BYTES + 4, packed(std::slice::from_ref(&heartbeat)));
-    let received = read(&mut Assembler::default(), &mixed, &mut 0);
+    let mut mixed = encoded(&messages[1..2]);
+    mixed.splice(MAX_FRAME_BYTES + 4..MAX_FRAME_BYTES + 4, encoded(std::slice::from_ref(&heartbeat)));
+    let received = read(&mut MessageDecoder::default(), &mixed, &mut 0);
     assert!(received == [heartbeat, messages[1].clone()]);
 }
 
@@ -80,19 +82,19 @@
 #[case::a_last_fragment_alone(&[0x40, 0, 0, 1, 0], Error::UnexpectedFragment)]
 #[case::empty_fragments(&[0x80, 0, 0, 0, 0x80, 0, 0, 0], Error::UnexpectedFragment)]
 fn malformed_frames_are_rejected(#[case] bytes: &[u8], #[case] error: Error) {
-    assert_eq!(Assembler::default().next(bytes, &mut 0), Err(error));
+    assert_eq!(MessageDecoder::default().next(bytes, &mut 0), Err(error));
 }
 
 #[test]
 fn garbled_and_endless_messages_are_rejected() {
     let mut at = 0;
-    let garbled = Assembler::default().next(&[0, 0, 0, 2, 255, 255], &mut at);
+    let garbled = MessageDecoder::default().next(&[0, 0, 0, 2, 255, 255], &mut at);
     assert!(matches!(garbled, Err(Error::Malformed { .. })));
     let mut fragment = (MAX_FRAME_BYTES as u32 | 1 << 31).to_be_bytes().to_vec();
     fragment.resize(4 + MAX_FRAME_BYTES, 0);
-    let mut assembler = Assembler::default();
+    let mut decoder = MessageDecoder::default();
     for _ in 0..MAX_MESSAGE_BYTES / MAX_FRAME_BYTES {
-        assert_eq!(assembler.next(&fragment, &mut 0), Ok(None));
+        assert_eq!(decoder.next(&fragment, &mut 0), Ok(None));
     }
-    assert_eq!(assembler.next(&fragment, &mut 0), Err(Error::MessageTooLong));
+    assert_eq!(decoder.next(&fragment, &mut 0), Err(Error::MessageTooLong));
 }
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -6,11 +6,11 @@
 use kitepass_coordination::consensus::{key, Ballot, Proposal, ProposalMessage};
 use kitepass_coordination::membership::{ReplicaSet, CURRENT, INCOMING};
 use kitepass_coordination::protocol::framing::{
-    Assembler, Error, Outbox, Packed, MAX_FRAME_BYTES, MAX_MESSAGE_BYTES,
+    EncodedMessage, Error, MessageDecoder, SendQueue, MAX_FRAME_BYTES, MAX_MESSAGE_BYTES,
 };
 use kitepass_coordination::protocol::{
-    batches, pack, pack_items, Commit, Envelope, Extent, Hello, ItemMessage, Items, Message, PurgeTombstones,
-    RejectedProposal,
+    batch_items, encode_items, encode_message, Commit, Envelope, Extent, Hello, ItemMessage, Items, Message,
+    PurgeTombstones, RejectedProposal,
 };
 use prost::Message as _;
 use rstest::rstest;
@@ -202,7 +202,7 @@
         assert!(Envelope::decode(&bytes[..]).unwrap() == envelope(&heartbeat));
     }
     let mut stream = [&(unknown.len() as u32).to_be_bytes()[..], &unknown].concat();
-    pack(heartbeat.clone(), &mut stream);
+    encode_message(heartbeat.clone(), &mut stream);
     assert!(read_all(&stream) == [heartbeat]);
 }
 
@@ -239,14 +239,14 @@
     assert!(Envelope::decode(&from_hex(hex)[..]).is_err());
     let bytes = from_hex(hex);
     let frame = [&(bytes.len() as u32).to_be_bytes()[..], &bytes].concat();
-    assert!(matches!(Assembler::default().next(&frame, &mut 0), Err(Error::Malformed { .. })));
+    assert!(matches!(MessageDecoder::default().next(&frame, &mut 0), Err(Error::Malformed { .. })));
 }
 
 /// All messages of a stream that is complete.
 fn read_all(stream: &[u8]) -> Vec<Message> {
-    let (mut assembler, mut position) = (Assembler::default(), 0);
-    let messages = std::iter::from_fn(|| assembler.next(stream, &mut position).unwrap()).collect();
-    assert_eq!((position, assembler.buffered_bytes()), (stream.len(), 0));
+    let (mut decoder, mut position) = (MessageDecoder::default(), 0);
+    let messages = std::iter::from_fn(|| decoder.next(stream, &mut position).unwrap()).collect();
+    assert_eq!((position, decoder.buffered_bytes()), (stream.len(), 0));
     messages
 }
 
@@ -268,12 +268,12 @@
 #[test]
 fn a_short_message_and_a_stream_of_several() {
     let mut stream = Vec::new();
-    pack(Message::Hello(samples::hello()), &mut stream);
+    encode_message(Message::Hello(samples::hello()), &mut stream);
     assert_eq!(to_hex(&stream), to_hex(&golden(FRAMES, "hello")));
     assert!(read_all(&stream) == [Message::Hello(samples::hello())]);
     let mut stream = Vec::new();
     let messages: Vec<Message> = samples::complete().into_iter().map(|(_, message)| message).collect();
-    messages.iter().for_each(|message| pack(message.clone(), &mut stream));
+    messages.iter().for_each(|message| encode_message(message.clone(), &mut stream));
     assert_eq!(to_hex(&stream), to_hex(&golden(FRAMES, "stream")));
     assert!(read_all(&stream) == messages);
 }
@@ -293,7 +293,7 @@
     let frames = headers.chunks(4).zip(payloads);
     let expected: Vec<u8> = frames.flat_map(|(header, payload)| [header, payload].concat()).collect();
     let mut stream = Vec::new();
-    pack(message.clone(), &mut stream);
+    encode_message(message.clone(), &mut stream);
     assert!(stream == expected, "{name}");
     assert!(read_all(&stream) == [message]);
 }
@@ -301,15 +301,15 @@
 #[test]
 fn a_heartbeat_may_stand_between_frames_of_a_long_message() {
     let (long, heartbeat) = (commit_of(2 * MAX_FRAME_BYTES), Message::Heartbeat(samples::heartbeat()));
-    let (mut outbox, mut stream) = (Outbox::default(), Vec::new());
-    outbox.push(Packed::new(long.clone()), false, &mut stream);
-    outbox.append_frames(&mut stream, 0);
-    outbox.push(Packed::new(heartbeat.clone()), true, &mut stream);
-    outbox.append_frames(&mut stream, 0);
+    let (mut send_queue, mut stream) = (SendQueue::default(), Vec::new());
+    send_queue.push(EncodedMessage::new(long.clone()), false, &mut stream);
+    send_queue.append_frames(&mut stream, 0);
+    send_queue.push(EncodedMessage::new(heartbeat.clone()), true, &mut stream);
+    send_queue.append_frames(&mut stream, 0);
     let mut between = Vec::new();
-    pack(heartbeat.clone(), &mut between);
+    encode_message(heartbeat.clone(), &mut between);
     let mut expected = Vec::new();
-    pack(long.clone(), &mut expected);
+    encode_message(long.clone(), &mut expected);
     expected.splice(4 + MAX_FRAME_BYTES..4 + MAX_FRAME_BYTES, between);
     assert!(stream == expected);
     assert!(read_all(&stream) == [heartbeat, long]);
@@ -328,7 +328,7 @@
     let exactly = 256 * 1024 - 32 - "tenant-1".len();
     let items = [large(1, exactly), large(2, 0), large(3, 100_000), large(4, 400_000), large(5, 1)];
     let mut stream = Vec::new();
-    pack_items(items.iter(), &mut stream);
+    encode_items(items.iter(), &mut stream);
     let counts: Vec<usize> = read_all(&stream)
         .into_iter()
         .map(|message| match message {
@@ -338,7 +338,7 @@
         .collect();
     assert_eq!(counts, [2, 2, 1]);
     let extents = |extent| -> Vec<Extent> {
-        let messages = batches(items.iter(), extent).into_iter();
+        let messages = batch_items(items.iter(), extent).into_iter();
         messages
             .map(
                 |message| {
@@ -353,7 +353,7 @@
     };
     assert_eq!(extents(Extent::Complete), [Extent::Continued, Extent::Continued, Extent::Complete]);
     assert_eq!(extents(Extent::Transfer), [Extent::Transfer; 3]);
-    assert_eq!(batches([].iter(), Extent::Complete), []);
+    assert_eq!(batch_items([].iter(), Extent::Complete), []);
 }
 
 /// In ascending order: by epoch, then by round, then by proposer.
--- a/crates/coordination/tests/golden/samples.rs
+++ b/crates/coordination/tests/golden/samples.rs
@@ -90,7 +90,7 @@
         incarnation: 0x9192_9394_9596_9798,
         epoch: 7,
         ballot: Some(ballot(1)),
-        rejects: Bytes::from_static(b"0123456789abcdef"),
+        rejected_proposal_id: Bytes::from_static(b"0123456789abcdef"),
         keys: vec![0xa1a2_a3a4_a5a6_a7a8, 1],
         bucket_digests: vec![0xb1b2_b3b4_b5b6_b7b8, 0, 2],
         was_accepted_before: true,
--- a/crates/coordination/tests/quorum_contact.rs
+++ b/crates/coordination/tests/quorum_contact.rs
@@ -2,7 +2,7 @@
 //! incarnations, made-up numbers.
 
 use kitepass_coordination::membership::{Replica, ReplicaSet};
-use kitepass_coordination::quorum_contact::{ContactState, QuorumContact, CONTACT};
+use kitepass_coordination::quorum_contact::{ContactState, QuorumContact, CONTACT_TIMEOUT};
 use kitepass_time::{Duration, Timestamp};
 use rstest::rstest;
 
@@ -96,7 +96,7 @@
     assert!(network.contacts.iter().all(|contact| contact.state() == ContactState::Connected));
     let disconnected_at = network.run(3_000, 13_000, is_delivered);
     assert!(
-        disconnected_at[0].is_some_and(|since| since <= 3_000 + CONTACT.as_micros() / 1000 + 10),
+        disconnected_at[0].is_some_and(|since| since <= 3_000 + CONTACT_TIMEOUT.as_micros() / 1000 + 10),
         "{disconnected_at:?}"
     );
     assert!(
@@ -119,17 +119,17 @@
     assert_eq!(contact.evaluate(at(10), &replica_sets), Some(ContactState::Connected));
     let (second, _) = contact.next_heartbeat(at(1_000), "s1");
     contact.heartbeat_received(at(2_500), "s1", 2, first);
-    assert_eq!(contact.evaluate_proof(at(2_500), &replica_sets), None);
+    assert_eq!(contact.check_reconnected(at(2_500), &replica_sets), None);
     assert!(!contact.is_connected(at(2_500)), "nothing may be answered by this proof");
     assert_eq!(contact.state(), ContactState::Connected);
     contact.heartbeat_received(at(2_501), "s1", 3, second);
-    assert_eq!(contact.evaluate_proof(at(2_501), &replica_sets), None);
+    assert_eq!(contact.check_reconnected(at(2_501), &replica_sets), None);
     assert!(contact.is_connected(at(2_501)));
     assert_eq!(contact.evaluate(at(2_501), &replica_sets), None);
     assert_eq!(contact.evaluate(at(3_001), &replica_sets), Some(ContactState::Disconnected));
-    assert_eq!(contact.evaluate_proof(at(3_002), &replica_sets), None);
+    assert_eq!(contact.check_reconnected(at(3_002), &replica_sets), None);
     contact.response_received(at(3_100), "s1", at(3_050));
-    assert_eq!(contact.evaluate_proof(at(3_100), &replica_sets), Some(ContactState::Connected));
+    assert_eq!(contact.check_reconnected(at(3_100), &replica_sets), Some(ContactState::Connected));
 }
 
 #[test]
@@ -157,7 +157,7 @@
     contact.heartbeat_received(at(1_100), "s1", 5, later);
     contact.evaluate(at(1_100), &replica_sets);
     assert_eq!(
-        (contact.state(), contact.age(at(1_100))),
+        (contact.state(), contact.contact_age(at(1_100))),
         (ContactState::Connected, Some(Duration::from_micros(100_000)))
     );
     // An older number that arrives later takes nothing back, and adds nothing.
@@ -209,6 +209,6 @@
     (0..100).for_each(|_| _ = contact.next_heartbeat(at(600), "s1"));
     contact.heartbeat_received(at(700), "s1", 1, long_ago);
     assert_eq!(contact.last_contact("s1"), None);
-    contact.sweep(at(70_000));
+    contact.expire_peers(at(70_000));
     assert_eq!(contact.next_heartbeat(at(70_000), "s1"), (0, 0));
 }
--- a/crates/data-plane/src/quota/mod.rs
+++ b/crates/data-plane/src/quota/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::ids::RequestId;
 use kitepass_coordination::protocol::{TenantTotal, TenantUsage, UsageTotals};
-use kitepass_coordination::usage::{QuotaTolerance, RateLimit, ALONE};
+use kitepass_coordination::usage::{QuotaTolerance, RateLimit, COORDINATOR_TIMEOUT};
 use kitepass_time::{Duration, Timestamp};
 use local_share::{Isolation, LocalShare};
 use std::collections::BTreeMap;
@@ -93,7 +93,7 @@
 
     /// The isolation of this gateway from the count, if no report has been answered for long.
     fn isolation(&self, now: Timestamp) -> Option<Isolation> {
-        let since = self.last_answered.map_or(self.opened_at, |answered| answered + ALONE);
+        let since = self.last_answered.map_or(self.opened_at, |answered| answered + COORDINATOR_TIMEOUT);
         let isolation =
             Isolation { since, live_gateways: self.live_gateways as f64, tolerance: self.tolerance };
         (now >= since).then_some(isolation)
@@ -195,7 +195,7 @@
         let is_late = |tenant_quota: &TenantQuota| tenant_quota.has_overdue_grant_request(now);
         if self.tenants.values().any(is_late) && self.isolation(now).is_none() {
             // Nothing is answered: this gateway is isolated from now on, not only after the whole time.
-            self.last_answered = Some(now - ALONE);
+            self.last_answered = Some(now - COORDINATOR_TIMEOUT);
         }
         let isolation = self.isolation(now);
         for tenant_quota in self.tenants.values_mut().filter(|tenant_quota| is_late(tenant_quota)) {
--- a/crates/data-plane/src/server/control_connection.rs
+++ b/crates/data-plane/src/server/control_connection.rs
@@ -3,7 +3,7 @@
 use super::Server;
 use crate::control_session::{CandidateOutcome, SessionUpdates};
 use kitepass_config::Kind;
-use kitepass_coordination::protocol::framing::{Assembler, MAX_FRAME_BYTES};
+use kitepass_coordination::protocol::framing::{MessageDecoder, MAX_FRAME_BYTES};
 use kitepass_coordination::protocol::{self, Hello, Message};
 use kitepass_net::connection::{error_label, Connection};
 use kitepass_net::poller::ReadyEvent;
@@ -24,7 +24,7 @@
     /// The token under which it is polled.
     pub(super) id: u64,
     connection: Connection,
-    assembler: Assembler,
+    decoder: MessageDecoder,
     /// Bytes of the input that messages were taken of. They go before the next read, all at once.
     used_bytes: usize,
 }
@@ -74,13 +74,13 @@
 
     /// The next message of what has been read, if all of one is there.
     fn next_message(&mut self) -> Result<Option<Message>, ConnectionEnd> {
-        let message = self.assembler.next(&self.connection.input, &mut self.used_bytes);
+        let message = self.decoder.next(&self.connection.input, &mut self.used_bytes);
         message.map_err(|_| ConnectionEnd::Malformed)
     }
 
     fn send(&mut self, messages: &mut Vec<Message>) -> Result<(), ConnectionEnd> {
         for message in messages.drain(..) {
-            protocol::pack(message, &mut self.connection.output);
+            protocol::encode_message(message, &mut self.connection.output);
         }
         self.connection.flush().map(drop).map_err(ConnectionEnd::Failed)
     }
@@ -110,9 +110,9 @@
             .and_then(|address| Connection::connect(&self.poller, &address, id, UNACKNOWLEDGED_TIMEOUT).ok());
         match opened {
             Some(connection) => {
-                let assembler = Assembler::default();
+                let decoder = MessageDecoder::default();
                 self.candidate_connection =
-                    Some(ControlConnection { id, connection, assembler, used_bytes: 0 });
+                    Some(ControlConnection { id, connection, decoder, used_bytes: 0 });
             }
             None => self.control_session.candidate_lost("not-opened"),
         }
@@ -137,7 +137,7 @@
         }
         let Some(control) = &mut self.control_connection else { return };
         let items = std::mem::take(&mut self.control_session.outgoing_items);
-        protocol::pack_items(items.iter(), &mut control.connection.output);
+        protocol::encode_items(items.iter(), &mut control.connection.output);
         if let Err(end) = control.send(&mut self.control_session.outgoing) {
             self.close_control_connection(end.name());
         }
--- a/crates/data-plane/tests/sockets/harness.rs
+++ b/crates/data-plane/tests/sockets/harness.rs
@@ -2,10 +2,10 @@
 //! the test has it send. The control process responds by itself. Nothing waits for longer than [`TIMEOUT`].
 
 use kitepass_config::{parse_change_request, Item, ItemStore, Kind, SchemaValidator};
-use kitepass_coordination::protocol::framing::Assembler;
+use kitepass_coordination::protocol::framing::MessageDecoder;
 use kitepass_coordination::protocol::{
-    pack, pack_items, BucketDigests, Extent, Heartbeat, Hello, ItemMessage, Items, MembershipUpdate, Message,
-    TenantTotal, TenantUsage, UsageReport, UsageTotals,
+    encode_items, encode_message, BucketDigests, Extent, Heartbeat, Hello, ItemMessage, Items,
+    MembershipUpdate, Message, TenantTotal, TenantUsage, UsageReport, UsageTotals,
 };
 use rustix::net::{self, AddressFamily, SocketFlags, SocketType};
 use rustix::process::{kill_process, waitpid, Pid, Signal, WaitOptions};
@@ -278,7 +278,7 @@
 
     fn send_messages(&mut self, messages: impl IntoIterator<Item = Message>) {
         let mut bytes = Vec::new();
-        messages.into_iter().for_each(|message| pack(message, &mut bytes));
+        messages.into_iter().for_each(|message| encode_message(message, &mut bytes));
         self.send_bytes(&bytes);
     }
 
@@ -290,7 +290,7 @@
 
     fn send_all(&mut self) {
         let mut bytes = Vec::new();
-        pack_items(self.item_store.items(), &mut bytes);
+        encode_items(self.item_store.items(), &mut bytes);
         self.send_bytes(&bytes);
         let digests = self.item_store.bucket_hashes().to_vec();
         let live = MembershipUpdate {
@@ -480,11 +480,11 @@
 }
 
 fn serve(mut stream: TcpStream, state: &Mutex<ControlPlaneState>, heartbeats: &Sender<Heartbeat>) {
-    let (mut input, mut buffer, mut assembler) = (Vec::new(), [0; 16 * 1024], Assembler::default());
+    let (mut input, mut buffer, mut decoder) = (Vec::new(), [0; 16 * 1024], MessageDecoder::default());
     while let Ok(length @ 1..) = stream.read(&mut buffer) {
         input.extend_from_slice(&buffer[..length]);
         let mut at = 0;
-        while let Some(message) = assembler.next(&input, &mut at).expect("a gateway's messages") {
+        while let Some(message) = decoder.next(&input, &mut at).expect("a gateway's messages") {
             if let Message::Heartbeat(heartbeat) = &message {
                 let _ = heartbeats.send(heartbeat.clone());
             }
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -314,7 +314,7 @@
 fn item_messages(update: &ItemUpdate) -> Vec<Message> {
     let count = update.items.len().div_ceil(MAX_ITEMS_PER_MESSAGE);
     let message = |(index, items)| {
-        let extent = update.extent.of_message(index, count);
+        let extent = update.extent.for_message(index, count);
         Message::Items(Items { extent: extent.into(), ..to_message(items) })
     };
     update.items.chunks(MAX_ITEMS_PER_MESSAGE).enumerate().map(message).collect()
