--- a/crates/control-plane/src/state_machine/handlers/gateways.rs
+++ b/crates/control-plane/src/state_machine/handlers/gateways.rs
@@ -75,7 +75,8 @@
         let item_store = self.configuration.item_store();
         let outcome = self.sessions.receive_heartbeat(id, heartbeat, item_store.digest());
         if outcome.is_stale {
-            let digests = BucketDigests { digests: item_store.bucket_hashes().to_vec(), wants_reply: false };
+            let digests =
+                BucketDigests { digests: item_store.bucket_hashes().to_vec(), ends_transfer: false };
             self.send_to_session(id, Message::BucketDigests(digests));
         }
         if outcome.has_readiness_changed {
--- a/crates/control-plane/src/state_machine/sessions.rs
+++ b/crates/control-plane/src/state_machine/sessions.rs
@@ -161,13 +161,13 @@
         if !std::mem::take(&mut self.is_transfer_open) {
             return Vec::new();
         }
-        let digests = BucketDigests { digests: item_store.bucket_hashes().to_vec(), wants_reply: true };
+        let digests = BucketDigests { digests: item_store.bucket_hashes().to_vec(), ends_transfer: true };
         self.broadcast(&Message::BucketDigests(digests))
     }
 
     /// A gateway has told the digests of what it holds: it is told what it lacks when its turn comes.
     pub(super) fn enqueue(&mut self, id: u64, digests: BucketDigests) {
-        self.queue.enqueue(id, digests.digests, !digests.wants_reply);
+        self.queue.enqueue(id, digests.digests, !digests.ends_transfer);
     }
 
     pub(super) fn is_catching_up(&self, id: u64) -> bool {
@@ -186,14 +186,14 @@
             let next_bucket = (chunk.next_bucket < BUCKET_COUNT).then_some(chunk.next_bucket);
             let items: Arc<[Item]> = chunk.items.into_iter().cloned().collect();
             let bytes = items.iter().map(Item::max_wire_bytes).sum();
-            let (id, wants_reply) = (turn.id, turn.wants_reply);
+            let (id, wants_digests) = (turn.id, turn.wants_digests);
             self.queue.chunk_sent(now, turn, bytes, next_bucket);
             if !items.is_empty() {
                 actions.push(Action::SendItems(id, ItemUpdate { items, extent: Extent::Transfer }));
             }
-            if next_bucket.is_none() && wants_reply {
+            if next_bucket.is_none() && wants_digests {
                 let digests =
-                    BucketDigests { digests: item_store.bucket_hashes().to_vec(), wants_reply: true };
+                    BucketDigests { digests: item_store.bucket_hashes().to_vec(), ends_transfer: true };
                 actions.push(Action::SendToSession(id, Message::BucketDigests(digests)));
             }
         }
--- a/crates/control-plane/src/state_machine/tests/sessions.rs
+++ b/crates/control-plane/src/state_machine/tests/sessions.rs
@@ -94,8 +94,10 @@
         item_store.apply(Item { kind: Kind::Service, name: format!("l{number}").into(), version: 1, value });
     }
     let mut sessions = sessions([1]);
-    sessions
-        .enqueue(1, BucketDigests { digests: ItemStore::new().bucket_hashes().to_vec(), wants_reply: false });
+    sessions.enqueue(
+        1,
+        BucketDigests { digests: ItemStore::new().bucket_hashes().to_vec(), ends_transfer: false },
+    );
     let (mut items, mut chunks) = (0, 0);
     loop {
         let actions = sessions.send_chunks(at(0), &item_store);
@@ -108,7 +110,7 @@
                     assert_eq!(sent.extent, Extent::Transfer);
                     (items, chunks) = (items + sent.items.len(), chunks + 1);
                 }
-                Action::SendToSession(1, Message::BucketDigests(digests)) => assert!(digests.wants_reply),
+                Action::SendToSession(1, Message::BucketDigests(digests)) => assert!(digests.ends_transfer),
                 other => panic!("{other:?}"),
             }
         }
--- a/crates/coordination/src/catch_up_queue.rs
+++ b/crates/coordination/src/catch_up_queue.rs
@@ -27,7 +27,7 @@
     bucket_digests: Vec<u64>,
     /// The bucket to continue with.
     next_bucket: usize,
-    wants_reply: bool,
+    wants_digests: bool,
     progress: Progress,
 }
 
@@ -41,7 +41,7 @@
     /// The bucket with which the chunk begins.
     pub first_bucket: usize,
     /// Whether the receiver waits for the sender's digests at the end.
-    pub wants_reply: bool,
+    pub wants_digests: bool,
 }
 
 /// All receivers that catch up.
@@ -67,9 +67,9 @@
 
     /// Queues a receiver, by what it says that it holds. If it is catching up already, it starts from the first bucket
     /// again.
-    pub fn enqueue(&mut self, id: u64, bucket_digests: Vec<u64>, wants_reply: bool) {
+    pub fn enqueue(&mut self, id: u64, bucket_digests: Vec<u64>, wants_digests: bool) {
         self.remove(id);
-        let receiver = Receiver { bucket_digests, next_bucket: 0, wants_reply, progress: Progress::Queued };
+        let receiver = Receiver { bucket_digests, next_bucket: 0, wants_digests, progress: Progress::Queued };
         self.receivers.insert(id, receiver);
         self.queue.push_back(id);
     }
@@ -87,7 +87,7 @@
             id,
             bucket_digests: std::mem::take(&mut receiver.bucket_digests),
             first_bucket: receiver.next_bucket,
-            wants_reply: receiver.wants_reply,
+            wants_digests: receiver.wants_digests,
         })
     }
 
--- a/crates/coordination/src/protocol/messages/items.rs
+++ b/crates/coordination/src/protocol/messages/items.rs
@@ -143,7 +143,7 @@
     pub digests: Vec<u64>,
     /// The sender has taken what the receiver had and still differs: the receiver may take what follows.
     #[prost(bool, tag = "2")]
-    pub wants_reply: bool,
+    pub ends_transfer: bool,
 }
 
 /// Tombstones that are forgotten, each of exactly this version.
--- a/crates/coordination/tests/golden/samples.rs
+++ b/crates/coordination/tests/golden/samples.rs
@@ -238,7 +238,7 @@
 
 /// Every variant with every field, in the order of the variants' tags.
 pub(crate) fn complete() -> Vec<Sample> {
-    let bucket_digests = BucketDigests { digests: vec![0x5958_5756_5554_5352, 0, 9], wants_reply: true };
+    let bucket_digests = BucketDigests { digests: vec![0x5958_5756_5554_5352, 0, 9], ends_transfer: true };
     vec![
         ("hello", Message::Hello(hello())),
         ("heartbeat", Message::Heartbeat(heartbeat())),
--- a/crates/data-plane/src/control_session/mod.rs
+++ b/crates/data-plane/src/control_session/mod.rs
@@ -291,7 +291,7 @@
     /// The digests of what is held here, by which the control process finds what is missing.
     fn digests(&self) -> Message {
         let digests = self.synced_store().bucket_hashes().to_vec();
-        Message::BucketDigests(BucketDigests { digests, wants_reply: false })
+        Message::BucketDigests(BucketDigests { digests, ends_transfer: false })
     }
 
     /// The session's connection is closed.
@@ -417,7 +417,7 @@
         let differing = self.synced_store().differing_items(&theirs.digests);
         let sent_back: Vec<Item> = differing.filter(|item| item.kind == Kind::Backend).cloned().collect();
         self.outgoing_items.extend(sent_back);
-        if theirs.wants_reply {
+        if theirs.ends_transfer {
             self.sync_finished(now, theirs.digests == self.synced_store().bucket_hashes(), updates);
         } else {
             let digests = self.digests();
--- a/crates/data-plane/src/server/configuration/tests.rs
+++ b/crates/data-plane/src/server/configuration/tests.rs
@@ -22,7 +22,10 @@
 fn sync_finished(items: &[Item]) -> Message {
     let mut item_store = ItemStore::new();
     items.iter().for_each(|item| _ = item_store.merge(item.clone()));
-    Message::BucketDigests(BucketDigests { digests: item_store.bucket_hashes().to_vec(), wants_reply: true })
+    Message::BucketDigests(BucketDigests {
+        digests: item_store.bucket_hashes().to_vec(),
+        ends_transfer: true,
+    })
 }
 
 /// A session that a control process has said hello on.
--- a/crates/data-plane/tests/control_session.rs
+++ b/crates/data-plane/tests/control_session.rs
@@ -37,7 +37,10 @@
 fn sync_finished(version: Option<u64>) -> Message {
     let mut item_store = ItemStore::new();
     version.into_iter().for_each(|version| _ = item_store.merge(item(version)));
-    Message::BucketDigests(BucketDigests { digests: item_store.bucket_hashes().to_vec(), wants_reply: true })
+    Message::BucketDigests(BucketDigests {
+        digests: item_store.bucket_hashes().to_vec(),
+        ends_transfer: true,
+    })
 }
 
 /// A gateway that opens a session with the control process that it draws.
--- a/crates/data-plane/tests/sockets/harness.rs
+++ b/crates/data-plane/tests/sockets/harness.rs
@@ -300,7 +300,7 @@
             control_zones: vec!["near".into()],
         };
         self.send_messages([
-            Message::BucketDigests(BucketDigests { digests, wants_reply: true }),
+            Message::BucketDigests(BucketDigests { digests, ends_transfer: true }),
             Message::MembershipUpdate(live),
         ]);
     }
