--- a/crates/coordination/src/consensus/accepted.rs
+++ b/crates/coordination/src/consensus/accepted.rs
@@ -1,22 +1,22 @@
-//! The proposals that an acceptor has accepted and that are not known to be committed, with their indices.
+//! Indexed storage for the proposals that an acceptor has accepted and does not know to be committed.
 
 use super::proposal::{name_key, Proposal, ProposalId};
 use crate::protocol::Ballot;
 use kitepass_config::Item;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Proposals by some hash of their items.
+/// Proposal IDs by a hash of the proposals' items.
 pub(super) type ProposalIndex = BTreeMap<u64, BTreeSet<ProposalId>>;
 
 /// Accepted proposals, each with the highest ballot under which it was accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct AcceptedProposals {
     by_id: BTreeMap<ProposalId, (Ballot, Proposal)>,
-    /// By the keys of their items' versions.
+    /// Indexed by the keys of the proposals' items, which include the version.
     pub(super) by_key: ProposalIndex,
-    /// By the names of their items, whatever the version.
+    /// Indexed by the kinds and names of the proposals' items, regardless of version.
     pub(super) by_name: ProposalIndex,
-    /// Of all proposals together.
+    /// The total size of all proposals.
     pub(super) bytes: usize,
 }
 
@@ -41,14 +41,14 @@
         self.by_id.keys().copied().collect()
     }
 
-    /// Those that touch any of the keys, by their ids.
+    /// The proposals that contain any of the keys, ordered by ID.
     pub(super) fn overlapping(&self, keys: &[u64]) -> Vec<(Ballot, Proposal)> {
         let ids = indexed(&self.by_key, keys);
         ids.iter().map(|proposal_id| self.by_id[proposal_id].clone()).collect()
     }
 
-    /// Those that have any version of any of the items.
-    pub(super) fn with_names_of<'a>(
+    /// The IDs of the proposals that contain any version of any of the items.
+    pub(super) fn with_any_version_of<'a>(
         &self,
         items: impl IntoIterator<Item = &'a Item>,
     ) -> BTreeSet<ProposalId> {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether it was there.
+    /// Removes a proposal and returns whether it was present.
     pub(super) fn remove(&mut self, proposal_id: ProposalId) -> bool {
         let Some((_, proposal)) = self.by_id.remove(&proposal_id) else { return false };
         self.bytes -= proposal.bytes();
@@ -81,7 +81,7 @@
     }
 }
 
-/// The proposals that an index has under any of the keys.
+/// The IDs that an index contains under any of the keys.
 pub(super) fn indexed(index: &ProposalIndex, keys: &[u64]) -> BTreeSet<ProposalId> {
     keys.iter().filter_map(|key| index.get(key)).flatten().copied().collect()
 }
--- a/crates/coordination/src/consensus/acceptor.rs
+++ b/crates/coordination/src/consensus/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor: what one replica has promised and accepted.
+//! The acceptor: the promises and accepted proposals of one replica.
 
 use super::accepted::AcceptedProposals;
 use super::error::{AcceptError, CapacityExceededSnafu, ConflictingSnafu, PromisedSnafu};
@@ -14,42 +14,43 @@
 use kitepass_config::{Item, ItemStore};
 use std::collections::BTreeSet;
 
-/// Accepted proposals that are not committed yet, and their bytes. Without these bounds whoever sends proposals that
-/// are never committed would fill memory and disk.
+/// Limits on the number and total size of accepted proposals that are not committed yet. Without them, a client whose
+/// proposals are never committed could fill memory and disk.
 pub(super) const MAX_ACCEPTED: usize = 512;
 const MAX_ACCEPTED_BYTES: usize = 64 << 20;
-/// These bounds are this many times wider for proposals that another replica has accepted before. Otherwise acceptors
-/// that are full, each of other proposals, could resolve none of them.
+/// The factor by which the limits are raised for proposals that another replica has already accepted. Without it,
+/// acceptors that are each full of different proposals could resolve none of them.
 const RESOLVE_FACTOR: usize = 4;
 
-/// What was promised.
+/// The result of a successful prepare request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Promise {
-    /// The accepted, uncommitted proposals that touch any of the keys, as they were when the promise was given.
+    /// The accepted, uncommitted proposals that contain any of the keys, as of the moment of the promise.
     ///
-    /// Invariant: they are read together with the promise. Read later, one could have been committed in between, after
-    /// the part of the item store that it belongs to was sent already.
+    /// Invariant: they are read atomically with the promise. If they were read later, one of them could have been
+    /// committed in between, after the part of the item store that contains its items had already been sent.
     pub accepted: Vec<(Ballot, Proposal)>,
-    /// If there is one, the response may leave only once its record is on disk: written for this response itself, even
-    /// where the same record is being written for another one.
+    /// If present, the response must not be sent before this reservation's record is on disk. The write must have been
+    /// issued for this response, even if an identical record is already being written for another response.
     pub reservation: Option<BallotReservation>,
 }
 
-/// What must be on disk, completely, before an acceptance is acknowledged.
+/// The records that must be on disk before an acceptance is acknowledged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Acceptance {
-    /// Those of the proposal are left out where it is committed already: its items need only be on disk.
+    /// The records to write. If the proposal is already committed, they include none for the proposal itself: its
+    /// committed items must be on disk instead.
     pub records: Vec<Record>,
-    /// Its record is one of `records`.
+    /// The reservation whose record is included in `records`, if any.
     pub reservation: Option<BallotReservation>,
 }
 
-/// Why a proposal is to be accepted.
+/// Why a proposer asks an acceptor to accept a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptReason {
-    /// No replica that responded to the proposer had accepted it.
+    /// No replica that responded to the proposer had accepted the proposal before.
     New,
-    /// A replica had accepted it before: it is being resolved.
+    /// A replica had accepted the proposal before, and it is now being resolved.
     Resolve,
 }
 
@@ -59,12 +60,12 @@
     pub(super) promises: PromiseTable,
     pub(super) accepted: AcceptedProposals,
     pub(super) rejected: RejectedProposals,
-    /// The safeguard that a test has taken out.
+    /// The safeguard that a test has disabled.
     pub(super) disabled: Option<Safeguard>,
 }
 
 impl Acceptor {
-    /// With an empty disk. What the disk holds is given to [`Acceptor::restore`].
+    /// Creates an acceptor without any records. Existing records are loaded with [`Acceptor::restore`].
     pub fn new() -> Acceptor {
         Acceptor::default()
     }
@@ -78,7 +79,8 @@
         self.disabled != Some(safeguard)
     }
 
-    /// Takes over a record of an earlier incarnation. After the last one, [`Acceptor::commit_all`] is to be called.
+    /// Loads a record written by an earlier incarnation. After the last record, [`Acceptor::commit_all`] must be
+    /// called.
     pub fn restore(&mut self, key: &[u8], value: &[u8]) -> RestoreOutcome {
         match AcceptorRecord::decode(key, value) {
             Ok(AcceptorRecord::Floor(floor)) => self.restore_floor(floor),
@@ -91,8 +93,8 @@
         RestoreOutcome::Applied
     }
 
-    /// Invariant: a promise binds the next incarnation too. Which ballots the earlier one promised since the floor was
-    /// written is not on disk; the floor lies above all of them.
+    /// Invariant: promises remain binding after a restart. The ballots that the earlier incarnation promised after
+    /// writing the floor are not on disk individually, but the floor is above all of them.
     fn restore_floor(&mut self, floor: Ballot) {
         if self.is_enabled(Safeguard::PersistedFloor) {
             self.promises.raise_floor(floor);
@@ -100,26 +102,27 @@
         self.promises.restore_reservation(floor);
     }
 
-    /// A reservation's record is on disk.
+    /// Records that a reservation's record is on disk.
     pub fn reservation_persisted(&mut self, reservation: BallotReservation) {
         self.promises.reservation_persisted(reservation);
     }
 
-    /// From now on no ballot of an earlier membership epoch is accepted.
+    /// Rejects all ballots of earlier membership epochs from now on.
     ///
-    /// Invariant: the replicas of a new epoch read only what write quorums held when they read. So a replica that
-    /// answers such a reading, or accepts a change of the replica set, is fenced before it responds. If there is a
-    /// reservation, nothing that rests on the fence may be sent before it is on disk.
+    /// Invariant: the replicas of a new epoch know only the state that write quorums of the old epoch had accepted by
+    /// the time it was read. A replica must therefore be fenced before it answers such a read or accepts a change of
+    /// the replica set. If a reservation is returned, no response that depends on the fence may be sent before its
+    /// record is on disk.
     pub fn fence(&mut self, epoch: u64) -> Option<BallotReservation> {
         let lowest = Ballot { epoch, round: 0, proposer: 0 };
         self.promises.raise_floor(lowest);
         self.promises.reserve(lowest)
     }
 
-    /// Phase 1: promises to accept nothing below the ballot on any of the keys.
+    /// Phase 1: promises not to accept any lower ballot on any of the keys.
     ///
     /// # Errors
-    /// With the higher ballot that was promised before.
+    /// Returns the higher ballot if one has already been promised.
     pub fn prepare(&mut self, ballot: Ballot, keys: &[u64]) -> Result<Promise, Ballot> {
         if let Some(higher) = self.promise_above(ballot, keys) {
             return Err(higher);
@@ -128,7 +131,7 @@
         Ok(Promise { accepted: self.overlapping(keys), reservation: self.promises.reserve(ballot) })
     }
 
-    /// The highest promise on any of the keys, if it is above a ballot.
+    /// The highest promise on any of the keys, if it is above the given ballot.
     fn promise_above(&self, ballot: Ballot, keys: &[u64]) -> Option<Ballot> {
         let highest = self.promises.highest(keys);
         let is_above = if self.is_enabled(Safeguard::EpochFirst) {
@@ -139,10 +142,12 @@
         is_above.then_some(highest)
     }
 
-    /// Phase 2: accepts a proposal with all its items. The response may leave only once the records are on disk.
+    /// Phase 2: accepts a proposal with all its items. The response must not be sent before the returned records are on
+    /// disk.
     ///
     /// # Errors
-    /// If a higher ballot was promised on a key, a key is committed with other content, or the bounds are reached.
+    /// Fails if a higher ballot was promised on one of the keys, if an item's version is committed with different
+    /// content, or if a limit is reached.
     pub fn accept(
         &mut self,
         ballot: Ballot,
@@ -155,7 +160,7 @@
         if !is_committed && !self.has_capacity(&proposal, reason) {
             return CapacityExceededSnafu.fail();
         }
-        let mut acceptance = self.promise_durably(ballot, proposal.keys());
+        let mut acceptance = self.promise_and_reserve(ballot, proposal.keys());
         if !is_committed {
             acceptance.records.push(accepted_record(ballot, &proposal));
             acceptance.records.extend(self.rejected.remove(proposal.proposal_id()));
@@ -170,7 +175,7 @@
         proposal: &Proposal,
         item_store: &ItemStore,
     ) -> Result<(), AcceptError> {
-        // Invariant: a proposer that has prepared a higher ballot here did not learn of this proposal, and relies on its
+        // Invariant: a proposer that has prepared a higher ballot here was not told of this proposal, and relies on it
         // not being chosen.
         if self.is_enabled(Safeguard::Promise) {
             if let Some(to) = self.promise_above(ballot, proposal.keys()) {
@@ -194,23 +199,23 @@
         (is_known || self.accepted.len() < MAX_ACCEPTED * factor) && bytes <= MAX_ACCEPTED_BYTES * factor
     }
 
-    /// Promises the ballot, with the record that has to be on disk for it.
-    fn promise_durably(&mut self, ballot: Ballot, keys: &[u64]) -> Acceptance {
+    /// Promises the ballot, and returns the reservation record that must be on disk first, if any.
+    fn promise_and_reserve(&mut self, ballot: Ballot, keys: &[u64]) -> Acceptance {
         self.promises.promise(ballot, keys);
         let reservation = self.promises.reserve(ballot);
         let records = reservation.into_iter().map(BallotReservation::record).collect();
         Acceptance { records, reservation }
     }
 
-    /// Records that a proposal is rejected for its content: what was accepted of it below this ballot can never be
+    /// Rejects a proposal because of its content: acceptances of it below this ballot can no longer lead to it being
     /// chosen.
     ///
-    /// Invariant: a rejection is reported to the operator only once a write quorum has it on disk. A replica that did not
-    /// respond may have accepted the proposal in an earlier attempt; resolved by another proposer, it would take effect
-    /// after it was reported to be rejected.
+    /// Invariant: a rejection is reported to the operator only after a write quorum has it on disk. Otherwise, a
+    /// replica that did not respond might have accepted the proposal in an earlier attempt. If another proposer then
+    /// resolved the proposal, it would take effect after it had been reported as rejected.
     ///
     /// # Errors
-    /// If a higher ballot was promised on a key.
+    /// Fails if a higher ballot was promised on one of the keys.
     pub fn reject(
         &mut self,
         ballot: Ballot,
@@ -220,7 +225,7 @@
         if let Some(to) = self.promise_above(ballot, keys) {
             return PromisedSnafu { to }.fail();
         }
-        let mut rejection = self.promise_durably(ballot, keys);
+        let mut rejection = self.promise_and_reserve(ballot, keys);
         if !self.is_enabled(Safeguard::Rejection) {
             return Ok(rejection);
         }
@@ -231,20 +236,20 @@
         Ok(rejection)
     }
 
-    /// The rejected proposals that touch any of the keys, by their ids, with the ballots of their rejections.
+    /// The IDs of the rejected proposals that contain any of the keys, with the ballots of their rejections.
     pub fn rejections(&self, keys: &[u64]) -> impl Iterator<Item = (ProposalId, Ballot)> + '_ {
         self.rejected.overlapping(keys)
     }
 
-    /// Forgets all accepted and rejected proposals, but no promise. For a process that is no replica: nobody counts on
-    /// what it accepted. The records delete theirs.
+    /// Discards all accepted and rejected proposals but keeps all promises, and returns the records that delete them
+    /// from disk. For a process that is not a replica: no quorum depends on the proposals that it has accepted.
     pub fn discard_accepted(&mut self) -> Vec<Record> {
         let mut records = self.remove_accepted(self.accepted.ids());
         records.extend(self.rejected.clear());
         records
     }
 
-    /// The accepted, uncommitted proposals that touch any of the keys, in the order of their ids.
+    /// The accepted, uncommitted proposals that contain any of the keys, ordered by ID.
     pub fn overlapping(&self, keys: &[u64]) -> Vec<(Ballot, Proposal)> {
         self.accepted.overlapping(keys)
     }
@@ -254,15 +259,16 @@
         self.accepted.iter()
     }
 
-    /// An accepted, uncommitted proposal.
+    /// The accepted, uncommitted proposal with this ID.
     pub fn get(&self, proposal_id: ProposalId) -> Option<(Ballot, &Proposal)> {
         self.accepted.get(proposal_id)
     }
 
-    /// Learns: drops the proposals that are committed, or can never be, now that the item store has `changed`.
+    /// Learns of committed items: drops the accepted proposals that are committed or can no longer be chosen, now that
+    /// the item store contains `changed`. Returns the records that delete the proposals from disk.
     ///
-    /// Invariant: the records, which delete those of the proposals, are written with the changed items' records or after
-    /// them. The other way round, a loss of power between the two would forget what was chosen.
+    /// Invariant: the returned records are written together with the records of the changed items, or after them. In
+    /// the opposite order, a power loss between the two writes would lose a chosen proposal.
     pub fn commit<'a>(
         &mut self,
         item_store: &ItemStore,
@@ -271,10 +277,10 @@
         if self.accepted.is_empty() {
             return Vec::new();
         }
-        self.remove_resolved(item_store, self.accepted.with_names_of(changed))
+        self.remove_resolved(item_store, self.accepted.with_any_version_of(changed))
     }
 
-    /// As [`Acceptor::commit`], whatever has changed.
+    /// Like [`Acceptor::commit`], but checks all accepted proposals.
     pub fn commit_all(&mut self, item_store: &ItemStore) -> Vec<Record> {
         self.remove_resolved(item_store, self.accepted.ids())
     }
@@ -290,7 +296,7 @@
         self.remove_accepted(candidates)
     }
 
-    /// Whether a proposal is committed, or can never be.
+    /// Whether a proposal is committed or can no longer be chosen.
     fn is_resolved(&self, proposal: &Proposal, item_store: &ItemStore) -> bool {
         let drops_conflicting = self.is_enabled(Safeguard::IgnoreConflicting);
         is_committed(proposal, item_store)
--- a/crates/coordination/src/consensus/ballot.rs
+++ b/crates/coordination/src/consensus/ballot.rs
@@ -1,18 +1,18 @@
-//! Ballots: how a proposer chooses one, and how one stands on disk.
+//! Ballot selection by proposers, and the on-disk format of ballots.
 
 use crate::protocol::Ballot;
 
-/// Bytes of a ballot on disk: epoch, round and proposer, each big-endian, so that the order of the bytes is that of the
-/// ballots.
+/// The size of a ballot on disk: epoch, round and proposer, each big-endian, so that the byte order matches the ballot
+/// order.
 const BALLOT_BYTES: usize = 24;
 
 impl Ballot {
-    /// The lowest ballot of a proposer that is above `met`, the highest ballot that it has seen.
+    /// The lowest ballot of this proposer that is above `highest_seen`, the highest ballot that it knows of.
     ///
-    /// The first round of a later membership epoch is above all rounds of the earlier ones.
-    pub fn above(met: Ballot, epoch: u64, proposer: u64) -> Ballot {
-        let round = if met.epoch < epoch { 1 } else { met.round.saturating_add(1) };
-        Ballot { epoch: epoch.max(met.epoch), round, proposer }
+    /// The first round of a membership epoch is above all rounds of earlier epochs.
+    pub fn above(highest_seen: Ballot, epoch: u64, proposer: u64) -> Ballot {
+        let round = if highest_seen.epoch < epoch { 1 } else { highest_seen.round.saturating_add(1) };
+        Ballot { epoch: epoch.max(highest_seen.epoch), round, proposer }
     }
 
     pub(super) fn to_bytes(self) -> [u8; BALLOT_BYTES] {
@@ -24,7 +24,7 @@
         bytes
     }
 
-    /// The ballot at the head of a record's value, and the bytes that follow it.
+    /// Splits the ballot off the beginning of a record's value and returns it with the remaining bytes.
     pub(super) fn split_from_bytes(bytes: &[u8]) -> Option<(Ballot, &[u8])> {
         let (epoch, rest) = bytes.split_first_chunk::<8>()?;
         let (round, rest) = rest.split_first_chunk::<8>()?;
--- a/crates/coordination/src/consensus/mod.rs
+++ b/crates/coordination/src/consensus/mod.rs
@@ -1,33 +1,33 @@
-//! Consensus on the versions of configuration items, without a leader and without a log.
+//! Leaderless consensus on the versions of configuration items, without a replicated log.
 //!
-//! Each version of each item is one consensus instance, named by its key ([`key`]). The value that is agreed on is a
-//! [`Proposal`]: an operator's change with all its items, so that one proposal takes part in several instances and is
-//! chosen in all of them or in none. The algorithm is single-decree Paxos (Lamport, "Paxos Made Simple") run per
-//! register, as in CASPaxos (Rystsov, "CASPaxos: Replicated State Machines without logs").
+//! Each version of each item is a consensus instance, identified by its [`key`]. The value to agree on is a
+//! [`Proposal`]: all items of one operator's change. A proposal therefore takes part in several instances, and is
+//! chosen in all of them or in none. The algorithm is single-decree Paxos (Lamport, "Paxos Made Simple"), run
+//! separately for each register as in CASPaxos (Rystsov, "CASPaxos: Replicated State Machines without logs").
 //!
-//! | Paxos | here |
+//! | Paxos | this module |
 //! | --- | --- |
 //! | proposal number | [`Ballot`] |
-//! | phase 1: a ballot is promised | [`Acceptor::prepare`] |
-//! | phase 1: the proposer picks the value | [`possibly_chosen`], then [`proposal_status`] |
-//! | phase 2: a proposal is accepted | [`Acceptor::accept`] |
+//! | phase 1: an acceptor promises a ballot | [`Acceptor::prepare`] |
+//! | phase 1: the proposer selects the value | [`possibly_chosen`], then [`proposal_status`] |
+//! | phase 2: an acceptor accepts a proposal | [`Acceptor::accept`] |
 //! | a proposal is chosen | once a write quorum has accepted it under one ballot; see [`crate::membership`] |
-//! | a chosen proposal is learned | [`Acceptor::commit`], after its items were merged into the item store |
-//! | stable storage | the records whose keys and values `records.rs` describes, see [`Record`] |
+//! | a chosen proposal is learned | [`Acceptor::commit`], after its items have been merged into the item store |
+//! | stable storage | the records described in `records.rs`; see [`Record`] |
 //!
-//! **Assumptions.** Each read quorum shares a replica with each write quorum of the same membership epoch; a ballot is
-//! used by one proposer for one proposal; what a response rests on is on disk before the response leaves
+//! **Assumptions.** Every read quorum intersects every write quorum of the same membership epoch. A ballot is used by
+//! one proposer for one proposal only. All state that a response depends on is on disk before the response is sent
 //! ([`Promise::reservation`], [`Acceptance::records`]).
 //!
-//! **Invariant.** Of two proposals with different content for one key at most one is ever chosen, whoever proposes and
-//! however often.
+//! **Invariant.** Of two proposals with different content for the same key, at most one is ever chosen, regardless of
+//! who proposes them and how often.
 //!
-//! **Why.** Suppose that a proposal was chosen under ballot *b*. Each proposer that later prepares a higher ballot on
-//! one of its keys is told of it by a replica that is in both quorums, and either resolves it first
-//! ([`ProposalStatus::BlockedBy`]) or finds its content committed. A proposer with a lower ballot meets a replica that
-//! has promised *b* and is rejected ([`AcceptError::Promised`]).
+//! **Why it holds.** Suppose that a proposal was chosen under ballot *b*. A proposer that later prepares a higher
+//! ballot on one of its keys learns of it from a replica in the intersection of the two quorums. It then either
+//! resolves that proposal first ([`ProposalStatus::BlockedBy`]) or finds its content committed. A proposer with a lower
+//! ballot reaches a replica that has promised *b*, and is rejected ([`AcceptError::Promised`]).
 //!
-//! Nothing here does input or output.
+//! This module does no I/O.
 
 mod accepted;
 mod acceptor;
--- a/crates/coordination/src/consensus/proposal.rs
+++ b/crates/coordination/src/consensus/proposal.rs
@@ -1,4 +1,4 @@
-//! Proposals: what is agreed on, by which id it is known, and on which keys it is decided.
+//! Proposals: the values to agree on, their IDs and their keys.
 
 use crate::protocol::{Ballot, ItemMessage, ProposalMessage};
 use kitepass_config::{Item, Kind};
@@ -7,23 +7,23 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::{Xxh3, Xxh3Builder};
 
-/// What an item is taken to need in memory beside its name and its value.
+/// The estimated memory overhead of an item, in addition to its name and value.
 const ITEM_OVERHEAD_BYTES: usize = 64;
 
-/// Identifies a proposal by its content: the hash of its sorted items, the same on every machine.
+/// Identifies a proposal by its content: a hash of its sorted items that is the same on every machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalId(pub [u8; 16]);
 
 impl ProposalId {
-    /// None unless there are 16 bytes.
+    /// Returns `None` unless there are exactly 16 bytes.
     pub fn from_bytes(bytes: &[u8]) -> Option<ProposalId> {
         Some(ProposalId(bytes.try_into().ok()?))
     }
 }
 
-/// An operator's change with all its items, chosen completely or not at all.
+/// All items of one operator's change. A proposal is chosen completely or not at all.
 ///
-/// Two proposals are equal if their ids are.
+/// Two proposals are equal if their IDs are equal.
 #[derive(Clone, Debug)]
 pub struct Proposal {
     items: Arc<[Item]>,
@@ -47,8 +47,8 @@
 }
 
 impl Proposal {
-    /// Of two items with the same kind, name and version the first one in the given order counts: the second would have
-    /// no effect.
+    /// Creates a proposal. Of several items with the same kind, name and version, only the first is kept, since the
+    /// others would have no effect.
     pub fn new(mut items: Vec<Item>) -> Proposal {
         items.sort_by(compare_versions);
         items.dedup_by(|later, earlier| compare_versions(later, earlier).is_eq());
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Sorted by kind, name and version.
+    /// The items, sorted by kind, name and version.
     pub fn items(&self) -> &Arc<[Item]> {
         &self.items
     }
@@ -70,22 +70,23 @@
         self.proposal_id
     }
 
-    /// The consensus instances that the proposal takes part in: one for each item, in the items' order.
+    /// The keys of the consensus instances that the proposal takes part in: one per item, in the order of the items.
     pub fn keys(&self) -> &[u64] {
         &self.keys
     }
 
-    /// About how many bytes of memory the proposal takes.
+    /// The approximate memory size of the proposal.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The items as they travel.
+    /// The items as wire messages.
     pub fn to_messages(&self) -> Vec<ItemMessage> {
         self.items.iter().map(ItemMessage::from).collect()
     }
 
-    /// None if an item is of a kind that this version does not know: the proposal could not be kept completely.
+    /// Returns `None` if an item has a kind that this software version does not know, since the proposal could not be
+    /// stored completely.
     pub fn from_messages(messages: Vec<ItemMessage>) -> Option<Proposal> {
         let items: Option<Vec<Item>> = messages.into_iter().map(ItemMessage::into_item).collect();
         items.map(Proposal::new)
@@ -93,24 +94,23 @@
 }
 
 impl ProposalMessage {
-    /// An accepted proposal with the ballot under which it was accepted.
+    /// Creates the message for an accepted proposal and the ballot under which it was accepted.
     pub fn new(ballot: Ballot, proposal: &Proposal) -> ProposalMessage {
         ProposalMessage { ballot, items: proposal.to_messages() }
     }
 
-    /// None as in [`Proposal::from_messages`].
+    /// Returns `None` in the same case as [`Proposal::from_messages`].
     pub fn into_proposal(self) -> Option<(Ballot, Proposal)> {
         Some((self.ballot, Proposal::from_messages(self.items)?))
     }
 }
 
-/// The key of an item's version, which names a consensus instance. Two versions whose keys collide cost a retry, and
-/// nothing else.
+/// The key of an item's version, which identifies a consensus instance. A collision of two keys only causes a retry.
 pub fn key(item: &Item) -> u64 {
     hash_name(item.kind, &item.name, Some(item.version))
 }
 
-/// The same for all versions of an item.
+/// A hash of an item's kind and name, the same for all its versions.
 pub(super) fn name_key(item: &Item) -> u64 {
     hash_name(item.kind, &item.name, None)
 }
@@ -129,7 +129,7 @@
     (one.kind, &one.name, one.version).cmp(&(other.kind, &other.name, other.version))
 }
 
-/// Lengths stand before names and values, so that no two lists of items give the same bytes.
+/// Lengths precede names and values, so that different lists of items never produce the same hash input.
 fn hash_items(items: &[Item]) -> ProposalId {
     let mut hasher = Xxh3Builder::new().build();
     for item in items {
--- a/crates/coordination/src/consensus/proposer.rs
+++ b/crates/coordination/src/consensus/proposer.rs
@@ -1,4 +1,4 @@
-//! The proposer's side: what the answers to a prepare request mean for its proposal.
+//! The proposer's side: evaluates the responses to a prepare request.
 
 use super::proposal::{Proposal, ProposalId};
 use super::safeguard::Safeguard;
@@ -6,13 +6,13 @@
 use kitepass_config::{Item, ItemStore, VersionStatus};
 use std::collections::BTreeMap;
 
-/// The accepted proposals that were reported to a proposer, each with the highest ballot that it was reported with.
+/// The accepted proposals that were reported to a proposer, each with the highest reported ballot.
 ///
-/// What was reported while other proposals were resolved is kept: chains of proposals that block one another go up in
-/// ballots, and so they end.
+/// Reports are kept while the proposer resolves other proposals. Along a chain of proposals that block one another the
+/// ballots increase, so every chain ends.
 pub type ObservedProposals = BTreeMap<ProposalId, (Ballot, Proposal)>;
 
-/// Adds what a replica reported.
+/// Adds the accepted proposals that a replica reported.
 pub fn observe(observed: &mut ObservedProposals, reported: impl IntoIterator<Item = (Ballot, Proposal)>) {
     for (ballot, proposal) in reported {
         let known = observed.entry(proposal.proposal_id()).or_insert((ballot, proposal));
@@ -20,8 +20,8 @@
     }
 }
 
-/// The observed proposals that may be chosen. A rejection, whichever replica reported it, says that a proposal was not
-/// chosen below the rejection's ballot and never will be.
+/// The observed proposals that may have been chosen. A rejection reported by any replica means that the proposal was
+/// not chosen below the rejection's ballot, and never will be.
 pub fn possibly_chosen(
     observed: &ObservedProposals,
     rejected: &BTreeMap<ProposalId, Ballot>,
@@ -29,52 +29,55 @@
     let is_rejected = |proposal_id: &ProposalId, ballot: Ballot| {
         rejected.get(proposal_id).is_some_and(|rejection| *rejection >= ballot)
     };
-    let open = observed.iter().filter(|(proposal_id, (ballot, _))| !is_rejected(proposal_id, *ballot));
-    open.map(|(proposal_id, accepted)| (*proposal_id, accepted.clone())).collect()
+    let possible = observed.iter().filter(|(proposal_id, (ballot, _))| !is_rejected(proposal_id, *ballot));
+    possible.map(|(proposal_id, accepted)| (*proposal_id, accepted.clone())).collect()
 }
 
-/// The first item of a proposal that is committed with other content: with it the proposal can never be chosen.
+/// The first item of a proposal that is already committed with different content. If there is one, the proposal can
+/// never be chosen.
 pub fn conflicting_item<'a>(proposal: &'a Proposal, item_store: &ItemStore) -> Option<&'a Item> {
     let is_conflicting = |item: &&Item| item_store.version_status(item) == VersionStatus::DifferentContent;
     proposal.items().iter().find(is_conflicting)
 }
 
-/// Whether all items of a proposal are committed, or too old to have an effect.
+/// Whether all items of a proposal are committed, or have versions too old to have any effect.
 pub fn is_committed(proposal: &Proposal, item_store: &ItemStore) -> bool {
     proposal.items().iter().all(|item| {
         matches!(item_store.version_status(item), VersionStatus::SameContent | VersionStatus::Pruned)
     })
 }
 
-/// What is known of a proposal after phase 1.
+/// The status of a proposal after phase 1.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProposalStatus {
-    /// All its items are committed: it is confirmed.
+    /// All its items are committed: the proposal can be confirmed.
     Committed,
-    /// An item's version is committed with other content. This is final: no part of the proposal ever takes effect.
+    /// An item's version is already committed with different content. This is final: no part of the proposal will ever
+    /// take effect.
     Conflicting(Item),
-    /// This proposal may have been chosen on one of the keys: it is resolved first, then all begins again.
+    /// Another proposal, with this ID, may have been chosen on one of the keys. It must be resolved first; then the
+    /// proposer starts over.
     BlockedBy(ProposalId),
-    /// It was accepted somewhere and may be chosen already: it is proposed without being validated again.
+    /// A replica has accepted it, so it may already be chosen: it is proposed without being validated again.
     AlreadyAccepted,
-    /// No replica that responded has accepted it: it is validated, then proposed.
+    /// No replica that responded has accepted it: it is validated and then proposed.
     New,
 }
 
-/// What is known of a proposal after a read quorum has answered for all its keys.
+/// Determines the status of a proposal after a read quorum has responded for all its keys.
 ///
-/// `observed` are the proposals that may be chosen, see [`possibly_chosen`]; `item_store` holds all that was reported to
-/// be committed.
+/// `observed` contains the proposals that may have been chosen, see [`possibly_chosen`]. `item_store` contains
+/// everything that was reported as committed.
 pub fn proposal_status(
     proposal: &Proposal,
     observed: &ObservedProposals,
     item_store: &ItemStore,
 ) -> ProposalStatus {
-    evaluate(proposal, observed, item_store, None)
+    proposal_status_without(proposal, observed, item_store, None)
 }
 
-/// As [`proposal_status`], without one of the safeguards.
-pub(crate) fn evaluate(
+/// Like [`proposal_status`], with one safeguard disabled by a test.
+pub(crate) fn proposal_status_without(
     proposal: &Proposal,
     observed: &ObservedProposals,
     item_store: &ItemStore,
@@ -98,14 +101,16 @@
     }
 }
 
-/// A proposal that may have been chosen for a key, ordered by ballot: as in Paxos, the highest one counts.
+/// A proposal that may have been chosen for a key. Candidates are ordered by ballot because, as in Paxos, the one with
+/// the highest ballot takes precedence.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     ballot: Ballot,
     proposal_id: ProposalId,
 }
 
-/// Of the proposals that may have been chosen on an undecided key of this one, the one with the highest ballot.
+/// Of the proposals that may have been chosen on an undecided key of this proposal, the ID of the one with the highest
+/// ballot.
 fn blocking_proposal(
     proposal: &Proposal,
     observed: &ObservedProposals,
@@ -131,7 +136,7 @@
     item_store: &ItemStore,
     disabled: Option<Safeguard>,
 ) -> BTreeMap<u64, Candidate> {
-    // A proposal that can never be chosen would block the others for ever.
+    // A proposal that can never be chosen would block the others forever.
     let can_be_chosen = |proposal: &Proposal| {
         disabled == Some(Safeguard::IgnoreConflicting) || conflicting_item(proposal, item_store).is_none()
     };
--- a/crates/coordination/src/consensus/records.rs
+++ b/crates/coordination/src/consensus/records.rs
@@ -1,57 +1,57 @@
-//! The acceptor's records: what stands on disk, under which key, and what it means.
+//! The acceptor's records on disk: their keys, values and meaning.
 //!
 //! | key | value | meaning |
 //! | --- | --- | --- |
-//! | `floor` | ballot | no promise above it was sent; after a restart nothing below it is accepted |
-//! | `call:` and a proposal id | ballot, then the items as an [`Items`] message | accepted under the ballot, not known to be committed |
-//! | `deny:` and a proposal id | ballot, then the proposal's keys, 8 bytes each | rejected under the ballot: not chosen below it |
+//! | `floor` | ballot | no promise above it has been sent; after a restart, no ballot below it is accepted |
+//! | `call:` and a proposal ID | ballot, then the items as an [`Items`] message | accepted under the ballot, not known to be committed |
+//! | `deny:` and a proposal ID | ballot, then the proposal's keys, 8 bytes each | rejected under the ballot: not chosen below it |
 //!
-//! Ballots have 24 bytes: epoch, round and proposer, each big-endian; so are the keys.
+//! A ballot takes 24 bytes: epoch, round and proposer, each big-endian. Keys are big-endian as well.
 
 use super::proposal::{Proposal, ProposalId};
 use crate::protocol::{Ballot, Items};
 use prost::Message as _;
 
-/// The key of the floor's record.
+/// The key of the floor record.
 pub(super) const FLOOR_KEY: &[u8] = b"floor";
-/// What the key of an accepted proposal's record begins with; the proposal id follows.
+/// The prefix of an accepted proposal's key; the proposal ID follows.
 const ACCEPTED_PREFIX: &[u8] = b"call:";
-/// What the key of a rejected proposal's record begins with; the proposal id follows.
+/// The prefix of a rejected proposal's key; the proposal ID follows.
 const REJECTED_PREFIX: &[u8] = b"deny:";
 
-/// A key and a value for the durable store. An empty value deletes the record.
+/// A key and a value for durable storage. An empty value deletes the record.
 pub type Record = (Vec<u8>, Vec<u8>);
 
-/// A floor for promises that must be on disk before a promise that it covers is sent; then
-/// [`Acceptor::reservation_persisted`](super::Acceptor::reservation_persisted) is to be called.
+/// A floor for promises. It must be on disk before a promise that it covers is sent; once it is,
+/// [`Acceptor::reservation_persisted`](super::Acceptor::reservation_persisted) must be called.
 ///
-/// One reservation covers many rounds, so that not every promise waits for the disk.
+/// One reservation covers many rounds, so that most promises need not wait for the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[must_use]
 pub struct BallotReservation(pub(super) Ballot);
 
 impl BallotReservation {
-    /// The floor's record.
+    /// The floor record.
     pub fn record(self) -> Record {
         (FLOOR_KEY.to_vec(), self.0.to_bytes().to_vec())
     }
 }
 
-/// What a record of an earlier incarnation was to the acceptor.
+/// The result of loading a record with [`Acceptor::restore`](super::Acceptor::restore).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestoreOutcome {
-    /// It is not one of the acceptor's records.
+    /// The record does not belong to the acceptor.
     Ignored,
-    /// It was decoded, and the acceptor's state now includes it.
+    /// The record was decoded and applied to the acceptor's state.
     Applied,
-    /// It cannot be read.
+    /// The record cannot be decoded.
     ///
-    /// Invariant: a proposal may have been chosen by the acceptance that it stood for, so that whoever finds it must
-    /// not go on with this disk as the same replica.
+    /// Invariant: the lost acceptance may have been part of the quorum that chose a proposal. The process must
+    /// therefore not continue as the same replica with this disk.
     Malformed,
 }
 
-/// A record that was read.
+/// A decoded record.
 pub(super) enum AcceptorRecord {
     Floor(Ballot),
     Accepted { ballot: Ballot, proposal: Proposal },
@@ -59,10 +59,11 @@
 }
 
 impl AcceptorRecord {
-    /// Reads a record.
+    /// Decodes a record.
     ///
     /// # Errors
-    /// [`RestoreOutcome::Ignored`] if the key is none of the acceptor's, [`RestoreOutcome::Malformed`] if the value cannot be read.
+    /// Returns [`RestoreOutcome::Ignored`] if the key does not belong to the acceptor, and
+    /// [`RestoreOutcome::Malformed`] if the value cannot be decoded.
     pub(super) fn decode(key: &[u8], value: &[u8]) -> Result<AcceptorRecord, RestoreOutcome> {
         let record = if key == FLOOR_KEY {
             decode_floor(value)
--- a/crates/coordination/src/consensus/rejected.rs
+++ b/crates/coordination/src/consensus/rejected.rs
@@ -1,4 +1,4 @@
-//! The proposals that were rejected for their content, as far as an acceptor remembers them.
+//! The proposals that were rejected because of their content. An acceptor remembers a bounded number of them.
 
 use super::accepted::{indexed, remove_from_index, ProposalIndex};
 use super::proposal::ProposalId;
@@ -6,7 +6,8 @@
 use crate::protocol::Ballot;
 use std::collections::BTreeMap;
 
-/// Rejections that are kept, and their keys; beyond these bounds those with the lowest ballots go.
+/// Limits on the number of rejections kept and on the total number of their keys. Beyond them, the rejections with the
+/// lowest ballots are dropped.
 pub(super) const MAX_REJECTIONS: usize = 1_024;
 const MAX_REJECTED_KEYS: usize = 1 << 20;
 
@@ -16,12 +17,12 @@
     keys: Vec<u64>,
 }
 
-/// Rejected proposals with the ballot of their rejection.
+/// Rejected proposals, with the ballots of their rejections.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct RejectedProposals {
     by_id: BTreeMap<ProposalId, Rejection>,
     pub(super) by_key: ProposalIndex,
-    /// Of all rejections together.
+    /// The total number of keys of all rejections.
     pub(super) key_count: usize,
 }
 
@@ -31,15 +32,15 @@
         self.by_id.len()
     }
 
-    /// Those that touch any of the keys, by their ids.
+    /// The IDs of the rejected proposals that contain any of the keys, with the ballots of their rejections.
     pub(super) fn overlapping(&self, keys: &[u64]) -> impl Iterator<Item = (ProposalId, Ballot)> + '_ {
         let ids = indexed(&self.by_key, keys);
         ids.into_iter().map(|proposal_id| (proposal_id, self.by_id[&proposal_id].ballot))
     }
 
-    /// Adds a rejection, and makes room for it. The records are those that change on disk.
+    /// Adds a rejection, dropping older ones if a limit is reached. Returns the records to write to disk.
     pub(super) fn add(&mut self, ballot: Ballot, proposal_id: ProposalId, keys: &[u64]) -> Vec<Record> {
-        // Its own earlier record is replaced by the new one, and needs no deletion.
+        // An earlier record of the same proposal is overwritten by the new one and needs no deletion.
         self.remove(proposal_id);
         let mut records = Vec::new();
         while self.by_id.len() >= MAX_REJECTIONS || self.key_count + keys.len() > MAX_REJECTED_KEYS {
@@ -56,7 +57,7 @@
         lowest.map(|(proposal_id, _)| *proposal_id)
     }
 
-    /// Puts in a rejection that stands on disk already.
+    /// Inserts a rejection whose record is already on disk.
     pub(super) fn insert(&mut self, ballot: Ballot, proposal_id: ProposalId, keys: Vec<u64>) {
         self.remove(proposal_id);
         self.key_count += keys.len();
@@ -66,7 +67,7 @@
         self.by_id.insert(proposal_id, Rejection { ballot, keys });
     }
 
-    /// The record that deletes the rejection from disk, if there was one.
+    /// Removes a rejection, and returns the record that deletes it from disk, if it was present.
     pub(super) fn remove(&mut self, proposal_id: ProposalId) -> Option<Record> {
         let rejection = self.by_id.remove(&proposal_id)?;
         self.key_count -= rejection.keys.len();
@@ -76,7 +77,7 @@
         Some(rejected_deletion(proposal_id))
     }
 
-    /// Forgets all of them. The records delete theirs.
+    /// Removes all rejections, and returns the records that delete them from disk.
     pub(super) fn clear(&mut self) -> Vec<Record> {
         let ids: Vec<ProposalId> = self.by_id.keys().copied().collect();
         ids.into_iter().filter_map(|proposal_id| self.remove(proposal_id)).collect()
--- a/crates/coordination/src/consensus/safeguard.rs
+++ b/crates/coordination/src/consensus/safeguard.rs
@@ -1,23 +1,24 @@
-//! The safeguards of the algorithm, by name, so that tests can take one out and see that it is missed.
+//! The safeguards of the algorithm, by name, so that tests can disable one and check that the resulting fault is
+//! detected.
 
-/// A step on which safety or progress rests.
+/// A step that the safety or progress of the algorithm depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-#[cfg_attr(not(test), allow(dead_code))] // Only tests name the safeguard that they take out.
+#[cfg_attr(not(test), allow(dead_code))] // Only tests construct the variants.
 pub(crate) enum Safeguard {
     /// A proposal that may have been chosen on one of the keys is resolved first.
     ResolveFirst,
-    /// So is one with the same content for that key.
+    /// So is a proposal that has the same content for that key.
     ResolveSameContent,
-    /// A proposal that can never be chosen blocks no other one.
+    /// A proposal that can never be chosen does not block others.
     IgnoreConflicting,
-    /// After a restart nothing is accepted that an earlier incarnation may have promised away.
+    /// After a restart, no ballot is accepted below one that an earlier incarnation may have promised.
     PersistedFloor,
     /// Ballots are compared by their membership epoch first.
     EpochFirst,
-    /// Nothing is accepted below a promise.
+    /// No proposal is accepted under a ballot below a promise.
     Promise,
-    /// Nothing is accepted that is committed with other content.
+    /// No proposal is accepted if an item's version is committed with different content.
     CommittedContent,
-    /// A rejection withdraws the proposal from the acceptors that had accepted it, and is remembered.
+    /// A rejection removes the proposal from the acceptors that had accepted it, and is remembered.
     Rejection,
 }
--- a/crates/coordination/src/consensus/tests.rs
+++ b/crates/coordination/src/consensus/tests.rs
@@ -1,10 +1,10 @@
-//! Acceptor and proposer one by one. The models of whole systems are in `tests/consensus_model`.
+//! Unit tests of the acceptor and the proposer. Models of complete systems are in `tests/consensus_model`.
 
 mod faults;
 
 use super::acceptor::MAX_ACCEPTED;
 use super::promises::MAX_PROMISES;
-use super::proposer::evaluate;
+use super::proposer::proposal_status_without;
 use super::records::FLOOR_KEY;
 use super::rejected::MAX_REJECTIONS;
 use super::safeguard::Safeguard;
@@ -16,7 +16,7 @@
     Item { kind: Kind::Service, name: name.into(), version, value: Some(value.into()) }
 }
 
-/// A proposal of version 5 of each item.
+/// A proposal with version 5 of each item.
 fn proposal(items: &[(&str, &'static str)]) -> Proposal {
     Proposal::new(items.iter().map(|(name, value)| item(name, 5, value)).collect())
 }
@@ -25,7 +25,7 @@
     Ballot { epoch, round, proposer: 7 }
 }
 
-/// The next incarnation over what is on disk.
+/// The acceptor after a restart with these records on disk.
 fn restarted(disk: &BTreeMap<Vec<u8>, Vec<u8>>) -> Acceptor {
     let mut acceptor = Acceptor::new();
     for (key, value) in disk {
@@ -43,7 +43,7 @@
     assert_ne!(first.proposal_id(), Proposal::new(vec![a.clone()]).proposal_id());
     assert_ne!(first.proposal_id(), Proposal::new(vec![a.clone(), item("b", 6, "y")]).proposal_id());
     assert_ne!(first.proposal_id(), Proposal::new(vec![a.clone(), Item { value: None, ..b }]).proposal_id());
-    // Of one version given twice the first counts, as an equal version has no effect.
+    // If a version is given twice, the first one is kept, as the second would have no effect.
     assert_eq!(
         Proposal::new(vec![a.clone(), item("a", 5, "z")]).proposal_id(),
         Proposal::new(vec![a]).proposal_id()
@@ -52,15 +52,15 @@
     assert_eq!((received_ballot, received.proposal_id()), (ballot(2, 3), first.proposal_id()));
 }
 
-/// A promise is told only once a floor above it is on disk, and the next incarnation accepts nothing at or below that
-/// floor.
+/// A promise is sent only after a floor above it is on disk, and after a restart no ballot at or below that floor is
+/// accepted.
 #[test]
 fn promises_bind_the_next_incarnation() {
     let (mut acceptor, mut disk) = (Acceptor::new(), BTreeMap::new());
     let first = proposal(&[("a", "x")]);
     let promise = acceptor.prepare(ballot(0, 1), first.keys()).unwrap();
     let reservation = promise.reservation.unwrap();
-    // It is not on disk yet: what comes after waits for it as well.
+    // The reservation is not on disk yet, so the next promise waits for it as well.
     assert_eq!(acceptor.prepare(ballot(0, 2), first.keys()).unwrap().reservation, Some(reservation));
     disk.extend([reservation.record()]);
     acceptor.reservation_persisted(reservation);
@@ -71,12 +71,12 @@
         acceptor.accept(ballot(0, 1_000), first.clone(), AcceptReason::New, &ItemStore::new()).unwrap();
     disk.extend(accepted.records);
     let mut next = restarted(&disk);
-    let refused = next.accept(ballot(0, 999), first.clone(), AcceptReason::New, &ItemStore::new());
-    let Err(AcceptError::Promised { to }) = refused else { panic!("{refused:?}") };
+    let error = next.accept(ballot(0, 999), first.clone(), AcceptReason::New, &ItemStore::new());
+    let Err(AcceptError::Promised { to }) = error else { panic!("{error:?}") };
     assert_eq!(next.prepare(ballot(0, 1_001), first.keys()), Err(to));
     let higher = Ballot::above(to, 0, 9);
     assert_eq!(next.prepare(higher, first.keys()).unwrap().accepted, [(ballot(0, 1_000), first.clone())]);
-    // A later epoch's first round is above all of an earlier one's.
+    // The first round of a later epoch is above all rounds of an earlier one.
     let later_epoch = Ballot::above(to, 1, 9);
     assert!(later_epoch.round == 1 && next.prepare(later_epoch, first.keys()).is_ok());
     assert_eq!(next.prepare(Ballot::above(higher, 0, 9), first.keys()), Err(later_epoch));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn garbled_records_are_reported() {
+fn malformed_records_are_reported() {
     let first = proposal(&[("a", "x"), ("b", "y")]);
     let mut acceptor = Acceptor::new();
     let accepted =
@@ -100,7 +100,8 @@
     assert_eq!(next.restore(&[Kind::Service as u8, b'a'], &[0; 9]), RestoreOutcome::Ignored);
 }
 
-/// What is committed, and what no longer can be, is dropped; the rest stays, also where it shares an item.
+/// Proposals that are committed or can no longer be chosen are dropped. Others stay, even if they share an item with a
+/// dropped one.
 #[test]
 fn settled_proposals_are_dropped_from_memory_and_disk() {
     let chosen = proposal(&[("a", "x")]);
@@ -120,9 +121,9 @@
         acceptor.pending().map(|(_, proposal)| proposal.proposal_id()).collect::<Vec<_>>(),
         [other.proposal_id()]
     );
-    let refused = acceptor.accept(ballot(0, 9), conflicting, AcceptReason::New, &item_store).unwrap_err();
-    assert!(matches!(refused, AcceptError::Conflicting { version: 5, .. }), "{refused}");
-    // What is committed counts as accepted without a further record.
+    let error = acceptor.accept(ballot(0, 9), conflicting, AcceptReason::New, &item_store).unwrap_err();
+    assert!(matches!(error, AcceptError::Conflicting { version: 5, .. }), "{error}");
+    // A committed proposal counts as accepted without another record.
     assert_eq!(acceptor.accept(ballot(0, 10), chosen, AcceptReason::New, &item_store).unwrap().records, []);
     let accepted = &acceptor.accepted;
     assert_eq!((accepted.by_key.len(), accepted.by_name.len(), accepted.bytes), (1, 1, other.bytes()));
@@ -143,20 +144,20 @@
     assert!(acceptor.accept(ballot(0, 1), more, AcceptReason::Resolve, &item_store).is_ok());
     assert!(
         acceptor.accept(ballot(0, 2), nth(0), AcceptReason::New, &item_store).is_ok(),
-        "it is counted already"
+        "the proposal already counts toward the limit"
     );
     let keys: Vec<u64> = (0..MAX_PROMISES as u64 + 1).collect();
     acceptor.prepare(ballot(0, 3), &keys).unwrap();
     assert_eq!((acceptor.promises.by_key.len(), acceptor.promises.floor), (0, ballot(0, 3)));
-    // The proposer whose promises made the floor goes on, all others have to retry.
+    // The proposer whose promises raised the floor can continue; all others have to retry.
     assert!(
         acceptor.prepare(ballot(0, 3), &keys).is_ok() && acceptor.prepare(ballot(0, 2), &keys[..1]).is_err()
     );
 }
 
-/// A rejection withdraws a proposal where it was accepted, lasts, and gives way to a later attempt.
+/// A rejection removes an accepted proposal, survives a restart, and is superseded by a later attempt.
 #[test]
-fn rejected_proposals_were_not_chosen_below() {
+fn a_rejection_excludes_acceptances_below_its_ballot() {
     let (mut acceptor, mut disk, item_store) = (Acceptor::new(), BTreeMap::new(), ItemStore::new());
     let (one, two) = (proposal(&[("a", "x"), ("b", "x")]), proposal(&[("b", "y")]));
     disk.extend(acceptor.accept(ballot(0, 2), one.clone(), AcceptReason::New, &item_store).unwrap().records);
@@ -180,7 +181,7 @@
     }
     assert_eq!((acceptor.rejections(&[0]).count(), acceptor.rejections(&[1]).count()), (0, 1));
     assert_eq!((acceptor.rejected.len(), acceptor.rejected.key_count), (MAX_REJECTIONS, MAX_REJECTIONS));
-    // One that is no replica any more forgets all of it, and goes on from there.
+    // A process that is no longer a replica discards everything, and can accept new requests afterwards.
     acceptor.accept(ballot(2, 1), two, AcceptReason::New, &item_store).unwrap();
     assert_eq!(acceptor.discard_accepted().len(), MAX_REJECTIONS + 2);
     assert_eq!(
@@ -193,7 +194,8 @@
     assert_eq!(acceptor.rejections(&[1]).count(), 1);
 }
 
-/// W={a,b}, V={b,c}, X={c,a}, each with other content: whichever is blocked by another leads to the highest ballot.
+/// Three proposals, W={a,b}, V={b,c} and X={c,a}, each with different content: following the proposals that block one
+/// another leads to the one with the highest ballot.
 #[test]
 fn a_chain_of_proposals_ends_at_the_highest_ballot() {
     let w = proposal(&[("a", "w"), ("b", "w")]);
@@ -212,11 +214,11 @@
         let status = proposal_status(proposal, &observed, &item_store);
         assert!(matches!(status, ProposalStatus::Conflicting(item) if &*item.name == name));
     }
-    // W can never be chosen, and blocks nobody.
+    // W can never be chosen, and therefore blocks no other proposal.
     let y = proposal(&[("a", "y")]);
     assert_eq!(proposal_status(&y, &observed, &item_store), ProposalStatus::New);
     assert_eq!(
-        evaluate(&y, &observed, &item_store, Some(Safeguard::IgnoreConflicting)),
+        proposal_status_without(&y, &observed, &item_store, Some(Safeguard::IgnoreConflicting)),
         ProposalStatus::BlockedBy(w.proposal_id())
     );
     assert!(Acceptor::without(Some(Safeguard::PersistedFloor)).disabled.is_some());
