--- a/crates/coordination/src/lease/candidate.rs
+++ b/crates/coordination/src/lease/candidate.rs
@@ -1,55 +1,57 @@
-//! The candidate's side: how a lease is asked for, renewed and released.
+//! The candidate's side: requests, renews and releases a lease.
 
 use super::{LEASE_DURATION, RENEWAL_INTERVAL, SAFETY_MARGIN};
 use crate::protocol::{LeaseRequest, LeaseVote};
 use kitepass_time::{Duration, Timestamp};
 use std::collections::BTreeSet;
 
-/// The request under way, and who has voted for it.
+/// The current request, and the voters that have granted it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Election {
-    asked_at: Timestamp,
+    started_at: Timestamp,
     votes: BTreeSet<String>,
 }
 
 impl Election {
-    fn new(asked_at: Timestamp) -> Election {
-        Election { asked_at, votes: BTreeSet::new() }
+    fn new(started_at: Timestamp) -> Election {
+        Election { started_at, votes: BTreeSet::new() }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum CandidateState {
     Idle,
-    /// It will ask after a random delay, if the role is still free by then.
+    /// Waiting for a random delay, after which the lease is requested if the role is still free.
     Waiting,
-    /// It has asked.
+    /// A request has been sent.
     Requesting(Election),
-    /// It has the lease until a moment, and may have asked for its renewal.
+    /// The lease is held until a point in time, and a renewal may have been requested.
     Holding {
-        /// The term under which it won the lease.
+        /// The term under which the lease was won.
         ///
-        /// Invariant: it stays for as long as the lease is held. Rivals ask under higher terms meanwhile, which votes for the
-        /// renewal tell; a holder that took such a term over would no longer act under the one that it has recovered for.
+        /// Invariant: it does not change for as long as the lease is held. Other candidates may meanwhile send requests
+        /// with higher terms, which the voters report in their votes on a renewal. If the holder adopted such a term,
+        /// it would no longer act under the term that it has recovered for.
         term: u64,
         until: Timestamp,
         renewal: Option<Election>,
     },
 }
 
-/// One process that wants the lease of a role.
+/// A process that tries to acquire the lease of a role.
 pub struct LeaseCandidate {
     role: String,
     term: u64,
     request_id: u64,
-    /// The epoch of the request under way, or of the last one.
+    /// The epoch of the current or most recent request.
     epoch: u64,
     state: CandidateState,
     next_action_at: Timestamp,
 }
 
 impl LeaseCandidate {
-    /// `request_id` is drawn at random: a vote for an earlier incarnation must not be taken for one for this one.
+    /// Creates a candidate. `request_id` must be random, so that a vote for an earlier incarnation is not counted for
+    /// this one.
     pub fn new(role: &str, request_id: u64) -> LeaseCandidate {
         LeaseCandidate {
             role: role.to_owned(),
@@ -61,7 +63,7 @@
         }
     }
 
-    /// The term under which the process holds the lease now.
+    /// The term under which the process currently holds the lease.
     pub fn held_term(&self, now: Timestamp) -> Option<u64> {
         match self.state {
             CandidateState::Holding { term, until, .. } if now < until => Some(term),
@@ -69,10 +71,11 @@
         }
     }
 
-    /// What to send to all replicas now, if anything.
+    /// Returns the request to send to all replicas now, if any.
     ///
-    /// `is_free` tells whether the process' own voter takes the role to be free. `delay` is drawn by the caller:
-    /// candidates that collide retry at different moments. `epoch` is the current one.
+    /// `is_free` tells whether the process's own voter considers the role to be free. `delay` is a random delay drawn
+    /// by the caller, so that candidates that collide do not retry at the same time. `epoch` is the current membership
+    /// epoch.
     pub fn tick(
         &mut self,
         now: Timestamp,
@@ -88,8 +91,9 @@
         }
         match &mut self.state {
             CandidateState::Holding { renewal, .. } => *renewal = Some(Election::new(now)),
-            // Candidates that ask together split the votes, and each vote would bind for a whole lease duration. So they
-            // ask at random moments, and a request that fell short is taken back.
+            // Candidates that send requests at the same time split the votes, and each vote would be binding for a
+            // whole lease duration. Requests are therefore sent after random delays, and a request that did not get
+            // enough votes is withdrawn.
             CandidateState::Requesting(_) => {
                 self.state = CandidateState::Idle;
                 self.next_action_at = now + delay;
@@ -126,9 +130,10 @@
         }
     }
 
-    /// Takes a vote; true if the lease is held from now on and was not before.
+    /// Counts a vote. Returns true if this vote wins a lease that was not held before.
     ///
-    /// `voter` is the voter's replica, `epoch` the current one, and `is_quorum` tells whether votes are enough in it.
+    /// `voter` is the name of the voter's replica, `epoch` the current membership epoch, and `is_quorum` tells whether
+    /// a set of votes is enough in that epoch.
     pub fn receive_vote(
         &mut self,
         now: Timestamp,
@@ -143,14 +148,14 @@
             }
             return false;
         }
-        // Invariant: votes are counted within one epoch. Those for a request of an earlier one may be of replicas that
-        // the replica sets of this one do not count on.
+        // Invariant: votes are counted within one epoch. A vote for a request of an earlier epoch may come from a
+        // replica that does not belong to the current replica sets.
         if vote.request_id != self.request_id || epoch != self.epoch {
             return false;
         }
         let (election, held) = match &mut self.state {
             CandidateState::Requesting(election) => (election, None),
-            // A renewal whose votes are late may come to a lease that has ended: then the lease is won anew, and its holder
+            // If the votes on a renewal arrive after the lease has ended, the lease counts as newly won, and its holder
             // has to recover again.
             CandidateState::Holding { term, until, renewal: Some(election) } => {
                 (election, (now < *until).then_some((*term, *until)))
@@ -158,19 +163,19 @@
             CandidateState::Idle | CandidateState::Waiting | CandidateState::Holding { .. } => return false,
         };
         election.votes.insert(voter.to_owned());
-        // An earlier incarnation may have had a higher term: terms do not fall.
+        // An earlier incarnation may have used a higher term, and terms must never decrease.
         self.term = self.term.max(vote.term);
         if !is_quorum(&election.votes) {
             return false;
         }
-        let until = election.asked_at + LEASE_DURATION - SAFETY_MARGIN;
+        let until = election.started_at + LEASE_DURATION - SAFETY_MARGIN;
         let (term, until) =
             held.map_or((self.term, until), |(term, held_until)| (term, held_until.max(until)));
         self.state = CandidateState::Holding { term, until, renewal: None };
         held.is_none() && now < until
     }
 
-    /// The request that releases the lease, if it is held.
+    /// Returns the request that releases the lease, if it is held.
     pub fn release(&mut self, now: Timestamp) -> Option<LeaseRequest> {
         self.held_term(now)?;
         self.state = CandidateState::Idle;
--- a/crates/coordination/src/lease/mod.rs
+++ b/crates/coordination/src/lease/mod.rs
@@ -1,21 +1,23 @@
-//! Leases for singleton roles (Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache
-//! Consistency"): the process that has a role holds a lease that a majority of the replicas voted for, and stops before it
-//! expires.
+//! Leases for singleton roles (Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File
+//! Cache Consistency"): the process that performs a role holds a lease granted by a majority of the replicas, and stops
+//! before the lease expires.
 //!
-//! **Assumptions.** Monotonic clocks of two machines run apart by less than [`SAFETY_MARGIN`] in a lease's duration; a
-//! wall clock is not used, as setting it must neither end a lease nor prolong one. A holder counts from the moment at
-//! which it asked, a voter from the moment at which it voted, which is later.
+//! **Assumptions.** The monotonic clocks of two machines drift apart by less than [`SAFETY_MARGIN`] during one lease
+//! duration. Wall clocks are not used, because setting them must neither end nor extend a lease. The holder measures
+//! the lease from the time of its request, a voter from the later time of its vote.
 //!
-//! **Invariant.** At no moment do two processes hold the lease of one role.
+//! **Invariant.** At most one process holds the lease of a role at any time.
 //!
-//! **Why.** Votes are identified by the names of replicas and counted within a membership epoch, where two majorities
-//! share a replica, which does not vote for two candidates at once. In an odd epoch a majority of both replica sets is
-//! needed (see [`JointReplicaSets`](crate::membership::JointReplicaSets)). Over a change of the replica set:
+//! **Why it holds.** Votes are identified by replica names and counted within one membership epoch, in which any two
+//! majorities share a replica. That replica does not vote for two candidates at the same time. In an odd epoch, a
+//! majority of both replica sets is required (see [`JointReplicaSets`](crate::membership::JointReplicaSets)). During a
+//! change of the replica set:
 //!
-//! - A voter that knows of a later epoch refuses a request of an earlier one. So a lease of an earlier epoch was asked
-//!   for before the next replica set was committed.
-//! - Where majorities of the two replica sets need not share a replica, each voter votes for nothing but renewals for one
-//!   [`LEASE_DURATION`] after it learns that the next replica set is committed. By the end of it such a lease has expired.
+//! - A voter that knows of a later epoch refuses requests of an earlier one. A lease of an earlier epoch was therefore
+//!   requested before the next replica set was committed.
+//! - If majorities of the two replica sets need not intersect, each voter grants only renewals for one
+//!   [`LEASE_DURATION`] after it learns that the next replica set is committed. By then, all leases of the earlier
+//!   epoch have expired.
 
 mod candidate;
 #[cfg(test)]
@@ -27,10 +29,10 @@
 
 use kitepass_time::Duration;
 
-/// For how long a vote binds its voter.
+/// How long a vote is binding for its voter.
 pub const LEASE_DURATION: Duration = Duration::from_micros(2_000_000);
-/// The holder stops this much before its lease ends: monotonic clocks may run apart a little, and one turn of its event
-/// loop may take long.
+/// How long before the end of its lease the holder stops. This allows for clock drift and for a long iteration of the
+/// holder's event loop.
 pub const SAFETY_MARGIN: Duration = Duration::from_micros(300_000);
-/// Time after which a holder asks for a renewal, and after which a request that fell short is released.
+/// The interval after which a holder requests a renewal, and a candidate withdraws a request without enough votes.
 const RENEWAL_INTERVAL: Duration = Duration::from_micros(500_000);
--- a/crates/coordination/src/lease/tests.rs
+++ b/crates/coordination/src/lease/tests.rs
@@ -1,4 +1,4 @@
-//! Voters and candidates within one replica set. The changes of the replica set are in `tests/lease.rs`.
+//! Voters and candidates within one replica set. Changes of the replica set are tested in `tests/lease`.
 
 use super::*;
 use crate::protocol::{LeaseRequest, LeaseVote};
@@ -7,7 +7,7 @@
 
 const ROLE: &str = "coordinator";
 const REPLICAS: usize = 6;
-/// Milliseconds.
+/// The simulated time between two steps, in milliseconds.
 const STEP: i64 = 20;
 
 fn at(millis: i64) -> Timestamp {
@@ -34,14 +34,15 @@
     message: M,
 }
 
-/// Six that vote and ask, under a random schedule of late, lost and repeated messages, pauses and restarts.
+/// Six processes, each a voter and a candidate, under a random schedule of delayed, lost and duplicated messages,
+/// pauses and restarts.
 struct Model {
     rng: oorandom::Rand64,
     now: i64,
     voters: Vec<LeaseVoter>,
     candidates: Vec<LeaseCandidate>,
-    /// The last vote of each voter; on disk.
-    recorded: Vec<BTreeMap<String, String>>,
+    /// The last vote of each voter by role, as on disk.
+    persisted: Vec<BTreeMap<String, String>>,
     paused_until: [i64; REPLICAS],
     requests: VecDeque<InFlight<LeaseRequest>>,
     votes: VecDeque<InFlight<LeaseVote>>,
@@ -54,7 +55,7 @@
             now: 0,
             voters: new_voters(),
             candidates: (0..REPLICAS).map(|_| LeaseCandidate::new(ROLE, 0)).collect(),
-            recorded: vec![BTreeMap::new(); REPLICAS],
+            persisted: vec![BTreeMap::new(); REPLICAS],
             paused_until: [0; REPLICAS],
             requests: VecDeque::new(),
             votes: VecDeque::new(),
@@ -77,8 +78,8 @@
         match self.rng.rand_range(0..12_000) {
             0 => self.paused_until[replica] = self.now + self.rng.rand_range(0..4_000) as i64,
             1 => {
-                let recalled = self.recorded[replica].clone();
-                self.voters[replica] = LeaseVoter::new(now, false, recalled, None);
+                let persisted_votes = self.persisted[replica].clone();
+                self.voters[replica] = LeaseVoter::new(now, false, persisted_votes, None);
             }
             2 => self.candidates[replica] = LeaseCandidate::new(ROLE, self.rng.rand_u64()),
             _ => {}
@@ -109,7 +110,7 @@
             let InFlight { from, to, message, .. } = request;
             let vote = self.voters[to].vote(at(self.now), &from.to_string(), &message, 0);
             if vote.is_granted {
-                self.recorded[to].insert(ROLE.into(), from.to_string());
+                self.persisted[to].insert(ROLE.into(), from.to_string());
             }
             let due = self.now + self.rng.rand_range(0..300) as i64;
             self.votes.push_back(InFlight { due, from: to, to: from, message: vote });
@@ -128,15 +129,15 @@
         }
     }
 
-    /// The terms of all that hold the lease.
+    /// The terms of all candidates that hold the lease.
     fn held_terms(&self) -> Vec<u64> {
         self.candidates.iter().filter_map(|candidate| candidate.held_term(at(self.now))).collect()
     }
 }
 
-/// At no moment do two hold the lease, and terms never fall.
+/// At most one candidate holds the lease at any time, and terms never decrease.
 #[test]
-fn no_two_hold_a_lease_at_once_whatever_is_lost_late_or_paused() {
+fn at_most_one_candidate_holds_the_lease() {
     let mut held = 0;
     for seed in 0..200 {
         let mut model = Model::new(seed);
@@ -153,18 +154,22 @@
             }
         }
     }
-    assert!(held > 60_000, "held in {held} of 200,000 looks only: the test shows little");
+    assert!(
+        held > 60_000,
+        "the lease was held in only {held} of 200,000 steps, too few for the test to be meaningful"
+    );
 }
 
-/// A rival that voters voted for at first does not cost the holder their renewals; and a voter that comes back votes at
-/// once for whom it voted before, and for nobody else.
+/// Voters that first voted for a competing candidate grant the holder's renewals once that candidate has withdrawn.
+/// After a restart, a voter votes only for the candidate that it voted for before, and does so at once.
 #[test]
-fn all_vote_for_a_holder_in_the_end_and_at_once_after_a_restart() {
+fn all_voters_grant_renewals_and_a_restarted_voter_keeps_its_vote() {
     let mut voters = new_voters();
     let (mut one, mut two) = (LeaseCandidate::new("d", 0), LeaseCandidate::new("d", 0));
-    let ask = |candidate: &mut LeaseCandidate, millis| candidate.tick(at(millis), true, Duration::ZERO, 0);
-    let (_, _) = (ask(&mut one, 0), ask(&mut two, 0));
-    let (request_of_one, request_of_two) = (ask(&mut one, 0).unwrap(), ask(&mut two, 0).unwrap());
+    let request =
+        |candidate: &mut LeaseCandidate, millis| candidate.tick(at(millis), true, Duration::ZERO, 0);
+    let (_, _) = (request(&mut one, 0), request(&mut two, 0));
+    let (request_of_one, request_of_two) = (request(&mut one, 0).unwrap(), request(&mut two, 0).unwrap());
     for (n, voter) in voters.iter_mut().enumerate() {
         let (name, request, candidate) = match n {
             0..4 => ("one", &request_of_one, &mut one),
@@ -174,7 +179,7 @@
         candidate.receive_vote(at(1), &n.to_string(), &vote, 0, is_majority_of_six);
     }
     assert!(one.held_term(at(1)).is_some());
-    let (release, renewal) = (ask(&mut two, 600).unwrap(), ask(&mut one, 600).unwrap());
+    let (release, renewal) = (request(&mut two, 600).unwrap(), request(&mut one, 600).unwrap());
     assert!(release.is_release && renewal.is_renewal);
     for voter in &mut voters {
         voter.vote(at(600), "two", &release, 0);
@@ -186,7 +191,7 @@
 }
 
 #[test]
-fn a_lease_that_is_released_is_free_at_once() {
+fn a_released_lease_is_free_immediately() {
     let now = Timestamp::from_micros(1);
     let mut voter = LeaseVoter::new(now, true, BTreeMap::new(), None);
     let (mut one, mut two) = (LeaseCandidate::new("d", 0), LeaseCandidate::new("d", 0));
@@ -209,10 +214,10 @@
     );
 }
 
-/// Why it matters: a coordinator recovers for the term that it won. When the term rose with a late vote of the winning request or
-/// a renewal, it held the lease and never acted.
+/// A coordinator recovers for the term that it won. If a late vote on its winning request or on a renewal raised that
+/// term, it would hold the lease without ever acting on it.
 #[test]
-fn the_term_of_a_held_lease_stays_whatever_rivals_ask_under() {
+fn the_term_of_a_held_lease_does_not_change() {
     let mut candidate = LeaseCandidate::new(ROLE, 0);
     let vote = |request: &LeaseRequest, term| LeaseVote {
         role: ROLE.to_owned(),
@@ -226,7 +231,7 @@
         (from..from + 5_000)
             .step_by(STEP as usize)
             .find_map(|now| Some((now, candidate.tick(at(now), true, Duration::from_micros(100_000), 1)?)))
-            .expect("it asks")
+            .expect("the candidate sends a request")
     };
     let (now, request) = request_after(0, &mut candidate);
     assert!(candidate.receive_vote(at(now), "s1", &vote(&request, 1), 1, is_any));
@@ -234,8 +239,8 @@
     let (now, renewal) = request_after(now + STEP, &mut candidate);
     assert!(renewal.is_renewal);
     assert!(!candidate.receive_vote(at(now), "s2", &vote(&renewal, 4), 1, is_any));
-    assert_eq!(candidate.held_term(at(now)), Some(1), "a rival asked under term 4");
-    // The next lease is won under a higher term than any that was told.
+    assert_eq!(candidate.held_term(at(now)), Some(1), "another candidate has used term 4");
+    // The next lease is won under a higher term than any reported one.
     let later = now + 10_000;
     let (now, request) = request_after(later, &mut candidate);
     assert!(request.term > 4 && !request.is_renewal, "{request:?}");
@@ -243,10 +248,10 @@
     assert_eq!(candidate.held_term(at(now)), Some(request.term));
 }
 
-/// Why it matters: the holder steps down when its lease ends. When late votes prolonged a lease that had ended, nobody told the
-/// holder that it had it again, and it was renewed without end and never acted.
+/// A holder steps down when its lease ends. If late votes silently extended an expired lease, the holder would not be
+/// told that it holds the lease again, and would renew it forever without acting on it.
 #[test]
-fn a_renewal_whose_votes_come_after_the_end_of_the_lease_wins_it_anew() {
+fn a_renewal_granted_after_the_lease_ended_wins_a_new_lease() {
     let mut candidate = LeaseCandidate::new(ROLE, 0);
     let mut now = 0;
     let mut next_request = |candidate: &mut LeaseCandidate| loop {
@@ -265,14 +270,14 @@
     };
     let (won_at, request) = next_request(&mut candidate);
     assert!(candidate.receive_vote(at(won_at), "s1", &vote(&request), 1, is_any));
-    // The last renewal that is asked for before the lease ends.
+    // The last renewal requested before the lease ends.
     let end = won_at + 1_700;
-    let (mut asked_at, mut renewal) = next_request(&mut candidate);
-    while asked_at + 700 < end {
-        (asked_at, renewal) = next_request(&mut candidate);
+    let (mut requested_at, mut renewal) = next_request(&mut candidate);
+    while requested_at + 700 < end {
+        (requested_at, renewal) = next_request(&mut candidate);
     }
     assert!(candidate.held_term(at(end - 1)).is_some());
-    assert_eq!(candidate.held_term(at(end)), None, "it has ended, and no tick has come since");
-    assert!(candidate.receive_vote(at(end + 10), "s1", &vote(&renewal), 1, is_any), "it is won anew");
+    assert_eq!(candidate.held_term(at(end)), None, "the lease has ended, and tick has not been called since");
+    assert!(candidate.receive_vote(at(end + 10), "s1", &vote(&renewal), 1, is_any), "a new lease is won");
     assert!(candidate.held_term(at(end + 10)).is_some());
 }
--- a/crates/coordination/src/lease/voter.rs
+++ b/crates/coordination/src/lease/voter.rs
@@ -1,4 +1,4 @@
-//! The voter's side: what one replica votes for.
+//! The voter's side: decides which candidates one replica votes for.
 
 use super::LEASE_DURATION;
 use crate::membership::ReplicaSet;
@@ -6,9 +6,9 @@
 use kitepass_time::Timestamp;
 use std::collections::BTreeMap;
 
-/// A vote that was given.
+/// A granted vote.
 struct Vote {
-    /// The candidate's replica.
+    /// The name of the candidate's replica.
     candidate: String,
     term: u64,
     expires_at: Timestamp,
@@ -18,30 +18,31 @@
 pub struct LeaseVoter {
     /// The last vote, by role.
     votes: BTreeMap<String, Vote>,
-    /// The highest term that was seen, by role.
+    /// The highest term seen, by role.
     highest_terms: BTreeMap<String, u64>,
-    /// Until then it votes only for the candidate that an earlier incarnation voted for.
+    /// Until then, votes only for the candidate that an earlier incarnation voted for.
     abstains_until: Timestamp,
-    /// The newest replica set that is committed, in force or being brought in, and since when it is known here.
+    /// The newest committed replica set, whether in force or incoming, and the time at which it became known here.
     newest_replica_set: Option<ReplicaSet>,
     newest_known_since: Timestamp,
-    /// Until then it votes for nothing but renewals, as the newest replica set is too new.
+    /// Until then, grants only renewals, because the newest replica set was committed too recently.
     renewals_only_until: Timestamp,
-    /// For which candidate an earlier incarnation voted last, by role, as far as that is on disk.
-    recalled_votes: BTreeMap<String, String>,
+    /// The candidate that an earlier incarnation voted for last, by role, as read from disk.
+    persisted_votes: BTreeMap<String, String>,
 }
 
 impl LeaseVoter {
-    /// `is_first_start` is true if the disk was empty. `recalled_votes` are an earlier incarnation's last votes by role,
-    /// as long as it knew of the replica set `newest_replica_set`, the newest committed one on disk.
+    /// Creates a voter. `is_first_start` is true if the disk was empty. `persisted_votes` are the last votes of an
+    /// earlier incarnation, by role, cast while it already knew of `newest_replica_set`, the newest committed replica
+    /// set on disk.
     ///
-    /// Invariant: a vote binds the next incarnation too. When it was given is not on disk, so that for one lease duration
-    /// after a restart the voter votes for nobody but whom it voted for before. Whoever uses the voter therefore writes a
-    /// vote to disk before it leaves.
+    /// Invariant: votes remain binding after a restart. The time of a vote is not on disk, so for one lease duration
+    /// after a restart the voter votes only for the candidates that it voted for before. The caller must therefore
+    /// write a vote to disk before sending it.
     pub fn new(
         now: Timestamp,
         is_first_start: bool,
-        recalled_votes: BTreeMap<String, String>,
+        persisted_votes: BTreeMap<String, String>,
         newest_replica_set: Option<ReplicaSet>,
     ) -> LeaseVoter {
         LeaseVoter {
@@ -51,15 +52,15 @@
             newest_replica_set,
             newest_known_since: now,
             renewals_only_until: now,
-            recalled_votes,
+            persisted_votes,
         }
     }
 
-    /// Takes note of the newest replica set that is committed.
+    /// Records the newest committed replica set.
     ///
-    /// Invariant: a majority of it may have no replica that voted in a majority of the one before; then the voter has to
-    /// wait until all leases of the one before have expired. Where any two majorities share a replica, the votes that
-    /// bind that replica are enough, unless the replica set before was as new itself.
+    /// Invariant: a majority of the new set may contain no replica that voted in a majority of the previous set. In
+    /// that case, the voter has to wait until all leases of the previous set have expired. If any two majorities
+    /// intersect, the vote of the shared replica is enough, unless the previous set was itself too recent.
     pub fn observe_replica_set(&mut self, now: Timestamp, newest: &ReplicaSet) {
         let known_version = self.newest_replica_set.as_ref().map_or(0, |known| known.version);
         if newest.version <= known_version {
@@ -70,7 +71,7 @@
             .as_ref()
             .is_some_and(|known| known.version + 1 == newest.version && known.majorities_intersect(newest));
         let is_predecessor_old_enough = now - self.newest_known_since >= LEASE_DURATION;
-        // Before the first replica set there was nothing to vote for.
+        // Before the first replica set, no lease could be requested.
         if newest.version > 1 && !(do_majorities_intersect && is_predecessor_old_enough) {
             self.renewals_only_until = now + LEASE_DURATION;
         }
@@ -78,9 +79,10 @@
         self.newest_known_since = now;
     }
 
-    /// Answers a request of a candidate, named by its replica. `epoch` is the voter's own.
+    /// Responds to a request of a candidate, given by the name of its replica. `epoch` is the voter's own epoch.
     pub fn vote(&mut self, now: Timestamp, candidate: &str, request: &LeaseRequest, epoch: u64) -> LeaseVote {
-        // Invariant: a candidate that has not learned of the incoming replica set would count votes by the one before.
+        // Invariant: a candidate that has not learned of the incoming replica set would count votes by the previous one
+        // alone.
         let is_epoch_current = request.epoch >= epoch;
         let is_granted = !request.is_release
             && is_epoch_current
@@ -107,35 +109,37 @@
         }
     }
 
-    /// Whether its last vote, if it still binds, lets it vote for the candidate.
+    /// Whether the voter's last vote, if it is still binding, allows a vote for the candidate.
     fn is_free(&self, now: Timestamp, candidate: &str, request: &LeaseRequest) -> bool {
         if let Some(holder) = self.holder(now, &request.role) {
-            // A node that was restarted asks under a low term: its earlier incarnation is over, nobody else's vote is.
+            // A restarted node sends requests with a low term. They are granted if the binding vote is for that node,
+            // because its earlier incarnation has ended, but not if it is for another candidate.
             return holder == candidate;
         }
         let highest_term = self.highest_terms.get(&request.role).copied().unwrap_or_default();
-        // A holder's renewal is good whichever terms rivals asked under meanwhile: votes exclude each other, terms only
-        // order them. Without it a voter that once voted for a rival would never be the holder's again.
+        // A holder's renewal is granted regardless of the terms that other candidates have used meanwhile: votes
+        // provide mutual exclusion, and terms only order the leases. Otherwise, a voter that once voted for another
+        // candidate could never vote for the holder again.
         request.is_renewal
             || request.term > highest_term
             || request.term == highest_term && self.has_voted_for(candidate, request)
     }
 
-    /// Whether it is not bound by an earlier incarnation's votes, or by those of an earlier replica set.
+    /// Whether the votes of an earlier incarnation or of an earlier replica set allow a vote for the candidate.
     fn may_vote(&self, now: Timestamp, candidate: &str, request: &LeaseRequest) -> bool {
-        let recalled = self.recalled_votes.get(&request.role);
-        let is_as_before = recalled.is_some_and(|recalled| recalled == candidate);
-        let is_unbound = now >= self.abstains_until || is_as_before;
+        let persisted = self.persisted_votes.get(&request.role);
+        let matches_persisted_vote = persisted.is_some_and(|persisted| persisted == candidate);
+        let is_unbound = now >= self.abstains_until || matches_persisted_vote;
         is_unbound && (now >= self.renewals_only_until || request.is_renewal)
     }
 
-    /// Whether its last vote, binding or not, is for the candidate under the request's term.
+    /// Whether the last vote, binding or expired, is for the candidate under the request's term.
     fn has_voted_for(&self, candidate: &str, request: &LeaseRequest) -> bool {
         let vote = self.votes.get(&request.role);
         vote.is_some_and(|vote| vote.candidate == candidate && vote.term == request.term)
     }
 
-    /// For which replica the voter's vote stands, if for any.
+    /// The replica that the voter's binding vote is for, if there is one.
     pub fn holder(&self, now: Timestamp, role: &str) -> Option<&str> {
         let vote = self.votes.get(role).filter(|vote| vote.expires_at > now)?;
         Some(&vote.candidate)
