--- a/crates/coordination/src/membership/mod.rs
+++ b/crates/coordination/src/membership/mod.rs
@@ -1,13 +1,13 @@
-//! The replica sets: which replicas make up the core of the control plane, and which of them are a quorum.
+//! Replica sets: the replicas that form the core of the control plane, and their quorums.
 //!
-//! A replica is one disk of one node: a node that lost its disk comes back as another replica. Two configuration items
-//! name the replica sets: [`CURRENT`], the one in force, and [`INCOMING`], one that is being brought in. They follow one
-//! another by joint consensus, as in Raft (Ongaro, "Consensus: Bridging Theory and Practice", chapter 4.3): while one is
-//! being brought in, write quorums, read quorums and lease quorums are needed of both.
+//! A replica is one disk of one node: a node that has lost its disk comes back as a different replica. Two
+//! configuration items hold the replica sets: [`CURRENT`] the one in force, and [`INCOMING`] the one that will replace
+//! it. Changes use joint consensus, as in Raft (Ongaro, "Consensus: Bridging Theory and Practice", section 4.3): during
+//! a change, write, read and lease quorums of both sets are required.
 //!
-//! Raft needs majorities throughout. Here reads and writes differ: a read quorum is as small as it can be and
-//! still meet each write quorum, and a write quorum has replicas in more than one zone and region, where there are
-//! several; see [`ReplicaSet::is_read_quorum`] and [`ReplicaSet::is_write_quorum`].
+//! Raft uses majorities throughout. Here, read and write quorums differ. A read quorum is the smallest number of
+//! replicas that intersects every write quorum. A write quorum additionally spans more than one zone and region, if
+//! there are several; see [`ReplicaSet::is_read_quorum`] and [`ReplicaSet::is_write_quorum`].
 
 mod joint;
 mod replica;
@@ -23,5 +23,5 @@
 
 /// The name of the item that holds the replica set in force.
 pub const CURRENT: &str = "now";
-/// The name of the item that holds the replica set that is being brought in.
+/// The name of the item that holds the incoming replica set.
 pub const INCOMING: &str = "next";
--- a/crates/coordination/src/membership/replica.rs
+++ b/crates/coordination/src/membership/replica.rs
@@ -2,32 +2,33 @@
 
 use crate::protocol::Hello;
 
-/// One disk of one node, with the node's place. It travels and is stored as a part of a
+/// One disk of one node, with the node's location. It is sent and stored as part of a
 /// [`ReplicaSet`](super::ReplicaSet).
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, prost::Message)]
 pub struct Replica {
     /// The node's name in its settings.
     #[prost(string, tag = "1")]
     pub node_id: String,
-    /// Where other processes of the system reach it.
+    /// The address at which other processes of the system reach the node.
     #[prost(string, tag = "2")]
     pub address: String,
-    /// The zone that the node is in.
+    /// The node's zone.
     #[prost(string, tag = "3")]
     pub zone: String,
-    /// The region that the zone is in.
+    /// The region of the zone.
     #[prost(string, tag = "4")]
     pub region: String,
-    /// Drawn when an empty disk is first written, and kept on it; 0 for disks older than this field.
+    /// A random ID, generated when an empty disk is first written and stored on it. 0 for disks written by versions
+    /// without this field.
     #[prost(fixed64, tag = "5")]
     pub replica_id: u64,
 }
 
 impl Replica {
-    /// The name by which acceptances, promises, votes and readings are counted.
+    /// The name under which acceptances, promises, votes and read responses are counted.
     ///
-    /// Invariant: it names the disk, not only the node. By the node's name alone, a node that lost its disk would be
-    /// taken to have what the earlier disk held, and to have promised nothing.
+    /// Invariant: the name identifies the disk, not only the node. If it were the node's name alone, a node that has
+    /// lost its disk would be assumed to still have the data of the old disk, although it has also lost its promises.
     pub fn name(&self) -> String {
         match self.replica_id {
             0 => self.node_id.clone(),
--- a/crates/coordination/src/membership/replica_set.rs
+++ b/crates/coordination/src/membership/replica_set.rs
@@ -6,73 +6,74 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The replicas that make up the core, in one version.
+/// One version of the set of replicas that form the core of the control plane.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ReplicaSet {
     /// The replicas, sorted.
     #[prost(message, repeated, tag = "1")]
     pub replicas: Vec<Replica>,
-    /// The version of its item; each set is one version above the one that it follows.
+    /// The version of the configuration item. Each replica set's version is one above that of the set it replaces.
     #[prost(uint64, tag = "2")]
     pub version: u64,
 }
 
 impl ReplicaSet {
-    /// The replica set that is committed under [`CURRENT`](super::CURRENT) or [`INCOMING`](super::INCOMING).
+    /// Loads the replica set committed under [`CURRENT`](super::CURRENT) or [`INCOMING`](super::INCOMING).
     pub fn load(item_store: &ItemStore, name: &str) -> Option<ReplicaSet> {
         ReplicaSet::from_item(item_store.get(Kind::ReplicaSet, name)?)
     }
 
-    /// None for a tombstone, or a value that is no replica set.
+    /// Returns `None` for a tombstone, or if the value is not a valid replica set.
     pub fn from_item(item: &Item) -> Option<ReplicaSet> {
         ReplicaSet::decode(item.value.clone()?).ok()
     }
 
-    /// The item of this name that holds it.
+    /// The configuration item of this name that holds the replica set.
     pub fn to_item(&self, name: &str) -> Item {
         let value = Some(self.encode_to_vec().into());
         Item { kind: Kind::ReplicaSet, name: Arc::from(name), version: self.version, value }
     }
 
-    /// Whether the replica of this name is in it.
+    /// Whether the set contains the replica of this name.
     pub fn contains(&self, name: &str) -> bool {
         self.replicas.iter().any(|replica| replica.name() == name)
     }
 
-    /// The least number of replicas of a write quorum and of a lease quorum.
+    /// The minimum size of a write quorum and of a lease quorum.
     pub fn majority(&self) -> usize {
         self.replicas.len() / 2 + 1
     }
 
-    /// The least number of replicas of a read quorum: those that are left are fewer than any write quorum. Replicas that
-    /// lost their disk can't be counted; they are other replicas now.
+    /// The minimum size of a read quorum: the remaining replicas are too few to be a write quorum. Replicas that have
+    /// lost their disks do not count, because they are different replicas now.
     pub fn read_quorum(&self) -> usize {
         self.replicas.len() + 1 - self.majority()
     }
 
-    fn among<'a>(&'a self, names: &'a BTreeSet<String>) -> impl Iterator<Item = &'a Replica> {
+    fn replicas_named<'a>(&'a self, names: &'a BTreeSet<String>) -> impl Iterator<Item = &'a Replica> {
         self.replicas.iter().filter(|replica| names.contains(&replica.name()))
     }
 
-    /// Whether what these replicas accepted is chosen: they are a majority, and not all in one region or zone.
+    /// Whether a proposal accepted by these replicas is chosen: they must be a majority, and not all in one region or
+    /// zone.
     ///
-    /// Invariant: a write survives the loss of all disks of a zone or region at once, even if the others lose power
-    /// meanwhile.
+    /// Invariant: a write survives the simultaneous loss of all disks of a zone or region, even if the other replicas
+    /// lose power at the same time.
     pub fn is_write_quorum(&self, accepted: &BTreeSet<String>) -> bool {
-        self.is_lease_quorum(accepted) && is_spread(&self.replicas, accepted)
+        self.is_lease_quorum(accepted) && spans_failure_domains(&self.replicas, accepted)
     }
 
-    /// Whether these replicas together know all that was ever acknowledged: they share a replica with each write quorum.
+    /// Whether these replicas together know every acknowledged write: they intersect every write quorum.
     pub fn is_read_quorum(&self, responded: &BTreeSet<String>) -> bool {
-        self.among(responded).count() >= self.read_quorum()
+        self.replicas_named(responded).count() >= self.read_quorum()
     }
 
-    /// Whether these replicas' votes are enough for a lease.
+    /// Whether votes of these replicas are enough for a lease.
     pub fn is_lease_quorum(&self, votes: &BTreeSet<String>) -> bool {
-        self.among(votes).count() >= self.majority()
+        self.replicas_named(votes).count() >= self.majority()
     }
 
-    /// Whether each majority of this one shares a replica with each majority of the other.
+    /// Whether every majority of this set intersects every majority of the other.
     pub fn majorities_intersect(&self, other: &ReplicaSet) -> bool {
         let names: BTreeSet<String> =
             self.replicas.iter().chain(&other.replicas).map(Replica::name).collect();
@@ -80,12 +81,12 @@
     }
 }
 
-/// Whether these replicas lie in more than one region and in more than one zone, where all of them do.
-pub(super) fn is_spread(replicas: &[Replica], names: &BTreeSet<String>) -> bool {
-    let is_spread_over = |domain: fn(&Replica) -> &str| {
+/// Whether the named replicas span more than one region and more than one zone, if all replicas together do.
+pub(super) fn spans_failure_domains(replicas: &[Replica], names: &BTreeSet<String>) -> bool {
+    let spans_multiple = |domain: fn(&Replica) -> &str| {
         let domains: BTreeSet<&str> = replicas.iter().map(domain).collect();
-        let named = replicas.iter().filter(|replica| names.contains(&replica.name()));
-        domains.len() < 2 || named.map(domain).collect::<BTreeSet<&str>>().len() > 1
+        let named_replicas = replicas.iter().filter(|replica| names.contains(&replica.name()));
+        domains.len() < 2 || named_replicas.map(domain).collect::<BTreeSet<&str>>().len() > 1
     };
-    is_spread_over(|replica| &replica.region) && is_spread_over(|replica| &replica.zone)
+    spans_multiple(|replica| &replica.region) && spans_multiple(|replica| &replica.zone)
 }
--- a/crates/coordination/src/membership/succession.rs
+++ b/crates/coordination/src/membership/succession.rs
@@ -1,23 +1,23 @@
-//! Which replica set follows another one, by what the coordinator observes of the replicas.
+//! Computes the next replica set from the coordinator's observations of the replicas.
 
 use super::{Replica, ReplicaSet};
 use std::collections::BTreeSet;
 
-/// Replicas that shut down gracefully are left out only while at least this many stay.
+/// The minimum number of replicas that must remain for a replica that is shutting down to be removed.
 const MIN_REPLICAS: usize = 3;
 
-/// What the coordinator observes of the replicas as it works out the next replica set. All but `complete` are names.
+/// The coordinator's observations of the replicas. Except for `complete`, the sets contain replica names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaObservations {
-    /// Replicas that respond now and whose disk holds what it has acknowledged, newcomers included.
+    /// Replicas, including new ones, that currently respond and whose disk holds everything they have acknowledged.
     pub complete: BTreeSet<Replica>,
-    /// Those that are in a graceful shutdown.
+    /// Replicas that are shutting down gracefully.
     pub shutting_down: BTreeSet<String>,
-    /// Those that have been unresponsive for long.
+    /// Replicas that have been unresponsive for a long time.
     pub unresponsive: BTreeSet<String>,
 }
 
-/// What is lost at once, all its disks included.
+/// A failure domain: all its replicas, including their disks, can be lost at once.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum FailureDomain {
     Zone,
@@ -33,49 +33,50 @@
     }
 }
 
-/// What the replicas that are left after a loss can still do.
+/// An operation that the remaining replicas can still perform after a loss.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Service {
+enum Operation {
     Reads,
     Writes,
 }
 
-/// A loss that a replica set tolerates.
+/// An operation that remains possible after the loss of a failure domain.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct ToleratedLoss {
     domain: FailureDomain,
-    /// The zone or region that is lost.
-    place: String,
-    service: Service,
+    /// The name of the lost zone or region.
+    name: String,
+    operation: Operation,
 }
 
 impl ReplicaSet {
-    /// The replica set that should follow this one, if another should.
+    /// The replica set that should replace this one, if a change is needed.
     ///
-    /// Invariant: it is exactly one version above this one, so that of two that are worked out from one set only one can
-    /// be committed.
+    /// Invariant: its version is exactly one above this one's, so that of two replica sets computed from the same base
+    /// only one can be committed.
     pub fn successor(&self, observed: &ReplicaObservations) -> Option<ReplicaSet> {
         let next = ReplicaSet { replicas: self.replicas.clone(), version: self.version + 1 };
-        let next = next.with_newcomers(observed);
+        let next = next.with_new_replicas(observed);
         let next = self.without_replaced(next, observed);
         let next = next.without_shutting_down(observed);
         (next.replicas != self.replicas).then_some(next)
     }
 
-    /// A node has one replica: that of the disk, and at the place, with which it is observed now.
-    fn with_newcomers(mut self, observed: &ReplicaObservations) -> ReplicaSet {
+    /// Adds new replicas. A node has only one replica, the one with the currently observed disk and location; it
+    /// replaces any earlier replica of the same node.
+    fn with_new_replicas(mut self, observed: &ReplicaObservations) -> ReplicaSet {
         let stays = |replica: &&Replica| !observed.shutting_down.contains(&replica.name());
-        for newcomer in observed.complete.iter().filter(stays) {
-            self.replicas.retain(|replica| replica.node_id != newcomer.node_id);
-            self.replicas.push(newcomer.clone());
+        for new_replica in observed.complete.iter().filter(stays) {
+            self.replicas.retain(|replica| replica.node_id != new_replica.node_id);
+            self.replicas.push(new_replica.clone());
         }
         self.replicas.sort();
         self
     }
 
-    /// An unresponsive replica is left out only where the zone has another one that responds now: a newcomer has taken its
-    /// place. Of two that were lost together one is found unresponsive a moment before the other, which must not pass for its
-    /// replacement: the set without the first could not be put in force once the second is known to be lost.
+    /// Removes the unresponsive replicas that have been replaced: those in whose zone another replica responds now. Of
+    /// two replicas lost together, one may be found unresponsive slightly before the other. The other one must not
+    /// count as its replacement, or the new set could not be put into force once both are known to be lost.
     fn without_replaced(&self, mut next: ReplicaSet, observed: &ReplicaObservations) -> ReplicaSet {
         let is_unresponsive = |replica: &Replica| observed.unresponsive.contains(&replica.name());
         for lost in self.replicas.iter().filter(|replica| is_unresponsive(replica)) {
@@ -89,9 +90,9 @@
         next
     }
 
-    /// Leaves out those that shut down, unless too few would be left, or the rest would tolerate less than now. Such a
-    /// one stays in the set until a newcomer takes its place: replicas that shut down one after another would otherwise
-    /// leave a set that the next loss ends.
+    /// Removes the replicas that are shutting down, unless too few would remain or the remaining set would tolerate
+    /// fewer losses. A replica that cannot be removed stays until a new one replaces it. Otherwise, replicas that shut
+    /// down one after another could leave a set that does not survive the next loss.
     fn without_shutting_down(mut self, observed: &ReplicaObservations) -> ReplicaSet {
         for name in &observed.shutting_down {
             if !self.contains(name) {
@@ -105,12 +106,12 @@
         self
     }
 
-    /// Whether it tolerates all that `before` does, but for losses of places that the replica of this name had alone.
+    /// Whether this set tolerates all losses that `before` does, except for the loss of a zone or region whose only
+    /// replica in `before` is the one called `name`.
     fn tolerates_as_much_as(&self, before: &ReplicaSet, name: &str) -> bool {
         let others = before.without(name);
-        let has_others = |loss: &ToleratedLoss| {
-            others.replicas.iter().any(|replica| loss.domain.of(replica) == loss.place)
-        };
+        let has_others =
+            |loss: &ToleratedLoss| others.replicas.iter().any(|replica| loss.domain.of(replica) == loss.name);
         let tolerated = self.tolerated_losses();
         before.tolerated_losses().iter().filter(|loss| has_others(loss)).all(|loss| tolerated.contains(loss))
     }
@@ -120,20 +121,20 @@
         ReplicaSet { replicas, version: self.version }
     }
 
-    /// The losses of a whole zone or region after which the rest is still a read quorum or a write quorum.
+    /// The losses of a whole zone or region after which the remaining replicas are still a read or write quorum.
     fn tolerated_losses(&self) -> BTreeSet<ToleratedLoss> {
         let mut tolerated = BTreeSet::new();
         for domain in [FailureDomain::Region, FailureDomain::Zone] {
-            let places: BTreeSet<&str> = self.replicas.iter().map(|replica| domain.of(replica)).collect();
-            for place in places {
-                let rest = self.replicas.iter().filter(|replica| domain.of(replica) != place);
+            let names: BTreeSet<&str> = self.replicas.iter().map(|replica| domain.of(replica)).collect();
+            for name in names {
+                let rest = self.replicas.iter().filter(|replica| domain.of(replica) != name);
                 let rest: BTreeSet<String> = rest.map(Replica::name).collect();
-                let loss = |service| ToleratedLoss { domain, place: place.to_owned(), service };
+                let loss = |operation| ToleratedLoss { domain, name: name.to_owned(), operation };
                 if self.is_read_quorum(&rest) {
-                    tolerated.insert(loss(Service::Reads));
+                    tolerated.insert(loss(Operation::Reads));
                 }
                 if self.is_write_quorum(&rest) {
-                    tolerated.insert(loss(Service::Writes));
+                    tolerated.insert(loss(Operation::Writes));
                 }
             }
         }
--- a/crates/coordination/src/membership/tests.rs
+++ b/crates/coordination/src/membership/tests.rs
@@ -1,10 +1,10 @@
-//! Replica sets and their succession. All small layouts are played in `tests/membership.rs`.
+//! Replica sets and their successors. All small layouts are tested exhaustively in `tests/membership`.
 
 use super::*;
 use kitepass_config::ItemStore;
 use std::collections::BTreeSet;
 
-fn replica_set(places: &[(&str, &str)]) -> ReplicaSet {
+fn replica_set(locations: &[(&str, &str)]) -> ReplicaSet {
     let replica = |(n, (zone, region)): (usize, &(&str, &str))| Replica {
         node_id: format!("s{n}"),
         address: String::new(),
@@ -12,7 +12,7 @@
         region: region.to_string(),
         replica_id: n as u64,
     };
-    ReplicaSet { replicas: places.iter().enumerate().map(replica).collect(), version: 1 }
+    ReplicaSet { replicas: locations.iter().enumerate().map(replica).collect(), version: 1 }
 }
 
 fn names(numbers: &[usize]) -> BTreeSet<String> {
@@ -21,9 +21,9 @@
 
 const SIX: [(&str, &str); 6] = [("a1", "a"), ("a2", "a"), ("b1", "b"), ("b2", "b"), ("c1", "c"), ("c2", "c")];
 
-/// Every write quorum, every loss that is to be tolerated, every read quorum after it.
+/// Checks every write quorum, every loss that must be tolerated, and every read quorum after that loss.
 #[test]
-fn read_quorums_after_a_loss_meet_every_write_quorum() {
+fn read_quorums_after_a_loss_intersect_every_write_quorum() {
     let replica_set = replica_set(&SIX);
     let subsets = || (0u32..64).map(|bits| (0..6).filter(|n| bits >> n & 1 == 1).collect::<Vec<usize>>());
     let losses: Vec<Vec<usize>> =
@@ -31,7 +31,7 @@
     for accepted in subsets().filter(|set| replica_set.is_write_quorum(&names(set))) {
         for lost in &losses {
             let left = |set: &[usize]| set.iter().copied().filter(|n| !lost.contains(n)).collect::<Vec<_>>();
-            assert!(!left(&accepted).is_empty(), "{accepted:?} gone with {lost:?}");
+            assert!(!left(&accepted).is_empty(), "{accepted:?} lost with {lost:?}");
             for read in subsets().filter(|set| replica_set.is_read_quorum(&names(&left(set)))) {
                 assert!(left(&read).iter().any(|n| accepted.contains(n)), "{accepted:?} {lost:?} {read:?}");
             }
@@ -51,7 +51,7 @@
     }
 }
 
-/// Two of one zone are lost together, and one is found unresponsive before the other.
+/// Two replicas of one zone are lost together, and one is found unresponsive before the other.
 #[test]
 fn a_lost_replica_is_no_replacement_for_another() {
     let old = replica_set(&[("a1", "a"), ("a1", "a"), ("b1", "b"), ("c1", "c")]);
@@ -62,19 +62,20 @@
 }
 
 #[test]
-fn one_successor_has_all_that_changed_one_version_above_its_base() {
+fn the_successor_includes_all_changes_and_is_one_version_higher() {
     let old = replica_set(&SIX);
     assert_eq!(old.replicas[0].name(), "s0");
     let other = |n: usize, replica_id: u64| Replica { replica_id, ..old.replicas[n].clone() };
-    let (replaced, newcomer) = (other(1, 77), Replica { node_id: "s9".into(), ..other(2, 9) });
-    // s1 lost its disk, s9 is in unresponsive s2's zone, s5 shuts down; s4 moved with its disk.
+    let (replaced, new_replica) = (other(1, 77), Replica { node_id: "s9".into(), ..other(2, 9) });
+    // s1 has lost its disk, s9 is new in the zone of the unresponsive s2, s5 is shutting down, and s4 has moved with
+    // its disk.
     let moved = Replica { address: "elsewhere".into(), ..old.replicas[4].clone() };
-    let next = old.successor(&observations(&[&replaced, &newcomer, &moved], &[5], &[2, 3])).unwrap();
+    let next = old.successor(&observations(&[&replaced, &new_replica, &moved], &[5], &[2, 3])).unwrap();
     assert_eq!(next.version, 2);
     let names: Vec<String> = next.replicas.iter().map(Replica::name).collect();
     assert_eq!(names, ["s0", "s1#4d", "s3#3", "s4#4", "s9#9"]);
     assert!(next.replicas.contains(&moved));
-    assert_eq!(next.successor(&observations(&[&replaced, &newcomer, &moved], &[], &[3])), None);
+    assert_eq!(next.successor(&observations(&[&replaced, &new_replica, &moved], &[], &[3])), None);
     let mut item_store = ItemStore::new();
     item_store.merge(old.to_item(CURRENT));
     assert_eq!(JointReplicaSets::load(&item_store).unwrap().epoch(), 2);
@@ -90,17 +91,19 @@
 
 #[test]
 fn no_replica_leaves_a_set_that_would_tolerate_less() {
-    // No newcomer is in the place of the unresponsive one: it stays.
+    // No new replica is in the zone of the unresponsive one, so it stays.
     assert_eq!(replica_set(&SIX).successor(&observations(&[], &[], &[0])), None);
-    // One may leave; a second one of any region may not: of four replicas no two are a write quorum.
+    // One replica may be removed. Removing a second one, from any region, would leave four replicas, and no two of four
+    // are a write quorum.
     let next = replica_set(&SIX).successor(&observations(&[], &[0, 1, 2, 3, 4, 5], &[])).unwrap();
     assert_eq!((next.replicas.len(), next.contains("s0")), (5, false));
     assert_eq!(replica_set(&SIX[..3]).successor(&observations(&[], &[0], &[])), None);
-    // One that shuts down is no newcomer.
-    let newcomer = Replica { node_id: "s9".into(), replica_id: 9, ..replica_set(&SIX).replicas[0].clone() };
+    // A new node that is shutting down is not added.
+    let new_replica =
+        Replica { node_id: "s9".into(), replica_id: 9, ..replica_set(&SIX).replicas[0].clone() };
     let leaving = ReplicaObservations {
-        shutting_down: [newcomer.name()].into(),
-        ..observations(&[&newcomer], &[], &[])
+        shutting_down: [new_replica.name()].into(),
+        ..observations(&[&new_replica], &[], &[])
     };
     assert_eq!(replica_set(&SIX).successor(&leaving), None);
 }
