--- a/crates/coordination/src/protocol/framing.rs
+++ b/crates/coordination/src/protocol/framing.rs
@@ -1,15 +1,16 @@
-//! How messages travel over a connection: in frames of a header of four bytes and a payload.
+//! Framing: messages are sent in frames, each with a header of four bytes and a payload.
 //!
-//! The header is big-endian. Its two highest bits say what the payload is, the others how many bytes it has:
+//! The header is big-endian. Its two highest bits give the type of the payload, and the other bits its length in bytes:
 //!
 //! | bits | payload |
 //! | --- | --- |
 //! | `00` | a complete message |
-//! | `10` | a fragment of a message, and more follow |
+//! | `10` | a fragment of a message, with more to follow |
 //! | `01` | the last fragment of a message |
 //!
-//! Complete messages may stand between the fragments of another one, so that a heartbeat need not wait for megabytes.
-//! No frame says how long its message will be: what a receiver keeps grows with what has arrived, never with a claim.
+//! Complete messages may be sent between the fragments of another message, so that a heartbeat need not wait for
+//! megabytes of data. No frame declares the total length of its message: the memory that a receiver uses depends on the
+//! data that has arrived, never on a length claimed by the sender.
 
 use crate::protocol::{Envelope, Message};
 use bytes::Bytes;
@@ -17,12 +18,12 @@
 use snafu::{ResultExt, Snafu};
 use std::collections::VecDeque;
 
-/// The most bytes of one frame's payload.
+/// The maximum payload size of a frame.
 ///
-/// A peer that lies about a length must not make a receiver keep memory for it, and a message of many MiB in one frame
-/// would hold up all that goes behind it.
+/// It limits the memory that a receiver allocates for a peer that declares a false length, and the delay that a message
+/// of many MiB causes to the messages behind it.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
-/// The most bytes of one message. An operator's change of 16 MiB, as items, is well within it.
+/// The maximum size of a message. An operator's change of 16 MiB, encoded as items, is well below it.
 pub const MAX_MESSAGE_BYTES: usize = 24 * 1024 * 1024;
 
 const HEADER_BYTES: usize = 4;
@@ -30,35 +31,35 @@
 const LAST_FRAGMENT: u32 = 1 << 30;
 const FRAGMENT_BITS: u32 = FRAGMENT | LAST_FRAGMENT;
 
-/// Why what came is not from a process of this system. The connection is of no more use.
+/// Why the received data is not from a process of this system. The connection can no longer be used.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum Error {
     /// A frame is longer than [`MAX_FRAME_BYTES`].
-    #[snafu(display("a frame of {length} bytes, over the {MAX_FRAME_BYTES} that are accepted"))]
+    #[snafu(display("frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes"))]
     FrameTooLong {
-        /// The length in the header.
+        /// The length declared in the header.
         length: usize,
     },
     /// A message is longer than [`MAX_MESSAGE_BYTES`].
-    #[snafu(display("a message of over {MAX_MESSAGE_BYTES} bytes"))]
+    #[snafu(display("message exceeds the limit of {MAX_MESSAGE_BYTES} bytes"))]
     MessageTooLong,
-    /// A fragment that can't stand where it does.
-    #[snafu(display("a fragment without bytes, or the end of a message that has not begun"))]
+    /// A fragment is empty or out of sequence.
+    #[snafu(display("fragment is empty or out of sequence"))]
     UnexpectedFragment,
-    /// The bytes are no message.
-    #[snafu(display("a frame that is no message: {source}"))]
+    /// The data is not a valid message.
+    #[snafu(display("invalid message: {source}"))]
     Malformed {
-        /// What is wrong with them.
+        /// The decoding error.
         source: prost::DecodeError,
     },
 }
 
-/// A message, encoded to be sent.
+/// An encoded message, ready to be sent.
 #[derive(Clone, Debug)]
 pub enum EncodedMessage {
-    /// One frame, with its header.
+    /// A single frame, including its header.
     SingleFrame(Bytes),
-    /// The bytes of a message that goes in fragments, or those of them that are left. Clones share them.
+    /// The payload of a message that is sent in fragments, or the part that is left to send. Clones share the bytes.
     Fragmented(Bytes),
 }
 
@@ -82,34 +83,34 @@
         }
     }
 
-    /// Appends the next frame; whether it was the last.
-    fn append_frame(&mut self, into: &mut Vec<u8>) -> bool {
+    /// Appends the next frame, and returns whether it was the last one.
+    fn append_frame(&mut self, output: &mut Vec<u8>) -> bool {
         match self {
             EncodedMessage::SingleFrame(frame) => {
-                into.extend_from_slice(frame);
+                output.extend_from_slice(frame);
                 true
             }
             EncodedMessage::Fragmented(rest) => {
                 let fragment = rest.split_to(rest.len().min(MAX_FRAME_BYTES));
                 let bits = if rest.is_empty() { LAST_FRAGMENT } else { FRAGMENT };
-                into.extend_from_slice(&(fragment.len() as u32 | bits).to_be_bytes());
-                into.extend_from_slice(&fragment);
+                output.extend_from_slice(&(fragment.len() as u32 | bits).to_be_bytes());
+                output.extend_from_slice(&fragment);
                 rest.is_empty()
             }
         }
     }
 }
 
-/// Appends a message in as many frames as it needs.
-pub fn encode_message(message: Message, into: &mut Vec<u8>) {
+/// Encodes a message and appends all its frames.
+pub fn encode_message(message: Message, output: &mut Vec<u8>) {
     let mut encoded = EncodedMessage::new(message);
-    while !encoded.append_frame(into) {}
+    while !encoded.append_frame(output) {}
 }
 
-/// Messages that wait for a connection to have room.
+/// A queue of messages waiting for space in a connection's output buffer.
 ///
-/// Urgent messages overtake the others. Behind a message of many MiB on a slow connection, heartbeats would come so late
-/// that both ends took each other for lost.
+/// Urgent messages overtake the others. If heartbeats had to wait behind a message of many MiB on a slow connection,
+/// each side would consider the other lost.
 #[derive(Debug, Default)]
 pub struct SendQueue {
     queue: VecDeque<EncodedMessage>,
@@ -117,24 +118,26 @@
 }
 
 impl SendQueue {
-    /// Takes a message; an urgent one of one frame goes at once, the others in their order.
-    pub fn push(&mut self, mut message: EncodedMessage, is_urgent: bool, into: &mut Vec<u8>) {
-        let has_room = self.queue.is_empty() && into.len() < MAX_FRAME_BYTES;
+    /// Appends a message to `output` if it fits in one frame and is urgent or has no other message to wait for;
+    /// otherwise adds it to the queue.
+    pub fn push(&mut self, mut message: EncodedMessage, is_urgent: bool, output: &mut Vec<u8>) {
+        let has_room = self.queue.is_empty() && output.len() < MAX_FRAME_BYTES;
         if matches!(message, EncodedMessage::SingleFrame(_)) && (is_urgent || has_room) {
-            message.append_frame(into);
+            message.append_frame(output);
             return;
         }
         self.bytes += message.len();
         self.queue.push_back(message);
     }
 
-    /// Appends the next frames, for as long as there is room. `unsent` bytes are in the connection's output already.
-    pub fn append_frames(&mut self, into: &mut Vec<u8>, unsent: usize) {
-        let length_before = into.len();
-        while unsent + into.len() - length_before < MAX_FRAME_BYTES {
+    /// Appends further frames while there is space. `unsent` is the number of bytes already in the connection's output
+    /// buffer.
+    pub fn append_frames(&mut self, output: &mut Vec<u8>, unsent: usize) {
+        let length_before = output.len();
+        while unsent + output.len() - length_before < MAX_FRAME_BYTES {
             let Some(message) = self.queue.front_mut() else { return };
             let message_bytes = message.len();
-            let was_last = message.append_frame(into);
+            let was_last = message.append_frame(output);
             if was_last {
                 self.bytes -= message_bytes;
                 self.queue.pop_front();
@@ -144,25 +147,26 @@
         }
     }
 
-    /// The bytes of all messages that wait.
+    /// The number of bytes in all queued messages.
     pub fn queued_bytes(&self) -> usize {
         self.bytes
     }
 }
 
-/// Takes messages off one connection's input. After an error the connection is of no more use.
+/// Decodes messages from the input of one connection. After an error, the connection can no longer be used.
 #[derive(Debug, Default)]
 pub struct MessageDecoder {
-    /// The fragments that have come of a long message.
+    /// The fragments received so far of a long message.
     fragments: Option<Vec<u8>>,
 }
 
 impl MessageDecoder {
-    /// Takes the next complete message off the input from `offset` on, which is moved past all frames that were
-    /// used. None if more bytes are needed. A message of a kind that this version does not know is skipped.
+    /// Decodes the next complete message from the input, starting at `offset`, and advances `offset` past all frames
+    /// that were consumed. Returns `None` if more data is needed. Messages of unknown types, which a newer version may
+    /// send, are skipped.
     ///
     /// # Errors
-    /// If the input is not from a process of this system; the connection is to be closed.
+    /// Fails if the input is not from a process of this system. The connection must then be closed.
     pub fn next(&mut self, input: &[u8], offset: &mut usize) -> Result<Option<Message>, Error> {
         loop {
             let rest = &input[*offset..];
@@ -184,19 +188,19 @@
         }
     }
 
-    /// The bytes that are kept of a long message.
+    /// The number of bytes buffered of a fragmented message.
     pub fn buffered_bytes(&self) -> usize {
         self.fragments.as_ref().map_or(0, Vec::len)
     }
 
-    /// Adds a fragment; gives the complete message with the last one.
+    /// Adds a fragment, and returns the complete message if it was the last one.
     fn add_fragment(&mut self, fragment: &[u8], bits: u32) -> Result<Option<Vec<u8>>, Error> {
         let mut message = match self.fragments.take() {
             Some(message) => message,
             None if bits == FRAGMENT => Vec::new(),
             None => return UnexpectedFragmentSnafu.fail(),
         };
-        // Fragments without bytes could come for ever; and no sender sets both bits.
+        // Empty fragments could arrive indefinitely, and no sender sets both bits.
         if fragment.is_empty() || bits == FRAGMENT_BITS {
             return UnexpectedFragmentSnafu.fail();
         }
--- a/crates/coordination/src/protocol/messages/consensus.rs
+++ b/crates/coordination/src/protocol/messages/consensus.rs
@@ -1,28 +1,30 @@
-//! Consensus as it travels; what the messages mean is in [`crate::consensus`].
+//! Messages for consensus; [`crate::consensus`] describes their meaning.
 
 use super::ItemMessage;
 use bytes::Bytes;
 
-/// The number of one attempt at one proposal; a higher one prevails. Its proposer never uses it for another proposal.
+/// Identifies one attempt at a proposal; a higher ballot takes precedence. A proposer never uses a ballot for a second
+/// proposal.
 ///
-/// The order of the fields is that of the comparison.
+/// Ballots are compared field by field in the order of declaration.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Message)]
 pub struct Ballot {
-    /// The membership epoch that the proposer counts by.
+    /// The proposer's membership epoch.
     ///
-    /// Invariant: it is compared first. After a change of the replica set, read quorums of an earlier epoch need not
-    /// meet write quorums of a later one, so that no round of an earlier epoch may prevail over a later epoch's.
+    /// Invariant: the epoch is compared first. After a change of the replica set, read quorums of an earlier epoch need
+    /// not intersect write quorums of a later one, so no round of an earlier epoch may take precedence over a later
+    /// epoch.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
     /// The number of the attempt within the epoch.
     #[prost(uint64, tag = "2")]
     pub round: u64,
-    /// The proposer's incarnation. Never `u64::MAX`, which the floors on disk have.
+    /// The proposer's incarnation. Never `u64::MAX`, which is reserved for the floors on disk.
     #[prost(fixed64, tag = "3")]
     pub proposer: u64,
 }
 
-/// An accepted proposal on its way to a proposer.
+/// An accepted proposal, as reported to a proposer.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ProposalMessage {
     /// The ballot under which it was accepted.
@@ -33,35 +35,35 @@
     pub items: Vec<ItemMessage>,
 }
 
-/// Phase 1, to a replica: asks for a promise, and for what the replica holds and the sender does not, in chunks; see
-/// [`PrepareResponse`]. Without a ballot it is a reading alone.
+/// Phase 1, sent to a replica: requests a promise, and those of the replica's items that the sender does not have, in
+/// chunks; see [`PrepareResponse`]. Without a ballot, it is only a read.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PrepareRequest {
     /// Repeated in the response.
     #[prost(uint64, tag = "1")]
     pub request_id: u64,
-    /// Digests of what the sender holds.
+    /// The bucket digests of the sender's items.
     #[prost(fixed64, repeated, tag = "2")]
     pub bucket_digests: Vec<u64>,
-    /// The sender's incarnation: see [`AcceptRequest`].
+    /// The sender's incarnation; see [`AcceptRequest::incarnation`].
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
-    /// The membership epoch that the sender counts by, as it is committed.
+    /// The membership epoch by which the sender counts quorums, as committed.
     ///
-    /// Invariant: the replica compares it with its own. A sender that knows only of an older replica set would take a
-    /// majority of that one for a majority of the one in force.
+    /// Invariant: the replica compares it with its own. A sender that knows only an older replica set would mistake a
+    /// majority of that set for a majority of the current one.
     #[prost(uint64, tag = "4")]
     pub epoch: u64,
-    /// Asks for the promise to accept nothing below this ballot on these keys.
+    /// Requests a promise not to accept any lower ballot on these keys.
     #[prost(message, optional, tag = "5")]
     pub ballot: Option<Ballot>,
     /// The keys of the proposal.
     #[prost(fixed64, repeated, tag = "6")]
     pub keys: Vec<u64>,
-    /// All accepted, uncommitted proposals are to be reported, whatever their keys.
+    /// Requests all accepted, uncommitted proposals, regardless of their keys.
     #[prost(bool, tag = "7")]
     pub wants_all_undecided: bool,
-    /// The bucket to continue with; 0 at first.
+    /// The first bucket of the requested chunk; initially 0.
     #[prost(uint32, tag = "10")]
     pub first_bucket: u32,
 }
@@ -72,60 +74,62 @@
     /// As in the request.
     #[prost(uint64, tag = "1")]
     pub request_id: u64,
-    /// The items that differ in the buckets that are covered.
+    /// The items that differ in the covered buckets.
     #[prost(message, repeated, tag = "2")]
     pub items: Vec<ItemMessage>,
-    /// The replica's disk holds what it has acknowledged: it counts toward a read quorum.
+    /// The replica's disk holds everything that it has acknowledged, so the replica counts toward a read quorum.
     #[prost(bool, tag = "3")]
     pub is_complete: bool,
-    /// The replica knows of a replica set.
+    /// The replica knows a replica set.
     #[prost(bool, tag = "4")]
     pub is_bootstrapped: bool,
     /// As in the request.
     #[prost(fixed64, tag = "5")]
     pub incarnation: u64,
-    /// The buckets from this one up to `next_bucket` are covered: what differs in them is here, as it was at one moment.
+    /// The first covered bucket. All differences in the buckets from this one up to `next_bucket`, exclusive, are
+    /// included, as of a single moment.
     #[prost(uint32, tag = "10")]
     pub first_bucket: u32,
-    /// The bucket to continue with, unless it is past the last one.
+    /// The first bucket of the next chunk. If it is past the last bucket, this was the last chunk.
     #[prost(uint32, tag = "11")]
     pub next_bucket: u32,
-    /// Which of the covered buckets differ; see `kitepass_config::Chunk`.
+    /// The covered buckets that differ; see `kitepass_config::Chunk`.
     #[prost(bytes = "vec", tag = "12")]
     pub differing_buckets: Vec<u8>,
-    /// The digest of what the replica holds in the covered buckets.
+    /// The digest of the replica's items in the covered buckets.
     #[prost(fixed64, tag = "13")]
     pub digest: u64,
-    /// Neither a read nor a promise: the request's epoch is older than the replica's, or a higher ballot was promised.
+    /// The request was rejected: its epoch is older than the replica's, or a higher ballot was promised.
     #[prost(bool, tag = "6")]
     pub is_rejected: bool,
-    /// The highest ballot that was promised, where that is why.
+    /// The highest promised ballot, if it is the reason for the rejection.
     #[prost(message, optional, tag = "7")]
     pub ballot: Option<Ballot>,
-    /// Proposals that are accepted here and not committed.
+    /// Proposals that the replica has accepted and that are not committed.
     #[prost(message, repeated, tag = "8")]
     pub accepted: Vec<ProposalMessage>,
-    /// Proposals that are rejected here.
+    /// Proposals that the replica has rejected.
     #[prost(message, repeated, tag = "9")]
     pub rejected: Vec<RejectedProposal>,
-    /// The highest version of a replica set whose activation is accepted here and not known to be committed, or 0. A
-    /// replica accepts an activation only once it holds all that was committed under the replica set before.
+    /// The highest version of a replica set whose activation the replica has accepted and does not know to be
+    /// committed, or 0. A replica accepts an activation only once it has everything that was committed under the
+    /// previous replica set.
     #[prost(uint64, tag = "14")]
     pub activated_version: u64,
 }
 
-/// A proposal that was rejected for its content.
+/// A proposal that was rejected because of its content.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RejectedProposal {
     /// The ballot under which it was rejected.
     #[prost(message, required, tag = "1")]
     pub ballot: Ballot,
-    /// The bytes of the proposal's id.
+    /// The bytes of the proposal's ID.
     #[prost(bytes = "bytes", tag = "2")]
     pub proposal_id: Bytes,
 }
 
-/// Phase 2, to a replica: items to be written to disk before they are acknowledged.
+/// Phase 2, sent to a replica: items that must be on disk before they are acknowledged.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AcceptRequest {
     /// Repeated in the response.
@@ -134,27 +138,27 @@
     /// The proposal's items.
     #[prost(message, repeated, tag = "2")]
     pub items: Vec<ItemMessage>,
-    /// The sender's incarnation. Request ids start from 1 in each, so a response that repeats another incarnation answers
-    /// an earlier one.
+    /// The sender's incarnation. Request IDs start from 1 in each incarnation, so a response that repeats another
+    /// incarnation belongs to an earlier request.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
     /// See [`PrepareRequest::epoch`].
     #[prost(uint64, tag = "4")]
     pub epoch: u64,
-    /// The ballot under which the proposal is proposed.
+    /// The ballot of the proposal.
     #[prost(message, optional, tag = "5")]
     pub ballot: Option<Ballot>,
-    /// If not empty, the proposal of this id is to be rejected, not accepted: the items are left out.
+    /// If not empty, the proposal with this ID is to be rejected rather than accepted, and `items` is empty.
     #[prost(bytes = "bytes", tag = "6")]
     pub rejected_proposal_id: Bytes,
-    /// The keys of the proposal that is to be rejected.
+    /// The keys of the proposal to reject.
     #[prost(fixed64, repeated, tag = "7")]
     pub keys: Vec<u64>,
-    /// For a replica set that is to be in force: digests of what the sender holds. Only a replica that holds all of it
-    /// counts toward the write quorum.
+    /// For the activation of a replica set: the bucket digests of the sender's items. Only a replica that has all of
+    /// these items counts toward the write quorum.
     #[prost(fixed64, repeated, tag = "8")]
     pub bucket_digests: Vec<u64>,
-    /// A replica has accepted the proposal before.
+    /// A replica has already accepted the proposal.
     #[prost(bool, tag = "9")]
     pub was_accepted_before: bool,
 }
@@ -165,16 +169,16 @@
     /// As in the request.
     #[prost(uint64, tag = "1")]
     pub request_id: u64,
-    /// The replica counts toward the write quorum: its disk holds what it has acknowledged.
+    /// The replica's disk holds everything that it has acknowledged, so the replica counts toward the write quorum.
     #[prost(bool, tag = "2")]
     pub is_complete: bool,
     /// As in the request.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
-    /// Nothing was accepted: see [`PrepareResponse::is_rejected`].
+    /// The request was rejected; see [`PrepareResponse::is_rejected`].
     #[prost(bool, tag = "4")]
     pub is_rejected: bool,
-    /// The higher ballot that was promised, where that is why.
+    /// The higher ballot that was promised, if it is the reason for the rejection.
     #[prost(message, optional, tag = "5")]
     pub ballot: Option<Ballot>,
     /// The request's ballot.
@@ -182,10 +186,10 @@
     pub answered_ballot: Option<Ballot>,
 }
 
-/// A proposal is chosen: a replica that has accepted it merges it into its items.
+/// Announces that a proposal is chosen. A replica that has accepted it merges its items into the item store.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Commit {
-    /// The bytes of the proposal's id.
+    /// The bytes of the proposal's ID.
     #[prost(bytes = "bytes", tag = "1")]
     pub proposal_id: Bytes,
 }
--- a/crates/coordination/src/protocol/messages/items.rs
+++ b/crates/coordination/src/protocol/messages/items.rs
@@ -1,4 +1,4 @@
-//! Configuration items as they travel, and the messages that bring a receiver up to date.
+//! Messages that carry configuration items and bring a receiver up to date.
 
 use super::Message;
 use crate::protocol::framing::encode_message;
@@ -7,7 +7,7 @@
 use kitepass_config::{Item, ItemWithHistory, Kind, VersionDigest, MAX_OLDER_VERSIONS};
 use std::sync::Arc;
 
-/// About how many bytes of items go in one message, so that no message occupies a connection for long.
+/// The approximate size of the items in one message, so that no message occupies a connection for long.
 const MAX_BATCH_BYTES: usize = 256 * 1024;
 
 /// An item.
@@ -16,16 +16,16 @@
     /// The number of its [`Kind`].
     #[prost(uint32, tag = "1")]
     pub kind: u32,
-    /// Its name among those of its kind.
+    /// Its name, unique within its kind.
     #[prost(string, tag = "2")]
     pub name: String,
     /// Its version.
     #[prost(uint64, tag = "3")]
     pub version: u64,
-    /// Its content; none for a tombstone.
+    /// Its content; `None` for a tombstone.
     #[prost(bytes = "bytes", optional, tag = "4")]
     pub value: Option<Bytes>,
-    /// Older committed versions, the lowest first. Between control processes alone.
+    /// Older committed versions, lowest first. Sent only between control processes.
     #[prost(message, repeated, tag = "5")]
     pub older_versions: Vec<VersionMessage>,
 }
@@ -78,36 +78,39 @@
 }
 
 impl ItemMessage {
-    /// None for a kind that this version does not know: the item is skipped, not taken for one of another kind.
+    /// Returns `None` for a kind that this software version does not know, so that the item is skipped.
     pub fn into_item(self) -> Option<Item> {
         let kind = Kind::from_u8(u8::try_from(self.kind).ok()?)?;
         Some(Item { kind, name: Arc::from(self.name), version: self.version, value: self.value })
     }
 
-    /// The item with its older versions; none as in [`ItemMessage::into_item`].
+    /// Returns the item with its older versions, or `None` in the same case as [`ItemMessage::into_item`].
     pub fn into_entry(self) -> Option<(Item, Vec<VersionDigest>)> {
-        // Bounded: a list without end would make the receiver keep memory for it.
+        // Bounded, so that a peer cannot make the receiver store an unlimited number of versions.
         let older_versions = self.older_versions.iter().take(MAX_OLDER_VERSIONS);
         let older_versions = older_versions.map(VersionDigest::from).collect();
         Some((self.into_item()?, older_versions))
     }
 }
 
-/// How the items of one message stand to whole changes. A receiver that acts on items does so where a change ends.
+/// How the items of one message relate to complete changes. A receiver that acts on items does so at the end of a
+/// change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Extent {
-    /// A whole change, or the last part of one.
+    /// A complete change, or the last part of one.
     Complete = 0,
-    /// More of the same change follows in the next message of items.
+    /// Part of a change that continues in the next message of items.
     Continued = 1,
-    /// Part of what the receiver lacks, by buckets: parts of any number of changes. The end is a [`BucketDigests`] that
-    /// wants a reply.
+    /// Part of a transfer of the data that the receiver is missing, bucket by bucket. It may contain parts of any
+    /// number of changes. The transfer ends with a [`BucketDigests`] message that has [`BucketDigests::ends_transfer`]
+    /// set.
     Transfer = 2,
 }
 
 impl Extent {
-    /// The extent of one of `count` messages that carry items of this extent together.
+    /// The extent of the message at position `index` among the `count` messages that together carry items of this
+    /// extent.
     pub fn for_message(self, index: usize, count: usize) -> Extent {
         if self == Extent::Complete && index + 1 < count {
             Extent::Continued
@@ -123,30 +126,31 @@
     /// The items.
     #[prost(message, repeated, tag = "1")]
     pub items: Vec<ItemMessage>,
-    /// Where a change ends; see [`Extent`].
+    /// The relation of the items to complete changes.
     #[prost(enumeration = "Extent", tag = "2")]
     pub extent: i32,
 }
 
 impl Items {
-    /// A whole change.
+    /// The message for a complete change.
     pub fn complete(items: Vec<ItemMessage>) -> Items {
         Items { items, extent: Extent::Complete.into() }
     }
 }
 
-/// Digests of all items that the sender holds, by buckets, as in anti-entropy with a hash tree of one level.
+/// Digests of all items of the sender, by bucket: anti-entropy with a single-level hash tree.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct BucketDigests {
     /// One digest for each bucket.
     #[prost(fixed64, repeated, tag = "1")]
     pub digests: Vec<u64>,
-    /// The sender has taken what the receiver had and still differs: the receiver may take what follows.
+    /// Ends a transfer: the sender has sent everything that the receiver was missing according to its digests, and the
+    /// receiver need not reply with its own. If false, the receiver replies with its digests.
     #[prost(bool, tag = "2")]
     pub ends_transfer: bool,
 }
 
-/// Tombstones that are forgotten, each of exactly this version.
+/// Tombstones to purge, each of exactly this version.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PurgeTombstones {
     /// The tombstones, without values.
@@ -155,7 +159,7 @@
 }
 
 impl PurgeTombstones {
-    /// The message that names these tombstones.
+    /// The message that purges these tombstones.
     pub fn from_expired(expired: &[ExpiredTombstone]) -> PurgeTombstones {
         let to_message = |(kind, name, version): &ExpiredTombstone| ItemMessage {
             kind: *kind as u32,
@@ -166,21 +170,22 @@
         PurgeTombstones { tombstones: expired.iter().map(to_message).collect() }
     }
 
-    /// Those of kinds that this version knows.
+    /// The tombstones whose kinds this software version knows.
     pub fn into_expired(self) -> Vec<ExpiredTombstone> {
         let items = self.tombstones.into_iter().filter_map(ItemMessage::into_item);
         items.map(|item| (item.kind, item.name, item.version)).collect()
     }
 }
 
-/// Appends the items of one change in as many messages as they need.
-pub fn encode_items<'a>(items: impl Iterator<Item = &'a Item>, into: &mut Vec<u8>) {
+/// Encodes the items of one change and appends them in as many messages as needed.
+pub fn encode_items<'a>(items: impl Iterator<Item = &'a Item>, output: &mut Vec<u8>) {
     for message in batch_items(items, Extent::Complete) {
-        encode_message(message, into);
+        encode_message(message, output);
     }
 }
 
-/// Items in as many messages as they need: a whole change, where `extent` is [`Extent::Complete`], or part of a transfer.
+/// Splits items into as many messages as needed. `extent` is [`Extent::Complete`] if they are a complete change, or
+/// [`Extent::Transfer`] if they are part of a transfer.
 pub fn batch_items<'a>(items: impl Iterator<Item = &'a Item>, extent: Extent) -> Vec<Message> {
     let mut batches: Vec<Vec<ItemMessage>> = Vec::new();
     let mut bytes = MAX_BATCH_BYTES + 1;
--- a/crates/coordination/src/protocol/messages/mod.rs
+++ b/crates/coordination/src/protocol/messages/mod.rs
@@ -1,6 +1,7 @@
-//! The messages, by subject; [`framing`](super::framing) carries them.
+//! The messages, by subject. [`framing`](super::framing) describes how they are sent.
 //!
-//! A field that is missing on the wire has its type's default: messages of an older version lack the newer fields.
+//! A field that is missing in an encoded message has its type's default value, since older versions do not send newer
+//! fields.
 
 mod consensus;
 mod items;
@@ -21,7 +22,7 @@
 pub use sessions::{Member, MembershipUpdate, SessionList};
 pub use usage::{TenantTotal, TenantUsage, UsageReport, UsageTotals};
 
-/// What a frame holds: one message. A message of a kind that this version does not know is read as none.
+/// The encoded form of one message. A message of an unknown type is decoded as `None`.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Envelope {
     /// The message.
@@ -29,55 +30,55 @@
     pub message: Option<Message>,
 }
 
-/// All messages.
+/// All message types.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Message {
-    /// Who the sender is.
+    /// The sender's identity.
     #[prost(message, tag = "1")]
     Hello(Hello),
-    /// The sender is alive, and what state it is in.
+    /// The sender is alive, and its current state.
     #[prost(message, tag = "2")]
     Heartbeat(Heartbeat),
     /// Committed items.
     #[prost(message, tag = "3")]
     Items(Items),
-    /// Digests of what the sender holds: asks for the items that differ.
+    /// Digests of the sender's items; requests the items that differ.
     #[prost(message, tag = "4")]
     BucketDigests(BucketDigests),
-    /// Phase 2 of consensus, to a replica.
+    /// Phase 2 of consensus, sent to a replica.
     #[prost(message, tag = "5")]
     AcceptRequest(AcceptRequest),
     /// A replica's response to it.
     #[prost(message, tag = "6")]
     AcceptResponse(AcceptResponse),
-    /// Phase 1 of consensus, or a reading without a ballot, to a replica.
+    /// Phase 1 of consensus, or a read if it has no ballot, sent to a replica.
     #[prost(message, tag = "7")]
     PrepareRequest(PrepareRequest),
     /// A replica's response to it.
     #[prost(message, tag = "8")]
     PrepareResponse(PrepareResponse),
-    /// A candidate asks for a lease, renews it or releases it.
+    /// A candidate requests, renews or releases a lease.
     #[prost(message, tag = "9")]
     LeaseRequest(LeaseRequest),
     /// A voter's response to it.
     #[prost(message, tag = "10")]
     LeaseVote(LeaseVote),
-    /// The sessions of a control process.
+    /// The gateway sessions of a control process.
     #[prost(message, tag = "11")]
     SessionList(SessionList),
-    /// What a gateway was offered, and what it asks for of its tenants' quotas.
+    /// A gateway's load and the quota that it requests for its tenants.
     #[prost(message, tag = "12")]
     UsageReport(UsageReport),
-    /// What all gateways were offered, and what is granted.
+    /// The load of all gateways, and the quota that is granted.
     #[prost(message, tag = "13")]
     UsageTotals(UsageTotals),
-    /// What a gateway has to know of the others and of the control plane.
+    /// The gateways and control processes that a gateway needs to know.
     #[prost(message, tag = "14")]
     MembershipUpdate(MembershipUpdate),
     /// A proposal is chosen.
     #[prost(message, tag = "15")]
     Commit(Commit),
-    /// Tombstones that are forgotten.
+    /// Tombstones to purge.
     #[prost(message, tag = "16")]
     PurgeTombstones(PurgeTombstones),
 }
--- a/crates/coordination/src/protocol/messages/presence.rs
+++ b/crates/coordination/src/protocol/messages/presence.rs
@@ -1,49 +1,49 @@
-//! Who a process is, and that it is alive.
+//! Messages that identify a process and report that it is alive.
 
-/// Who the sender is: the first message on each connection, from both ends.
+/// The sender's identity: the first message on each connection, sent by both sides.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Hello {
-    /// The node's name in the settings.
+    /// The node's name in its settings.
     #[prost(string, tag = "1")]
     pub node_id: String,
-    /// Where other processes of the system reach it.
+    /// The address at which other processes of the system reach the sender.
     #[prost(string, tag = "2")]
     pub address: String,
-    /// The zone that the node is in.
+    /// The node's zone.
     #[prost(string, tag = "3")]
     pub zone: String,
-    /// The region that the zone is in.
+    /// The region of the zone.
     #[prost(string, tag = "4")]
     pub region: String,
-    /// Drawn at each start: tells one run of a process from the next.
+    /// A random number generated at each start. It distinguishes one run of a process from the next.
     #[prost(fixed64, tag = "5")]
     pub incarnation: u64,
-    /// A control process, not a gateway.
+    /// Whether the sender is a control process rather than a gateway.
     #[prost(bool, tag = "6")]
     pub is_control_plane: bool,
-    /// Where clients reach it; empty for a control process.
+    /// The address at which clients reach a gateway; empty for a control process.
     #[prost(string, tag = "7")]
     pub client_address: String,
-    /// A control process that may be relied on: it has caught up with a read quorum, and is in contact with a majority.
-    /// A gateway: it has caught up once, so that it need not fear a control process that is behind.
+    /// For a control process: it is reliable, because it has caught up with a read quorum and is in contact with a
+    /// majority. For a gateway: it has caught up once, so it may also connect to a control process that is not serving.
     #[prost(bool, tag = "8")]
     pub is_serving: bool,
-    /// Its disk holds what it has acknowledged.
+    /// The sender's disk holds everything that it has acknowledged.
     #[prost(bool, tag = "9")]
     pub is_complete: bool,
-    /// Names a control process' disk: drawn when it was first written. With the node id it names the replica. 0 for a
-    /// gateway, and for a disk that was written by a version before this field.
+    /// Identifies a control process's disk: a random ID, generated when the disk was first written. Together with the
+    /// node ID it identifies the replica. 0 for a gateway, and for a disk written by a version without this field.
     #[prost(fixed64, tag = "10")]
     pub replica_id: u64,
 }
 
-/// The sender is alive. Sent every half second, and at once when something in it changes.
+/// Reports that the sender is alive. Sent every half second, and immediately when any of its fields changes.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Heartbeat {
-    /// The digest of all items that the sender holds; between control processes, with their older versions.
+    /// The digest of all items of the sender. Between control processes it includes the older versions.
     #[prost(fixed64, tag = "1")]
     pub digest: u64,
-    /// A gateway: it takes requests.
+    /// For a gateway: it accepts requests.
     #[prost(bool, tag = "2")]
     pub is_ready: bool,
     /// See [`Hello::is_serving`].
@@ -52,23 +52,24 @@
     /// See [`Hello::is_complete`].
     #[prost(bool, tag = "4")]
     pub is_complete: bool,
-    /// The lease term under which the sender is the coordinator now, or 0.
+    /// The lease term under which the sender is currently the coordinator, or 0.
     #[prost(uint64, tag = "5")]
     pub coordinator_term: u64,
-    /// Between control processes: a number that the sender gave to no other heartbeat of its incarnation; see
+    /// Between control processes: a number that is unique among the heartbeats of the sender's incarnation; see
     /// [`crate::quorum_contact`].
     #[prost(fixed32, tag = "6")]
     pub sequence: u32,
     /// Between control processes: the last [`Heartbeat::sequence`] that the sender received from the receiver, or 0.
     #[prost(fixed32, tag = "7")]
     pub echoed_sequence: u32,
-    /// A control process in a graceful shutdown: it may leave the replica set at once, before it is unresponsive.
+    /// For a control process: it is shutting down gracefully, and may be removed from the replica set before it becomes
+    /// unresponsive.
     #[prost(bool, tag = "8")]
     pub is_shutting_down: bool,
-    /// A control process: all that it holds is on disk, and no proposal is accepted there and uncommitted.
+    /// For a control process: all its data is on disk, and it has no accepted proposal that is uncommitted.
     #[prost(bool, tag = "12")]
     pub is_persisted: bool,
-    /// A control process, to gateways: it is reading what it lacks, and may hold parts of changes.
+    /// From a control process to gateways: it is reading missing data, and may have only parts of some changes.
     #[prost(bool, tag = "13")]
     pub is_transferring: bool,
 }
--- a/crates/coordination/src/protocol/messages/sessions.rs
+++ b/crates/coordination/src/protocol/messages/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions and membership as they travel; see [`crate::sessions`].
+//! Messages for gateway sessions and membership; see [`crate::sessions`].
 
 /// A gateway that has a session.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -9,41 +9,41 @@
     /// The gateway's incarnation.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// Where clients reach it.
+    /// The address at which clients reach it.
     #[prost(string, tag = "3")]
     pub client_address: String,
-    /// The zone that it is in.
+    /// Its zone.
     #[prost(string, tag = "4")]
     pub zone: String,
-    /// It takes requests.
+    /// Whether it accepts requests.
     #[prost(bool, tag = "5")]
     pub is_ready: bool,
 }
 
-/// All sessions of one control process; a later list replaces an earlier one.
+/// All gateway sessions of one control process. A later list replaces an earlier one.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SessionList {
-    /// Grows with each list of one incarnation.
+    /// Increases with each list of one incarnation.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
-    /// The gateways.
+    /// The gateways with a session.
     #[prost(message, repeated, tag = "2")]
     pub members: Vec<Member>,
 }
 
-/// What a gateway has to know of the others and of the control plane.
+/// The gateways and control processes that a gateway needs to know.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct MembershipUpdate {
-    /// How many gateways count as live, recently lost ones included.
+    /// The number of live gateways, including recently lost ones.
     #[prost(uint32, tag = "1")]
     pub gateway_count: u32,
-    /// Their node ids, sorted.
+    /// The sorted node IDs of these gateways.
     #[prost(string, repeated, tag = "2")]
     pub node_ids: Vec<String>,
-    /// Control processes: the addresses for the system's own messages.
+    /// The control processes' addresses for internal messages.
     #[prost(string, repeated, tag = "3")]
     pub control_addresses: Vec<String>,
-    /// Control processes: their zones, in the order of the addresses.
+    /// The control processes' zones, in the order of the addresses.
     #[prost(string, repeated, tag = "4")]
     pub control_zones: Vec<String>,
 }
--- a/crates/coordination/src/protocol/mod.rs
+++ b/crates/coordination/src/protocol/mod.rs
@@ -1,7 +1,7 @@
-//! The protocol between the system's own processes: the messages, and how they travel over a connection.
+//! The protocol between the processes of the system: message types and their framing.
 //!
-//! Processes of two versions talk to each other during an upgrade, so that tags, types and the frame format never
-//! change; `tests/golden.rs` pins the bytes.
+//! During an upgrade, processes of two versions communicate with each other. Tags, field types and the frame format
+//! therefore never change; `tests/golden.rs` checks the encoded bytes.
 
 pub mod framing;
 mod messages;
