--- a/crates/coordination/examples/explore_consensus.rs
+++ b/crates/coordination/examples/explore_consensus.rs
@@ -1,5 +1,6 @@
-//! The long form of the consensus models: `explore_consensus [STEPS] [SEEDS]`, the most steps of a model and the walks
-//! through each system. It prints what was explored and how rivals fared, and ends with 1 if anything was found.
+//! Extended exploration of the consensus models: `explore_consensus [STEPS] [SEEDS]`. `STEPS` is the maximum number of
+//! steps per model, and `SEEDS` the number of random walks per system. Prints what was explored and how long competing
+//! proposers took, and exits with status 1 if a property was violated.
 
 use consensus_model::{explore, walk_all, Race, RaceResult, Setup, CONFIRMED, SYSTEMS};
 use std::process::ExitCode;
@@ -12,7 +13,7 @@
 const STEPS_PER_WALK: usize = 2_000;
 const THREADS: usize = 3;
 
-/// Attempts, restarts and lost responses.
+/// The systems with their limits on attempts, restarts and lost responses.
 const MODELS: [(&str, (u8, u8, u8)); 18] = [
     ("pair", (1, 3, 3)),
     ("pair", (2, 0, 0)),
@@ -34,7 +35,7 @@
     ("epochs-apart", (1, 0, 0)),
 ];
 
-/// Between which the backoff after a refusal is drawn, in milliseconds, and how often the upper bound doubles.
+/// The range of the random backoff after a rejection, in milliseconds, and how many times its upper bound doubles.
 const BACKOFFS: [((f64, f64), u32); 3] = [((20.0, 150.0), 0), ((0.0, 100.0), 0), ((0.0, 100.0), 3)];
 const RACES: u64 = 2_000;
 
@@ -42,11 +43,11 @@
     let mut args = std::env::args().skip(1).filter_map(|arg| arg.parse::<u64>().ok());
     let steps = args.next().unwrap_or(DEFAULT_STEPS) as usize;
     let seeds = args.next().unwrap_or(DEFAULT_SEEDS);
-    let mut is_well = explore_all(steps);
-    is_well &= walk_through_all(seeds);
-    is_well &= race_all();
-    println!("well={is_well}");
-    if is_well {
+    let mut has_passed = explore_all(steps);
+    has_passed &= walk_all_systems(seeds);
+    has_passed &= run_all_races();
+    println!("passed={has_passed}");
+    if has_passed {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -55,52 +56,52 @@
 
 /// Whether all properties held.
 fn explore_all(steps: usize) -> bool {
-    let mut is_well = true;
-    for (name, (attempts, restarts, lost)) in MODELS {
-        let setup = Setup::named(name).bounds(attempts, restarts, lost, 4);
-        let label = format!("{name} attempts={attempts} restarts={restarts} lost={lost}");
-        is_well &= explore(&label, setup, steps, THREADS).found == [CONFIRMED].into();
+    let mut has_passed = true;
+    for (name, (attempts, restarts, lost_responses)) in MODELS {
+        let setup = Setup::named(name).bounds(attempts, restarts, lost_responses, 4);
+        let label = format!("{name} attempts={attempts} restarts={restarts} lost_responses={lost_responses}");
+        has_passed &= explore(&label, setup, steps, THREADS).found == [CONFIRMED].into();
     }
-    is_well
+    has_passed
 }
 
 /// Whether all properties held.
-fn walk_through_all(seeds: u64) -> bool {
-    let mut is_well = true;
+fn walk_all_systems(seeds: u64) -> bool {
+    let mut has_passed = true;
     for system in SYSTEMS {
         let setup = Setup::named(system.name).bounds(60, 6, 200, 1);
-        is_well &= walk_all(system.name, &setup, 0..seeds, STEPS_PER_WALK).broken.is_empty();
+        has_passed &= walk_all(system.name, &setup, 0..seeds, STEPS_PER_WALK).broken.is_empty();
     }
-    is_well
+    has_passed
 }
 
-/// Whether all proposers had their answers.
-fn race_all() -> bool {
-    let mut is_well = true;
-    for rivals in [2, 3, 8] {
+/// Whether all proposers received a final result.
+fn run_all_races() -> bool {
+    let mut has_passed = true;
+    for proposers in [2, 3, 8] {
         for round_trip in [0.2, 0.9, 55.0] {
             for (backoff, doublings) in BACKOFFS {
                 let spread = 2.0 * round_trip + 10.0;
                 let race = Race { round_trip, sync: 2.0, spread, backoff, doublings };
-                is_well &= race_many(rivals, &race);
+                has_passed &= run_races(proposers, &race);
             }
         }
     }
-    is_well
+    has_passed
 }
 
-fn race_many(rivals: usize, race: &Race) -> bool {
-    let setup = Setup::rivals(rivals);
+fn run_races(proposers: usize, race: &Race) -> bool {
+    let setup = Setup::rivals(proposers);
     let results: Vec<RaceResult> = (0..RACES).filter_map(|seed| race.run(&setup, seed)).collect();
     let summary = |time: fn(&RaceResult) -> f64| {
         let mut times: Vec<f64> = results.iter().map(time).collect();
         times.sort_by(f64::total_cmp);
         let percentile = |percent: usize| times[(times.len() - 1) * percent / 100];
-        format!("p50={:.0} p99={:.0} most={:.0}", percentile(50), percentile(99), percentile(100))
+        format!("p50={:.0} p99={:.0} max={:.0}", percentile(50), percentile(99), percentile(100))
     };
     let attempts = results.iter().map(|result| result.attempts).max().unwrap_or_default();
     println!(
-        "race rivals={rivals} round-trip-ms={} backoff-ms={:?} doublings={} races={} first {} all {} attempts={attempts}",
+        "race proposers={proposers} round-trip-ms={} backoff-ms={:?} doublings={} races={} first {} all {} attempts={attempts}",
         race.round_trip,
         race.backoff,
         race.doublings,
--- a/crates/coordination/src/catch_up_queue.rs
+++ b/crates/coordination/src/catch_up_queue.rs
@@ -1,53 +1,54 @@
-//! Who of those that catch up is sent a chunk next.
+//! Schedules the chunks that are sent to receivers that are catching up.
 //!
-//! Each is sent what it lacks in chunks. Its next chunk goes once the one before has left, and what is in flight to all of
-//! them together is bounded: when a region comes back, some hundred gateways ask for the complete configuration at once.
+//! A receiver gets the data it is missing in chunks, one at a time: the next chunk is sent once the previous one has
+//! been delivered. The number of bytes in flight to all receivers together is bounded, because several hundred gateways
+//! may request the complete configuration at once when a region comes back.
 
 use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A chunk that is still in flight after this time no longer counts against the bound, so that a stalled receiver holds
-/// nobody else up. Its session has a time-out of its own.
+/// A chunk that has been in flight for longer than this no longer counts against the limit, so that a stalled receiver
+/// does not block the others. The receiver's session has a timeout of its own.
 const STALL_TIMEOUT: Duration = Duration::from_micros(2_000_000);
 
-/// How far one receiver has come.
+/// The state of one receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
-    /// It is in the queue.
+    /// Waiting in the queue.
     Queued,
-    /// It is its turn, and nothing has been sent yet.
-    Chosen,
-    /// A chunk is in flight to it.
+    /// Returned by [`CatchUpQueue::next_chunk`]; nothing has been sent yet.
+    Requested,
+    /// A chunk is in flight to the receiver.
     InFlight { bytes: usize, since: Timestamp, has_more: bool },
 }
 
 #[derive(Debug)]
 struct Receiver {
-    /// What it said that it holds.
+    /// The digests that the receiver reported.
     bucket_digests: Vec<u64>,
-    /// The bucket to continue with.
+    /// The first bucket of the next chunk.
     next_bucket: usize,
     wants_digests: bool,
     progress: Progress,
 }
 
-/// A turn: to whom to send which chunk.
+/// A chunk that the caller should send now.
 #[derive(Debug, PartialEq)]
 pub struct ChunkRequest {
-    /// The receiver, by the number that the caller gave it.
+    /// The receiver's ID, as passed to [`CatchUpQueue::enqueue`].
     pub id: u64,
-    /// What the receiver said that it holds.
+    /// The digests of what the receiver already has.
     pub bucket_digests: Vec<u64>,
-    /// The bucket with which the chunk begins.
+    /// The first bucket of the chunk.
     pub first_bucket: usize,
-    /// Whether the receiver waits for the sender's digests at the end.
+    /// Whether the receiver expects the sender's digests after the last chunk.
     pub wants_digests: bool,
 }
 
-/// All receivers that catch up.
+/// The receivers that are catching up, and the bytes in flight to them.
 #[derive(Debug)]
 pub struct CatchUpQueue {
-    /// Bytes that may be in flight to all together; the last chunk may exceed it.
+    /// The maximum number of bytes in flight to all receivers together. The last chunk sent may exceed it.
     max_bytes_in_flight: usize,
     receivers: BTreeMap<u64, Receiver>,
     queue: VecDeque<u64>,
@@ -55,7 +56,7 @@
 }
 
 impl CatchUpQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(max_bytes_in_flight: usize) -> CatchUpQueue {
         CatchUpQueue {
             max_bytes_in_flight,
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Queues a receiver, by what it says that it holds. If it is catching up already, it starts from the first bucket
-    /// again.
+    /// Adds a receiver with the digests that it reported. A receiver that is already catching up starts again from the
+    /// first bucket.
     pub fn enqueue(&mut self, id: u64, bucket_digests: Vec<u64>, wants_digests: bool) {
         self.remove(id);
         let receiver = Receiver { bucket_digests, next_bucket: 0, wants_digests, progress: Progress::Queued };
@@ -74,7 +75,8 @@
         self.queue.push_back(id);
     }
 
-    /// Whose turn it is now, if there is room. [`CatchUpQueue::chunk_sent`] is to be called with the turn.
+    /// Returns the next chunk to send, if the limit on bytes in flight allows one. The caller must pass the result to
+    /// [`CatchUpQueue::chunk_sent`].
     pub fn next_chunk(&mut self, now: Timestamp) -> Option<ChunkRequest> {
         self.release_stalled(now);
         if self.bytes_in_flight >= self.max_bytes_in_flight {
@@ -82,7 +84,7 @@
         }
         let id = self.queue.pop_front()?;
         let receiver = self.receivers.get_mut(&id)?;
-        receiver.progress = Progress::Chosen;
+        receiver.progress = Progress::Requested;
         Some(ChunkRequest {
             id,
             bucket_digests: std::mem::take(&mut receiver.bucket_digests),
@@ -91,25 +93,26 @@
         })
     }
 
-    /// A turn's chunk, of `bytes` bytes, is in flight; the next one begins with `next_bucket`, or there is none.
+    /// Records that the requested chunk of `bytes` bytes was sent. The following chunk starts at `next_bucket`; `None`
+    /// means that this was the last one.
     pub fn chunk_sent(
         &mut self,
         now: Timestamp,
-        turn: ChunkRequest,
+        request: ChunkRequest,
         bytes: usize,
         next_bucket: Option<usize>,
     ) {
-        let Some(receiver) = self.receivers.get_mut(&turn.id) else { return };
-        if receiver.progress != Progress::Chosen {
+        let Some(receiver) = self.receivers.get_mut(&request.id) else { return };
+        if receiver.progress != Progress::Requested {
             return;
         }
         self.bytes_in_flight += bytes;
-        receiver.bucket_digests = turn.bucket_digests;
+        receiver.bucket_digests = request.bucket_digests;
         receiver.next_bucket = next_bucket.unwrap_or(receiver.next_bucket);
         receiver.progress = Progress::InFlight { bytes, since: now, has_more: next_bucket.is_some() };
     }
 
-    /// Whether a receiver catches up, or waits for its turn.
+    /// Whether a receiver is catching up or waiting to.
     pub fn contains(&self, id: u64) -> bool {
         self.receivers.contains_key(&id)
     }
@@ -120,7 +123,7 @@
         matches!(progress, Some(Progress::InFlight { .. }))
     }
 
-    /// The chunk that was in flight to a receiver has left.
+    /// Records that the chunk in flight to a receiver was delivered.
     pub fn chunk_delivered(&mut self, id: u64) {
         let Some(receiver) = self.receivers.get_mut(&id) else { return };
         let Progress::InFlight { bytes, has_more, .. } = receiver.progress else { return };
@@ -133,22 +136,22 @@
         }
     }
 
-    /// A receiver has gone.
+    /// Removes a receiver that has disconnected.
     pub fn remove(&mut self, id: u64) {
         let Some(receiver) = self.receivers.remove(&id) else { return };
         match receiver.progress {
             Progress::InFlight { bytes, .. } => self.bytes_in_flight -= bytes,
             Progress::Queued => self.queue.retain(|other| *other != id),
-            Progress::Chosen => {}
+            Progress::Requested => {}
         }
     }
 
-    /// Bytes in flight to all receivers together.
+    /// The number of bytes in flight to all receivers together.
     pub fn bytes_in_flight(&self) -> usize {
         self.bytes_in_flight
     }
 
-    /// What is in flight to a stalled receiver counts no more. One that has its last chunk in flight is forgotten.
+    /// Stops counting chunks in flight to stalled receivers. A receiver whose last chunk is stalled is removed.
     fn release_stalled(&mut self, now: Timestamp) {
         let mut released = 0;
         self.receivers.retain(|_, receiver| match &mut receiver.progress {
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,21 +1,21 @@
-//! What the processes of the system agree on, and how: the messages between them, consensus, membership, leases, sessions
-//! and usage counts.
+//! Coordination between the processes of the system: wire messages, consensus, membership, leases, gateway sessions and
+//! usage counts.
 //!
-//! Nothing here does input or output, and time is passed in, so that tests drive all of it.
+//! This crate does no I/O and takes the current time as an argument, so tests can control both.
 //!
-//! | module | what it has |
+//! | module | contents |
 //! | --- | --- |
-//! | [`protocol`] | the messages, and how they travel over a connection |
-//! | [`consensus`] | which content each version of each configuration item has |
-//! | [`membership`] | the replica sets, and their quorums |
-//! | [`quorum_contact`] | whether a majority of the replicas has heard a process lately |
+//! | [`protocol`] | message types and their framing |
+//! | [`consensus`] | agreement on the content of each version of each configuration item |
+//! | [`membership`] | replica sets and their quorums |
+//! | [`quorum_contact`] | whether a majority of the replicas has recently heard from this process |
 //! | [`lease`] | leases for singleton roles |
-//! | [`sessions`] | which gateways are members |
-//! | [`catch_up_queue`] | who of those that catch up is sent a chunk next |
-//! | [`tombstones`] | when the tombstone of a removed item may be forgotten |
+//! | [`sessions`] | gateway membership |
+//! | [`catch_up_queue`] | scheduling of the chunks sent to receivers that are catching up |
+//! | [`tombstones`] | when the tombstone of a removed item can be purged |
 //! | [`usage`] | usage counts and quota grants |
 
-// The models in `tests/` are compiled into the unit tests too, and name this crate.
+// The models in `tests/` are also compiled into the unit tests, where they refer to this crate by its name.
 #[cfg(test)]
 extern crate self as kitepass_coordination;
 
--- a/crates/coordination/src/quorum_contact.rs
+++ b/crates/coordination/src/quorum_contact.rs
@@ -1,32 +1,33 @@
-//! Quorum contact: whether a majority of the replicas has heard this process lately.
+//! Quorum contact: whether a majority of the replicas has recently heard from this process.
 //!
-//! Each heartbeat to another control process carries a number of the sender's own and the last number that it received
-//! from the other. A heartbeat that echoes a number proves that its sender was alive and received this process' heartbeat
-//! *after* that number was sent. The proof is dated by the moment at which this process sent the number, by its own
-//! monotonic clock: clocks of two machines are never compared, and a proof that arrives late is no newer for that.
+//! Each heartbeat to another control process carries a sequence number of its own and echoes the last number received
+//! from that process. An echoed number proves that the peer was alive and received this process's heartbeat *after* the
+//! number was sent. The proof is dated by the time at which this process sent the number, on its own monotonic clock.
+//! Clocks of different machines are never compared, and a delayed echo does not count as more recent contact.
 
 use crate::membership::ReplicaSet;
 use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A process is in contact while its newest proof that a majority of the replicas heard it is no older than this.
+/// The maximum age of the newest proof that a majority of the replicas has heard from this process. If it is older,
+/// contact is lost.
 pub const CONTACT_TIMEOUT: Duration = Duration::from_micros(2_000_000);
-/// How many of the sequence numbers last sent to one peer are remembered. A heartbeat goes out every half second, and a few in
-/// between: what falls out is older than [`CONTACT_TIMEOUT`] and proves nothing any longer.
+/// The number of recent sequence numbers remembered per peer. Heartbeats are sent every half second, with a few more in
+/// between, so a number that is dropped is older than [`CONTACT_TIMEOUT`] and no longer proves contact.
 const MAX_REMEMBERED_SEQUENCES: usize = 16;
-/// A peer that has sent nothing for this long is forgotten; otherwise peers that come and go would be kept for ever.
+/// A peer that has sent nothing for this long is removed, so that the table does not grow as peers come and go.
 const PEER_EXPIRY: Duration = Duration::from_micros(60_000_000);
 
-/// Whether this process may speak for the replicas.
+/// Whether this process is in contact with a majority of the replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ContactState {
-    /// Too few have proved lately that they hear it. This is the first state.
+    /// Fewer than a majority have recently heard from this process. This is the initial state.
     Disconnected,
-    /// A majority has.
+    /// A majority has recently heard from this process.
     Connected,
 }
 
-/// A heartbeat that was sent.
+/// A heartbeat sent to a peer.
 struct SentHeartbeat {
     sequence: u32,
     sent_at: Timestamp,
@@ -34,36 +35,36 @@
 
 struct Peer {
     incarnation: u64,
-    /// The last number that was received from it, or 0.
+    /// The last sequence number received from the peer, or 0.
     last_sequence: u32,
-    /// What it was sent, the oldest first.
+    /// The heartbeats sent to the peer, oldest first.
     sent: VecDeque<SentHeartbeat>,
-    /// The newest moment after which it is known to have heard this process.
+    /// The latest time after which the peer is known to have heard from this process.
     last_contact: Option<Timestamp>,
     last_heard_at: Timestamp,
 }
 
 impl Peer {
-    /// Notes that the peer heard this process after `sent_at`.
+    /// Records that the peer heard from this process after `sent_at`.
     fn record_contact(&mut self, sent_at: Timestamp) {
         self.last_contact = self.last_contact.max(Some(sent_at));
     }
 }
 
-/// What a process knows of who hears it. Replicas go by their names, see
+/// Tracks when each peer last heard from this process. Replicas are identified by their names, see
 /// [`Replica::name`](crate::membership::Replica::name).
 pub struct QuorumContact {
     own_name: String,
     state: ContactState,
-    /// The moment after which a majority is known to have heard this process, as evaluated last.
+    /// The time after which a majority is known to have heard from this process, as of the last evaluation.
     last_quorum_contact: Option<Timestamp>,
     last_sequence: u32,
     peers: BTreeMap<String, Peer>,
 }
 
 impl QuorumContact {
-    /// `first_sequence` is drawn at random in each incarnation: a number of an earlier incarnation that is echoed late
-    /// would pass for one of this incarnation, and prove what was long ago.
+    /// Creates the tracker. `first_sequence` must be random for each incarnation. Otherwise, a delayed echo of an
+    /// earlier incarnation's number could be mistaken for proof of recent contact.
     pub fn new(own_name: &str, first_sequence: u32) -> QuorumContact {
         QuorumContact {
             own_name: own_name.to_owned(),
@@ -74,12 +75,13 @@
         }
     }
 
-    /// The state as evaluated last.
+    /// The state as of the last evaluation.
     pub fn state(&self) -> ContactState {
         self.state
     }
 
-    /// A peer said who it is. What an earlier incarnation of it heard, this one did not.
+    /// Records that a peer has identified itself. Contact with an earlier incarnation of the peer does not count for a
+    /// new one.
     pub fn peer_connected(&mut self, now: Timestamp, name: &str, incarnation: u64) {
         if self.peers.get(name).is_some_and(|peer| peer.incarnation == incarnation) {
             return;
@@ -89,11 +91,12 @@
         self.peers.insert(name.to_owned(), peer);
     }
 
-    /// What the next heartbeat to a peer carries: its own number, and the last one that was received from that peer. Both
-    /// are 0 for a peer that has not connected.
+    /// Returns the numbers for the next heartbeat to a peer: a new sequence number, and the last number received from
+    /// the peer. Both are 0 if the peer has not connected.
     pub fn next_heartbeat(&mut self, now: Timestamp, name: &str) -> (u32, u32) {
         let Some(peer) = self.peers.get_mut(name) else { return (0, 0) };
-        // Each number goes to one peer alone, so that nobody can echo what another was sent. 0 stands for none.
+        // Each number is sent to one peer only, so that no peer can echo a number sent to another. 0 stands for no
+        // number.
         self.last_sequence = self.last_sequence.checked_add(1).unwrap_or(1);
         peer.sent.push_back(SentHeartbeat { sequence: self.last_sequence, sent_at: now });
         if peer.sent.len() > MAX_REMEMBERED_SEQUENCES {
@@ -102,49 +105,50 @@
         (self.last_sequence, peer.last_sequence)
     }
 
-    /// A peer's heartbeat, with its own number and the one that it echoes.
+    /// Processes a peer's heartbeat with its sequence number and the number that it echoes.
     pub fn heartbeat_received(&mut self, now: Timestamp, name: &str, sequence: u32, echoed_sequence: u32) {
         let Some(peer) = self.peers.get_mut(name) else { return };
         peer.last_sequence = sequence;
         peer.last_heard_at = now;
-        // Invariant: only a number that this incarnation sent to this peer is a proof. One of an earlier incarnation, of
-        // another peer, made up, or too old to be remembered proves nothing.
+        // Invariant: only a number that this incarnation has sent to this peer proves contact. A number from an earlier
+        // incarnation, one sent to another peer, an invented one, or one too old to be remembered proves nothing.
         let echoed = peer.sent.iter().find(|sent| sent.sequence == echoed_sequence);
         if let Some(sent_at) = echoed.map(|sent| sent.sent_at) {
             peer.record_contact(sent_at);
         }
     }
 
-    /// A peer answered a request that was sent to it at a moment: as good as an echoed number.
+    /// Records that a peer responded to a request sent at `sent_at`, which proves contact like an echoed number.
     pub fn response_received(&mut self, now: Timestamp, name: &str, sent_at: Timestamp) {
         let Some(peer) = self.peers.get_mut(name) else { return };
         peer.last_heard_at = now;
         peer.record_contact(sent_at);
     }
 
-    /// Forgets peers that have been silent for long; to be called about once a second.
+    /// Removes peers that have been silent for too long. Should be called about once per second.
     pub fn expire_peers(&mut self, now: Timestamp) {
         self.peers.retain(|_, peer| now - peer.last_heard_at <= PEER_EXPIRY);
     }
 
-    /// Evaluates the state by these replica sets, a majority of each of which is needed; returns it if it has changed. To
-    /// be called when all that has come of the peers has been read.
+    /// Evaluates the state; a majority of each of these replica sets is required. Returns the new state if it has
+    /// changed. Must be called after all pending messages from peers have been processed.
     pub fn evaluate(&mut self, now: Timestamp, replica_sets: &[ReplicaSet]) -> Option<ContactState> {
         self.update_quorum_contact(now, replica_sets);
         let state = match self.is_connected(now) {
             true => ContactState::Connected,
             false => ContactState::Disconnected,
         };
-        self.change_state(state)
+        self.set_state(state)
     }
 
-    /// As [`QuorumContact::evaluate`], after one proof: contact may be back by it, and is not lost.
+    /// Like [`QuorumContact::evaluate`], but called after a single proof of contact: the state may change to connected,
+    /// but not to disconnected.
     ///
-    /// After a pause of this process several heartbeats of each peer wait to be read. By the first of them, the oldest,
-    /// contact may be lost; by the last it is not.
+    /// After this process was suspended, several heartbeats of each peer may be waiting to be read. The first and
+    /// oldest of them may be too old to prove contact although the last one does.
     pub fn check_reconnected(&mut self, now: Timestamp, replica_sets: &[ReplicaSet]) -> Option<ContactState> {
         self.update_quorum_contact(now, replica_sets);
-        self.is_connected(now).then(|| self.change_state(ContactState::Connected)).flatten()
+        self.is_connected(now).then(|| self.set_state(ContactState::Connected)).flatten()
     }
 
     fn update_quorum_contact(&mut self, now: Timestamp, replica_sets: &[ReplicaSet]) {
@@ -153,13 +157,14 @@
         self.last_quorum_contact = contacts.and_then(|contacts| contacts.into_iter().min());
     }
 
-    fn change_state(&mut self, state: ContactState) -> Option<ContactState> {
+    fn set_state(&mut self, state: ContactState) -> Option<ContactState> {
         let has_changed = state != self.state;
         self.state = state;
         has_changed.then_some(state)
     }
 
-    /// The moment after which a majority of a replica set, this process included, has heard this process.
+    /// The time after which a majority of a replica set, including this process, is known to have heard from this
+    /// process.
     fn majority_contact(&self, now: Timestamp, replica_set: &ReplicaSet) -> Option<Timestamp> {
         let contact = |name: String| if name == self.own_name { Some(now) } else { self.last_contact(&name) };
         let mut contacts: Vec<Timestamp> =
@@ -168,18 +173,18 @@
         contacts.get(replica_set.majority() - 1).copied()
     }
 
-    /// Whether it is in contact at this very moment, even if nothing has been evaluated for a while: a process that was
-    /// suspended would go on with what was true before.
+    /// Whether the process is in contact at this moment, even if the state has not been evaluated for some time. A
+    /// process that was suspended would otherwise act on an outdated state.
     pub fn is_connected(&self, now: Timestamp) -> bool {
         self.contact_age(now).is_some_and(|age| age <= CONTACT_TIMEOUT)
     }
 
-    /// How long ago a majority is known to have heard this process.
+    /// The time since a majority is known to have heard from this process.
     pub fn contact_age(&self, now: Timestamp) -> Option<Duration> {
         self.last_quorum_contact.map(|last_contact| now - last_contact)
     }
 
-    /// The moment after which a peer is known to have heard this process.
+    /// The time after which a peer is known to have heard from this process.
     pub fn last_contact(&self, name: &str) -> Option<Timestamp> {
         self.peers.get(name).and_then(|peer| peer.last_contact)
     }
--- a/crates/coordination/src/sessions.rs
+++ b/crates/coordination/src/sessions.rs
@@ -1,6 +1,6 @@
-//! Membership of gateways: a gateway is a member while its session with a control process stands.
+//! Gateway membership: a gateway is a member while it has a session with a control process.
 //!
-//! Control processes tell each other their sessions, each its complete list under a growing sequence number.
+//! Each control process sends the others the complete list of its sessions, with an increasing sequence number.
 
 #[cfg(test)]
 mod tests;
@@ -9,16 +9,16 @@
 use kitepass_time::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
-/// A control process that has been silent for this long no longer speaks for its sessions: they may have moved to another
-/// one, or be about to.
+/// The sessions of a control process that has been silent for this long are no longer counted: the gateways may have
+/// reconnected to another control process, or are about to.
 const CONTROL_TIMEOUT: Duration = Duration::from_micros(4_000_000);
-/// How long a lost gateway still counts as live where quotas are shared out. One that is only partitioned goes on with
-/// its share, so that the number of live gateways must rather be too high than too low.
+/// How long a lost gateway still counts as live for the division of quotas. A gateway that is only partitioned
+/// continues to use its share, so the number of live gateways may be overestimated but must not be underestimated.
 const LIVE_TIMEOUT: Duration = Duration::from_micros(10_000_000);
 
-/// One incarnation of a control process. Its order is that of the text `node id/incarnation`, which decides whose entry
-/// counts where two lists have the same gateway.
-fn control_key(node_id: &str, incarnation: u64) -> String {
+/// The key of one incarnation of a control process, `node id/incarnation`. If two lists contain the same gateway, the
+/// order of these strings decides which entry is used.
+fn control_process_key(node_id: &str, incarnation: u64) -> String {
     format!("{node_id}/{incarnation}")
 }
 
@@ -34,13 +34,13 @@
 #[derive(Default)]
 pub struct SessionTable {
     by_control: BTreeMap<String, ControlSessions>,
-    /// When each gateway was last a member.
+    /// When each gateway was last known to be a member.
     last_seen: BTreeMap<String, Timestamp>,
 }
 
 impl SessionTable {
-    /// Takes the list of a control process, this one included; one that is older than the last is ignored. True if it
-    /// has anything new.
+    /// Updates the session list of a control process, which may be this process. A list older than the last one is
+    /// ignored. Returns whether anything has changed.
     pub fn update(
         &mut self,
         now: Timestamp,
@@ -48,7 +48,7 @@
         incarnation: u64,
         sessions: &SessionList,
     ) -> bool {
-        let known = self.by_control.entry(control_key(control, incarnation)).or_default();
+        let known = self.by_control.entry(control_process_key(control, incarnation)).or_default();
         known.last_heard_at = now;
         let is_older = sessions.sequence < known.sequence;
         let is_same = sessions.sequence == known.sequence && sessions.members == known.members;
@@ -60,19 +60,19 @@
         true
     }
 
-    /// A control process is alive: its last list still stands.
+    /// Records that a control process is alive, so that its last list remains valid.
     pub fn heartbeat_received(&mut self, now: Timestamp, control: &str, incarnation: u64) {
-        if let Some(known) = self.by_control.get_mut(&control_key(control, incarnation)) {
+        if let Some(known) = self.by_control.get_mut(&control_process_key(control, incarnation)) {
             known.last_heard_at = now;
         }
     }
 
-    /// A gateway that counted as live in an earlier incarnation of this process.
+    /// Adds a gateway that counted as live in an earlier incarnation of this process.
     pub fn restore(&mut self, now: Timestamp, node_id: &str) {
         self.last_seen.insert(node_id.to_owned(), now);
     }
 
-    /// Forgets what has timed out; to be called about once a second.
+    /// Removes entries that have timed out. Should be called about once per second.
     pub fn expire(&mut self, now: Timestamp) {
         self.by_control.retain(|_, known| now - known.last_heard_at < CONTROL_TIMEOUT);
         for member in self.by_control.values().flat_map(|known| &known.members) {
@@ -81,7 +81,7 @@
         self.last_seen.retain(|_, last_seen| now - *last_seen < LIVE_TIMEOUT);
     }
 
-    /// Members by node id; where two lists have one, a ready one goes first.
+    /// The members by node ID. If two lists contain the same gateway, an entry that is ready takes precedence.
     pub fn members(&self) -> BTreeMap<&str, &Member> {
         let mut members: BTreeMap<&str, &Member> = BTreeMap::new();
         for member in self.by_control.values().flat_map(|known| &known.members) {
@@ -93,7 +93,7 @@
         members
     }
 
-    /// The node ids of the gateways that count as live, recently lost ones included, sorted.
+    /// The sorted node IDs of the gateways that count as live, including recently lost ones.
     pub fn live_node_ids(&self) -> Vec<String> {
         let mut live: Vec<String> = self.last_seen.keys().cloned().collect();
         let members = self.members().into_keys();
--- a/crates/coordination/src/usage.rs
+++ b/crates/coordination/src/usage.rs
@@ -1,17 +1,17 @@
-//! Usage counts and quota grants: what each tenant asked of all gateways, period by period, and who may forward how much
-//! of it.
+//! Usage counts and quota grants: counts the load of each tenant over all gateways per period, and decides how much of
+//! it each gateway may forward.
 //!
-//! **Counts.** A gateway reports what it was offered in its last period, and reads the totals. The periods of gateways do
-//! not begin together, so that the total of a period is the sum of each gateway's newest complete one.
+//! **Counts.** Each gateway reports the requests received in its last period, and receives the totals. The periods of
+//! different gateways are not aligned, so a total is the sum of each gateway's most recent complete period.
 //!
-//! **Grants.** A quota binds over all gateways in every window, however suddenly a load begins and wherever it moves. So
-//! there is a token bucket for each tenant, filled at the tenant's rate, and a gateway forwards only what it was granted
-//! from it: a few requests in advance where it is offered many, one by one where it is offered few. What gateways have
-//! been granted and not used counts as being in the bucket.
+//! **Grants.** A quota applies to all gateways together in every time window, even if the load starts suddenly or moves
+//! between gateways. Each tenant therefore has a token bucket that is filled at the tenant's rate, and a gateway
+//! forwards only requests granted from it. Gateways with high load get a few requests in advance; those with low load
+//! get them one by one. Requests that are granted but not used yet count as being in the bucket.
 //!
-//! **Partitions.** A gateway that hears nothing of the coordinator goes by its quota share: half by what it was offered of
-//! the tenant lately, half by the number of gateways. The coordinator leaves that share to the gateways that it does not
-//! hear.
+//! **Partitions.** A gateway that cannot reach the coordinator uses its quota share, which depends half on its recent
+//! load for the tenant and half on the number of gateways. The coordinator reserves these shares for the gateways that
+//! it does not hear from.
 
 #[cfg(test)]
 mod tests;
@@ -20,67 +20,70 @@
 use kitepass_time::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
-/// How long a gateway's newest period counts in the totals.
+/// How long a gateway's most recent period counts in the totals.
 const PERIOD_VALIDITY: Duration = Duration::from_micros(1_700_000);
-/// A gateway that has not been heard for this long is assumed to go by its quota share.
+/// A gateway that has been silent for this long is assumed to use its quota share.
 const GATEWAY_TIMEOUT: Duration = Duration::from_micros(2_500_000);
-/// A gateway that has waited this long for an answer goes by its quota share. This is shorter than the coordinator's
-/// time-out for gateways: the tolerance covers the overlap, and the loss of a coordinator is felt for a shorter time.
+/// A gateway that has waited this long for a response from the coordinator uses its quota share. It is shorter than the
+/// coordinator's timeout for gateways, which shortens the effect of losing the coordinator; the tolerance covers the
+/// overlap.
 pub const COORDINATOR_TIMEOUT: Duration = Duration::from_micros(1_300_000);
-/// What a silent gateway was granted is assumed to be used up after this time.
+/// After this time, requests granted to a silent gateway are assumed to be used.
 const GRANT_EXPIRY: Duration = Duration::from_micros(10_000_000);
-/// How many seconds a bucket that no gateway reports to is kept. It fills meanwhile, and a full one grants more than a new
-/// one would.
+/// How long the bucket of a tenant that no gateway reports is kept. It fills up meanwhile, and a full bucket grants
+/// more than a new one would.
 const IDLE_BUCKET_SECONDS: f64 = 60.0;
-/// The part of the tolerance that a bucket holds beside the burst.
-const TOLERANCE_IN_BUCKET: f64 = 0.6;
-/// The part of the tolerance that a new coordinator's buckets begin with: some of what is left beside the part above.
-const INITIAL_TOLERANCE: f64 = 0.25;
-/// Time between two evaluations of which gateways are silent.
+/// The fraction of the tolerance that a bucket can hold in addition to the burst.
+const BUCKET_TOLERANCE_FRACTION: f64 = 0.6;
+/// The fraction of the tolerance that a new coordinator's buckets start with. It comes out of the part of the tolerance
+/// that buckets do not hold.
+const INITIAL_TOLERANCE_FRACTION: f64 = 0.25;
+/// The interval between two checks for silent gateways.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_micros(250_000);
-/// The part of a full bucket below which nothing is granted in advance.
-const PREFETCH_RESERVE: f64 = 0.4;
-/// With this many tenants, those that nobody reports any more are forgotten before another is added.
+/// The fraction of a bucket's capacity that is not granted in advance.
+const PREFETCH_RESERVE_FRACTION: f64 = 0.4;
+/// The number of tenants at which idle tenants are removed before another one is added.
 const MAX_TENANTS: usize = 65_536;
 
 /// A tenant's rate limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RateLimit {
-    /// Requests a second; no limit at 0.
+    /// Requests per second; 0 means no limit.
     pub rate: f64,
-    /// Requests on top.
+    /// Additional requests allowed in a burst.
     pub burst: f64,
 }
 
-/// By how much the forwarded requests of all gateways together may exceed a rate limit.
+/// How far the requests forwarded by all gateways together may exceed a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaTolerance {
     /// The window in which requests are counted, in seconds.
     pub window: f64,
-    /// The excess as a part of what a window allows.
+    /// The permitted excess, as a fraction of what the limit allows in one window.
     pub excess: f64,
-    /// The excess on top of that, in requests.
+    /// The additional permitted excess, in requests.
     pub margin: f64,
 }
 
 impl QuotaTolerance {
-    /// Requests that a bucket holds on top of the burst.
+    /// The number of requests that a bucket can hold in addition to the burst.
     pub fn allowance(self, rate_limit: RateLimit) -> f64 {
-        TOLERANCE_IN_BUCKET * (self.excess * (rate_limit.rate * self.window + rate_limit.burst) + self.margin)
+        BUCKET_TOLERANCE_FRACTION
+            * (self.excess * (rate_limit.rate * self.window + rate_limit.burst) + self.margin)
     }
 }
 
-/// What is known of one gateway's use of one tenant's quota; numbers of requests.
+/// One gateway's use of one tenant's quota, in numbers of requests.
 #[derive(Debug, Default)]
 struct GatewayUsage {
-    last_asked_at: Timestamp,
-    /// The end of the newest period, and what it had. The default stands for none.
+    last_report_at: Timestamp,
+    /// The end of the most recent period, and its counts. The default timestamp means that there is none.
     period_end: Timestamp,
     offered: f64,
     forwarded: f64,
-    /// Granted and not used.
+    /// Granted requests that are not used yet.
     reserved: f64,
-    /// The quota share that it goes by if it is partitioned from the coordinator.
+    /// The quota share that the gateway uses if it cannot reach the coordinator.
     share: f64,
 }
 
@@ -90,7 +93,7 @@
     }
 
     fn update(&mut self, now: Timestamp, usage: &TenantUsage, is_mid_period: bool) {
-        self.last_asked_at = now;
+        self.last_report_at = now;
         self.reserved = f64::from(usage.reserved);
         if !is_mid_period {
             self.period_end = now;
@@ -103,7 +106,7 @@
 /// One tenant's token bucket, and the gateways that use it.
 #[derive(Debug)]
 struct TenantBucket {
-    /// Requests that can be granted.
+    /// The number of requests that can be granted.
     tokens: f64,
     filled_at: Timestamp,
     gateways: BTreeMap<String, GatewayUsage>,
@@ -115,10 +118,11 @@
     }
 
     fn expire_gateways(&mut self, now: Timestamp) {
-        self.gateways.retain(|_, gateway| now - gateway.last_asked_at < GRANT_EXPIRY);
+        self.gateways.retain(|_, gateway| now - gateway.last_report_at < GRANT_EXPIRY);
     }
 
-    /// Adds what has flowed in since the last time, up to `capacity` beside what gateways have reserved.
+    /// Adds the tokens accrued since the last call and those returned by the gateway. The tokens and the gateways'
+    /// unused grants together are limited to `capacity`.
     fn fill(&mut self, now: Timestamp, rate: f64, returned: f64, capacity: f64) {
         let reserved: f64 = self.gateways.values().map(|gateway| gateway.reserved).sum();
         let elapsed = (now - self.filled_at).as_secs();
@@ -127,14 +131,14 @@
         self.tokens = (self.tokens + rate * elapsed + returned).min(most.max(0.0));
     }
 
-    /// Takes out what is requested, as far as there is, and of a well-filled bucket what is asked for in advance.
+    /// Grants the requested number of tokens as far as available, and tokens in advance if the bucket is full enough.
     ///
-    /// What is held in advance is out of the others' reach: so the bucket keeps a reserve of it.
+    /// Tokens granted in advance are not available to other gateways, so the bucket keeps a reserve.
     fn grant(&mut self, usage: &TenantUsage, capacity: f64) -> f64 {
         let requested = f64::from(usage.requested).min(self.tokens.floor()).max(0.0);
         self.tokens -= requested;
-        let plenty = self.tokens - PREFETCH_RESERVE * capacity;
-        let prefetched = f64::from(usage.prefetch).min(plenty.floor()).max(0.0);
+        let available = self.tokens - PREFETCH_RESERVE_FRACTION * capacity;
+        let prefetched = f64::from(usage.prefetch).min(available.floor()).max(0.0);
         self.tokens -= prefetched;
         requested + prefetched
     }
@@ -144,21 +148,21 @@
     }
 }
 
-/// The usage counts and buckets of all tenants, as the coordinator holds them.
+/// The coordinator's usage counts and token buckets of all tenants.
 pub struct UsageCounts {
     tenants: BTreeMap<String, TenantBucket>,
     last_heard: BTreeMap<String, Timestamp>,
     tolerance: QuotaTolerance,
-    /// The live gateways that are not heard, of how many live ones, and when that was evaluated.
+    /// The live gateways that are silent, the total number of live gateways, and when these were last determined.
     silent_gateways: Vec<String>,
     live_count: usize,
     silence_checked_at: Timestamp,
 }
 
 impl UsageCounts {
-    /// Counts begin empty, and are rebuilt from the reports: after one period each gateway has reported.
+    /// Creates empty counts. They are rebuilt from the gateways' reports within one period.
     ///
-    /// Buckets begin with next to nothing, as an earlier coordinator may have granted all there was a moment ago.
+    /// New buckets start almost empty, because an earlier coordinator may just have granted everything.
     pub fn new(tolerance: QuotaTolerance) -> UsageCounts {
         UsageCounts {
             tenants: BTreeMap::new(),
@@ -170,10 +174,10 @@
         }
     }
 
-    /// Takes a gateway's report, and gives the totals with what is granted.
+    /// Processes a gateway's report, and returns the totals and grants.
     ///
-    /// `live` are the node ids of the gateways that count as live; `rate_limit` gives a tenant's limit. Tenants without
-    /// one are left out.
+    /// `live` contains the node IDs of the live gateways, and `rate_limit` returns a tenant's limit. Tenants without a
+    /// limit are left out.
     pub fn record(
         &mut self,
         now: Timestamp,
@@ -197,8 +201,8 @@
         }
     }
 
-    /// Which gateways are silent is evaluated now and then only: at each report, the effort would grow with the square of
-    /// the number of gateways.
+    /// Records that a gateway has reported. Silent gateways are determined only occasionally, because doing so for each
+    /// report would cost time quadratic in the number of gateways.
     fn report_received(&mut self, now: Timestamp, node_id: &str, live: &[String]) {
         let last_heard = self.last_heard.insert(node_id.to_owned(), now);
         let was_heard = last_heard.is_some_and(|at| now - at < GATEWAY_TIMEOUT);
@@ -225,7 +229,7 @@
         }
         let allowance = self.tolerance.allowance(rate_limit);
         let capacity = rate_limit.burst + allowance;
-        let initial_tokens = INITIAL_TOLERANCE / TOLERANCE_IN_BUCKET * allowance;
+        let initial_tokens = INITIAL_TOLERANCE_FRACTION / BUCKET_TOLERANCE_FRACTION * allowance;
         let equal_share = 1.0 / self.live_count.max(1) as f64;
         let new_bucket = || TenantBucket::new(now, initial_tokens);
         let bucket = self.tenants.entry(usage.tenant.clone()).or_insert_with(new_bucket);
@@ -234,8 +238,8 @@
         gateway.update(now, usage, report.is_mid_period);
         let share_of =
             |node_id: &String| bucket.gateways.get(node_id).map_or(equal_share, |gateway| gateway.share);
-        let heard_share = (1.0 - self.silent_gateways.iter().map(share_of).sum::<f64>()).max(0.0);
-        bucket.fill(now, rate_limit.rate * heard_share, f64::from(usage.returned), capacity);
+        let reachable_share = (1.0 - self.silent_gateways.iter().map(share_of).sum::<f64>()).max(0.0);
+        bucket.fill(now, rate_limit.rate * reachable_share, f64::from(usage.returned), capacity);
         let granted = bucket.grant(usage, capacity);
         let offered = bucket.sum_of_recent_periods(now, |gateway| gateway.offered);
         let forwarded = bucket.sum_of_recent_periods(now, |gateway| gateway.forwarded);
@@ -253,7 +257,7 @@
         }
     }
 
-    /// Forgets tenants that nobody reports, and gateways that are gone.
+    /// Removes tenants that no gateway reports, and gateways that are gone.
     pub fn expire(&mut self, now: Timestamp) {
         self.tenants.retain(|_, bucket| {
             bucket.expire_gateways(now);
@@ -262,12 +266,12 @@
         self.last_heard.retain(|_, at| now - *at < GRANT_EXPIRY);
     }
 
-    /// The number of tenants that are counted.
+    /// The number of tenants that are tracked.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Whether no tenant is counted.
+    /// Whether no tenant is tracked.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
--- a/crates/coordination/src/usage/tests.rs
+++ b/crates/coordination/src/usage/tests.rs
@@ -1,4 +1,4 @@
-//! Totals and grants over several gateways.
+//! Totals and grants across several gateways.
 
 use super::*;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn totals_are_of_each_gateways_newest_period_and_reports_mid_period_add_nothing() {
+fn totals_cover_each_gateways_newest_period_and_ignore_mid_period_reports() {
     let rate_limit = |_: &str| Some(RateLimit { rate: 10.0, burst: 10.0 });
     let mut counts = UsageCounts::new(TOLERANCE);
     counts.record(at(0), &report("g0", 10, 0, false), &live(2), rate_limit);
@@ -38,10 +38,10 @@
     assert!(counts.is_empty());
 }
 
-/// Whoever asks for whatever: what is granted in any window fits the limit and the tolerance; a gateway that is not heard
-/// has its share left to it.
+/// Grants to gateways with random requests stay within the limit plus the tolerance in every window. The shares of
+/// silent gateways are not granted to others.
 #[test]
-fn grants_fit_the_limit_in_every_window() {
+fn grants_stay_within_the_limit_in_every_window() {
     const LIMIT: RateLimit = RateLimit { rate: 40.0, burst: 40.0 };
     for silent in [0u64, 4] {
         let mut rng = oorandom::Rand64::new(u128::from(silent));
@@ -58,7 +58,7 @@
             let within = granted.iter().filter(|(at, _)| (end - 5_000..end).contains(at));
             let sum = f64::from(within.map(|(_, number)| *number).sum::<u32>());
             assert!(sum <= rate * 5.0 + LIMIT.burst + TOLERANCE.allowance(LIMIT) + 1.0, "{sum}");
-            assert!(end < 10_000 || sum >= rate * 5.0 - 2.0, "{sum} only");
+            assert!(end < 10_000 || sum >= rate * 5.0 - 2.0, "only {sum} granted");
         }
     }
 }
