--- a/crates/config/src/change_request/mod.rs
+++ b/crates/config/src/change_request/mod.rs
@@ -1,12 +1,12 @@
-//! Operators' changes as JSON: parsed, and each item checked by itself.
+//! Parses operators' change requests from JSON and checks each item on its own.
 //!
-//! A change is an object with tables of items to set (`deliver`) and lists of items to remove (`withdraw`); its schema
-//! is `schema/configuration.json`.
+//! A change request is an object with tables of items to set (`deliver`) and lists of items to remove (`withdraw`). Its
+//! schema is `schema/configuration.json`.
 
 mod schema;
 pub(crate) mod tables;
 
-use crate::error::{InvalidJsonSnafu, LayoutSnafu, ValidationError};
+use crate::error::{InvalidJsonSnafu, InvalidStructureSnafu, ValidationError};
 use crate::item::{Item, Kind};
 use crate::item_json::{parse_value, RouteJson};
 use crate::model::{Limits, Service, Tenant};
@@ -21,21 +21,22 @@
 
 pub use schema::SchemaValidator;
 
-/// A latency target may lie above the deadline by less than this. Milliseconds.
+/// A route's latency target must exceed its deadline by less than this many milliseconds.
 const MAX_TARGET_ABOVE_DEADLINE_MS: f64 = 60_000.0;
 
-/// Parses an operator's change, and checks each of its items by itself; [`validate`](crate::validate()) does the rest.
-/// Items that are set come first, then those that are removed. The body's length is for the caller to bound.
+/// Parses a change request and checks each item on its own. [`validate`](crate::validate()) checks the items against
+/// the rest of the configuration. The result lists the items to set first, then the items to remove. The caller must
+/// limit the length of `body`.
 ///
 /// # Errors
-/// Where the change cannot be parsed completely, or an item is wrong by itself.
+/// If the request cannot be parsed completely or contains an invalid item.
 pub fn parse_change_request(
     schema_validator: &SchemaValidator,
     body: &[u8],
 ) -> Result<Vec<Item>, ValidationError> {
     let mut change: Value = serde_json::from_slice(body).context(InvalidJsonSnafu)?;
-    schema_validator.check_layout(&change)?;
-    let mut parser = ChangeParser { schema_validator, items: Vec::new() };
+    schema_validator.check_structure(&change)?;
+    let mut parser = ChangeRequestParser { schema_validator, items: Vec::new() };
     for table in TABLES {
         if let Some(rows) = change.pointer_mut(&format!("/deliver/{}", table.name)) {
             parser.add_table(table, rows)?;
@@ -50,14 +51,14 @@
     Ok(parser.items)
 }
 
-struct ChangeParser<'a> {
+struct ChangeRequestParser<'a> {
     schema_validator: &'a SchemaValidator,
-    /// What was parsed so far.
+    /// The items parsed so far.
     items: Vec<Item>,
 }
 
-impl ChangeParser<'_> {
-    /// Adds the items that a table sets.
+impl ChangeRequestParser<'_> {
+    /// Adds the items from a table of items to set.
     fn add_table(
         &mut self,
         table: &'static ItemTable,
@@ -70,17 +71,16 @@
             let fields = row.as_array_mut().map(std::mem::take).unwrap_or_default();
             if fields.len() != headings.len() {
                 let reason = format!("{} fields for {} headings", fields.len(), headings.len());
-                let at = format!("deliver.{}.entries.{index}", table.name);
-                return LayoutSnafu { at, reason }.fail();
+                let path = format!("deliver.{}.entries.{index}", table.name);
+                return InvalidStructureSnafu { path, reason }.fail();
             }
             let object = without_nulls(headings.iter().cloned().zip(fields));
             let item = self.parse_item(table.kind, table.name, object)?;
-            self.add(&mut positions, table.name, item)?;
+            self.add_unique(&mut positions, table.name, item)?;
         }
         Ok(())
     }
 
-    /// Adds the limits.
     fn add_limits(&mut self, limits: &Map<String, Value>) -> Result<(), ValidationError> {
         let object = without_nulls(limits.clone());
         let item = self.parse_item(Kind::Limits, LIMITS_KEY, object)?;
@@ -88,7 +88,7 @@
         Ok(())
     }
 
-    /// Adds the items that a list removes.
+    /// Adds the tombstones from a list of items to remove.
     fn add_removals(&mut self, table: &'static ItemTable, list: &Value) -> Result<(), ValidationError> {
         let mut positions = BTreeMap::new();
         for removal in list.as_array().into_iter().flatten() {
@@ -96,14 +96,15 @@
             let name = removal["name"].as_str().unwrap_or_default();
             let version = parse_version(table.name, name, &removal["edition"])?;
             let item = Item { kind: table.kind, name: Arc::from(name), version, value: None };
-            self.add(&mut positions, table.name, item)?;
+            self.add_unique(&mut positions, table.name, item)?;
         }
         Ok(())
     }
 
-    /// Adds an item. The same item twice counts once; two that differ leave open which one is meant. `positions` are
-    /// those of the same list's items in `self.items`, by name.
-    fn add(
+    /// Adds an item unless the list already contained an identical one. Rejects a different item with the same name,
+    /// since the request would be ambiguous. `positions` maps the names of the list's items to their positions in
+    /// `self.items`.
+    fn add_unique(
         &mut self,
         positions: &mut BTreeMap<Arc<str>, usize>,
         list: &'static str,
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Checks and parses an item that is set, its null fields left out.
+    /// Checks and parses an item to set. `object` must contain no null fields.
     fn parse_item(
         &self,
         kind: Kind,
@@ -135,21 +136,21 @@
         let version = parse_version(list, name, &object["edition"])?;
         let value = encode_value(kind, &object)?;
         let item = Item { kind, name: Arc::from(name), version, value: Some(value) };
-        check_readable(list, &item)?;
+        check_semantics(list, &item)?;
         Ok(item)
     }
 }
 
-/// A table's headings, which must be distinct.
+/// Returns the headings of a table; they must be unique.
 fn parse_headings(table: &ItemTable, table_json: &Value) -> Result<Vec<String>, ValidationError> {
     let to_text = |heading: &Value| heading.as_str().unwrap_or_default().to_owned();
     let headings: Vec<String> =
         table_json["headings"].as_array().into_iter().flatten().map(to_text).collect();
     let mut seen = BTreeSet::new();
     if let Some(duplicate) = headings.iter().find(|heading| !seen.insert(*heading)) {
-        let at = format!("deliver.{}.headings", table.name);
+        let path = format!("deliver.{}.headings", table.name);
         let reason = format!("\"{}\" is there twice", quoted(duplicate));
-        return LayoutSnafu { at, reason }.fail();
+        return InvalidStructureSnafu { path, reason }.fail();
     }
     Ok(headings)
 }
@@ -158,7 +159,7 @@
     fields.into_iter().filter(|(_, value)| !value.is_null()).collect()
 }
 
-/// Parses a version as operators write it: "r" and a number.
+/// Parses a version in the operators' notation: "r" followed by a decimal number.
 fn parse_version(list: &'static str, name: &str, version: &Value) -> Result<u64, ValidationError> {
     let digits = version.as_str().and_then(|text| text.strip_prefix('r'));
     match digits.filter(|digits| digits.bytes().all(|byte| byte.is_ascii_digit())).map(str::parse) {
@@ -167,8 +168,8 @@
     }
 }
 
-/// The value of an item: its fields without name and version, sorted, so that the same content has the same bytes
-/// whatever order its headings came in. (The limits have no name; a field of that name is content.)
+/// Encodes an item's fields, except its name and version, as its value. Keys are sorted so that the encoding does not
+/// depend on the order of the headings. The limits have no name, so their `name` field, if any, is part of the value.
 fn encode_value(kind: Kind, object: &Value) -> Result<Bytes, ValidationError> {
     let fields = object.as_object().into_iter().flatten();
     let is_content = |key: &str| key != "edition" && (key != "name" || kind == Kind::Limits);
@@ -177,10 +178,10 @@
     Ok(Bytes::from(json))
 }
 
-/// Checks what the schema cannot express. An item that the schema allows and that a data plane could not parse would be
-/// in force and have no effect.
-fn check_readable(list: &'static str, item: &Item) -> Result<(), ValidationError> {
-    let is_readable = match item.kind {
+/// Checks the constraints that the schema cannot express. Also rejects items that the data plane could not parse: they
+/// would be stored and acknowledged, but have no effect.
+fn check_semantics(list: &'static str, item: &Item) -> Result<(), ValidationError> {
+    let is_parseable = match item.kind {
         Kind::Route => match parse_value(item, Kind::Route) {
             Some(route) => {
                 check_route(&item.name, &route)?;
@@ -192,13 +193,13 @@
         Kind::Service => Service::from_item(item).is_some(),
         _ => Limits::from_item(item).is_some(),
     };
-    if !is_readable {
+    if !is_parseable {
         return reject_item(list, &item.name, "item", "cannot be read");
     }
     Ok(())
 }
 
-/// What the schema cannot express of a route.
+/// Checks the constraints on a route that the schema cannot express.
 fn check_route(name: &str, route: &RouteJson) -> Result<(), ValidationError> {
     let list = ROUTES.name;
     if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') {
@@ -210,7 +211,7 @@
     }
     match &route.weighted_services {
         Some(weighted_services) => {
-            // Were the sum infinite, each weight would be a share of 0.
+            // With an infinite sum, every service's share of the requests would be 0.
             let sum: f64 = weighted_services.iter().map(|weighted| weighted.weight).sum();
             if sum <= 0.0 || !sum.is_finite() {
                 return reject_item(list, name, "share-list", "the shares' sum is 0 or beyond counting");
--- a/crates/config/src/change_request/schema.rs
+++ b/crates/config/src/change_request/schema.rs
@@ -1,17 +1,17 @@
-//! The JSON schema of changes, compiled.
+//! Validates change requests against the JSON schema.
 
 use super::tables::LIMITS_KEY;
-use crate::error::{InvalidItemSnafu, LayoutSnafu, ValidationError};
+use crate::error::{InvalidItemSnafu, InvalidStructureSnafu, ValidationError};
 use crate::item::Kind;
 use jsonschema::{ValidationError as SchemaError, Validator};
 use serde_json::{json, Value};
 
 const SCHEMA: &str = include_str!("../../schema/configuration.json");
 
-/// What an error quotes is cut here, so that a huge name makes no huge log line. Characters.
+/// Text quoted in errors is truncated to this many characters, so that a huge name does not produce a huge log line.
 const MAX_QUOTED_CHARS: usize = 200;
 
-/// The compiled schema. Compiling takes a few milliseconds: make one, and reuse it.
+/// The compiled JSON schema. Compilation takes a few milliseconds, so instances should be reused.
 #[derive(Debug)]
 pub struct SchemaValidator {
     change: Validator,
@@ -32,7 +32,7 @@
     /// Compiles the schema.
     ///
     /// # Panics
-    /// If the built-in schema is not valid, which the tests rule out.
+    /// If the embedded schema is invalid; tests ensure that it is valid.
     pub fn new() -> SchemaValidator {
         let schema: Value = serde_json::from_str(SCHEMA).expect("the schema is JSON");
         let definition = |name: &str| {
@@ -50,22 +50,22 @@
         }
     }
 
-    /// Checks the structure around the items. An unknown table is an error, as its items would be acknowledged and
-    /// lost.
-    pub(super) fn check_layout(&self, change: &Value) -> Result<(), ValidationError> {
+    /// Checks the structure of a change request outside its items. Rejects unknown tables, since their items would be
+    /// acknowledged and then lost.
+    pub(super) fn check_structure(&self, change: &Value) -> Result<(), ValidationError> {
         self.change.validate(change).map_err(|error| {
             let SchemaViolation { path, reason } = SchemaViolation::new(&error);
-            let at = if path.is_empty() { "call".to_owned() } else { path };
-            LayoutSnafu { at, reason }.build()
+            let path = if path.is_empty() { "call".to_owned() } else { path };
+            InvalidStructureSnafu { path, reason }.build()
         })
     }
 
-    /// Checks the removal of an item in this table.
+    /// Checks a request to remove an item of `table`.
     pub(super) fn check_removal(&self, table: &'static str, removal: &Value) -> Result<(), ValidationError> {
         check(&self.removal, table, removal)
     }
 
-    /// Checks an item of a kind that operators set.
+    /// Checks an item to set. `kind` must be one that operators can set.
     pub(super) fn check_item(
         &self,
         kind: Kind,
@@ -83,7 +83,7 @@
 }
 
 fn check(validator: &Validator, table: &'static str, object: &Value) -> Result<(), ValidationError> {
-    // `is_valid` is several times faster than `validate`, which is only for the message.
+    // `is_valid` is several times faster than `validate`, which is only needed for the error message.
     if validator.is_valid(object) {
         return Ok(());
     }
@@ -94,9 +94,9 @@
     })
 }
 
-/// What violates the schema, and where. The value itself stays out: it may be a tenant's key.
+/// A schema violation. It does not include the invalid value, which may be a tenant's API key.
 struct SchemaViolation {
-    /// Dotted; "" for the object that was checked.
+    /// The dotted path of the invalid field; empty for the checked object itself.
     path: String,
     reason: String,
 }
@@ -108,12 +108,12 @@
     }
 }
 
-/// The start of a text, short enough to be quoted.
+/// Truncates text for quoting in an error message.
 pub(super) fn quoted(text: &str) -> String {
     text.chars().take(MAX_QUOTED_CHARS).collect()
 }
 
-/// An error about one item.
+/// Returns an error for an invalid item.
 pub(super) fn reject_item<T>(
     list: &'static str,
     name: &str,
--- a/crates/config/src/change_request/tables.rs
+++ b/crates/config/src/change_request/tables.rs
@@ -1,16 +1,16 @@
-//! The tables of a change and of the configuration that is read back, under the names that operators use.
+//! The tables of change requests and of configuration responses, with the names used in the operator API.
 
 use crate::item::Kind;
 
-/// The key of the limits, which are a single object and no table.
+/// The JSON key of the limits, which are a single object rather than a table.
 pub(crate) const LIMITS_KEY: &str = "weight-limits";
 
 /// A table of items of one kind.
 pub(crate) struct ItemTable {
     pub kind: Kind,
-    /// Its key in the JSON, also named by errors.
+    /// The JSON key; also used in error messages.
     pub name: &'static str,
-    /// The headings that are always read back, in this order; others follow them in alphabetical order.
+    /// The headings that configuration responses always contain, in this order. Any others follow alphabetically.
     pub headings: &'static [&'static str],
 }
 
@@ -46,5 +46,5 @@
     headings: &["name", "checkpoint", "berth-cap", "gauge", "seal", "cold-s", "cold-rate-s", "edition"],
 };
 
-/// All tables, in the order in which a change is read.
+/// All tables, in the order in which a change request is processed.
 pub(crate) static TABLES: [&ItemTable; 3] = [&ROUTES, &TENANTS, &SERVICES];
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The items in force as JSON, for operators to read back.
+//! Encodes the active configuration as JSON for operators.
 
 use crate::change_request::tables::{ItemTable, ROUTES, SERVICES, TENANTS};
 use crate::item::{Item, Kind};
@@ -8,39 +8,39 @@
 use serde_json::{json, Map, Value};
 use std::collections::BTreeSet;
 
-/// The operators' items that are in force at one moment. It shares names and values with the store that it was taken
-/// of, so taking it is cheap, and it may be encoded later and on another thread.
+/// A snapshot of the active items that operators manage. It shares names and values with the item store, so creating it
+/// is cheap, and it can be encoded later or on another thread.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConfigurationSnapshot {
-    /// By kind, then by name.
+    /// Grouped by kind, then sorted by name.
     items: Vec<Item>,
 }
 
 impl ConfigurationSnapshot {
-    /// What is in force in this store.
+    /// Takes a snapshot of the active items in the store.
     pub fn new(item_store: &ItemStore) -> ConfigurationSnapshot {
         let kinds = [ROUTES.kind, TENANTS.kind, SERVICES.kind, Kind::Limits];
         let items = kinds.into_iter().flat_map(|kind| item_store.items_of(kind));
         ConfigurationSnapshot { items: items.filter(|item| item.is_set()).cloned().collect() }
     }
 
-    /// About how many bytes its JSON has.
+    /// The approximate size of the JSON encoding in bytes.
     pub fn estimated_json_bytes(&self) -> usize {
         self.items.iter().map(Item::max_wire_bytes).sum()
     }
 
-    /// As JSON: the three tables, rows by name, and the limits if there are any.
+    /// Encodes the three tables, with rows sorted by name, and the limits if they are set.
     ///
     /// # Panics
-    /// Never: all keys are strings.
+    /// Never, since all keys are strings.
     pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(&self.tables()).expect("keys are strings")
     }
 
-    /// As [`ConfigurationSnapshot::to_json`], as a change that sets all items in force.
+    /// Like [`ConfigurationSnapshot::to_json`], but encoded as a change request that sets all the items.
     ///
     /// # Panics
-    /// Never: all keys are strings.
+    /// Never, since all keys are strings.
     pub fn to_change_request(&self) -> Vec<u8> {
         let change = ChangeRequestJson { set: self.tables() };
         serde_json::to_vec(&change).expect("keys are strings")
@@ -56,19 +56,21 @@
     }
 
     fn table(&self, table: &ItemTable) -> TableJson<'_> {
-        let is_of_table = |item: &&Item| item.kind == table.kind;
-        let items: Vec<&Item> = self.items.iter().filter(is_of_table).collect();
+        let is_in_table = |item: &&Item| item.kind == table.kind;
+        let items: Vec<&Item> = self.items.iter().filter(is_in_table).collect();
         let known: BTreeSet<&str> = table.headings.iter().copied().collect();
-        let mut others = BTreeSet::new();
+        let mut unknown = BTreeSet::new();
         for object in items.iter().filter_map(|item| fields(item)) {
-            others.extend(object.into_iter().map(|(key, _)| key).filter(|key| !known.contains(key.as_str())));
+            unknown
+                .extend(object.into_iter().map(|(key, _)| key).filter(|key| !known.contains(key.as_str())));
         }
-        let headings: Vec<String> = table.headings.iter().copied().map(str::to_owned).chain(others).collect();
+        let headings: Vec<String> =
+            table.headings.iter().copied().map(str::to_owned).chain(unknown).collect();
         TableJson { rows: RowsJson { headings: headings.clone(), items }, headings }
     }
 }
 
-/// The items in force. The fields are written in this order.
+/// The active configuration. Fields are serialized in this order.
 #[derive(Serialize)]
 struct ConfigurationJson<'a> {
     #[serde(rename = "itineraries")]
@@ -88,8 +90,8 @@
     rows: RowsJson<'a>,
 }
 
-/// The rows of a table, each made when it is written: all of them at once, as values, would take many times the bytes of
-/// their text, and a table may have a hundred thousand.
+/// The rows of a table, each built only when it is serialized. A table may have a hundred thousand rows, and as
+/// [`Value`]s they would take many times the memory of their JSON text.
 struct RowsJson<'a> {
     headings: Vec<String>,
     items: Vec<&'a Item>,
@@ -115,7 +117,7 @@
     set: ConfigurationJson<'a>,
 }
 
-/// The fields of an item in force, its version among them; `None` for one that cannot be parsed.
+/// The fields of an active item, including its version; `None` if its value cannot be parsed.
 fn fields(item: &Item) -> Option<Map<String, Value>> {
     let mut object: Map<String, Value> = parse_value(item, item.kind)?;
     object.insert("edition".to_owned(), json!(format!("r{}", item.version)));
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,46 +1,46 @@
-//! Why an operator's change is invalid. Operators read these texts, and name things as the change does: a customer is
-//! a tenant, an itinerary a route, a carrier-line a service, a permit a key, and an edition a version.
+//! Validation errors of change requests. Operators see the messages, so these use the names of the JSON format:
+//! customer for tenant, itinerary for route, carrier-line for service, permit for API key, and edition for version.
 
 use snafu::Snafu;
 use std::sync::Arc;
 
-/// Why a change is invalid. Nothing of such a change may be applied.
+/// The reason why a change request is invalid. No part of an invalid change request may be applied.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ValidationError {
-    /// The change is not JSON.
+    /// The change request is not valid JSON.
     #[snafu(display("the call is not whole JSON: {source}"))]
     InvalidJson {
-        /// The parser's error.
+        /// The JSON parser's error.
         source: serde_json::Error,
     },
 
-    /// The structure around the items is wrong.
-    #[snafu(display("{at}: {reason}"))]
-    Layout {
-        /// The dotted path to what is wrong.
-        at: String,
-        /// What is wrong there.
+    /// The structure of the change request outside its items is invalid.
+    #[snafu(display("{path}: {reason}"))]
+    InvalidStructure {
+        /// The dotted path of the invalid element.
+        path: String,
+        /// The reason why it is invalid.
         reason: String,
     },
 
-    /// An item is wrong by itself.
+    /// An item is invalid on its own.
     #[snafu(display("{list} \"{name}\": {field}: {reason}"))]
     InvalidItem {
-        /// The table or list that the item is in.
+        /// The table or list that contains the item.
         list: &'static str,
         /// The item's name.
         name: String,
-        /// The field, or "item" where it is no single field.
+        /// The invalid field, or "item" if the error does not concern a single field.
         field: String,
-        /// What is wrong with it.
+        /// The reason why it is invalid.
         reason: String,
     },
 
-    /// Two tenants share a key. The key stays out of the message: it is a secret, and messages go to logs.
+    /// Two tenants have the same API key. The message omits the key, since it is a secret and messages are logged.
     #[snafu(display("customers \"{name}\": permits: one is also a permit of \"{other}\""))]
     SharedKey {
-        /// The tenant that the change sets.
+        /// The tenant in the change request.
         name: Arc<str>,
         /// The other tenant.
         other: Arc<str>,
@@ -49,13 +49,13 @@
     /// Two routes have the same host and path prefix.
     #[snafu(display("itineraries \"{name}\": depot and lane-prefix are those of \"{other}\""))]
     DuplicateRoute {
-        /// The route that the change sets.
+        /// The route in the change request.
         name: Arc<str>,
         /// The other route.
         other: Arc<str>,
     },
 
-    /// A route names a service that does not exist.
+    /// A route refers to a service that does not exist.
     #[snafu(display("itineraries \"{name}\": line: there is no carrier-line \"{service}\""))]
     UnknownService {
         /// The route.
@@ -64,7 +64,7 @@
         service: String,
     },
 
-    /// A service is removed that a route names.
+    /// The change request removes a service that a route still refers to.
     #[snafu(display("carrier-lines \"{service}\": withdrawn, but itinerary \"{name}\" names it"))]
     ServiceInUse {
         /// The service.
--- a/crates/config/src/host.rs
+++ b/crates/config/src/host.rs
@@ -1,14 +1,14 @@
-//! Hosts as they are compared: in lower case and without a port.
+//! Normalizes host names for comparison.
 
 use smallvec::SmallVec;
 
-/// A host in lower case and without a port; most need no allocation.
+/// A host name in lower case and without a port. Most fit inline, without an allocation.
 pub type NormalizedHost = SmallVec<[u8; 64]>;
 
-/// The key of a route's host, or of the host that a request names.
+/// Converts a host name, from a route or from a request, to lower case and removes its port.
 pub fn normalize_host(host: &[u8]) -> NormalizedHost {
     let colon = host.iter().rposition(|byte| *byte == b':');
-    // In "[::1]" the last colon begins no port.
+    // The last colon in "[::1]" is part of the address and does not start a port.
     let port_start = colon.filter(|at| host[at + 1..].iter().all(u8::is_ascii_digit));
     host[..port_start.unwrap_or(host.len())].iter().map(u8::to_ascii_lowercase).collect()
 }
--- a/crates/config/src/item_json.rs
+++ b/crates/config/src/item_json.rs
@@ -1,7 +1,7 @@
-//! The JSON form of items' values. The keys are the settings' own words and part of what operators send and what is
-//! stored and hashed; here alone they meet the names that the code uses.
+//! The JSON representation of item values. This module maps the JSON keys to the names used in the code. The keys must
+//! not change, since they are part of the operator API and of stored and hashed values.
 //!
-//! Numbers are all read as `f64`, since 3000.0 is as good as 3000; `as` then saturates those that are too great.
+//! All numbers are parsed as `f64`, so that 3000.0 is accepted as well as 3000. Conversions with `as` saturate.
 
 use crate::item::{Item, Kind};
 use serde::Deserialize;
@@ -9,8 +9,8 @@
 use std::ops::Deref;
 use std::sync::Arc;
 
-/// A string, borrowed where it has no escapes. A type of its own because serde copies a `Cow` inside a list or an
-/// option.
+/// A string that is borrowed unless it contains escapes. A newtype is needed because serde always copies a `Cow` nested
+/// in a list or an option.
 #[derive(Deserialize, PartialEq, Eq, Hash)]
 #[serde(transparent)]
 pub(crate) struct JsonStr<'a>(#[serde(borrow)] Cow<'a, str>);
@@ -23,7 +23,7 @@
     }
 }
 
-/// A route's value.
+/// The value of a route.
 #[derive(Deserialize)]
 pub(crate) struct RouteJson<'a> {
     #[serde(rename = "depot", borrow)]
@@ -51,14 +51,14 @@
 }
 
 impl RouteJson<'_> {
-    /// The names of all services that the route mentions.
+    /// The names of all services that the route refers to.
     pub(crate) fn service_names(&self) -> impl Iterator<Item = &str> {
         let weighted = self.weighted_services.iter().flatten().map(|weighted| &*weighted.service);
         weighted.chain(self.service.as_deref())
     }
 }
 
-/// A service with the share of a route's requests that it gets.
+/// A service and its weight, which determines its share of a route's requests.
 #[derive(Deserialize)]
 pub(crate) struct WeightedServiceJson<'a> {
     #[serde(rename = "line", borrow)]
@@ -67,7 +67,7 @@
     pub weight: f64,
 }
 
-/// How a route's requests may be treated.
+/// Whether a route's requests may be processed more than once. See [`RequestSafety`](crate::RequestSafety).
 #[derive(Deserialize)]
 pub(crate) enum SafetyJson {
     #[serde(rename = "safe")]
@@ -78,7 +78,7 @@
     Keyed,
 }
 
-/// A tenant's value.
+/// The value of a tenant.
 #[derive(Deserialize)]
 pub(crate) struct TenantJson {
     #[serde(rename = "permits")]
@@ -93,14 +93,14 @@
     pub home_regions: Option<Vec<Arc<str>>>,
 }
 
-/// A tenant's keys alone, for validating many tenants fast.
+/// Only the API keys of a tenant, for fast validation of many tenants.
 #[derive(Deserialize)]
 pub(crate) struct TenantKeysJson<'a> {
     #[serde(rename = "permits", borrow, default)]
     pub keys: Vec<JsonStr<'a>>,
 }
 
-/// A service's value.
+/// The value of a service.
 #[derive(Deserialize)]
 pub(crate) struct ServiceJson {
     #[serde(rename = "checkpoint")]
@@ -126,7 +126,7 @@
     pub idle_timeout_ms: Option<f64>,
 }
 
-/// Parses the value of an item of a kind; `None` if it is of another kind, removed, or cannot be parsed.
+/// Parses the value of an item. Returns `None` if the item is not of this kind, is removed, or cannot be parsed.
 pub(crate) fn parse_value<'a, T: Deserialize<'a>>(item: &'a Item, kind: Kind) -> Option<T> {
     let value = item.value.as_ref().filter(|_| item.kind == kind)?;
     serde_json::from_slice(value).ok()
--- a/crates/config/src/item_store/chunks.rs
+++ b/crates/config/src/item_store/chunks.rs
@@ -1,6 +1,8 @@
-//! What two stores differ in, in chunks: whole buckets, in order, as many as fit. A chunk is computed at once, so after
-//! merging it the receiver holds all that the sender held of these buckets then; buckets that were transferred before
-//! a connection broke are equal afterwards and not sent again.
+//! Transfers the differences between two stores in chunks.
+//!
+//! A chunk covers consecutive whole buckets, as many as fit. It is computed from a single state of the sender's store, so
+//! after merging it the receiver has all items that these buckets contained at that time. If a connection breaks,
+//! the buckets that were already transferred have equal hashes and are not sent again.
 
 use super::hashes::{digest_of_hashes, BucketHashes};
 use super::stored_item::StoredItem;
@@ -8,16 +10,16 @@
 use crate::item::Item;
 use crate::version_history::{ItemWithHistory, VersionDigest};
 
-/// One chunk: what differs in the buckets from the one that was asked for up to `next_bucket`.
+/// The differences in the buckets from the requested one up to, but not including, `next_bucket`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Chunk<T> {
-    /// All items of the covered buckets that differ.
+    /// All items in those covered buckets that differ.
     pub items: Vec<T>,
-    /// The first bucket that is not covered; [`BUCKET_COUNT`] when all are.
+    /// The first bucket that the chunk does not cover; [`BUCKET_COUNT`] if this is the last chunk.
     pub next_bucket: usize,
-    /// A bitmap of the covered buckets that differ; empty if none does.
+    /// A bitmap of the covered buckets that differ; empty if none do.
     pub differing_buckets: Vec<u8>,
-    /// Over the sender's hashes of the covered buckets.
+    /// The digest of the sender's hashes of the covered buckets.
     pub digest: u64,
 }
 
@@ -29,8 +31,8 @@
     bitmap[bucket / 8] |= 1 << (bucket % 8);
 }
 
-/// What [`Chunk::digest`] must be if a chunk was received completely: `received` are the hashes of a store that holds
-/// the chunk's items and nothing else, `requested` those that the chunk was computed against.
+/// Computes the expected [`Chunk::digest`] of a completely received chunk. `received` are the bucket hashes of a store
+/// that contains only the chunk's items. `requested` are the bucket hashes that the chunk was computed against.
 pub fn chunk_digest(
     received: &[u64; BUCKET_COUNT],
     requested: &[u64],
@@ -50,26 +52,27 @@
 }
 
 impl ItemStore {
-    /// The items of buckets that differ from another store's, from a bucket on: whole buckets of at most `max_bytes`
-    /// in all, but at least one that differs. A bucket that `their_hashes` is too short for differs.
-    pub fn chunk(&self, their_hashes: &[u64], from_bucket: usize, max_bytes: usize) -> Chunk<&Item> {
-        self.chunk_by(&self.bucket_hashes, their_hashes, from_bucket, max_bytes, |stored| &stored.item)
+    /// Returns the items in the buckets that differ from a peer's, starting at `from_bucket`. The chunk contains whole
+    /// buckets of at most `max_bytes` in total, but at least one differing bucket if there is any. Buckets missing from
+    /// `peer_hashes` are treated as different.
+    pub fn chunk(&self, peer_hashes: &[u64], from_bucket: usize, max_bytes: usize) -> Chunk<&Item> {
+        self.chunk_by(&self.bucket_hashes, peer_hashes, from_bucket, max_bytes, |stored| &stored.item)
     }
 
-    /// As [`ItemStore::chunk`], by [`ItemStore::history_bucket_hashes`] and with the older versions.
+    /// Like [`ItemStore::chunk`], but includes older versions and compares [`ItemStore::history_bucket_hashes`].
     pub fn history_chunk(
         &self,
-        their_hashes: &[u64],
+        peer_hashes: &[u64],
         from_bucket: usize,
         max_bytes: usize,
     ) -> Chunk<ItemWithHistory<'_>> {
-        self.chunk_by(&self.history_bucket_hashes, their_hashes, from_bucket, max_bytes, StoredItem::entry)
+        self.chunk_by(&self.history_bucket_hashes, peer_hashes, from_bucket, max_bytes, StoredItem::entry)
     }
 
     fn chunk_by<'a, T>(
         &'a self,
         own_hashes: &BucketHashes,
-        their_hashes: &[u64],
+        peer_hashes: &[u64],
         from_bucket: usize,
         max_bytes: usize,
         to_content: impl Fn(&'a StoredItem) -> T,
@@ -80,7 +83,7 @@
         let (mut next_bucket, mut bytes) = (from_bucket, 0);
         let mut differing_buckets = vec![0; BUCKET_COUNT / 8];
         while next_bucket < BUCKET_COUNT {
-            if their_hashes.get(next_bucket) != Some(&own_hashes[next_bucket]) {
+            if peer_hashes.get(next_bucket) != Some(&own_hashes[next_bucket]) {
                 if bytes > 0 && bytes + bucket_bytes[next_bucket] > max_bytes {
                     break;
                 }
@@ -93,13 +96,13 @@
         let items = differing.map(to_content).collect();
         let digest = digest_of_hashes(own_hashes[from_bucket..next_bucket].iter().copied());
         if differing_buckets.iter().all(|byte| *byte == 0) {
-            // The usual case, which takes no bytes on the wire.
+            // An empty bitmap takes no space on the wire; usually no bucket differs.
             differing_buckets = Vec::new();
         }
         Chunk { items, next_bucket, differing_buckets, digest }
     }
 
-    /// The size of each bucket's content. Bytes.
+    /// The approximate encoded size of each bucket's items and older versions, in bytes.
     fn bucket_bytes(&self) -> [usize; BUCKET_COUNT] {
         let mut bucket_bytes = [0; BUCKET_COUNT];
         for stored in self.stored_items() {
--- a/crates/config/src/item_store/hashes.rs
+++ b/crates/config/src/item_store/hashes.rs
@@ -1,12 +1,12 @@
-//! Hashes by which replicas find out where their items differ. They are compared between processes and machines, so
-//! what is hashed, and in which order, never changes.
+//! Hashes that replicas compare to find out which of their items differ. Since processes of different releases compare
+//! them, the hashed fields and their order must never change.
 
 use super::BUCKET_COUNT;
 use crate::item::Item;
 use crate::version_history::VersionDigest;
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
-/// For each bucket, the xor of the hashes of its items; 0 for an empty bucket.
+/// The XOR of the item hashes in each bucket; 0 for an empty bucket.
 #[derive(Clone, Debug)]
 pub(super) struct BucketHashes(Box<[u64; BUCKET_COUNT]>);
 
@@ -15,7 +15,7 @@
         BucketHashes(Box::new([0; BUCKET_COUNT]))
     }
 
-    /// Adds an item's hash to its bucket, or takes it out again.
+    /// Adds an item's hash to a bucket, or removes it if it was added before.
     pub(super) fn toggle(&mut self, bucket: usize, hash: u64) {
         self.0[bucket] ^= hash;
     }
@@ -24,19 +24,19 @@
         &self.0
     }
 
-    /// One number for all buckets.
+    /// A digest of all bucket hashes.
     pub(super) fn digest(&self) -> u64 {
         digest_of_hashes(self.0.iter().copied())
     }
 }
 
-/// One number for a sequence of hashes.
+/// Computes a digest of a sequence of hashes.
 pub(super) fn digest_of_hashes(hashes: impl Iterator<Item = u64>) -> u64 {
     let bytes: Vec<u8> = hashes.flat_map(u64::to_le_bytes).collect();
     xxh3_64(&bytes)
 }
 
-/// The hash of an item's newest version.
+/// Computes the hash of one version of an item.
 pub(super) fn item_hash(item: &Item) -> u64 {
     if item.is_removed_backend() {
         return 0;
@@ -50,7 +50,7 @@
     hasher.digest()
 }
 
-/// The hash of an item with its older versions; `item_hash` is that of the newest one.
+/// Computes the hash of an item including its older versions. `item_hash` is the hash of the newest version.
 pub(super) fn history_hash(item_hash: u64, older_versions: &[VersionDigest]) -> u64 {
     if older_versions.is_empty() {
         return item_hash;
@@ -64,7 +64,7 @@
     hasher.digest()
 }
 
-/// The bucket of an item: by kind and name alone, so that all versions of an item share one.
+/// Returns the bucket of an item. It depends only on kind and name, so all versions of an item are in the same bucket.
 pub(super) fn bucket_of(item: &Item) -> usize {
     let mut hasher = Xxh3::new();
     hasher.update(&[item.kind as u8]);
--- a/crates/config/src/item_store/mod.rs
+++ b/crates/config/src/item_store/mod.rs
@@ -1,4 +1,4 @@
-//! All known items, with hashes that tell where two stores differ.
+//! The store of all known items, with hashes for finding the differences between two stores.
 
 mod chunks;
 mod hashes;
@@ -14,32 +14,33 @@
 
 pub use chunks::{chunk_digest, Chunk};
 
-/// How many buckets the items are spread over for comparing stores. Both ends of a connection go by it.
+/// The number of hash buckets used to compare stores. Both ends of a connection must use the same number.
 pub const BUCKET_COUNT: usize = 256;
 
-/// All known items, removed ones as tombstones.
+/// The newest known version of every item; removed items are kept as tombstones.
 ///
-/// Invariant: without its tombstone a removed item would be brought back by a late copy of an old version. So the
-/// tombstone of a durable item is taken out only by [`ItemStore::purge`], when no such copy is left. Of backends the
-/// oldest tombstones are dropped ([`ItemStore::purge_oldest_tombstones`]): the platform's next report corrects what that brings
-/// back.
+/// Invariant: a tombstone is kept as long as an older version of its item may still arrive, which would otherwise
+/// restore the removed item. Tombstones of durable items are therefore removed only by [`ItemStore::purge`], once no
+/// copy of an older version is left. For backends the oldest tombstones are dropped
+/// ([`ItemStore::purge_oldest_tombstones`]); if a removed backend reappears, the platform's next report removes it.
 ///
-/// Items are merged one by one: the higher version wins; of equal versions that differ, the greater by (is set, bytes).
-/// So all replicas converge, in whatever order they learn of items. Consensus commits one content alone for a version of
-/// a durable item, so only backends ever need the second rule.
+/// When two versions of an item are merged, the higher version wins. Between different contents of the same version, a
+/// value wins over a tombstone and the greater value in byte order wins over the other. All replicas therefore converge,
+/// regardless of the order in which they receive items. The second rule is needed only for backends, since consensus
+/// commits a single content for each version of a durable item.
 ///
-/// Of durable items up to [`MAX_OLDER_VERSIONS`](crate::MAX_OLDER_VERSIONS) older committed versions are remembered by
-/// their digests, so that a repeated change is recognized. Data planes compare stores by the newest versions alone
-/// ([`ItemStore::bucket_hashes`]), control planes by the older ones too ([`ItemStore::history_bucket_hashes`]).
+/// For durable items, the digests of up to [`MAX_OLDER_VERSIONS`](crate::MAX_OLDER_VERSIONS) older committed versions
+/// are kept to detect repeated changes. Data planes compare only the newest versions ([`ItemStore::bucket_hashes`]),
+/// control planes also the older ones ([`ItemStore::history_bucket_hashes`]).
 #[derive(Clone, Debug)]
 pub struct ItemStore {
-    /// By kind (at its [`index_of`]), then by name.
+    /// The items by kind (see [`index_of`]) and name.
     items: [BTreeMap<Arc<str>, StoredItem>; Kind::ALL.len()],
-    /// By kind, as `items`.
+    /// The highest version seen of each kind, indexed like `items`.
     highest_versions: [u64; Kind::ALL.len()],
-    /// Over the newest versions.
+    /// Hashes of the newest versions.
     bucket_hashes: BucketHashes,
-    /// Over the newest versions and the older ones.
+    /// Hashes of the newest and the older versions.
     history_bucket_hashes: BucketHashes,
 }
 
@@ -55,7 +56,7 @@
 }
 
 impl ItemStore {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new() -> ItemStore {
         ItemStore {
             items: Default::default(),
@@ -65,12 +66,13 @@
         }
     }
 
-    /// Merges an item that another replica holds; whether that changed its newest version. An older one is remembered.
+    /// Merges an item received from another replica. Returns whether its newest version changed. If the item is older
+    /// than the known version, it is added to the older versions.
     pub fn merge(&mut self, item: Item) -> bool {
         self.merge_with_history(item, &[]) == MergeOutcome::NewestChanged
     }
 
-    /// Merges an item that another replica holds, and its older versions.
+    /// Merges an item and its older versions received from another replica.
     pub fn merge_with_history(&mut self, item: Item, older_versions: &[VersionDigest]) -> MergeOutcome {
         let index = index_of(item.kind);
         self.highest_versions[index] = self.highest_versions[index].max(item.version);
@@ -92,49 +94,51 @@
         }
     }
 
-    /// Whether an item of an operator's change has an effect: no version as high is known. To be asked before such an
-    /// item is merged, as `merge` lets one of two equal versions win where a change must have no effect.
+    /// Whether an item of a change request has an effect, which requires a higher version than the known one. Must be
+    /// checked before merging such an item: between equal versions `merge` picks a winner, but a change request must not
+    /// replace a version that is already known.
     pub fn is_newer(&self, item: &Item) -> bool {
         self.get(item.kind, &item.name).is_none_or(|known| known.version < item.version)
     }
 
-    /// Merges an item of an operator's change if its version is higher than the known one; whether it was.
+    /// Merges an item of a change request if its version is higher than the known one. Returns whether it was.
     pub fn apply(&mut self, item: Item) -> bool {
         self.is_newer(&item) && self.merge(item)
     }
 
-    /// How an item of a change compares with what is committed. Not for backends: their last report always wins.
+    /// Compares an item of a change request with the committed versions. Not for backends, for which the last report
+    /// always wins.
     pub fn version_status(&self, item: &Item) -> VersionStatus {
         let stored = self.items[index_of(item.kind)].get(&item.name);
         stored.map_or(VersionStatus::Undecided, |stored| stored.version_status(item))
     }
 
-    /// The item, be it set or removed.
+    /// Returns an item, which may be a tombstone.
     pub fn get(&self, kind: Kind, name: &str) -> Option<&Item> {
         self.items[index_of(kind)].get(name).map(|stored| &stored.item)
     }
 
-    /// The item with its older versions.
+    /// Returns an item, which may be a tombstone, with its older versions.
     pub fn entry(&self, kind: Kind, name: &str) -> Option<ItemWithHistory<'_>> {
         self.items[index_of(kind)].get(name).map(StoredItem::entry)
     }
 
-    /// The older versions of an item that are remembered, by ascending number.
+    /// Returns the known older versions of an item, by ascending version.
     pub fn older_versions(&self, kind: Kind, name: &str) -> &[VersionDigest] {
         self.items[index_of(kind)].get(name).map_or(&[], |stored| &stored.older_versions)
     }
 
-    /// The items of a kind, removed ones too, by name.
+    /// Returns all items of a kind, including tombstones, sorted by name.
     pub fn items_of(&self, kind: Kind) -> impl Iterator<Item = &Item> {
         self.items[index_of(kind)].values().map(|stored| &stored.item)
     }
 
-    /// All items, removed ones too, by kind and name.
+    /// Returns all items, including tombstones, sorted by kind and name.
     pub fn items(&self) -> impl Iterator<Item = &Item> {
         self.stored_items().map(|stored| &stored.item)
     }
 
-    /// All items with their older versions, by kind and name.
+    /// Returns all items, including tombstones, with their older versions, sorted by kind and name.
     pub fn entries(&self) -> impl Iterator<Item = ItemWithHistory<'_>> {
         self.stored_items().map(StoredItem::entry)
     }
@@ -143,73 +147,76 @@
         self.items.iter().flat_map(BTreeMap::values)
     }
 
-    /// How many items are known, removed ones too.
+    /// The number of items, including tombstones.
     pub fn len(&self) -> usize {
         self.items.iter().map(BTreeMap::len).sum()
     }
 
-    /// Whether no item is known.
+    /// Whether the store contains no items, not even tombstones.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The highest version known of a kind; 0 where there is none.
+    /// The highest version seen of any item of a kind; 0 if there was none.
     pub fn highest_version(&self, kind: Kind) -> u64 {
         self.highest_versions[index_of(kind)]
     }
 
-    /// One number for all newest versions: equal for equal stores, and different for others but for hash collisions.
+    /// A digest of all newest versions. Stores with equal contents have equal digests; stores with different contents
+    /// have different digests, barring hash collisions.
     pub fn digest(&self) -> u64 {
         self.bucket_hashes.digest()
     }
 
-    /// As [`ItemStore::digest`], over the older versions too.
+    /// Like [`ItemStore::digest`], but includes the older versions.
     pub fn history_digest(&self) -> u64 {
         self.history_bucket_hashes.digest()
     }
 
-    /// A hash over the newest versions of each bucket's items; 0 for an empty bucket.
+    /// The hash of each bucket over the newest versions of its items; 0 for an empty bucket.
     pub fn bucket_hashes(&self) -> &[u64; BUCKET_COUNT] {
         self.bucket_hashes.as_array()
     }
 
-    /// As [`ItemStore::bucket_hashes`], over the older versions too.
+    /// Like [`ItemStore::bucket_hashes`], but includes the older versions.
     pub fn history_bucket_hashes(&self) -> &[u64; BUCKET_COUNT] {
         self.history_bucket_hashes.as_array()
     }
 
-    /// The items in the buckets whose hash differs from another store's. A bucket that `their_hashes` is too short for
-    /// differs.
-    pub fn differing_items<'a>(&'a self, their_hashes: &'a [u64]) -> impl Iterator<Item = &'a Item> {
+    /// Returns the items in the buckets whose hash differs from a peer's. Buckets missing from `peer_hashes` are treated
+    /// as different.
+    pub fn differing_items<'a>(&'a self, peer_hashes: &'a [u64]) -> impl Iterator<Item = &'a Item> {
         let own_hashes = self.bucket_hashes();
         self.stored_items()
-            .filter(move |stored| their_hashes.get(stored.bucket) != Some(&own_hashes[stored.bucket]))
+            .filter(move |stored| peer_hashes.get(stored.bucket) != Some(&own_hashes[stored.bucket]))
             .map(|stored| &stored.item)
     }
 
-    /// As [`ItemStore::differing_items`], by [`ItemStore::history_bucket_hashes`] and with the older versions.
+    /// Like [`ItemStore::differing_items`], but includes older versions and compares
+    /// [`ItemStore::history_bucket_hashes`].
     pub fn differing_entries<'a>(
         &'a self,
-        their_hashes: &'a [u64],
+        peer_hashes: &'a [u64],
     ) -> impl Iterator<Item = ItemWithHistory<'a>> {
         let own_hashes = self.history_bucket_hashes();
         self.stored_items()
-            .filter(move |stored| their_hashes.get(stored.bucket) != Some(&own_hashes[stored.bucket]))
+            .filter(move |stored| peer_hashes.get(stored.bucket) != Some(&own_hashes[stored.bucket]))
             .map(StoredItem::entry)
     }
 
-    /// Purges an item's tombstone, if the newest version known of it is a removal with this number; whether it was.
+    /// Removes an item's tombstone if its version is `version`. Returns whether it did. Does nothing if the item is set
+    /// or has another version.
     pub fn purge(&mut self, kind: Kind, name: &str, version: u64) -> bool {
         let is_this_tombstone =
             self.get(kind, name).is_some_and(|item| !item.is_set() && item.version == version);
         if is_this_tombstone {
-            self.forget(kind, name);
+            self.remove(kind, name);
         }
         is_this_tombstone
     }
 
-    /// Purges the oldest tombstones of a kind where there are more than `max_tombstones`. Three quarters of that many
-    /// are left, so that this is rare. Only for kinds whose items are reported again.
+    /// Removes the oldest tombstones of a kind if there are more than `max_tombstones`. Keeps three quarters of that
+    /// number, so that purging is rare. Only for kinds whose items are reported again.
     pub fn purge_oldest_tombstones(&mut self, kind: Kind, max_tombstones: usize) {
         let items = &self.items[index_of(kind)];
         if items.len() <= max_tombstones {
@@ -224,12 +231,12 @@
         tombstones.sort();
         tombstones.truncate(tombstones.len() - max_tombstones * 3 / 4);
         for (_, name) in tombstones {
-            self.forget(kind, &name);
+            self.remove(kind, &name);
         }
     }
 
-    /// Takes an item out, with all that is known of it.
-    fn forget(&mut self, kind: Kind, name: &str) {
+    /// Removes an item and its older versions.
+    fn remove(&mut self, kind: Kind, name: &str) {
         if let Some(stored) = self.items[index_of(kind)].remove(name) {
             self.bucket_hashes.toggle(stored.bucket, stored.hash);
             self.history_bucket_hashes.toggle(stored.bucket, stored.history_hash);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,9 +1,11 @@
-//! The configuration of the load balancer, without any I/O.
+//! The configuration of the load balancer. This crate performs no I/O.
 //!
-//! Its unit is the [`Item`]: a route, a tenant, a service and the like, with a name and a version. An [`ItemStore`] holds
-//! and merges items, and finds out where two replicas differ ([`Chunk`]). Operators' changes are parsed
-//! ([`parse_change_request`]), validated ([`validate`]) and read back ([`ConfigurationSnapshot`]) as JSON. Data planes use
-//! the typed form of items ([`Route`], [`Tenant`], [`Service`], [`Limits`]) and route by a [`RoutingTable`].
+//! The configuration consists of versioned, named [`Item`]s such as routes, tenants and services. An [`ItemStore`] stores
+//! and merges items and determines the differences between two replicas ([`Chunk`]).
+//!
+//! Operators send change requests as JSON, which are parsed ([`parse_change_request`]) and validated ([`validate`]), and
+//! read the configuration as JSON ([`ConfigurationSnapshot`]). Data planes use typed items ([`Route`], [`Tenant`],
+//! [`Service`], [`Limits`]) and route requests with a [`RoutingTable`].
 
 mod change_request;
 mod configuration;
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,97 +1,97 @@
-//! Items as the data plane uses them. Reading is tolerant: unknown fields are ignored.
+//! Typed items for the data plane. Unknown fields are ignored when an item is parsed.
 
 use crate::item::{Item, Kind};
 use crate::item_json::{parse_value, LimitsJson, RouteJson, SafetyJson, ServiceJson, TenantJson};
 use smallvec::SmallVec;
 use std::sync::Arc;
 
-/// How a route's requests may be treated.
+/// Whether a route's requests may be processed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestSafety {
-    /// Without side effects, so a request may be processed more than once.
+    /// Requests have no side effects and may be processed more than once.
     Safe,
-    /// With side effects, so a request must not be processed more than once.
+    /// Requests have side effects and must not be processed more than once.
     Unsafe,
-    /// With side effects, and with a key by which a service can recognize a repeated request. The data plane treats it
-    /// as `Unsafe`.
+    /// Requests have side effects and carry an idempotency key, by which services can detect duplicates. The data plane
+    /// treats them like `Unsafe` ones.
     Keyed,
 }
 
-/// Which requests go to which services, and how.
+/// A rule that assigns requests to services by host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// The item's name.
     pub name: Arc<str>,
     /// The item's version.
     pub version: u64,
-    /// As the operator wrote it; compared without regard to case and port.
+    /// The host as given by the operator. Case and port are ignored in comparisons.
     pub host: Arc<str>,
-    /// Begins and ends with a slash.
+    /// The path prefix. It begins and ends with a slash.
     pub path_prefix: Arc<str>,
-    /// How the requests may be treated.
+    /// Whether requests may be processed more than once.
     pub safety: RequestSafety,
-    /// How long a request may take. Milliseconds.
+    /// The maximum duration of a request in milliseconds.
     pub deadline_ms: u32,
-    /// How long a request should take; the deadline if the item has none. Milliseconds.
+    /// The latency target of a request in milliseconds; defaults to the deadline.
     pub target_ms: u32,
-    /// The priority class; [`Route::DEFAULT_CLASS`] if the item has none.
+    /// The priority class; defaults to [`Route::DEFAULT_CLASS`].
     pub class: u8,
-    /// Services and their weights, none below 0, their sum above 0.
+    /// The services and their weights. Weights are not negative, and their sum is positive.
     pub services: SmallVec<[(Arc<str>, f64); 2]>,
-    /// How many attempts a request may take in all; at least 1.
+    /// The maximum number of attempts per request, including the first; at least 1.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests without an API key are allowed.
     pub allows_anonymous: bool,
-    /// The regions whose backends may serve the requests; none for any.
+    /// The regions whose backends may serve the requests; if empty, all regions.
     pub home_regions: Vec<Arc<str>>,
 }
 
-/// A customer.
+/// A customer whose requests are identified by API keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// The item's name.
     pub name: Arc<str>,
     /// The item's version.
     pub version: u64,
-    /// The API keys that identify its requests. Secrets: not to be logged.
+    /// The API keys that identify the tenant's requests. They are secret and must not be logged.
     pub keys: Vec<Arc<str>>,
-    /// The priority class, if the item has one.
+    /// The priority class, if one is configured.
     pub class: Option<u8>,
-    /// Requests a second; 0 for no limit.
+    /// The rate limit in requests per second; 0 for no limit.
     pub rate: f64,
-    /// Requests at once above the rate; 0 for no limit.
+    /// The number of requests allowed in a burst above the rate; 0 for no limit.
     pub burst: f64,
-    /// The regions whose backends may serve its requests; none for any.
+    /// The regions whose backends may serve the tenant's requests; if empty, all regions.
     pub home_regions: Vec<Arc<str>>,
 }
 
-/// A group of backends that serve the same requests.
+/// A group of backends that serve the same kind of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// The item's name.
     pub name: Arc<str>,
     /// The item's version.
     pub version: u64,
-    /// The path of health checks; "" if the item has none.
+    /// The path for health checks; empty if none is configured.
     pub health_path: Arc<str>,
-    /// Concurrent requests for a backend; 0 if the item has none.
+    /// The maximum number of concurrent requests per backend; 0 if none is configured.
     pub max_concurrency: u32,
-    /// How long a new backend's slow start takes; 0 if the item has none. Seconds.
+    /// The duration of a new backend's slow start in seconds; 0 if none is configured.
     pub slow_start_s: f64,
-    /// Requests a second for a backend in slow start; 0 if the item has none.
+    /// The rate limit of a backend in slow start, in requests per second; 0 if none is configured.
     pub slow_start_rate: f64,
 }
 
-/// The limits that hold for every request.
+/// The limits that apply to every request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The greatest request head. Bytes.
+    /// The maximum size of a request head in bytes.
     pub max_head_bytes: usize,
-    /// The greatest request body. Bytes.
+    /// The maximum size of a request body in bytes.
     pub max_body_bytes: u64,
-    /// How long a request head may take to arrive. Milliseconds.
+    /// The time in milliseconds within which a request head must arrive.
     pub head_timeout_ms: u32,
-    /// How long a connection may be idle. Milliseconds.
+    /// The time in milliseconds for which a connection may be idle.
     pub idle_timeout_ms: u32,
 }
 
@@ -107,10 +107,10 @@
 }
 
 impl Route {
-    /// The class of a route whose item names none.
+    /// The priority class of routes that do not specify one.
     pub const DEFAULT_CLASS: u8 = 1;
 
-    /// The route of an item; `None` for another kind, a removed item, or one that cannot be parsed.
+    /// Parses a route. Returns `None` if the item is of another kind, is removed, or cannot be parsed.
     pub fn from_item(item: &Item) -> Option<Route> {
         let json: RouteJson = parse_value(item, Kind::Route)?;
         let deadline_ms = json.deadline_ms as u32;
@@ -135,7 +135,7 @@
     }
 }
 
-/// A route's services and their weights. A list of weighted services overrides a single service.
+/// Returns a route's services and their weights. A list of weighted services takes precedence over a single service.
 fn services_of(json: &RouteJson) -> SmallVec<[(Arc<str>, f64); 2]> {
     match (&json.weighted_services, &json.service) {
         (Some(weighted_services), _) => weighted_services
@@ -148,7 +148,7 @@
 }
 
 impl Tenant {
-    /// The tenant of an item; `None` for another kind, a removed item, or one that cannot be parsed.
+    /// Parses a tenant. Returns `None` if the item is of another kind, is removed, or cannot be parsed.
     pub fn from_item(item: &Item) -> Option<Tenant> {
         let json: TenantJson = parse_value(item, Kind::Tenant)?;
         Some(Tenant {
@@ -164,7 +164,7 @@
 }
 
 impl Service {
-    /// The service of an item; `None` for another kind, a removed item, or one that cannot be parsed.
+    /// Parses a service. Returns `None` if the item is of another kind, is removed, or cannot be parsed.
     pub fn from_item(item: &Item) -> Option<Service> {
         let json: ServiceJson = parse_value(item, Kind::Service)?;
         Some(Service {
@@ -179,7 +179,7 @@
 }
 
 impl Limits {
-    /// The limits of an item, those that it leaves out by default; `None` for another kind, a removed item, or one that
+    /// Parses the limits; missing ones have their default. Returns `None` if the item is of another kind, is removed, or
     /// cannot be parsed.
     pub fn from_item(item: &Item) -> Option<Limits> {
         let json: LimitsJson = parse_value(item, Kind::Limits)?;
--- a/crates/config/src/record.rs
+++ b/crates/config/src/record.rs
@@ -1,29 +1,30 @@
-//! The record in which an item and its older versions are stored on disk. Numbers are big-endian.
+//! The on-disk record of an item and its older versions. Integers are big-endian.
 //!
 //! * Key: the number of the kind (u8), then the name (UTF-8).
 //! * Value: version (u64); flags (u8, see [`FLAG_SET`] and [`FLAG_HAS_OLDER_VERSIONS`]); if there are older versions,
 //!   their count (u8) and for each its version (u64) and digest (u128); then the item's value, empty for a removed item.
 //!
-//! An empty value deletes a record from the store.
+//! Writing an empty record value deletes the record from the store.
 
 use crate::item::{Item, Kind};
 use crate::version_history::{ItemWithHistory, VersionDigest};
 use bytes::Bytes;
 use std::sync::Arc;
 
-/// Flag of a record: the item is set, not removed.
+/// Record flag: the item is set rather than removed.
 const FLAG_SET: u8 = 1;
-/// Flag of a record: older versions follow. Records of earlier releases have none.
+/// Record flag: older versions follow. Records written by earlier releases never have it.
 const FLAG_HAS_OLDER_VERSIONS: u8 = 2;
 
-/// The key of an item's record.
+/// Encodes the key of an item's record.
 pub fn encode_key(kind: Kind, name: &str) -> Vec<u8> {
     let mut key = vec![kind as u8];
     key.extend_from_slice(name.as_bytes());
     key
 }
 
-/// The record (key and value) of an item with its older versions.
+/// Encodes the record of an item and its older versions. Returns its key and value; the value is empty for a removed
+/// backend, which is not stored.
 pub fn encode_record(entry: ItemWithHistory) -> (Vec<u8>, Vec<u8>) {
     let ItemWithHistory { item, older_versions } = entry;
     let key = encode_key(item.kind, &item.name);
@@ -40,7 +41,7 @@
     let mut value = item.version.to_be_bytes().to_vec();
     value.push(flags);
     if !older_versions.is_empty() {
-        // At most `MAX_OLDER_VERSIONS`, which a byte holds.
+        // There are at most `MAX_OLDER_VERSIONS`, which fits in a byte.
         value.push(older_versions.len() as u8);
         for version_digest in older_versions {
             value.extend_from_slice(&version_digest.version.to_be_bytes());
@@ -51,7 +52,8 @@
     (key, value)
 }
 
-/// Decodes a record, also one of a release that did not remember older versions; `None` if it is not an item's.
+/// Decodes a record into an item and its older versions. Also accepts records written by releases that did not store
+/// older versions. Returns `None` if the record is not an item's.
 pub fn decode_record(key: &[u8], value: &[u8]) -> Option<(Item, Vec<VersionDigest>)> {
     let (kind, name) = key.split_first()?;
     let kind = Kind::from_u8(*kind)?;
@@ -68,7 +70,7 @@
     Some((item, older_versions))
 }
 
-/// Decodes the count and the older versions; returns them and the bytes behind them.
+/// Decodes the count and the older versions. Returns the versions and the remaining bytes.
 fn decode_older_versions(bytes: &[u8]) -> Option<(Vec<VersionDigest>, &[u8])> {
     let (count, mut rest) = bytes.split_first()?;
     let mut older_versions = Vec::new();
--- a/crates/config/src/routing_table.rs
+++ b/crates/config/src/routing_table.rs
@@ -1,4 +1,4 @@
-//! What the data plane routes by: the items in force, parsed and indexed.
+//! The routing table of the data plane: the active items, parsed and indexed.
 
 use crate::host::normalize_host;
 use crate::item::{Item, Kind};
@@ -8,35 +8,36 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// The value of an `Evacuation` item while its zone is evacuated.
+/// The value of an `Evacuation` item whose zone is evacuated.
 const EVACUATED: &[u8] = b"1";
 
-/// What the data plane routes by. It never changes; when items change, a new table replaces it.
+/// The index by which the data plane routes requests. It is immutable; when items change, a new table replaces it.
 ///
-/// Two valid changes that two replicas accept at once can be invalid together. The table is built all the same: of two
-/// tenants with one key, or two routes with one host and path prefix, the one of the higher version wins, then the one
-/// of the smaller name. A route whose service is unknown is kept; its requests find no backend.
+/// The configuration may contain conflicts, because two replicas can concurrently accept changes that are valid on
+/// their own but not together. If two tenants share an API key, or two routes share host and path prefix, the one with
+/// the higher version wins, and between equal versions the one with the smaller name. Routes to unknown services are
+/// kept, although there is no backend for their requests.
 #[derive(Debug, Default)]
 pub struct RoutingTable {
-    /// By name.
+    /// All tenants, sorted by name.
     pub tenants: Vec<Arc<Tenant>>,
-    /// By name.
+    /// All services by name.
     pub services: BTreeMap<Arc<str>, Arc<Service>>,
-    /// The limits that hold for every request.
+    /// The limits that apply to every request.
     pub limits: Limits,
     /// The zones that are evacuated.
     pub evacuated_zones: BTreeSet<Arc<str>>,
-    /// By [`normalize_host`].
+    /// The routes by normalized host (see [`normalize_host`]).
     hosts: HashMap<Box<[u8]>, HostRoutes>,
-    /// By key: the index in `tenants`.
+    /// The index in `tenants` by API key.
     tenant_indexes: HashMap<Arc<str>, usize>,
-    /// Routes with their items, by name, for the next table to reuse.
+    /// All routes with their items, sorted by name; reused when the table is rebuilt.
     parsed_routes: Vec<ParsedItem<Route>>,
-    /// Tenants with their items, by name, for the next table to reuse.
+    /// All tenants with their items, sorted by name; reused when the table is rebuilt.
     parsed_tenants: Vec<ParsedItem<Tenant>>,
 }
 
-/// An item, and what was parsed from it.
+/// An item and its parsed value.
 #[derive(Debug)]
 struct ParsedItem<T> {
     item: Item,
@@ -47,12 +48,12 @@
 #[derive(Debug, Default)]
 struct HostRoutes {
     by_prefix: HashMap<Box<[u8]>, Arc<Route>>,
-    /// The length of the longest prefix.
+    /// The length of the longest prefix in bytes.
     max_prefix_length: usize,
 }
 
 impl HostRoutes {
-    /// Adds a route. To be called in the order of names: of two routes with the same version the first stays.
+    /// Adds a route. Routes must be added in the order of their names: between equal versions the first one wins.
     fn add(&mut self, route: &Arc<Route>) {
         self.max_prefix_length = self.max_prefix_length.max(route.path_prefix.len());
         let prefix = route.path_prefix.as_bytes().into();
@@ -62,10 +63,10 @@
         }
     }
 
-    /// The route of the longest prefix that begins the path.
+    /// Returns the route with the longest prefix of the path.
     fn find(&self, path: &[u8]) -> Option<&Arc<Route>> {
-        // Nothing longer than the longest prefix is looked up: a path of nothing but slashes would be hashed as often
-        // as it is long, and a few such requests would hold up all others.
+        // The path is truncated to the length of the longest prefix. Otherwise a path of n slashes would be hashed n
+        // times, and a few such requests would delay all others.
         let mut path = &path[..path.len().min(self.max_prefix_length)];
         if let Some(end) = path.iter().position(|byte| matches!(byte, b'?' | b'#')) {
             path = &path[..end];
@@ -81,12 +82,12 @@
 }
 
 impl RoutingTable {
-    /// The table of the items in force.
+    /// Builds the table from the active items of the store.
     pub fn build(item_store: &ItemStore) -> RoutingTable {
         RoutingTable::rebuild(&RoutingTable::default(), item_store)
     }
 
-    /// As [`RoutingTable::build`], but reuses what the previous table parsed from items that have not changed.
+    /// Like [`RoutingTable::build`], but reuses the parsed values of unchanged items from the previous table.
     pub fn rebuild(previous: &RoutingTable, item_store: &ItemStore) -> RoutingTable {
         let services = item_store.items_of(Kind::Service).filter_map(Service::from_item);
         let evacuations = item_store.items_of(Kind::Evacuation);
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Goes through the tenants in the order of names: of two with the same version the first gets a key.
+    /// Indexes the tenants by API key, in the order of their names: between equal versions the first one gets the key.
     fn index_tenants(&mut self) {
         self.tenant_indexes.reserve(self.parsed_tenants.len());
         self.tenants = self.parsed_tenants.iter().map(|parsed| parsed.value.clone()).collect();
@@ -131,34 +132,35 @@
         }
     }
 
-    /// The route of the longest prefix that begins the path. The host may be in any case and have a port, the path may
-    /// have a query.
+    /// Returns the route for a request: the one with the longest matching path prefix. The host may be in any case and
+    /// include a port, and the path may include a query.
     pub fn route(&self, host: &[u8], path: &[u8]) -> Option<&Arc<Route>> {
         self.hosts.get(&*normalize_host(host))?.find(path)
     }
 
-    /// The index in `tenants` of the one that has this key.
+    /// Returns the index in `tenants` of the tenant with this API key.
     pub fn tenant_index(&self, key: &[u8]) -> Option<usize> {
         self.tenant_indexes.get(std::str::from_utf8(key).ok()?).copied()
     }
 
-    /// Whether there are any tenants at all.
+    /// Whether any tenants are configured.
     pub fn has_tenants(&self) -> bool {
         !self.tenants.is_empty()
     }
 
-    /// How many routes are in force.
+    /// The number of active routes.
     pub fn route_count(&self) -> usize {
         self.parsed_routes.len()
     }
 
-    /// The routes in force, by name; those too that lost their host and path prefix to another one.
+    /// Returns all active routes, sorted by name, including those superseded by a route with the same host and path
+    /// prefix.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.parsed_routes.iter().map(|parsed| &parsed.value)
     }
 }
 
-/// Parses the items of a kind that are in force. Both what was parsed before and the items are in the order of names.
+/// Parses the active items of a kind. `previous` must be sorted by name, as the result is.
 fn parse_all<T>(
     previous: &[ParsedItem<T>],
     item_store: &ItemStore,
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -1,4 +1,4 @@
-//! What makes a change invalid together with the items that are in force.
+//! Validates change requests against the active configuration.
 
 use crate::error::{
     DuplicateRouteSnafu, ServiceInUseSnafu, SharedKeySnafu, UnknownServiceSnafu, ValidationError,
@@ -9,14 +9,15 @@
 use crate::item_store::ItemStore;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Validates a change, each item of which is valid by itself, against the configuration that it would result in. Only
-/// what the change brings is rejected: a conflict that is in force already and that the change does not touch is
-/// ignored, or nothing could be corrected. Items whose version is not above the known one have no effect, and are not
+/// Validates the configuration that a change request would result in. Each item of `change` must be valid on its own.
+///
+/// Existing conflicts that the request does not touch are ignored; otherwise one such conflict would block all changes,
+/// including those that resolve it. Items whose version is not higher than the known one have no effect and are not
 /// validated.
 ///
 /// # Errors
-/// Where two tenants would share a key, two routes a host and a path prefix, or a route would name a service that does
-/// not exist.
+/// If two tenants would share an API key, two routes would share host and path prefix, or a route would refer to a
+/// service that does not exist.
 pub fn validate(item_store: &ItemStore, change: &[Item]) -> Result<(), ValidationError> {
     let proposed = ProposedConfiguration::new(item_store, change);
     check_routes(&proposed)?;
@@ -24,11 +25,11 @@
     check_tenant_keys(&proposed)
 }
 
-/// The configuration that a change would result in.
+/// The configuration that a change request would result in.
 struct ProposedConfiguration<'a> {
-    /// What is in force.
+    /// The active configuration.
     item_store: &'a ItemStore,
-    /// The items of the change that have an effect.
+    /// The items of the change request that have an effect, by kind and name.
     changes: BTreeMap<(Kind, &'a str), &'a Item>,
 }
 
@@ -37,7 +38,7 @@
         let mut changes: BTreeMap<(Kind, &str), &Item> = BTreeMap::new();
         for item in change.iter().filter(|item| item_store.is_newer(item)) {
             let winner = changes.entry((item.kind, &*item.name)).or_insert(item);
-            // As `ItemStore::apply` does with one after the other.
+            // Same result as calling `ItemStore::apply` for one item after the other.
             if winner.version < item.version {
                 *winner = item;
             }
@@ -45,12 +46,12 @@
         ProposedConfiguration { item_store, changes }
     }
 
-    /// The items that the change sets.
+    /// Returns the items of a kind that the request sets.
     fn set_items(&self, kind: Kind) -> impl Iterator<Item = &'a Item> + '_ {
         self.changes.values().copied().filter(move |item| item.kind == kind && item.is_set())
     }
 
-    /// The items that are in force and that the change does not touch.
+    /// Returns the active items of a kind that the request neither sets nor removes.
     fn untouched_items(&self, kind: Kind) -> impl Iterator<Item = &'a Item> + '_ {
         let is_untouched =
             move |item: &&Item| item.is_set() && !self.changes.contains_key(&(kind, &*item.name));
@@ -62,15 +63,15 @@
         changed.or_else(|| self.item_store.get(Kind::Service, name)).is_some_and(Item::is_set)
     }
 
-    /// The services in force that the change removes.
+    /// Returns the names of the active services that the request removes.
     fn removed_services(&self) -> BTreeSet<&'a str> {
         let removed = self.changes.values().filter(|item| item.kind == Kind::Service && !item.is_set());
-        let is_in_force = |name: &&str| self.item_store.get(Kind::Service, name).is_some_and(Item::is_set);
-        removed.map(|item| &*item.name).filter(is_in_force).collect()
+        let is_active = |name: &&str| self.item_store.get(Kind::Service, name).is_some_and(Item::is_set);
+        removed.map(|item| &*item.name).filter(is_active).collect()
     }
 }
 
-/// Of the routes that the change sets: their services exist, and no other route has their host and path prefix.
+/// Checks that the services of the routes in the request exist, and that no two routes share host and path prefix.
 fn check_routes(proposed: &ProposedConfiguration) -> Result<(), ValidationError> {
     let mut routes: HashMap<(NormalizedHost, JsonStr), &Item> = HashMap::new();
     for item in proposed.set_items(Kind::Route) {
@@ -94,12 +95,12 @@
     Ok(())
 }
 
-/// What a route matches requests by.
+/// Returns the normalized host and the path prefix of a route, which must be unique.
 fn match_key(route: RouteJson) -> (NormalizedHost, JsonStr) {
     (normalize_host(route.host.as_bytes()), route.path_prefix)
 }
 
-/// No route that the change does not touch names a service that the change removes.
+/// Checks that no remaining route refers to a service that the request removes.
 fn check_removed_services(proposed: &ProposedConfiguration) -> Result<(), ValidationError> {
     let removed = proposed.removed_services();
     if removed.is_empty() {
@@ -115,7 +116,7 @@
     Ok(())
 }
 
-/// No key of a tenant that the change sets is another tenant's.
+/// Checks that no tenant in the request shares an API key with another tenant.
 fn check_tenant_keys(proposed: &ProposedConfiguration) -> Result<(), ValidationError> {
     let mut owners: HashMap<JsonStr, &Item> = HashMap::new();
     for item in proposed.set_items(Kind::Tenant) {
--- a/crates/config/src/version_history.rs
+++ b/crates/config/src/version_history.rs
@@ -1,22 +1,22 @@
-//! Older committed versions of an item: known by a digest of their content, so that a repeated change is recognized.
+//! Digests of the older committed versions of an item, which are kept to detect repeated changes.
 
 use crate::item::Item;
 use xxhash_rust::xxh3::Xxh3;
 
-/// How many older versions of an item are remembered.
+/// The maximum number of older versions kept for an item.
 pub const MAX_OLDER_VERSIONS: usize = 64;
 
-/// One committed version of an item: its number and the digest of its content.
+/// The number and the content digest of a committed version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VersionDigest {
-    /// The version's number.
+    /// The version number.
     pub version: u64,
-    /// XXH3-128 over whether the item is set and over its value; the same on every machine.
+    /// The XXH3-128 hash of whether the item is set and of its value. It is the same on every machine.
     pub digest: u128,
 }
 
 impl Item {
-    /// The item's version and the digest of its content.
+    /// Returns the item's version and the digest of its content.
     pub fn version_digest(&self) -> VersionDigest {
         let mut hasher = Xxh3::new();
         hasher.update(&[u8::from(self.is_set())]);
@@ -25,42 +25,43 @@
     }
 }
 
-/// An item with the older versions of it that are remembered.
+/// An item and its known older versions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ItemWithHistory<'a> {
     /// The newest version.
     pub item: &'a Item,
-    /// The older ones, by ascending number.
+    /// The older versions, by ascending number.
     pub older_versions: &'a [VersionDigest],
 }
 
-/// How an item of a change compares with the versions that are committed.
+/// The result of comparing an item of a change request with the committed versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionStatus {
-    /// Nothing is committed for this version.
+    /// No content is known to be committed for this version.
     Undecided,
-    /// It is committed with this content.
+    /// The version is committed with the same content.
     SameContent,
-    /// It is committed with another content.
+    /// The version is committed with different content.
     DifferentContent,
-    /// It is below all versions that are remembered: it has no effect, and its content is no longer known.
+    /// The version is lower than all versions kept. It has no effect, and whether and with which content it was
+    /// committed is no longer known.
     Pruned,
 }
 
-/// What a merge changed.
+/// The effect of a merge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// Nothing.
+    /// Nothing changed.
     Unchanged,
-    /// Older versions alone: the record on disk changes, what is in force does not.
+    /// Only the older versions changed. This affects the record on disk but not the active configuration.
     HistoryChanged,
-    /// The newest version.
+    /// The newest version changed.
     NewestChanged,
 }
 
-/// Adds those of `added` that are below the version `newest` to the older versions, and keeps the highest
-/// [`MAX_OLDER_VERSIONS`]; whether that changed them. This is a union of sets, so replicas converge in whatever order
-/// they learn of versions.
+/// Adds the versions in `added` that are lower than `newest` to the older versions and keeps only the highest
+/// [`MAX_OLDER_VERSIONS`]. Returns whether the older versions changed. Since this is a set union, replicas converge
+/// regardless of the order in which they receive versions.
 pub(crate) fn merge_older_versions(
     older_versions: &mut Vec<VersionDigest>,
     newest: u64,
@@ -69,7 +70,7 @@
     let before = older_versions.clone();
     older_versions.extend(added.iter().filter(|version_digest| version_digest.version < newest));
     older_versions.sort_unstable_by(|a, b| b.cmp(a));
-    // Two contents are never committed for one number; were they, all replicas would keep the same one.
+    // A version is never committed with two contents. If it were, all replicas would still keep the same one.
     older_versions.dedup_by_key(|version_digest| version_digest.version);
     older_versions.truncate(MAX_OLDER_VERSIONS);
     older_versions.reverse();
