--- a/crates/config/tests/change_request.rs
+++ b/crates/config/tests/change_request.rs
@@ -1,4 +1,4 @@
-//! Changes: what is accepted and read back, and what is rejected.
+//! Parsing, validation and application of change requests, and the configuration returned to operators.
 
 use kitepass_config::{
     parse_change_request, validate, ConfigurationSnapshot, ItemStore, SchemaValidator, ValidationError,
@@ -12,7 +12,7 @@
     SCHEMA_VALIDATOR.get_or_init(SchemaValidator::new)
 }
 
-/// Applies a change as the control plane does.
+/// Parses, validates and applies a change request like the control plane.
 fn apply_change(item_store: &mut ItemStore, body: &[u8]) -> Result<(), ValidationError> {
     let items = parse_change_request(schema_validator(), body)?;
     validate(item_store, &items)?;
@@ -22,7 +22,7 @@
     Ok(())
 }
 
-fn first_change() -> Value {
+fn initial_configuration() -> Value {
     json!({
         "itineraries": {
             "headings": ["name", "depot", "lane-prefix", "mail-kind", "deadline-ms", "target-ms", "class-of-mail",
@@ -44,33 +44,34 @@
     })
 }
 
-/// A store that the first change was applied to.
+/// A store with the items of the initial configuration.
 #[fixture]
 fn configured() -> ItemStore {
     let mut item_store = ItemStore::new();
-    apply_change(&mut item_store, json!({ "deliver": first_change() }).to_string().as_bytes()).unwrap();
+    apply_change(&mut item_store, json!({ "deliver": initial_configuration() }).to_string().as_bytes())
+        .unwrap();
     item_store
 }
 
-fn read_back(item_store: &ItemStore) -> Value {
+fn encode_configuration(item_store: &ItemStore) -> Value {
     serde_json::from_slice(&ConfigurationSnapshot::new(item_store).to_json()).unwrap()
 }
 
 #[rstest]
-fn what_is_sent_is_read_back(configured: ItemStore) {
-    assert_eq!(read_back(&configured), first_change());
+fn applied_configuration_is_returned_unchanged(configured: ItemStore) {
+    assert_eq!(encode_configuration(&configured), initial_configuration());
     let mut copy = ItemStore::new();
     apply_change(&mut copy, &ConfigurationSnapshot::new(&configured).to_change_request()).unwrap();
     assert_eq!(copy.digest(), configured.digest());
 }
 
-/// Headings in another order, one of them unknown; the unknown one is stored for those rows that have it.
+/// The headings are in a different order, and one is unknown. Its field is stored for the rows that have it.
 #[rstest]
 fn unknown_headings_are_stored(mut configured: ItemStore) {
     let body = json!({"deliver": {"carrier-lines": {
         "headings": ["edition", "colour", "name"], "entries": [["r8", {"x": [1, null]}, "a"]]}}});
     apply_change(&mut configured, body.to_string().as_bytes()).unwrap();
-    let services = &read_back(&configured)["carrier-lines"];
+    let services = &encode_configuration(&configured)["carrier-lines"];
     assert_eq!(services["headings"][8], "colour");
     assert_eq!(
         services["entries"][0],
@@ -82,7 +83,7 @@
 #[rstest]
 fn only_a_higher_version_has_an_effect(mut configured: ItemStore) {
     let digest = configured.digest();
-    // Had they an effect, the first would be rejected, as its key is another tenant's.
+    // The first request would be rejected if it had an effect, since its key belongs to another tenant.
     for stale in [
         json!({"deliver": {"customers": {"headings": ["name", "permits", "edition"],
             "entries": [["c1", ["key3"], "r7"]]}}}),
@@ -91,17 +92,18 @@
         apply_change(&mut configured, stale.to_string().as_bytes()).unwrap();
         assert_eq!(configured.digest(), digest);
     }
-    // Compared as numbers, r10 is above r7; and a removed item does not come back.
+    // Versions are compared as numbers, so r10 is higher than r7. An older version does not restore a removed item.
     let removal = json!({"withdraw": {"itineraries": [{"name": "i1", "edition": "r10"}]}});
     apply_change(&mut configured, removal.to_string().as_bytes()).unwrap();
-    apply_change(&mut configured, json!({ "deliver": first_change() }).to_string().as_bytes()).unwrap();
-    assert_eq!(read_back(&configured)["itineraries"]["entries"].as_array().unwrap().len(), 1);
+    apply_change(&mut configured, json!({ "deliver": initial_configuration() }).to_string().as_bytes())
+        .unwrap();
+    assert_eq!(encode_configuration(&configured)["itineraries"]["entries"].as_array().unwrap().len(), 1);
 }
 
-/// Two valid changes were accepted by two replicas at once: both customers have the key. A change of something else is
-/// accepted, and so is one that corrects it.
+/// Two replicas concurrently accepted valid changes that gave two customers the same key. Later changes to other items
+/// are accepted, and so are changes that resolve the conflict.
 #[rstest]
-fn a_conflict_in_force_does_not_reject_other_changes(mut configured: ItemStore) {
+fn an_existing_conflict_does_not_block_other_changes(mut configured: ItemStore) {
     let customer = |name: &str, version: &str| {
         json!({"deliver": {"customers": {"headings": ["name", "permits", "edition"],
             "entries": [[name, ["key3"], version]]}}})
@@ -123,7 +125,7 @@
     format!("{CUSTOMER}{rows}}}}}}}")
 }
 
-/// A route that differs from a valid one in these fields.
+/// A request that sets one route: a valid one except for these fields.
 fn route(fields: Value) -> String {
     let mut route = json!({"name": "i9", "edition": "r1", "depot": "x.example", "lane-prefix": "/x/",
         "mail-kind": "safe", "deadline-ms": 1000, "target-ms": 100, "line": "a"});
@@ -189,7 +191,7 @@
     assert!(error.contains(message), "{error}");
 }
 
-/// Just within the bounds above.
+/// Values just within the limits that the test above exceeds.
 #[rstest]
 #[case(route(json!({})))]
 #[case(route(json!({"target-ms": 60_999, "deadline-ms": 1000.0})))]
--- a/crates/config/tests/chunks.rs
+++ b/crates/config/tests/chunks.rs
@@ -1,5 +1,5 @@
-//! Stores that differ converge by chunks: whatever they hold, wherever a transfer breaks off, and no incomplete chunk
-//! passes for a complete one.
+//! Stores converge by exchanging chunks, regardless of their contents and of when a transfer is interrupted. Incomplete
+//! chunks are detected by their digest.
 
 use bytes::Bytes;
 use kitepass_config::{chunk_digest, Chunk, Item, ItemStore, Kind, BUCKET_COUNT};
@@ -25,14 +25,14 @@
     item_store
 }
 
-/// But for a bucket that is too large by a single item, and is sent alone.
+/// Checks the chunk's size. It may be exceeded by a single large item, whose bucket must be sent whole.
 fn assert_bounded(chunk: &Chunk<&Item>, max_bytes: usize, seed: u128) {
     let sizes = || chunk.items.iter().map(|item| item.max_wire_bytes());
-    let beside = sizes().sum::<usize>() - sizes().max().unwrap_or(0);
-    assert!(beside <= max_bytes, "seed {seed}: {beside} bytes beside the largest item");
+    let other_bytes = sizes().sum::<usize>() - sizes().max().unwrap_or(0);
+    assert!(other_bytes <= max_bytes, "seed {seed}: {other_bytes} bytes besides the largest item");
 }
 
-/// The chunk passes for complete, and with any one item missing, or old, it does not.
+/// Checks that the digest matches a complete chunk but not one that lacks an item.
 fn assert_digest_detects_loss(chunk: &Chunk<&Item>, requested: &[u64], from_bucket: usize) {
     let digest_of = |received: ItemStore| {
         chunk_digest(
@@ -51,13 +51,13 @@
 }
 
 #[test]
-fn chunks_are_bounded_and_transfer_all_while_the_sender_changes_and_connections_break() {
+fn interrupted_transfer_from_a_changing_sender_is_complete_and_chunks_are_bounded() {
     const MAX_BYTES: usize = 16_000;
-    let (mut chunks, mut breaks) = (0, 0);
+    let (mut chunks, mut interruptions) = (0, 0);
     for seed in 0..60 {
         let mut rng = Rand64::new(seed);
         let (mut receiver, mut sender) = (random_store(&mut rng, 700), random_store(&mut rng, 700));
-        let at_first: Vec<Item> = sender.items().cloned().collect();
+        let initial_items: Vec<Item> = sender.items().cloned().collect();
         let (mut requested, mut from_bucket) = (receiver.bucket_hashes().to_vec(), 0);
         while from_bucket < BUCKET_COUNT {
             let chunk = sender.chunk(&requested, from_bucket, MAX_BYTES);
@@ -67,8 +67,9 @@
             let next_bucket = chunk.next_bucket;
             let items: Vec<Item> = chunk.items.into_iter().cloned().collect();
             if rng.rand_range(0..5) == 0 {
-                // The connection breaks: the chunk is lost, and all begins anew against what has been merged.
-                (requested, from_bucket, breaks) = (receiver.bucket_hashes().to_vec(), 0, breaks + 1);
+                // The connection breaks and the chunk is lost. The transfer restarts with the receiver's new hashes.
+                (requested, from_bucket, interruptions) =
+                    (receiver.bucket_hashes().to_vec(), 0, interruptions + 1);
             } else {
                 items.into_iter().for_each(|item| _ = receiver.merge(item));
                 from_bucket = next_bucket;
@@ -78,8 +79,8 @@
                 sender.merge(Item { kind: Kind::Tenant, name, version: 9, value: None });
             }
         }
-        // All that the sender held at first is known, but for tombstones of backends, which need not be.
-        for item in at_first.into_iter().filter(|item| item.kind != Kind::Backend || item.is_set()) {
+        // The receiver has all initial items of the sender, except for tombstones of backends, which are optional.
+        for item in initial_items.into_iter().filter(|item| item.kind != Kind::Backend || item.is_set()) {
             let known = receiver.get(item.kind, &item.name).expect("known");
             assert!(
                 (known.version, &known.value) >= (item.version, &item.value),
@@ -88,12 +89,12 @@
             );
         }
     }
-    assert!(chunks > 600 && breaks > 80, "{chunks} chunks, {breaks} breaks");
+    assert!(chunks > 600 && interruptions > 80, "{chunks} chunks, {interruptions} interruptions");
 }
 
-/// What was transferred before a connection broke is not sent again.
+/// Buckets that were transferred before a connection broke are not sent again.
 #[test]
-fn a_broken_transfer_is_resumed() {
+fn an_interrupted_transfer_is_resumed() {
     let mut sender = ItemStore::new();
     for n in 0..3_000 {
         let value = Some(Bytes::from(vec![b'v'; 100]));
@@ -101,7 +102,7 @@
     }
     let (mut receiver, mut sent_items) = (ItemStore::new(), 0);
     while receiver.digest() != sender.digest() {
-        // Each connection carries one chunk, and ends.
+        // Each connection transfers one chunk before it breaks.
         let chunk = sender.chunk(receiver.bucket_hashes(), 0, 32_000);
         sent_items += chunk.items.len();
         chunk.items.into_iter().for_each(|item| _ = receiver.merge(item.clone()));
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The operators' calls and what is read back, byte by byte, and the hashes by which processes compare what they hold.
-//! Operators' tools and processes of other versions rely on these: no line of the golden files may ever change.
+//! Compares change requests, configuration responses, error messages and hashes with golden files, byte by byte.
+//! Operators' tools and processes of other releases depend on them, so no line of the golden files may ever change.
 
 use bytes::Bytes;
 use kitepass_config::{
@@ -17,12 +17,12 @@
 const REJECTED: &str = include_str!("golden/rejected-calls.txt");
 const HASHES: &str = include_str!("golden/hashes.txt");
 
-fn checker() -> &'static SchemaValidator {
-    static CHECKER: OnceLock<SchemaValidator> = OnceLock::new();
-    CHECKER.get_or_init(SchemaValidator::new)
+fn schema_validator() -> &'static SchemaValidator {
+    static SCHEMA_VALIDATOR: OnceLock<SchemaValidator> = OnceLock::new();
+    SCHEMA_VALIDATOR.get_or_init(SchemaValidator::new)
 }
 
-/// A line an item: the number of its kind, its name, its version, and its value's bytes as text.
+/// Formats one line per item: the number of its kind, its name, its version, and its value as text.
 fn describe(items: &[Item]) -> String {
     let mut text = String::new();
     for item in items {
@@ -33,9 +33,9 @@
     text
 }
 
-/// Takes a call as the control plane does; the text of the error if it is rejected.
-fn apply(store: &mut ItemStore, call: &[u8]) -> Result<(), String> {
-    let items = parse_change_request(checker(), call).map_err(|error| error.to_string())?;
+/// Parses, validates and applies a change request like the control plane. Returns the error message if it is rejected.
+fn apply(store: &mut ItemStore, body: &[u8]) -> Result<(), String> {
+    let items = parse_change_request(schema_validator(), body).map_err(|error| error.to_string())?;
     validate(store, &items).map_err(|error| error.to_string())?;
     items.into_iter().for_each(|item| _ = store.apply(item));
     Ok(())
@@ -47,51 +47,51 @@
     store
 }
 
-/// Golden files end with a line break, what is read back does not.
+/// Golden files end with a line break, the encoded configuration does not.
 fn assert_is_golden(bytes: Vec<u8>, golden: &str) {
     assert_eq!(String::from_utf8(bytes).unwrap() + "\n", golden);
 }
 
 #[test]
-fn a_change_gives_these_items() {
-    let items = parse_change_request(checker(), CHANGE.as_bytes()).unwrap();
+fn change_request_is_parsed_into_the_golden_items() {
+    let items = parse_change_request(schema_validator(), CHANGE.as_bytes()).unwrap();
     assert_eq!(describe(&items), CHANGE_ITEMS);
 }
 
 #[test]
-fn what_is_read_back() {
+fn configuration_is_encoded_as_in_the_golden_files() {
     let store = store_after_change();
     assert_is_golden(ConfigurationSnapshot::new(&store).to_json(), READ_BACK);
     assert_is_golden(ConfigurationSnapshot::new(&store).to_change_request(), READ_BACK_AS_CALL);
     assert_is_golden(ConfigurationSnapshot::new(&ItemStore::new()).to_json(), READ_BACK_EMPTY);
 }
 
-/// What was read back and is sent as a call is read back as the same bytes.
+/// Applying a configuration encoded as a change request to an empty store yields the same configuration.
 #[test]
-fn what_is_read_back_as_a_call_can_be_sent() {
+fn encoded_change_request_can_be_applied() {
     let mut store = ItemStore::new();
     apply(&mut store, READ_BACK_AS_CALL.as_bytes()).unwrap();
     assert_is_golden(ConfigurationSnapshot::new(&store).to_json(), READ_BACK);
     assert_is_golden(ConfigurationSnapshot::new(&store).to_change_request(), READ_BACK_AS_CALL);
 }
 
-/// Two lines a call: the call, and the whole text of the error.
+/// The golden file has two lines per rejected change request: the request, and the complete error message.
 #[test]
-fn texts_of_errors() {
+fn error_messages_match_the_golden_file() {
     let lines: Vec<&str> = REJECTED.lines().collect();
     let mut text = String::new();
-    for call in lines.iter().step_by(2) {
+    for body in lines.iter().step_by(2) {
         let mut store = store_after_change();
         let before = store.digest();
-        let error = apply(&mut store, call.as_bytes()).expect_err(call);
-        assert_eq!(store.digest(), before, "{call}");
-        writeln!(text, "{call}\n{error}").unwrap();
+        let error = apply(&mut store, body.as_bytes()).expect_err(body);
+        assert_eq!(store.digest(), before, "{body}");
+        writeln!(text, "{body}\n{error}").unwrap();
     }
     assert_eq!(text, REJECTED);
 }
 
 #[test]
-fn numbers_of_kinds() {
+fn kinds_have_fixed_numbers() {
     let kinds = [
         Kind::Route,
         Kind::Tenant,
@@ -113,7 +113,7 @@
     Item { kind, name: name.into(), version, value: value.map(Bytes::from) }
 }
 
-/// Items of all kinds, set and removed.
+/// Items of all kinds, including tombstones.
 fn items() -> Vec<Item> {
     vec![
         item(Kind::Route, "route-1", 7, Some("{\"a\":1}")),
@@ -128,7 +128,7 @@
     ]
 }
 
-/// Items, and for some of them older versions, one of which was a removal.
+/// A store with items of all kinds, some of which have older versions; one of these is a tombstone.
 fn store_with_history() -> ItemStore {
     let mut store = ItemStore::new();
     store.merge(item(Kind::Route, "route-1", 3, Some("{\"a\":0}")));
@@ -139,14 +139,14 @@
     store
 }
 
-/// A line a bucket that holds something: its number and its hash.
+/// Formats one line per non-empty bucket: its number and its hash.
 fn describe_buckets(text: &mut String, name: &str, buckets: &[u64; BUCKET_COUNT]) {
     for (number, hash) in buckets.iter().enumerate().filter(|(_, hash)| **hash != 0) {
         writeln!(text, "{name} {number} {hash:016x}").unwrap();
     }
 }
 
-fn hashes_of(text: &mut String, name: &str, store: &ItemStore) {
+fn describe_hashes(text: &mut String, name: &str, store: &ItemStore) {
     writeln!(text, "{name}.digest {:016x}", store.digest()).unwrap();
     writeln!(text, "{name}.digest-with-history {:016x}", store.history_digest()).unwrap();
     describe_buckets(text, &format!("{name}.bucket"), store.bucket_hashes());
@@ -160,48 +160,54 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A chunk of what a store holds, against the bucket hashes of another one.
+/// Formats a chunk computed against the bucket hashes of a peer, and checks its digest. Returns the first bucket that it
+/// does not cover.
 fn describe_chunk(
     text: &mut String,
     store: &ItemStore,
-    theirs: &[u64],
+    peer_hashes: &[u64],
     from: usize,
     max_bytes: usize,
 ) -> usize {
-    let chunk = store.chunk(theirs, from, max_bytes);
+    let chunk = store.chunk(peer_hashes, from, max_bytes);
     let (next, digest, count) = (chunk.next_bucket, chunk.digest, chunk.items.len());
     writeln!(text, "chunk {from} to {next}: {count} items, {digest:016x}, {}", hex(&chunk.differing_buckets))
         .unwrap();
-    let with_history = store.history_chunk(theirs, from, max_bytes);
+    let with_history = store.history_chunk(peer_hashes, from, max_bytes);
     let (next, digest, count) = (with_history.next_bucket, with_history.digest, with_history.items.len());
     let differs = hex(&with_history.differing_buckets);
     writeln!(text, "chunk-with-history {from} to {next}: {count} items, {digest:016x}, {differs}").unwrap();
-    // The receiver's own calculation gives the same digest.
+    // The receiver computes the same digest.
     let mut received = ItemStore::new();
     chunk.items.iter().for_each(|item| _ = received.merge((*item).clone()));
-    let calculated =
-        chunk_digest(received.bucket_hashes(), theirs, from, chunk.next_bucket, &chunk.differing_buckets);
+    let calculated = chunk_digest(
+        received.bucket_hashes(),
+        peer_hashes,
+        from,
+        chunk.next_bucket,
+        &chunk.differing_buckets,
+    );
     assert_eq!(calculated, chunk.digest);
     chunk.next_bucket
 }
 
 #[test]
-fn hashes_are_the_same_in_all_processes() {
+fn hashes_match_the_golden_file() {
     let mut text = String::new();
     for item in items() {
         let version = item.version_digest();
         writeln!(text, "content {} {:032x}", version.version, version.digest).unwrap();
     }
-    hashes_of(&mut text, "empty", &ItemStore::new());
+    describe_hashes(&mut text, "empty", &ItemStore::new());
     for item in items() {
         let mut store = ItemStore::new();
         let name = format!("{}-{}", item.kind as u8, item.name);
         store.merge(item);
-        hashes_of(&mut text, &name, &store);
+        describe_hashes(&mut text, &name, &store);
     }
     let (store, with_history) = (store_after_change(), store_with_history());
-    hashes_of(&mut text, "change", &store);
-    hashes_of(&mut text, "history", &with_history);
+    describe_hashes(&mut text, "change", &store);
+    describe_hashes(&mut text, "history", &with_history);
     let mut from = 0;
     while from < BUCKET_COUNT {
         from = describe_chunk(&mut text, &with_history, store.bucket_hashes(), from, 100);
@@ -211,8 +217,8 @@
     assert_eq!(text, HASHES);
 }
 
-/// Constants that both ends of a connection go by.
+/// Both ends of a connection must use the same values of these constants.
 #[test]
-fn numbers_of_buckets_and_remembered_versions() {
+fn constants_of_the_protocol_are_fixed() {
     assert_eq!((BUCKET_COUNT, MAX_OLDER_VERSIONS), (256, 64));
 }
--- a/crates/config/tests/merge.rs
+++ b/crates/config/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Stores converge, in whatever order they learn of items.
+//! Stores converge regardless of the order in which they receive items.
 
 use bytes::Bytes;
 use kitepass_config::{
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Few names, versions and values, so that they often collide.
+/// Generates items from few names, versions and values, so that collisions are frequent.
 fn item() -> impl Strategy<Value = Item> {
     (0..7usize, "[ab]", 0..4u64, prop::option::of("[xy]{0,1}")).prop_map(|(kind, name, version, value)| {
         Item { kind: Kind::ALL[kind], name: Arc::from(name), version, value: value.map(Bytes::from) }
@@ -28,15 +28,15 @@
     item_store.items().collect()
 }
 
-/// What stores have to agree on: all but the tombstones of backends, which each purges in its own time. One that is
-/// removed in one store and set in another differs like anything else.
+/// The items on which stores must agree: all except tombstones of backends, which stores purge independently of one
+/// another. A backend that is removed in one store but set in another still counts as a difference.
 fn compared_items(item_store: &ItemStore) -> Vec<&Item> {
     item_store.items().filter(|item| item.kind != Kind::Backend || item.is_set()).collect()
 }
 
 proptest! {
     #[test]
-    fn order_repetition_and_partition_do_not_matter(
+    fn stores_converge_despite_reordering_duplication_and_partition(
         (items, shuffled) in prop::collection::vec(item(), 0..40)
             .prop_flat_map(|items| (Just(items.clone()), Just(items).prop_shuffle())),
         at in 0..40usize,
@@ -44,7 +44,7 @@
         let complete = item_store(&items);
         let (left, right) = shuffled.split_at(at.min(shuffled.len()));
         let (mut left, right) = (item_store(left), item_store(right));
-        // Only what differs is transferred, and is transferred twice.
+        // Transfers only the differing items, and each of them twice.
         let transferred: Vec<Item> = right.differing_items(left.bucket_hashes()).cloned().collect();
         for item in transferred.iter().chain(&transferred) {
             left.merge(item.clone());
@@ -52,7 +52,7 @@
         prop_assert_eq!(compared_items(&complete), compared_items(&left));
         prop_assert_eq!(complete.bucket_hashes(), left.bucket_hashes());
         prop_assert_eq!(complete.differing_items(left.bucket_hashes()).count(), 0);
-        // The winner by the rule, found without a store; so a removed item does not come back.
+        // Determines the winners without a store. This also shows that removed items are not restored.
         let mut winner: BTreeMap<_, &Item> = BTreeMap::new();
         for item in &items {
             let winner = winner.entry((item.kind, &item.name)).or_insert(item);
@@ -64,7 +64,7 @@
     }
 
     #[test]
-    fn digests_are_equal_as_contents_are(
+    fn digests_are_equal_if_and_only_if_contents_are(
         left in prop::collection::vec(item(), 0..6),
         right in prop::collection::vec(item(), 0..6),
     ) {
@@ -73,23 +73,23 @@
     }
 }
 
-/// A version of a durable item. There is one content for each number, as consensus ensures.
+/// A version of a durable item. Each version has a single content, as consensus guarantees.
 fn committed(version: u64) -> Item {
     Item { kind: Kind::Service, name: "a".into(), version, value: Some(format!("{version}").into()) }
 }
 
-/// Merges one store's items with their older versions into another.
+/// Merges the items of `from` that differ, with their older versions, into another store.
 fn transfer(from: &ItemStore, into: &mut ItemStore) {
-    let theirs = into.history_bucket_hashes().to_vec();
-    for entry in from.differing_entries(&theirs) {
+    let peer_hashes = into.history_bucket_hashes().to_vec();
+    for entry in from.differing_entries(&peer_hashes) {
         into.merge_with_history(entry.item.clone(), entry.older_versions);
     }
 }
 
 proptest! {
-    /// Stores that learned of versions in different orders come to remember the same ones: the highest.
+    /// Stores that receive versions in different orders keep the same older versions, namely the highest.
     #[test]
-    fn older_versions_are_a_union_in_whatever_order(
+    fn older_versions_converge_regardless_of_order(
         (versions, shuffled) in prop::collection::vec(0..40u64, 1..40)
             .prop_flat_map(|versions| (Just(versions.clone()), Just(versions).prop_shuffle())),
         at in 0..40usize,
@@ -118,41 +118,41 @@
 }
 
 #[test]
-fn a_repeated_change_is_recognized_after_newer_versions() {
+fn a_repeated_change_is_detected_after_newer_versions() {
     let mut item_store = ItemStore::new();
-    let other = |version| Item { value: None, ..committed(version) };
+    let conflicting = |version| Item { value: None, ..committed(version) };
     assert_eq!(item_store.version_status(&committed(2)), VersionStatus::Undecided);
     for version in (2..=2 * MAX_OLDER_VERSIONS as u64).step_by(2) {
         assert_eq!(item_store.merge_with_history(committed(version), &[]), MergeOutcome::NewestChanged);
     }
     let newest = 2 * MAX_OLDER_VERSIONS as u64;
     assert_eq!(
-        (item_store.version_status(&committed(newest)), item_store.version_status(&other(newest))),
+        (item_store.version_status(&committed(newest)), item_store.version_status(&conflicting(newest))),
         (VersionStatus::SameContent, VersionStatus::DifferentContent)
     );
     assert_eq!(
-        (item_store.version_status(&committed(2)), item_store.version_status(&other(2))),
+        (item_store.version_status(&committed(2)), item_store.version_status(&conflicting(2))),
         (VersionStatus::SameContent, VersionStatus::DifferentContent)
     );
     assert_eq!(
         (item_store.version_status(&committed(3)), item_store.version_status(&committed(newest + 1))),
         (VersionStatus::Undecided, VersionStatus::Undecided)
     );
-    // An older version that is committed late has no effect and is remembered; the lowest one is forgotten for it.
+    // An older version that is committed late has no effect but is kept; the lowest older version is pruned instead.
     assert_eq!(
         item_store.version_status(&committed(1)),
         VersionStatus::Undecided,
-        "there is room to remember it"
+        "there is still space to keep it"
     );
     assert_eq!(item_store.merge_with_history(committed(3), &[]), MergeOutcome::HistoryChanged);
     assert_eq!(item_store.merge_with_history(committed(3), &[]), MergeOutcome::Unchanged);
     assert_eq!(
-        (item_store.version_status(&committed(3)), item_store.version_status(&other(3))),
+        (item_store.version_status(&committed(3)), item_store.version_status(&conflicting(3))),
         (VersionStatus::SameContent, VersionStatus::DifferentContent)
     );
     assert_eq!(item_store.older_versions(Kind::Service, "a").len(), MAX_OLDER_VERSIONS);
     assert_eq!(
-        (item_store.version_status(&committed(1)), item_store.version_status(&other(1))),
+        (item_store.version_status(&committed(1)), item_store.version_status(&conflicting(1))),
         (VersionStatus::Pruned, VersionStatus::Pruned)
     );
     assert_eq!(item_store.get(Kind::Service, "a"), Some(&committed(newest)));
@@ -167,9 +167,9 @@
     assert_eq!(item_store.older_versions(Kind::Backend, "a"), &[]);
 }
 
-/// Whether a store has purged a removed backend does not show in its hashes, and the number of tombstones is bounded.
+/// Purging tombstones of backends does not change a store's hashes and limits their number.
 #[test]
-fn removed_backends_are_purged_without_a_trace() {
+fn purging_removed_backends_does_not_change_hashes() {
     let item = |n: u64, value: Option<&'static str>| Item {
         kind: Kind::Backend,
         name: format!("b{n}").into(),
--- a/crates/config/tests/model.rs
+++ b/crates/config/tests/model.rs
@@ -1,5 +1,4 @@
-//! Typed readings of items: every JSON field reaches the field that it stands for, and fields that are left out have
-//! their defaults.
+//! Parsing of typed items: every JSON field sets the corresponding struct field, and missing fields have their default.
 
 use bytes::Bytes;
 use kitepass_config::{Item, Kind, Limits, RequestSafety, Route, Service, Tenant};
@@ -43,7 +42,7 @@
 #[case("safe", RequestSafety::Safe)]
 #[case("unsafe", RequestSafety::Unsafe)]
 #[case("posting", RequestSafety::Keyed)]
-fn a_route_with_required_fields_alone(#[case] safety: &str, #[case] expected: RequestSafety) {
+fn a_route_with_only_required_fields(#[case] safety: &str, #[case] expected: RequestSafety) {
     let value =
         json!({"depot": "x", "lane-prefix": "/", "mail-kind": safety, "deadline-ms": 10, "line": "s"});
     let route = Route::from_item(&item(Kind::Route, &value)).expect("readable");
@@ -121,8 +120,8 @@
 
 #[rstest]
 #[case::other_kind(item(Kind::Service, &json!({"permits": []})))]
-#[case::dropped(Item { value: None, ..item(Kind::Tenant, &json!({})) })]
+#[case::removed(Item { value: None, ..item(Kind::Tenant, &json!({})) })]
 #[case::wrong_type(item(Kind::Tenant, &json!({"permits": 1})))]
-fn what_cannot_be_read_gives_nothing(#[case] item: Item) {
+fn items_that_cannot_be_parsed_yield_none(#[case] item: Item) {
     assert_eq!(Tenant::from_item(&item), None);
 }
--- a/crates/config/tests/routing_table.rs
+++ b/crates/config/tests/routing_table.rs
@@ -1,4 +1,4 @@
-//! What a routing table finds, be the configuration valid or not.
+//! Lookups in a routing table, also with a configuration that contains conflicts.
 
 use bytes::Bytes;
 use kitepass_config::{Item, ItemStore, Kind, RequestSafety, RoutingTable};
@@ -57,14 +57,14 @@
 #[case("k2", Some("t2"))]
 #[case("k3", Some("t2"))]
 #[case("k4", None)]
-fn the_tenant_of_the_higher_version_has_a_shared_key(#[case] key: &str, #[case] name: Option<&str>) {
+fn a_shared_key_belongs_to_the_tenant_with_the_higher_version(#[case] key: &str, #[case] name: Option<&str>) {
     let table = RoutingTable::build(&item_store());
     let tenant = table.tenant_index(key.as_bytes()).map(|index| &table.tenants[index]);
     assert_eq!(tenant.map(|tenant| &*tenant.name), name);
 }
 
 #[rstest]
-fn a_rebuilt_table_reuses_only_what_has_not_changed() {
+fn a_rebuilt_table_reuses_only_unchanged_items() {
     let mut item_store = item_store();
     let first = RoutingTable::build(&item_store);
     assert_eq!(first.evacuated_zones.iter().map(|zone| &**zone).collect::<Vec<_>>(), ["zone1"]);
