--- a/crates/control-plane/src/server/directory_api.rs
+++ b/crates/control-plane/src/server/directory_api.rs
@@ -22,7 +22,7 @@
         if addresses.is_empty() {
             return self.respond(id, &HttpResponse::unavailable("no gateway is ready"));
         }
-        let valid_s = self.settings.bounds.ttl_max.as_secs_f64().min(LOOKUP_TTL_S);
+        let valid_s = self.settings.bounds.max_directory_ttl.as_secs_f64().min(LOOKUP_TTL_S);
         let body = json!({"addresses": addresses, "valid-s": valid_s});
         self.respond(id, &HttpResponse::json(body.to_string()));
     }
--- a/crates/node/examples/cost.rs
+++ b/crates/node/examples/cost.rs
@@ -12,5 +12,5 @@
     let valid = (0..100).filter(|_| read().is_ok()).count();
     println!("event=mean us={} valid={valid}", start.elapsed().as_micros() / 100);
     kitepass_node::log_to_stderr(kitepass_node::level_from_env());
-    log::info!("event=logged {}", kitepass_node::pair("text", "two words"));
+    log::info!("event=logged {}", kitepass_node::log_field("text", "two words"));
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -10,9 +10,9 @@
 mod settings;
 mod watch;
 
-pub use logging::{level_from_env, log_to_stderr, pair, Pair, LOG_VARIABLE};
+pub use logging::{level_from_env, log_field, log_to_stderr, LogField, LOG_VARIABLE};
 pub use settings::{
-    Bounds, Error, Listeners, MachineLimits, Platform, Settings, Tolerance, MAX_SETTINGS_BYTES,
+    Bounds, Error, FaultTolerance, Listeners, PlatformApi, ResourceLimits, Settings, MAX_SETTINGS_BYTES,
     SETTINGS_VARIABLE,
 };
 pub use watch::SettingsWatcher;
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -17,7 +17,7 @@
 
 /// Sends the log to standard error, one line an event:
 /// `t=<seconds since this call, monotonic> level=info at=<target> <message>`. Messages consist of pairs, see
-/// [`pair`]. A second call in a process changes nothing, not even the level.
+/// [`log_field`]. A second call in a process changes nothing, not even the level.
 pub fn log_to_stderr(level: LevelFilter) {
     let start = Instant::now();
     let result = fern::Dispatch::new()
@@ -58,9 +58,9 @@
     escaped
 }
 
-/// A key and its value, displayed as `key=value`; made by [`pair`].
+/// A key and its value, displayed as `key=value`; made by [`log_field`].
 #[derive(Clone, Copy, Debug)]
-pub struct Pair<'a, V> {
+pub struct LogField<'a, V> {
     key: &'a str,
     value: V,
 }
@@ -69,13 +69,13 @@
 /// characters.
 ///
 /// ```
-/// assert_eq!(kitepass_node::pair("error", "no such file").to_string(), "error=\"no such file\"");
+/// assert_eq!(kitepass_node::log_field("error", "no such file").to_string(), "error=\"no such file\"");
 /// ```
-pub fn pair<V: fmt::Display>(key: &str, value: V) -> Pair<'_, V> {
-    Pair { key, value }
+pub fn log_field<V: fmt::Display>(key: &str, value: V) -> LogField<'_, V> {
+    LogField { key, value }
 }
 
-impl<V: fmt::Display> fmt::Display for Pair<'_, V> {
+impl<V: fmt::Display> fmt::Display for LogField<'_, V> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (key, value) = (self.key, self.value.to_string());
         if needs_quotes(&value) {
--- a/crates/node/src/settings/bounds.rs
+++ b/crates/node/src/settings/bounds.rs
@@ -12,13 +12,13 @@
 pub struct Bounds {
     /// How long a machine must have run undisturbed and connected to count as in contact; 5 s by default.
     #[serde(rename = "contact-ms", deserialize_with = "millis")]
-    pub contact: Duration,
+    pub stable_after: Duration,
     /// For how long a machine that is back still counts as lost; 4 s by default.
     #[serde(rename = "settle-s", deserialize_with = "seconds")]
-    pub settle: Duration,
+    pub rejoin_hold_down: Duration,
     /// The time after which no request reaches a backend that was acknowledged as draining or gone; 4 s by default.
     #[serde(rename = "clearance-ms", deserialize_with = "millis")]
-    pub clearance: Duration,
+    pub drain_delay: Duration,
     /// The time from SIGTERM to SIGKILL, in which a process shuts down gracefully; 6 s by default.
     #[serde(rename = "courtesy-s", deserialize_with = "seconds")]
     pub shutdown_grace: Duration,
@@ -47,48 +47,48 @@
     pub slow_start_margin: f64,
     /// The time after which no request reaches a zone whose evacuation was acknowledged; 5 s by default.
     #[serde(rename = "evacuate-ms", deserialize_with = "millis")]
-    pub evacuation: Duration,
+    pub evacuation_delay: Duration,
     /// The longest validity of a directory answer that clients heed; 5 s by default.
     #[serde(rename = "ttl_max_s", deserialize_with = "seconds")]
-    pub ttl_max: Duration,
+    pub max_directory_ttl: Duration,
     /// The deployment's `sealed-off`; `false` by default. No program reads it.
     #[serde(rename = "sealed-off")]
     pub is_sealed_off: bool,
     /// How far the list of machines that callers choose from lags behind; `None` by default.
     #[serde(rename = "roster-lag-s", deserialize_with = "optional_seconds")]
-    pub endpoint_list_lag: Option<Duration>,
+    pub max_endpoint_list_lag: Option<Duration>,
     /// The time after which the address of a backend that has ended may belong to another service; `None` by default.
     #[serde(rename = "readdress-s", deserialize_with = "optional_seconds")]
-    pub readdress: Option<Duration>,
+    pub address_reuse_delay: Option<Duration>,
     /// The time in which an operator's request has to be acknowledged; `None` by default.
     #[serde(rename = "receipt-ms", deserialize_with = "optional_millis")]
-    pub receipt: Option<Duration>,
+    pub operator_ack_timeout: Option<Duration>,
     /// The time after its last byte from which a request that was read counts as lost if its connection ends without
     /// a response; `None` by default.
     #[serde(rename = "missing-ms", deserialize_with = "optional_millis")]
-    pub missing: Option<Duration>,
+    pub lost_request_timeout: Option<Duration>,
     /// The time after the first effect of a version from which a machine must not use an older one; `None` by
     /// default.
     #[serde(rename = "return-ms", deserialize_with = "optional_millis")]
-    pub return_after: Option<Duration>,
+    pub stale_version_grace_period: Option<Duration>,
     /// By how much the bounds of configuration and evacuation grow while the control plane is disturbed; `None` by
     /// default.
     #[serde(rename = "stretch-ms", deserialize_with = "optional_millis")]
-    pub stretch: Option<Duration>,
+    pub degraded_extension: Option<Duration>,
     /// The deployment's `recall-ms`; `None` by default. No program reads it.
     #[serde(rename = "recall-ms", deserialize_with = "optional_millis")]
     pub recall: Option<Duration>,
     /// The time after the end of a fault from which requests have to be served again; `None` by default.
     #[serde(rename = "recovery-s", deserialize_with = "optional_seconds")]
-    pub recovery: Option<Duration>,
+    pub recovery_time: Option<Duration>,
 }
 
 impl Default for Bounds {
     fn default() -> Bounds {
         Bounds {
-            contact: Duration::from_secs(5),
-            settle: Duration::from_secs(4),
-            clearance: Duration::from_secs(4),
+            stable_after: Duration::from_secs(5),
+            rejoin_hold_down: Duration::from_secs(4),
+            drain_delay: Duration::from_secs(4),
             shutdown_grace: Duration::from_secs(6),
             configuration_delay: Duration::from_secs(4),
             retry_ratio: 0.2,
@@ -99,17 +99,17 @@
             quota_margin: 20.0,
             slow_start_excess: 1.5,
             slow_start_margin: 5.0,
-            evacuation: Duration::from_secs(5),
-            ttl_max: Duration::from_secs(5),
+            evacuation_delay: Duration::from_secs(5),
+            max_directory_ttl: Duration::from_secs(5),
             is_sealed_off: false,
-            endpoint_list_lag: None,
-            readdress: None,
-            receipt: None,
-            missing: None,
-            return_after: None,
-            stretch: None,
+            max_endpoint_list_lag: None,
+            address_reuse_delay: None,
+            operator_ack_timeout: None,
+            lost_request_timeout: None,
+            stale_version_grace_period: None,
+            degraded_extension: None,
             recall: None,
-            recovery: None,
+            recovery_time: None,
         }
     }
 }
--- a/crates/node/src/settings/error.rs
+++ b/crates/node/src/settings/error.rs
@@ -11,10 +11,10 @@
 pub enum Error {
     /// The variable is unset or empty.
     #[snafu(display("{SETTINGS_VARIABLE} does not name a settings file"))]
-    Unnamed,
+    PathNotSet,
     /// The file could not be read.
     #[snafu(display("{}: {source}", path.display()))]
-    Unreadable {
+    ReadFailed {
         /// The settings file.
         path: PathBuf,
         /// The operating system's error.
@@ -22,19 +22,19 @@
     },
     /// The file has more than [`MAX_SETTINGS_BYTES`].
     #[snafu(display("{}: more than {MAX_SETTINGS_BYTES} bytes", path.display()))]
-    TooLong {
+    TooLarge {
         /// The settings file.
         path: PathBuf,
     },
     /// The text is not UTF-8 or not TOML; `cause` names the line.
     #[snafu(display("not TOML: {cause}"))]
-    NotToml {
+    InvalidToml {
         /// What is wrong, and where.
         cause: String,
     },
     /// A field is missing or its value is not allowed.
     #[snafu(display("field {field}: {cause}"))]
-    Field {
+    InvalidField {
         /// The field with the tables that it is in, such as `carrier-api.address`.
         field: String,
         /// What is wrong with it.
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -10,7 +10,7 @@
 pub use error::Error;
 
 use durations::millis;
-use error::{FieldSnafu, NotTomlSnafu, TooLongSnafu, UnnamedSnafu, UnreadableSnafu};
+use error::{InvalidFieldSnafu, InvalidTomlSnafu, PathNotSetSnafu, ReadFailedSnafu, TooLargeSnafu};
 use serde::Deserialize;
 use serde_json::Value;
 use snafu::{ensure, OptionExt, ResultExt};
@@ -61,7 +61,7 @@
     /// never taken for a first start.
     #[serde(rename = "maiden-run", default)]
     pub is_first_start: bool,
-    /// Whether the node counts toward the machines that [`Tolerance`] lets fail; `false` by default.
+    /// Whether the node counts toward the machines that [`FaultTolerance`] lets fail; `false` by default.
     #[serde(rename = "on-roll", default)]
     pub counts_toward_tolerance: bool,
     /// The folder on disk; `None` where there is no disk.
@@ -78,16 +78,16 @@
     pub listeners: Listeners,
     /// What the node may use of its machine.
     #[serde(rename = "weight-limits", default)]
-    pub limits: MachineLimits,
+    pub limits: ResourceLimits,
     /// What may fail at once.
     #[serde(default)]
-    pub tolerance: Tolerance,
+    pub tolerance: FaultTolerance,
     /// Times and ratios.
     #[serde(rename = "schedule-bounds", default)]
     pub bounds: Bounds,
     /// The platform's API; `None` by default.
     #[serde(rename = "carrier-api")]
-    pub platform: Option<Platform>,
+    pub platform: Option<PlatformApi>,
 }
 
 /// The addresses that a node's services listen on; each `None` where the node does not have the service.
@@ -110,7 +110,7 @@
 /// What a node may use of its machine. The defaults are a small control plane node's.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case", default)]
-pub struct MachineLimits {
+pub struct ResourceLimits {
     /// The part of one core; 0.3 by default.
     pub cpu_quota: f64,
     /// The cores that threads can run on; 1 by default.
@@ -127,9 +127,9 @@
     pub disk_mb: u64,
 }
 
-impl Default for MachineLimits {
-    fn default() -> MachineLimits {
-        MachineLimits {
+impl Default for ResourceLimits {
+    fn default() -> ResourceLimits {
+        ResourceLimits {
             cpu_quota: 0.3,
             cores: 1,
             memory_mb: 256,
@@ -143,7 +143,7 @@
 /// How many failures at once the system has to survive; 1 of each kind by default.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(default)]
-pub struct Tolerance {
+pub struct FaultTolerance {
     /// Machines.
     #[serde(rename = "vehicles")]
     pub machines: u32,
@@ -155,16 +155,16 @@
     pub regions: u32,
 }
 
-impl Default for Tolerance {
-    fn default() -> Tolerance {
-        Tolerance { machines: 1, zones: 1, regions: 1 }
+impl Default for FaultTolerance {
+    fn default() -> FaultTolerance {
+        FaultTolerance { machines: 1, zones: 1, regions: 1 }
     }
 }
 
 /// The platform's API, which lists backends and takes orders for them.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub struct Platform {
+pub struct PlatformApi {
     /// The address that it listens on; required.
     pub address: SocketAddr,
     /// The most calls per second; 50 by default.
@@ -194,15 +194,18 @@
     ///
     /// # Errors
     ///
-    /// [`Error::NotToml`] names the line, [`Error::Field`] the field.
+    /// [`Error::InvalidToml`] names the line, [`Error::InvalidField`] the field.
     pub fn from_text(text: &str) -> Result<Settings, Error> {
-        let value: Value = toml::from_str(text).map_err(not_toml)?;
+        let value: Value = toml::from_str(text).map_err(invalid_toml)?;
         schema::check(&value)?;
         let settings: Settings = serde_path_to_error::deserialize(value).map_err(|error| {
-            FieldSnafu { field: error.path().to_string(), cause: error.inner().to_string() }.build()
+            InvalidFieldSnafu { field: error.path().to_string(), cause: error.inner().to_string() }.build()
         })?;
         let (first, last) = settings.peer_ports;
-        ensure!(first <= last, FieldSnafu { field: "sidings", cause: format!("{first} is above {last}") });
+        ensure!(
+            first <= last,
+            InvalidFieldSnafu { field: "sidings", cause: format!("{first} is above {last}") }
+        );
         Ok(settings)
     }
 
@@ -210,7 +213,7 @@
     ///
     /// # Errors
     ///
-    /// Those of [`Settings::from_text`], and [`Error::Unreadable`] and [`Error::TooLong`], which name the path.
+    /// Those of [`Settings::from_text`], and [`Error::ReadFailed`] and [`Error::TooLarge`], which name the path.
     pub fn load(path: &Path) -> Result<Settings, Error> {
         Settings::from_bytes(&read_file(path)?)
     }
@@ -219,29 +222,29 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unnamed`] where the variable is unset or empty, and those of [`Settings::load`].
+    /// [`Error::PathNotSet`] where the variable is unset or empty, and those of [`Settings::load`].
     pub fn from_env() -> Result<Settings, Error> {
         let path = std::env::var_os(SETTINGS_VARIABLE).filter(|path| !path.is_empty());
-        let path = path.context(UnnamedSnafu)?;
+        let path = path.context(PathNotSetSnafu)?;
         Settings::load(Path::new(&path))
     }
 
     pub(crate) fn from_bytes(bytes: &[u8]) -> Result<Settings, Error> {
-        let text = std::str::from_utf8(bytes).map_err(not_toml)?;
+        let text = std::str::from_utf8(bytes).map_err(invalid_toml)?;
         Settings::from_text(text)
     }
 }
 
-fn not_toml(error: impl Display) -> Error {
-    NotTomlSnafu { cause: error.to_string().trim_end() }.build()
+fn invalid_toml(error: impl Display) -> Error {
+    InvalidTomlSnafu { cause: error.to_string().trim_end() }.build()
 }
 
 /// Reads a file, but no more than [`MAX_SETTINGS_BYTES`]: a device or a runaway file in the place of the settings
 /// would otherwise fill the memory.
 pub(crate) fn read_file(path: &Path) -> Result<Vec<u8>, Error> {
     let mut bytes = Vec::new();
-    let file = std::fs::File::open(path).context(UnreadableSnafu { path })?;
-    file.take(MAX_SETTINGS_BYTES + 1).read_to_end(&mut bytes).context(UnreadableSnafu { path })?;
-    ensure!(bytes.len() as u64 <= MAX_SETTINGS_BYTES, TooLongSnafu { path });
+    let file = std::fs::File::open(path).context(ReadFailedSnafu { path })?;
+    file.take(MAX_SETTINGS_BYTES + 1).read_to_end(&mut bytes).context(ReadFailedSnafu { path })?;
+    ensure!(bytes.len() as u64 <= MAX_SETTINGS_BYTES, TooLargeSnafu { path });
     Ok(bytes)
 }
--- a/crates/node/src/settings/schema.rs
+++ b/crates/node/src/settings/schema.rs
@@ -1,6 +1,6 @@
 //! The check of a settings file against its JSON schema.
 
-use super::error::{Error, FieldSnafu, SchemaSnafu};
+use super::error::{Error, InvalidFieldSnafu, SchemaSnafu};
 use serde_json::Value;
 
 const SCHEMA: &str = include_str!("../../schema/settings.json");
@@ -10,14 +10,14 @@
 ///
 /// # Errors
 ///
-/// [`Error::Field`] for the first violation.
+/// [`Error::InvalidField`] for the first violation.
 pub(super) fn check(value: &Value) -> Result<(), Error> {
     let schema: Value = serde_json::from_str(SCHEMA).map_err(invalid_schema)?;
     let validator = jsonschema::validator_for(&schema).map_err(invalid_schema)?;
     validator.validate(value).map_err(|violation| {
         let path = violation.instance_path().as_str().trim_start_matches('/').replace('/', ".");
         let field = if path.is_empty() { "(top)".to_owned() } else { path };
-        FieldSnafu { field, cause: violation.to_string() }.build()
+        InvalidFieldSnafu { field, cause: violation.to_string() }.build()
     })
 }
 
--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -4,7 +4,7 @@
 use std::fmt::Display;
 use std::time::Duration;
 
-use kitepass_node::{Bounds, Listeners, MachineLimits, Platform, Settings, Tolerance};
+use kitepass_node::{Bounds, FaultTolerance, Listeners, PlatformApi, ResourceLimits, Settings};
 use rstest::rstest;
 
 const EVERY_FIELD: &str = include_str!("golden/node-every-field.toml");
@@ -51,146 +51,147 @@
 /// All patterns below name every field: a new one has to be listed here and in the golden files.
 fn list(settings: &Settings) -> String {
     let Settings {
-        node_id: station,
-        role: post,
-        address: ip,
-        zone: district,
-        region: province,
+        node_id: id,
+        role: role_name,
+        address: ip_address,
+        zone: zone_name,
+        region: region_name,
         peer_ports: (first_port, last_port),
-        bootstrap_addresses: first_stops,
-        is_first_start: maiden_run,
-        counts_toward_tolerance: on_roll,
-        data_dir: archive_dir,
+        bootstrap_addresses: bootstrap,
+        is_first_start: first_start,
+        counts_toward_tolerance: counts,
+        data_dir: dir,
         heartbeat,
-        zones: districts,
-        listeners: counters,
+        zones: region_by_zone,
+        listeners: addresses_by_service,
         limits,
         tolerance,
         bounds,
-        platform: carrier,
+        platform: platform_api,
     } = settings;
     let mut listing = Listing::default();
-    listing.value("station", station);
-    listing.value("post", format!("\"{post}\""));
-    listing.value("ip", ip);
-    listing.value("district", district);
-    listing.value("province", province);
+    listing.value("station", id);
+    listing.value("post", format!("\"{role_name}\""));
+    listing.value("ip", ip_address);
+    listing.value("district", zone_name);
+    listing.value("province", region_name);
     listing.value("sidings", format!("{first_port} to {last_port}"));
-    let addresses: Vec<String> = first_stops.iter().map(ToString::to_string).collect();
+    let addresses: Vec<String> = bootstrap.iter().map(ToString::to_string).collect();
     listing.value("first-stops", format!("[{}]", addresses.join(", ")));
-    listing.value("maiden-run", maiden_run);
-    listing.value("on-roll", on_roll);
-    listing.optional("archive-dir", archive_dir.as_ref().map(|folder| folder.display()));
+    listing.value("maiden-run", first_start);
+    listing.value("on-roll", counts);
+    listing.optional("archive-dir", dir.as_ref().map(|path| path.display()));
     listing.duration("heartbeat-ms", *heartbeat);
     listing.table("districts");
-    for (district, province) in districts {
-        listing.value(district, province);
+    for (zone, region) in region_by_zone {
+        listing.value(zone, region);
     }
-    list_counters(&mut listing, counters);
+    list_listeners(&mut listing, addresses_by_service);
     list_limits(&mut listing, limits);
     list_tolerance(&mut listing, tolerance);
     list_bounds(&mut listing, bounds);
-    list_carrier(&mut listing, carrier.as_ref());
+    list_platform_api(&mut listing, platform_api.as_ref());
     listing.text
 }
 
-fn list_counters(listing: &mut Listing, counters: &Listeners) {
+fn list_listeners(listing: &mut Listing, listeners: &Listeners) {
     let Listeners {
-        client_api: front_counter,
+        client_api: client_address,
         readiness,
-        operator_api: control_desk,
-        directory_api: directory_desk,
-    } = counters;
+        operator_api: operator_address,
+        directory_api: directory_address,
+    } = listeners;
     listing.table("counters");
-    listing.optional("front-counter", *front_counter);
+    listing.optional("front-counter", *client_address);
     listing.optional("readiness", *readiness);
-    listing.optional("control-desk", *control_desk);
-    listing.optional("directory-desk", *directory_desk);
+    listing.optional("control-desk", *operator_address);
+    listing.optional("directory-desk", *directory_address);
 }
 
-fn list_limits(listing: &mut Listing, limits: &MachineLimits) {
-    let MachineLimits {
+fn list_limits(listing: &mut Listing, limits: &ResourceLimits) {
+    let ResourceLimits {
         cpu_quota,
         cores,
         memory_mb,
-        file_descriptors: handles,
-        link_mbps: line_mbps,
+        file_descriptors: descriptors,
+        link_mbps: bandwidth_mbps,
         disk_mb,
     } = limits;
     listing.table("weight-limits");
     listing.value("cpu-quota", cpu_quota);
     listing.value("cores", cores);
     listing.value("memory-mb", memory_mb);
-    listing.value("handles", handles);
-    listing.value("line-mbps", line_mbps);
+    listing.value("handles", descriptors);
+    listing.value("line-mbps", bandwidth_mbps);
     listing.value("disk-mb", disk_mb);
 }
 
-fn list_tolerance(listing: &mut Listing, tolerance: &Tolerance) {
-    let Tolerance { machines: vehicles, zones: districts, regions: provinces } = tolerance;
+fn list_tolerance(listing: &mut Listing, tolerance: &FaultTolerance) {
+    let FaultTolerance { machines: machine_failures, zones: zone_failures, regions: region_failures } =
+        tolerance;
     listing.table("tolerance");
-    listing.value("vehicles", vehicles);
-    listing.value("districts", districts);
-    listing.value("provinces", provinces);
+    listing.value("vehicles", machine_failures);
+    listing.value("districts", zone_failures);
+    listing.value("provinces", region_failures);
 }
 
 fn list_bounds(listing: &mut Listing, bounds: &Bounds) {
     let Bounds {
-        contact,
-        settle,
-        clearance,
-        shutdown_grace: courtesy,
-        configuration_delay: timetable,
+        stable_after,
+        rejoin_hold_down,
+        drain_delay,
+        shutdown_grace: grace_period,
+        configuration_delay: propagation_delay,
         retry_ratio,
         retry_window,
         retry_margin,
         quota_window,
         quota_excess,
         quota_margin,
-        slow_start_excess: cold_excess,
-        slow_start_margin: cold_margin,
-        evacuation: evacuate,
-        ttl_max,
-        is_sealed_off: sealed_off,
-        endpoint_list_lag: roster_lag,
-        readdress,
-        receipt,
-        missing,
-        return_after: back,
-        stretch,
+        slow_start_excess: rate_excess,
+        slow_start_margin: rate_margin,
+        evacuation_delay: zone_delay,
+        max_directory_ttl,
+        is_sealed_off: is_sealed,
+        max_endpoint_list_lag: max_lag,
+        address_reuse_delay,
+        operator_ack_timeout,
+        lost_request_timeout,
+        stale_version_grace_period: grace,
+        degraded_extension,
         recall,
-        recovery,
+        recovery_time,
     } = bounds;
     listing.table("schedule-bounds");
-    listing.duration("contact-ms", *contact);
-    listing.duration("settle-s", *settle);
-    listing.duration("clearance-ms", *clearance);
-    listing.duration("courtesy-s", *courtesy);
-    listing.duration("timetable-ms", *timetable);
+    listing.duration("contact-ms", *stable_after);
+    listing.duration("settle-s", *rejoin_hold_down);
+    listing.duration("clearance-ms", *drain_delay);
+    listing.duration("courtesy-s", *grace_period);
+    listing.duration("timetable-ms", *propagation_delay);
     listing.value("retry-ratio", retry_ratio);
     listing.duration("retry-window-s", *retry_window);
     listing.value("retry-margin", retry_margin);
     listing.duration("quota-window-s", *quota_window);
     listing.value("quota-excess", quota_excess);
     listing.value("quota-margin", quota_margin);
-    listing.value("cold-excess", cold_excess);
-    listing.value("cold-margin", cold_margin);
-    listing.duration("evacuate-ms", *evacuate);
-    listing.duration("ttl_max_s", *ttl_max);
-    listing.value("sealed-off", sealed_off);
-    listing.optional_duration("roster-lag-s", *roster_lag);
-    listing.optional_duration("readdress-s", *readdress);
-    listing.optional_duration("receipt-ms", *receipt);
-    listing.optional_duration("missing-ms", *missing);
-    listing.optional_duration("return-ms", *back);
-    listing.optional_duration("stretch-ms", *stretch);
+    listing.value("cold-excess", rate_excess);
+    listing.value("cold-margin", rate_margin);
+    listing.duration("evacuate-ms", *zone_delay);
+    listing.duration("ttl_max_s", *max_directory_ttl);
+    listing.value("sealed-off", is_sealed);
+    listing.optional_duration("roster-lag-s", *max_lag);
+    listing.optional_duration("readdress-s", *address_reuse_delay);
+    listing.optional_duration("receipt-ms", *operator_ack_timeout);
+    listing.optional_duration("missing-ms", *lost_request_timeout);
+    listing.optional_duration("return-ms", *grace);
+    listing.optional_duration("stretch-ms", *degraded_extension);
     listing.optional_duration("recall-ms", *recall);
-    listing.optional_duration("recovery-s", *recovery);
+    listing.optional_duration("recovery-s", *recovery_time);
 }
 
-fn list_carrier(listing: &mut Listing, carrier: Option<&Platform>) {
+fn list_platform_api(listing: &mut Listing, platform_api: Option<&PlatformApi>) {
     listing.table("carrier-api");
-    let Some(Platform { address, rate_per_s, delay_ms }) = carrier else {
+    let Some(PlatformApi { address, rate_per_s, delay_ms }) = platform_api else {
         listing.value("address", "unset");
         return;
     };
@@ -270,7 +271,7 @@
     "[20300, 20300]\n[counters]\nreadiness = \"127.0.0.21\"",
     "field counters.readiness: invalid socket address syntax"
 )]
-#[case::carrier_without_address(
+#[case::platform_api_without_address(
     "[20300, 20300]",
     "[20300, 20300]\n[carrier-api]\nrate-per-s = 3",
     "field carrier-api: \"address\" is a required property"
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use kitepass_node::{pair, Bounds, Error, MachineLimits, Settings, SettingsWatcher, Tolerance};
+use kitepass_node::{log_field, Bounds, Error, FaultTolerance, ResourceLimits, Settings, SettingsWatcher};
 use rstest::rstest;
 
 const REQUIRED_FIELDS: &str =
@@ -24,13 +24,13 @@
     assert_eq!(settings.zones["levis-a"], "quebec-est");
     assert_eq!(settings.listeners.directory_api, Some("10.1.0.35:8684".parse().unwrap()));
     assert_eq!(settings.listeners.readiness, None);
-    assert_eq!(settings.limits, MachineLimits { memory_mb: 512, ..MachineLimits::default() });
-    assert_eq!(settings.tolerance, Tolerance { machines: 2, zones: 1, regions: 0 });
+    assert_eq!(settings.limits, ResourceLimits { memory_mb: 512, ..ResourceLimits::default() });
+    assert_eq!(settings.tolerance, FaultTolerance { machines: 2, zones: 1, regions: 0 });
     let bounds = Bounds {
-        contact: Duration::from_micros(2500),
-        settle: Duration::from_millis(4500),
+        stable_after: Duration::from_micros(2500),
+        rejoin_hold_down: Duration::from_millis(4500),
         is_sealed_off: true,
-        endpoint_list_lag: Some(Duration::from_secs(3)),
+        max_endpoint_list_lag: Some(Duration::from_secs(3)),
         ..Bounds::default()
     };
     assert_eq!(settings.bounds, bounds);
@@ -70,7 +70,7 @@
         if removed.is_empty() { REQUIRED_FIELDS.into() } else { REQUIRED_FIELDS.replace(removed, "") }
     );
     let error = Settings::from_text(&text).unwrap_err();
-    assert!(matches!(error, Error::Field { .. }), "{error:?}");
+    assert!(matches!(error, Error::InvalidField { .. }), "{error:?}");
     assert!(error.to_string().contains(field), "{error}");
 }
 
@@ -86,10 +86,10 @@
     write(&REQUIRED_FIELDS.replace("\"a\"", "\"b\""));
     assert_eq!(watch.poll().unwrap().unwrap().node_id, "b");
     write("station = ");
-    assert!(matches!(watch.poll(), Some(Err(Error::NotToml { .. }))));
+    assert!(matches!(watch.poll(), Some(Err(Error::InvalidToml { .. }))));
     assert!(watch.poll().is_none());
     std::fs::remove_file(&path).unwrap();
-    assert!(matches!(watch.poll(), Some(Err(Error::Unreadable { .. }))));
+    assert!(matches!(watch.poll(), Some(Err(Error::ReadFailed { .. }))));
     assert!(watch.poll().is_none());
     write(REQUIRED_FIELDS);
     assert_eq!(watch.poll().unwrap().unwrap().node_id, "a");
@@ -101,5 +101,5 @@
 #[case("", "k=\"\"")]
 #[case("two \"words\"\n", r#"k="two \"words\"\n""#)]
 fn a_pair_is_a_single_token_of_a_log_line(#[case] value: &str, #[case] expected: &str) {
-    assert_eq!(pair("k", value).to_string(), expected);
+    assert_eq!(log_field("k", value).to_string(), expected);
 }
