--- a/crates/config/src/change_request/mod.rs
+++ b/crates/config/src/change_request/mod.rs
@@ -21,7 +21,7 @@
 
 pub use schema::SchemaValidator;
 
-/// A route's latency target must exceed its deadline by less than this many milliseconds.
+/// A route's latency target may exceed its deadline, but only by less than this many milliseconds.
 const MAX_TARGET_ABOVE_DEADLINE_MS: f64 = 60_000.0;
 
 /// Parses a change request and checks each item on its own. [`validate`](crate::validate()) checks the items against
@@ -194,7 +194,7 @@
         _ => Limits::from_item(item).is_some(),
     };
     if !is_parseable {
-        return reject_item(list, &item.name, "item", "cannot be read");
+        return reject_item(list, &item.name, "item", "cannot be parsed");
     }
     Ok(())
 }
