--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,9 +1,9 @@
-//! What every process of the system needs as a node:
+//! Facilities shared by all processes of the system:
 //!
-//! - [`Settings`]: the settings file, TOML, which the variable [`SETTINGS_VARIABLE`] names and which is checked against
-//!   `schema/settings.json`. [`SettingsWatcher`] notices its changes.
-//! - [`log_to_stderr`]: the log, one line an event.
-//! - [`process`]: signals, and the process' incarnation.
+//! - [`Settings`]: the settings file in TOML format, whose path is given by the environment variable
+//!   [`SETTINGS_VARIABLE`]. It is validated against `schema/settings.json`. [`SettingsWatcher`] detects changes to it.
+//! - [`log_to_stderr`]: the log, with one line per event.
+//! - [`process`]: signal handling, and the incarnation number of a process.
 
 mod logging;
 pub mod process;
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log: one line an event, on standard error.
+//! Logging to standard error, with one line per event.
 
 use std::fmt;
 use std::io::Write;
@@ -6,18 +6,18 @@
 
 use log::LevelFilter;
 
-/// The environment variable that names the level: `off`, `error`, `warn`, `info`, `debug` or `trace`.
+/// The environment variable for the log level: `off`, `error`, `warn`, `info`, `debug` or `trace`.
 pub const LOG_VARIABLE: &str = "KITEPASS_LOG";
 
-/// The level that [`LOG_VARIABLE`] names; `info` where it is unset or not a level.
+/// Returns the log level from [`LOG_VARIABLE`], or `info` if it is unset or invalid.
 pub fn level_from_env() -> LevelFilter {
     let level = std::env::var(LOG_VARIABLE).ok();
     level.and_then(|level| level.trim().parse().ok()).unwrap_or(LevelFilter::Info)
 }
 
-/// Sends the log to standard error, one line an event:
-/// `t=<seconds since this call, monotonic> level=info at=<target> <message>`. Messages consist of pairs, see
-/// [`log_field`]. A second call in a process changes nothing, not even the level.
+/// Installs a logger that writes one line per event to standard error:
+/// `t=<seconds since this call, monotonic> level=info at=<target> <message>`. Messages consist of `key=value` fields
+/// (see [`log_field`]). Further calls in the same process have no effect, not even on the level.
 pub fn log_to_stderr(level: LevelFilter) {
     let start = Instant::now();
     let result = fern::Dispatch::new()
@@ -38,14 +38,14 @@
     }
 }
 
-/// Writes a line and ignores errors. `fern`'s own output panics when the reader of a pipe is gone, which would end the
-/// process for a line of the log; here the line is lost.
+/// Writes a line and ignores errors. If the reader of a pipe is gone, the line is lost, whereas `fern`'s own output
+/// would panic and so terminate the process.
 fn write_to_stderr(record: &log::Record<'_>) {
     let line = format!("{}\n", record.args());
     let _ = std::io::stderr().lock().write_all(line.as_bytes());
 }
 
-/// Replaces control characters by escapes. Otherwise text from elsewhere could forge a line of the log by a line break.
+/// Escapes control characters. Otherwise a line break in untrusted text could be used to forge log lines.
 fn escape_control_characters(message: &str) -> String {
     let mut escaped = String::with_capacity(message.len());
     for character in message.chars() {
@@ -58,15 +58,15 @@
     escaped
 }
 
-/// A key and its value, displayed as `key=value`; made by [`log_field`].
+/// A log field, displayed as `key=value`. Created by [`log_field`].
 #[derive(Clone, Copy, Debug)]
 pub struct LogField<'a, V> {
     key: &'a str,
     value: V,
 }
 
-/// Displays as `key=value`; the value is quoted and escaped if it is empty or contains blanks, quotes, `=` or control
-/// characters.
+/// Creates a log field, displayed as `key=value`. The value is quoted and escaped if it is empty or contains
+/// whitespace, quotes, `=` or control characters.
 ///
 /// ```
 /// assert_eq!(kitepass_node::log_field("error", "no such file").to_string(), "error=\"no such file\"");
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -1,4 +1,4 @@
-//! A process' signals and its incarnation.
+//! Signal handling, and the incarnation number of a process.
 
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
@@ -8,7 +8,7 @@
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-/// Signals that have come: SIGTERM and SIGINT ask the process to shut down, SIGHUP to read its settings again.
+/// The signals received by the process. SIGTERM and SIGINT request a shutdown, SIGHUP a reload of the settings.
 #[derive(Debug, Default)]
 pub struct Signals {
     is_shutdown_requested: Arc<AtomicBool>,
@@ -16,11 +16,11 @@
 }
 
 impl Signals {
-    /// Installs the signal handlers. From then on these signals are recorded and no longer end the process.
+    /// Installs the signal handlers. From then on the signals are recorded and no longer terminate the process.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// If the operating system rejects a handler.
     pub fn install_handlers(&self) -> io::Result<()> {
         let handlers = [
             (SIGTERM, &self.is_shutdown_requested),
@@ -33,18 +33,18 @@
         Ok(())
     }
 
-    /// Whether the process was asked to shut down.
+    /// Whether a shutdown was requested.
     pub fn is_shutdown_requested(&self) -> bool {
         self.is_shutdown_requested.load(Ordering::Relaxed)
     }
 
-    /// Whether the process was asked to read its settings again since the last call.
+    /// Whether a reload of the settings was requested since the last call.
     pub fn take_reload_request(&self) -> bool {
         self.is_reload_requested.swap(false, Ordering::Relaxed)
     }
 }
 
-/// A number that differs between the incarnations of a node's process. It does not depend on a clock alone, since
+/// Returns a random number that identifies this incarnation of a node's process. It is not derived from a clock, since
 /// clocks may be set back.
 pub fn new_incarnation(node_id: &str) -> u64 {
     let mut hasher = RandomState::new().build_hasher();
--- a/crates/node/src/settings/error.rs
+++ b/crates/node/src/settings/error.rs
@@ -1,16 +1,16 @@
-//! Why settings are rejected.
+//! Errors of loading and parsing settings.
 
 use super::{MAX_SETTINGS_BYTES, SETTINGS_VARIABLE};
 use snafu::Snafu;
 use std::path::PathBuf;
 
-/// Why settings were rejected. Each text is shown to operators as it is.
+/// An error of loading or parsing settings. The messages are shown to operators.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 #[non_exhaustive]
 pub enum Error {
-    /// The variable is unset or empty.
-    #[snafu(display("{SETTINGS_VARIABLE} does not name a settings file"))]
+    /// The environment variable for the settings file is unset or empty.
+    #[snafu(display("environment variable {SETTINGS_VARIABLE} is not set to the path of a settings file"))]
     PathNotSet,
     /// The file could not be read.
     #[snafu(display("{}: {source}", path.display()))]
@@ -20,30 +20,30 @@
         /// The operating system's error.
         source: std::io::Error,
     },
-    /// The file has more than [`MAX_SETTINGS_BYTES`].
-    #[snafu(display("{}: more than {MAX_SETTINGS_BYTES} bytes", path.display()))]
+    /// The file is larger than [`MAX_SETTINGS_BYTES`].
+    #[snafu(display("{}: larger than {MAX_SETTINGS_BYTES} bytes", path.display()))]
     TooLarge {
         /// The settings file.
         path: PathBuf,
     },
-    /// The text is not UTF-8 or not TOML; `cause` names the line.
+    /// The file is not valid UTF-8 or not valid TOML.
     #[snafu(display("not TOML: {cause}"))]
     InvalidToml {
-        /// What is wrong, and where.
+        /// The parser's error, which includes the position.
         cause: String,
     },
-    /// A field is missing or its value is not allowed.
+    /// A field is missing or has an invalid value.
     #[snafu(display("field {field}: {cause}"))]
     InvalidField {
-        /// The field with the tables that it is in, such as `carrier-api.address`.
+        /// The dotted path of the field, such as `carrier-api.address`.
         field: String,
-        /// What is wrong with it.
+        /// The reason why it is invalid.
         cause: String,
     },
-    /// The schema that is built into this program is invalid: a fault of the program, not of the file.
-    #[snafu(display("the schema of settings: {cause}"))]
+    /// The embedded schema is invalid. This is a bug of the program, not an error in the file.
+    #[snafu(display("embedded settings schema is invalid: {cause}"))]
     Schema {
-        /// What is wrong.
+        /// The reason why it is invalid.
         cause: String,
     },
 }
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! A node's settings file. The names that it uses are fixed by the deployment; they stand in the `serde` attributes
-//! alone, and everything else uses the names of the fields.
+//! The settings file of a node. Deployments determine the names in the file; `serde` attributes map them to the field
+//! names used in the code.
 
 mod bounds;
 mod durations;
@@ -21,103 +21,103 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The environment variable that names the settings file.
+/// The environment variable for the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "KITEPASS_NODE_FILE";
 
-/// The most bytes that a settings file may have.
+/// The maximum size of a settings file in bytes.
 pub const MAX_SETTINGS_BYTES: u64 = 1 << 20;
 
 const DEFAULT_HEARTBEAT: Duration = Duration::from_millis(1500);
 const DEFAULT_PLATFORM_RATE_PER_S: f64 = 50.0;
 const DEFAULT_PLATFORM_DELAY_MS: u64 = 800;
 
-/// A node's settings. Name, address, zone, region and peer ports are required; each other field has a default, and
-/// unknown fields are skipped.
+/// The settings of a node. Node ID, address, zone, region and peer ports are required; all other fields have defaults.
+/// Unknown fields are ignored.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub struct Settings {
-    /// The node's name.
+    /// The name of the node.
     #[serde(rename = "station")]
     pub node_id: String,
-    /// The role of `deploy/system.toml` that the node serves in; empty by default.
+    /// The node's role as defined in `deploy/system.toml`; empty by default.
     #[serde(rename = "post", default)]
     pub role: String,
-    /// The node's address.
+    /// The IP address of the node.
     #[serde(rename = "ip")]
     pub address: Ipv4Addr,
-    /// The zone that the node is in.
+    /// The zone of the node.
     #[serde(rename = "district")]
     pub zone: String,
-    /// The region that the zone is in.
+    /// The region of the zone.
     #[serde(rename = "province")]
     pub region: String,
-    /// The first and the last port that the node may listen on for its peers, both included; first <= last.
+    /// The range of ports on which the node may listen for its peers: the first and the last port, inclusive.
     #[serde(rename = "sidings")]
     pub peer_ports: (u16, u16),
-    /// Control plane nodes to contact first; none by default.
+    /// The control plane nodes to contact at startup; none by default.
     #[serde(rename = "first-stops", default)]
     pub bootstrap_addresses: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time, with empty disks. `false` by default, so that a restart is
-    /// never taken for a first start.
+    /// Whether the whole system is started for the first time, with empty disks. `false` by default, so that a restart
+    /// is never mistaken for a first start.
     #[serde(rename = "maiden-run", default)]
     pub is_first_start: bool,
-    /// Whether the node counts toward the machines that [`FaultTolerance`] lets fail; `false` by default.
+    /// Whether the node counts as one of the machines whose failure [`FaultTolerance`] covers; `false` by default.
     #[serde(rename = "on-roll", default)]
     pub counts_toward_tolerance: bool,
-    /// The folder on disk; `None` where there is no disk.
+    /// The directory for persistent data; `None` if the node has no disk.
     #[serde(rename = "archive-dir")]
     pub data_dir: Option<PathBuf>,
-    /// The interval of heartbeats, never 0; 1.5 s by default.
+    /// The interval between heartbeats, never 0; 1.5 s by default.
     #[serde(rename = "heartbeat-ms", default = "default_heartbeat", deserialize_with = "millis")]
     pub heartbeat: Duration,
-    /// The region of each zone; empty by default.
+    /// The region of each zone, by zone; empty by default.
     #[serde(rename = "districts", default)]
     pub zones: BTreeMap<String, String>,
-    /// Where this node listens, by service.
+    /// The listen addresses of the node's services.
     #[serde(rename = "counters", default)]
     pub listeners: Listeners,
-    /// What the node may use of its machine.
+    /// The resources that the node may use.
     #[serde(rename = "weight-limits", default)]
     pub limits: ResourceLimits,
-    /// What may fail at once.
+    /// The number of simultaneous failures that the system must tolerate.
     #[serde(default)]
     pub tolerance: FaultTolerance,
-    /// Times and ratios.
+    /// Time limits and ratios of the deployment.
     #[serde(rename = "schedule-bounds", default)]
     pub bounds: Bounds,
-    /// The platform's API; `None` by default.
+    /// The API of the platform; `None` by default.
     #[serde(rename = "carrier-api")]
     pub platform: Option<PlatformApi>,
 }
 
-/// The addresses that a node's services listen on; each `None` where the node does not have the service.
+/// The listen addresses of a node's services; `None` for services that the node does not provide.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Listeners {
-    /// Clients' requests.
+    /// The address for requests from clients.
     #[serde(rename = "front-counter")]
     pub client_api: Option<SocketAddr>,
-    /// Readiness probes.
+    /// The address for readiness probes.
     pub readiness: Option<SocketAddr>,
-    /// Operators' requests.
+    /// The address for requests from operators.
     #[serde(rename = "control-desk")]
     pub operator_api: Option<SocketAddr>,
-    /// Clients' look-ups of gateways.
+    /// The address for gateway lookups by clients.
     #[serde(rename = "directory-desk")]
     pub directory_api: Option<SocketAddr>,
 }
 
-/// What a node may use of its machine. The defaults are a small control plane node's.
+/// The resources of the machine that a node may use. The defaults suit a small control plane node.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct ResourceLimits {
-    /// The part of one core; 0.3 by default.
+    /// CPU time as a fraction of one core; 0.3 by default.
     pub cpu_quota: f64,
-    /// The cores that threads can run on; 1 by default.
+    /// The number of cores that threads can run on; 1 by default.
     pub cores: u32,
     /// Memory in megabytes; 256 by default.
     pub memory_mb: u64,
-    /// Open file descriptors; 4096 by default.
+    /// The maximum number of open file descriptors; 4096 by default.
     #[serde(rename = "handles")]
     pub file_descriptors: u64,
     /// Network bandwidth in megabits per second; 1000 by default.
@@ -140,17 +140,17 @@
     }
 }
 
-/// How many failures at once the system has to survive; 1 of each kind by default.
+/// The number of simultaneous failures that the system must tolerate; 1 of each kind by default.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct FaultTolerance {
-    /// Machines.
+    /// The number of failed machines.
     #[serde(rename = "vehicles")]
     pub machines: u32,
-    /// Zones.
+    /// The number of failed zones.
     #[serde(rename = "districts")]
     pub zones: u32,
-    /// Regions.
+    /// The number of failed regions.
     #[serde(rename = "provinces")]
     pub regions: u32,
 }
@@ -161,21 +161,21 @@
     }
 }
 
-/// The platform's API, which lists backends and takes orders for them.
+/// The API of the platform, which lists backends and accepts commands for them.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub struct PlatformApi {
-    /// The address that it listens on; required.
+    /// The address of the API; required.
     pub address: SocketAddr,
-    /// The most calls per second; 50 by default.
+    /// The maximum number of calls per second; 50 by default.
     #[serde(default = "default_platform_rate_per_s")]
     pub rate_per_s: f64,
-    /// The time in milliseconds until an order shows; 800 by default.
+    /// The time in milliseconds until the effect of a command is visible; 800 by default.
     #[serde(default = "default_platform_delay_ms")]
     pub delay_ms: u64,
 }
 
-// `serde` takes defaults from functions.
+// `serde` requires default values to be returned by functions.
 
 fn default_heartbeat() -> Duration {
     DEFAULT_HEARTBEAT
@@ -194,7 +194,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::InvalidToml`] names the line, [`Error::InvalidField`] the field.
+    /// [`Error::InvalidToml`] if the text is not valid TOML, and [`Error::InvalidField`] if a field is missing or invalid.
     pub fn from_text(text: &str) -> Result<Settings, Error> {
         let value: Value = toml::from_str(text).map_err(invalid_toml)?;
         schema::check(&value)?;
@@ -213,16 +213,16 @@
     ///
     /// # Errors
     ///
-    /// Those of [`Settings::from_text`], and [`Error::ReadFailed`] and [`Error::TooLarge`], which name the path.
+    /// [`Error::ReadFailed`], [`Error::TooLarge`], and the errors of [`Settings::from_text`].
     pub fn load(path: &Path) -> Result<Settings, Error> {
         Settings::from_bytes(&read_file(path)?)
     }
 
-    /// Reads the settings file that [`SETTINGS_VARIABLE`] names.
+    /// Reads the settings file at the path given by [`SETTINGS_VARIABLE`].
     ///
     /// # Errors
     ///
-    /// [`Error::PathNotSet`] where the variable is unset or empty, and those of [`Settings::load`].
+    /// [`Error::PathNotSet`] if the variable is unset or empty, and the errors of [`Settings::load`].
     pub fn from_env() -> Result<Settings, Error> {
         let path = std::env::var_os(SETTINGS_VARIABLE).filter(|path| !path.is_empty());
         let path = path.context(PathNotSetSnafu)?;
@@ -239,8 +239,8 @@
     InvalidTomlSnafu { cause: error.to_string().trim_end() }.build()
 }
 
-/// Reads a file, but no more than [`MAX_SETTINGS_BYTES`]: a device or a runaway file in the place of the settings
-/// would otherwise fill the memory.
+/// Reads a file of at most [`MAX_SETTINGS_BYTES`]. Without this limit, a device file or an oversized file in place of
+/// the settings could exhaust the memory.
 pub(crate) fn read_file(path: &Path) -> Result<Vec<u8>, Error> {
     let mut bytes = Vec::new();
     let file = std::fs::File::open(path).context(ReadFailedSnafu { path })?;
--- a/crates/node/src/settings/schema.rs
+++ b/crates/node/src/settings/schema.rs
@@ -1,12 +1,12 @@
-//! The check of a settings file against its JSON schema.
+//! Validates settings files against the JSON schema.
 
 use super::error::{Error, InvalidFieldSnafu, SchemaSnafu};
 use serde_json::Value;
 
 const SCHEMA: &str = include_str!("../../schema/settings.json");
 
-/// Checks a file's value against the schema. The schema is compiled for each check: files are read seldom, and a
-/// compiled schema that is kept would hold memory for nothing.
+/// Validates parsed settings against the schema. The schema is compiled for each validation, because settings are read
+/// rarely and keeping the compiled schema would waste memory.
 ///
 /// # Errors
 ///
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -1,4 +1,4 @@
-//! Notices changes of the settings file.
+//! Detects changes to the settings file.
 
 use crate::settings::read_file;
 use crate::{Error, Settings};
@@ -7,33 +7,33 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
-/// A file that was changed more recently than this may change again without its stamp showing it.
+/// A file modified more recently than this may be modified again without a change to its [`FileStamp`].
 const MIN_RELIABLE_AGE: Duration = Duration::from_secs(2);
 
-/// Notices changes of a settings file.
+/// Detects changes to a settings file.
 #[derive(Debug)]
 pub struct SettingsWatcher {
     path: PathBuf,
     last_read: LastRead,
 }
 
-/// What the last look at the file found.
+/// The result of the last attempt to read the file.
 #[derive(Debug)]
 enum LastRead {
-    /// There has been none yet.
+    /// The file has not been read yet.
     Never,
-    /// The file could not be read, which has been reported.
+    /// The file could not be read, and the failure has been reported.
     Failed,
-    /// The file's content, which has been reported.
+    /// The file was read, and its content has been reported.
     Content {
         stamp: FileStamp,
-        /// Whether an equal stamp means equal content.
+        /// Whether an equal stamp implies equal content.
         is_stamp_reliable: bool,
         bytes: Vec<u8>,
     },
 }
 
-/// What tells a file from its later states without its content being read.
+/// File metadata used to detect a modification without reading the content.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct FileStamp {
     inode: u64,
@@ -54,32 +54,34 @@
 }
 
 impl SettingsWatcher {
-    /// Watches the file at `path`, which need not exist yet. Nothing is read before [`SettingsWatcher::poll`].
+    /// Creates a watcher for the file at `path`, which does not need to exist yet. The file is read only by
+    /// [`SettingsWatcher::poll`].
     pub fn new(path: impl AsRef<Path>) -> SettingsWatcher {
         SettingsWatcher { path: path.as_ref().to_owned(), last_read: LastRead::Never }
     }
 
-    /// `None` if the file is as it was at the last call; else its settings, or why they are rejected: the caller then
-    /// keeps those that it has. Each change is reported once, a faulty file too. The first call always reports, so
-    /// that no change between loading the settings and watching them is missed.
+    /// Returns the settings if the file has changed since the last call, or the error if it cannot be read or is
+    /// invalid, in which case the caller should keep its current settings. Each change is reported once, including
+    /// changes to an invalid file. The first call always reports the file, so that no change between loading and
+    /// watching the settings is missed.
     ///
-    /// Does not wait; meant to be called once a second and at SIGHUP. A file that is found half written is reported
-    /// as it is, and again at the next call once it is complete; writers had better rename a complete file.
+    /// Does not block; intended to be called once per second and on SIGHUP. A partially written file is reported as it
+    /// is, and again by a later call once it is complete. To avoid this, replace the file by renaming a complete one.
     pub fn poll(&mut self) -> Option<Result<Settings, Error>> {
-        // The stamp is taken before the content: a change in between shows at the next call, at the latest.
+        // The metadata is read before the content, so that a change in between is detected by the next call.
         let metadata = std::fs::metadata(&self.path).ok();
         if self.is_known_unchanged(metadata.as_ref()) {
             return None;
         }
         match (read_file(&self.path), metadata) {
             (Ok(bytes), Some(metadata)) => self.record_content(&metadata, bytes),
-            // The file appeared between the two looks; the next call reads it.
+            // The file was created between the two calls; the next poll reads it.
             (Ok(_), None) => None,
             (Err(error), _) => self.record_failure(error),
         }
     }
 
-    /// Whether the stamp alone shows that the file has not changed.
+    /// Whether the metadata alone proves that the file has not changed.
     fn is_known_unchanged(&self, metadata: Option<&Metadata>) -> bool {
         match &self.last_read {
             LastRead::Content { stamp, is_stamp_reliable: true, .. } => {
@@ -110,11 +112,11 @@
     }
 }
 
-/// Whether the file's last change is so long ago that another one shows in its time of modification.
+/// Whether the file's modification time is old enough that another modification would change it.
 ///
-/// Invariant: a stamp is trusted only then. Two changes within one tick of the file system's clock that keep the
-/// length have the same stamp, and the second would be missed for good. A time in the future, after a clock was set
-/// back, is never trusted.
+/// Invariant: a stamp is relied on only if this holds. Two modifications within one tick of the file system's clock that
+/// keep the file's length result in the same stamp, so the second one would never be detected. A modification time in
+/// the future, as after a clock was set back, is never relied on.
 fn is_stamp_reliable(metadata: &Metadata) -> bool {
     let modified = metadata.modified().ok();
     let age = modified.and_then(|modified| SystemTime::now().duration_since(modified).ok());
--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -1,5 +1,6 @@
-//! Settings files as they are read today, value by value, and the error text of files that are rejected. Deployed
-//! files must keep their meaning across upgrades: expected values stand in `golden/` and are never regenerated.
+//! Compares every parsed value of the settings files in `golden/` with the expected values there, and checks the error
+//! messages for invalid files. Deployed files must keep their meaning across upgrades, so the expected values must
+//! never be regenerated.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -11,7 +12,7 @@
 const REQUIRED_FIELDS: &str = include_str!("golden/node-required-fields.toml");
 const SCHEMA: &str = include_str!("../schema/settings.json");
 
-/// A settings file's values, a line each, under the names that they have in the file.
+/// The values of a settings file, one per line, with their names in the file.
 #[derive(Default)]
 struct Listing {
     text: String,
@@ -48,7 +49,7 @@
     format!("{} microseconds", duration.as_micros())
 }
 
-/// All patterns below name every field: a new one has to be listed here and in the golden files.
+/// The patterns in the functions below list all fields, so that a new field must be added here and in the golden files.
 fn list(settings: &Settings) -> String {
     let Settings {
         node_id: id,
@@ -208,7 +209,7 @@
     assert_eq!(list(&settings), expected);
 }
 
-/// The names of all settings below a schema's object, with the tables that they are in.
+/// Collects the dotted paths of all settings in an object of the schema.
 fn names_in_schema(object: &serde_json::Value, table: &str, names: &mut Vec<String>) {
     let properties = object["properties"].as_object().expect("an object lists its properties");
     for (name, property) in properties {
@@ -234,8 +235,8 @@
     }
 }
 
-/// The golden file of the required settings with one line replaced; what the schema, the types and the file's own
-/// check reject.
+/// Replaces one line of the golden file with only the required settings. The cases cover errors detected by the schema,
+/// by deserialization, and by the check of the port range.
 #[rstest]
 #[case::required_setting_missing(
     "station = \"data-south-1\"",
@@ -248,7 +249,11 @@
     "district = \"\"",
     "field district: \"\" is shorter than 1 character"
 )]
-#[case::no_address("ip = \"127.0.0.21\"", "ip = \"localhost\"", "field ip: invalid IPv4 address syntax")]
+#[case::invalid_ip_address(
+    "ip = \"127.0.0.21\"",
+    "ip = \"localhost\"",
+    "field ip: invalid IPv4 address syntax"
+)]
 #[case::port_out_of_range(
     "[20300, 20300]",
     "[20300, 70000]",
@@ -266,7 +271,7 @@
     "[20300, 20300]\n[schedule-bounds]\nsettle-s = -1",
     "field schedule-bounds.settle-s: -1 is less than the minimum of 0"
 )]
-#[case::no_port(
+#[case::address_without_port(
     "[20300, 20300]",
     "[20300, 20300]\n[counters]\nreadiness = \"127.0.0.21\"",
     "field counters.readiness: invalid socket address syntax"
@@ -276,7 +281,7 @@
     "[20300, 20300]\n[carrier-api]\nrate-per-s = 3",
     "field carrier-api: \"address\" is a required property"
 )]
-#[case::no_toml(
+#[case::invalid_toml(
     "province = \"south\"",
     "province = ",
     concat!(
@@ -287,7 +292,7 @@
         "string values must be quoted, expected literal string",
     )
 )]
-#[case::name_given_twice(
+#[case::duplicate_setting(
     "province = \"south\"",
     "station = \"again\"",
     concat!(
@@ -298,14 +303,18 @@
         "duplicate key",
     )
 )]
-fn a_rejected_file_has_this_error(#[case] line: &str, #[case] replacement: &str, #[case] error: &str) {
+fn invalid_settings_have_the_expected_error_message(
+    #[case] line: &str,
+    #[case] replacement: &str,
+    #[case] error: &str,
+) {
     assert!(REQUIRED_FIELDS.contains(line));
     let file = REQUIRED_FIELDS.replacen(line, replacement, 1);
     assert_eq!(Settings::from_text(&file).unwrap_err().to_string(), error);
 }
 
 #[test]
-fn a_file_that_cannot_be_read_has_this_error() {
+fn an_unreadable_file_has_the_expected_error_message() {
     let path = std::path::Path::new("/nonexistent/node.toml");
     let error = Settings::load(path).unwrap_err();
     assert_eq!(error.to_string(), "/nonexistent/node.toml: No such file or directory (os error 2)");
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Valid, faulty and changed settings files, and the shape of log lines.
+//! Parsing of valid and invalid settings files, detection of changes to them, and the format of log fields.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 const EVERY_FIELD: &str = include_str!("every_field.toml");
 
 #[test]
-fn a_file_with_every_field_is_read() {
+fn a_file_with_every_field_is_parsed() {
     let settings = Settings::from_text(EVERY_FIELD).unwrap();
     assert_eq!(
         (settings.node_id.as_str(), settings.role.as_str(), settings.peer_ports),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn fields_that_are_left_out_have_defaults() {
+fn missing_fields_have_defaults() {
     let settings = Settings::from_text(REQUIRED_FIELDS).unwrap();
     assert_eq!(
         (settings.heartbeat, settings.platform, settings.data_dir),
@@ -53,7 +53,7 @@
     );
 }
 
-/// Each file is rejected, and the error names the field.
+/// Each file is rejected, and the error message contains the name of the field.
 #[rstest]
 #[case::missing_field("", "station = \"a\"", "station")]
 #[case::wrong_type("maiden-run = 3", "", "maiden-run")]
@@ -75,24 +75,24 @@
 }
 
 #[test]
-fn a_watch_reports_each_change_once() {
+fn a_watcher_reports_each_change_once() {
     let path = std::env::temp_dir().join(format!("kitepass-node-{}.toml", std::process::id()));
     let write = |text: &str| std::fs::write(&path, text).unwrap();
     write(REQUIRED_FIELDS);
-    let mut watch = SettingsWatcher::new(&path);
-    assert_eq!(watch.poll().unwrap().unwrap().node_id, "a");
-    assert!(watch.poll().is_none());
-    // The same length, and most likely the same tick of the file system's clock.
+    let mut watcher = SettingsWatcher::new(&path);
+    assert_eq!(watcher.poll().unwrap().unwrap().node_id, "a");
+    assert!(watcher.poll().is_none());
+    // The length stays the same, and most likely the modification time does as well.
     write(&REQUIRED_FIELDS.replace("\"a\"", "\"b\""));
-    assert_eq!(watch.poll().unwrap().unwrap().node_id, "b");
+    assert_eq!(watcher.poll().unwrap().unwrap().node_id, "b");
     write("station = ");
-    assert!(matches!(watch.poll(), Some(Err(Error::InvalidToml { .. }))));
-    assert!(watch.poll().is_none());
+    assert!(matches!(watcher.poll(), Some(Err(Error::InvalidToml { .. }))));
+    assert!(watcher.poll().is_none());
     std::fs::remove_file(&path).unwrap();
-    assert!(matches!(watch.poll(), Some(Err(Error::ReadFailed { .. }))));
-    assert!(watch.poll().is_none());
+    assert!(matches!(watcher.poll(), Some(Err(Error::ReadFailed { .. }))));
+    assert!(watcher.poll().is_none());
     write(REQUIRED_FIELDS);
-    assert_eq!(watch.poll().unwrap().unwrap().node_id, "a");
+    assert_eq!(watcher.poll().unwrap().unwrap().node_id, "a");
     std::fs::remove_file(&path).unwrap();
 }
 
@@ -100,6 +100,6 @@
 #[case("plain-1", "k=plain-1")]
 #[case("", "k=\"\"")]
 #[case("two \"words\"\n", r#"k="two \"words\"\n""#)]
-fn a_pair_is_a_single_token_of_a_log_line(#[case] value: &str, #[case] expected: &str) {
+fn a_log_field_is_a_single_token(#[case] value: &str, #[case] expected: &str) {
     assert_eq!(log_field("k", value).to_string(), expected);
 }
