--- a/crates/config/src/change_request/mod.rs
+++ b/crates/config/src/change_request/mod.rs
@@ -11,7 +11,7 @@
 use crate::item_json::{parse_value, RouteJson};
 use crate::model::{Limits, Service, Tenant};
 use bytes::Bytes;
-use schema::{quoted, reject_item};
+use schema::{reject_item, truncate};
 use serde_json::{Map, Value};
 use snafu::ResultExt;
 use std::collections::btree_map::Entry;
@@ -149,7 +149,7 @@
     let mut seen = BTreeSet::new();
     if let Some(duplicate) = headings.iter().find(|heading| !seen.insert(*heading)) {
         let path = format!("deliver.{}.headings", table.name);
-        let reason = format!("\"{}\" is there twice", quoted(duplicate));
+        let reason = format!("\"{}\" is there twice", truncate(duplicate));
         return InvalidStructureSnafu { path, reason }.fail();
     }
     Ok(headings)
--- a/crates/config/src/change_request/schema.rs
+++ b/crates/config/src/change_request/schema.rs
@@ -8,7 +8,7 @@
 
 const SCHEMA: &str = include_str!("../../schema/configuration.json");
 
-/// Text quoted in errors is truncated to this many characters, so that a huge name does not produce a huge log line.
+/// Text quoted in error messages is truncated to this many characters, so that a huge name does not produce a huge log line.
 const MAX_QUOTED_CHARS: usize = 200;
 
 /// The compiled JSON schema. Compilation takes a few milliseconds, so instances should be reused.
@@ -104,12 +104,12 @@
 impl SchemaViolation {
     fn new(error: &SchemaError) -> SchemaViolation {
         let path = error.instance_path().to_string().trim_start_matches('/').replace('/', ".");
-        SchemaViolation { path: quoted(&path), reason: quoted(&error.masked().to_string()) }
+        SchemaViolation { path: truncate(&path), reason: truncate(&error.masked().to_string()) }
     }
 }
 
 /// Truncates text for quoting in an error message.
-pub(super) fn quoted(text: &str) -> String {
+pub(super) fn truncate(text: &str) -> String {
     text.chars().take(MAX_QUOTED_CHARS).collect()
 }
 
@@ -120,5 +120,5 @@
     field: &str,
     reason: impl Into<String>,
 ) -> Result<T, ValidationError> {
-    InvalidItemSnafu { list, name: quoted(name), field, reason }.fail()
+    InvalidItemSnafu { list, name: truncate(name), field, reason }.fail()
 }
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -79,7 +79,7 @@
         if let Some(service) = route.service_names().find(|service| !proposed.has_service(service)) {
             return UnknownServiceSnafu { name: item.name.clone(), service }.fail();
         }
-        if let Some(other) = routes.insert(match_key(route), item) {
+        if let Some(other) = routes.insert(host_and_prefix(route), item) {
             return DuplicateRouteSnafu { name: item.name.clone(), other: other.name.clone() }.fail();
         }
     }
@@ -88,7 +88,7 @@
     }
     for other in proposed.untouched_items(Kind::Route) {
         let Some(route) = parse_value::<RouteJson>(other, Kind::Route) else { continue };
-        if let Some(item) = routes.get(&match_key(route)) {
+        if let Some(item) = routes.get(&host_and_prefix(route)) {
             return DuplicateRouteSnafu { name: item.name.clone(), other: other.name.clone() }.fail();
         }
     }
@@ -96,7 +96,7 @@
 }
 
 /// Returns the normalized host and the path prefix of a route, which must be unique.
-fn match_key(route: RouteJson) -> (NormalizedHost, JsonStr) {
+fn host_and_prefix(route: RouteJson) -> (NormalizedHost, JsonStr) {
     (normalize_host(route.host.as_bytes()), route.path_prefix)
 }
 
--- a/crates/config/tests/change_request.rs
+++ b/crates/config/tests/change_request.rs
@@ -134,8 +134,8 @@
     json!({"deliver": {"itineraries": {"headings": headings, "entries": [row]}}}).to_string()
 }
 
-fn routes(list: &str) -> String {
-    list.replace("ROW", r#""depot","/p/","safe",10,"a""#)
+fn routes(template: &str) -> String {
+    template.replace("ROW", r#""depot","/p/","safe",10,"a""#)
 }
 
 const ROUTES: &str = r#"{"deliver":{"itineraries":{"headings":["name","edition","depot","lane-prefix","mail-kind","deadline-ms","line"],"entries":[["x","r1",ROW],["y","r1",ROW]]}}}"#;
