--- a/crates/config/src/change_request/schema.rs
+++ b/crates/config/src/change_request/schema.rs
@@ -8,7 +8,8 @@
 
 const SCHEMA: &str = include_str!("../../schema/configuration.json");
 
-/// Text quoted in error messages is truncated to this many characters, so that a huge name does not produce a huge log line.
+/// Text quoted in error messages is truncated to this many characters, so that a huge name does not produce a huge log
+/// line.
 const MAX_QUOTED_CHARS: usize = 200;
 
 /// The compiled JSON schema. Compilation takes a few milliseconds, so instances should be reused.
--- a/crates/config/src/item.rs
+++ b/crates/config/src/item.rs
@@ -61,8 +61,8 @@
     pub name: Arc<str>,
     /// The version number; the highest version of an item is the active one.
     pub version: u64,
-    /// The value, or `None` for a removed item (a tombstone). For `Route`, `Tenant`, `Service` and `Limits` it is a JSON
-    /// object with sorted keys, without name, version and null fields. For the other kinds it is opaque.
+    /// The value, or `None` for a removed item (a tombstone). For `Route`, `Tenant`, `Service` and `Limits` it is a
+    /// JSON object with sorted keys, without name, version and null fields. For the other kinds it is opaque.
     pub value: Option<Bytes>,
 }
 
--- a/crates/config/src/item_store/chunks.rs
+++ b/crates/config/src/item_store/chunks.rs
@@ -1,7 +1,7 @@
 //! Transfers the differences between two stores in chunks.
 //!
-//! A chunk covers consecutive whole buckets, as many as fit. It is computed from a single state of the sender's store, so
-//! after merging it the receiver has all items that these buckets contained at that time. If a connection breaks,
+//! A chunk covers consecutive whole buckets, as many as fit. It is computed from a single state of the sender's store,
+//! so after merging it the receiver has all items that these buckets contained at that time. If a connection breaks,
 //! the buckets that were already transferred have equal hashes and are not sent again.
 
 use super::hashes::{digest_of_hashes, BucketHashes};
--- a/crates/config/src/item_store/mod.rs
+++ b/crates/config/src/item_store/mod.rs
@@ -25,9 +25,9 @@
 /// ([`ItemStore::purge_oldest_tombstones`]); if a removed backend reappears, the platform's next report removes it.
 ///
 /// When two versions of an item are merged, the higher version wins. Between different contents of the same version, a
-/// value wins over a tombstone and the greater value in byte order wins over the other. All replicas therefore converge,
-/// regardless of the order in which they receive items. The second rule is needed only for backends, since consensus
-/// commits a single content for each version of a durable item.
+/// value wins over a tombstone and the greater value in byte order wins over the other. All replicas therefore
+/// converge, regardless of the order in which they receive items. The second rule is needed only for backends, since
+/// consensus commits a single content for each version of a durable item.
 ///
 /// For durable items, the digests of up to [`MAX_OLDER_VERSIONS`](crate::MAX_OLDER_VERSIONS) older committed versions
 /// are kept to detect repeated changes. Data planes compare only the newest versions ([`ItemStore::bucket_hashes`]),
@@ -95,8 +95,8 @@
     }
 
     /// Whether an item of a change request has an effect, which requires a higher version than the known one. Must be
-    /// checked before merging such an item: between equal versions `merge` picks a winner, but a change request must not
-    /// replace a version that is already known.
+    /// checked before merging such an item: between equal versions `merge` picks a winner, but a change request must
+    /// not replace a version that is already known.
     pub fn is_newer(&self, item: &Item) -> bool {
         self.get(item.kind, &item.name).is_none_or(|known| known.version < item.version)
     }
@@ -183,8 +183,8 @@
         self.history_bucket_hashes.as_array()
     }
 
-    /// Returns the items in the buckets whose hash differs from a peer's. Buckets missing from `peer_hashes` are treated
-    /// as different.
+    /// Returns the items in the buckets whose hash differs from a peer's. Buckets missing from `peer_hashes` are
+    /// treated as different.
     pub fn differing_items<'a>(&'a self, peer_hashes: &'a [u64]) -> impl Iterator<Item = &'a Item> {
         let own_hashes = self.bucket_hashes();
         self.stored_items()
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,10 @@
 //! The configuration of the load balancer. This crate performs no I/O.
 //!
-//! The configuration consists of versioned, named [`Item`]s such as routes, tenants and services. An [`ItemStore`] stores
-//! and merges items and determines the differences between two replicas ([`Chunk`]).
+//! The configuration consists of versioned, named [`Item`]s such as routes, tenants and services. An [`ItemStore`]
+//! stores and merges items and determines the differences between two replicas ([`Chunk`]).
 //!
-//! Operators send change requests as JSON, which are parsed ([`parse_change_request`]) and validated ([`validate`]), and
-//! read the configuration as JSON ([`ConfigurationSnapshot`]). Data planes use typed items ([`Route`], [`Tenant`],
+//! Operators send change requests as JSON, which are parsed ([`parse_change_request`]) and validated ([`validate`]),
+//! and read the configuration as JSON ([`ConfigurationSnapshot`]). Data planes use typed items ([`Route`], [`Tenant`],
 //! [`Service`], [`Limits`]) and route requests with a [`RoutingTable`].
 
 mod change_request;
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -179,8 +179,8 @@
 }
 
 impl Limits {
-    /// Parses the limits; missing ones have their default. Returns `None` if the item is of another kind, is removed, or
-    /// cannot be parsed.
+    /// Parses the limits; missing ones have their default. Returns `None` if the item is of another kind, is removed,
+    /// or cannot be parsed.
     pub fn from_item(item: &Item) -> Option<Limits> {
         let json: LimitsJson = parse_value(item, Kind::Limits)?;
         let default = Limits::default();
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -160,8 +160,8 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Formats a chunk computed against the bucket hashes of a peer, and checks its digest. Returns the first bucket that it
-/// does not cover.
+/// Formats a chunk computed against the bucket hashes of a peer, and checks its digest. Returns the first bucket that
+/// it does not cover.
 fn describe_chunk(
     text: &mut String,
     store: &ItemStore,
--- a/crates/node/src/settings/durations.rs
+++ b/crates/node/src/settings/durations.rs
@@ -1,4 +1,5 @@
-//! Deserializes durations of the settings file, which are integers or decimals in the unit given by the setting's suffix.
+//! Deserializes durations of the settings file, which are integers or decimals in the unit given by the setting's
+//! suffix.
 
 use serde::{Deserialize, Deserializer};
 use std::time::Duration;
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -194,7 +194,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::InvalidToml`] if the text is not valid TOML, and [`Error::InvalidField`] if a field is missing or invalid.
+    /// [`Error::InvalidToml`] if the text is not valid TOML, and [`Error::InvalidField`] if a field is missing or
+    /// invalid.
     pub fn from_text(text: &str) -> Result<Settings, Error> {
         let value: Value = toml::from_str(text).map_err(invalid_toml)?;
         schema::check(&value)?;
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -114,9 +114,9 @@
 
 /// Whether the file's modification time is old enough that another modification would change it.
 ///
-/// Invariant: a stamp is relied on only if this holds. Two modifications within one tick of the file system's clock that
-/// keep the file's length result in the same stamp, so the second one would never be detected. A modification time in
-/// the future, as after a clock was set back, is never relied on.
+/// Invariant: a stamp is relied on only if this holds. Two modifications within one tick of the file system's clock
+/// that keep the file's length result in the same stamp, so the second one would never be detected. A modification time
+/// in the future, as after a clock was set back, is never relied on.
 fn is_stamp_reliable(metadata: &Metadata) -> bool {
     let modified = metadata.modified().ok();
     let age = modified.and_then(|modified| SystemTime::now().duration_since(modified).ok());
