--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -1,17 +1,18 @@
-//! Settings files as they are read today, value by value, and the error text of files that are rejected. Deployed
-//! files must keep their meaning across upgrades: expected values stand in `golden/` and are never regenerated.
+//! Compares every parsed value of the settings files in `golden/` with the expected values there, and checks the error
+//! messages for invalid files. Deployed files must keep their meaning across upgrades, so the expected values must
+//! never be regenerated.
 
 use std::fmt::Display;
 use std::time::Duration;
 
-use kitepass_node::{Bounds, Listeners, MachineLimits, Platform, Settings, Tolerance};
+use kitepass_node::{Bounds, FaultTolerance, Listeners, PlatformApi, ResourceLimits, Settings};
 use rstest::rstest;
 
 const EVERY_FIELD: &str = include_str!("golden/node-every-field.toml");
 const REQUIRED_FIELDS: &str = include_str!("golden/node-required-fields.toml");
 const SCHEMA: &str = include_str!("../schema/settings.json");
 
-/// A settings file's values, a line each, under the names that they have in the file.
+/// The values of a settings file, one per line, with their names in the file.
 #[derive(Default)]
 struct Listing {
     text: String,
@@ -48,149 +49,150 @@
     format!("{} microseconds", duration.as_micros())
 }
 
-/// All patterns below name every field: a new one has to be listed here and in the golden files.
+/// The patterns in the functions below list all fields, so that a new field must be added here and in the golden files.
 fn list(settings: &Settings) -> String {
     let Settings {
-        node_id: station,
-        role: post,
-        address: ip,
-        zone: district,
-        region: province,
+        node_id: id,
+        role: role_name,
+        address: ip_address,
+        zone: zone_name,
+        region: region_name,
         peer_ports: (first_port, last_port),
-        bootstrap_addresses: first_stops,
-        is_first_start: maiden_run,
-        counts_toward_tolerance: on_roll,
-        data_dir: archive_dir,
+        bootstrap_addresses: bootstrap,
+        is_first_start: first_start,
+        counts_toward_tolerance: counts,
+        data_dir: dir,
         heartbeat,
-        zones: districts,
-        listeners: counters,
+        zones: region_by_zone,
+        listeners: addresses_by_service,
         limits,
         tolerance,
         bounds,
-        platform: carrier,
+        platform: platform_api,
     } = settings;
     let mut listing = Listing::default();
-    listing.value("station", station);
-    listing.value("post", format!("\"{post}\""));
-    listing.value("ip", ip);
-    listing.value("district", district);
-    listing.value("province", province);
+    listing.value("station", id);
+    listing.value("post", format!("\"{role_name}\""));
+    listing.value("ip", ip_address);
+    listing.value("district", zone_name);
+    listing.value("province", region_name);
     listing.value("sidings", format!("{first_port} to {last_port}"));
-    let addresses: Vec<String> = first_stops.iter().map(ToString::to_string).collect();
+    let addresses: Vec<String> = bootstrap.iter().map(ToString::to_string).collect();
     listing.value("first-stops", format!("[{}]", addresses.join(", ")));
-    listing.value("maiden-run", maiden_run);
-    listing.value("on-roll", on_roll);
-    listing.optional("archive-dir", archive_dir.as_ref().map(|folder| folder.display()));
+    listing.value("maiden-run", first_start);
+    listing.value("on-roll", counts);
+    listing.optional("archive-dir", dir.as_ref().map(|path| path.display()));
     listing.duration("heartbeat-ms", *heartbeat);
     listing.table("districts");
-    for (district, province) in districts {
-        listing.value(district, province);
+    for (zone, region) in region_by_zone {
+        listing.value(zone, region);
     }
-    list_counters(&mut listing, counters);
+    list_listeners(&mut listing, addresses_by_service);
     list_limits(&mut listing, limits);
     list_tolerance(&mut listing, tolerance);
     list_bounds(&mut listing, bounds);
-    list_carrier(&mut listing, carrier.as_ref());
+    list_platform_api(&mut listing, platform_api.as_ref());
     listing.text
 }
 
-fn list_counters(listing: &mut Listing, counters: &Listeners) {
+fn list_listeners(listing: &mut Listing, listeners: &Listeners) {
     let Listeners {
-        client_api: front_counter,
+        client_api: client_address,
         readiness,
-        operator_api: control_desk,
-        directory_api: directory_desk,
-    } = counters;
+        operator_api: operator_address,
+        directory_api: directory_address,
+    } = listeners;
     listing.table("counters");
-    listing.optional("front-counter", *front_counter);
+    listing.optional("front-counter", *client_address);
     listing.optional("readiness", *readiness);
-    listing.optional("control-desk", *control_desk);
-    listing.optional("directory-desk", *directory_desk);
+    listing.optional("control-desk", *operator_address);
+    listing.optional("directory-desk", *directory_address);
 }
 
-fn list_limits(listing: &mut Listing, limits: &MachineLimits) {
-    let MachineLimits {
+fn list_limits(listing: &mut Listing, limits: &ResourceLimits) {
+    let ResourceLimits {
         cpu_quota,
         cores,
         memory_mb,
-        file_descriptors: handles,
-        link_mbps: line_mbps,
+        file_descriptors: descriptors,
+        link_mbps: bandwidth_mbps,
         disk_mb,
     } = limits;
     listing.table("weight-limits");
     listing.value("cpu-quota", cpu_quota);
     listing.value("cores", cores);
     listing.value("memory-mb", memory_mb);
-    listing.value("handles", handles);
-    listing.value("line-mbps", line_mbps);
+    listing.value("handles", descriptors);
+    listing.value("line-mbps", bandwidth_mbps);
     listing.value("disk-mb", disk_mb);
 }
 
-fn list_tolerance(listing: &mut Listing, tolerance: &Tolerance) {
-    let Tolerance { machines: vehicles, zones: districts, regions: provinces } = tolerance;
+fn list_tolerance(listing: &mut Listing, tolerance: &FaultTolerance) {
+    let FaultTolerance { machines: machine_failures, zones: zone_failures, regions: region_failures } =
+        tolerance;
     listing.table("tolerance");
-    listing.value("vehicles", vehicles);
-    listing.value("districts", districts);
-    listing.value("provinces", provinces);
+    listing.value("vehicles", machine_failures);
+    listing.value("districts", zone_failures);
+    listing.value("provinces", region_failures);
 }
 
 fn list_bounds(listing: &mut Listing, bounds: &Bounds) {
     let Bounds {
-        contact,
-        settle,
-        clearance,
-        shutdown_grace: courtesy,
-        configuration_delay: timetable,
+        stable_after,
+        rejoin_hold_down,
+        drain_delay,
+        shutdown_grace: grace_period,
+        configuration_delay: propagation_delay,
         retry_ratio,
         retry_window,
         retry_margin,
         quota_window,
         quota_excess,
         quota_margin,
-        slow_start_excess: cold_excess,
-        slow_start_margin: cold_margin,
-        evacuation: evacuate,
-        ttl_max,
-        is_sealed_off: sealed_off,
-        endpoint_list_lag: roster_lag,
-        readdress,
-        receipt,
-        missing,
-        return_after: back,
-        stretch,
+        slow_start_excess: rate_excess,
+        slow_start_margin: rate_margin,
+        evacuation_delay: zone_delay,
+        max_directory_ttl,
+        is_sealed_off: is_sealed,
+        max_endpoint_list_lag: max_lag,
+        address_reuse_delay,
+        operator_ack_timeout,
+        lost_request_timeout,
+        stale_version_grace_period: grace,
+        degraded_extension,
         recall,
-        recovery,
+        recovery_time,
     } = bounds;
     listing.table("schedule-bounds");
-    listing.duration("contact-ms", *contact);
-    listing.duration("settle-s", *settle);
-    listing.duration("clearance-ms", *clearance);
-    listing.duration("courtesy-s", *courtesy);
-    listing.duration("timetable-ms", *timetable);
+    listing.duration("contact-ms", *stable_after);
+    listing.duration("settle-s", *rejoin_hold_down);
+    listing.duration("clearance-ms", *drain_delay);
+    listing.duration("courtesy-s", *grace_period);
+    listing.duration("timetable-ms", *propagation_delay);
     listing.value("retry-ratio", retry_ratio);
     listing.duration("retry-window-s", *retry_window);
     listing.value("retry-margin", retry_margin);
     listing.duration("quota-window-s", *quota_window);
     listing.value("quota-excess", quota_excess);
     listing.value("quota-margin", quota_margin);
-    listing.value("cold-excess", cold_excess);
-    listing.value("cold-margin", cold_margin);
-    listing.duration("evacuate-ms", *evacuate);
-    listing.duration("ttl_max_s", *ttl_max);
-    listing.value("sealed-off", sealed_off);
-    listing.optional_duration("roster-lag-s", *roster_lag);
-    listing.optional_duration("readdress-s", *readdress);
-    listing.optional_duration("receipt-ms", *receipt);
-    listing.optional_duration("missing-ms", *missing);
-    listing.optional_duration("return-ms", *back);
-    listing.optional_duration("stretch-ms", *stretch);
+    listing.value("cold-excess", rate_excess);
+    listing.value("cold-margin", rate_margin);
+    listing.duration("evacuate-ms", *zone_delay);
+    listing.duration("ttl_max_s", *max_directory_ttl);
+    listing.value("sealed-off", is_sealed);
+    listing.optional_duration("roster-lag-s", *max_lag);
+    listing.optional_duration("readdress-s", *address_reuse_delay);
+    listing.optional_duration("receipt-ms", *operator_ack_timeout);
+    listing.optional_duration("missing-ms", *lost_request_timeout);
+    listing.optional_duration("return-ms", *grace);
+    listing.optional_duration("stretch-ms", *degraded_extension);
     listing.optional_duration("recall-ms", *recall);
-    listing.optional_duration("recovery-s", *recovery);
+    listing.optional_duration("recovery-s", *recovery_time);
 }
 
-fn list_carrier(listing: &mut Listing, carrier: Option<&Platform>) {
+fn list_platform_api(listing: &mut Listing, platform_api: Option<&PlatformApi>) {
     listing.table("carrier-api");
-    let Some(Platform { address, rate_per_s, delay_ms }) = carrier else {
+    let Some(PlatformApi { address, rate_per_s, delay_ms }) = platform_api else {
         listing.value("address", "unset");
         return;
     };
@@ -207,7 +209,7 @@
     assert_eq!(list(&settings), expected);
 }
 
-/// The names of all settings below a schema's object, with the tables that they are in.
+/// Collects the dotted paths of all settings in an object of the schema.
 fn names_in_schema(object: &serde_json::Value, table: &str, names: &mut Vec<String>) {
     let properties = object["properties"].as_object().expect("an object lists its properties");
     for (name, property) in properties {
@@ -233,8 +235,8 @@
     }
 }
 
-/// The golden file of the required settings with one line replaced; what the schema, the types and the file's own
-/// check reject.
+/// Replaces one line of the golden file with only the required settings. The cases cover errors detected by the schema,
+/// by deserialization, and by the check of the port range.
 #[rstest]
 #[case::required_setting_missing(
     "station = \"data-south-1\"",
@@ -247,7 +249,11 @@
     "district = \"\"",
     "field district: \"\" is shorter than 1 character"
 )]
-#[case::no_address("ip = \"127.0.0.21\"", "ip = \"localhost\"", "field ip: invalid IPv4 address syntax")]
+#[case::invalid_ip_address(
+    "ip = \"127.0.0.21\"",
+    "ip = \"localhost\"",
+    "field ip: invalid IPv4 address syntax"
+)]
 #[case::port_out_of_range(
     "[20300, 20300]",
     "[20300, 70000]",
@@ -265,17 +271,17 @@
     "[20300, 20300]\n[schedule-bounds]\nsettle-s = -1",
     "field schedule-bounds.settle-s: -1 is less than the minimum of 0"
 )]
-#[case::no_port(
+#[case::address_without_port(
     "[20300, 20300]",
     "[20300, 20300]\n[counters]\nreadiness = \"127.0.0.21\"",
     "field counters.readiness: invalid socket address syntax"
 )]
-#[case::carrier_without_address(
+#[case::platform_api_without_address(
     "[20300, 20300]",
     "[20300, 20300]\n[carrier-api]\nrate-per-s = 3",
     "field carrier-api: \"address\" is a required property"
 )]
-#[case::no_toml(
+#[case::invalid_toml(
     "province = \"south\"",
     "province = ",
     concat!(
@@ -286,7 +292,7 @@
         "string values must be quoted, expected literal string",
     )
 )]
-#[case::name_given_twice(
+#[case::duplicate_setting(
     "province = \"south\"",
     "station = \"again\"",
     concat!(
@@ -297,14 +303,18 @@
         "duplicate key",
     )
 )]
-fn a_rejected_file_has_this_error(#[case] line: &str, #[case] replacement: &str, #[case] error: &str) {
+fn invalid_settings_have_the_expected_error_message(
+    #[case] line: &str,
+    #[case] replacement: &str,
+    #[case] error: &str,
+) {
     assert!(REQUIRED_FIELDS.contains(line));
     let file = REQUIRED_FIELDS.replacen(line, replacement, 1);
     assert_eq!(Settings::from_text(&file).unwrap_err().to_string(), error);
 }
 
 #[test]
-fn a_file_that_cannot_be_read_has_this_error() {
+fn an_unreadable_file_has_the_expected_error_message() {
     let path = std::path::Path::new("/nonexistent/node.toml");
     let error = Settings::load(path).unwrap_err();
     assert_eq!(error.to_string(), "/nonexistent/node.toml: No such file or directory (os error 2)");
