--- a/crates/control-plane/src/state_machine/proposals/pending.rs
+++ b/crates/control-plane/src/state_machine/proposals/pending.rs
@@ -17,7 +17,7 @@
 /// Proposers that reject each other must retry at different times, or none would ever complete. The back-off is
 /// bounded because longer ones would exceed the callers' time-outs (docs/control-consensus.md).
 pub(in crate::state_machine) const INITIAL_MAX_BACKOFF_MICROS: u64 = 100_000;
-/// See [`INITIAL_MAX_BACKOFF_MICROS`].
+/// How often the upper bound of the back-off doubles; see [`INITIAL_MAX_BACKOFF_MICROS`].
 pub(in crate::state_machine) const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
 /// Returns the additional time allowed for a message of `bytes` bytes, compared with an empty one.
@@ -50,7 +50,7 @@
     /// The caller that is waiting for the response, if any.
     pub(in crate::state_machine) caller: Option<u64>,
     pub(in crate::state_machine) request: Request,
-    /// The proposal, or `None` for a read.
+    /// The proposal, or `None` for a read and for an evacuation before its first attempt.
     pub(in crate::state_machine) proposal: Option<Proposal>,
     /// The ballot of the current attempt.
     pub(in crate::state_machine) ballot: Ballot,
