--- a/crates/control-plane/src/state_machine/handlers/accept.rs
+++ b/crates/control-plane/src/state_machine/handlers/accept.rs
@@ -129,7 +129,7 @@
             let name = self.identity.name.clone();
             self.handle_accept_response(now, &name, &response);
         } else {
-            self.send(node_id, Message::AcceptResponse(response));
+            self.send_to_peer(node_id, Message::AcceptResponse(response));
         }
     }
 
--- a/crates/control-plane/src/state_machine/handlers/catch_up.rs
+++ b/crates/control-plane/src/state_machine/handlers/catch_up.rs
@@ -52,7 +52,7 @@
         request: PrepareRequest,
     ) {
         self.catch_up.start_read(now, node_id, &request);
-        self.send(node_id, Message::PrepareRequest(request));
+        self.send_to_peer(node_id, Message::PrepareRequest(request));
     }
 
     /// Builds a request for the items that another replica holds and this process lacks.
@@ -110,7 +110,7 @@
         if self.merge_committed(items, Extent::Transfer) {
             self.catch_up.new_items_received(node_id, request.request_id);
         }
-        self.send(node_id, Message::PrepareRequest(request.clone()));
+        self.send_to_peer(node_id, Message::PrepareRequest(request.clone()));
         None
     }
 
@@ -118,7 +118,7 @@
     pub(in crate::state_machine) fn end_transfer(&mut self) {
         if !self.catch_up.is_transferring() {
             let actions = self.sessions.end_transfer(self.configuration.item_store());
-            self.extend(actions);
+            self.push_actions(actions);
         }
     }
 
--- a/crates/control-plane/src/state_machine/handlers/commit.rs
+++ b/crates/control-plane/src/state_machine/handlers/commit.rs
@@ -45,7 +45,7 @@
         let resolved = self.proposals.items_committed(&self.configuration, &merged.changed);
         self.persistence.defer(resolved);
         let actions = self.sessions.broadcast_items(&merged.newer, extent);
-        self.extend(actions);
+        self.push_actions(actions);
         self.finish_bootstrap();
         !merged.newer.is_empty()
     }
--- a/crates/control-plane/src/state_machine/handlers/contact.rs
+++ b/crates/control-plane/src/state_machine/handlers/contact.rs
@@ -21,7 +21,7 @@
     /// Invariant: this does not detect a loss, because unread messages may contain further proof.
     pub(in crate::state_machine) fn evaluate_contact_proof(&mut self, now: Timestamp) {
         let replica_sets = self.contact_replica_sets();
-        self.quorum.evaluate_proof(now, &replica_sets);
+        self.quorum.check_reconnected(now, &replica_sets);
     }
 
     /// Returns the replica sets that each require a majority for contact.
--- a/crates/control-plane/src/state_machine/handlers/election.rs
+++ b/crates/control-plane/src/state_machine/handlers/election.rs
@@ -51,7 +51,7 @@
             let name = self.identity.name.clone();
             self.handle_lease_vote(now, &name, &vote);
         } else {
-            self.send(node_id, Message::LeaseVote(vote));
+            self.send_to_peer(node_id, Message::LeaseVote(vote));
         }
     }
 
--- a/crates/control-plane/src/state_machine/handlers/gateways.rs
+++ b/crates/control-plane/src/state_machine/handlers/gateways.rs
@@ -28,7 +28,7 @@
             ReplicaState::Uninitialized | ReplicaState::CatchingUp | ReplicaState::ShuttingDown => false,
         };
         if !is_accepted {
-            return self.push(Action::CloseSession(id));
+            return self.push_action(Action::CloseSession(id));
         }
         info!("event=session-opened node-id={} incarnation={:x}", hello.node_id, hello.incarnation);
         self.sessions.open(now, id, hello);
@@ -51,7 +51,7 @@
 
     /// Closes a session from this side.
     pub(in crate::state_machine) fn close_session(&mut self, now: Timestamp, id: u64, why: &str) {
-        self.push(Action::CloseSession(id));
+        self.push_action(Action::CloseSession(id));
         self.session_closed(now, id, why);
     }
 
@@ -64,7 +64,7 @@
         match message {
             Message::Heartbeat(heartbeat) => self.handle_gateway_heartbeat(now, id, &heartbeat),
             Message::BucketDigests(digests) => {
-                self.sessions.enqueue(id, digests);
+                self.sessions.enqueue_catch_up(id, digests);
                 self.send_chunks(now);
             }
             Message::Items(items) => self.handle_gateway_items(items),
@@ -100,7 +100,7 @@
         if let Some(totals) = self.record_usage(now, &report) {
             self.forward_usage_totals(totals);
         } else if let Some(coordinator) = self.quorum.coordinator().map(str::to_owned) {
-            self.send(&coordinator, Message::UsageReport(report));
+            self.send_to_peer(&coordinator, Message::UsageReport(report));
         }
     }
 
@@ -141,7 +141,7 @@
             return;
         }
         let actions = self.sessions.send_chunks(now, self.configuration.item_store());
-        self.extend(actions);
+        self.push_actions(actions);
     }
 
     /// Returns the client addresses of gateways for a client. `regions` maps each zone to its region.
--- a/crates/control-plane/src/state_machine/handlers/heartbeat.rs
+++ b/crates/control-plane/src/state_machine/handlers/heartbeat.rs
@@ -22,7 +22,7 @@
             ..to_gateways.clone()
         };
         let actions = self.quorum.heartbeats(now, &to_peers);
-        self.extend(actions);
+        self.push_actions(actions);
         self.collect_tombstones(now);
         self.disconnect_unresponsive(now);
         self.announce_sessions(now);
@@ -30,14 +30,14 @@
         self.refresh_live_gateways();
         let heartbeat = Heartbeat { digest: self.item_store().digest(), ..to_gateways };
         let actions = self.sessions.broadcast(&Message::Heartbeat(heartbeat));
-        self.extend(actions);
+        self.push_actions(actions);
     }
 
     fn disconnect_unresponsive(&mut self, now: Timestamp) {
-        for node_id in self.quorum.unresponsive(now) {
+        for node_id in self.quorum.unresponsive_peers(now) {
             self.disconnect_peer(now, &node_id, "unresponsive");
         }
-        for id in self.sessions.timed_out(now) {
+        for id in self.sessions.timed_out_sessions(now) {
             self.close_session(now, id, "unresponsive");
         }
     }
@@ -65,7 +65,7 @@
         self.persist(vec![record], PendingWrite::Nothing);
         let message = Message::MembershipUpdate(self.membership_update());
         let actions = self.sessions.broadcast(&message);
-        self.extend(actions);
+        self.push_actions(actions);
     }
 
     /// Builds the membership information that gateways receive when a session opens and whenever it changes.
--- a/crates/control-plane/src/state_machine/handlers/peers.rs
+++ b/crates/control-plane/src/state_machine/handlers/peers.rs
@@ -35,7 +35,7 @@
         self.catch_up.retry_on_next_tick();
         let control_addresses = self.known_addresses().into_iter().collect();
         let update = MembershipUpdate { control_addresses, ..MembershipUpdate::default() };
-        self.send(node_id, Message::MembershipUpdate(update));
+        self.send_to_peer(node_id, Message::MembershipUpdate(update));
     }
 
     /// Returns whether this peer is connected. A peer that was disconnected as unresponsive has to send its hello
@@ -115,7 +115,7 @@
             Message::SessionList(list) => self.sessions.receive_list(now, node_id, sender.incarnation, &list),
             Message::UsageReport(report) => {
                 if let Some(totals) = self.record_usage(now, &report) {
-                    self.send(node_id, Message::UsageTotals(totals));
+                    self.send_to_peer(node_id, Message::UsageTotals(totals));
                 }
             }
             Message::UsageTotals(totals) => self.forward_usage_totals(totals),
--- a/crates/control-plane/src/state_machine/handlers/persisted.rs
+++ b/crates/control-plane/src/state_machine/handlers/persisted.rs
@@ -12,7 +12,7 @@
     pub(in crate::state_machine) fn persist(&mut self, records: Vec<Record>, pending_write: PendingWrite) {
         let request_id = self.next_request_id();
         let action = self.persistence.write(request_id, records, pending_write);
-        self.push(action);
+        self.push_action(action);
     }
 
     /// Handles the completion of the [`Action::Persist`](crate::state_machine::Action::Persist) with this request id:
--- a/crates/control-plane/src/state_machine/handlers/prepare.rs
+++ b/crates/control-plane/src/state_machine/handlers/prepare.rs
@@ -102,7 +102,7 @@
             let name = self.identity.name.clone();
             self.handle_prepare_response(now, node_id, &name, response);
         } else {
-            self.send(node_id, Message::PrepareResponse(response));
+            self.send_to_peer(node_id, Message::PrepareResponse(response));
         }
     }
 
--- a/crates/control-plane/src/state_machine/handlers/replica_set_change.rs
+++ b/crates/control-plane/src/state_machine/handlers/replica_set_change.rs
@@ -57,7 +57,7 @@
     pub fn shut_down(&mut self, now: Timestamp) {
         self.change_state(ReplicaState::ShuttingDown);
         for id in self.sessions.ids() {
-            self.push(Action::CloseSession(id));
+            self.push_action(Action::CloseSession(id));
         }
         self.send_heartbeats(now);
         self.membership.replica_shutting_down(&self.identity.name);
--- a/crates/control-plane/src/state_machine/handlers/requests.rs
+++ b/crates/control-plane/src/state_machine/handlers/requests.rs
@@ -42,7 +42,7 @@
     /// Handles a request of an operator. It is answered with an [`Action::Respond`] for the number `caller`.
     pub fn handle_request(&mut self, now: Timestamp, caller: u64, request: Request) {
         match self.unavailable_response(now) {
-            Some(response) => self.push(Action::Respond(caller, response)),
+            Some(response) => self.push_action(Action::Respond(caller, response)),
             None => self.start_request(now, Some(caller), request),
         }
     }
@@ -73,7 +73,7 @@
     pub(in crate::state_machine) fn finish_request(&mut self, id: PendingId, response: Response) {
         let Some(pending) = self.proposals.pending.remove(id) else { return };
         if let Some(caller) = pending.caller {
-            self.push(Action::Respond(caller, response));
+            self.push_action(Action::Respond(caller, response));
         }
     }
 
--- a/crates/control-plane/src/state_machine/handlers/tombstones.rs
+++ b/crates/control-plane/src/state_machine/handlers/tombstones.rs
@@ -72,7 +72,7 @@
         self.persist(records, PendingWrite::Nothing);
         let message = Message::PurgeTombstones(PurgeTombstones::from_expired(&purged));
         let actions = self.sessions.broadcast(&message);
-        self.extend(actions);
+        self.push_actions(actions);
     }
 
     /// Records whether this process is in contact with a majority, or has been disconnected for too long.
--- a/crates/control-plane/src/state_machine/mod.rs
+++ b/crates/control-plane/src/state_machine/mod.rs
@@ -225,25 +225,25 @@
         self.request_ids.next()
     }
 
-    fn push(&mut self, action: Action) {
+    fn push_action(&mut self, action: Action) {
         self.actions.push(action);
     }
 
-    fn extend(&mut self, actions: Vec<Action>) {
+    fn push_actions(&mut self, actions: Vec<Action>) {
         self.actions.extend(actions);
     }
 
-    fn send(&mut self, node_id: &str, message: Message) {
-        self.push(Action::SendToPeer(node_id.to_owned(), message));
+    fn send_to_peer(&mut self, node_id: &str, message: Message) {
+        self.push_action(Action::SendToPeer(node_id.to_owned(), message));
     }
 
     fn send_to_all_peers(&mut self, message: &Message) {
         let actions = self.quorum.broadcast(message);
-        self.extend(actions);
+        self.push_actions(actions);
     }
 
     fn send_to_session(&mut self, id: u64, message: Message) {
-        self.push(Action::SendToSession(id, message));
+        self.push_action(Action::SendToSession(id, message));
     }
 }
 
--- a/crates/control-plane/src/state_machine/quorum.rs
+++ b/crates/control-plane/src/state_machine/quorum.rs
@@ -62,7 +62,7 @@
     }
 
     /// Evaluates the contact after one proof of it, by which it may be back.
-    pub(super) fn evaluate_proof(&mut self, now: Timestamp, replica_sets: &[ReplicaSet]) {
+    pub(super) fn check_reconnected(&mut self, now: Timestamp, replica_sets: &[ReplicaSet]) {
         let change = self.contact.check_reconnected(now, replica_sets);
         self.log_contact(now, change);
     }
@@ -204,7 +204,7 @@
     }
 
     /// Node ids of the peers that have said nothing for too long.
-    pub(super) fn unresponsive(&self, now: Timestamp) -> Vec<String> {
+    pub(super) fn unresponsive_peers(&self, now: Timestamp) -> Vec<String> {
         let unresponsive = self.peers.iter().filter(|(_, peer)| !peer.is_responsive(now));
         unresponsive.map(|(node_id, _)| node_id.clone()).collect()
     }
--- a/crates/control-plane/src/state_machine/sessions.rs
+++ b/crates/control-plane/src/state_machine/sessions.rs
@@ -126,7 +126,7 @@
     }
 
     /// Sessions on which nothing has come for [`SESSION_TIMEOUT`].
-    pub(super) fn timed_out(&self, now: Timestamp) -> Vec<u64> {
+    pub(super) fn timed_out_sessions(&self, now: Timestamp) -> Vec<u64> {
         let is_timed_out = |session: &Session| now - session.last_received_at > SESSION_TIMEOUT;
         self.open.iter().filter(|(_, session)| is_timed_out(session)).map(|(id, _)| *id).collect()
     }
@@ -166,7 +166,7 @@
     }
 
     /// A gateway has told the digests of what it holds: it is told what it lacks when its turn comes.
-    pub(super) fn enqueue(&mut self, id: u64, digests: BucketDigests) {
+    pub(super) fn enqueue_catch_up(&mut self, id: u64, digests: BucketDigests) {
         self.queue.enqueue(id, digests.digests, !digests.ends_transfer);
     }
 
--- a/crates/control-plane/src/state_machine/tests/quorum.rs
+++ b/crates/control-plane/src/state_machine/tests/quorum.rs
@@ -44,8 +44,8 @@
 fn a_peer_that_says_nothing_is_unresponsive() {
     let mut quorum = quorum_with_peers([1, 2]);
     quorum.message_received(at(1_000), "s2");
-    assert!(quorum.unresponsive(at(1_500)).is_empty());
-    assert_eq!(quorum.unresponsive(at(1_501)), ["s1"]);
+    assert!(quorum.unresponsive_peers(at(1_500)).is_empty());
+    assert_eq!(quorum.unresponsive_peers(at(1_501)), ["s1"]);
     assert!(quorum.is_responsive(at(2_500), &replica(2).name()));
     assert!(!quorum.is_responsive(at(2_501), &replica(2).name()));
 }
--- a/crates/control-plane/src/state_machine/tests/sessions.rs
+++ b/crates/control-plane/src/state_machine/tests/sessions.rs
@@ -30,7 +30,7 @@
 #[test]
 fn a_gateway_that_is_catching_up_is_not_stale() {
     let mut sessions = sessions([1]);
-    sessions.enqueue(1, BucketDigests::default());
+    sessions.enqueue_catch_up(1, BucketDigests::default());
     assert!((0..4).all(|_| !sessions.receive_heartbeat(1, &heartbeat(6, false), 5).is_stale));
 }
 
@@ -82,8 +82,8 @@
     // What was held up on its way arrives.
     sessions.message_received(at(1_600), 1);
     assert_eq!(members(&mut sessions, 1_700), ["g1", "g2"]);
-    assert!(sessions.timed_out(at(11_000)).is_empty());
-    assert_eq!(sessions.timed_out(at(11_001)), [2]);
+    assert!(sessions.timed_out_sessions(at(11_000)).is_empty());
+    assert_eq!(sessions.timed_out_sessions(at(11_001)), [2]);
 }
 
 #[test]
@@ -94,7 +94,7 @@
         item_store.apply(Item { kind: Kind::Service, name: format!("l{number}").into(), version: 1, value });
     }
     let mut sessions = sessions([1]);
-    sessions.enqueue(
+    sessions.enqueue_catch_up(
         1,
         BucketDigests { digests: ItemStore::new().bucket_hashes().to_vec(), ends_transfer: false },
     );
