--- a/crates/gateway-config/src/lib.rs
+++ b/crates/gateway-config/src/lib.rs
@@ -1,5 +1,5 @@
 //! The in-service gateway's settings: a JSON object with fields for the policy ([`GatewayConfig`]) and for connections
-//! ([`Carriage`]). Unknown fields are ignored, and absent ones have defaults. Times are decimal seconds.
+//! ([`ConnectionSettings`]). Unknown fields are ignored, and absent ones have defaults. Times are decimal seconds.
 //!
 //! The names of the fields are the settings' own; they stay at this border.
 
@@ -47,13 +47,13 @@
 
 /// Settings of connections and the time limits around them.
 #[derive(Clone, Copy, Debug)]
-pub struct Carriage {
+pub struct ConnectionSettings {
     /// Time-out for making a connection.
-    pub connect_within: Duration,
+    pub connect_timeout: Duration,
     /// Backends close a connection that has been idle for this long.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Time past a client's deadline in which a final answer still counts.
-    pub answer_slack: Duration,
+    pub deadline_grace: Duration,
 }
 
 /// Reads the settings object from its text. `field` is what it is called where it came from; errors name it.
@@ -61,7 +61,7 @@
 /// # Errors
 ///
 /// If the text is not JSON, or a field has the wrong type or is out of range.
-pub fn from_text(field: &str, text: &str) -> Result<(GatewayConfig, Carriage), SettingsError> {
+pub fn from_text(field: &str, text: &str) -> Result<(GatewayConfig, ConnectionSettings), SettingsError> {
     let all = serde_json::from_str(text)
         .map_err(|e| SettingsError::NotJson { field: field.to_owned(), reason: e.to_string() })?;
     from_value(field, &all)
@@ -72,7 +72,7 @@
 /// # Errors
 ///
 /// If it is no object, or a field has the wrong type or is out of range.
-pub fn from_value(field: &str, all: &Value) -> Result<(GatewayConfig, Carriage), SettingsError> {
+pub fn from_value(field: &str, all: &Value) -> Result<(GatewayConfig, ConnectionSettings), SettingsError> {
     if !all.is_object() {
         return Err(SettingsError::Unexpected { field: field.to_owned(), expected: "a JSON object" });
     }
@@ -101,12 +101,12 @@
             window: safety.duration("Fall", 1.0)?,
         },
     };
-    let carriage = Carriage {
-        connect_within: caps.duration("ConnectTimeout", 0.25)?,
-        idle: caps.duration("ConnIdle", 15.0)?,
-        answer_slack: safety.duration("AnswerSlack", 0.016)?,
+    let connection_settings = ConnectionSettings {
+        connect_timeout: caps.duration("ConnectTimeout", 0.25)?,
+        idle_timeout: caps.duration("ConnIdle", 15.0)?,
+        deadline_grace: safety.duration("AnswerSlack", 0.016)?,
     };
-    Ok((config, carriage))
+    Ok((config, connection_settings))
 }
 
 /// Reads an entry of `Classes`.
@@ -218,8 +218,8 @@
 
     #[test]
     fn absent_fields_have_defaults_and_unknown_ones_are_ignored() {
-        let (config, carriage) = from_text("s", r#"{"Unknown":{},"ReplicasOfMe":3}"#).unwrap();
+        let (config, connection_settings) = from_text("s", r#"{"Unknown":{},"ReplicasOfMe":3}"#).unwrap();
         assert_eq!((config.gateways, config.counter_timeout), (3, None));
-        assert_eq!(carriage.idle, Duration::from_secs(15));
+        assert_eq!(connection_settings.idle_timeout, Duration::from_secs(15));
     }
 }
--- a/crates/gateway-config/tests/golden.rs
+++ b/crates/gateway-config/tests/golden.rs
@@ -1,7 +1,7 @@
 //! What is read of a gateway's settings, and what is said of bad ones, stays as it is: in plain text, under the names that
 //! the settings themselves have, beside the text in `golden/`.
 
-use kitepass_gateway_config::{from_text, Carriage};
+use kitepass_gateway_config::{from_text, ConnectionSettings};
 use kitepass_gateway_policy::{GatewayConfig, Group, Idempotency, Plan, Workload};
 use kitepass_time::Duration;
 use std::fmt::Write;
@@ -115,18 +115,18 @@
     )
 }
 
-fn describe(charter: &GatewayConfig, carriage: &Carriage) -> String {
+fn describe(charter: &GatewayConfig, connection_settings: &ConnectionSettings) -> String {
     let cold = &charter.slow_start;
     let mut lines = vec![
         format!("ReplicasOfMe={} Me={}", charter.gateways, charter.gateway_index),
         format!("TryLimit={}", charter.max_attempts),
         format!("MaxRetryAfter={}", or_none(charter.max_retry_after, micros)),
-        format!("ConnectTimeout={}", micros(carriage.connect_within)),
-        format!("ConnIdle={}", micros(carriage.idle)),
+        format!("ConnectTimeout={}", micros(connection_settings.connect_timeout)),
+        format!("ConnIdle={}", micros(connection_settings.idle_timeout)),
         format!("CounterTimeout={}", or_none(charter.counter_timeout, micros)),
         format!("MaxUnits={}", charter.max_units),
         format!("MailPerS={}", charter.max_peer_messages),
-        format!("AnswerSlack={}", micros(carriage.answer_slack)),
+        format!("AnswerSlack={}", micros(connection_settings.deadline_grace)),
         format!("ColdFrom={} WarmWithin={}", cold.initial_capacity, micros(cold.ramp)),
         format!("Fall={} FallMultiple={}", micros(cold.window), cold.multiple),
     ];
@@ -140,7 +140,7 @@
     let mut found = String::new();
     for (name, text) in SETTINGS {
         let outcome = match from_text("settings", text) {
-            Ok((charter, carriage)) => describe(&charter, &carriage),
+            Ok((charter, connection_settings)) => describe(&charter, &connection_settings),
             Err(error) => format!("  error: {error}\n"),
         };
         let shown = if *text == FULL { "full.json" } else { text };
--- a/crates/gateway/src/backends/attempt.rs
+++ b/crates/gateway/src/backends/attempt.rs
@@ -39,7 +39,11 @@
             Err(failure) => return self.end_unsent_attempt(request, backend_id, failure.outcome()),
         };
         let is_connected = self.backends.connections[key].is_connected;
-        let due = if is_connected { deadline } else { deadline.min(now + self.carriage.connect_within) };
+        let due = if is_connected {
+            deadline
+        } else {
+            deadline.min(now + self.connection_settings.connect_timeout)
+        };
         let timer = self.timers.schedule(due, Timer::Attempt(key));
         let connection = &mut self.backends.connections[key];
         head.append_attempt(deadline - now, &mut connection.output);
--- a/crates/gateway/src/backends/connection.rs
+++ b/crates/gateway/src/backends/connection.rs
@@ -92,7 +92,7 @@
                     // An answer whose Content-Length is too large would be waited for until the deadline: one
                     // that has begun gets no longer than a connection does to come up.
                     attempt.has_response_begun = true;
-                    let due = attempt.deadline.min(now + self.carriage.connect_within);
+                    let due = attempt.deadline.min(now + self.connection_settings.connect_timeout);
                     self.timers.cancel(attempt.timer);
                     attempt.timer = self.timers.schedule(due, Timer::Attempt(key));
                 }
--- a/crates/gateway/src/backends/pool.rs
+++ b/crates/gateway/src/backends/pool.rs
@@ -29,7 +29,7 @@
     /// How long a connection may be idle: a little less than the time after which backends close it
     /// themselves.
     fn idle_timeout(&self) -> Duration {
-        self.carriage.idle / 8 * 7
+        self.connection_settings.idle_timeout / 8 * 7
     }
 
     /// Opens a connection to a backend, closing idle ones where there are too many.
@@ -84,6 +84,6 @@
                 }
             }
         }
-        self.wake_at(now + self.carriage.idle / 16, Timer::DropIdleConnections);
+        self.wake_at(now + self.connection_settings.idle_timeout / 16, Timer::DropIdleConnections);
     }
 }
--- a/crates/gateway/src/clients/receive.rs
+++ b/crates/gateway/src/clients/receive.rs
@@ -144,7 +144,7 @@
             return self.respond(key, 503, None, "too many connections\n");
         }
         // Invariant: the answer must reach the client before its time is up, however late a timer fires.
-        let deadline = client.received_at + head.expires - self.carriage.answer_slack;
+        let deadline = client.received_at + head.expires - self.connection_settings.deadline_grace;
         let request = self.requests.insert(Request::new(key, head, deadline));
         client.request = Some(request);
         self.events.push_back(Event::RequestArrived(request));
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -317,7 +317,7 @@
     /// Reports calls that have timed out, and replaces a connection that no longer answers.
     pub(crate) fn expire_counter_calls(&mut self) {
         let now = self.now();
-        let allowed = self.carriage.connect_within;
+        let allowed = self.connection_settings.connect_timeout;
         let timeout = self.config.counter_timeout.unwrap_or(allowed).min(allowed);
         let counter = &mut self.counter;
         counter.timer = None;
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -115,7 +115,7 @@
     /// that does so again.
     pub(crate) fn maintain(&mut self, runtime: &mut Runtime) {
         let now = runtime.now();
-        let connect_timeout = runtime.carriage.connect_within;
+        let connect_timeout = runtime.connection_settings.connect_timeout;
         self.connections.retain(|connection| {
             now - connection.last_heard
                 <= if connection.is_connected { HEARTBEAT_INTERVAL * 3 } else { connect_timeout }
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -8,7 +8,7 @@
 use crate::poll::{ClientKey, Clock, ConnectionKey, Poller};
 use crate::request::{self, RequestKey, Requests, State};
 use crate::timer_wheel::TimerWheel;
-use kitepass_gateway_config::Carriage;
+use kitepass_gateway_config::ConnectionSettings;
 use kitepass_gateway_policy::{
     AttemptOutcome, GatewayConfig, Host, QuotaDecision, QuotaRequest, Reading, UsageUpdate,
 };
@@ -101,7 +101,7 @@
     pub(crate) events: VecDeque<Event>,
     pub(crate) config: Rc<GatewayConfig>,
     /// The time limits of connections and answers.
-    pub(crate) carriage: Carriage,
+    pub(crate) connection_settings: ConnectionSettings,
     pub(crate) phase: Phase,
     pub(crate) clients: Clients,
     pub(crate) requests: Requests,
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -65,7 +65,7 @@
             timers: TimerWheel::new(now),
             events: VecDeque::new(),
             config,
-            carriage: launch.carriage,
+            connection_settings: launch.connection_settings,
             phase: Phase::Starting,
             clients: Clients::new(listener, max_clients - reject_margin, max_clients - 1),
             requests: Requests::default(),
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -2,7 +2,7 @@
 
 use crate::reload::Addresses;
 use crate::runtime::{Phase, Runtime};
-use kitepass_gateway_config::Carriage;
+use kitepass_gateway_config::ConnectionSettings;
 use kitepass_gateway_policy::GatewayConfig;
 use kitepass_time::Duration;
 use rustix::process::{getrlimit, Resource};
@@ -26,7 +26,7 @@
     /// The policy's settings.
     pub config: GatewayConfig,
     /// The time limits of connections and answers.
-    pub carriage: Carriage,
+    pub connection_settings: ConnectionSettings,
     /// The list of backends as this gateway last had it, in discovery's format; null if there is none.
     pub known: Value,
     /// The file that this came from, for reloads.
@@ -66,7 +66,8 @@
     /// Names the first field that is missing or not valid, and what was expected of it.
     pub fn from_text(text: &str) -> Result<Launch, String> {
         let all: Value = serde_json::from_str(text).map_err(|error| format!("expected JSON, {error}"))?;
-        let (mut config, carriage) = kitepass_gateway_config::from_value("settings", &all["settings"])?;
+        let (mut config, connection_settings) =
+            kitepass_gateway_config::from_value("settings", &all["settings"])?;
         if config.gateway_index >= config.gateways {
             return Err("settings.Me: expected a number below ReplicasOfMe".to_owned());
         }
@@ -95,7 +96,7 @@
             seed: seed.ok_or("seed: expected up to 16 hex digits")?,
             sockets: sockets.min(allowed).min(1 << 16) as usize,
             config,
-            carriage,
+            connection_settings,
             known: known.clone(),
             origin: None,
         })
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -79,7 +79,7 @@
         format!("seed={:016x} sockets={}", launch.seed, launch.sockets),
         format!("ReplicasOfMe={} Me={}", launch.config.gateways, launch.config.gateway_index),
         format!("MailPerS={}", launch.config.max_peer_messages),
-        format!("ConnIdle={} us", launch.carriage.idle.as_micros()),
+        format!("ConnIdle={} us", launch.connection_settings.idle_timeout.as_micros()),
         format!("known={}", launch.known),
         format!(
             "file={}",
