--- a/crates/control-plane/tests/cluster/gateways.rs
+++ b/crates/control-plane/tests/cluster/gateways.rs
@@ -77,7 +77,7 @@
 
     /// Gateways may be without a session for so long.
     pub(super) fn set_gateways_alone(&mut self, alone: Duration) {
-        self.gateways.iter_mut().for_each(|gateway| gateway.session.set_max_unsynced(alone));
+        self.gateways.iter_mut().for_each(|gateway| gateway.session.set_max_unsynced_time(alone));
     }
 
     /// A control process has closed a session.
@@ -137,10 +137,10 @@
     fn tick_gateway(&mut self, gateway: usize) {
         let now = at(self.now);
         let outcome = self.gateways[gateway].session.tick(now);
-        if outcome.closes_candidate {
+        if outcome.should_close_candidate {
             self.drop_candidate(gateway, "timed-out");
         }
-        if outcome.closes_session {
+        if outcome.should_close_session {
             self.drop_session(gateway, "timed-out");
         }
         let draw = self.random.rand_u64();
--- a/crates/data-plane/src/attempt/response_class.rs
+++ b/crates/data-plane/src/attempt/response_class.rs
@@ -51,7 +51,7 @@
 
 /// What stands on a connection behind a complete response.
 #[derive(Clone, Copy, Debug)]
-pub struct ConnectionRemains {
+pub struct ConnectionState {
     /// Whether the backend may still send.
     pub input_state: InputState,
     /// Bytes received behind the response.
@@ -66,10 +66,10 @@
 ///
 /// Invariant: bytes behind a response belong to no request, an unsent rest of a body would be taken for the next
 /// request, and a connection that has ended takes none.
-pub fn may_keep_connection(class: ResponseClass, remains: ConnectionRemains) -> bool {
+pub fn may_reuse_connection(class: ResponseClass, connection_state: ConnectionState) -> bool {
     class != ResponseClass::Invalid
-        && remains.input_state == InputState::Open
-        && remains.unread_bytes == 0
-        && remains.unsent_bytes == 0
-        && remains.is_request_finished
+        && connection_state.input_state == InputState::Open
+        && connection_state.unread_bytes == 0
+        && connection_state.unsent_bytes == 0
+        && connection_state.is_request_finished
 }
--- a/crates/data-plane/src/attempt/response_reader.rs
+++ b/crates/data-plane/src/attempt/response_reader.rs
@@ -69,7 +69,7 @@
     /// The request is a HEAD: its response has no body.
     pub is_head_request: bool,
     /// A HEAD request was sent on the connection at some time.
-    pub has_carried_head: bool,
+    pub had_head_request: bool,
     /// Bytes of a body that are buffered; a longer response is streamed.
     pub max_buffered_bytes: usize,
 }
@@ -140,7 +140,7 @@
         // A surplus response to an earlier request may stand in this one's place.
         let responds_to = head.field("x-try-id").ok_or(ResponseFailure::MissingRequestId)?;
         self.is_surplus = responds_to != context.request_id;
-        if self.is_surplus && (context.is_head_request || context.has_carried_head) {
+        if self.is_surplus && (context.is_head_request || context.had_head_request) {
             // Invariant: where a response ends depends on the method of its own request. Read by another one's,
             // bytes of its body would pass for the next response.
             return Err(ResponseFailure::SurplusBesideHead);
--- a/crates/data-plane/src/control_session/mod.rs
+++ b/crates/data-plane/src/control_session/mod.rs
@@ -130,7 +130,7 @@
     }
 
     /// For tests: the longest time without synchronization, in place of the usual one.
-    pub fn set_max_unsynced(&mut self, max_unsynced: Duration) {
+    pub fn set_max_unsynced_time(&mut self, max_unsynced: Duration) {
         self.max_unsynced = max_unsynced;
     }
 
@@ -146,7 +146,7 @@
 
     /// Whether [`ControlSession::item_store`] holds whole changes, and not parts of some. Whoever acts on the items does so
     /// only then: between two messages of one change, requests that both configurations allow would be rejected.
-    pub fn holds_whole_changes(&self) -> bool {
+    pub fn holds_complete_changes(&self) -> bool {
         self.boundary.is_reached()
     }
 
@@ -312,10 +312,10 @@
     pub fn tick(&mut self, now: Timestamp) -> TickOutcome {
         self.item_store.purge_oldest_tombstones(Kind::Backend, MAX_BACKEND_TOMBSTONES);
         let outcome = TickOutcome {
-            closes_session: self.is_timed_out(now),
-            closes_candidate: self.gives_up_candidate(now),
+            should_close_session: self.is_timed_out(now),
+            should_close_candidate: self.gives_up_candidate(now),
         };
-        if self.state == SessionState::Disconnected || outcome.closes_session {
+        if self.state == SessionState::Disconnected || outcome.should_close_session {
             return outcome;
         }
         if std::mem::take(&mut self.wants_digests) {
--- a/crates/data-plane/src/control_session/updates.rs
+++ b/crates/data-plane/src/control_session/updates.rs
@@ -30,9 +30,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TickOutcome {
     /// The session's connection, which brings nothing any more.
-    pub closes_session: bool,
+    pub should_close_session: bool,
     /// The candidate connection.
-    pub closes_candidate: bool,
+    pub should_close_candidate: bool,
 }
 
 /// The gateways that count as live.
--- a/crates/data-plane/src/load_balancer/ejection.rs
+++ b/crates/data-plane/src/load_balancer/ejection.rs
@@ -55,7 +55,7 @@
     }
 
     /// The backend says that it closes its connections.
-    pub(super) fn backend_is_closing(&mut self, now: Timestamp) {
+    pub(super) fn record_connection_close(&mut self, now: Timestamp) {
         self.extend_to(now + CLOSING_EJECTION_TIME);
     }
 
--- a/crates/data-plane/src/load_balancer/mod.rs
+++ b/crates/data-plane/src/load_balancer/mod.rs
@@ -262,9 +262,9 @@
     }
 
     /// A backend says in a response that it closes its connections.
-    pub fn backend_is_closing(&mut self, now: Timestamp, backend_id: &str) {
+    pub fn record_connection_close(&mut self, now: Timestamp, backend_id: &str) {
         if let Some(backend) = self.backends.get_mut(backend_id) {
-            backend.ejection.backend_is_closing(now);
+            backend.ejection.record_connection_close(now);
         }
     }
 }
--- a/crates/data-plane/src/server/configuration.rs
+++ b/crates/data-plane/src/server/configuration.rs
@@ -73,7 +73,7 @@
 
     /// Puts in force what the session holds, if that has changed, is whole, and is a configuration. Gives the new routing table.
     pub(super) fn refresh(&mut self, session: &ControlSession) -> Option<Arc<RoutingTable>> {
-        let is_whole = session.is_caught_up() && session.holds_whole_changes();
+        let is_whole = session.is_caught_up() && session.holds_complete_changes();
         if !self.is_stale || !is_whole || !has_configuration(&session.item_store) {
             return None;
         }
--- a/crates/data-plane/src/server/control_connection.rs
+++ b/crates/data-plane/src/server/control_connection.rs
@@ -90,10 +90,10 @@
     /// Lets time pass for the session, and opens a connection where one is wanted.
     pub(super) fn tick_control_session(&mut self, now: Timestamp) {
         let outcome = self.control_session.tick(now);
-        if outcome.closes_candidate {
+        if outcome.should_close_candidate {
             self.close_candidate("timed-out");
         }
-        if outcome.closes_session {
+        if outcome.should_close_session {
             self.close_control_connection("timed-out");
         }
         let draw = self.rng.rand_u64();
--- a/crates/data-plane/src/server/response.rs
+++ b/crates/data-plane/src/server/response.rs
@@ -2,7 +2,7 @@
 
 use super::upstream::{Attempt, Upstream};
 use super::Server;
-use crate::attempt::{self, ConnectionRemains, InputState, NextStep, RequestState, ResponseClass};
+use crate::attempt::{self, ConnectionState, InputState, NextStep, RequestState, ResponseClass};
 use crate::ids::{ClientId, RequestId, UpstreamId};
 use crate::load_balancer::AttemptOutcome;
 use kitepass_net::http::body::Head;
@@ -29,10 +29,10 @@
         let took = now - attempt.began_at;
         self.load_balancer.attempt_ended(now, &upstream.backend_id, class.outcome(), took);
         if head.has_connection_option(b"close") {
-            self.load_balancer.backend_is_closing(now, &upstream.backend_id);
+            self.load_balancer.record_connection_close(now, &upstream.backend_id);
         }
-        let remains = remains(upstream, &attempt, input_state);
-        if attempt::may_keep_connection(class, remains) {
+        let connection_state = connection_state(upstream, &attempt, input_state);
+        if attempt::may_reuse_connection(class, connection_state) {
             self.make_idle(now, id, &head);
         } else {
             self.close_upstream(id);
@@ -132,8 +132,8 @@
 }
 
 /// What stands on a connection behind the response to an attempt.
-fn remains(upstream: &Upstream, attempt: &Attempt, input_state: InputState) -> ConnectionRemains {
-    ConnectionRemains {
+fn connection_state(upstream: &Upstream, attempt: &Attempt, input_state: InputState) -> ConnectionState {
+    ConnectionState {
         input_state,
         unread_bytes: upstream.connection.input.len(),
         unsent_bytes: upstream.connection.unsent_bytes(),
--- a/crates/data-plane/src/server/upstream.rs
+++ b/crates/data-plane/src/server/upstream.rs
@@ -41,7 +41,7 @@
     /// The attempt in flight on it.
     pub(super) attempt: Option<Attempt>,
     /// Whether a HEAD request was sent on it.
-    has_carried_head: bool,
+    had_head_request: bool,
     /// While it is idle: when it is closed.
     idle_until: Timestamp,
 }
@@ -79,7 +79,7 @@
         let time_left_ms = (request.info.deadline - now).as_micros() / 1000;
         request.write_attempt_head(backend_id, time_left_ms.max(1), &mut upstream.connection.output);
         request.upstream = Some(upstream_id);
-        upstream.has_carried_head |= request.is_head_request();
+        upstream.had_head_request |= request.is_head_request();
         upstream.attempt = Some(Attempt {
             request: id,
             began_at: now,
@@ -144,7 +144,7 @@
             connection,
             backend_id: backend_id.clone(),
             attempt: None,
-            has_carried_head: false,
+            had_head_request: false,
             idle_until: now + IDLE_TIMEOUT,
         };
         self.upstreams.insert(id, upstream);
@@ -234,7 +234,7 @@
         let context = ResponseContext {
             request_id: request.id(),
             is_head_request: request.is_head_request(),
-            has_carried_head: upstream.has_carried_head,
+            had_head_request: upstream.had_head_request,
             max_buffered_bytes: MAX_BUFFERED_RESPONSE_BYTES,
         };
         match attempt.response.read(context, &mut upstream.connection.input, input_state) {
--- a/crates/data-plane/tests/attempt/calls.rs
+++ b/crates/data-plane/tests/attempt/calls.rs
@@ -1,7 +1,7 @@
 //! All orders of calls to a lifecycle, also such as no server makes: each of its answers holds by itself.
 
 use kitepass_data_plane::attempt::{
-    may_keep_connection, ConnectionRemains, InputState, NextStep, RequestLifecycle, RequestState,
+    may_reuse_connection, ConnectionState, InputState, NextStep, RequestLifecycle, RequestState,
     ResponseClass,
 };
 use kitepass_data_plane::load_balancer::AttemptOutcome;
@@ -281,6 +281,6 @@
     #[case] is_request_finished: bool,
     #[case] is_kept: bool,
 ) {
-    let remains = ConnectionRemains { input_state, unread_bytes, unsent_bytes, is_request_finished };
-    assert_eq!(may_keep_connection(class, remains), is_kept);
+    let connection_state = ConnectionState { input_state, unread_bytes, unsent_bytes, is_request_finished };
+    assert_eq!(may_reuse_connection(class, connection_state), is_kept);
 }
--- a/crates/data-plane/tests/attempt/response_reader.rs
+++ b/crates/data-plane/tests/attempt/response_reader.rs
@@ -10,7 +10,7 @@
 const CONTEXT: ResponseContext = ResponseContext {
     request_id: b"t1",
     is_head_request: false,
-    has_carried_head: false,
+    had_head_request: false,
     max_buffered_bytes: 1024,
 };
 
@@ -108,10 +108,10 @@
 #[case::one_before(false, true, ReadProgress::Failed(ResponseFailure::SurplusBesideHead))]
 fn a_surplus_response_beside_a_head_request_fails(
     #[case] is_head_request: bool,
-    #[case] has_carried_head: bool,
+    #[case] had_head_request: bool,
     #[case] expected: ReadProgress,
 ) {
-    let context = ResponseContext { is_head_request, has_carried_head, ..CONTEXT };
+    let context = ResponseContext { is_head_request, had_head_request, ..CONTEXT };
     let text = SURPLUS.to_owned() + HEAD + "Content-Length: 0\r\n\r\n";
     assert_eq!(read(text.as_bytes(), &[], InputState::Open, context).progress, expected);
     let own = HEAD.to_owned() + "Content-Length: 4\r\n\r\n" + if is_head_request { "" } else { "body" };
--- a/crates/data-plane/tests/attempt/world.rs
+++ b/crates/data-plane/tests/attempt/world.rs
@@ -5,7 +5,7 @@
 
 use crate::backend_responses::{body, Piece, ResponseKind};
 use kitepass_data_plane::attempt::{
-    may_keep_connection, ConnectionRemains, InputState, NextStep, ReadProgress, RequestLifecycle,
+    may_reuse_connection, ConnectionState, InputState, NextStep, ReadProgress, RequestLifecycle,
     RequestState, ResponseClass, ResponseContext, ResponseReader,
 };
 
@@ -187,7 +187,7 @@
         let context = ResponseContext {
             request_id: id.as_bytes(),
             is_head_request: false,
-            has_carried_head: false,
+            had_head_request: false,
             max_buffered_bytes: MAX_BUFFERED_BYTES,
         };
         let (mut reader, mut input) = connection.reader(context);
@@ -241,14 +241,14 @@
         connection.attempt = None;
         connection.streamed_bytes = 0;
         connection.read_pieces.clear();
-        let remains = ConnectionRemains {
+        let connection_state = ConnectionState {
             input_state,
             unread_bytes,
             // The backend may yet execute the request by what it still gets, where it has not answered it.
             unsent_bytes: usize::from(REQUEST_PARTS - connection.parts_written),
             is_request_finished: self.requests[request].is_body_complete,
         };
-        if !may_keep_connection(class, remains) {
+        if !may_reuse_connection(class, connection_state) {
             self.close_connection(at);
         }
         let body = String::from_utf8(reader.body).expect("text");
--- a/crates/data-plane/tests/control_session.rs
+++ b/crates/data-plane/tests/control_session.rs
@@ -74,7 +74,7 @@
     Message::Heartbeat(Heartbeat { is_serving: true, ..Heartbeat::default() })
 }
 
-const NOTHING: TickOutcome = TickOutcome { closes_session: false, closes_candidate: false };
+const NOTHING: TickOutcome = TickOutcome { should_close_session: false, should_close_candidate: false };
 
 #[test]
 fn a_first_configuration_is_not_taken_from_an_isolated_control_process() {
@@ -145,8 +145,8 @@
     let mut opened = Vec::new();
     for now in (100..9_900).step_by(100) {
         let outcome = session.tick(at(now));
-        assert!(!outcome.closes_session, "at {now} ms");
-        if outcome.closes_candidate {
+        assert!(!outcome.should_close_session, "at {now} ms");
+        if outcome.should_close_candidate {
             session.candidate_lost("timed-out");
         }
         opened.extend(session.next_control_process(at(now), 0).map(|address| (now, address)));
@@ -159,7 +159,10 @@
     // What was late arrives, and the session goes on as if nothing had been.
     let updates = receive(&mut session, 9_950, vec![items(4), serving_heartbeat()]);
     assert_eq!((updates.items.len(), updates.should_close), (1, false));
-    assert_eq!(session.tick(at(9_960)), TickOutcome { closes_session: false, closes_candidate: true });
+    assert_eq!(
+        session.tick(at(9_960)),
+        TickOutcome { should_close_session: false, should_close_candidate: true }
+    );
     session.candidate_lost("heard-again");
     assert_eq!(session.next_control_process(at(9_970), 0), None);
 }
@@ -168,7 +171,7 @@
 fn a_session_that_brings_nothing_for_ten_seconds_is_given_up() {
     let mut session = synced_session(&["a"], &[]);
     assert_eq!(session.tick(at(10_000)), NOTHING);
-    assert!(session.tick(at(10_030)).closes_session);
+    assert!(session.tick(at(10_030)).should_close_session);
     session.connection_lost("timed-out");
     assert!(session.next_control_process(at(10_040), 0).is_some());
 }
@@ -203,7 +206,10 @@
     assert_eq!(session.next_control_process(at(3_100), 0).as_deref(), Some("b"));
     // It does not answer, and the session goes on.
     receive(&mut session, 4_600, vec![serving_heartbeat()]);
-    assert_eq!(session.tick(at(4_600)), TickOutcome { closes_session: false, closes_candidate: true });
+    assert_eq!(
+        session.tick(at(4_600)),
+        TickOutcome { should_close_session: false, should_close_candidate: true }
+    );
     session.candidate_lost("timed-out");
     assert_eq!(session.next_control_process(at(4_700), 0), None, "it is left alone for a time");
     receive(&mut session, 15_200, vec![serving_heartbeat()]);
@@ -224,7 +230,7 @@
 #[test]
 fn a_change_in_several_messages_is_whole_with_the_last() {
     let mut session = synced_session(&["a"], &[]);
-    assert!(session.holds_whole_changes());
+    assert!(session.holds_complete_changes());
     let is_whole = [
         (part(4, Extent::Continued), false),
         (serving_heartbeat(), false),
@@ -234,7 +240,7 @@
     ];
     for (message, expected) in is_whole {
         receive(&mut session, 100, vec![message.clone()]);
-        assert_eq!(session.holds_whole_changes(), expected, "{message:?}");
+        assert_eq!(session.holds_complete_changes(), expected, "{message:?}");
     }
 }
 
@@ -242,9 +248,9 @@
 fn what_is_transferred_by_buckets_is_whole_at_its_end() {
     let mut session = synced_session(&["a"], &[]);
     receive(&mut session, 100, vec![part(4, Extent::Transfer), part(5, Extent::Complete)]);
-    assert!(!session.holds_whole_changes(), "a change that comes meanwhile ends no transfer");
+    assert!(!session.holds_complete_changes(), "a change that comes meanwhile ends no transfer");
     receive(&mut session, 200, vec![sync_finished(Some(5))]);
-    assert!(session.holds_whole_changes());
+    assert!(session.holds_complete_changes());
 }
 
 /// The end of a change was lost with what followed: the next heartbeat that agrees stands for it, unless the control process
@@ -255,10 +261,10 @@
     receive(&mut session, 100, vec![part(4, Extent::Continued)]);
     let transferring = agreeing_heartbeat(&session, true);
     receive(&mut session, 200, vec![transferring, serving_heartbeat()]);
-    assert!(!session.holds_whole_changes());
+    assert!(!session.holds_complete_changes());
     let agreeing = agreeing_heartbeat(&session, false);
     receive(&mut session, 300, vec![agreeing]);
-    assert!(session.holds_whole_changes());
+    assert!(session.holds_complete_changes());
 }
 
 #[test]
@@ -266,11 +272,11 @@
     let mut session = synced_session(&["a"], &[]);
     receive(&mut session, 100, vec![part(4, Extent::Continued)]);
     session.connection_lost("closed");
-    assert!(!session.holds_whole_changes());
+    assert!(!session.holds_complete_changes());
     session.next_control_process(at(1_000), 0).expect("one is known");
     session.candidate_hello(at(1_010), &hello("a", true));
     receive(&mut session, 1_020, vec![part(6, Extent::Complete)]);
-    assert!(!session.holds_whole_changes());
+    assert!(!session.holds_complete_changes());
     receive(&mut session, 1_030, vec![sync_finished(Some(6))]);
-    assert!(session.holds_whole_changes());
+    assert!(session.holds_complete_changes());
 }
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -25,9 +25,9 @@
 #[derive(Default)]
 pub struct TickResult {
     /// The session that it had is over.
-    pub closes_session: bool,
+    pub should_close_session: bool,
     /// The session that it was opening is given up.
-    pub closes_candidate: bool,
+    pub should_close_candidate: bool,
     /// A session is to be opened to this address.
     pub connect_to: Option<String>,
 }
@@ -37,7 +37,7 @@
     /// What it acts on from now on.
     pub applied: Vec<Write>,
     /// The session is to be closed.
-    pub closes_session: bool,
+    pub should_close_session: bool,
 }
 
 impl Gateway {
@@ -56,16 +56,16 @@
     /// Time has passed. The random number chooses among equal control processes.
     pub fn tick(&mut self, now: Timestamp, random: u64) -> TickResult {
         let outcome = self.control_session.tick(now);
-        if outcome.closes_session {
+        if outcome.should_close_session {
             self.control_session.connection_lost("timed-out");
         }
-        if outcome.closes_candidate {
+        if outcome.should_close_candidate {
             self.control_session.candidate_lost("timed-out");
         }
         let connect_to = self.control_session.next_control_process(now, random);
         self.control_session.is_ready = self.control_session.is_caught_up();
-        let TickOutcome { closes_session, closes_candidate } = outcome;
-        TickResult { closes_session, closes_candidate, connect_to }
+        let TickOutcome { should_close_session, should_close_candidate } = outcome;
+        TickResult { should_close_session, should_close_candidate, connect_to }
     }
 
     /// The session that it was opening is over, or could not be opened.
@@ -105,9 +105,9 @@
         let mut updates = SessionUpdates::default();
         self.control_session.receive(now, message, &mut updates);
         self.pending_writes.extend(updates.items.iter().filter_map(write_from_item));
-        let is_whole = self.control_session.holds_whole_changes();
+        let is_whole = self.control_session.holds_complete_changes();
         let applied = if is_whole { std::mem::take(&mut self.pending_writes) } else { Vec::new() };
-        MessageResult { applied, closes_session: updates.should_close }
+        MessageResult { applied, should_close_session: updates.should_close }
     }
 
     /// It holds what the control plane holds.
--- a/crates/simulation/src/simulation/gateways.rs
+++ b/crates/simulation/src/simulation/gateways.rs
@@ -22,8 +22,8 @@
         let random = self.rng.next_u64();
         let result = self.gateways[number].tick(now, random);
         let gateway = &mut self.gateways[number];
-        let session = if result.closes_session { gateway.session.take() } else { None };
-        let candidate = if result.closes_candidate { gateway.candidate.take() } else { None };
+        let session = if result.should_close_session { gateway.session.take() } else { None };
+        let candidate = if result.should_close_candidate { gateway.candidate.take() } else { None };
         for closed in session.into_iter().chain(candidate) {
             self.close_session(closed, false);
         }
@@ -69,7 +69,7 @@
         for write in result.applied {
             self.history.push(HistoryEvent::WriteApplied { at: self.now, gateway: number, write });
         }
-        if result.closes_session {
+        if result.should_close_session {
             self.gateways[number].session_lost("not-current");
             self.close_session(session, false);
         }
