--- a/crates/data-plane/src/cli.rs
+++ b/crates/data-plane/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line interface.
 
 use crate::server::{self, Server};
 use lexopt::Arg::{Long, Short, Value};
@@ -19,12 +19,12 @@
 SIGTERM has it finish what it took and end; SIGHUP has it read the settings file again.
 ";
 
-/// The exit code where the gateway cannot start or go on.
+/// Exit code when the gateway fails to start or stops on an error.
 const EXIT_FAILED: u8 = 1;
-/// The exit code where the command line cannot be taken.
+/// Exit code for an invalid command line.
 const EXIT_USAGE: u8 = 2;
 
-/// Runs the program by its command line.
+/// Parses the command line, runs the command and returns the exit code.
 pub fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Why the program ends with an error.
+/// Errors that end the program.
 #[derive(Debug, Snafu)]
 enum CliError {
     #[snafu(context(false), display("{source}"))]
@@ -57,7 +57,7 @@
     }
 }
 
-/// What the command line asks for.
+/// The command selected on the command line.
 enum Command {
     Help,
     Version,
--- a/crates/data-plane/src/ids.rs
+++ b/crates/data-plane/src/ids.rs
@@ -1,14 +1,14 @@
-//! Ids of connections and requests. They are drawn from one counter, so that a connection's id is also the token
-//! under which its socket is polled.
+//! Identifiers of connections and requests. All are allocated from one counter, so that a connection's id also serves
+//! as its poll token.
 
-/// A client's connection.
+/// Identifies a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClientId(pub u64);
 
-/// A connection to a backend.
+/// Identifies a connection to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UpstreamId(pub u64);
 
-/// A request, while it is in this process.
+/// Identifies a request while this process handles it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,9 +1,9 @@
-//! kitepass' data plane: it takes clients' requests, rejects what exceeds a tenant's quota, and forwards the rest to
-//! backends.
+//! The kitepass data plane: a gateway that accepts client requests, enforces tenant quotas and forwards admitted
+//! requests to backends.
 //!
-//! [`quota`], [`load_balancer`], [`retry_budget`] and [`attempt`] decide, without input or output; [`request`] is a
-//! request; [`server`] is the sockets and the clock around them, and [`control_session`] the session with the control
-//! plane.
+//! [`quota`], [`load_balancer`], [`retry_budget`] and [`attempt`] contain the decision logic and do no I/O. [`request`]
+//! holds the state of a request. [`server`] runs the event loop with sockets and timers, and [`control_session`]
+//! manages the session with the control plane.
 
 pub mod attempt;
 pub mod cli;
--- a/crates/data-plane/src/main.rs
+++ b/crates/data-plane/src/main.rs
@@ -1,4 +1,4 @@
-//! `kitepass-data-plane`: kitepass' data plane in the system.
+//! The `kitepass-data-plane` program: a gateway of the kitepass data plane.
 
 use std::process::ExitCode;
 
--- a/crates/data-plane/src/request.rs
+++ b/crates/data-plane/src/request.rs
@@ -1,4 +1,4 @@
-//! A client's request, from the arrival of its head to its final response.
+//! The state of a client request, from the receipt of its head to its final response.
 
 use crate::attempt::RequestLifecycle;
 use crate::ids::{ClientId, UpstreamId};
@@ -8,58 +8,59 @@
 use smallvec::SmallVec;
 use std::sync::Arc;
 
-/// Bytes of a body that are buffered for a retry. A longer body is streamed, and its request has one attempt.
+/// Maximum bytes of a request body that are buffered for a retry. A longer body is streamed, so its request cannot be
+/// retried.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 256 * 1024;
 
-/// Header fields of a client that are not forwarded to a backend: the gateway writes its own, or keeps them.
+/// Header fields of a client request that are not forwarded to a backend. The gateway replaces or consumes them.
 const FIELDS_NOT_FORWARDED: [&str; 4] = ["authorization", "x-sender", "x-deliver-to", "x-time-left-ms"];
 
-/// What is known of a request when its head has been read.
+/// Properties of a request that are known once its head has been read.
 #[derive(Debug)]
 pub struct RequestInfo {
-    /// The connection of the client.
+    /// The connection that the request arrived on.
     pub client: ClientId,
     /// The request's head.
     pub head: Head,
-    /// The route that it takes.
+    /// The route that the request matches.
     pub route: Arc<Route>,
-    /// The service, one of the route's, that its attempts go to.
+    /// The service that receives all attempts, chosen among those of the route.
     pub service: Arc<str>,
-    /// Whose quota it counts against, if the route asks for a key.
+    /// The tenant whose quota applies. `None` if the route needs no API key.
     pub tenant: Option<Arc<Tenant>>,
-    /// The configuration under which it came; it holds for the request from start to end.
+    /// The routing table that was active when the request arrived. It applies until the request is finished.
     pub routing_table: Arc<RoutingTable>,
-    /// When its head was complete.
+    /// When the complete head had been received.
     pub arrived_at: Timestamp,
-    /// When it is given up.
+    /// When the request times out.
     pub deadline: Timestamp,
-    /// The length of its body, unless it comes in chunks.
+    /// The length of the body. `None` if the body is chunked.
     pub content_length: Option<u64>,
 }
 
-/// A request.
+/// A request in progress.
 #[derive(Debug)]
 pub struct Request {
-    /// What its head says, and the configuration that it came under.
+    /// Properties taken from the head, and the routing table that applies.
     pub info: RequestInfo,
-    /// Bytes of the body that were received and may still be needed, from byte `body_offset` on.
+    /// The buffered part of the body, which starts at byte `body_offset` of the whole body.
     pub body: Vec<u8>,
-    /// Bytes of the body that have been dropped from the buffer.
+    /// Number of body bytes that have been discarded from the front of the buffer.
     pub body_offset: u64,
-    /// Whether all of the body has been received.
+    /// Whether the whole body has been received.
     pub is_body_complete: bool,
-    /// Backends that had an attempt.
+    /// Backends that were already tried, including those that could not be reached.
     pub tried_backends: SmallVec<[Arc<str>; 2]>,
-    /// The connection that its attempt is on.
+    /// The connection that carries the attempt in flight.
     pub upstream: Option<UpstreamId>,
-    /// Its state, and what may follow.
+    /// The state machine of the request.
     pub lifecycle: RequestLifecycle,
-    /// Whether it waits for a grant of its tenant's quota.
+    /// Whether the request waits for its tenant's quota to be granted.
     pub awaits_quota: bool,
 }
 
 impl Request {
-    /// A request of which nothing but the head has been read.
+    /// Creates a request of which only the head has been read.
     pub fn new(info: RequestInfo) -> Request {
         let is_idempotent = info.route.safety == RequestSafety::Safe;
         Request {
@@ -74,18 +75,18 @@
         }
     }
 
-    /// The id that the client gave it, which a backend repeats in its response.
+    /// The id assigned by the client, which the backend must return in its response.
     pub fn id(&self) -> &[u8] {
         self.info.head.field("x-try-id").unwrap_or_default()
     }
 
-    /// Whether an attempt may begin: the request is within its quota, and its body is complete, or too long to be
-    /// buffered.
+    /// Whether an attempt may start: quota has been granted, and the body is either complete or too long to be buffered
+    /// in full.
     pub fn is_ready_to_send(&self) -> bool {
         !self.awaits_quota && (self.is_body_complete || self.body.len() >= MAX_BUFFERED_BODY_BYTES)
     }
 
-    /// Appends the head that an attempt at a backend begins with.
+    /// Appends the request head that is sent to a backend.
     pub fn write_attempt_head(&self, backend_id: &str, time_left_ms: i64, output: &mut Vec<u8>) {
         let head = &self.info.head;
         output.reserve(head.len() + 128);
@@ -98,12 +99,12 @@
             Some(tenant) => format!("X-Sender: {}\r\n", tenant.name),
             None => String::new(),
         };
-        let own_fields =
+        let gateway_fields =
             format!("{framing}{sender}X-Time-Left-Ms: {time_left_ms}\r\nX-Deliver-To: {backend_id}\r\n\r\n");
-        output.extend_from_slice(own_fields.as_bytes());
+        output.extend_from_slice(gateway_fields.as_bytes());
     }
 
-    /// The field that says where an attempt's body ends; empty where there is no body.
+    /// The header field that frames the body of an attempt. Empty if there is no body.
     fn framing_field(&self) -> String {
         let method = self.info.head.start_line_part(0);
         match self.info.content_length {
@@ -114,12 +115,12 @@
         }
     }
 
-    /// Whether it is a HEAD request, whose response has no body.
+    /// Whether this is a HEAD request, whose response has no body.
     pub fn is_head_request(&self) -> bool {
         self.info.head.start_line_part(0) == b"HEAD"
     }
 
-    /// Whether an attempt sends its body in chunks.
+    /// Whether attempts use chunked transfer encoding for the body.
     pub fn is_sent_chunked(&self) -> bool {
         self.info.content_length.is_none() && !self.is_body_complete
     }
--- a/crates/data-plane/src/server/configuration/tests.rs
+++ b/crates/data-plane/src/server/configuration/tests.rs
@@ -18,7 +18,7 @@
     Message::Items(Items { items, extent: extent.into() })
 }
 
-/// All that the control process holds has come.
+/// The message that ends a transfer of all items of the control process.
 fn sync_finished(items: &[Item]) -> Message {
     let mut item_store = ItemStore::new();
     items.iter().for_each(|item| _ = item_store.merge(item.clone()));
@@ -28,7 +28,7 @@
     })
 }
 
-/// A session that a control process has said hello on.
+/// A session on which the control process has sent its hello.
 fn open_session() -> ControlSession {
     let mut session = ControlSession::new(Hello::default(), vec!["10.0.0.1".to_owned()], BTreeMap::new());
     session.next_control_process(NOW, 0).expect("one is known");
@@ -43,46 +43,49 @@
     session.receive(NOW, message, &mut SessionUpdates::default());
 }
 
-/// Whether what the session holds is put in force now.
-fn is_refreshed(configuration: &mut Configuration, session: &ControlSession) -> bool {
-    configuration.items_changed();
+/// Whether the items of the session are activated now.
+fn is_activated(configuration: &mut Configuration, session: &ControlSession) -> bool {
+    configuration.mark_stale();
     configuration.refresh(session).is_some()
 }
 
 #[test]
-fn nothing_is_in_force_until_the_session_has_caught_up() {
+fn no_configuration_is_active_until_the_session_has_caught_up() {
     let (mut configuration, mut session) = (Configuration::new(), open_session());
     receive(&mut session, items(&[service(1)], Extent::Transfer));
-    assert!(!is_refreshed(&mut configuration, &session) && !configuration.is_known());
+    assert!(!is_activated(&mut configuration, &session) && !configuration.is_loaded());
     receive(&mut session, sync_finished(&[service(1)]));
-    assert!(!configuration.is_known(), "the session alone puts nothing in force");
-    assert!(is_refreshed(&mut configuration, &session) && configuration.is_known());
-    assert!(configuration.refresh(&session).is_none(), "it has not changed since");
+    assert!(!configuration.is_loaded(), "receiving the items does not activate them");
+    assert!(is_activated(&mut configuration, &session) && configuration.is_loaded());
+    assert!(configuration.refresh(&session).is_none(), "the items have not changed since");
 }
 
 #[test]
-fn what_was_in_force_stays_while_a_transfer_is_open() {
+fn the_active_configuration_is_kept_during_a_transfer() {
     let (mut configuration, mut session) = (Configuration::new(), open_session());
     receive(&mut session, items(&[service(1)], Extent::Transfer));
     receive(&mut session, sync_finished(&[service(1)]));
     receive(&mut session, items(&[service(2)], Extent::Transfer));
-    assert!(!is_refreshed(&mut configuration, &session) && !configuration.is_known());
+    assert!(!is_activated(&mut configuration, &session) && !configuration.is_loaded());
     receive(&mut session, sync_finished(&[service(2)]));
-    assert!(is_refreshed(&mut configuration, &session));
+    assert!(is_activated(&mut configuration, &session));
     receive(&mut session, items(&[service(3)], Extent::Continued));
-    assert!(!is_refreshed(&mut configuration, &session) && configuration.is_known());
+    assert!(!is_activated(&mut configuration, &session) && configuration.is_loaded());
 }
 
 #[test]
-fn a_control_plane_without_a_configuration_puts_none_in_force() {
+fn a_control_plane_without_a_configuration_activates_none() {
     let (mut configuration, mut session) = (Configuration::new(), open_session());
     receive(&mut session, sync_finished(&[]));
-    assert!(session.is_caught_up() && !is_refreshed(&mut configuration, &session));
+    assert!(session.is_caught_up() && !is_activated(&mut configuration, &session));
     let evacuation =
         Item { kind: Kind::Evacuation, name: "near".into(), version: 1, value: Some("1".into()) };
     receive(&mut session, items(&[evacuation], Extent::Complete));
-    assert!(!is_refreshed(&mut configuration, &session));
+    assert!(!is_activated(&mut configuration, &session));
     let removed = Item { value: None, ..service(2) };
     receive(&mut session, items(&[removed], Extent::Complete));
-    assert!(is_refreshed(&mut configuration, &session), "an operator has removed what there was");
+    assert!(
+        is_activated(&mut configuration, &session),
+        "a deleted item shows that there was a configuration"
+    );
 }
--- a/crates/data-plane/src/server/control_connection.rs
+++ b/crates/data-plane/src/server/control_connection.rs
@@ -1,4 +1,5 @@
-//! The connections to control processes, under the control session: its own, and the candidate that is being opened.
+//! Connections to control processes: the one that carries the control session, and the candidate that is being opened to
+//! replace it.
 
 use super::Server;
 use crate::control_session::{CandidateOutcome, SessionUpdates};
@@ -11,83 +12,83 @@
 use kitepass_time::{Duration, Timestamp};
 use std::net::{IpAddr, SocketAddr};
 
-/// Bytes that are not acknowledged for so long end a connection. The session judges sooner whether another is needed; on a
-/// congested link the connection, which loses nothing and keeps the order, is worth waiting for.
-const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_micros(10_000_000);
-/// Bytes of a frame's length, in front of it.
+/// A connection fails when sent data stays unacknowledged for this long. The session detects an unresponsive control
+/// process earlier; the longer timeout lets a connection over a congested link recover without data loss.
+const TCP_USER_TIMEOUT: Duration = Duration::from_micros(10_000_000);
+/// Size of the length field that precedes each frame.
 const FRAME_LENGTH_BYTES: usize = 4;
-/// Bytes that have come and are not used, at most.
-const MAX_UNUSED_BYTES: usize = MAX_FRAME_BYTES + FRAME_LENGTH_BYTES;
+/// Maximum number of received bytes that are buffered before they are parsed.
+const MAX_UNPARSED_BYTES: usize = MAX_FRAME_BYTES + FRAME_LENGTH_BYTES;
 
 /// A connection to a control process.
 pub(super) struct ControlConnection {
-    /// The token under which it is polled.
+    /// The poll token.
     pub(super) id: u64,
     connection: Connection,
     decoder: MessageDecoder,
-    /// Bytes of the input that messages were taken of. They go before the next read, all at once.
-    used_bytes: usize,
+    /// Number of input bytes that have been parsed. They are removed together before the next read.
+    parsed_bytes: usize,
 }
 
-/// Why a connection is over.
+/// Why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ConnectionEnd {
-    /// The control process closed it.
+enum CloseReason {
+    /// The control process closed the connection.
     Closed,
-    /// What came is no frame.
+    /// The received data is not a valid message.
     Malformed,
-    /// It broke.
+    /// The connection failed.
     Failed(Errno),
 }
 
-impl ConnectionEnd {
-    /// The reason's name in log lines.
-    fn name(self) -> &'static str {
+impl CloseReason {
+    /// The reason as written to the log.
+    fn as_str(self) -> &'static str {
         match self {
-            ConnectionEnd::Closed => "closed",
-            ConnectionEnd::Malformed => "malformed",
-            ConnectionEnd::Failed(error) => error_label(error),
+            CloseReason::Closed => "closed",
+            CloseReason::Malformed => "malformed",
+            CloseReason::Failed(error) => error_label(error),
         }
     }
 }
 
-/// What reading a connection has come to.
+/// The result of reading from a connection.
 struct ReadStatus {
-    /// There are bytes that no message was taken of yet.
+    /// Whether there is unparsed input.
     has_input: bool,
-    /// The control process has ended its sending.
-    has_ended: bool,
+    /// Whether the control process has closed its sending side.
+    has_reached_eof: bool,
 }
 
 impl ControlConnection {
-    fn handle_event(&mut self, event: &ReadyEvent) -> Result<(), ConnectionEnd> {
-        self.connection.handle_event(event).map_err(ConnectionEnd::Failed)
+    fn handle_event(&mut self, event: &ReadyEvent) -> Result<(), CloseReason> {
+        self.connection.handle_event(event).map_err(CloseReason::Failed)
     }
 
-    /// Reads what has come, as far as there is room.
-    fn read(&mut self, scratch: &mut [u8]) -> Result<ReadStatus, ConnectionEnd> {
-        self.connection.input.drain(..std::mem::take(&mut self.used_bytes));
-        let has_ended =
-            self.connection.read_available(scratch, MAX_UNUSED_BYTES).map_err(ConnectionEnd::Failed)?;
-        Ok(ReadStatus { has_input: !self.connection.input.is_empty(), has_ended })
+    /// Reads available data until the input buffer is full.
+    fn read(&mut self, read_buffer: &mut [u8]) -> Result<ReadStatus, CloseReason> {
+        self.connection.input.drain(..std::mem::take(&mut self.parsed_bytes));
+        let has_reached_eof =
+            self.connection.read_available(read_buffer, MAX_UNPARSED_BYTES).map_err(CloseReason::Failed)?;
+        Ok(ReadStatus { has_input: !self.connection.input.is_empty(), has_reached_eof })
     }
 
-    /// The next message of what has been read, if all of one is there.
-    fn next_message(&mut self) -> Result<Option<Message>, ConnectionEnd> {
-        let message = self.decoder.next(&self.connection.input, &mut self.used_bytes);
-        message.map_err(|_| ConnectionEnd::Malformed)
+    /// Decodes the next complete message from the input, if any.
+    fn next_message(&mut self) -> Result<Option<Message>, CloseReason> {
+        let message = self.decoder.next(&self.connection.input, &mut self.parsed_bytes);
+        message.map_err(|_| CloseReason::Malformed)
     }
 
-    fn send(&mut self, messages: &mut Vec<Message>) -> Result<(), ConnectionEnd> {
+    fn send(&mut self, messages: &mut Vec<Message>) -> Result<(), CloseReason> {
         for message in messages.drain(..) {
             protocol::encode_message(message, &mut self.connection.output);
         }
-        self.connection.flush().map(drop).map_err(ConnectionEnd::Failed)
+        self.connection.flush().map(drop).map_err(CloseReason::Failed)
     }
 }
 
 impl Server {
-    /// Lets time pass for the session, and opens a connection where one is wanted.
+    /// Runs the periodic work of the control session, and opens a candidate connection if needed.
     pub(super) fn tick_control_session(&mut self, now: Timestamp) {
         let outcome = self.control_session.tick(now);
         if outcome.should_close_candidate {
@@ -96,8 +97,8 @@
         if outcome.should_close_session {
             self.close_control_connection("timed-out");
         }
-        let draw = self.rng.rand_u64();
-        if let Some(address) = self.control_session.next_control_process(now, draw) {
+        let random = self.rng.rand_u64();
+        if let Some(address) = self.control_session.next_control_process(now, random) {
             self.open_candidate(&address);
         }
     }
@@ -107,12 +108,12 @@
         let address = address.parse::<IpAddr>().ok().map(|ip| SocketAddr::new(ip, port));
         let id = self.allocate_id();
         let opened = address
-            .and_then(|address| Connection::connect(&self.poller, &address, id, UNACKNOWLEDGED_TIMEOUT).ok());
+            .and_then(|address| Connection::connect(&self.poller, &address, id, TCP_USER_TIMEOUT).ok());
         match opened {
             Some(connection) => {
                 let decoder = MessageDecoder::default();
                 self.candidate_connection =
-                    Some(ControlConnection { id, connection, decoder, used_bytes: 0 });
+                    Some(ControlConnection { id, connection, decoder, parsed_bytes: 0 });
             }
             None => self.control_session.candidate_lost("not-opened"),
         }
@@ -128,23 +129,23 @@
         self.control_session.connection_lost(why);
     }
 
-    /// Sends what the session has to say, on its connection and on the candidate's.
+    /// Sends the pending messages on the session's connection and on the candidate connection.
     pub(super) fn flush_control_connections(&mut self) {
         if let Some(candidate) = &mut self.candidate_connection {
-            if let Err(end) = candidate.send(&mut self.control_session.candidate_outgoing) {
-                self.close_candidate(end.name());
+            if let Err(reason) = candidate.send(&mut self.control_session.candidate_outgoing) {
+                self.close_candidate(reason.as_str());
             }
         }
         let Some(control) = &mut self.control_connection else { return };
         let items = std::mem::take(&mut self.control_session.outgoing_items);
         protocol::encode_items(items.iter(), &mut control.connection.output);
-        if let Err(end) = control.send(&mut self.control_session.outgoing) {
-            self.close_control_connection(end.name());
+        if let Err(reason) = control.send(&mut self.control_session.outgoing) {
+            self.close_control_connection(reason.as_str());
         }
     }
 
-    /// Reads the hello that a control process sends on the candidate connection, with which that becomes the session's.
-    pub(super) fn serve_candidate(&mut self, event: &ReadyEvent) {
+    /// Reads the hello on the candidate connection. If it is accepted, this connection becomes the session's connection.
+    pub(super) fn handle_candidate_event(&mut self, event: &ReadyEvent) {
         let now = self.clock.now();
         let hello = self.read_hello(event);
         match hello {
@@ -152,51 +153,51 @@
             Ok(Some(hello)) => match self.control_session.candidate_hello(now, &hello) {
                 CandidateOutcome::Promoted => {
                     self.control_connection = self.candidate_connection.take();
-                    self.read_session(now);
+                    self.process_session_messages(now);
                 }
                 CandidateOutcome::Rejected => self.candidate_connection = None,
             },
-            Err(end) => self.close_candidate(end.name()),
+            Err(reason) => self.close_candidate(reason.as_str()),
         }
     }
 
-    fn read_hello(&mut self, event: &ReadyEvent) -> Result<Option<Hello>, ConnectionEnd> {
+    fn read_hello(&mut self, event: &ReadyEvent) -> Result<Option<Hello>, CloseReason> {
         let Some(candidate) = &mut self.candidate_connection else { return Ok(None) };
         candidate.handle_event(event)?;
         let status = candidate.read(&mut self.read_buffer)?;
         match candidate.next_message()? {
             Some(Message::Hello(hello)) => Ok(Some(hello)),
-            Some(_) => Err(ConnectionEnd::Malformed),
-            None if status.has_ended => Err(ConnectionEnd::Closed),
+            Some(_) => Err(CloseReason::Malformed),
+            None if status.has_reached_eof => Err(CloseReason::Closed),
             None => Ok(None),
         }
     }
 
-    /// Reads what the session's control process sends, and takes it up.
-    pub(super) fn serve_control_connection(&mut self, event: &ReadyEvent) {
+    /// Handles a socket event on the session's connection and processes the received messages.
+    pub(super) fn handle_control_event(&mut self, event: &ReadyEvent) {
         let Some(control) = &mut self.control_connection else { return };
         match control.handle_event(event) {
-            Ok(()) => self.read_session(self.clock.now()),
-            Err(end) => self.close_control_connection(end.name()),
+            Ok(()) => self.process_session_messages(self.clock.now()),
+            Err(reason) => self.close_control_connection(reason.as_str()),
         }
     }
 
-    fn read_session(&mut self, now: Timestamp) {
+    fn process_session_messages(&mut self, now: Timestamp) {
         let mut updates = SessionUpdates::default();
-        let end = self.read_messages(now, &mut updates);
+        let result = self.read_messages(now, &mut updates);
         let should_close = updates.should_close;
         self.apply_session_updates(now, updates);
-        match end {
-            Err(end) => self.close_control_connection(end.name()),
+        match result {
+            Err(reason) => self.close_control_connection(reason.as_str()),
             Ok(()) if should_close => self.close_control_connection("not-current"),
             Ok(()) => {}
         }
     }
 
-    /// Reads until the socket holds no more.
-    fn read_messages(&mut self, now: Timestamp, updates: &mut SessionUpdates) -> Result<(), ConnectionEnd> {
+    /// Reads and processes messages until the socket has no more data.
+    fn read_messages(&mut self, now: Timestamp, updates: &mut SessionUpdates) -> Result<(), CloseReason> {
         let Some(control) = &mut self.control_connection else { return Ok(()) };
-        // No further event tells of what is left in the socket by a read that stopped at its bound.
+        // The poller reports no further event for data left in the socket when a read stopped at the buffer limit.
         loop {
             let status = control.read(&mut self.read_buffer)?;
             if status.has_input {
@@ -205,8 +206,8 @@
             while let Some(message) = control.next_message()? {
                 self.control_session.receive(now, message, updates);
             }
-            if status.has_ended {
-                return Err(ConnectionEnd::Closed);
+            if status.has_reached_eof {
+                return Err(CloseReason::Closed);
             }
             if !control.connection.is_readable() {
                 return Ok(());
@@ -219,7 +220,7 @@
             match item.kind {
                 Kind::Backend => self.load_balancer.update_backend(now, item),
                 Kind::ReplicaSet => {}
-                _ => self.configuration.items_changed(),
+                _ => self.configuration.mark_stale(),
             }
         }
         if let Some(live) = updates.live_gateways {
--- a/crates/data-plane/src/server/forwarding.rs
+++ b/crates/data-plane/src/server/forwarding.rs
@@ -1,5 +1,4 @@
-//! The attempts of a request: which backend each goes to, what follows one that failed, and how the request ends
-//! without a backend's response.
+//! Attempts to forward a request: backend selection, retries, and local responses when no backend response is delivered.
 
 use super::request_head::QUOTA_RETRY_MS;
 use super::Server;
@@ -9,26 +8,26 @@
 use kitepass_time::{Duration, Timestamp};
 use std::sync::Arc;
 
-/// Backends that are tried for one request at most, those that could not be reached included.
-const MAX_BACKENDS_TRIED: usize = 6;
-/// Milliseconds after which a client may retry a request that no backend took; up to [`RETRY_JITTER_MS`] more are
-/// drawn, so that clients do not all come at once.
+/// Maximum number of backends tried per request, including unreachable ones.
+const MAX_TRIED_BACKENDS: usize = 6;
+/// Minimum `Retry-After` for a request that no backend accepted, in milliseconds. A random delay below
+/// [`RETRY_JITTER_MS`] is added so that clients do not all retry at once.
 const MIN_RETRY_MS: u64 = 200;
 const RETRY_JITTER_MS: u64 = 300;
 
 impl Server {
-    /// Starts a request's next attempt, or rejects the request.
+    /// Starts the next attempt of a request, or rejects the request if none can be made.
     pub(super) fn start_next_attempt(&mut self, now: Timestamp, id: RequestId) {
         let backend = self.select_backend(now, id);
         self.start_attempt(now, id, backend);
     }
 
-    /// Selects the backend for a request's next attempt, if one may be made and some backend can take it. A retry
-    /// counts against the budget.
+    /// Selects the backend for the next attempt of a request, if another attempt is allowed and a backend is available.
+    /// A retry consumes retry budget.
     pub(super) fn select_backend(&mut self, now: Timestamp, id: RequestId) -> Option<Arc<str>> {
         let request = self.requests.get(&id)?;
         let info = &request.info;
-        let is_exhausted = request.tried_backends.len() >= MAX_BACKENDS_TRIED;
+        let is_exhausted = request.tried_backends.len() >= MAX_TRIED_BACKENDS;
         if info.deadline <= now || is_exhausted || !request.lifecycle.may_attempt() {
             return None;
         }
@@ -49,8 +48,8 @@
         self.load_balancer.select(now, &selection)
     }
 
-    /// Sends a request to the backend that was selected, or to the next where no connection can be opened. Where
-    /// there is none the request is rejected.
+    /// Sends a request to the selected backend, or to another one if no connection can be opened. Rejects the request if
+    /// no backend remains.
     pub(super) fn start_attempt(&mut self, now: Timestamp, id: RequestId, mut backend: Option<Arc<str>>) {
         while let Some(backend_id) = backend {
             let Some(request) = self.requests.get_mut(&id) else { return };
@@ -66,23 +65,23 @@
         self.reject(now, id, status);
     }
 
-    /// Rejects a request with a status.
+    /// Rejects a request with the given status.
     pub(super) fn reject(&mut self, now: Timestamp, id: RequestId, status: u16) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let next = request.lifecycle.reject(status);
-        self.finish_without_response(now, id, next);
+        self.finish_with_local_response(now, id, next);
     }
 
-    /// A request goes on behind an attempt that brought no response for its client.
+    /// Continues a request after an attempt without a response for the client: retries it, or ends it.
     pub(super) fn continue_request(&mut self, now: Timestamp, id: RequestId, next: NextStep) {
         match next {
             NextStep::Retry => self.start_next_attempt(now, id),
-            next => self.finish_without_response(now, id, next),
+            next => self.finish_with_local_response(now, id, next),
         }
     }
 
-    /// A request ends without a backend's response, if `next` says so.
-    pub(super) fn finish_without_response(&mut self, now: Timestamp, id: RequestId, next: NextStep) {
+    /// Ends a request with a local response, or by closing the client connection, if `next` requires it.
+    pub(super) fn finish_with_local_response(&mut self, now: Timestamp, id: RequestId, next: NextStep) {
         let Some(request) = self.requests.get(&id) else { return };
         let client = request.info.client;
         let status = match next {
@@ -96,30 +95,30 @@
             _ => None,
         };
         self.remove_request(id, AttemptOutcome::Abandoned);
-        self.release_client(now, client);
-        self.respond(client, status, retry_after_ms);
+        self.finish_client_request(now, client);
+        self.write_local_response(client, status, retry_after_ms);
         self.flush_client(client);
-        self.serve_next_request(client);
+        self.read_next_request(client);
     }
 
-    /// A client's request has its final response: the next one may come.
-    pub(super) fn release_client(&mut self, now: Timestamp, id: ClientId) {
+    /// Clears a client's current request after its final response, so that the next one can be read.
+    pub(super) fn finish_client_request(&mut self, now: Timestamp, id: ClientId) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.request = None;
         client.last_active = now;
         client.discards_body = client.body_reader.is_some();
     }
 
-    /// The next request may stand in a client's input already.
-    pub(super) fn serve_next_request(&mut self, id: ClientId) {
+    /// Processes the next request if it may already be in the input buffer.
+    pub(super) fn read_next_request(&mut self, id: ClientId) {
         let may_have_more =
-            |client: &super::Client| !client.connection.input.is_empty() || client.has_ended_input;
+            |client: &super::Client| !client.connection.input.is_empty() || client.has_reached_eof;
         if self.clients.get(&id).is_some_and(may_have_more) {
-            self.serve_client(id, None);
+            self.process_client(id, None);
         }
     }
 
-    /// Forgets a request; an attempt that is still in flight is ended with the given outcome.
+    /// Removes a request. An attempt in flight is ended with the given outcome.
     pub(super) fn remove_request(&mut self, id: RequestId, outcome: AttemptOutcome) {
         let now = self.clock.now();
         let Some(mut request) = self.requests.remove(&id) else { return };
@@ -130,19 +129,19 @@
         }
     }
 
-    /// A request's time is over.
+    /// Handles the expiry of a request's deadline.
     pub(super) fn deadline_expired(&mut self, now: Timestamp, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let next = request.lifecycle.deadline_expired();
-        self.finish_without_response(now, id, next);
+        self.finish_with_local_response(now, id, next);
     }
 
-    /// An idempotent request's attempt takes too long: another takes its place, if some backend can take it.
+    /// Replaces an overdue attempt of an idempotent request if another backend is available.
     pub(super) fn attempt_overdue(&mut self, now: Timestamp, id: RequestId, upstream_id: UpstreamId) {
         let attempt = self.upstreams.get_mut(&upstream_id).and_then(|upstream| upstream.attempt.as_mut());
         let Some(attempt) = attempt.filter(|attempt| attempt.request == id) else { return };
         attempt.overdue_timer = None;
-        // Invariant: a backend that is at work is not given up where no other can take its place.
+        // Invariant: an attempt in flight is abandoned only if another backend can replace it.
         let Some(backend) = self.select_backend(now, id) else { return };
         if self.requests.get_mut(&id).is_some_and(|r| r.lifecycle.abandon_overdue_attempt()) {
             self.fail_attempt(now, upstream_id, AttemptOutcome::Broken, "overdue");
--- a/crates/data-plane/src/server/mod.rs
+++ b/crates/data-plane/src/server/mod.rs
@@ -1,16 +1,16 @@
-//! The gateway process: sockets and clock around the decisions, one thread with one event loop.
+//! The gateway process: a single-threaded event loop that connects sockets and timers to the decision logic.
 //!
-//! [`Server::run`] is the loop. Who serves its events:
+//! [`Server::run`] is the event loop. It dispatches events as follows:
 //!
-//! | event | served by |
+//! | event | handled by |
 //! | --- | --- |
-//! | a client connects, sends, or has room again | `downstream`, which reads heads (`request_head`) and bodies (`request_body`) |
-//! | a backend's connection is established, sends, or has room again | `upstream`, which hands responses to `response` |
-//! | the control process sends | `control_connection` |
-//! | a request's deadline, an overdue attempt, a connection that is not established | `forwarding`, `upstream` |
-//! | the tick: sessions, idle connections, waiting requests | `Server::tick` |
-//! | a period's end: usage reports | `usage_reports` |
-//! | SIGHUP, or a changed settings file | `Server::reload_settings` |
+//! | client connects, or its socket is readable or writable | `downstream`, `request_head`, `request_body` |
+//! | backend connection is established, readable or writable | `upstream`, which passes responses to `response` |
+//! | control process connection is readable or writable | `control_connection` |
+//! | request deadline, overdue attempt or connect timeout | `forwarding`, `upstream` |
+//! | periodic tick: control session, quota, idle connections | `Server::tick` |
+//! | end of a reporting period | `usage_reports`, `rejection_log` |
+//! | SIGHUP or a changed settings file | `Server::reload_settings` |
 //! | SIGTERM | `shutdown` |
 
 mod configuration;
@@ -56,65 +56,65 @@
 use std::path::PathBuf;
 use upstream::Upstream;
 
-/// Bytes buffered for one peer that does not read; beyond that nothing more is read for it.
+/// Bytes buffered per connection and direction before the gateway stops reading from the other side.
 const MAX_UNSENT_BYTES: usize = 256 * 1024;
-/// Bytes read from a socket at once.
+/// Maximum number of bytes per read from a socket.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// The token of the listener for clients.
+/// Poll token of the client listener.
 const CLIENT_LISTENER: u64 = 1;
-/// The token of the listener for readiness checks.
+/// Poll token of the readiness check listener.
 const READINESS_LISTENER: u64 = 2;
-/// Tokens of connections, and ids of requests, begin here.
-const FIRST_ID: u64 = 16;
+/// First id allocated to connections and requests. Smaller values are reserved for listeners.
+const FIRST_DYNAMIC_ID: u64 = 16;
 
-/// Why the process cannot start or go on.
+/// Errors that prevent the process from starting or running.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The settings file cannot be read, or is not valid.
+    /// The settings file cannot be read or is invalid.
     #[snafu(display("settings: {source}"))]
     Settings {
-        /// What is wrong with it.
+        /// The cause.
         source: kitepass_node::Error,
     },
-    /// The settings file lacks what this program needs.
-    #[snafu(display("the settings name no {field}, which this program needs"))]
-    Missing {
-        /// The key that is missing.
+    /// A setting required by the gateway is missing.
+    #[snafu(display("the settings file lacks {field}, which the gateway requires"))]
+    MissingSetting {
+        /// The missing key.
         field: &'static str,
     },
-    /// An address cannot be listened on.
+    /// A listener cannot be opened.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error returned by the system.
         source: Errno,
     },
     /// A system call failed.
-    #[snafu(display("{what}: {source}"))]
+    #[snafu(display("system call failed ({operation}): {source}"))]
     System {
-        /// What it was for.
-        what: &'static str,
-        /// The system's error.
+        /// The operation that needed the system call.
+        operation: &'static str,
+        /// The error returned by the system.
         source: Errno,
     },
-    /// The signal handlers cannot be set.
-    #[snafu(display("signals: {source}"))]
+    /// The signal handlers cannot be installed.
+    #[snafu(display("cannot install signal handlers: {source}"))]
     Signals {
-        /// The system's error.
+        /// The error returned by the system.
         source: std::io::Error,
     },
 }
 
-/// What a timer is set for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug)]
 enum Timer {
-    /// A request's deadline.
+    /// The deadline of a request.
     Deadline(RequestId),
-    /// A connection to a backend is to be established by then.
+    /// The timeout for establishing a connection to a backend.
     Connect(UpstreamId),
-    /// A request's attempt on a connection takes too long.
+    /// The time at which an attempt on a connection becomes overdue.
     Overdue(RequestId, UpstreamId),
 }
 
@@ -132,22 +132,22 @@
     poller: Poller,
     clock: Clock,
     timers: TimerWheel<Timer>,
-    /// The next id of a connection or a request.
+    /// The next id to allocate to a connection or request.
     next_id: u64,
     read_buffer: Vec<u8>,
     rng: oorandom::Rand64,
     listeners: Vec<Listener>,
     clients: BTreeMap<ClientId, Client>,
     requests: BTreeMap<RequestId, Request>,
-    /// Bytes of all requests' bodies that are buffered.
+    /// Total bytes buffered for request bodies.
     buffered_body_bytes: usize,
     upstreams: BTreeMap<UpstreamId, Upstream>,
     idle_connections: IdleConnections,
-    /// Connections to backends that have more to read, and room for it.
-    unread_upstreams: Vec<UpstreamId>,
+    /// Connections to backends that have unread data and can be read without waiting for a socket event.
+    readable_upstreams: Vec<UpstreamId>,
     control_session: ControlSession,
     control_connection: Option<ControlConnection>,
-    /// The connection that is being opened to a control process.
+    /// A connection that is being opened to another control process.
     candidate_connection: Option<ControlConnection>,
     configuration: Configuration,
     rejection_log: RejectionLog,
@@ -157,9 +157,9 @@
     live_gateways: usize,
     incarnation: u64,
     last_report_id: u64,
-    /// Usage reports that are not answered, by when they were sent.
+    /// The send times of unanswered usage reports, by report id.
     pending_reports: BTreeMap<u64, Timestamp>,
-    shutdown_began: Option<Timestamp>,
+    shutdown_started_at: Option<Timestamp>,
 }
 
 fn retry_limits(settings: &Settings) -> RetryLimits {
@@ -181,13 +181,13 @@
     settings.bootstrap_addresses.iter().map(|address| address.ip().to_string()).collect()
 }
 
-/// Opens the listeners that the settings name, and has them polled.
+/// Opens a listener for each configured address and registers it with the poller.
 fn listen(poller: &Poller, addresses: [(u64, Option<SocketAddr>); 2]) -> Result<Vec<Listener>, Error> {
     let mut listeners = Vec::new();
     for (token, address) in addresses {
         let Some(address) = address else { continue };
         let socket = poller::listen(&address).context(ListenSnafu { address })?;
-        poller.add(&socket, token).context(SystemSnafu { what: "epoll" })?;
+        poller.add(&socket, token).context(SystemSnafu { operation: "epoll" })?;
         listeners.push(Listener { token, socket });
     }
     Ok(listeners)
@@ -198,17 +198,17 @@
     ///
     /// # Errors
     ///
-    /// The signal handlers cannot be installed, the settings are not valid, or a system call failed.
+    /// The signal handlers cannot be installed, the settings are invalid, or a system call failed.
     pub fn open(settings_path: PathBuf) -> Result<Server, Error> {
-        // Invariant: before anything that takes time. Until then a signal ends the process, also one that only tells of new
-        // settings.
+        // Invariant: the handlers are installed before any operation that can block. Until then even SIGHUP, which only
+        // requests a reload, terminates the process.
         let signals = Signals::default();
         signals.install_handlers().context(SignalsSnafu)?;
         let settings = Settings::load(&settings_path).context(SettingsSnafu)?;
-        let poller = Poller::new().context(SystemSnafu { what: "epoll" })?;
+        let poller = Poller::new().context(SystemSnafu { operation: "epoll" })?;
         let clock = Clock::new();
         let client_address =
-            settings.listeners.client_api.context(MissingSnafu { field: "front-counter" })?;
+            settings.listeners.client_api.context(MissingSettingSnafu { field: "front-counter" })?;
         let addresses =
             [(CLIENT_LISTENER, Some(client_address)), (READINESS_LISTENER, settings.listeners.readiness)];
         let listeners = listen(&poller, addresses)?;
@@ -241,7 +241,7 @@
             poller,
             clock,
             timers: TimerWheel::new(now),
-            next_id: FIRST_ID,
+            next_id: FIRST_DYNAMIC_ID,
             read_buffer: vec![0; READ_BUFFER_BYTES],
             listeners,
             clients: BTreeMap::new(),
@@ -249,7 +249,7 @@
             buffered_body_bytes: 0,
             upstreams: BTreeMap::new(),
             idle_connections: IdleConnections::default(),
-            unread_upstreams: Vec::new(),
+            readable_upstreams: Vec::new(),
             configuration: Configuration::new(),
             rejection_log: RejectionLog::default(),
             control_session,
@@ -259,42 +259,44 @@
             incarnation,
             last_report_id: 0,
             pending_reports: BTreeMap::new(),
-            shutdown_began: None,
+            shutdown_started_at: None,
         })
     }
 
-    /// Serves until SIGTERM, and then until what was begun is finished.
+    /// Runs the event loop until SIGTERM, then until the graceful shutdown is complete.
     ///
     /// # Errors
     ///
-    /// A system call failed that the loop cannot do without.
+    /// Waiting for socket events failed.
     pub fn run(mut self) -> Result<(), Error> {
         info!("event=serving node-id={} address={}", self.settings.node_id, self.settings.address);
         let mut schedule = Schedule::new(self.clock.now());
         let (mut ready_events, mut due_timers) = (Vec::new(), Vec::new());
         loop {
             let timeout = self.poll_timeout(&schedule);
-            self.poller.wait(Some(timeout), &mut ready_events).context(SystemSnafu { what: "waiting" })?;
+            self.poller
+                .wait(Some(timeout), &mut ready_events)
+                .context(SystemSnafu { operation: "waiting" })?;
             for event in ready_events.drain(..) {
-                self.serve_socket(&event);
+                self.handle_socket_event(&event);
             }
-            while let Some(upstream) = self.unread_upstreams.pop() {
-                self.serve_upstream(upstream, None);
+            while let Some(upstream) = self.readable_upstreams.pop() {
+                self.process_upstream(upstream, None);
             }
             let now = self.clock.now();
             self.timers.take_due(now, &mut due_timers);
             for timer in due_timers.drain(..) {
-                self.serve_timer(now, timer);
+                self.handle_timer(now, timer);
             }
-            if schedule.is_tick_due(now) {
+            if schedule.start_tick_if_due(now) {
                 self.tick(now);
             }
-            if schedule.is_period_over(now) {
-                self.report_period(now);
-                self.rejection_log.close_period();
+            if schedule.start_period_if_due(now) {
+                self.report_usage(now);
+                self.rejection_log.log_period();
             }
             if self.signals.take_reload_request() || schedule.is_settings_check_due(now) {
-                schedule.settings_checked(now);
+                schedule.record_settings_check(now);
                 self.reload_settings();
             }
             self.apply_configuration(now);
@@ -307,9 +309,9 @@
         }
     }
 
-    /// How long to wait for sockets: until the next timer or tick, and not at all while there is more to read.
+    /// How long to wait for socket events: until the next timer or tick, or not at all while unread data is pending.
     fn poll_timeout(&self, schedule: &Schedule) -> Duration {
-        if !self.unread_upstreams.is_empty() {
+        if !self.readable_upstreams.is_empty() {
             return Duration::ZERO;
         }
         let now = self.clock.now();
@@ -317,20 +319,20 @@
         self.timers.next_deadline().map_or(until_tick, |at| until_tick.min((at - now).max(Duration::ZERO)))
     }
 
-    fn serve_socket(&mut self, event: &ReadyEvent) {
+    fn handle_socket_event(&mut self, event: &ReadyEvent) {
         let is_control = |connection: &ControlConnection| connection.id == event.token;
         match event.token {
             CLIENT_LISTENER | READINESS_LISTENER => self.accept(event.token),
-            _ if self.control_connection.as_ref().is_some_and(is_control) => {
-                self.serve_control_connection(event)
+            _ if self.control_connection.as_ref().is_some_and(is_control) => self.handle_control_event(event),
+            _ if self.candidate_connection.as_ref().is_some_and(is_control) => {
+                self.handle_candidate_event(event)
             }
-            _ if self.candidate_connection.as_ref().is_some_and(is_control) => self.serve_candidate(event),
-            id if self.clients.contains_key(&ClientId(id)) => self.serve_client(ClientId(id), Some(event)),
-            id => self.serve_upstream(UpstreamId(id), Some(event)),
+            id if self.clients.contains_key(&ClientId(id)) => self.process_client(ClientId(id), Some(event)),
+            id => self.process_upstream(UpstreamId(id), Some(event)),
         }
     }
 
-    fn serve_timer(&mut self, now: Timestamp, timer: Timer) {
+    fn handle_timer(&mut self, now: Timestamp, timer: Timer) {
         match timer {
             Timer::Deadline(request) => self.deadline_expired(now, request),
             Timer::Connect(upstream) => self.connect_timed_out(now, upstream),
@@ -360,7 +362,8 @@
         }
     }
 
-    /// Puts in force what the session has brought, where it holds whole changes; requests that come from here on see it.
+    /// Activates the configuration received by the control session, if it has changed and contains no partial changes.
+    /// It applies to requests that arrive from now on.
     fn apply_configuration(&mut self, now: Timestamp) {
         let Some(routing_table) = self.configuration.refresh(&self.control_session) else { return };
         self.load_balancer.set_evacuated_zones(now, &routing_table.evacuated_zones);
@@ -369,7 +372,7 @@
         self.load_balancer.set_slow_start_rates(rates);
     }
 
-    /// A new id for a connection or a request.
+    /// Allocates an id for a connection or a request.
     fn allocate_id(&mut self) -> u64 {
         let id = self.next_id;
         self.next_id += 1;
--- a/crates/data-plane/src/server/request_head.rs
+++ b/crates/data-plane/src/server/request_head.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request once its head is complete: it is checked, counted against its quota and taken on.
+//! Handling of complete request heads: validation, routing, quota admission and the start of the request.
 
 use super::{Server, Timer};
 use crate::ids::{ClientId, RequestId};
@@ -11,16 +11,16 @@
 use kitepass_time::{Duration, Timestamp};
 use std::sync::Arc;
 
-/// Milliseconds after which a client may retry what came before the gateway had a configuration.
+/// `Retry-After` in milliseconds for requests that arrive before a configuration is active.
 const NOT_READY_RETRY_MS: u64 = 500;
-/// Milliseconds after which a client may retry what is beyond its quota.
+/// `Retry-After` in milliseconds for requests beyond the quota.
 pub(super) const QUOTA_RETRY_MS: u64 = 1000;
 
-/// Why a request is not taken on: the response that its client gets.
+/// The response to a request that is not accepted.
 struct Rejection {
     status: u16,
     retry_after_ms: Option<u64>,
-    /// The connection is closed behind the response.
+    /// Whether the connection is closed after the response.
     closes_connection: bool,
 }
 
@@ -30,47 +30,47 @@
     }
 }
 
-/// What the configuration says of a request.
-struct Destination {
+/// The route and tenant that a request matches in the active configuration.
+struct RouteMatch {
     routing_table: Arc<RoutingTable>,
     route: Arc<Route>,
     tenant: Option<Arc<Tenant>>,
 }
 
 impl Server {
-    /// Takes a request on whose head has been read, or responds to it at once.
-    pub(super) fn receive_head(&mut self, now: Timestamp, id: ClientId, head: Head, framing: Framing) {
+    /// Starts the request whose head has been read, or responds immediately.
+    pub(super) fn handle_request_head(&mut self, now: Timestamp, id: ClientId, head: Head, framing: Framing) {
         let client = self.clients.get_mut(&id).expect("its head was just read");
-        client.discards_body = true; // until a request takes the body
+        client.discards_body = true; // until the request starts and reads the body
         if client.is_readiness_check {
             let status = self.readiness_status();
-            return self.respond(id, status, None);
+            return self.write_local_response(id, status, None);
         }
         let content_length = match framing {
             Framing::Empty => Some(0),
             Framing::ContentLength(length) => Some(length),
             Framing::Chunked | Framing::UntilClose => None,
         };
-        let accepted = self.check_head(&head, content_length).and_then(|destination| {
+        let accepted = self.check_head(&head, content_length).and_then(|route_match| {
             let request = RequestId(self.allocate_id());
-            let admission = self.admit(now, &destination, request)?;
-            Ok((destination, request, admission))
+            let admission = self.admit(now, &route_match, request)?;
+            Ok((route_match, request, admission))
         });
         match accepted {
-            Ok((destination, request, admission)) => {
-                let info = self.request_info(now, id, head, content_length, destination);
-                self.take_on(request, info, admission == Admission::Pending);
+            Ok((route_match, request, admission)) => {
+                let info = self.request_info(now, id, head, content_length, route_match);
+                self.start_request(request, info, admission == Admission::Pending);
             }
             Err(rejection) => {
                 let client = self.clients.get_mut(&id).expect("its head was just read");
-                client.wants_close |= rejection.closes_connection;
-                self.respond(id, rejection.status, rejection.retry_after_ms);
+                client.close_after_response |= rejection.closes_connection;
+                self.write_local_response(id, rejection.status, rejection.retry_after_ms);
             }
         }
     }
 
-    /// Checks a request against the configuration.
-    fn check_head(&self, head: &Head, content_length: Option<u64>) -> Result<Destination, Rejection> {
+    /// Validates a request and determines its route and tenant.
+    fn check_head(&self, head: &Head, content_length: Option<u64>) -> Result<RouteMatch, Rejection> {
         let Some(routing_table) = self.configuration.routing_table() else {
             return Err(Rejection { retry_after_ms: Some(NOT_READY_RETRY_MS), ..Rejection::of(503) });
         };
@@ -88,17 +88,17 @@
         if head.field("x-try-id").is_none_or(<[u8]>::is_empty) {
             return Err(Rejection::of(400));
         }
-        Ok(Destination { routing_table: routing_table.clone(), route, tenant })
+        Ok(RouteMatch { routing_table: routing_table.clone(), route, tenant })
     }
 
-    /// Counts a request against its tenant's quota.
+    /// Applies the tenant's quota to a request.
     fn admit(
         &mut self,
         now: Timestamp,
-        destination: &Destination,
+        route_match: &RouteMatch,
         request: RequestId,
     ) -> Result<Admission, Rejection> {
-        let Some(tenant) = &destination.tenant else { return Ok(Admission::Admitted) };
+        let Some(tenant) = &route_match.tenant else { return Ok(Admission::Admitted) };
         let rate_limit = RateLimit { rate: tenant.rate, burst: tenant.burst };
         match self.quota.admit(now, &tenant.name, rate_limit, request) {
             Admission::Rejected => {
@@ -114,16 +114,16 @@
         client: ClientId,
         head: Head,
         content_length: Option<u64>,
-        destination: Destination,
+        route_match: RouteMatch,
     ) -> RequestInfo {
-        let Destination { routing_table, route, tenant } = destination;
+        let RouteMatch { routing_table, route, tenant } = route_match;
         let max_time_ms = u64::from(route.deadline_ms);
         let time_left_ms = head.field("x-time-left-ms").and_then(parse_decimal).unwrap_or(max_time_ms);
         let time_left = Duration::from_micros(time_left_ms.min(max_time_ms) as i64 * 1000);
         RequestInfo {
             client,
             head,
-            service: self.draw_service(&route),
+            service: self.choose_service(&route),
             route,
             tenant,
             routing_table,
@@ -133,22 +133,22 @@
         }
     }
 
-    /// Draws one of a route's services, by their weights.
-    fn draw_service(&mut self, route: &Route) -> Arc<str> {
+    /// Chooses one of the services of a route at random, according to their weights.
+    fn choose_service(&mut self, route: &Route) -> Arc<str> {
         let total_weight: f64 = route.services.iter().map(|(_, weight)| weight).sum();
-        let mut drawn = self.rng.rand_float() * total_weight;
+        let mut remaining = self.rng.rand_float() * total_weight;
         for (service, weight) in &route.services {
-            if drawn < *weight {
+            if remaining < *weight {
                 return service.clone();
             }
-            drawn -= weight;
+            remaining -= weight;
         }
         let last = route.services.iter().rev().find(|(_, weight)| *weight > 0.0);
         last.map_or_else(|| "".into(), |(service, _)| service.clone())
     }
 
-    /// A request begins; its body is still to be read.
-    fn take_on(&mut self, id: RequestId, info: RequestInfo, awaits_quota: bool) {
+    /// Starts a request whose body remains to be read.
+    fn start_request(&mut self, id: RequestId, info: RequestInfo, awaits_quota: bool) {
         let client = self.clients.get_mut(&info.client).expect("its head was just read");
         if info.head.expects_continue() {
             client.connection.output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
--- a/crates/data-plane/src/server/response.rs
+++ b/crates/data-plane/src/server/response.rs
@@ -1,4 +1,4 @@
-//! Responses of backends, on their way to clients.
+//! Delivery of backend responses to clients.
 
 use super::upstream::{Attempt, Upstream};
 use super::Server;
@@ -9,7 +9,7 @@
 use kitepass_time::Timestamp;
 
 impl Server {
-    /// The response to the attempt on a connection is complete.
+    /// Handles the complete response to the attempt on a connection.
     pub(super) fn response_complete(&mut self, now: Timestamp, id: UpstreamId, input_state: InputState) {
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
         let Some(mut attempt) = upstream.attempt.take() else { return };
@@ -26,27 +26,27 @@
         };
         let next = request.lifecycle.response_complete(class);
         request.upstream = None;
-        let took = now - attempt.began_at;
-        self.load_balancer.attempt_ended(now, &upstream.backend_id, class.outcome(), took);
+        let elapsed = now - attempt.started_at;
+        self.load_balancer.attempt_ended(now, &upstream.backend_id, class.outcome(), elapsed);
         if head.has_connection_option(b"close") {
             self.load_balancer.record_connection_close(now, &upstream.backend_id);
         }
         let connection_state = connection_state(upstream, &attempt, input_state);
         if attempt::may_reuse_connection(class, connection_state) {
-            self.make_idle(now, id, &head);
+            self.keep_idle_or_close(now, id, &head);
         } else {
             self.close_upstream(id);
         }
         let (request, body) = (attempt.request, attempt.response.body);
         match next {
-            NextStep::StreamLast => self.stream_last(now, request, &body),
-            NextStep::Deliver => self.deliver(now, request, &head, &body),
+            NextStep::StreamLast => self.finish_streaming(now, request, &body),
+            NextStep::Deliver => self.deliver_response(now, request, &head, &body),
             NextStep::RetryOrDeliver => self.retry_or_deliver(now, request, &head, &body),
             next => self.continue_request(now, request, next),
         }
     }
 
-    /// A backend's error response goes to the client where no further attempt is made.
+    /// Retries a request after a backend's error response, or delivers that response if no further attempt can be made.
     fn retry_or_deliver(&mut self, now: Timestamp, id: RequestId, head: &Head, body: &[u8]) {
         let Some(request) = self.requests.get(&id) else { return };
         let time_left = request.info.deadline - now;
@@ -55,39 +55,40 @@
         if backend.is_some() {
             self.start_attempt(now, id, backend);
         } else if self.requests.get_mut(&id).is_some_and(|r| r.lifecycle.deliver_error_response()) {
-            self.deliver(now, id, head, body);
+            self.deliver_response(now, id, head, body);
         }
     }
 
-    /// A complete response goes to the client as the backend gave it.
-    fn deliver(&mut self, now: Timestamp, id: RequestId, head: &Head, body: &[u8]) {
+    /// Delivers a complete backend response to the client.
+    fn deliver_response(&mut self, now: Timestamp, id: RequestId, head: &Head, body: &[u8]) {
         let Some(request) = self.requests.get(&id) else { return };
         let client_id = request.info.client;
         let has_no_body = request.is_head_request() || matches!(head.status(), 204 | 304);
         let framing = if has_no_body { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
         self.remove_request(id, AttemptOutcome::Abandoned);
         self.write_response_head(client_id, head, framing);
-        self.release_client(now, client_id);
+        self.finish_client_request(now, client_id);
         let Some(client) = self.clients.get_mut(&client_id) else { return };
         client.connection.output.extend_from_slice(body);
         self.flush_client(client_id);
-        self.serve_next_request(client_id);
+        self.read_next_request(client_id);
     }
 
-    /// Writes the head of a backend's response, with framing and connection fields of this gateway's own.
+    /// Writes the head of a backend response, with the framing and connection fields replaced by the gateway's.
     fn write_response_head(&mut self, id: ClientId, head: &Head, framing: String) {
         let Some(client) = self.clients.get_mut(&id) else { return };
-        client.wants_close |= client.body_reader.is_some();
+        client.close_after_response |= client.body_reader.is_some();
         let output = &mut client.connection.output;
         output.extend_from_slice(b"HTTP/1.1 ");
         for part in [head.start_line_part(1), b" ", head.start_line_part(2), b"\r\n"] {
             output.extend_from_slice(part);
         }
         head.append_forwarded_fields(&[], output);
-        self.finish_head(id, framing);
+        self.finish_response_head(id, framing);
     }
 
-    /// The head and what there is of a long response go to the client; from here on it cannot be taken back.
+    /// Starts or continues streaming a response that exceeds the buffer. Once its head has been written, the request can
+    /// no longer be retried.
     pub(super) fn stream_response(&mut self, now: Timestamp, id: UpstreamId) {
         let Some(Upstream { attempt: Some(attempt), .. }) = self.upstreams.get_mut(&id) else { return };
         let Some(request) = self.requests.get_mut(&attempt.request) else { return };
@@ -104,8 +105,8 @@
                 attempt.expect("the attempt is in flight").response.head = Some(head);
             }
             NextStep::StreamMore => {}
-            // The response is not for the client. Known fault: the request is not continued with `next` and stays
-            // pending until its deadline, where it could be retried or rejected at once.
+            // The response must not be delivered. Known fault: the request is not continued with `next` but stays
+            // pending until its deadline, although it could be retried or rejected immediately.
             _ => {
                 self.fail_attempt(now, id, AttemptOutcome::Broken, "invalid-response");
                 return;
@@ -117,21 +118,21 @@
         self.flush_client(client_id);
     }
 
-    /// The end of a long response goes to the client.
-    fn stream_last(&mut self, now: Timestamp, id: RequestId, body: &[u8]) {
+    /// Writes the end of a streamed response to the client.
+    fn finish_streaming(&mut self, now: Timestamp, id: RequestId, body: &[u8]) {
         let Some(request) = self.requests.get(&id) else { return };
         let client_id = request.info.client;
         self.remove_request(id, AttemptOutcome::Abandoned);
-        self.release_client(now, client_id);
+        self.finish_client_request(now, client_id);
         let Some(client) = self.clients.get_mut(&client_id) else { return };
         write_chunk(body, &mut client.connection.output);
         client.connection.output.extend_from_slice(b"0\r\n\r\n");
         self.flush_client(client_id);
-        self.serve_next_request(client_id);
+        self.read_next_request(client_id);
     }
 }
 
-/// What stands on a connection behind the response to an attempt.
+/// The unfinished input and output of a connection after the response to an attempt.
 fn connection_state(upstream: &Upstream, attempt: &Attempt, input_state: InputState) -> ConnectionState {
     ConnectionState {
         input_state,
@@ -141,7 +142,7 @@
     }
 }
 
-/// Appends bytes as a chunk; none for no bytes, as an empty chunk ends a body.
+/// Appends `bytes` as a chunk. Writes nothing for empty input, as an empty chunk would end the body.
 pub(super) fn write_chunk(bytes: &[u8], output: &mut Vec<u8>) {
     if !bytes.is_empty() {
         output.extend_from_slice(format!("{:x}\r\n", bytes.len()).as_bytes());
--- a/crates/data-plane/src/server/schedule.rs
+++ b/crates/data-plane/src/server/schedule.rs
@@ -1,33 +1,33 @@
-//! When the event loop does what it does at intervals.
+//! Timing of the periodic work of the event loop.
 
 use crate::quota::PERIOD;
 use kitepass_time::{Duration, Timestamp};
 
-/// How often the loop ticks.
+/// Interval between ticks.
 const TICK_INTERVAL: Duration = Duration::from_micros(100_000);
-/// How often the settings file is looked at.
+/// Interval between checks of the settings file.
 const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_micros(1_000_000);
 
-/// When the loop last did what it does at intervals.
+/// When each kind of periodic work was last started.
 pub(super) struct Schedule {
     last_tick: Timestamp,
-    period_began: Timestamp,
-    settings_checked: Timestamp,
+    period_started_at: Timestamp,
+    last_settings_check: Timestamp,
 }
 
 impl Schedule {
-    /// The first tick is due at once.
+    /// Creates a schedule whose first tick is due immediately.
     pub(super) fn new(now: Timestamp) -> Schedule {
-        Schedule { last_tick: Timestamp::default(), period_began: now, settings_checked: now }
+        Schedule { last_tick: Timestamp::default(), period_started_at: now, last_settings_check: now }
     }
 
-    /// The time that is left until the next tick.
+    /// The time until the next tick.
     pub(super) fn until_tick(&self, now: Timestamp) -> Duration {
         (TICK_INTERVAL - (now - self.last_tick)).max(Duration::ZERO)
     }
 
-    /// Whether the next tick is due; it counts as done then.
-    pub(super) fn is_tick_due(&mut self, now: Timestamp) -> bool {
+    /// Returns true if a tick is due, and records its start.
+    pub(super) fn start_tick_if_due(&mut self, now: Timestamp) -> bool {
         let is_due = now - self.last_tick >= TICK_INTERVAL;
         if is_due {
             self.last_tick = now;
@@ -35,23 +35,24 @@
         is_due
     }
 
-    /// Whether a period is over; a loop that was held up for long begins a new one.
-    pub(super) fn is_period_over(&mut self, now: Timestamp) -> bool {
-        let elapsed = now - self.period_began;
+    /// Returns true if the current period is over, and starts the next one. If the loop has fallen behind by more than a
+    /// period, the next period starts now.
+    pub(super) fn start_period_if_due(&mut self, now: Timestamp) -> bool {
+        let elapsed = now - self.period_started_at;
         if elapsed < PERIOD {
             return false;
         }
-        self.period_began = if elapsed > PERIOD * 2 { now } else { self.period_began + PERIOD };
+        self.period_started_at = if elapsed > PERIOD * 2 { now } else { self.period_started_at + PERIOD };
         true
     }
 
-    /// Whether the settings file is to be looked at.
+    /// Whether a check of the settings file is due.
     pub(super) fn is_settings_check_due(&self, now: Timestamp) -> bool {
-        now - self.settings_checked >= SETTINGS_CHECK_INTERVAL
+        now - self.last_settings_check >= SETTINGS_CHECK_INTERVAL
     }
 
-    /// The settings file has been looked at.
-    pub(super) fn settings_checked(&mut self, now: Timestamp) {
-        self.settings_checked = now;
+    /// Records a check of the settings file.
+    pub(super) fn record_settings_check(&mut self, now: Timestamp) {
+        self.last_settings_check = now;
     }
 }
--- a/crates/data-plane/src/server/shutdown.rs
+++ b/crates/data-plane/src/server/shutdown.rs
@@ -6,53 +6,53 @@
 use kitepass_time::{Duration, Timestamp};
 use log::info;
 
-/// For so long after SIGTERM new connections are accepted, and told that they close; at most for half of the grace
-/// period.
-const MAX_ACCEPT_TIME: Duration = Duration::from_micros(3_000_000);
-/// What is still running so long before the end of the grace period is aborted.
+/// How long after SIGTERM new connections are accepted, at most half of the grace period. Their responses announce that
+/// the connection closes.
+const MAX_ACCEPT_DURATION: Duration = Duration::from_micros(3_000_000);
+/// How long before the end of the grace period the remaining requests are aborted.
 const ABORT_MARGIN: Duration = Duration::from_micros(300_000);
 
 impl Server {
-    /// Begins the shutdown on SIGTERM and carries it on: clients are told to close their connections, attempts in
-    /// flight go on to their end. True once it is over.
+    /// Starts the shutdown on SIGTERM and advances it: responses ask clients to close their connections, and attempts in
+    /// flight are completed. Returns true once the shutdown is complete.
     pub(super) fn continue_shutdown(&mut self, now: Timestamp) -> bool {
-        if self.shutdown_began.is_none() && self.signals.is_shutdown_requested() {
-            self.begin_shutdown(now);
+        if self.shutdown_started_at.is_none() && self.signals.is_shutdown_requested() {
+            self.start_shutdown(now);
         }
-        let Some(began) = self.shutdown_began else { return false };
+        let Some(began) = self.shutdown_started_at else { return false };
         let elapsed = now - began;
         let grace_period = Duration::from_micros(self.settings.bounds.shutdown_grace.as_micros() as i64);
-        if elapsed > MAX_ACCEPT_TIME.min(grace_period / 2) && !self.listeners.is_empty() {
+        if elapsed > MAX_ACCEPT_DURATION.min(grace_period / 2) && !self.listeners.is_empty() {
             self.listeners.clear();
-            self.close_unused_clients();
+            self.close_clients_without_requests();
         }
         let is_flushed = self.clients.values().all(|client| client.connection.unsent_bytes() == 0);
         let is_finished = self.listeners.is_empty() && self.requests.is_empty() && is_flushed;
-        let is_late = elapsed > grace_period - ABORT_MARGIN;
-        if is_late {
+        let must_abort = elapsed > grace_period - ABORT_MARGIN;
+        if must_abort {
             self.abort_requests(now);
         }
-        let is_over = is_finished || is_late;
-        if is_over {
+        let is_complete = is_finished || must_abort;
+        if is_complete {
             info!("event=end requests={}", self.requests.len());
         }
-        is_over
+        is_complete
     }
 
-    fn begin_shutdown(&mut self, now: Timestamp) {
+    fn start_shutdown(&mut self, now: Timestamp) {
         info!("event=leaving requests={}", self.requests.len());
-        self.shutdown_began = Some(now);
+        self.shutdown_started_at = Some(now);
         self.control_session.is_ready = false;
         self.tick(now);
         self.flush_control_connections();
     }
 
-    /// Closes the connections of clients that have sent nothing.
-    fn close_unused_clients(&mut self) {
-        let is_unused =
+    /// Closes client connections without a current request or unread input.
+    fn close_clients_without_requests(&mut self) {
+        let has_no_request =
             |client: &super::Client| client.request.is_none() && client.connection.input.is_empty();
         let unused: Vec<ClientId> =
-            self.clients.iter().filter(|(_, client)| is_unused(client)).map(|(id, _)| *id).collect();
+            self.clients.iter().filter(|(_, client)| has_no_request(client)).map(|(id, _)| *id).collect();
         for client in unused {
             self.close_client(client, "shutdown");
         }
@@ -62,7 +62,7 @@
         let requests: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in requests {
             let next = self.requests.get_mut(&id).map_or(NextStep::Wait, |r| r.lifecycle.shut_down());
-            self.finish_without_response(now, id, next);
+            self.finish_with_local_response(now, id, next);
         }
     }
 }
--- a/crates/data-plane/src/server/usage_reports.rs
+++ b/crates/data-plane/src/server/usage_reports.rs
@@ -1,22 +1,22 @@
-//! Usage reports to the shared count, and the decisions that its answers bring.
+//! Usage reports to the control plane's shared quota counter, and the quota decisions that follow from its replies.
 
 use super::Server;
 use crate::quota::{Decision, PERIOD};
 use kitepass_coordination::protocol::{Message, TenantUsage, UsageReport, UsageTotals};
 use kitepass_time::{Duration, Timestamp};
 
-/// A report that is not answered is forgotten after so long.
+/// How long a report waits for a reply before it is discarded.
 const REPORT_TIMEOUT: Duration = Duration::from_micros(PERIOD.as_micros() * 3);
 
 impl Server {
-    /// Reports the usage of a period, and asks for the totals.
-    pub(super) fn report_period(&mut self, now: Timestamp) {
+    /// Reports the usage of the ended period and requests the totals.
+    pub(super) fn report_usage(&mut self, now: Timestamp) {
         let usage = self.quota.close_period(now);
         self.send_usage_report(now, usage, false);
     }
 
-    /// Sends a report. One without usage is a sign of life: without it the count's owner reserves no share for this
-    /// gateway.
+    /// Sends a usage report. An empty report is sent too: without it, the owner of the counter would not reserve a share
+    /// of the quota for this gateway.
     fn send_usage_report(&mut self, now: Timestamp, tenants: Vec<TenantUsage>, is_mid_period: bool) {
         if self.control_connection.is_none() {
             return;
@@ -33,7 +33,7 @@
         }));
     }
 
-    /// Takes the answer to a report of this incarnation.
+    /// Processes the reply to a report. Replies for another incarnation of the gateway are ignored.
     pub(super) fn receive_totals(&mut self, now: Timestamp, totals: &UsageTotals) {
         if totals.incarnation != self.incarnation {
             return;
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Requests that waited for their quota go on, or are rejected; those that now wait have grants requested.
+    /// Starts or rejects requests whose quota decision has been made, and requests grants for those that wait.
     pub(super) fn apply_quota_decisions(&mut self, now: Timestamp) {
         loop {
             let decisions = self.quota.take_decisions();
@@ -69,8 +69,8 @@
         } else if request.is_ready_to_send() {
             let client = request.info.client;
             self.start_next_attempt(now, id);
-            // No further event tells of what waited in the client's socket.
-            self.serve_client(client, None);
+            // The poller reports no further event for data that is already in the client's socket.
+            self.process_client(client, None);
         }
     }
 }
