--- a/crates/data-plane/src/server/control_connection.rs
+++ b/crates/data-plane/src/server/control_connection.rs
@@ -145,7 +145,7 @@
     }
 
     /// Reads the hello on the candidate connection. If it is accepted, this connection becomes the session's connection.
-    pub(super) fn handle_candidate_event(&mut self, event: &ReadyEvent) {
+    pub(super) fn process_candidate(&mut self, event: &ReadyEvent) {
         let now = self.clock.now();
         let hello = self.read_hello(event);
         match hello {
@@ -174,7 +174,7 @@
     }
 
     /// Handles a socket event on the session's connection and processes the received messages.
-    pub(super) fn handle_control_event(&mut self, event: &ReadyEvent) {
+    pub(super) fn process_control_connection(&mut self, event: &ReadyEvent) {
         let Some(control) = &mut self.control_connection else { return };
         match control.handle_event(event) {
             Ok(()) => self.process_session_messages(self.clock.now()),
--- a/crates/data-plane/src/server/mod.rs
+++ b/crates/data-plane/src/server/mod.rs
@@ -323,10 +323,10 @@
         let is_control = |connection: &ControlConnection| connection.id == event.token;
         match event.token {
             CLIENT_LISTENER | READINESS_LISTENER => self.accept(event.token),
-            _ if self.control_connection.as_ref().is_some_and(is_control) => self.handle_control_event(event),
-            _ if self.candidate_connection.as_ref().is_some_and(is_control) => {
-                self.handle_candidate_event(event)
+            _ if self.control_connection.as_ref().is_some_and(is_control) => {
+                self.process_control_connection(event)
             }
+            _ if self.candidate_connection.as_ref().is_some_and(is_control) => self.process_candidate(event),
             id if self.clients.contains_key(&ClientId(id)) => self.process_client(ClientId(id), Some(event)),
             id => self.process_upstream(UpstreamId(id), Some(event)),
         }
--- a/crates/data-plane/tests/golden.rs
+++ b/crates/data-plane/tests/golden.rs
@@ -1,37 +1,40 @@
-//! What the program prints, and the messages that go to clients and backends, byte by byte as they were when the golden
-//! files were made. Log lines are not part of it.
+//! Golden tests: the program's output and the messages sent to clients and backends match the golden files byte for byte.
+//! Log lines are not covered.
 
 #[path = "../../control-plane/tests/support/golden.rs"]
-#[allow(unreachable_pub)] // other crates' tests use it, too
+#[allow(unreachable_pub)] // also used by the tests of another crate
 mod golden_files;
 #[path = "sockets/harness.rs"]
-#[allow(dead_code)] // the tests of sockets use the rest
+#[allow(dead_code)] // the socket tests use the rest
 mod harness;
 
 use golden_files::{mask_after, GoldenFiles};
-use harness::{answer, change_request, get, ok, publish_all, request, serving, waiting, HttpMessage};
+use harness::{
+    change_request, get, ok, publish_configuration, request, response, start_ready_gateway,
+    start_unconfigured_gateway, HttpMessage,
+};
 use rstest::rstest;
 use rustix::process::Signal;
 use std::path::Path;
 use std::process::Command;
 
-const GOLDEN: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden");
+const GOLDEN_DIR: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden");
 const PROGRAM: &str = env!("CARGO_BIN_EXE_kitepass-data-plane");
-/// An answer with a longer body passes through as it comes.
-const LONGEST_KEPT_ANSWER: usize = 256 * 1024;
-/// A request with a longer body passes through as it comes.
+/// Responses with a longer body are streamed.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 256 * 1024;
+/// Length of a request body that is long enough to be streamed.
 const LONG_BODY: usize = 600 * 1024;
 
 #[track_caller]
 fn assert_golden(name: &str, text: &str) {
-    GoldenFiles::new(GOLDEN).assert_matches(name, text);
+    GoldenFiles::new(GOLDEN_DIR).assert_matches(name, text);
 }
 
 fn text(message: &HttpMessage) -> String {
     format!("{}{}", message.head, String::from_utf8_lossy(&message.body))
 }
 
-/// A request as the backend gets it, but for the time that is left.
+/// A request as received by the backend, with the remaining time masked.
 fn forwarded(message: &HttpMessage) -> String {
     mask_after(&text(message), "X-Time-Left-Ms: ", &['\r'], "{TIME_LEFT_MS}")
 }
@@ -46,15 +49,16 @@
 #[case::unexpected_argument("usage-unexpected-argument.txt", &["serve", "more"])]
 #[case::no_settings("serve-no-settings.txt", &["serve"])]
 #[case::settings_absent("serve-settings-absent.txt", &["--settings", "nonexistent.toml"])]
-fn what_the_program_prints(#[case] name: &str, #[case] args: &[&str]) {
+fn command_line_output(#[case] name: &str, #[case] args: &[&str]) {
     let mut command = Command::new(PROGRAM);
     command.args(args).env_remove("KITEPASS_NODE_FILE").env("KITEPASS_LOG", "error");
-    let output = command.output().expect("the program starts");
+    let output = command.output().expect("program starts");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let (code, out, error) = (output.status.code(), text(&output.stdout), text(&output.stderr));
-    let code = code.expect("it ended by itself");
-    let program = Path::new(PROGRAM).file_name().and_then(|name| name.to_str()).expect("a name");
-    GoldenFiles::new(GOLDEN)
+    let code = code.expect("program exits without a signal");
+    let program =
+        Path::new(PROGRAM).file_name().and_then(|name| name.to_str()).expect("program has a file name");
+    GoldenFiles::new(GOLDEN_DIR)
         .replace(format!("{program} {}", env!("CARGO_PKG_VERSION")), "{PROGRAM} {VERSION}")
         .replace(format!("{program} "), "{PROGRAM} ")
         .replace(format!("{program}: "), "{PROGRAM}: ")
@@ -64,10 +68,10 @@
         );
 }
 
-/// The connection stays open after some of them and ends after others, as the head says.
+/// Where the response contains `Connection: close`, the gateway closes the connection.
 #[test]
-fn answers_to_requests_that_go_to_no_backend() {
-    let (gateway, _control, backends) = serving(1);
+fn responses_to_requests_that_are_not_forwarded() {
+    let (gateway, _control, backends) = start_ready_gateway(1);
     let requests = [
         ("error-400-no-attempt-id.txt", get("/once/", "t").replace("X-Try-Id", "X-Other")),
         ("error-400-not-a-request.txt", "GET /once/\r\n\r\n".to_owned()),
@@ -86,21 +90,21 @@
     ];
     for (name, request) in requests {
         let mut client = gateway.connect();
-        let answer = client.send(request).receive();
-        assert_golden(name, &text(&answer));
-        if answer.field("Connection") == Some("close") {
-            assert!(client.is_closed(), "{name}");
+        let response = client.send(request).receive();
+        assert_golden(name, &text(&response));
+        if response.field("Connection") == Some("close") {
+            assert!(client.closes_without_data(), "{name}");
         }
     }
-    let answer = gateway.connect().send(get("/void/", "t")).receive();
-    let answer = mask_after(&text(&answer), "Retry-After: ", &['\r'], "{SECONDS}");
-    assert_golden("error-503-no-backend.txt", &answer);
-    assert!(backends.is_untouched());
+    let response = gateway.connect().send(get("/void/", "t")).receive();
+    let response = mask_after(&text(&response), "Retry-After: ", &['\r'], "{SECONDS}");
+    assert_golden("error-503-no-backend.txt", &response);
+    assert!(backends.has_no_pending_connection());
 }
 
 #[test]
-fn answers_beyond_configured_limits() {
-    let (gateway, control, backends) = serving(1);
+fn responses_beyond_configured_limits() {
+    let (gateway, control, backends) = start_ready_gateway(1);
     let limits = r#"{"deliver":{"weight-limits":
         {"envelope-bytes":4096,"body-bytes":8,"envelope-ms":1000,"idle-ms":5000,"edition":"r6"}}}"#;
     control.publish(&change_request(limits));
@@ -109,13 +113,13 @@
     assert_golden("error-413-chunked.txt", &text(&gateway.connect().send(chunked).receive()));
     let mut client = gateway.connect();
     assert_golden("error-408-head.txt", &text(&client.send("GET /once/ HTTP/1.1\r\nHost").receive()));
-    assert!(client.is_closed() && backends.is_untouched());
+    assert!(client.closes_without_data() && backends.has_no_pending_connection());
 }
 
 #[test]
-fn answer_beyond_the_quota() {
-    let (gateway, control, backends) = serving(1);
-    control.wait_until_counted();
+fn response_beyond_the_quota() {
+    let (gateway, control, backends) = start_ready_gateway(1);
+    control.wait_for_usage_totals();
     control.grant(1);
     let tiny = |id| get("/once/", id).replace("key-of-town", "key-of-tiny");
     let mut client = gateway.connect();
@@ -128,8 +132,8 @@
 }
 
 #[test]
-fn answers_in_place_of_a_backends() {
-    let (gateway, _control, backends) = serving(1);
+fn local_responses_to_failed_attempts() {
+    let (gateway, _control, backends) = start_ready_gateway(1);
     let mut client = gateway.connect();
     client.send(get("/once/", "t1"));
     let mut backend = backends.accept();
@@ -144,12 +148,12 @@
 }
 
 #[test]
-fn answers_before_it_is_ready_and_during_shutdown() {
-    let (gateway, control, backends) = waiting();
+fn responses_before_readiness_and_during_shutdown() {
+    let (gateway, control, backends) = start_unconfigured_gateway();
     let ready = "GET /v1/ready HTTP/1.1\r\nHost: g\r\n\r\n";
     assert_golden("readiness-not-ready.txt", &text(&gateway.connect_readiness().send(ready).receive()));
     assert_golden("error-503-not-ready.txt", &text(&gateway.connect().send(get("/once/", "t1")).receive()));
-    publish_all(&control, &backends.addresses);
+    publish_configuration(&control, &backends.addresses);
     control.wait_until_synced();
     assert_golden("readiness-ready.txt", &text(&gateway.connect_readiness().send(ready).receive()));
 
@@ -167,8 +171,8 @@
 }
 
 #[test]
-fn requests_as_a_backend_gets_them() {
-    let (gateway, _control, backends) = serving(1);
+fn requests_as_received_by_a_backend() {
+    let (gateway, _control, backends) = start_ready_gateway(1);
     let fields =
         "X-Sender: king\r\nX-Deliver-To: b9\r\nX-Own: 1\r\nX-Own: 2\r\nConnection: X-Hop\r\nX-Hop: 1\r\n\
                   Keep-Alive: timeout=9\r\nTE: trailers\r\nProxy-Authorization: a\r\nUser-Agent: client\r\n";
@@ -190,7 +194,7 @@
         client.send(request);
         let mut backend = backends.accept();
         assert_golden(name, &forwarded(&backend.receive()));
-        backend.send(answer("200 OK", "t1", "X-Postmark: p\r\nConnection: close\r\n", ""));
+        backend.send(response("200 OK", "t1", "X-Postmark: p\r\nConnection: close\r\n", ""));
         assert_eq!(client.receive().status(), 200, "{name}");
     }
 
@@ -200,18 +204,18 @@
     client.send("abcde");
     let mut backend = backends.accept();
     assert_golden("forwarded-post-expect-continue.txt", &forwarded(&backend.receive()));
-    backend.send(answer("200 OK", "t1", "X-Postmark: p\r\nConnection: close\r\n", ""));
+    backend.send(response("200 OK", "t1", "X-Postmark: p\r\nConnection: close\r\n", ""));
     assert_eq!(client.receive().status(), 200);
 
     let (mut client, body) = (gateway.connect(), "b".repeat(LONG_BODY));
-    let mut handle = client.handle();
+    let mut writer = client.duplicate();
     std::thread::scope(|scope| {
         let head = with("POST", "/once/", "Transfer-Encoding: chunked\r\n\r\n");
-        scope.spawn(move || handle.send(format!("{head}{LONG_BODY:x}\r\n{body}\r\n0\r\n\r\n")).number);
+        scope.spawn(move || writer.send(format!("{head}{LONG_BODY:x}\r\n{body}\r\n0\r\n\r\n")).backend_index);
         let mut backend = backends.accept();
         let request = backend.receive();
         assert_eq!(request.body.len(), LONG_BODY);
-        // Where its chunks end depends on when they come.
+        // Chunk boundaries depend on timing, so only the head is compared.
         let head = HttpMessage { head: request.head, body: Vec::new() };
         assert_golden("forwarded-post-long-chunked-head.txt", &forwarded(&head));
         backend.send(ok("t1", ""));
@@ -220,14 +224,14 @@
 }
 
 #[test]
-fn answers_as_a_client_gets_them() {
-    let (gateway, _control, backends) = serving(1);
+fn responses_as_received_by_a_client() {
+    let (gateway, _control, backends) = start_ready_gateway(1);
     let head = "X-Try-Id: t1\r\nX-Postmark: 3e1b.07\r\nX-More: y\r\nX-More: z\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\n\
                 Keep-Alive: timeout=9\r\nServer: backend\r\nContent-Type: text/plain\r\n";
     let ok = format!("HTTP/1.1 200 OK\r\n{head}");
     let chunked = "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\nX-Trailer: 1\r\n\r\n";
     let failed = "HTTP/1.1 500 Internal Server Error\r\nX-Try-Id: t1\r\nConnection: close\r\nContent-Length: 4\r\n\r\n";
-    let answers = [
+    let responses = [
         ("answer-length.txt", "GET", format!("{ok}Content-Length: 5\r\n\r\nabcde")),
         ("answer-empty.txt", "GET", format!("{ok}Content-Length: 0\r\n\r\n")),
         ("answer-chunked.txt", "GET", format!("{ok}{chunked}")),
@@ -243,17 +247,17 @@
         ("answer-500.txt", "GET", format!("{failed}fail")),
         ("answer-http-1-0.txt", "GET", format!("HTTP/1.0 200 OK\r\n{head}\r\nabcde")),
     ];
-    for (name, method, answer) in answers {
+    for (name, method, response) in responses {
         let mut client = gateway.connect();
         client.send(request(method, "/once/", "t1") + "\r\n");
         let mut backend = backends.accept();
         backend.receive();
-        backend.send(answer);
+        backend.send(response);
         backend.close();
         assert_golden(name, &text(&client.receive()));
     }
 
-    let body = "b".repeat(2 * LONGEST_KEPT_ANSWER);
+    let body = "b".repeat(2 * MAX_BUFFERED_RESPONSE_BYTES);
     for (name, framing) in [
         ("answer-long-length-head.txt", format!("Content-Length: {}\r\n\r\n{body}", body.len())),
         (
@@ -265,7 +269,7 @@
         client.send(get("/once/", "t1"));
         let mut backend = backends.accept();
         backend.receive();
-        let answer = std::thread::scope(|scope| {
+        let response = std::thread::scope(|scope| {
             let ok = &ok;
             scope.spawn(move || {
                 backend.send(format!("{ok}{framing}"));
@@ -273,8 +277,8 @@
             });
             client.receive()
         });
-        assert!(answer.body == body.as_bytes(), "{name}");
-        // Where its chunks end depends on when they come.
-        assert_golden(name, &answer.head);
+        assert!(response.body == body.as_bytes(), "{name}");
+        // Chunk boundaries depend on timing, so only the head is compared.
+        assert_golden(name, &response.head);
     }
 }
--- a/crates/data-plane/tests/sockets/faults.rs
+++ b/crates/data-plane/tests/sockets/faults.rs
@@ -1,6 +1,6 @@
-//! Faults of connections and backends during an attempt.
+//! Connection and backend failures during an attempt, and limits on requests.
 
-use crate::harness::{answer, change_request, get, ok, request, serving, TIMEOUT};
+use crate::harness::{change_request, get, ok, request, response, start_ready_gateway, TIMEOUT};
 use rstest::rstest;
 use rustix::process::Signal;
 use std::time::{Duration, Instant};
@@ -12,12 +12,12 @@
     ))
 }
 
-/// A second response to a request comes late, when the connection carries the next request.
+/// A duplicate response to an earlier request arrives while the connection carries the next request.
 #[rstest]
 #[case::short(10)]
 #[case::long(1 << 20)]
-fn a_late_surplus_response_in_place_of_the_next_one_is_dropped(#[case] length: usize) {
-    let (gateway, _control, backends) = serving(1);
+fn a_late_duplicate_response_is_discarded(#[case] length: usize) {
+    let (gateway, _control, backends) = start_ready_gateway(1);
     let mut client = gateway.connect();
     client.send(get("/once/", "t1"));
     let mut backend = backends.accept();
@@ -28,25 +28,25 @@
     assert_eq!(backend.receive().field("X-Try-Id"), Some("t2"));
     std::thread::scope(|scope| {
         let backend = &mut backend;
-        scope.spawn(move || backend.send(ok("t1", &"x".repeat(length)) + &ok("t2", "two")).number);
-        let answer = client.receive();
-        assert_eq!((answer.field("X-Postmark"), &answer.body[..]), (Some("stamp.t2"), &b"two"[..]));
+        scope.spawn(move || backend.send(ok("t1", &"x".repeat(length)) + &ok("t2", "two")).backend_index);
+        let response = client.receive();
+        assert_eq!((response.field("X-Postmark"), &response.body[..]), (Some("stamp.t2"), &b"two"[..]));
     });
-    // The connection is still in use.
+    // The connection is still reused.
     client.send(get("/once/", "t3"));
     assert_eq!(backend.receive().field("X-Try-Id"), Some("t3"));
     backend.send(ok("t3", "three"));
     assert_eq!(client.receive().body, b"three");
-    assert!(backends.is_untouched());
+    assert!(backends.has_no_pending_connection());
 }
 
-/// A request of which no byte was sent is retried, one that the backend has read is not.
+/// A request is retried if none of its bytes were sent before the connection failed, but not if the backend has read it.
 #[rstest]
 #[case::with_the_request("502")]
 #[case::reset_as_it_is_taken("reset")]
 #[case::ended_as_it_is_taken("ended")]
-fn an_idle_connection_that_breaks(#[case] how: &str) {
-    let (gateway, _control, backends) = serving(1);
+fn a_reused_connection_that_fails(#[case] how: &str) {
+    let (gateway, _control, backends) = start_ready_gateway(1);
     let mut client = gateway.connect();
     client.send(get("/once/", "t1"));
     let mut backend = backends.accept();
@@ -57,11 +57,11 @@
         client.send(get("/once/", "t2"));
         assert_eq!(backend.receive().field("X-Try-Id"), Some("t2"));
         backend.reset();
-        let answer = client.receive();
-        assert_eq!((answer.status(), answer.field("Retry-After")), (502, None));
+        let response = client.receive();
+        assert_eq!((response.status(), response.field("Retry-After")), (502, None));
     } else {
-        // Both stand in the gateway's sockets when it goes on, the request first.
-        gateway.stop();
+        // When the gateway resumes, both the request and the closed connection are pending, the request first.
+        gateway.pause();
         client.send(get("/once/", "t2"));
         if how == "reset" {
             backend.reset();
@@ -74,10 +74,10 @@
         backend.send(ok("t2", "two"));
         assert_eq!(client.receive().body, b"two");
     }
-    assert!(backends.is_untouched());
+    assert!(backends.has_no_pending_connection());
 }
 
-/// A response before a reset counts: it says that the request was not executed.
+/// A response received before a reset is still processed: it states that the request was not executed.
 #[rstest]
 #[case::all_read(100_000, true)]
 #[case::hardly_read(200_000, false)]
@@ -85,7 +85,7 @@
     #[case] length: usize,
     #[case] reads: bool,
 ) {
-    let (gateway, _control, backends) = serving(2);
+    let (gateway, _control, backends) = start_ready_gateway(2);
     let mut client = gateway.connect();
     let body = "b".repeat(length);
     client.send(request("POST", "/once/x", "t1") + &format!("Content-Length: {length}\r\n\r\n{body}"));
@@ -95,46 +95,46 @@
     } else {
         backend.wait_for_bytes(1);
     }
-    backend.send(answer("503 Service Unavailable", "t1", "X-Not-Delivered: full\r\n", ""));
+    backend.send(response("503 Service Unavailable", "t1", "X-Not-Delivered: full\r\n", ""));
     backend.reset();
     let mut backend = backends.accept();
     let forwarded = backend.receive();
-    assert_eq!((backend.number, forwarded.field("X-Try-Id")), (1, Some("t1")));
-    assert!(forwarded.body == body.as_bytes(), "{} bytes, or others", forwarded.body.len());
+    assert_eq!((backend.backend_index, forwarded.field("X-Try-Id")), (1, Some("t1")));
+    assert!(forwarded.body == body.as_bytes(), "body differs, received {} bytes", forwarded.body.len());
     backend.send(ok("t1", "fine"));
     assert_eq!(client.receive().body, b"fine");
 }
 
-/// The same with a body longer than the sockets take: the connection breaks while it is written to. Nothing of the body
-/// is left for a retry; the client learns that it was not executed, and may send the rest before that.
+/// As above, but the body exceeds the socket buffers, so the connection fails during a write. The body is no longer buffered
+/// for a retry. The client receives 503, possibly after sending the rest of the body.
 #[test]
 fn a_request_rejected_while_its_body_is_written_is_left_to_the_client_to_retry() {
-    let (gateway, _control, backends) = serving(2);
+    let (gateway, _control, backends) = start_ready_gateway(2);
     let mut client = gateway.connect();
     let length = 24 << 20;
-    let mut handle = client.handle();
+    let mut writer = client.duplicate();
     std::thread::scope(|scope| {
         scope.spawn(|| {
             let head = request("POST", "/once/x", "t1") + &format!("Content-Length: {length}\r\n\r\n");
-            handle.send(head).send("b".repeat(length));
+            writer.send(head).send("b".repeat(length));
         });
         let mut backend = backends.accept();
         backend.wait_for_bytes(1);
-        backend.send(answer("503 Service Unavailable", "t1", "X-Not-Delivered: full\r\n", ""));
+        backend.send(response("503 Service Unavailable", "t1", "X-Not-Delivered: full\r\n", ""));
         backend.reset();
-        let answer = client.receive();
-        assert_eq!((answer.status(), answer.field("Connection")), (503, Some("close")));
-        assert!(answer.field("Retry-After").is_some(), "{}", answer.head);
+        let response = client.receive();
+        assert_eq!((response.status(), response.field("Connection")), (503, Some("close")));
+        assert!(response.field("Retry-After").is_some(), "{}", response.head);
     });
-    assert!(client.is_closed() && backends.is_untouched());
+    assert!(client.closes_without_data() && backends.has_no_pending_connection());
 }
 
-/// A body without a length is complete where the connection ends in order, and not where it breaks.
+/// A body delimited by the end of the connection is complete after an orderly close, but not after a reset.
 #[rstest]
 #[case::in_order(true)]
 #[case::breaks(false)]
 fn a_body_that_ends_with_the_connection(#[case] ends_in_order: bool) {
-    let (gateway, _control, backends) = serving(1);
+    let (gateway, _control, backends) = start_ready_gateway(1);
     let mut client = gateway.connect();
     client.send(get("/once/", "t1"));
     let mut backend = backends.accept();
@@ -149,80 +149,81 @@
     }
 }
 
-/// An attempt without a response: an idempotent request is retried in time where it is buffered in full and another
-/// backend can take it; else the attempt goes on, as a backend at work is not given up for nothing.
+/// An attempt that receives no response is replaced only if the request is idempotent, fully buffered, and another backend
+/// is available. Otherwise the gateway keeps waiting for the response.
 #[test]
 fn an_overdue_attempt_is_abandoned_only_where_another_can_be_made() {
-    let (gateway, _control, backends) = serving(2);
+    let (gateway, _control, backends) = start_ready_gateway(2);
     let mut clients = [gateway.connect(), gateway.connect(), gateway.connect()];
     let length = 1 << 20;
     let long = format!("Content-Length: {length}\r\n\r\n{}", "b".repeat(length));
-    let mut handle = clients[0].handle();
-    let mut kept = std::thread::scope(|scope| {
-        scope.spawn(|| handle.send(request("POST", "/safe/", "t0") + &long).number);
-        let mut kept = backends.accept();
-        assert_eq!(kept.receive().body.len(), length);
-        kept
+    let mut writer = clients[0].duplicate();
+    let mut streaming = std::thread::scope(|scope| {
+        scope.spawn(|| writer.send(request("POST", "/safe/", "t0") + &long).backend_index);
+        let mut streaming = backends.accept();
+        assert_eq!(streaming.receive().body.len(), length);
+        streaming
     });
     clients[1].send(get("/once/", "t1"));
-    let mut once = backends.accept();
-    once.receive();
+    let mut non_idempotent = backends.accept();
+    non_idempotent.receive();
     clients[2].send(get("/safe/", "t2"));
-    let mut left = backends.accept();
-    left.receive();
-    // It becomes overdue after the first two would have.
-    let mut other = backends.accept();
-    assert_eq!((other.receive().field("X-Try-Id"), other.number), (Some("t2"), 1));
-    assert!(left.is_closed());
-    for (backend, id) in [(&mut other, "t2"), (&mut once, "t1"), (&mut kept, "t0")] {
+    let mut abandoned = backends.accept();
+    abandoned.receive();
+    // By the time this attempt is overdue, the first two would have been replaced as well.
+    let mut replacement = backends.accept();
+    assert_eq!((replacement.receive().field("X-Try-Id"), replacement.backend_index), (Some("t2"), 1));
+    assert!(abandoned.closes_without_data());
+    for (backend, id) in [(&mut replacement, "t2"), (&mut non_idempotent, "t1"), (&mut streaming, "t0")] {
         backend.send(ok(id, id));
     }
     for (n, client) in clients.iter_mut().enumerate() {
         assert_eq!(client.receive().body, format!("t{n}").as_bytes());
     }
-    assert!(backends.is_untouched());
+    assert!(backends.has_no_pending_connection());
 }
 
-/// Without another backend an idempotent request stays with the unresponsive one, too.
+/// An idempotent request also keeps its attempt at an unresponsive backend if there is no other backend.
 #[test]
 fn an_overdue_attempt_is_not_abandoned_without_another_backend() {
-    let (gateway, control, backends) = serving(1);
+    let (gateway, control, backends) = start_ready_gateway(1);
     control.publish(&limits(1 << 20, 100));
     control.wait_until_synced();
-    let (mut safe, mut once) = (gateway.connect(), gateway.connect());
-    safe.send(get("/safe/", "t1"));
+    let (mut idempotent, mut non_idempotent) = (gateway.connect(), gateway.connect());
+    idempotent.send(get("/safe/", "t1"));
     let mut backend = backends.accept();
     backend.receive();
-    once.send(get("/once/", "t2").replace("20000", "1500"));
+    non_idempotent.send(get("/once/", "t2").replace("20000", "1500"));
     let mut other = backends.accept();
     other.receive();
-    // The deadline of the second is past the time at which the first would be overdue, and past four times the idle time.
-    assert_eq!(once.receive().status(), 504);
+    // The second request's deadline is after the first attempt would become overdue, and after four times the idle timeout.
+    assert_eq!(non_idempotent.receive().status(), 504);
     backend.send(ok("t1", "late"));
-    assert_eq!(safe.receive().body, b"late");
-    assert!(backends.is_untouched());
+    assert_eq!(idempotent.receive().body, b"late");
+    assert!(backends.has_no_pending_connection());
 }
 
-/// An unresponsive backend, then SIGTERM: no response of the gateway's own, no retry, and an exit in time.
+/// SIGTERM with an unresponsive backend: the gateway sends no local response, makes no retry and exits in time.
 #[test]
 fn at_the_end_of_the_grace_period_requests_in_flight_are_aborted_without_a_response() {
-    let (mut gateway, _control, backends) = serving(2);
+    let (mut gateway, _control, backends) = start_ready_gateway(2);
     let mut client = gateway.connect();
     client.send(get("/once/", "t1"));
     let mut backend = backends.accept();
     backend.receive();
     gateway.signal(Signal::TERM);
-    assert!(client.is_closed(), "{:?}", String::from_utf8_lossy(client.unparsed()));
+    assert!(client.closes_without_data(), "{:?}", String::from_utf8_lossy(client.unparsed_input()));
     assert_eq!(gateway.wait_for_exit(), Some(0));
-    assert!(backend.is_closed() && backends.is_untouched());
+    assert!(backend.closes_without_data() && backends.has_no_pending_connection());
 }
 
-/// The length of a chunked body is known as it comes: beyond the limit it is rejected, and no backend gets all of it.
+/// The length of a chunked body is unknown in advance: it is rejected once it exceeds the limit, and no backend receives the
+/// complete request.
 #[rstest]
 #[case::before_an_attempt(1_000, 2_000)]
 #[case::during_an_attempt(300_000, 400_000)]
 fn a_chunked_body_over_the_limit_is_rejected(#[case] limit: usize, #[case] length: usize) {
-    let (gateway, control, backends) = serving(2);
+    let (gateway, control, backends) = start_ready_gateway(2);
     control.publish(&limits(limit, 20_000));
     control.wait_until_synced();
     let mut client = gateway.connect();
@@ -236,13 +237,13 @@
         backend
     });
     client.send(chunk(length - first));
-    let answer = client.receive();
-    assert_eq!((answer.status(), answer.field("Connection")), (413, Some("close")));
+    let response = client.receive();
+    assert_eq!((response.status(), response.field("Connection")), (413, Some("close")));
     if let Some(backend) = &mut backend {
-        assert!(backend.receive_or_end().is_none(), "a whole request");
+        assert!(backend.receive_or_end().is_none(), "backend received a complete request");
     }
-    assert!(backends.is_untouched());
-    // One within the limit is forwarded.
+    assert!(backends.has_no_pending_connection());
+    // A body within the limit is forwarded.
     let mut client = gateway.connect();
     client.send(
         request("POST", "/once/", "t2") + "Transfer-Encoding: chunked\r\n\r\n" + &chunk(limit) + "0\r\n\r\n",
@@ -253,50 +254,58 @@
     assert_eq!(client.receive().body, b"fine");
 }
 
-/// The request of a client that is gone is abandoned: the next client gets its own response only.
+/// The request of a disconnected client is abandoned, and its late response must not reach the next client.
 #[test]
-fn a_response_to_a_client_that_is_gone_is_dropped() {
-    let (gateway, _control, backends) = serving(1);
+fn a_response_to_a_disconnected_client_is_discarded() {
+    let (gateway, _control, backends) = start_ready_gateway(1);
     for n in 0..20 {
-        let mut gone = gateway.connect();
-        gone.send(get("/once/", &format!("gone{n}")));
-        let mut held = backends.accept();
-        held.receive();
-        gone.reset();
-        let begun = Instant::now();
-        assert!(held.is_closed(), "a backend is at work for nobody");
-        assert!(begun.elapsed() < Duration::from_secs(3), "{:?}", begun.elapsed());
+        let mut disconnected = gateway.connect();
+        disconnected.send(get("/once/", &format!("gone{n}")));
+        let mut abandoned = backends.accept();
+        abandoned.receive();
+        disconnected.reset();
+        let started_at = Instant::now();
+        assert!(
+            abandoned.closes_without_data(),
+            "the backend connection of the abandoned request stays open"
+        );
+        assert!(started_at.elapsed() < Duration::from_secs(3), "{:?}", started_at.elapsed());
         let mut client = gateway.connect();
         client.send(get("/once/", &format!("t{n}")));
-        held.try_send(ok(&format!("gone{n}"), "of one that is gone"));
+        abandoned.try_send(ok(&format!("gone{n}"), "for a disconnected client"));
         let mut backend = backends.accept();
         assert_eq!(backend.receive().field("X-Try-Id"), Some(format!("t{n}").as_str()));
-        backend.send(answer("200 OK", &format!("t{n}"), "X-Postmark: p\r\nConnection: close\r\n", "its own"));
+        backend.send(response(
+            "200 OK",
+            &format!("t{n}"),
+            "X-Postmark: p\r\nConnection: close\r\n",
+            "its own",
+        ));
         assert_eq!(client.receive().body, b"its own");
         client.send("GET ");
-        assert!(client.unparsed().is_empty());
+        assert!(client.unparsed_input().is_empty());
     }
 }
 
-/// An answer of the shared count is for one incarnation of one gateway.
+/// A reply to a usage report is valid only for the gateway incarnation that sent the report.
 #[test]
 fn a_grant_for_another_incarnation_is_ignored() {
-    let (gateway, control, backends) = serving(1);
-    control.wait_until_counted();
+    let (gateway, control, backends) = start_ready_gateway(1);
+    control.wait_for_usage_totals();
     control.grant(1);
-    let held = control.hold_back_grants();
+    let intercepted = control.intercept_grants();
     let mut client = gateway.connect();
     client.send(get("/once/", "t1").replace("key-of-town", "key-of-tiny"));
-    let kitepass_coordination::protocol::Message::UsageTotals(own) =
-        held.recv_timeout(TIMEOUT).expect("a grant")
+    let kitepass_coordination::protocol::Message::UsageTotals(reply) =
+        intercepted.recv_timeout(TIMEOUT).expect("control process grants quota")
     else {
-        panic!("no grant");
+        panic!("not a grant");
     };
-    let mut other = own.clone();
-    other.incarnation ^= 1;
-    other.tenants.iter_mut().for_each(|total| total.granted = 0);
-    control.send(kitepass_coordination::protocol::Message::UsageTotals(other));
-    control.send(kitepass_coordination::protocol::Message::UsageTotals(own));
+    let mut other_reply = reply.clone();
+    other_reply.incarnation ^= 1;
+    other_reply.tenants.iter_mut().for_each(|total| total.granted = 0);
+    control.send(kitepass_coordination::protocol::Message::UsageTotals(other_reply));
+    control.send(kitepass_coordination::protocol::Message::UsageTotals(reply));
     let mut backend = backends.accept();
     backend.receive();
     backend.send(ok("t1", "granted"));
--- a/crates/data-plane/tests/sockets/harness.rs
+++ b/crates/data-plane/tests/sockets/harness.rs
@@ -1,5 +1,5 @@
-//! The gateway under test and what it talks to. A test drives clients and backends step by step: each sends only what
-//! the test has it send. The control process responds by itself. Nothing waits for longer than [`TIMEOUT`].
+//! Test harness: runs the gateway with test clients, test backends and a test control process. Clients and backends are
+//! controlled step by step by the test, while the control process responds automatically. No wait exceeds [`TIMEOUT`].
 
 use kitepass_config::{parse_change_request, Item, ItemStore, Kind, SchemaValidator};
 use kitepass_coordination::protocol::framing::MessageDecoder;
@@ -19,164 +19,166 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Longest wait for anything that is to come.
+/// Maximum time to wait for an expected event.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(10);
-/// A connection that takes no more bytes for so long is full.
+/// A connection that accepts no more bytes for this long is considered full.
 const SEND_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// An address that nothing else uses, in this process or another.
+/// A loopback address that is used nowhere else, in this process or another test process.
 fn unique_address() -> IpAddr {
     static NEXT_HOST: AtomicU8 = AtomicU8::new(2);
     let [.., high, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, high | 128, low, NEXT_HOST.fetch_add(1, Ordering::Relaxed)).into()
 }
 
-/// The address of all listeners that take any free port.
+/// The loopback address shared by all listeners with a system-assigned port.
 fn shared_address() -> IpAddr {
     let [.., high, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, high | 128, low, 1).into()
 }
 
-/// Addresses where connections are refused, and where a gateway can listen.
-pub(crate) fn refusing_addresses<const N: usize>() -> [SocketAddr; N] {
+/// Addresses that refuse connections and that a gateway can listen on.
+pub(crate) fn unused_addresses<const N: usize>() -> [SocketAddr; N] {
     let address = unique_address();
-    // Invariant: they never listen. A program that another test starts just now holds a copy of every descriptor until
-    // it runs; a listener would go on in it, accept connections and keep the address from the gateway.
+    // Invariant: these sockets never listen. A child process that another test is starting holds copies of all descriptors
+    // until exec; a copied listener would accept connections and prevent the gateway from using the address.
     let sockets: [OwnedFd; N] = std::array::from_fn(|_| {
         let socket = net::socket_with(AddressFamily::INET, SocketType::STREAM, SocketFlags::CLOEXEC, None);
-        let socket = socket.expect("a socket");
-        net::sockopt::set_socket_reuseaddr(&socket, true).expect("an option");
-        net::bind(&socket, &SocketAddr::new(address, 0)).expect("an address");
+        let socket = socket.expect("socket is created");
+        net::sockopt::set_socket_reuseaddr(&socket, true).expect("socket option is set");
+        net::bind(&socket, &SocketAddr::new(address, 0)).expect("address can be bound");
         socket
     });
     sockets.each_ref().map(|socket| net::getsockname(socket).expect("bound").try_into().expect("IPv4"))
 }
 
-/// A message as it was received: the head with its empty line, the body without its framing.
+/// A received HTTP message.
 #[derive(Debug)]
 pub(crate) struct HttpMessage {
-    /// The start line and the fields, with the empty line behind them.
+    /// The start line and header fields, including the terminating empty line.
     pub(crate) head: String,
-    /// The body, decoded.
+    /// The body with its transfer encoding removed.
     pub(crate) body: Vec<u8>,
 }
 
 impl HttpMessage {
-    /// The status of a response.
+    /// The status code of a response.
     pub(crate) fn status(&self) -> u16 {
-        self.head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
+        self.head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("response has a status")
     }
 
-    /// A field's value; the field may be there once at most.
+    /// The value of a header field. Panics if the field occurs more than once.
     pub(crate) fn field(&self, name: &str) -> Option<&str> {
         let fields = self.head.lines().filter_map(|field| field.split_once(": "));
         let mut values = fields.filter(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value);
         let value = values.next();
-        assert_eq!(values.next(), None, "{name} is there twice: {}", self.head);
+        assert_eq!(values.next(), None, "duplicate field {name}: {}", self.head);
         value
     }
 
-    /// Takes a complete message off the input's front, if it is there.
+    /// Removes a complete message from the front of the input, if there is one.
     fn take(input: &mut Vec<u8>) -> Option<HttpMessage> {
         let end = 4 + input.windows(4).position(|bytes| bytes == b"\r\n\r\n")?;
-        let head = String::from_utf8(input[..end].to_vec()).expect("a head that is text");
+        let head = String::from_utf8(input[..end].to_vec()).expect("head is valid UTF-8");
         let mut message = HttpMessage { head, body: Vec::new() };
-        let mut at = end;
+        let mut position = end;
         if message.field("transfer-encoding").is_some() {
             loop {
-                let line = input[at..].windows(2).position(|bytes| bytes == b"\r\n")?;
-                let size = std::str::from_utf8(&input[at..at + line]).expect("a chunk's size");
-                let size = usize::from_str_radix(size, 16).expect("a chunk's size");
-                at += line + 2;
-                message.body.extend_from_slice(input.get(at..at + size)?);
-                assert_eq!(input.get(at + size..at + size + 2)?, b"\r\n");
-                at += size + 2;
+                let line_length = input[position..].windows(2).position(|bytes| bytes == b"\r\n")?;
+                let size = std::str::from_utf8(&input[position..position + line_length])
+                    .expect("chunk size is valid");
+                let size = usize::from_str_radix(size, 16).expect("chunk size is valid");
+                position += line_length + 2;
+                message.body.extend_from_slice(input.get(position..position + size)?);
+                assert_eq!(input.get(position + size..position + size + 2)?, b"\r\n");
+                position += size + 2;
                 if size == 0 {
                     break;
                 }
             }
         } else {
-            let length =
-                message.field("content-length").map_or(0, |length| length.parse().expect("a length"));
-            message.body.extend_from_slice(input.get(at..at + length)?);
-            at += length;
+            let length = message
+                .field("content-length")
+                .map_or(0, |length| length.parse().expect("Content-Length is a number"));
+            message.body.extend_from_slice(input.get(position..position + length)?);
+            position += length;
         }
-        input.drain(..at);
+        input.drain(..position);
         Some(message)
     }
 }
 
-/// One side of a connection.
+/// The test's end of a connection.
 pub(crate) struct Peer {
     stream: TcpStream,
     input: Vec<u8>,
-    /// The number of the backend whose side it is.
-    pub(crate) number: usize,
+    /// The index of the backend that accepted the connection. 0 for a client.
+    pub(crate) backend_index: usize,
 }
 
 impl Peer {
-    fn new(stream: TcpStream, number: usize) -> Peer {
-        stream.set_read_timeout(Some(TIMEOUT)).expect("an option");
-        stream.set_write_timeout(Some(TIMEOUT)).expect("an option");
-        stream.set_nodelay(true).expect("an option");
-        Peer { stream, input: Vec::new(), number }
+    fn new(stream: TcpStream, backend_index: usize) -> Peer {
+        stream.set_read_timeout(Some(TIMEOUT)).expect("socket option is set");
+        stream.set_write_timeout(Some(TIMEOUT)).expect("socket option is set");
+        stream.set_nodelay(true).expect("socket option is set");
+        Peer { stream, input: Vec::new(), backend_index }
     }
 
     /// Connects to an address.
-    pub(crate) fn to(address: SocketAddr) -> Peer {
-        Peer::new(TcpStream::connect_timeout(&address, TIMEOUT).expect("a connection"), 0)
+    pub(crate) fn connect(address: SocketAddr) -> Peer {
+        Peer::new(TcpStream::connect_timeout(&address, TIMEOUT).expect("connection is accepted"), 0)
     }
 
-    /// Sends bytes.
+    /// Sends all bytes.
     pub(crate) fn send(&mut self, text: impl AsRef<[u8]>) -> &mut Peer {
         self.stream.write_all(text.as_ref()).expect("written");
         self
     }
 
-    /// Sends bytes, unless the other side has closed the connection.
+    /// Sends bytes, ignoring errors such as a connection closed by the gateway.
     pub(crate) fn try_send(&mut self, text: impl AsRef<[u8]>) {
         let _ = self.stream.write_all(text.as_ref());
     }
 
-    /// Sends as many bytes as the connection takes with nothing read at its end; how many that was.
+    /// Sends bytes until the connection accepts no more. Returns the number of bytes sent.
     pub(crate) fn send_until_full(&mut self, bytes: &[u8]) -> usize {
-        self.stream.set_write_timeout(Some(SEND_TIMEOUT)).expect("an option");
+        self.stream.set_write_timeout(Some(SEND_TIMEOUT)).expect("socket option is set");
         let mut sent = 0;
         while sent < bytes.len() {
             match self.stream.write(&bytes[sent..]) {
                 Ok(length) => sent += length,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
-                Err(error) => panic!("not written: {error}"),
+                Err(error) => panic!("cannot write: {error}"),
             }
         }
-        self.stream.set_write_timeout(Some(TIMEOUT)).expect("an option");
+        self.stream.set_write_timeout(Some(TIMEOUT)).expect("socket option is set");
         sent
     }
 
-    /// Another handle to the same connection, to send while this one receives.
-    pub(crate) fn handle(&self) -> Peer {
-        Peer::new(self.stream.try_clone().expect("a descriptor"), self.number)
+    /// Another handle to the same connection, to send from another thread while this one receives.
+    pub(crate) fn duplicate(&self) -> Peer {
+        Peer::new(self.stream.try_clone().expect("socket can be duplicated"), self.backend_index)
     }
 
     /// Closes the connection.
     ///
-    /// Invariant: it is shut down, not only dropped. A program that another test starts just now holds a copy of every
-    /// descriptor until it runs, and the connection would end only then.
+    /// Invariant: the socket is shut down explicitly. A child process that another test is starting holds a copy of the
+    /// descriptor until exec, so dropping the socket alone might not close the connection yet.
     pub(crate) fn close(self) {
-        let _ = self.stream.shutdown(Shutdown::Both); // the other side may have closed it
+        let _ = self.stream.shutdown(Shutdown::Both); // the gateway may have closed it already
     }
 
-    /// Resets the connection.
+    /// Closes the connection with a TCP reset.
     pub(crate) fn reset(self) {
-        net::sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO)).expect("an option");
+        net::sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO)).expect("socket option is set");
     }
 
-    /// The next complete message.
+    /// Receives the next complete message.
     pub(crate) fn receive(&mut self) -> HttpMessage {
-        self.receive_or_end().expect("a message")
+        self.receive_or_end().expect("a message arrives before the connection closes")
     }
 
-    /// The next complete message, or none if the other side has closed the connection without one.
+    /// Receives the next complete message, or returns `None` if the connection is closed first.
     pub(crate) fn receive_or_end(&mut self) -> Option<HttpMessage> {
         loop {
             if let Some(message) = HttpMessage::take(&mut self.input) {
@@ -188,15 +190,15 @@
         }
     }
 
-    /// Waits until so many bytes were received that are not parsed yet.
+    /// Waits until at least this many unparsed bytes have been received.
     pub(crate) fn wait_for_bytes(&mut self, bytes: usize) {
         while self.input.len() < bytes {
-            assert!(self.read_more(), "it ended after {} bytes", self.input.len());
+            assert!(self.read_more(), "connection closed after {} bytes", self.input.len());
         }
     }
 
-    /// What was received and is no complete message.
-    pub(crate) fn unparsed(&self) -> &[u8] {
+    /// Received bytes that do not yet form a complete message.
+    pub(crate) fn unparsed_input(&self) -> &[u8] {
         &self.input
     }
 
@@ -208,66 +210,66 @@
                     self.input.extend_from_slice(&buffer[..length]);
                     length > 0
                 }
-                // A read with a time-out is interrupted where the machine or the program is stopped and continued.
+                // A read with a timeout can be interrupted when the system or the process is suspended and resumed.
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => false,
-                Err(error) => panic!("nothing received: {error}"),
+                Err(error) => panic!("cannot read: {error}"),
             };
         }
     }
 
-    /// Waits for the end of the connection; whether it comes with nothing before it.
-    pub(crate) fn is_closed(&mut self) -> bool {
+    /// Waits for the next input. Returns true if the connection is closed and no bytes are left unparsed.
+    pub(crate) fn closes_without_data(&mut self) -> bool {
         !self.read_more() && self.input.is_empty()
     }
 }
 
-/// Backends: each connection to any of them is handed to the test.
+/// Test backends. Each connection to any of them is passed to the test.
 pub(crate) struct TestBackends {
-    /// Where they listen, by number.
+    /// The listening addresses, by backend index.
     pub(crate) addresses: Vec<SocketAddr>,
     connections: Receiver<Peer>,
 }
 
 impl TestBackends {
-    fn open(backend_count: usize) -> TestBackends {
+    fn listen(backend_count: usize) -> TestBackends {
         let (sender, connections) = channel();
-        let open = |number| {
-            let listener = TcpListener::bind((shared_address(), 0)).expect("an address");
+        let listen = |backend_index| {
+            let listener = TcpListener::bind((shared_address(), 0)).expect("address can be bound");
             let (address, sender) = (listener.local_addr().expect("bound"), sender.clone());
             std::thread::spawn(move || {
                 let mut streams = listener.incoming().flatten();
-                streams.try_for_each(|stream| sender.send(Peer::new(stream, number)))
+                streams.try_for_each(|stream| sender.send(Peer::new(stream, backend_index)))
             });
             address
         };
-        TestBackends { addresses: (0..backend_count).map(open).collect(), connections }
+        TestBackends { addresses: (0..backend_count).map(listen).collect(), connections }
     }
 
-    /// The next connection to any of them.
+    /// Waits for the next connection to any backend.
     pub(crate) fn accept(&self) -> Peer {
-        self.connections.recv_timeout(TIMEOUT).expect("a connection")
+        self.connections.recv_timeout(TIMEOUT).expect("backend receives a connection")
     }
 
-    /// Whether there is no connection that was not accepted.
-    pub(crate) fn is_untouched(&self) -> bool {
+    /// Whether all connections to the backends have been accepted by the test.
+    pub(crate) fn has_no_pending_connection(&self) -> bool {
         self.connections.try_recv().is_err()
     }
 }
 
-/// The state of a control process.
+/// The state of the test control process.
 struct ControlPlaneState {
     address: SocketAddr,
     item_store: ItemStore,
-    /// Whether it sends what it holds.
-    is_open: bool,
+    /// Whether it sends its items to the gateway.
+    is_sync_enabled: bool,
     session: Option<TcpStream>,
-    /// Requests that it still grants to tenants with a quota.
+    /// Number of requests that it can still grant to tenants with a quota.
     grants: u32,
-    /// Periods whose usage report it has answered.
+    /// Number of end-of-period usage reports it has answered.
     answered_periods: u32,
-    /// Where grants between two periods go, while they are held back.
-    held_back: Option<Sender<Message>>,
+    /// Receives mid-period grants instead of the gateway, while they are intercepted.
+    intercepted_grants: Option<Sender<Message>>,
 }
 
 impl ControlPlaneState {
@@ -284,7 +286,7 @@
 
     fn send_bytes(&mut self, bytes: &[u8]) {
         if let Some(session) = &mut self.session {
-            let _ = session.write_all(bytes); // a session that is lost is opened again
+            let _ = session.write_all(bytes); // the gateway reopens a lost session
         }
     }
 
@@ -321,7 +323,7 @@
                 };
                 self.send_messages([Message::Hello(hello)]);
             }
-            Message::BucketDigests(_) if self.is_open => self.send_all(),
+            Message::BucketDigests(_) if self.is_sync_enabled => self.send_all(),
             Message::Heartbeat(_) => {
                 let heartbeat = Heartbeat {
                     digest: self.item_store.digest(),
@@ -352,8 +354,8 @@
                     incarnation,
                     is_mid_period,
                 });
-                match &self.held_back {
-                    Some(held) if is_mid_period => held.send(message).expect("the test goes on"),
+                match &self.intercepted_grants {
+                    Some(sender) if is_mid_period => sender.send(message).expect("test is still running"),
                     _ => self.send_messages([message]),
                 }
             }
@@ -362,7 +364,7 @@
     }
 }
 
-/// A control process, with the heartbeats that a gateway sends it.
+/// The test control process, and the heartbeats that it receives from the gateway.
 pub(crate) struct TestControlPlane {
     state: Arc<Mutex<ControlPlaneState>>,
     heartbeats: Receiver<Heartbeat>,
@@ -370,79 +372,79 @@
 
 impl TestControlPlane {
     fn start() -> TestControlPlane {
-        let listener = TcpListener::bind((shared_address(), 0)).expect("an address");
+        let listener = TcpListener::bind((shared_address(), 0)).expect("address can be bound");
         let address = listener.local_addr().expect("bound");
         let state = ControlPlaneState {
             address,
             item_store: ItemStore::new(),
-            is_open: false,
+            is_sync_enabled: false,
             session: None,
             grants: 0,
             answered_periods: 0,
-            held_back: None,
+            intercepted_grants: None,
         };
         let (state, (sender, heartbeats)) = (Arc::new(Mutex::new(state)), channel());
         let shared = state.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                shared.lock().expect("not poisoned").session = stream.try_clone().ok();
-                serve(stream, &shared, &sender);
+                shared.lock().expect("mutex is not poisoned").session = stream.try_clone().ok();
+                run_control_process(stream, &shared, &sender);
             }
         });
         TestControlPlane { state, heartbeats }
     }
 
     fn address(&self) -> SocketAddr {
-        self.state.lock().expect("not poisoned").address
+        self.state.lock().expect("mutex is not poisoned").address
     }
 
-    /// From now on it sends all that it holds.
-    pub(crate) fn open(&self) {
-        let mut state = self.state.lock().expect("not poisoned");
-        state.is_open = true;
+    /// Sends all items to the gateway, and continues to send changes from now on.
+    pub(crate) fn start_sync(&self) {
+        let mut state = self.state.lock().expect("mutex is not poisoned");
+        state.is_sync_enabled = true;
         state.send_all();
     }
 
-    /// From now on it holds back what it grants between two periods, and hands it to the test.
-    pub(crate) fn hold_back_grants(&self) -> Receiver<Message> {
-        let (held, messages) = channel();
-        self.state.lock().expect("not poisoned").held_back = Some(held);
-        messages
+    /// Passes mid-period grants to the test instead of sending them to the gateway.
+    pub(crate) fn intercept_grants(&self) -> Receiver<Message> {
+        let (sender, grants) = channel();
+        self.state.lock().expect("mutex is not poisoned").intercepted_grants = Some(sender);
+        grants
     }
 
     pub(crate) fn send(&self, message: Message) {
-        self.state.lock().expect("not poisoned").send_messages([message]);
+        self.state.lock().expect("mutex is not poisoned").send_messages([message]);
     }
 
     pub(crate) fn grant(&self, requests: u32) {
-        self.state.lock().expect("not poisoned").grants = requests;
+        self.state.lock().expect("mutex is not poisoned").grants = requests;
     }
 
-    /// Sends these items, whether or not they are the newest version.
+    /// Stores and sends items. Sends them even if newer versions are stored.
     pub(crate) fn publish(&self, items: &[Item]) {
-        let mut state = self.state.lock().expect("not poisoned");
+        let mut state = self.state.lock().expect("mutex is not poisoned");
         for item in items {
             state.item_store.merge(item.clone());
         }
-        if state.is_open {
+        if state.is_sync_enabled {
             state.send_items(items, Extent::Complete);
         }
     }
 
-    /// Sends the beginning of a change, which it holds itself only with the rest, and waits until the gateway has it.
-    pub(crate) fn publish_beginning(&self, items: &[Item]) {
-        self.state.lock().expect("not poisoned").send_items(items, Extent::Continued);
-        self.wait_until_different();
+    /// Sends the first part of a change without storing it, and waits until the gateway has received it.
+    pub(crate) fn publish_first_part(&self, items: &[Item]) {
+        self.state.lock().expect("mutex is not poisoned").send_items(items, Extent::Continued);
+        self.wait_until_digest_differs();
     }
 
-    /// Sends part of what it is reading itself, which it does not hold as a whole.
+    /// Sends items as part of a transfer, without storing them.
     pub(crate) fn send_transfer(&self, items: &[Item]) {
-        self.state.lock().expect("not poisoned").send_items(items, Extent::Transfer);
+        self.state.lock().expect("mutex is not poisoned").send_items(items, Extent::Transfer);
     }
 
-    /// Waits until the gateway holds something else.
-    pub(crate) fn wait_until_different(&self) {
-        while self.is_same_as(&self.next_heartbeat()) {}
+    /// Waits until the gateway's items differ from those of the control process.
+    pub(crate) fn wait_until_digest_differs(&self) {
+        while self.has_same_digest(&self.next_heartbeat()) {}
     }
 
     /// Waits until the gateway has a session.
@@ -450,53 +452,58 @@
         self.next_heartbeat();
     }
 
-    /// Waits until the gateway goes by the shared count: its second report was answered a short time ago.
-    pub(crate) fn wait_until_counted(&self) {
-        while self.state.lock().expect("not poisoned").answered_periods < 2 {
-            self.heartbeats.recv_timeout(TIMEOUT).expect("a heartbeat");
+    /// Waits until the gateway's quota is based on the shared counter: two usage reports have been answered, and a further
+    /// heartbeat has arrived.
+    pub(crate) fn wait_for_usage_totals(&self) {
+        while self.state.lock().expect("mutex is not poisoned").answered_periods < 2 {
+            self.heartbeats.recv_timeout(TIMEOUT).expect("gateway sends a heartbeat");
         }
         while self.heartbeats.try_recv().is_ok() {}
-        self.heartbeats.recv_timeout(TIMEOUT).expect("a heartbeat");
+        self.heartbeats.recv_timeout(TIMEOUT).expect("gateway sends a heartbeat");
     }
 
-    /// Waits until the gateway is ready and holds the same items.
+    /// Waits until the gateway is ready and has the same items as the control process.
     pub(crate) fn wait_until_synced(&self) {
         loop {
             let heartbeat = self.next_heartbeat();
-            if heartbeat.is_ready && self.is_same_as(&heartbeat) {
+            if heartbeat.is_ready && self.has_same_digest(&heartbeat) {
                 return;
             }
         }
     }
 
     fn next_heartbeat(&self) -> Heartbeat {
-        self.heartbeats.recv_timeout(TIMEOUT).expect("a heartbeat")
+        self.heartbeats.recv_timeout(TIMEOUT).expect("gateway sends a heartbeat")
     }
 
-    /// Whether the gateway that sent this holds the same items.
-    fn is_same_as(&self, heartbeat: &Heartbeat) -> bool {
-        heartbeat.digest == self.state.lock().expect("not poisoned").item_store.digest()
+    /// Whether the gateway that sent this heartbeat has the same items.
+    fn has_same_digest(&self, heartbeat: &Heartbeat) -> bool {
+        heartbeat.digest == self.state.lock().expect("mutex is not poisoned").item_store.digest()
     }
 }
 
-fn serve(mut stream: TcpStream, state: &Mutex<ControlPlaneState>, heartbeats: &Sender<Heartbeat>) {
+fn run_control_process(
+    mut stream: TcpStream,
+    state: &Mutex<ControlPlaneState>,
+    heartbeats: &Sender<Heartbeat>,
+) {
     let (mut input, mut buffer, mut decoder) = (Vec::new(), [0; 16 * 1024], MessageDecoder::default());
     while let Ok(length @ 1..) = stream.read(&mut buffer) {
         input.extend_from_slice(&buffer[..length]);
         let mut at = 0;
-        while let Some(message) = decoder.next(&input, &mut at).expect("a gateway's messages") {
+        while let Some(message) = decoder.next(&input, &mut at).expect("gateway sends valid messages") {
             if let Message::Heartbeat(heartbeat) = &message {
                 let _ = heartbeats.send(heartbeat.clone());
             }
-            state.lock().expect("not poisoned").receive_message(message);
+            state.lock().expect("mutex is not poisoned").receive_message(message);
         }
         input.drain(..at);
     }
 }
 
-/// An operator's change request, as items.
+/// Parses an operator's change request into items.
 pub(crate) fn change_request(text: &str) -> Vec<Item> {
-    parse_change_request(&SchemaValidator::new(), text.as_bytes()).expect("a call")
+    parse_change_request(&SchemaValidator::new(), text.as_bytes()).expect("change request is valid")
 }
 
 pub(crate) fn backend_item(name: &str, service: &str, address: SocketAddr, zone: &str) -> Item {
@@ -518,22 +525,22 @@
   "entries":[["books","/well",100,"r5"],["loans","/well",100,"r5"],["empty","/well",100,"r5"]]},
  "weight-limits":{"envelope-bytes":4096,"body-bytes":67108864,"envelope-ms":20000,"idle-ms":20000,"edition":"r5"}}}"#;
 
-/// A gateway's process.
+/// A running gateway process.
 pub(crate) struct Gateway {
     client_address: SocketAddr,
     readiness: SocketAddr,
     child: Child,
-    path: PathBuf,
-    text: String,
-    log: Receiver<String>,
+    settings_path: PathBuf,
+    settings_text: String,
+    log_lines: Receiver<String>,
 }
 
 impl Gateway {
     pub(crate) fn start(control: &TestControlPlane) -> Gateway {
-        let [client_address, readiness] = refusing_addresses();
-        let (stop, address) = (control.address(), client_address.ip());
-        let port = stop.port();
-        let text = format!(
+        let [client_address, readiness] = unused_addresses();
+        let (control_address, address) = (control.address(), client_address.ip());
+        let port = control_address.port();
+        let settings_text = format!(
             r#"station = "gateway"
 ip = "{address}"
 district = "near"
@@ -552,62 +559,63 @@
 quota-excess = 0
 courtesy-s = 4
 "#,
-            stop.ip()
+            control_address.ip()
         );
-        let path = std::env::temp_dir().join(format!("data-plane-{address}.toml"));
-        std::fs::write(&path, &text).expect("a file");
+        let settings_path = std::env::temp_dir().join(format!("data-plane-{address}.toml"));
+        std::fs::write(&settings_path, &settings_text).expect("file can be written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_kitepass-data-plane"));
-        command.arg("--settings").arg(&path).env("KITEPASS_LOG", "info").stderr(Stdio::piped());
-        let mut child = command.spawn().expect("the program starts");
-        let (log_lines, (sender, log)) =
+        command.arg("--settings").arg(&settings_path).env("KITEPASS_LOG", "info").stderr(Stdio::piped());
+        let mut child = command.spawn().expect("gateway starts");
+        let (lines, (sender, log_lines)) =
             (BufReader::new(child.stderr.take().expect("piped")).lines(), channel());
-        std::thread::spawn(move || log_lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
-        let gateway = Gateway { client_address, readiness, child, path, text, log };
+        std::thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
+        let gateway = Gateway { client_address, readiness, child, settings_path, settings_text, log_lines };
         gateway.wait_for_log("event=serving");
         gateway
     }
 
-    /// Replaces a text in its settings file, which is replaced as a whole.
-    pub(crate) fn change(&self, from: &str, to: &str) {
-        assert!(self.text.contains(from), "{from}");
-        let next = self.path.with_extension("next");
-        std::fs::write(&next, self.text.replace(from, to)).expect("a file");
-        std::fs::rename(next, &self.path).expect("a file");
+    /// Replaces text in the settings file, and replaces the file atomically.
+    pub(crate) fn replace_in_settings(&self, from: &str, to: &str) {
+        assert!(self.settings_text.contains(from), "{from}");
+        let replacement = self.settings_path.with_extension("next");
+        std::fs::write(&replacement, self.settings_text.replace(from, to)).expect("file can be written");
+        std::fs::rename(replacement, &self.settings_path).expect("file can be written");
     }
 
     pub(crate) fn signal(&self, signal: Signal) {
-        kill_process(Pid::from_child(&self.child), signal).expect("it runs");
+        kill_process(Pid::from_child(&self.child), signal).expect("gateway is running");
     }
 
-    /// Stops it until it gets SIGCONT.
-    pub(crate) fn stop(&self) {
+    /// Suspends the process until it receives SIGCONT.
+    pub(crate) fn pause(&self) {
         self.signal(Signal::STOP);
-        let stopped = waitpid(Some(Pid::from_child(&self.child)), WaitOptions::UNTRACED).expect("a child");
+        let stopped = waitpid(Some(Pid::from_child(&self.child)), WaitOptions::UNTRACED)
+            .expect("gateway is a child process");
         assert!(stopped.is_some_and(|(_, status)| status.stopped()), "{stopped:?}");
     }
 
-    /// Waits for a line of its log that contains a text.
+    /// Waits for a log line that contains the text.
     pub(crate) fn wait_for_log(&self, text: &str) {
-        while !self.log.recv_timeout(TIMEOUT).expect("a line").contains(text) {}
+        while !self.log_lines.recv_timeout(TIMEOUT).expect("gateway writes a log line").contains(text) {}
     }
 
-    /// Waits until it exits by itself; its exit code.
+    /// Waits for the process to exit and returns its exit code.
     pub(crate) fn wait_for_exit(&mut self) -> Option<i32> {
-        while self.log.recv_timeout(TIMEOUT) != Err(std::sync::mpsc::RecvTimeoutError::Disconnected) {}
+        while self.log_lines.recv_timeout(TIMEOUT) != Err(std::sync::mpsc::RecvTimeoutError::Disconnected) {}
         self.child.wait().expect("ended").code()
     }
 
-    /// A connection of a client.
+    /// Opens a client connection.
     pub(crate) fn connect(&self) -> Peer {
-        Peer::to(self.client_address)
+        Peer::connect(self.client_address)
     }
 
-    /// A connection to the address of its readiness check.
+    /// Opens a connection to the readiness check.
     pub(crate) fn connect_readiness(&self) -> Peer {
-        Peer::to(self.readiness)
+        Peer::connect(self.readiness)
     }
 
-    /// The status of its readiness check.
+    /// Requests the readiness check and returns its status.
     pub(crate) fn readiness(&self) -> u16 {
         self.connect_readiness().send("GET /v1/ready HTTP/1.1\r\nHost: g\r\n\r\n").receive().status()
     }
@@ -617,29 +625,29 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.path);
+        let _ = std::fs::remove_file(&self.settings_path);
     }
 }
 
-/// A gateway that is ready. Its first backend is in its own region, the others are not: the first attempt goes to the
-/// first one.
-pub(crate) fn serving(backend_count: usize) -> (Gateway, TestControlPlane, TestBackends) {
-    let (control, backends) = (TestControlPlane::start(), TestBackends::open(backend_count));
+/// Starts a gateway and waits until it is ready. The first backend is in the gateway's region and the others are not, so
+/// the first attempt goes to the first backend.
+pub(crate) fn start_ready_gateway(backend_count: usize) -> (Gateway, TestControlPlane, TestBackends) {
+    let (control, backends) = (TestControlPlane::start(), TestBackends::listen(backend_count));
     let addresses = backends.addresses.clone();
     let gateway = Gateway::start(&control);
-    publish_all(&control, &addresses);
+    publish_configuration(&control, &addresses);
     control.wait_until_synced();
     (gateway, control, backends)
 }
 
-/// A gateway whose control process does not send what it holds yet.
-pub(crate) fn waiting() -> (Gateway, TestControlPlane, TestBackends) {
-    let (control, backends) = (TestControlPlane::start(), TestBackends::open(1));
+/// Starts a gateway whose control process does not send any items yet.
+pub(crate) fn start_unconfigured_gateway() -> (Gateway, TestControlPlane, TestBackends) {
+    let (control, backends) = (TestControlPlane::start(), TestBackends::listen(1));
     (Gateway::start(&control), control, backends)
 }
 
-/// Publishes the configuration and these backends, the first one in the gateway's own zone.
-pub(crate) fn publish_all(control: &TestControlPlane, addresses: &[SocketAddr]) {
+/// Publishes the configuration and the given backends, the first of them in the gateway's zone.
+pub(crate) fn publish_configuration(control: &TestControlPlane, addresses: &[SocketAddr]) {
     control.publish(&change_request(CONFIGURATION));
     for (n, address) in addresses.iter().enumerate() {
         control.publish(&[backend_item(
@@ -649,10 +657,10 @@
             if n == 0 { "near" } else { "far" },
         )]);
     }
-    control.open();
+    control.start_sync();
 }
 
-/// A request's head without its empty line, of a tenant without a quota.
+/// A request head without the terminating empty line, sent by a tenant without a quota.
 pub(crate) fn request(method: &str, path: &str, id: &str) -> String {
     format!(
         "{method} {path} HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: {id}\r\nX-Time-Left-Ms: 20000\r\n\
@@ -664,11 +672,11 @@
     request("GET", path, id) + "\r\n"
 }
 
-/// A backend's response.
-pub(crate) fn answer(status: &str, id: &str, fields: &str, body: &str) -> String {
+/// A backend response.
+pub(crate) fn response(status: &str, id: &str, fields: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\nX-Try-Id: {id}\r\n{fields}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
 pub(crate) fn ok(id: &str, body: &str) -> String {
-    answer("200 OK", id, &format!("X-Postmark: stamp.{id}\r\n"), body)
+    response("200 OK", id, &format!("X-Postmark: stamp.{id}\r\n"), body)
 }
--- a/crates/data-plane/tests/sockets/reconfiguration.rs
+++ b/crates/data-plane/tests/sockets/reconfiguration.rs
@@ -1,16 +1,19 @@
-//! What changes while the program runs: its configuration, its settings, its shutdown.
+//! Changes at runtime: configuration, settings and shutdown.
 
-use crate::harness::{answer, backend_item, change_request, get, ok, publish_all, serving, waiting};
+use crate::harness::{
+    backend_item, change_request, get, ok, publish_configuration, response, start_ready_gateway,
+    start_unconfigured_gateway,
+};
 use rstest::rstest;
 use rustix::process::Signal;
 
 #[test]
-fn it_is_ready_once_it_has_synchronized() {
-    let (gateway, control, backends) = waiting();
+fn the_gateway_is_ready_once_it_has_synchronized() {
+    let (gateway, control, backends) = start_unconfigured_gateway();
     assert_eq!(gateway.readiness(), 503);
-    let answer = gateway.connect().send(get("/once/", "t1")).receive();
-    assert!(answer.status() == 503 && answer.field("Retry-After").is_some(), "{}", answer.head);
-    publish_all(&control, &backends.addresses);
+    let response = gateway.connect().send(get("/once/", "t1")).receive();
+    assert!(response.status() == 503 && response.field("Retry-After").is_some(), "{}", response.head);
+    publish_configuration(&control, &backends.addresses);
     control.wait_until_synced();
     assert_eq!(gateway.readiness(), 200);
     let mut client = gateway.connect();
@@ -20,16 +23,16 @@
 
 #[test]
 fn the_highest_version_of_an_item_applies_from_the_next_request_on() {
-    let (gateway, control, backends) = serving(2);
+    let (gateway, control, backends) = start_ready_gateway(2);
     let mut client = gateway.connect();
-    let mut goes_to = |id: &str, call_sign: &str| {
+    let mut assert_routed_to = |id: &str, backend_id: &str| {
         client.send(get("/once/", id));
         let mut backend = backends.accept();
-        assert_eq!(backend.receive().field("X-Deliver-To"), Some(call_sign));
-        backend.send(answer("200 OK", id, "X-Postmark: p\r\nConnection: close\r\n", ""));
+        assert_eq!(backend.receive().field("X-Deliver-To"), Some(backend_id));
+        backend.send(response("200 OK", id, "X-Postmark: p\r\nConnection: close\r\n", ""));
         assert_eq!(client.receive().status(), 200);
     };
-    goes_to("t1", "b0");
+    assert_routed_to("t1", "b0");
     let route = |version: &str, backend: &str| {
         let text = r#"{"deliver":{"itineraries":{"headings":["name","depot","lane-prefix","mail-kind","deadline-ms","line","edition"],
             "entries":[["once","h.example","/once/","unsafe",60000,"LINE","EDITION"]]}}}"#;
@@ -39,41 +42,41 @@
         &[route("r8", "loans"), vec![backend_item("l0", "loans", backends.addresses[1], "far")]].concat(),
     );
     control.wait_until_synced();
-    goes_to("t2", "l0");
-    // An older version comes later. The other item that comes with it shows that it was received.
-    let gone = change_request(r#"{"withdraw":{"itineraries":[{"name":"free","edition":"r6"}]}}"#);
-    control.publish(&[route("r7", "books"), gone].concat());
+    assert_routed_to("t2", "l0");
+    // An older version arrives later. The item published with it shows that the message was received.
+    let removal = change_request(r#"{"withdraw":{"itineraries":[{"name":"free","edition":"r6"}]}}"#);
+    control.publish(&[route("r7", "books"), removal].concat());
     control.wait_until_synced();
-    goes_to("t3", "l0");
+    assert_routed_to("t3", "l0");
     assert_eq!(client.send(get("/free/", "t4")).receive().status(), 404);
 }
 
-/// A change takes a route from one service and brings another in its place, in two messages. Between them the gateway goes by
-/// the configuration before: with the first alone the path would lead nowhere.
+/// A change that replaces a route is sent in two messages. Between them the gateway keeps the previous configuration; with
+/// only the first message applied, the path would have no route.
 #[test]
-fn a_change_in_several_messages_is_in_force_with_the_last() {
-    let (gateway, control, backends) = serving(1);
+fn a_change_in_several_messages_is_activated_with_the_last() {
+    let (gateway, control, backends) = start_ready_gateway(1);
     let mut client = gateway.connect();
-    let mut is_served = |id: &str| {
+    let mut assert_served = |id: &str| {
         client.send(get("/once/", id));
         let mut backend = backends.accept();
         backend.receive();
-        backend.send(answer("200 OK", id, "X-Postmark: p\r\nConnection: close\r\n", ""));
+        backend.send(response("200 OK", id, "X-Postmark: p\r\nConnection: close\r\n", ""));
         assert_eq!(client.receive().status(), 200, "{id}");
     };
-    is_served("t1");
+    assert_served("t1");
     let removal = change_request(r#"{"withdraw":{"itineraries":[{"name":"once","edition":"r8"}]}}"#);
-    control.publish_beginning(&removal);
-    is_served("t2");
+    control.publish_first_part(&removal);
+    assert_served("t2");
     let replacement = change_request(
         r#"{"deliver":{"itineraries":{"headings":["name","depot","lane-prefix","mail-kind","deadline-ms","line","edition"],
             "entries":[["twice","h.example","/once/","unsafe",60000,"books","r8"]]}}}"#,
     );
     control.publish(&[removal, replacement].concat());
     control.wait_until_synced();
-    is_served("t3");
-    let gone = change_request(r#"{"withdraw":{"itineraries":[{"name":"twice","edition":"r9"}]}}"#);
-    control.publish(&gone);
+    assert_served("t3");
+    let second_removal = change_request(r#"{"withdraw":{"itineraries":[{"name":"twice","edition":"r9"}]}}"#);
+    control.publish(&second_removal);
     control.wait_until_synced();
     assert_eq!(client.send(get("/once/", "t4")).receive().status(), 404);
 }
@@ -82,48 +85,48 @@
 #[case::with_a_signal(true)]
 #[case::without(false)]
 fn changed_settings_are_applied_and_no_request_is_lost(#[case] signal: bool) {
-    let (gateway, _control, backends) = serving(2);
+    let (gateway, _control, backends) = start_ready_gateway(2);
     let mut client = gateway.connect();
     client.send(get("/once/", "t1"));
     let mut backend = backends.accept();
     backend.receive();
-    gateway.change("retry-margin = 60", "retry-margin = 0\nretry-ratio = 0");
+    gateway.replace_in_settings("retry-margin = 60", "retry-margin = 0\nretry-ratio = 0");
     if signal {
         gateway.signal(Signal::HUP);
     }
     gateway.wait_for_log("event=settings");
     backend.send(ok("t1", "fine"));
     assert_eq!(client.receive().body, b"fine");
-    // The retry budget is empty from now on.
+    // With the new settings the retry budget is empty.
     client.send(get("/safe/", "t2"));
     backend.receive();
     backend.close();
     assert_eq!(client.receive().status(), 502);
-    assert!(backends.is_untouched());
+    assert!(backends.has_no_pending_connection());
 }
 
 #[test]
 fn at_sigterm_it_finishes_requests_accepts_late_ones_and_exits() {
-    let (mut gateway, _control, backends) = serving(1);
+    let (mut gateway, _control, backends) = start_ready_gateway(1);
     let mut first = gateway.connect();
     first.send(get("/once/", "t1"));
-    let mut held = backends.accept();
-    held.receive();
+    let mut first_backend = backends.accept();
+    first_backend.receive();
     gateway.signal(Signal::TERM);
     gateway.wait_for_log("event=leaving");
     assert_eq!(gateway.readiness(), 503);
     let mut late = gateway.connect();
     late.send(get("/once/", "t2"));
-    let mut backend = backends.accept();
-    backend.receive();
-    backend.send(ok("t2", "late"));
+    let mut late_backend = backends.accept();
+    late_backend.receive();
+    late_backend.send(ok("t2", "late"));
     for (client, id) in [(&mut late, "late"), (&mut first, "first")] {
         if id == "first" {
-            held.send(ok("t1", id));
+            first_backend.send(ok("t1", id));
         }
-        let answer = client.receive();
-        assert_eq!((answer.status(), answer.field("Connection")), (200, Some("close")));
-        assert!(answer.body == id.as_bytes() && client.is_closed());
+        let response = client.receive();
+        assert_eq!((response.status(), response.field("Connection")), (200, Some("close")));
+        assert!(response.body == id.as_bytes() && client.closes_without_data());
     }
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
