--- a/crates/data-plane/src/request.rs
+++ b/crates/data-plane/src/request.rs
@@ -26,7 +26,7 @@
     pub route: Arc<Route>,
     /// The service that receives all attempts, chosen among those of the route.
     pub service: Arc<str>,
-    /// The tenant whose quota applies. `None` if the route needs no API key.
+    /// The tenant whose quota applies. `None` if no API key is required.
     pub tenant: Option<Arc<Tenant>>,
     /// The routing table that was active when the request arrived. It applies until the request is finished.
     pub routing_table: Arc<RoutingTable>,
--- a/crates/data-plane/tests/sockets/faults.rs
+++ b/crates/data-plane/tests/sockets/faults.rs
@@ -42,9 +42,9 @@
 
 /// A request is retried if none of its bytes were sent before the connection failed, but not if the backend has read it.
 #[rstest]
-#[case::with_the_request("502")]
-#[case::reset_as_it_is_taken("reset")]
-#[case::ended_as_it_is_taken("ended")]
+#[case::reset_after_the_request("502")]
+#[case::reset_before_reuse("reset")]
+#[case::closed_before_reuse("ended")]
 fn a_reused_connection_that_fails(#[case] how: &str) {
     let (gateway, _control, backends) = start_ready_gateway(1);
     let mut client = gateway.connect();
