--- a/crates/gateway-config/src/lib.rs
+++ b/crates/gateway-config/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! The names of the fields are the settings' own; they stay at this border.
 
-use kitepass_gateway_policy::{GatewayConfig, Group, Idempotency, Plan, SlowStart, Workload};
+use kitepass_gateway_policy::{GatewayConfig, Idempotency, Plan, Scope, SlowStart, Workload};
 use kitepass_time::Duration;
 use serde_json::Value;
 use std::fmt;
@@ -111,16 +111,16 @@
 
 /// Reads an entry of `Classes`.
 fn workload(entry: &Section) -> Result<Workload, SettingsError> {
-    let group = match entry.text("Group", "all")? {
-        "zone" => Group::Zone,
-        "cell" => Group::Cell,
-        _ => Group::All,
+    let scope = match entry.text("Group", "all")? {
+        "zone" => Scope::Zone,
+        "cell" => Scope::Cell,
+        _ => Scope::All,
     };
     Ok(Workload {
         name: entry.text("Name", "")?.to_owned(),
         idempotency: match entry.text("Effect", "fragile")? {
             "retryable" => Idempotency::Idempotent,
-            "dedup" => Idempotency::Deduplicated { group, memory: entry.duration("Window", 0.0)? },
+            "dedup" => Idempotency::Deduplicated { scope, window: entry.duration("Window", 0.0)? },
             _ => Idempotency::NonIdempotent,
         },
         latency_target: entry.duration("Objective", 1.0)?,
--- a/crates/gateway-config/tests/golden.rs
+++ b/crates/gateway-config/tests/golden.rs
@@ -2,7 +2,7 @@
 //! the settings themselves have, beside the text in `golden/`.
 
 use kitepass_gateway_config::{from_text, ConnectionSettings};
-use kitepass_gateway_policy::{GatewayConfig, Group, Idempotency, Plan, Workload};
+use kitepass_gateway_policy::{GatewayConfig, Idempotency, Plan, Scope, Workload};
 use kitepass_time::Duration;
 use std::fmt::Write;
 use std::path::Path;
@@ -86,13 +86,13 @@
     match workload.idempotency {
         Idempotency::Idempotent => "retryable".to_owned(),
         Idempotency::NonIdempotent => "fragile".to_owned(),
-        Idempotency::Deduplicated { group, memory } => {
-            let group = match group {
-                Group::All => "all",
-                Group::Zone => "zone",
-                Group::Cell => "cell",
+        Idempotency::Deduplicated { scope, window } => {
+            let scope = match scope {
+                Scope::All => "all",
+                Scope::Zone => "zone",
+                Scope::Cell => "cell",
             };
-            format!("dedup Group={group} Window={}", micros(memory))
+            format!("dedup Group={scope} Window={}", micros(window))
         }
     }
 }
--- a/crates/gateway-policy/src/interface.rs
+++ b/crates/gateway-policy/src/interface.rs
@@ -1,5 +1,5 @@
-//! The border between a gateway's decisions and its host: the configuration and events that the host passes in, and
-//! the [`Host`] trait, through which the gateway acts.
+//! The interface between a gateway and its host: the configuration and events that the host passes in, and the [`Host`]
+//! trait through which the gateway acts.
 
 use kitepass_time::{Duration, Timestamp};
 use std::rc::Rc;
@@ -7,30 +7,30 @@
 /// Configuration of a gateway, fixed for its lifetime.
 #[derive(Clone, Debug, Default)]
 pub struct GatewayConfig {
-    /// How many gateways serve the same tenants, this one included; at least 1.
+    /// Number of gateways that serve the same tenants, including this one; at least 1.
     pub gateways: u32,
-    /// This gateway's index among them, from 0.
+    /// This gateway's index among them, starting at 0.
     pub gateway_index: u32,
-    /// The kinds of requests, in the order of the settings.
+    /// The classes of requests, in the order of the settings.
     pub workloads: Vec<Workload>,
-    /// The quotas that tenants may have, in the order of the settings.
+    /// The plans that tenants may have, in the order of the settings.
     pub plans: Vec<Rc<Plan>>,
-    /// How long a call to the counter service may take; none where there is no counter service.
+    /// Timeout of a call to the counter service; `None` without a counter service.
     pub counter_timeout: Option<Duration>,
     /// Units of the largest request; at least 1.
     pub max_units: f64,
-    /// How many attempts a request may have, the first included; at least 1.
+    /// Maximum number of attempts per request, including the first; at least 1.
     pub max_attempts: u32,
-    /// How many messages from peers a gateway can take in per second; 0 where peers cannot be reached.
+    /// Maximum number of peer messages that a gateway can receive per second; 0 if peers cannot be reached.
     pub max_peer_messages: f64,
-    /// The longest retry delay that clients respect; none if rejections advise no delay.
+    /// The longest retry delay that clients respect; `None` if rejections suggest no delay.
     pub max_retry_after: Option<Duration>,
-    /// How backends warm up after their start.
+    /// How backends gain capacity after they start.
     pub slow_start: SlowStart,
 }
 
 impl SlowStart {
-    /// The share of its full capacity that a backend which started then has by now at least, from 0 to 1; 1 for a
+    /// Lower bound of a backend's current fraction of its full capacity, from 0 to 1, given when it started; 1 for a
     /// backend without a recent start.
     pub fn capacity(&self, started: Option<Timestamp>, now: Timestamp) -> f64 {
         let Some(started) = started else { return 1.0 };
@@ -39,87 +39,87 @@
     }
 }
 
-/// How a backend warms up after its start, and what overloads it meanwhile.
+/// How a backend gains capacity after it starts, and which load is too high for it until then.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStart {
-    /// The share of its full capacity that a backend starts with at least, from 0 to 1.
+    /// Minimum fraction of its full capacity that a backend starts with, from 0 to 1.
     pub initial_capacity: f64,
-    /// Time from its start until a backend has its full capacity.
+    /// Time from its start until a backend reaches its full capacity.
     pub ramp: Duration,
-    /// A backend that is sent more than this multiple of its present capacity for `window` fails.
+    /// A backend fails if it is sent more than this multiple of its current capacity for the time `window`.
     pub multiple: f64,
     /// See `multiple`.
     pub window: Duration,
 }
 
-/// A kind of requests: what an answer is worth, and by when.
+/// A class of requests: the value of a response, and its latency target.
 #[derive(Clone, Debug)]
 pub struct Workload {
     /// Its name in requests and settings.
     pub name: String,
     /// Whether a request may be attempted again.
     pub idempotency: Idempotency,
-    /// Time from a request's arrival by which it should be answered.
+    /// Time from a request's arrival within which it should be answered.
     pub latency_target: Duration,
-    /// Share of the value that an answer after the latency target still has, from 0 to 1.
+    /// Fraction of `value` that a response after the latency target still has, from 0 to 1.
     pub late_value: f64,
-    /// Value of an answer within the latency target; a priority weight in an overload.
+    /// Value of a response within the latency target; the priority in an overload.
     pub value: f64,
 }
 
-/// What a second attempt of a request that may have run already would do.
+/// The effect of repeating a request that may already have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It is harmless at any backend.
+    /// Repeating it on any backend is harmless.
     Idempotent,
-    /// The backends of one group recognise the repetition and drop it.
+    /// Backends in the same scope recognise the repetition and drop it.
     Deduplicated {
-        /// Which backends remember one another's requests.
-        group: Group,
-        /// How long they remember a request, from its first attempt.
-        memory: Duration,
+        /// The backends that recognise each other's requests.
+        scope: Scope,
+        /// Time from its first attempt for which they remember a request.
+        window: Duration,
     },
-    /// It may do harm: the request is not attempted again.
+    /// Repeating it may do harm, so the request is not retried.
     NonIdempotent,
 }
 
 impl Idempotency {
-    /// Whether the backend `here` may have a request that may have run at the backend `ran`: it would drop the
-    /// repetition, or the kind of request doesn't depend on it.
-    pub fn dedups(self, ran: &BackendEntry, here: &BackendEntry) -> bool {
+    /// Whether `candidate` shares the deduplication scope of `first`, the backend where a request may have run; always
+    /// true without deduplication.
+    pub fn covers(self, first: &BackendEntry, candidate: &BackendEntry) -> bool {
         match self {
-            Idempotency::Deduplicated { group: Group::Zone, .. } => here.zone == ran.zone,
-            Idempotency::Deduplicated { group: Group::Cell, .. } => here.cell == ran.cell,
+            Idempotency::Deduplicated { scope: Scope::Zone, .. } => candidate.zone == first.zone,
+            Idempotency::Deduplicated { scope: Scope::Cell, .. } => candidate.cell == first.cell,
             _ => true,
         }
     }
 }
 
-/// Which backends remember one another's requests.
+/// Set of backends that recognise each other's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum Scope {
     /// All backends.
     All,
-    /// Those of one zone.
+    /// The backends of one zone.
     Zone,
-    /// Those of one cell.
+    /// The backends of one cell.
     Cell,
 }
 
-/// The quotas of the tenants that have this plan.
+/// The quotas of each tenant that has this plan.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
     /// Its name in requests and settings.
     pub name: String,
-    /// Units per second that refill a tenant's token bucket, over all gateways; 0 for no such quota.
+    /// Refill rate of a tenant's token bucket in units per second, over all gateways; 0 for no rate quota.
     pub rate: f64,
-    /// Units that the token bucket holds.
+    /// Capacity of the token bucket in units.
     pub burst: f64,
-    /// Attempts that a tenant may have in flight at once; 0 for no such quota.
+    /// Maximum number of concurrent attempts per tenant; 0 for no such limit.
     pub max_in_flight: u32,
-    /// Units per second of the hard limit, which is never exceeded; 0 for no hard limit.
+    /// Rate of the hard limit, which is never exceeded, in units per second; 0 for no hard limit.
     pub hard_rate: f64,
-    /// Units that the hard limit's bucket holds.
+    /// Capacity of the hard limit's bucket in units.
     pub hard_burst: f64,
 }
 
@@ -128,26 +128,26 @@
 pub struct BackendEntry {
     /// Its id.
     pub id: String,
-    /// The zone that it stands in.
+    /// The zone where it runs.
     pub zone: String,
     /// The cell that it belongs to.
     pub cell: i64,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub status: BackendStatus,
     /// Its capacity relative to other backends; above 0.
     pub weight: f64,
-    /// When it last started; none if that is unknown or long ago.
+    /// When it last started; `None` if that is unknown or long ago.
     pub started: Option<Timestamp>,
 }
 
-/// Whether a backend takes requests.
+/// Whether a backend accepts requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackendStatus {
-    /// It takes requests.
+    /// It accepts requests.
     Live,
-    /// It completes what it has and takes no new requests.
+    /// It completes its requests and accepts no new ones.
     Draining,
-    /// It is gone; kept only until its attempts have ended.
+    /// It no longer exists; kept only until its attempts have ended.
     #[default]
     Removed,
 }
@@ -157,19 +157,19 @@
 pub struct IncomingRequest<'a> {
     /// Its id, unique among the requests in flight.
     pub id: &'a str,
-    /// The tenant whose quota it draws on.
+    /// The tenant whose quota it uses.
     pub tenant: &'a str,
     /// Name of its workload.
     pub workload: &'a str,
     /// Name of its tenant's plan.
     pub plan: &'a str,
-    /// When the client gives it up.
+    /// When the client stops waiting for it.
     pub deadline: Timestamp,
-    /// Units that it costs, possibly an estimate.
+    /// Its cost in units, possibly an estimate.
     pub units: f64,
-    /// Through how many gateways this tenant's requests come; 0 if unknown, which counts as all.
+    /// Number of gateways that receive this tenant's requests; 0 if unknown, which means all.
     pub gateways: u32,
-    /// Index of the first of these gateways; the others follow it, modulo the number of all gateways.
+    /// Index of the first of these gateways; the others follow it, modulo the total number of gateways.
     pub first_gateway: u32,
 }
 
@@ -178,19 +178,19 @@
 pub enum AttemptOutcome {
     /// The backend answered the request.
     Completed,
-    /// The backend answered with an error of its own.
+    /// The backend answered with a server error.
     Failed,
-    /// The backend refused the request without running it.
+    /// The backend rejected the request without running it.
     Rejected,
-    /// No answer came in the time allowed.
+    /// No response arrived before the timeout.
     TimedOut,
-    /// No connection was made.
+    /// No connection could be established.
     Unreachable,
-    /// The connection was lost before the answer was complete.
+    /// The connection was lost before the response was complete.
     ConnectionLost,
-    /// The attempt was abandoned for a reason that says nothing of the backend.
+    /// The attempt was cancelled for a reason unrelated to the backend.
     Cancelled,
-    /// The attempt was never put on a connection.
+    /// The attempt was never written to a connection.
     NotSent,
 }
 
@@ -204,96 +204,96 @@
 /// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd<'a> {
-    /// The request that it was an attempt of.
+    /// Id of the request.
     pub request_id: &'a str,
-    /// Id of the backend that it went to.
+    /// Id of the backend.
     pub backend: &'a str,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// Whether the client has its final answer already.
+    /// Whether the client already has its final response.
     pub is_final: bool,
     /// Time since the attempt was sent.
     pub elapsed: Duration,
-    /// The units that the request really cost, where its answer says so.
+    /// The request's actual cost in units, if the response reports it.
     pub actual_units: Option<f64>,
 }
 
-/// Usage of one tenant, in its quota's units.
+/// Usage by one tenant, in units of its quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Units {
-    /// Units of all requests that arrived, rejected ones included.
+pub struct Usage {
+    /// Units of all requests that arrived, including rejected ones.
     pub offered: f64,
-    /// Units of these that were taken out of the token bucket.
+    /// Units that were taken from the token bucket.
     pub forwarded: f64,
 }
 
-impl Units {
-    /// Both amounts in one number, as the counter service adds up a single one: `offered` times `factor`, plus
-    /// `forwarded`. The factor has to exceed all units that can be forwarded.
+impl Usage {
+    /// Encodes both amounts as one number, as the counter service stores a single sum: `offered` times `factor`, plus
+    /// `forwarded`. The factor must exceed the units that can be forwarded.
     pub fn packed(self, factor: f64) -> f64 {
         self.offered * factor + self.forwarded
     }
 
-    /// The reverse of `packed`, for a number or a sum of such numbers.
-    pub fn unpacked(number: f64, factor: f64) -> Units {
-        let offered = (number / factor).round();
-        Units { offered, forwarded: number - offered * factor }
+    /// Decodes a number from `packed`, or a sum of such numbers.
+    pub fn unpacked(packed: f64, factor: f64) -> Usage {
+        let offered = (packed / factor).round();
+        Usage { offered, forwarded: packed - offered * factor }
     }
 
-    /// Adds both amounts.
-    pub fn add(&mut self, more: Units) {
-        self.offered += more.offered;
-        self.forwarded += more.forwarded;
+    /// Adds another usage to this one.
+    pub fn add(&mut self, other: Usage) {
+        self.offered += other.offered;
+        self.forwarded += other.forwarded;
     }
 }
 
-/// A tenant's usage at one gateway since its last update, as it tells its peers.
+/// A tenant's usage at one gateway since its last update, as sent to its peers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UsageUpdate {
     /// Hash of the tenant's id.
     pub tenant_hash: u32,
-    /// The usage.
-    pub units: Units,
+    /// The usage since the last update.
+    pub usage: Usage,
 }
 
-/// A request's claim on its tenant's quota.
+/// The quota that a request needs from its tenant.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QuotaRequest {
     /// The tenant's id.
     pub tenant: String,
     /// Index of the tenant's plan in [`GatewayConfig::plans`].
     pub plan: usize,
-    /// Through how many gateways the tenant's requests come; at least 1.
+    /// Number of gateways that receive the tenant's requests; at least 1.
     pub gateways: u32,
-    /// Units that the request costs.
+    /// Cost of the request in units.
     pub units: f64,
 }
 
-/// The result of a random draw against a tenant's drop ratio.
+/// The result of applying a tenant's drop ratio to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaDecision {
-    /// Whether the request is beyond the quota.
+    /// Whether the request exceeds the quota and is to be dropped.
     pub exceeds: bool,
-    /// The ratio that was drawn against, from 0 to 1.
+    /// The drop ratio that was applied, from 0 to 1.
     pub ratio: f64,
 }
 
-/// The result of a call to the counter service.
+/// The result of a call to the counter service, which adds an amount to a sum and reads its total.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reading {
-    /// The total after the call's amount was added.
+    /// The total including the call's amount.
     Known(f64),
-    /// The total of a call that was reported as `Unknown` before: the counter service answered after the time-out.
+    /// The total of a call that was reported as `Unknown` before: the answer arrived after the timeout.
     Late(f64),
-    /// No answer in time, or an unusable one: the amount may have been added.
+    /// No answer before the timeout, or an invalid one; the amount may have been added.
     Unknown,
-    /// The amount was surely not added.
+    /// The amount was certainly not added.
     NotAdded,
 }
 
 impl Reading {
-    /// The total, if there is one.
-    pub fn known(self) -> Option<f64> {
+    /// The total, if it is known.
+    pub fn total(self) -> Option<f64> {
         match self {
             Reading::Known(total) | Reading::Late(total) => Some(total),
             Reading::Unknown | Reading::NotAdded => None,
@@ -301,24 +301,25 @@
     }
 }
 
-/// Carries out a gateway's decisions, in the order of the calls.
+/// Carries out a gateway's actions, in the order of the calls.
 pub trait Host {
-    /// Sends a request to a backend; the attempt times out after `allow`. [`Gateway::attempt_ended`](crate::Gateway::attempt_ended) reports its end.
-    fn send_attempt(&mut self, request_id: &str, backend: &str, allow: Duration);
-    /// Answers a request with a rejection, with the advice to retry after `retry_in` if there is one.
-    fn reject(&mut self, request_id: &str, retry_in: Option<Duration>);
-    /// Answers a request with an error: it may have run, and a retry could do harm.
+    /// Sends a request to a backend; the attempt ends after `timeout` at the latest. The host reports the end through
+    /// [`Gateway::attempt_ended`](crate::Gateway::attempt_ended).
+    fn send_attempt(&mut self, request_id: &str, backend: &str, timeout: Duration);
+    /// Rejects a request, with a suggested retry delay if there is one.
+    fn reject(&mut self, request_id: &str, retry_after: Option<Duration>);
+    /// Answers a request with an error: it may have run, and a retry might do harm.
     fn fail(&mut self, request_id: &str);
-    /// Adds an amount to the named sum on the counter service, which keeps the sum for `keep_for`.
-    /// [`Gateway::counter_answered`](crate::Gateway::counter_answered) reports the result.
-    fn add_to_counter(&mut self, name: &str, amount: f64, keep_for: Duration);
-    /// Sends usage updates to every peer and returns the number of messages that they took for each; messages may
-    /// be late or lost.
+    /// Adds an amount to the named sum on the counter service, which keeps the sum for `ttl`. The host reports the
+    /// result through [`Gateway::counter_answered`](crate::Gateway::counter_answered).
+    fn add_to_counter(&mut self, name: &str, amount: f64, ttl: Duration);
+    /// Sends usage updates to every peer, and returns the number of messages per peer. Messages may be delayed or lost.
     fn broadcast_usage(&mut self, updates: &[UsageUpdate]) -> usize;
-    /// Asks one peer, a tenant's controller, for a decision; the message may be late or lost.
+    /// Asks a peer, a tenant's controller, for a decision; the message may be delayed or lost.
     fn ask_peer(&mut self, peer: u32, question_id: u16, quota: &QuotaRequest);
-    /// Answers a peer's question; the message may be late or lost.
+    /// Answers a peer's question; the message may be delayed or lost.
     fn answer_peer(&mut self, peer: u32, question_id: u16, decision: QuotaDecision);
-    /// Has [`Gateway::timer_fired`](crate::Gateway::timer_fired) called with this token after a time.
-    fn set_timer(&mut self, token: &str, after: Duration);
+    /// Sets a timer: the host calls [`Gateway::timer_fired`](crate::Gateway::timer_fired) with this token after the
+    /// delay.
+    fn set_timer(&mut self, token: &str, delay: Duration);
 }
--- a/crates/gateway-policy/src/lib.rs
+++ b/crates/gateway-policy/src/lib.rs
@@ -1,19 +1,20 @@
-//! Decisions of the in-service gateway: quotas of a shared API, kept by gateways that share only a counter service.
+//! Decision logic of the in-service gateway: enforces a shared API's quotas across gateways that share only a counter
+//! service.
 //!
-//! A host opens one [`Gateway`] per instance and reports events to it in order, each with the host's clock; the
-//! gateway answers through the [`Host`] trait. Nothing here reads a clock, a socket or a global random source, so
-//! a run repeats exactly for the same seed and events.
+//! A host opens one [`Gateway`] per instance and passes it events in order, each with the host's current time; the
+//! gateway acts through the [`Host`] trait. Nothing here reads a clock, a socket or a global random number generator,
+//! so the same seed and events always produce the same actions.
 //!
-//! "The article" in comments is "Distributed Rate Limiting at Scale: The Probabilistic Drop Architecture";
-//! `docs/design.md` says which parts are the article's mechanism and which depart from it.
+//! "The article" in comments refers to "Distributed Rate Limiting at Scale: The Probabilistic Drop Architecture";
+//! `docs/design.md` lists which parts follow the article and which differ from it.
 //!
-//! - `dispatch`: the life of a request, from its arrival to its final answer;
+//! - `dispatch`: the request lifecycle, from arrival to the final response;
 //! - `quota`: a tenant's token bucket, demand, hard limit and drop ratio;
-//! - `count`: the usage that gateways add up on the counter service;
+//! - `count`: the gateways' shared usage sums on the counter service;
 //! - `peer_exchange`: usage updates and questions between gateways;
-//! - `overload`: load shedding for the whole set of backends;
-//! - `backend_selection`: the choice of a backend and what is learnt from each attempt;
-//! - `interface`, `state`, `counters`, `latency`: the types that these work on; they decide nothing.
+//! - `overload`: load shedding across all backends;
+//! - `backend_selection`: selection of a backend, and statistics from the outcome of each attempt;
+//! - `interface`, `state`, `counters`, `latency`: data types without decisions.
 
 mod backend_selection;
 mod count;
@@ -28,7 +29,8 @@
 
 pub use dispatch::Gateway;
 pub use interface::{
-    AttemptEnd, AttemptOutcome, BackendEntry, BackendStatus, GatewayConfig, Group, Host, Idempotency,
-    IncomingRequest, Plan, QuotaDecision, QuotaRequest, Reading, SlowStart, Units, UsageUpdate, Workload,
+    AttemptEnd, AttemptOutcome, BackendEntry, BackendStatus, GatewayConfig, Host, Idempotency,
+    IncomingRequest, Plan, QuotaDecision, QuotaRequest, Reading, Scope, SlowStart, Usage, UsageUpdate,
+    Workload,
 };
 pub use quota::excess;
--- a/crates/gateway-policy/tests/scenarios.rs
+++ b/crates/gateway-policy/tests/scenarios.rs
@@ -20,8 +20,8 @@
 //!     > kept COMMANDS CUSTOMERS BACKENDS WAITING    by the gateway, so many of each
 
 use kitepass_gateway_policy::{
-    AttemptEnd, AttemptOutcome, BackendEntry, BackendStatus, Gateway, GatewayConfig, Group, Host,
-    Idempotency, IncomingRequest, Plan, QuotaDecision, QuotaRequest, Reading, SlowStart, Units, UsageUpdate,
+    AttemptEnd, AttemptOutcome, BackendEntry, BackendStatus, Gateway, GatewayConfig, Host, Idempotency,
+    IncomingRequest, Plan, QuotaDecision, QuotaRequest, Reading, Scope, SlowStart, Usage, UsageUpdate,
     Workload,
 };
 use kitepass_time::{Duration, Timestamp};
@@ -66,8 +66,8 @@
     }
 
     fn broadcast_usage(&mut self, updates: &[UsageUpdate]) -> usize {
-        self.log.extend(updates.iter().map(|item| format!("told {}", item.units.forwarded)));
-        self.last_tenant_hash = updates.last().map_or(self.last_tenant_hash, |item| item.tenant_hash);
+        self.log.extend(updates.iter().map(|update| format!("told {}", update.usage.forwarded)));
+        self.last_tenant_hash = updates.last().map_or(self.last_tenant_hash, |update| update.tenant_hash);
         1
     }
 
@@ -138,13 +138,13 @@
         let name = w.get("name").unwrap_or(&default).to_string();
         match what {
             "workload" => {
-                let group = match w.get("group") {
-                    Some(&"zone") => Group::Zone,
-                    Some(&"cell") => Group::Cell,
-                    _ => Group::All,
+                let scope = match w.get("group") {
+                    Some(&"zone") => Scope::Zone,
+                    Some(&"cell") => Scope::Cell,
+                    _ => Scope::All,
                 };
                 let idempotency = match w.get("repeats") {
-                    Some(&"tagged") => Idempotency::Deduplicated { group, memory: secs("memory", 5.0) },
+                    Some(&"tagged") => Idempotency::Deduplicated { scope, window: secs("memory", 5.0) },
                     Some(&"once-only") => Idempotency::NonIdempotent,
                     _ => Idempotency::Idempotent,
                 };
@@ -354,9 +354,9 @@
             }
             ("answer", Some(how)) => self.answer(how, &w),
             ("told", Some(units)) => {
-                let units = Units { offered: number(units), forwarded: number(units) };
+                let usage = Usage { offered: number(units), forwarded: number(units) };
                 let (gateway, host, now) = self.gateway();
-                gateway.usage_received(now, &[UsageUpdate { tenant_hash: host.last_tenant_hash, units }]);
+                gateway.usage_received(now, &[UsageUpdate { tenant_hash: host.last_tenant_hash, usage }]);
             }
             ("asked", Some(times)) => {
                 let quota = QuotaRequest { tenant: "k".into(), plan: 0, gateways: 200, units: 1.0 };
--- a/crates/simulator-host/src/message.rs
+++ b/crates/simulator-host/src/message.rs
@@ -2,7 +2,7 @@
 //! A message is bytes in base64; the first byte says its kind, and numbers are little-endian.
 
 use base64::prelude::{Engine as _, BASE64_STANDARD as BASE64};
-use kitepass_gateway_policy::{QuotaDecision, QuotaRequest, Units, UsageUpdate};
+use kitepass_gateway_policy::{QuotaDecision, QuotaRequest, Usage, UsageUpdate};
 
 /// How many bytes a message holds, a limit of the wire.
 const MAX_MESSAGE_BYTES: usize = 256;
@@ -74,7 +74,7 @@
     for item in updates {
         let [a, b, c, d] = item.tenant_hash.to_le_bytes();
         let [offered, forwarded] =
-            [item.units.offered, item.units.forwarded].map(|units| units.round() as u8);
+            [item.usage.offered, item.usage.forwarded].map(|units| units.round() as u8);
         let mut next = vec![a, b, c, d, offered, forwarded];
         if bytes.len() + next.len() > MAX_MESSAGE_BYTES {
             messages.push(BASE64.encode(&bytes));
@@ -95,7 +95,7 @@
         [USAGE_UPDATE, ref rest @ ..] => {
             let item = |bytes: &[u8]| UsageUpdate {
                 tenant_hash: u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]),
-                units: Units { offered: bytes[4].into(), forwarded: bytes[5].into() },
+                usage: Usage { offered: bytes[4].into(), forwarded: bytes[5].into() },
             };
             Message::UsageUpdate(rest.chunks_exact(6).map(item).collect())
         }
@@ -154,7 +154,7 @@
     fn messages_decode_to_what_was_encoded_within_the_size_limit() {
         let item = |n: u32| UsageUpdate {
             tenant_hash: n.wrapping_mul(0x9e37_79b9),
-            units: Units { offered: n.into(), forwarded: 2.0 },
+            usage: Usage { offered: n.into(), forwarded: 2.0 },
         };
         let updates: Vec<_> = (0..61).map(item).collect();
         let messages = encode_updates(&updates);
--- a/crates/simulator-host/src/reply.rs
+++ b/crates/simulator-host/src/reply.rs
@@ -54,13 +54,13 @@
 }
 
 impl Host for Reply {
-    fn send_attempt(&mut self, request_id: &str, backend: &str, allow: Duration) {
-        let allow = Seconds(allow);
-        self.line("CALL_OUT", format_args!(" Id={request_id} AllowFor={allow} Backend={backend}"));
+    fn send_attempt(&mut self, request_id: &str, backend: &str, timeout: Duration) {
+        let timeout = Seconds(timeout);
+        self.line("CALL_OUT", format_args!(" Id={request_id} AllowFor={timeout} Backend={backend}"));
     }
 
-    fn reject(&mut self, request_id: &str, retry_in: Option<Duration>) {
-        match retry_in {
+    fn reject(&mut self, request_id: &str, retry_after: Option<Duration>) {
+        match retry_after {
             Some(delay) => self.line("BUSY", format_args!(" Id={request_id} RetryIn={}", Seconds(delay))),
             None => self.line("BUSY", format_args!(" Id={request_id}")),
         }
@@ -70,9 +70,9 @@
         self.line("RESPOND_ERROR", format_args!(" Id={request_id}"));
     }
 
-    fn add_to_counter(&mut self, name: &str, amount: f64, keep_for: Duration) {
-        let keep_for = Seconds(keep_for);
-        self.line("POST_AMOUNT", format_args!(" Lives={keep_for} Delta={amount} TallyId={name}"));
+    fn add_to_counter(&mut self, name: &str, amount: f64, ttl: Duration) {
+        let ttl = Seconds(ttl);
+        self.line("POST_AMOUNT", format_args!(" Lives={ttl} Delta={amount} TallyId={name}"));
     }
 
     fn broadcast_usage(&mut self, updates: &[UsageUpdate]) -> usize {
