--- a/crates/gateway-config/src/lib.rs
+++ b/crates/gateway-config/src/lib.rs
@@ -1,7 +1,8 @@
-//! The in-service gateway's settings: a JSON object with fields for the policy ([`GatewayConfig`]) and for connections
-//! ([`ConnectionSettings`]). Unknown fields are ignored, and absent ones have defaults. Times are decimal seconds.
+//! Parses the in-service gateway's settings: a JSON object with fields for the policy ([`GatewayConfig`]) and for
+//! connections ([`ConnectionSettings`]). Unknown fields are ignored, absent ones have defaults, and times are decimal
+//! seconds.
 //!
-//! The names of the fields are the settings' own; they stay at this border.
+//! The settings format defines the field names. Only this crate translates them to the gateway's own terms.
 
 use kitepass_gateway_policy::{GatewayConfig, Idempotency, Plan, Scope, SlowStart, Workload};
 use kitepass_time::Duration;
@@ -9,21 +10,21 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// Why settings cannot be used.
+/// The reason why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
     /// The text is not JSON.
     NotJson {
-        /// What the object is called where it came from.
+        /// Name of the settings object at its source.
         field: String,
-        /// What the JSON parser reports.
+        /// The JSON parser's error.
         reason: String,
     },
-    /// A field holds a value of another type or out of range.
+    /// A field has a value of the wrong type or out of range.
     Unexpected {
         /// Path of the field.
         field: String,
-        /// What should stand there.
+        /// The expected kind of value.
         expected: &'static str,
     },
 }
@@ -45,18 +46,18 @@
     }
 }
 
-/// Settings of connections and the time limits around them.
+/// Settings for connections and their timeouts.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionSettings {
-    /// Time-out for making a connection.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// Backends close a connection that has been idle for this long.
+    /// Idle time after which backends close a connection.
     pub idle_timeout: Duration,
-    /// Time past a client's deadline in which a final answer still counts.
+    /// Time after a client's deadline during which a final response is still accepted.
     pub deadline_grace: Duration,
 }
 
-/// Reads the settings object from its text. `field` is what it is called where it came from; errors name it.
+/// Parses the settings object from JSON text. `field` is its name at the source, for error messages.
 ///
 /// # Errors
 ///
@@ -67,11 +68,11 @@
     from_value(field, &all)
 }
 
-/// Reads the settings object where it is part of a larger JSON text. `field` is its name there; errors name it.
+/// Parses the settings object from a value within a larger JSON text. `field` is its name there, for error messages.
 ///
 /// # Errors
 ///
-/// If it is no object, or a field has the wrong type or is out of range.
+/// If the value is not an object, or a field has the wrong type or is out of range.
 pub fn from_value(field: &str, all: &Value) -> Result<(GatewayConfig, ConnectionSettings), SettingsError> {
     if !all.is_object() {
         return Err(SettingsError::Unexpected { field: field.to_owned(), expected: "a JSON object" });
@@ -79,9 +80,9 @@
     let section = |value, name: &str| Section { path: format!("{field}{name}"), value };
     let top = section(all, "");
     let caps = section(&all["Caps"], ".Caps");
-    let family = section(&all["FamilyInfo"], ".FamilyInfo");
+    let family_info = section(&all["FamilyInfo"], ".FamilyInfo");
     let safety = section(&all["Safety"], ".Safety");
-    let has_counter = family.flag("SharedCounter")?;
+    let has_counter = family_info.flag("SharedCounter")?;
     let advises_retries = caps.flag("RetryAfter")?;
     let has_peers = caps.flag("PeerMessages")?;
     let config = GatewayConfig {
@@ -89,10 +90,10 @@
         gateway_index: top.number("Me", 0.0)? as u32,
         workloads: top.entries("Classes")?.iter().map(workload).collect::<Result<_, _>>()?,
         plans: top.entries("Plans")?.iter().map(|p| plan(p).map(Rc::new)).collect::<Result<_, _>>()?,
-        counter_timeout: has_counter.then(|| family.duration("CounterTimeout", 0.05)).transpose()?,
-        max_units: family.number("MaxUnits", 1.0)?.max(1.0),
+        counter_timeout: has_counter.then(|| family_info.duration("CounterTimeout", 0.05)).transpose()?,
+        max_units: family_info.number("MaxUnits", 1.0)?.max(1.0),
         max_attempts: caps.number("TryLimit", 1.0)?.max(1.0) as u32,
-        max_peer_messages: if has_peers { family.number("MailPerS", 0.0)? } else { 0.0 },
+        max_peer_messages: if has_peers { family_info.number("MailPerS", 0.0)? } else { 0.0 },
         max_retry_after: advises_retries.then(|| caps.duration("MaxRetryAfter", 1.0)).transpose()?,
         slow_start: SlowStart {
             initial_capacity: safety.number("ColdFrom", 1.0)?,
@@ -109,7 +110,7 @@
     Ok((config, connection_settings))
 }
 
-/// Reads an entry of `Classes`.
+/// Parses an entry of `Classes`.
 fn workload(entry: &Section) -> Result<Workload, SettingsError> {
     let scope = match entry.text("Group", "all")? {
         "zone" => Scope::Zone,
@@ -129,7 +130,7 @@
     })
 }
 
-/// Reads an entry of `Plans`.
+/// Parses an entry of `Plans`.
 fn plan(entry: &Section) -> Result<Plan, SettingsError> {
     Ok(Plan {
         name: entry.text("Name", "")?.to_owned(),
@@ -141,56 +142,56 @@
     })
 }
 
-/// An object within the settings, with its path for errors.
+/// An object within the settings, with its path for error messages.
 struct Section<'a> {
     path: String,
     value: &'a Value,
 }
 
 impl<'a> Section<'a> {
-    /// The elements of an array; none if it is absent.
+    /// Returns the elements of an array, or none if the field is absent.
     fn entries(&self, key: &str) -> Result<Vec<Section<'a>>, SettingsError> {
-        let entry = |(n, value)| Section { path: format!("{}.{key}[{n}]", self.path), value };
+        let section = |(n, value)| Section { path: format!("{}.{key}[{n}]", self.path), value };
         match &self.value[key] {
             Value::Null => Ok(Vec::new()),
-            Value::Array(entries) => Ok(entries.iter().enumerate().map(entry).collect()),
+            Value::Array(entries) => Ok(entries.iter().enumerate().map(section).collect()),
             _ => Err(self.unexpected(key, "an array")),
         }
     }
 
-    /// A number from 0 to below 1e9.
+    /// Returns a number from 0 to below 1e9, or `default` if the field is absent.
     fn number(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
         match &self.value[key] {
             Value::Null => Ok(default),
-            found => {
-                let number = found.as_f64().filter(|number| (0.0..1e9).contains(number));
+            value => {
+                let number = value.as_f64().filter(|number| (0.0..1e9).contains(number));
                 number.ok_or_else(|| self.unexpected(key, "a number from 0 to below 1e9"))
             }
         }
     }
 
-    /// A time in seconds, rounded to microseconds.
+    /// Returns a duration, given in seconds and rounded to microseconds; `default` seconds if the field is absent.
     fn duration(&self, key: &str, default: f64) -> Result<Duration, SettingsError> {
         self.number(key, default).map(|seconds| Duration::from_micros((seconds * 1e6).round() as i64))
     }
 
-    /// True or false; false if it is absent.
+    /// Returns a flag, or false if the field is absent.
     fn flag(&self, key: &str) -> Result<bool, SettingsError> {
         match &self.value[key] {
             Value::Null => Ok(false),
-            found => found.as_bool().ok_or_else(|| self.unexpected(key, "true or false")),
+            value => value.as_bool().ok_or_else(|| self.unexpected(key, "true or false")),
         }
     }
 
-    /// A text.
+    /// Returns a string, or `default` if the field is absent.
     fn text(&self, key: &str, default: &'static str) -> Result<&'a str, SettingsError> {
         match &self.value[key] {
             Value::Null => Ok(default),
-            found => found.as_str().ok_or_else(|| self.unexpected(key, "text")),
+            value => value.as_str().ok_or_else(|| self.unexpected(key, "text")),
         }
     }
 
-    /// The error for a field of this section.
+    /// Creates the error for an invalid field of this section.
     fn unexpected(&self, key: &str, expected: &'static str) -> SettingsError {
         SettingsError::Unexpected { field: format!("{}.{key}", self.path), expected }
     }
@@ -201,7 +202,7 @@
     use super::*;
 
     #[test]
-    fn errors_name_field_and_expectation() {
+    fn errors_name_the_field_and_the_expected_value() {
         let read = |text| from_text("Options", text);
         for (text, expected) in [
             ("[1]", "Options: expected a JSON object"),
--- a/crates/gateway-config/tests/golden.rs
+++ b/crates/gateway-config/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What is read of a gateway's settings, and what is said of bad ones, stays as it is: in plain text, under the names that
-//! the settings themselves have, beside the text in `golden/`.
+//! Golden test: the parsed settings, printed as text under the names of the settings format, and the error messages for
+//! invalid settings must match `golden/settings.txt` byte for byte.
 
 use kitepass_gateway_config::{from_text, ConnectionSettings};
 use kitepass_gateway_policy::{GatewayConfig, Idempotency, Plan, Scope, Workload};
@@ -7,7 +7,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// Settings that hold every field, and some that are not known.
+/// Settings with every known field and some unknown ones.
 const FULL: &str = include_str!("golden/full.json");
 
 const SETTINGS: &[(&str, &str)] = &[
@@ -31,7 +31,7 @@
     ("messages without a number", r#"{"Caps":{"PeerMessages":true}}"#),
     ("parts of another kind", r#"{"Caps":7,"FamilyInfo":"text","Safety":[1]}"#),
     ("a name twice", r#"{"Me":1,"Me":2,"ReplicasOfMe":3}"#),
-    // What cannot be taken.
+    // Invalid settings.
     ("empty text", ""),
     ("no JSON", "{"),
     ("more than one value", "{} {}"),
@@ -74,15 +74,15 @@
     ("a multiple of overload", r#"{"Safety":{"FallMultiple":"3"}}"#),
 ];
 
-fn micros(span: Duration) -> String {
-    format!("{} us", span.as_micros())
+fn format_micros(duration: Duration) -> String {
+    format!("{} us", duration.as_micros())
 }
 
-fn or_none<T>(value: Option<T>, text: impl Fn(T) -> String) -> String {
+fn format_option<T>(value: Option<T>, text: impl Fn(T) -> String) -> String {
     value.map_or("none".to_owned(), text)
 }
 
-fn effect_of(workload: &Workload) -> String {
+fn format_idempotency(workload: &Workload) -> String {
     match workload.idempotency {
         Idempotency::Idempotent => "retryable".to_owned(),
         Idempotency::NonIdempotent => "fragile".to_owned(),
@@ -92,62 +92,66 @@
                 Scope::Zone => "zone",
                 Scope::Cell => "cell",
             };
-            format!("dedup Group={scope} Window={}", micros(window))
+            format!("dedup Group={scope} Window={}", format_micros(window))
         }
     }
 }
 
-fn class_line(workload: &Workload) -> String {
+fn format_workload(workload: &Workload) -> String {
     format!(
         "Name={:?} Effect={} Objective={} LateWorth={} Gain={}",
         workload.name,
-        effect_of(workload),
-        micros(workload.latency_target),
+        format_idempotency(workload),
+        format_micros(workload.latency_target),
         workload.late_value,
         workload.value
     )
 }
 
-fn plan_line(plan: &Plan) -> String {
+fn format_plan(plan: &Plan) -> String {
     format!(
         "Name={:?} Refill={} StoreSize={} Open={} CeilingRate={} NeverOverDepth={}",
         plan.name, plan.rate, plan.burst, plan.max_in_flight, plan.hard_rate, plan.hard_burst
     )
 }
 
-fn describe(charter: &GatewayConfig, connection_settings: &ConnectionSettings) -> String {
-    let cold = &charter.slow_start;
+fn format_settings(config: &GatewayConfig, connection_settings: &ConnectionSettings) -> String {
+    let slow_start = &config.slow_start;
     let mut lines = vec![
-        format!("ReplicasOfMe={} Me={}", charter.gateways, charter.gateway_index),
-        format!("TryLimit={}", charter.max_attempts),
-        format!("MaxRetryAfter={}", or_none(charter.max_retry_after, micros)),
-        format!("ConnectTimeout={}", micros(connection_settings.connect_timeout)),
-        format!("ConnIdle={}", micros(connection_settings.idle_timeout)),
-        format!("CounterTimeout={}", or_none(charter.counter_timeout, micros)),
-        format!("MaxUnits={}", charter.max_units),
-        format!("MailPerS={}", charter.max_peer_messages),
-        format!("AnswerSlack={}", micros(connection_settings.deadline_grace)),
-        format!("ColdFrom={} WarmWithin={}", cold.initial_capacity, micros(cold.ramp)),
-        format!("Fall={} FallMultiple={}", micros(cold.window), cold.multiple),
+        format!("ReplicasOfMe={} Me={}", config.gateways, config.gateway_index),
+        format!("TryLimit={}", config.max_attempts),
+        format!("MaxRetryAfter={}", format_option(config.max_retry_after, format_micros)),
+        format!("ConnectTimeout={}", format_micros(connection_settings.connect_timeout)),
+        format!("ConnIdle={}", format_micros(connection_settings.idle_timeout)),
+        format!("CounterTimeout={}", format_option(config.counter_timeout, format_micros)),
+        format!("MaxUnits={}", config.max_units),
+        format!("MailPerS={}", config.max_peer_messages),
+        format!("AnswerSlack={}", format_micros(connection_settings.deadline_grace)),
+        format!("ColdFrom={} WarmWithin={}", slow_start.initial_capacity, format_micros(slow_start.ramp)),
+        format!("Fall={} FallMultiple={}", format_micros(slow_start.window), slow_start.multiple),
     ];
-    lines.extend(charter.workloads.iter().map(|workload| format!("Classes: {}", class_line(workload))));
-    lines.extend(charter.plans.iter().map(|plan| format!("Plans: {}", plan_line(plan))));
+    lines.extend(config.workloads.iter().map(|workload| format!("Classes: {}", format_workload(workload))));
+    lines.extend(config.plans.iter().map(|plan| format!("Plans: {}", format_plan(plan))));
     lines.iter().map(|line| format!("  {line}\n")).collect()
 }
 
 #[test]
-fn settings_are_read_as_ever() {
-    let mut found = String::new();
+fn settings_match_the_golden_file() {
+    let mut actual = String::new();
     for (name, text) in SETTINGS {
         let outcome = match from_text("settings", text) {
-            Ok((charter, connection_settings)) => describe(&charter, &connection_settings),
+            Ok((config, connection_settings)) => format_settings(&config, &connection_settings),
             Err(error) => format!("  error: {error}\n"),
         };
         let shown = if *text == FULL { "full.json" } else { text };
-        let _ = write!(found, "{name}: {shown}\n{outcome}");
+        let _ = write!(actual, "{name}: {shown}\n{outcome}");
     }
     let golden = include_str!("golden/settings.txt");
-    let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join("settings.txt");
-    std::fs::write(&left, &found).expect("a file in the build's folder");
-    assert!(found == golden, "it differs from golden/settings.txt; what was found is in {}", left.display());
+    let actual_path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("settings.txt");
+    std::fs::write(&actual_path, &actual).expect("cannot write to the build directory");
+    assert!(
+        actual == golden,
+        "the output differs from golden/settings.txt; the actual output is in {}",
+        actual_path.display()
+    );
 }
--- a/crates/simulator-host/src/decode.rs
+++ b/crates/simulator-host/src/decode.rs
@@ -1,57 +1,58 @@
-//! Decodes lines of the wire into the policy's types. The names of fields and their values are the wire's own.
+//! Decodes lines of the simulator protocol into the policy's types. The protocol defines the names of fields and
+//! values.
 
 use kitepass_gateway_config::SettingsError;
 use kitepass_gateway_policy::{AttemptOutcome, BackendEntry, BackendStatus, GatewayConfig, Reading};
 use kitepass_time::{Duration, Timestamp};
 use std::fmt;
 
-/// Why a line is invalid.
+/// The reason why a line is invalid.
 #[derive(Debug)]
 pub(crate) enum InvalidLine {
-    /// The text from here on is not `name=value`.
+    /// The rest of the line is not in the form `name=value`.
     Syntax {
-        /// The beginning of that text.
+        /// The beginning of the rest.
         found: String,
     },
-    /// A field is absent or empty.
+    /// A required field is absent or empty.
     Missing {
-        /// The field.
+        /// The name of the field.
         field: String,
     },
-    /// A field holds something else than it should.
+    /// A field has an invalid value.
     Field {
-        /// The field.
+        /// The name of the field.
         field: String,
-        /// What should stand there.
+        /// The expected kind of value.
         expected: String,
-        /// What stands there, in quotes if it is text.
+        /// The value found, in quotes if it is text.
         found: String,
     },
-    /// Another line stands where the list's next `ITEM` line should.
+    /// Another line appears before the last `ITEM` line of a list.
     IncompleteList {
-        /// How many `ITEM` lines are missing.
+        /// Number of missing `ITEM` lines.
         missing: usize,
     },
-    /// The line's name is not that of an event.
+    /// The line's name is not a known event.
     UnknownEvent,
-    /// The settings cannot be used.
+    /// The settings are invalid.
     Settings(SettingsError),
 }
 
 impl InvalidLine {
-    /// The error for a field with a wrong value.
+    /// Creates the error for an invalid field.
     pub(crate) fn field(field: &str, expected: impl Into<String>, found: String) -> Self {
         InvalidLine::Field { field: field.to_owned(), expected: expected.into(), found }
     }
 
-    /// The error for a field with a wrong text, of which only the beginning is shown.
+    /// Creates the error for an invalid text value, which is truncated.
     fn value(field: &str, expected: &str, found: &str) -> Self {
-        Self::field(field, expected, format!("'{}'", clip(found)))
+        Self::field(field, expected, format!("'{}'", truncate(found)))
     }
 
-    /// The error for text that is not `name=value`.
+    /// Creates the error for text that is not in the form `name=value`.
     fn syntax(found: &str) -> Self {
-        InvalidLine::Syntax { found: clip(found).to_owned() }
+        InvalidLine::Syntax { found: truncate(found).to_owned() }
     }
 }
 
@@ -74,14 +75,14 @@
 
 impl std::error::Error for InvalidLine {}
 
-/// The fields of one line, in its order.
+/// The fields of one line, in order.
 pub(crate) struct Fields<'a>(Vec<(&'a str, &'a str)>);
 
-/// The settings: the one field whose value runs to the end of its line, spaces included.
+/// Field with the settings. It is the only one whose value may contain spaces and extends to the end of the line.
 const SETTINGS_FIELD: &str = "Options";
 
 impl<'a> Fields<'a> {
-    /// Parses `name=value` pairs, separated by single spaces.
+    /// Parses `name=value` pairs separated by single spaces.
     pub(crate) fn parse(mut rest: &'a str) -> Result<Self, InvalidLine> {
         let mut fields = Vec::with_capacity(10);
         while !rest.is_empty() {
@@ -101,12 +102,12 @@
         Ok(Fields(fields))
     }
 
-    /// A field's value, if the line has it; the first one if it has several.
+    /// Returns a field's value, the first one if there are several.
     pub(crate) fn get(&self, name: &str) -> Option<&'a str> {
         self.0.iter().find(|(n, _)| *n == name).map(|(_, v)| *v)
     }
 
-    /// A text that must not be empty.
+    /// Returns a text that must not be empty.
     pub(crate) fn text(&self, name: &str) -> Result<&'a str, InvalidLine> {
         match self.get(name) {
             Some(value) if !value.is_empty() => Ok(value),
@@ -114,17 +115,18 @@
         }
     }
 
-    /// A time of the simulator's clock, in decimal seconds.
+    /// Returns a timestamp of the simulator's clock, in decimal seconds.
     pub(crate) fn timestamp(&self, name: &str) -> Result<Timestamp, InvalidLine> {
-        micros(name, self.text(name)?).map(Timestamp::from_micros)
+        parse_micros(name, self.text(name)?).map(Timestamp::from_micros)
     }
 
-    /// A duration in decimal seconds; zero if it is absent.
+    /// Returns a duration in decimal seconds, or zero if the field is absent.
     pub(crate) fn duration_or_zero(&self, name: &str) -> Result<Duration, InvalidLine> {
-        self.get(name).map_or(Ok(Duration::ZERO), |value| micros(name, value).map(Duration::from_micros))
+        self.get(name)
+            .map_or(Ok(Duration::ZERO), |value| parse_micros(name, value).map(Duration::from_micros))
     }
 
-    /// A finite number; `default` if it is absent.
+    /// Returns a finite number, or `default` if the field is absent.
     pub(crate) fn number_or(&self, name: &str, default: f64) -> Result<f64, InvalidLine> {
         let Some(value) = self.get(name) else {
             return Ok(default);
@@ -135,13 +137,13 @@
         }
     }
 
-    /// A whole number in the range of its type.
+    /// Returns an integer in the range of its type.
     pub(crate) fn integer<T: std::str::FromStr>(&self, name: &str) -> Result<T, InvalidLine> {
         let value = self.text(name)?;
         value.parse().map_err(|_| InvalidLine::value(name, "a whole number", value))
     }
 
-    /// `1` or `0`; false if it is absent.
+    /// Returns a flag, `1` or `0`; false if the field is absent.
     pub(crate) fn flag(&self, name: &str) -> Result<bool, InvalidLine> {
         match self.get(name) {
             None | Some("0") => Ok(false),
@@ -151,19 +153,19 @@
     }
 }
 
-/// The first 40 characters of a text, for messages.
-fn clip(text: &str) -> &str {
+/// Truncates a text to 40 characters for error messages.
+fn truncate(text: &str) -> &str {
     text.char_indices().nth(40).map_or(text, |(end, _)| &text[..end])
 }
 
-/// Decimal seconds as whole microseconds, without rounding errors; digits past the sixth are cut off.
-fn micros(name: &str, text: &str) -> Result<i64, InvalidLine> {
+/// Converts decimal seconds to microseconds without rounding errors; further decimal places are truncated.
+fn parse_micros(name: &str, text: &str) -> Result<i64, InvalidLine> {
     let invalid = || InvalidLine::value(name, "a time in seconds", text);
     let (is_negative, digits) = text.strip_prefix('-').map_or((false, text), |rest| (true, rest));
     let (whole, fraction) = digits.split_once('.').unwrap_or((digits, ""));
     let is_decimal = |s: &str| s.bytes().all(|b| b.is_ascii_digit());
     if whole.is_empty() || !is_decimal(whole) || !is_decimal(fraction) {
-        // A number in another notation, for example with an exponent.
+        // Another notation, for example with an exponent.
         let seconds = text.parse::<f64>().ok().filter(|s| s.abs() < 1e12).ok_or_else(invalid)?;
         return Ok((seconds * 1e6).round() as i64);
     }
@@ -176,7 +178,7 @@
     Ok(if is_negative { -total } else { total })
 }
 
-/// How an attempt, or a call to the counter service, ended.
+/// Decodes the outcome of an attempt or of a call to the counter service.
 pub(crate) fn attempt_outcome(fields: &Fields) -> Result<AttemptOutcome, InvalidLine> {
     Ok(match fields.text("Ending")? {
         "served" => AttemptOutcome::Completed,
@@ -191,7 +193,7 @@
     })
 }
 
-/// The result of a call to the counter service.
+/// Decodes the result of a call to the counter service.
 pub(crate) fn reading(fields: &Fields) -> Result<Reading, InvalidLine> {
     let sum = fields.number_or("Sum", 0.0)?;
     Ok(match attempt_outcome(fields)? {
@@ -201,7 +203,7 @@
     })
 }
 
-/// A line of a list of backends.
+/// Decodes an `ITEM` line, which describes a backend.
 pub(crate) fn backend_entry(fields: &Fields) -> Result<BackendEntry, InvalidLine> {
     let started = fields.duration_or_zero("Born")?;
     Ok(BackendEntry {
@@ -219,7 +221,7 @@
     })
 }
 
-/// The policy's part of the settings.
+/// Decodes the policy's part of the settings.
 pub(crate) fn config(fields: &Fields) -> Result<GatewayConfig, InvalidLine> {
     kitepass_gateway_config::from_text(SETTINGS_FIELD, fields.text(SETTINGS_FIELD)?)
         .map(|(config, _)| config)
@@ -232,13 +234,16 @@
 
     #[test]
     fn times_are_exact_to_the_microsecond() {
-        let read = |text| micros("T", text).unwrap();
+        let read = |text| parse_micros("T", text).unwrap();
         assert_eq!(read("8.41225"), 8_412_250);
         assert_eq!(read("1234567.000001"), 1_234_567_000_001);
         assert_eq!(read("-0.5"), -500_000);
         assert_eq!(read("1e-3"), 1_000);
         for wrong in ["", "soon", ".", "1.2.3", "nan", "99999999999999999999"] {
-            assert!(micros("T", wrong).unwrap_err().to_string().starts_with("T: expected a time"), "{wrong}");
+            assert!(
+                parse_micros("T", wrong).unwrap_err().to_string().starts_with("T: expected a time"),
+                "{wrong}"
+            );
         }
     }
 
--- a/crates/simulator-host/src/host.rs
+++ b/crates/simulator-host/src/host.rs
@@ -1,8 +1,8 @@
-//! The gateway instances of one process, driven by the batches of the simulator's wire.
+//! Runs the gateway instances of one process, driven by batches of events from the simulator.
 //!
-//! The input is lines. `FRAME Wall=TIME` begins a batch and sets the clock, then come events, a line each, and `EOB`
-//! ends the batch. The reply is the gateways' actions, a line each, and `READY`. The names of lines and fields are the
-//! wire's own.
+//! The input consists of lines: `FRAME Wall=TIME` starts a batch and sets the clock, each event is a line, and `EOB`
+//! ends the batch. The reply has one line for each of the gateways' actions, followed by `READY`. The protocol defines
+//! the names of lines and fields.
 
 use crate::decode::{self, Fields, InvalidLine};
 use crate::message::{self, Message};
@@ -14,20 +14,20 @@
 use std::io::{self, BufRead, Write};
 use std::rc::Rc;
 
-/// How many lists of backends the wire has; events refer to them by numbers from 0.
+/// Number of backend lists in the protocol; events refer to them by index.
 const MAX_LISTS: usize = 16;
 
-/// Why the program cannot go on.
+/// An error that ends the program.
 #[derive(Debug)]
 pub(crate) enum RunError {
     /// A line of the input is invalid.
     Input {
         /// Number of the line, from 1.
         line: u64,
-        /// What is wrong with it.
+        /// What is invalid, and where in the line.
         reason: String,
     },
-    /// Input or output failed.
+    /// Reading the input or writing the output failed.
     Stream(io::Error),
 }
 
@@ -35,7 +35,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             RunError::Input { line, reason } => write!(f, "line {line}: {reason}"),
-            RunError::Stream(error) => write!(f, "cannot go on: {error}"),
+            RunError::Stream(error) => write!(f, "I/O error: {error}"),
         }
     }
 }
@@ -48,12 +48,12 @@
     }
 }
 
-/// The error for a line of the input.
+/// Creates the error for an invalid input line.
 fn input_error(line: u64, reason: impl Into<String>) -> RunError {
     RunError::Input { line, reason: reason.into() }
 }
 
-/// Plays batches until the input ends. A reply is written only once its complete batch has been taken in.
+/// Processes batches until the input ends. A reply is written only after its batch has been processed completely.
 ///
 /// # Errors
 ///
@@ -90,51 +90,52 @@
                 in_batch = false;
             }
             (_, true) => {
-                let taken = Fields::parse(rest).and_then(|fields| host.take_line(name, &fields, &mut reply));
-                taken.map_err(|error| input_error(number, format!("{name} {error}")))?;
+                let processed =
+                    Fields::parse(rest).and_then(|fields| host.process_line(name, &fields, &mut reply));
+                processed.map_err(|error| input_error(number, format!("{name} {error}")))?;
             }
             (_, false) => return Err(input_error(number, format!("'{name}': expected FRAME"))),
         }
     }
 }
 
-/// A list of backends of which lines are still to come.
+/// A backend list whose `ITEM` lines are still being read.
 struct OpenList {
-    /// The list's number.
-    number: usize,
-    /// How many `ITEM` lines are still to come; at least 1.
+    /// Index of the list.
+    index: usize,
+    /// Number of remaining `ITEM` lines; at least 1.
     missing: usize,
 }
 
-/// The instances and lists of one process.
+/// The gateway instances and backend lists of the process.
 #[derive(Default)]
 struct SimulatorHost {
-    /// The clock of the present batch.
+    /// The time of the current batch.
     now: Timestamp,
-    /// The open instances by their ids.
+    /// The open gateway instances by id.
     gateways: HashMap<String, Gateway>,
-    /// Lists of backends, as `LEDGER` and `ITEM` lines have filled them.
+    /// The backend lists, as set by `LEDGER` and `ITEM` lines.
     lists: Vec<Vec<BackendEntry>>,
-    /// The list that is being read.
+    /// The list that is currently being read.
     open_list: Option<OpenList>,
 }
 
 impl SimulatorHost {
-    /// Takes in one line of a batch.
-    fn take_line(&mut self, name: &str, fields: &Fields, reply: &mut Reply) -> Result<(), InvalidLine> {
-        if let Some(OpenList { number, missing }) = self.open_list {
+    /// Processes one line of a batch.
+    fn process_line(&mut self, name: &str, fields: &Fields, reply: &mut Reply) -> Result<(), InvalidLine> {
+        if let Some(OpenList { index, missing }) = self.open_list {
             if name != "ITEM" {
                 return Err(InvalidLine::IncompleteList { missing });
             }
-            self.lists[number].push(decode::backend_entry(fields)?);
-            self.open_list = Some(OpenList { number, missing: missing - 1 }).filter(|_| missing > 1);
+            self.lists[index].push(decode::backend_entry(fields)?);
+            self.open_list = Some(OpenList { index, missing: missing - 1 }).filter(|_| missing > 1);
             return Ok(());
         }
         if name == "LEDGER" {
-            let number = list_number(fields)?;
+            let index = list_index(fields)?;
             let missing: usize = fields.integer("Entries")?;
-            self.lists[number].clear();
-            self.open_list = Some(OpenList { number, missing }).filter(|_| missing > 0);
+            self.lists[index].clear();
+            self.open_list = Some(OpenList { index, missing }).filter(|_| missing > 0);
             return Ok(());
         }
         let id = fields.text("GatewayId")?;
@@ -144,11 +145,11 @@
             self.gateways.insert(id.to_owned(), Gateway::open(config, seed, self.now));
             return Ok(());
         }
-        self.take_event(name, id, fields, reply)
+        self.process_event(name, id, fields, reply)
     }
 
-    /// Takes in one event of an open instance.
-    fn take_event(
+    /// Processes one event for an open instance.
+    fn process_event(
         &mut self,
         name: &str,
         id: &str,
@@ -171,8 +172,8 @@
                 gateway.counter_answered(now, fields.text("TallyId")?, decode::reading(fields)?, reply)
             }
             "ALARM" => gateway.timer_fired(now, fields.text("Token")?, reply),
-            "MAIL" => return take_message(gateway, now, fields, reply),
-            // Nothing is decided on these; they are checked as far as they name an instance.
+            "MAIL" => return process_message(gateway, now, fields, reply),
+            // Ignored, apart from the check that the instance is open.
             "STREAMING" | "PROBE_DONE" => {}
             _ => return Err(InvalidLine::UnknownEvent),
         }
@@ -180,7 +181,7 @@
     }
 }
 
-/// Passes on a list of backends, as far as the event brings one.
+/// Passes a backend list to the gateway, unless the event reports a failed lookup.
 fn update_backends(
     gateway: &mut Gateway,
     fields: &Fields,
@@ -192,11 +193,11 @@
         "failed" => return Ok(()),
         other => return Err(InvalidLine::field("Kind", "a kind of list", format!("'{other}'"))),
     };
-    gateway.update_backends(is_complete, &lists[list_number(fields)?]);
+    gateway.update_backends(is_complete, &lists[list_index(fields)?]);
     Ok(())
 }
 
-/// The request of a `JOB_IN` line.
+/// Decodes the request of a `JOB_IN` line.
 fn incoming_request<'a>(fields: &Fields<'a>) -> Result<IncomingRequest<'a>, InvalidLine> {
     Ok(IncomingRequest {
         id: fields.text("Id")?,
@@ -210,7 +211,7 @@
     })
 }
 
-/// The end of an attempt, of a `RESULT` line.
+/// Decodes the end of an attempt from a `RESULT` line.
 fn attempt_end<'a>(fields: &Fields<'a>) -> Result<AttemptEnd<'a>, InvalidLine> {
     Ok(AttemptEnd {
         request_id: fields.text("Id")?,
@@ -222,8 +223,8 @@
     })
 }
 
-/// Passes on a message of a peer. Peers are not trusted: a message that cannot be decoded is dropped.
-fn take_message(
+/// Passes a peer's message to the gateway. Peers are not trusted: a message that cannot be decoded is dropped.
+fn process_message(
     gateway: &mut Gateway,
     now: Timestamp,
     fields: &Fields,
@@ -243,8 +244,8 @@
     Ok(())
 }
 
-/// The number of the list that a line refers to.
-fn list_number(fields: &Fields) -> Result<usize, InvalidLine> {
+/// Decodes the index of the list that a line refers to.
+fn list_index(fields: &Fields) -> Result<usize, InvalidLine> {
     let number: usize = fields.integer("SetId")?;
     if number < MAX_LISTS {
         Ok(number)
@@ -264,31 +265,31 @@
         \"Plans\":[{\"Name\":\"p\",\"Refill\":5,\"StoreSize\":9}]}\n\
         TOPOLOGY GatewayId=gateway_1 Kind=cached Index=1 SetId=3\nEOB\n";
 
-    fn play(more: &str) -> (Result<(), RunError>, String) {
+    fn run_after_start(more: &str) -> (Result<(), RunError>, String) {
         let mut output = Vec::new();
-        let done = run(format!("{START}{more}").as_bytes(), &mut output);
-        (done, String::from_utf8(output).unwrap())
+        let result = run(format!("{START}{more}").as_bytes(), &mut output);
+        (result, String::from_utf8(output).unwrap())
     }
 
     #[test]
-    fn a_request_is_attempted_until_attempts_run_out() {
+    fn a_request_is_retried_up_to_the_attempt_limit() {
         let job =
             "JOB_IN Width=1 CostUnits=1 Terms=p Type=w UserKey=k ClientDeadline=9 Id=c1 GatewayId=gateway_1";
-        let (done, output) = play(&format!(
+        let (result, output) = run_after_start(&format!(
             "FRAME Wall=5.5\n{job}\nEOB\nFRAME Wall=6\nRESULT GatewayId=gateway_1 Id=c1 N=0 \
              Ending=turned_away Rtt=0.1 Backend=b1\nEOB\nFRAME Wall=7\nRESULT GatewayId=gateway_1 Id=c1 N=1 \
              Ending=turned_away Rtt=0.1 Backend=b1\n\
              RESULT GatewayId=gateway_1 Id=old N=0 Ending=served Rtt=1 Backend=b9\nEOB\n"
         ));
-        assert!(done.is_ok());
+        assert!(result.is_ok());
         assert_eq!(output.matches("CALL_OUT GatewayId=gateway_1 Id=c1 AllowFor=").count(), 2);
         assert!(output.contains("BUSY GatewayId=gateway_1 Id=c1 RetryIn=0."), "{output}");
         assert_eq!(output.matches("READY\n").count(), 4);
     }
 
     #[test]
-    fn invalid_input_names_line_and_field_and_leaves_no_partial_reply() {
-        for (line, what) in [
+    fn errors_name_line_and_field_and_leave_no_partial_reply() {
+        for (line, expected) in [
             ("JOB_IN GatewayId=gateway_1 Id=x", "line 8: JOB_IN ClientDeadline: expected"),
             ("JOB_IN GatewayId=gateway_9 Id=x", "line 8: JOB_IN GatewayId: expected an open instance"),
             ("ALARM GatewayId=gateway_1", "line 8: ALARM Token: expected"),
@@ -297,20 +298,20 @@
             ("RESULT GatewayId=gateway_1 Id=x Backend=b Ending=odd", "line 8: RESULT Ending: expected"),
             ("ALARM loose", "line 8: ALARM 'loose': expected name=value"),
         ] {
-            let (done, output) = play(&format!("FRAME Wall=6\n{line}\nEOB\n"));
-            let message = done.expect_err(line).to_string();
-            assert!(message.starts_with(what), "{message}");
+            let (result, output) = run_after_start(&format!("FRAME Wall=6\n{line}\nEOB\n"));
+            let message = result.expect_err(line).to_string();
+            assert!(message.starts_with(expected), "{message}");
             assert_eq!(output, "READY\n");
         }
-        assert!(play("FRAME Wall=6\n").0.is_err(), "a batch cut short");
+        assert!(run_after_start("FRAME Wall=6\n").0.is_err(), "the input ends within a batch");
     }
 
     #[test]
-    fn a_reopened_instance_has_no_state() {
+    fn a_reopened_instance_starts_without_state() {
         let again = START.replace("FRAME Wall=5\n", "FRAME Wall=6\nTEARDOWN GatewayId=gateway_1\n");
         let late = "FRAME Wall=7\nRESULT GatewayId=gateway_1 Id=c1 N=0 Ending=served Rtt=1 Backend=b1\nEOB\n";
-        let (done, output) = play(&format!("{again}{late}"));
-        assert!(done.is_ok());
+        let (result, output) = run_after_start(&format!("{again}{late}"));
+        assert!(result.is_ok());
         assert_eq!(output, "READY\n".repeat(3));
     }
 }
--- a/crates/simulator-host/src/main.rs
+++ b/crates/simulator-host/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts in-service gateways on the simulator's wire: events on standard input, actions on standard output.
+//! Runs in-service gateways for the simulator: reads events from standard input and writes actions to standard output.
 
 mod decode;
 mod host;
--- a/crates/simulator-host/src/message.rs
+++ b/crates/simulator-host/src/message.rs
@@ -1,38 +1,38 @@
-//! Messages between gateways: usage updates, as many as a message holds, questions to controllers and their answers.
-//! A message is bytes in base64; the first byte says its kind, and numbers are little-endian.
+//! Messages between gateways: batches of usage updates, questions to controllers, and their answers. A message is
+//! base64-encoded bytes; the first byte is the message type, and numbers are little-endian.
 
 use base64::prelude::{Engine as _, BASE64_STANDARD as BASE64};
 use kitepass_gateway_policy::{QuotaDecision, QuotaRequest, Usage, UsageUpdate};
 
-/// How many bytes a message holds, a limit of the wire.
+/// Maximum message length in bytes before base64 encoding, a limit of the simulator protocol.
 const MAX_MESSAGE_BYTES: usize = 256;
-/// A question carries its units as a multiple of one over this, in two bytes.
+/// Questions encode units as a two-byte fixed-point number: a multiple of the reciprocal of this.
 const UNITS_SCALE: f64 = 64.0;
-/// Flag in the length byte of a tenant's id: the id is packed, two hexadecimal digits a byte.
+/// Flag in the length byte of a tenant's id: the id is packed as two hexadecimal digits per byte.
 const HEX_FLAG: u8 = 0x80;
 
-/// A message's content.
+/// A decoded message.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Message {
-    /// Usage of some tenants at the sender.
+    /// Usage of one or more tenants at the sender.
     UsageUpdate(Vec<UsageUpdate>),
     /// Asks a controller for a decision.
     Question {
-        /// Chosen by the sender; the answer repeats it.
+        /// Chosen by the sender and repeated in the answer.
         question_id: u16,
-        /// The request to decide on.
+        /// The quota that the request needs.
         quota: QuotaRequest,
     },
     /// A controller's decision.
     Answer {
         /// Id of the question.
         question_id: u16,
-        /// The decision; its ratio is rounded to one in 255.
+        /// The decision; its ratio is rounded to a multiple of 1/255.
         decision: QuotaDecision,
     },
 }
 
-// The first byte of each kind of message.
+// Message types.
 const USAGE_UPDATE: u8 = 0;
 const QUESTION: u8 = 1;
 const WITHIN_QUOTA: u8 = 2;
@@ -44,7 +44,7 @@
     for part in [question_id, quota.gateways as u16, (quota.units * UNITS_SCALE).round() as u16] {
         bytes.extend_from_slice(&part.to_le_bytes());
     }
-    push_tenant(&mut bytes, &quota.tenant);
+    encode_tenant(&mut bytes, &quota.tenant);
     BASE64.encode(&bytes)
 }
 
@@ -55,26 +55,26 @@
     BASE64.encode([if decision.exceeds { BEYOND_QUOTA } else { WITHIN_QUOTA }, low, high, ratio])
 }
 
-/// Appends a tenant's id with its length byte.
-fn push_tenant(bytes: &mut Vec<u8>, tenant: &str) {
+/// Appends a tenant's id, preceded by its length byte.
+fn encode_tenant(bytes: &mut Vec<u8>, tenant: &str) {
     let (packed, flag) = match pack_hex(tenant) {
         Some(packed) => (packed, HEX_FLAG),
         None => (tenant.as_bytes().to_vec(), 0),
     };
-    // An id that is too long for its length byte cannot come from the wire; it is encoded as empty.
+    // The protocol cannot deliver an id too long for the length byte; such an id is encoded as empty.
     let length = if packed.len() < usize::from(HEX_FLAG) { packed.len() } else { 0 };
     bytes.push(length as u8 | flag);
     bytes.extend_from_slice(&packed[..length]);
 }
 
-/// Encodes usage updates, in as few messages as hold them.
+/// Encodes usage updates into as few messages as possible.
 pub(crate) fn encode_updates(updates: &[UsageUpdate]) -> Vec<String> {
     let mut messages = Vec::new();
     let mut bytes = vec![USAGE_UPDATE];
-    for item in updates {
-        let [a, b, c, d] = item.tenant_hash.to_le_bytes();
+    for update in updates {
+        let [a, b, c, d] = update.tenant_hash.to_le_bytes();
         let [offered, forwarded] =
-            [item.usage.offered, item.usage.forwarded].map(|units| units.round() as u8);
+            [update.usage.offered, update.usage.forwarded].map(|units| units.round() as u8);
         let mut next = vec![a, b, c, d, offered, forwarded];
         if bytes.len() + next.len() > MAX_MESSAGE_BYTES {
             messages.push(BASE64.encode(&bytes));
@@ -88,20 +88,20 @@
     messages
 }
 
-/// Decodes a message; none if it is invalid.
+/// Decodes a message; `None` if it is invalid.
 pub(crate) fn decode(text: &str) -> Option<Message> {
     let bytes = BASE64.decode(text).ok()?;
     Some(match *bytes.as_slice() {
         [USAGE_UPDATE, ref rest @ ..] => {
-            let item = |bytes: &[u8]| UsageUpdate {
+            let update = |bytes: &[u8]| UsageUpdate {
                 tenant_hash: u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]),
                 usage: Usage { offered: bytes[4].into(), forwarded: bytes[5].into() },
             };
-            Message::UsageUpdate(rest.chunks_exact(6).map(item).collect())
+            Message::UsageUpdate(rest.chunks_exact(6).map(update).collect())
         }
         [QUESTION, plan, a, b, c, d, e, f, ref rest @ ..] => {
             let [question_id, gateways, units] = [[a, b], [c, d], [e, f]].map(u16::from_le_bytes);
-            let tenant = read_tenant(rest)?;
+            let tenant = decode_tenant(rest)?;
             let (plan, gateways, units) = (plan.into(), gateways.into(), f64::from(units) / UNITS_SCALE);
             Message::Question { question_id, quota: QuotaRequest { tenant, plan, gateways, units } }
         }
@@ -114,8 +114,8 @@
     })
 }
 
-/// Reads a tenant's id behind its length byte.
-fn read_tenant(bytes: &[u8]) -> Option<String> {
+/// Decodes a tenant's id, preceded by its length byte.
+fn decode_tenant(bytes: &[u8]) -> Option<String> {
     let (head, after) = bytes.split_first()?;
     let length = usize::from(head & !HEX_FLAG);
     if length == 0 || after.len() < length {
@@ -129,7 +129,7 @@
     }
 }
 
-/// Packs an id of lower-case hexadecimal digits, two a byte; none for any other id.
+/// Packs an id of lower-case hexadecimal digits, two per byte; `None` for any other id.
 fn pack_hex(id: &str) -> Option<Vec<u8>> {
     let digit = |b: u8| match b {
         b'0'..=b'9' => Some(b - b'0'),
@@ -152,11 +152,11 @@
 
     #[test]
     fn messages_decode_to_what_was_encoded_within_the_size_limit() {
-        let item = |n: u32| UsageUpdate {
+        let update = |n: u32| UsageUpdate {
             tenant_hash: n.wrapping_mul(0x9e37_79b9),
             usage: Usage { offered: n.into(), forwarded: 2.0 },
         };
-        let updates: Vec<_> = (0..61).map(item).collect();
+        let updates: Vec<_> = (0..61).map(update).collect();
         let messages = encode_updates(&updates);
         assert!(messages.len() > 1 && messages.iter().all(|m| m.len() <= 344));
         let back = messages.iter().filter_map(|m| decode(m)).flat_map(|m| match m {
--- a/crates/simulator-host/src/reply.rs
+++ b/crates/simulator-host/src/reply.rs
@@ -1,4 +1,4 @@
-//! The actions of gateways as lines of a batch's reply.
+//! Writes the gateways' actions as lines of the reply to a batch.
 
 use crate::message;
 use kitepass_gateway_policy::{Host, QuotaDecision, QuotaRequest, UsageUpdate};
@@ -6,23 +6,23 @@
 use std::fmt::Display;
 use std::io::{self, Write};
 
-/// The reply to the present batch. As the [`Host`] of every gateway it adds each action as a line.
+/// The reply to the current batch. Implements [`Host`] for all gateways by adding a line per action.
 #[derive(Default)]
 pub(crate) struct Reply {
-    /// The gateway that acts now.
+    /// Id of the gateway whose actions are being added.
     gateway: String,
-    /// The lines so far.
+    /// The lines written so far.
     text: Vec<u8>,
 }
 
 impl Reply {
-    /// Names the gateway whose actions follow.
+    /// Sets the gateway to which the following actions belong.
     pub(crate) fn set_gateway(&mut self, id: &str) {
         self.gateway.clear();
         self.gateway.push_str(id);
     }
 
-    /// Ends the batch: writes the reply and clears it for the next batch.
+    /// Ends the batch: writes the reply to `output` and clears it for the next batch.
     ///
     /// # Errors
     ///
@@ -35,14 +35,14 @@
         Ok(())
     }
 
-    /// Adds the line of one action.
+    /// Adds a line for one action.
     fn line(&mut self, action: &str, rest: std::fmt::Arguments) {
         // Writing to memory cannot fail.
         let _ = writeln!(self.text, "{action} GatewayId={}{rest}", self.gateway);
     }
 }
 
-/// A time in decimal seconds, as the wire writes it.
+/// Formats a duration in decimal seconds, as the protocol requires.
 struct Seconds(Duration);
 
 impl Display for Seconds {
