--- a/crates/gateway-policy/src/backend_selection.rs
+++ b/crates/gateway-policy/src/backend_selection.rs
@@ -24,7 +24,7 @@
         self.backends.retain(|_, b| b.entry.status != BackendStatus::Removed || !b.in_flight.is_empty());
     }
 
-    /// Selects a random backend, weighted by spare capacity times success estimate.
+    /// Selects a backend at random, with a weight of spare capacity times success estimate.
     pub(crate) fn select_backend(&mut self, now: Timestamp, id: &str) -> Option<String> {
         let slow_start = self.config.slow_start;
         let request = &self.requests[id];
@@ -46,7 +46,7 @@
         for (id, backend) in self.backends.iter_mut().filter(|(_, b)| b.is_live() && eligible(&b.entry)) {
             let ramp_up = slow_start.capacity(backend.entry.started, now);
             if ramp_up < 1.0 {
-                // Its load is limited relative to what warm backends of its weight complete, or one core's rate.
+                // All gateways could overload it: each limits its part by what warm backends of its weight, or one core, do.
                 let core = slow_start.window.ratio_to(mean_latency) / f64::from(self.config.gateways);
                 let budget =
                     BUDGET_SHARE * slow_start.multiple * ramp_up * core.max(backend.entry.weight * completed);
--- a/crates/gateway-policy/src/dispatch.rs
+++ b/crates/gateway-policy/src/dispatch.rs
@@ -164,7 +164,7 @@
             _ => false,
         };
         let is_exhausted = time_left <= expected || request.attempts >= config.max_attempts;
-        // Retries are shed first, so that they don't amplify an overload.
+        // Retries are shed with the overload ratio, so that they don't amplify an overload.
         if is_harmful || is_exhausted || request.attempts > 0 && self.rng.rand_float() < overload {
             return self.reject_or_fail(id, host);
         }
--- a/crates/gateway-policy/src/quota.rs
+++ b/crates/gateway-policy/src/quota.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Counts the offered units and drops at random with the tenant's drop ratio, for the own share or as controller.
+    /// Counts the offered units and decides at random by the drop ratio, for this gateway's share or as controller.
     pub(crate) fn draw(
         &mut self,
         now: Timestamp,
