--- a/crates/gateway-policy/src/backend_selection.rs
+++ b/crates/gateway-policy/src/backend_selection.rs
@@ -46,7 +46,7 @@
         for (id, backend) in self.backends.iter_mut().filter(|(_, b)| b.is_live() && eligible(&b.entry)) {
             let ramp_up = slow_start.capacity(backend.entry.started, now);
             if ramp_up < 1.0 {
-                // All gateways could overload it: each limits its part by what warm backends of its weight, or one core, do.
+                // Gateways could overload it together: each sends part of what warm ones of its weight, or a core, do.
                 let core = slow_start.window.ratio_to(mean_latency) / f64::from(self.config.gateways);
                 let budget =
                     BUDGET_SHARE * slow_start.multiple * ramp_up * core.max(backend.entry.weight * completed);
--- a/crates/gateway-policy/src/count.rs
+++ b/crates/gateway-policy/src/count.rs
@@ -115,29 +115,29 @@
 impl Tenant {
     /// Derives the other gateways' usage from the growth of the total since the last reading.
     fn observe_total(&mut self, now: Timestamp, number: i64, total: f64, has_updates: bool) {
-        let (total_usage, (current, since)) =
+        let (total_usage, (current, elapsed)) =
             (Usage::unpacked(total, packing_factor(&self.plan)), now.period_and_offset(PERIOD * SUM_PERIODS));
         let Some(growth) = self.sums.record_total(number, total_usage) else { return };
         // After the counter service loses its data, the total drops; only later growth counts.
-        let drawn = if growth.offered < 0.0 { 0.0 } else { growth.forwarded };
+        let forwarded = if growth.offered < 0.0 { 0.0 } else { growth.forwarded };
         // The previous sum is read just before the current one and uses the slack first; the current one gets the rest.
-        let slack = if number == current { self.unfilled } else { self.unfilled.min(drawn) };
+        let slack = if number == current { self.unfilled } else { self.unfilled.min(forwarded) };
         self.unfilled -= slack;
         let recent = (PERIOD * HISTORY).ratio_to(self.read_at.map_or(PERIOD, |read| now - read)).min(1.0);
         // Peers' updates are more recent than a reading.
         if !has_updates {
             self.peer_offered.add(now, PERIOD * HISTORY, growth.offered.max(0.0) * recent);
-            self.peer_forwarded.add(now, PERIOD * HISTORY, drawn * recent);
+            self.peer_forwarded.add(now, PERIOD * HISTORY, forwarded * recent);
             // First reading: the sum's unspent part is left, or nothing if more than the limit was offered. After lost
             // calls, during which each gateway kept to its own share, the bucket just refills.
-            let (burst, refill) = (self.plan.burst, self.plan.rate * since.as_secs());
+            let (burst, refill) = (self.plan.burst, self.plan.rate * elapsed.as_secs());
             let unspent = burst - (total_usage.forwarded - LOW_SHARE * refill).max(0.0);
             let remaining = if total_usage.offered > burst + refill { 0.0 } else { unspent };
             self.tokens = match self.read_at {
                 None => remaining - self.unreported.forwarded,
                 Some(_) if self.missed >= HISTORY => self.tokens,
                 // Units beyond the quota were never taken from the bucket.
-                Some(_) => (self.tokens + slack - drawn).max(self.tokens.min(0.0)).min(burst),
+                Some(_) => (self.tokens + slack - forwarded).max(self.tokens.min(0.0)).min(burst),
             };
         }
         self.read_at = if number == current { Some(now) } else { self.read_at };
@@ -147,8 +147,8 @@
     /// Whether to ask the counter service: each other gateway may have forwarded as much since the last reading.
     fn needs_counter(&self, units: f64, exceeds: bool) -> bool {
         let unseen_units = (self.gateways - 1.0) * (units + self.unreported.forwarded.max(0.0));
-        let counted = if exceeds { self.read_at.is_none() } else { self.tokens < units + unseen_units };
-        self.has_small_share && exceeds || self.uses_counter && counted
+        let is_unclear = if exceeds { self.read_at.is_none() } else { self.tokens < units + unseen_units };
+        self.has_small_share && exceeds || self.uses_counter && is_unclear
     }
 
     pub(crate) fn is_report_due(&self, now: Timestamp) -> bool {
