--- a/crates/control-plane/src/state_machine/bootstrap.rs
+++ b/crates/control-plane/src/state_machine/bootstrap.rs
@@ -1,55 +1,56 @@
-//! The bootstrap of a system: at its very first start one process, the bootstrap node, gathers those that come and
-//! makes them the first replica set.
+//! Cluster bootstrap: on the first start of a cluster, one process, the bootstrap node, waits for its peers to connect and
+//! creates the first replica set from them.
 
 use kitepass_time::{Duration, Timestamp};
 
-/// The bootstrap node waits for others this long after the last that came.
-const GATHER_QUIET: Duration = Duration::from_micros(900_000);
-/// A bootstrap node that nobody has joined makes a replica set of itself alone after this time.
-const MAX_GATHER_ALONE: Duration = Duration::from_micros(4_000_000);
+/// The bootstrap node creates the replica set once no new peer has connected for this long.
+const PEER_DISCOVERY_QUIET_PERIOD: Duration = Duration::from_micros(900_000);
+/// A bootstrap node without any peers creates a single-node replica set after this long.
+const SINGLE_NODE_BOOTSTRAP_DELAY: Duration = Duration::from_micros(4_000_000);
 
-/// What a process knows of the bootstrap that it takes part in.
+/// Bootstrap state of one process.
 pub(super) struct Bootstrap {
     is_first_start: bool,
     is_bootstrap_node: bool,
     started_at: Timestamp,
-    newest_peer_at: Timestamp,
+    last_peer_joined_at: Timestamp,
 }
 
 impl Bootstrap {
-    /// `is_first_start` must be false for a process that holds any record.
+    /// `is_first_start` must be false if this process has any state on disk.
     pub(super) fn new(now: Timestamp, is_first_start: bool, is_bootstrap_node: bool) -> Bootstrap {
         Bootstrap {
             is_first_start,
             is_bootstrap_node: is_bootstrap_node && is_first_start,
             started_at: now,
-            newest_peer_at: now,
+            last_peer_joined_at: now,
         }
     }
 
-    /// When this process started.
     pub(super) fn started_at(&self) -> Timestamp {
         self.started_at
     }
 
-    /// Whether this process takes part in the bootstrap: its empty disk is complete as it is.
+    /// Whether this process takes part in the bootstrap. If so, its empty disk counts as complete.
     pub(super) fn is_first_start(&self) -> bool {
         self.is_first_start
     }
 
-    /// A replica set is known: whatever comes now is no bootstrap.
+    /// Ends the bootstrap because a replica set is known.
     pub(super) fn finish(&mut self) {
         self.is_first_start = false;
     }
 
-    /// A peer connected that was not known.
+    /// Records that an unknown peer has connected.
     pub(super) fn peer_joined(&mut self, now: Timestamp) {
-        self.newest_peer_at = now;
+        self.last_peer_joined_at = now;
     }
 
-    /// Whether this process is to make the first replica set now, if there is none.
+    /// Whether this process should create the first replica set now, provided that none exists.
     pub(super) fn should_bootstrap(&self, now: Timestamp, has_peers: bool) -> bool {
-        let is_waiting_alone = !has_peers && now - self.started_at < MAX_GATHER_ALONE;
-        self.is_bootstrap_node && !is_waiting_alone && now - self.newest_peer_at >= GATHER_QUIET
+        let is_waiting_for_peers = !has_peers && now - self.started_at < SINGLE_NODE_BOOTSTRAP_DELAY;
+        self.is_bootstrap_node
+            && !is_waiting_for_peers
+            && now - self.last_peer_joined_at >= PEER_DISCOVERY_QUIET_PERIOD
     }
 }
--- a/crates/control-plane/src/state_machine/configuration.rs
+++ b/crates/control-plane/src/state_machine/configuration.rs
@@ -1,6 +1,6 @@
-//! The committed items, and what is derived from them: the replica sets in force and the tenants' rate limits.
+//! The committed items and the state derived from them: active replica sets, rate limits of tenants, home regions of hosts.
 
-use super::host_homes::HostHomes;
+use super::home_regions::HomeRegions;
 use bytes::Bytes;
 use kitepass_config::{Item, ItemStore, Kind, MergeOutcome, Tenant, VersionDigest};
 use kitepass_coordination::membership::{JointReplicaSets, ReplicaSet, CURRENT, INCOMING};
@@ -8,37 +8,37 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Dropped backends that are remembered. A stale copy that brings one back is corrected by the next reading of the
-/// platform's list.
-const MAX_DROPPED_BACKENDS: usize = 4_096;
+/// Maximum number of tombstones kept for backends. If a stale copy restores a backend whose tombstone was purged, the next
+/// read of the platform's endpoint list deletes it again.
+const MAX_BACKEND_TOMBSTONES: usize = 4_096;
 
-/// An item and the digests of its older versions.
+/// An item with the digests of its older versions.
 pub(super) type ItemWithHistory = (Item, Vec<VersionDigest>);
 
-/// Items that a merge has changed.
+/// Result of a merge.
 #[derive(Default)]
 pub(super) struct MergedItems {
-    /// Items of which a newer version came: gateways are told.
+    /// Items whose newest version changed. They are sent to gateways.
     pub(super) newer: Vec<Item>,
-    /// Those, and items of which older versions alone became known: both go to disk.
+    /// All changed items, including those that only gained older versions. They are written to disk.
     pub(super) changed: Vec<Item>,
 }
 
-/// The committed configuration as this replica knows it.
+/// The committed configuration known to this replica.
 pub(super) struct Configuration {
     item_store: ItemStore,
     rate_limits: BTreeMap<String, RateLimit>,
-    homes: HostHomes,
+    home_regions: HomeRegions,
 }
 
 impl Configuration {
     pub(super) fn new(item_store: ItemStore) -> Configuration {
         let mut configuration =
-            Configuration { item_store, rate_limits: BTreeMap::new(), homes: HostHomes::default() };
+            Configuration { item_store, rate_limits: BTreeMap::new(), home_regions: HomeRegions::default() };
         let item_store = &configuration.item_store;
         let sources = item_store.items_of(Kind::Tenant).chain(item_store.items_of(Kind::Route));
         let sources: Vec<Item> = sources.cloned().collect();
-        configuration.update_derived(&sources);
+        configuration.update_derived_state(&sources);
         configuration
     }
 
@@ -50,12 +50,12 @@
         self.rate_limits.get(tenant).copied()
     }
 
-    /// The home regions of all routes of a host, or none where they differ.
+    /// The home regions shared by all routes of a host, or an empty slice if the routes differ.
     pub(super) fn home_regions(&self, host: &str) -> &[Arc<str>] {
-        self.homes.of_host(host)
+        self.home_regions.for_host(host)
     }
 
-    /// Merges committed items with their older versions.
+    /// Merges committed items and the digests of their older versions.
     pub(super) fn merge(&mut self, items: Vec<ItemWithHistory>) -> MergedItems {
         let mut merged = MergedItems::default();
         for (item, history) in items {
@@ -66,14 +66,14 @@
             }
             merged.changed.push(item);
         }
-        self.update_derived(&merged.newer);
+        self.update_derived_state(&merged.newer);
         merged
     }
 
-    /// Brings what is derived from items up to date with these.
-    fn update_derived(&mut self, items: &[Item]) {
+    /// Updates the derived state after a change of these items.
+    fn update_derived_state(&mut self, items: &[Item]) {
         self.update_rate_limits(items);
-        items.iter().filter(|item| item.kind == Kind::Route).for_each(|item| self.homes.update(item));
+        items.iter().filter(|item| item.kind == Kind::Route).for_each(|item| self.home_regions.update(item));
     }
 
     fn update_rate_limits(&mut self, items: &[Item]) {
@@ -88,17 +88,17 @@
         }
     }
 
-    /// Forgets a dropped item. False if another version of it stands.
+    /// Purges the tombstone of a deleted item. Returns false if the item's current version is a different one.
     pub(super) fn purge_tombstone(&mut self, kind: Kind, name: &str, version: u64) -> bool {
         self.item_store.purge(kind, name, version)
     }
 
-    /// Keeps the number of dropped backends in bounds.
+    /// Purges the oldest backend tombstones above [`MAX_BACKEND_TOMBSTONES`].
     pub(super) fn purge_backend_tombstones(&mut self) {
-        self.item_store.purge_oldest_tombstones(Kind::Backend, MAX_DROPPED_BACKENDS);
+        self.item_store.purge_oldest_tombstones(Kind::Backend, MAX_BACKEND_TOMBSTONES);
     }
 
-    /// Drops all items but the replica sets, and gives the dropped ones.
+    /// Discards all items except the replica sets. Returns the discarded items.
     pub(super) fn discard_all_but_replica_sets(&mut self) -> Vec<Item> {
         let (replica_sets, discarded): (Vec<&Item>, Vec<&Item>) =
             self.item_store.items().partition(|item| item.kind == Kind::ReplicaSet);
@@ -110,11 +110,11 @@
         }
         self.item_store = item_store;
         self.rate_limits.clear();
-        self.homes = HostHomes::default();
+        self.home_regions = HomeRegions::default();
         discarded
     }
 
-    /// The item that evacuates a zone, or takes that back: one version above the one that stands.
+    /// The item that starts or ends the evacuation of a zone, with the version after the current one.
     pub(super) fn evacuation_item(&self, zone: &str, is_on: bool) -> Item {
         let known = self.item_store.get(Kind::Evacuation, zone);
         let version = known.map_or(0, |item| item.version) + 1;
@@ -122,56 +122,58 @@
         Item { kind: Kind::Evacuation, name: zone.into(), version, value }
     }
 
-    /// Whether a zone is evacuated.
+    /// Whether a zone is being evacuated.
     pub(super) fn is_evacuated(&self, zone: &str) -> bool {
         self.item_store.get(Kind::Evacuation, zone).is_some_and(Item::is_set)
     }
 
-    /// The replica set in force.
+    /// The current replica set.
     pub(super) fn replica_set(&self) -> Option<ReplicaSet> {
         ReplicaSet::load(&self.item_store, CURRENT)
     }
 
-    /// The replica set in force, and the one that is being brought in.
+    /// The current replica set, and the incoming one during a replica set change.
     pub(super) fn joint_replica_sets(&self) -> Option<JointReplicaSets> {
         JointReplicaSets::load(&self.item_store)
     }
 
-    /// The membership epoch, or 0 where no replica set is known.
+    /// The membership epoch, or 0 if no replica set is known.
     pub(super) fn epoch(&self) -> u64 {
         self.joint_replica_sets().map_or(0, |sets| sets.epoch())
     }
 
-    /// Whether the replica of this name is a member, or none is known to be.
+    /// Whether the named replica is a member. Also true if no replica set is known.
     pub(super) fn is_member_or_unknown(&self, name: &str) -> bool {
         self.joint_replica_sets().is_none_or(|sets| sets.contains(name))
     }
 
-    /// Whether the replica of this name is known not to be a member.
+    /// Whether a replica set is known and the named replica is not a member.
     pub(super) fn is_known_non_member(&self, name: &str) -> bool {
         !self.is_member_or_unknown(name)
     }
 
-    /// Whether copies at these replicas are enough for a write.
+    /// Whether the replicas that hold a copy form a write quorum.
     pub(super) fn is_write_quorum(&self, copies: &BTreeSet<String>) -> bool {
         self.joint_replica_sets().is_some_and(|sets| sets.is_write_quorum(copies))
     }
 
-    /// Whether answers of these replicas are enough for a reading. `activated_version` is the highest version of a replica
-    /// set that any of them has accepted as the one in force.
+    /// Whether the replicas that responded form a read quorum. `activated_version` is the highest version of a replica set
+    /// whose activation any of them has accepted.
     ///
-    /// Assumption: whoever accepted that a replica set is in force holds all that was committed under the one before, and
-    /// nothing is committed under the one before alone any more. So a read quorum of the one before is not needed then.
-    /// Why it matters: the loss of a replica right after the replacement of another may leave too few of the earlier set
-    /// for a read quorum of it, ever.
-    pub(super) fn is_read_quorum(&self, heard: &BTreeSet<String>, activated_version: u64) -> bool {
+    /// During a replica set change, a read needs a read quorum of both sets until the activation of the incoming one has
+    /// been accepted, and of the incoming set alone from then on.
+    ///
+    /// Assumption: a replica that accepted the activation holds everything committed under the previous set, and nothing
+    /// more is committed under the previous set alone. The exception is needed because losing a replica right after
+    /// another one was replaced may leave the previous set without a read quorum for good.
+    pub(super) fn is_read_quorum(&self, responders: &BTreeSet<String>, activated_version: u64) -> bool {
         self.joint_replica_sets().is_some_and(|sets| match &sets.incoming {
-            Some(incoming) if incoming.version == activated_version => incoming.is_read_quorum(heard),
-            _ => sets.is_read_quorum(heard),
+            Some(incoming) if incoming.version == activated_version => incoming.is_read_quorum(responders),
+            _ => sets.is_read_quorum(responders),
         })
     }
 
-    /// Addresses of the members of both replica sets.
+    /// Addresses of the members of the current and the incoming replica set.
     pub(super) fn member_addresses(&self) -> impl Iterator<Item = String> + '_ {
         let sets =
             [CURRENT, INCOMING].into_iter().filter_map(|name| ReplicaSet::load(&self.item_store, name));
--- a/crates/control-plane/src/state_machine/lifecycle.rs
+++ b/crates/control-plane/src/state_machine/lifecycle.rs
@@ -1,26 +1,26 @@
-//! How far a control process may be relied on: its state, and whether its disk holds all that it acknowledged.
+//! Lifecycle of a replica: its state, and whether its disk holds everything that it has acknowledged.
 
 use log::info;
 
-/// How far a process may be relied on.
+/// State of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaState {
-    /// It knows of no replica set.
+    /// No replica set is known.
     Uninitialized,
-    /// It knows of a replica set, and has yet to read what was committed while it was away.
+    /// A replica set is known, but changes committed while this process was down or disconnected are still to be read.
     CatchingUp,
-    /// It has caught up and is in contact with a majority: it accepts requests and sessions.
+    /// Caught up and in contact with a majority. Requests and sessions are accepted.
     Serving,
-    /// It had caught up, and too few replicas have proved lately that they hear it. It cannot know of all that is
-    /// committed, so it hands nothing out as current; gateways are told, and move to a better replica if there is one.
+    /// Caught up earlier, but no longer in contact with a majority. This replica may be missing committed changes, so it
+    /// does not present its items as current. Gateways are notified and move to a serving replica if there is one.
     Isolated,
-    /// It is shutting down: nothing new is accepted.
+    /// Shutting down. No new requests or sessions are accepted.
     ShuttingDown,
 }
 
 impl ReplicaState {
-    /// The state's name in what operators' calls answer (`standing` of `/v1/members`). Never renamed: operators' tools
-    /// read it.
+    /// Name of the state in the operator API (field `standing` of `/v1/members`). These names are part of the API and must
+    /// not change.
     pub fn wire_name(self) -> &'static str {
         match self {
             ReplicaState::Uninitialized => "blank",
@@ -32,7 +32,7 @@
     }
 }
 
-/// The state of this process. [`Lifecycle::change_state`] alone changes it.
+/// Lifecycle state of this process. The replica state is changed only by [`Lifecycle::change_state`].
 pub(super) struct Lifecycle {
     state: ReplicaState,
     is_complete: bool,
@@ -47,8 +47,8 @@
         self.state
     }
 
-    /// Whether the disk holds all that this replica acknowledged. A replica that lost its disk is incomplete until it has
-    /// read, and written, what a majority holds.
+    /// Whether the disk holds everything that this replica has acknowledged. A replica that lost its disk is incomplete
+    /// until it has read the items of a majority and written them to disk.
     pub(super) fn is_complete(&self) -> bool {
         self.is_complete
     }
@@ -57,7 +57,7 @@
         self.is_complete = is_complete;
     }
 
-    /// Moves to another state; `items` is the number of items held, for the log.
+    /// Transitions to another state. `items` is the number of items held, for the log.
     pub(super) fn change_state(&mut self, to: ReplicaState, items: usize) {
         if self.state != to {
             info!(
--- a/crates/control-plane/src/state_machine/mod.rs
+++ b/crates/control-plane/src/state_machine/mod.rs
@@ -1,31 +1,31 @@
-//! All that a control process decides, without input or output. It is told what happens, with the time, and leaves what
-//! is to be done as [`Action`]s, so a test or a simulation drives it by hand.
+//! The control plane's logic, free of I/O. The caller passes in each event with the current time and carries out the
+//! [`Action`]s that result, so tests and simulations can drive the state machine without a network, disk or clock.
 //!
-//! [`StateMachine`] is a router over parts, each of which owns its state:
+//! [`StateMachine`] dispatches events to components, each of which owns its state:
 //!
-//! | part | what it owns |
+//! | component | state |
 //! | --- | --- |
-//! | `lifecycle` | how far this process may be relied on |
-//! | `bootstrap` | the making of the first replica set |
-//! | `configuration` | committed items, the replica sets in force, rate limits |
-//! | `quorum` | the peers, and contact with a majority |
-//! | `catch_up` | reads of what other replicas hold |
-//! | `proposals` | pending requests, promises and acceptances, proposals of others that are watched |
-//! | `membership` | what is seen of the replicas, from which the next replica set follows |
-//! | `coordinator` | the lease of the coordinator role, usage counts, the platform's list |
-//! | `sessions` | gateways' sessions, and what each lacks |
-//! | `tombstones` | when the tombstones of dropped items may be forgotten |
-//! | `persistence` | records on their way to disk, and what waits for them |
+//! | `lifecycle` | the replica's state, and whether its disk is complete |
+//! | `bootstrap` | creation of the first replica set |
+//! | `configuration` | committed items, active replica sets, rate limits |
+//! | `quorum` | connected peers, and contact with a majority of the replicas |
+//! | `catch_up` | reads of other replicas' items |
+//! | `proposals` | pending requests, promised and accepted ballots, and other proposers' proposals that are being watched |
+//! | `membership` | observations of replicas, used to compute the next replica set |
+//! | `coordinator` | lease of the coordinator role, usage counts, the platform's endpoint list |
+//! | `sessions` | gateway sessions, and the items that each gateway is missing |
+//! | `tombstones` | when tombstones of deleted items may be purged |
+//! | `persistence` | records being written to disk, and the steps that depend on them |
 //!
-//! `handlers` holds what is done with each kind of event; `startup` reads a disk's records back, and `records` has their
-//! keys and encodings.
+//! `handlers` contains the handlers of each kind of event. `startup` restores the state from disk, and `records` defines
+//! the keys and encodings of the records.
 
 mod bootstrap;
 mod catch_up;
 mod configuration;
 mod coordinator;
 mod handlers;
-mod host_homes;
+mod home_regions;
 mod lifecycle;
 mod membership;
 mod persistence;
@@ -61,49 +61,49 @@
 pub use sessions::SESSION_TIMEOUT;
 pub use startup::StartParameters;
 
-/// Time between two heartbeats to each peer and each session.
+/// Interval between heartbeats to each peer and each session.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_micros(500_000);
-/// A peer or session that has said nothing for this long is given up.
+/// A peer is disconnected, and a gateway is left out of the announced sessions, after this long without a message.
 const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_micros(1_500_000);
 
-/// What a control process wants done.
+/// An operation that the caller of the state machine must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A message to a control process, by its node id.
+    /// Sends a message to the control process with this node id.
     SendToPeer(String, Message),
-    /// A message to a gateway, by its session's connection number.
+    /// Sends a message to a gateway, identified by the connection number of its session.
     SendToSession(u64, Message),
-    /// Items to a gateway's session, in as many messages as they need.
+    /// Sends items to a gateway's session, split into as many messages as necessary.
     SendItems(u64, ItemUpdate),
-    /// An answer to a caller, by the number that it asked under.
+    /// Responds to the client request with this id.
     Respond(u64, Response),
-    /// Records to be written, and reported to [`StateMachine::records_persisted`] with this request id once they are on
-    /// disk. A record with an empty value is removed.
+    /// Writes records to disk. Once they are durable, [`StateMachine::records_persisted`] must be called with this
+    /// request id. An empty value deletes the record.
     Persist(u64, Vec<(Vec<u8>, Vec<u8>)>),
-    /// A session's connection is to be closed.
+    /// Closes the connection of a session.
     CloseSession(u64),
 }
 
-/// Items for gateways. Sessions that are sent the same items share them.
+/// Items for gateways. Sessions that receive the same items share one allocation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ItemUpdate {
     /// The items.
     pub items: Arc<[Item]>,
-    /// A whole change, or part of a transfer.
+    /// Whether the items are a whole change or part of a transfer.
     pub extent: Extent,
 }
 
-/// What operators are shown of the contact with a replica.
+/// Contact with a replica, as shown to operators.
 pub struct ReplicaContact {
     /// The replica.
     pub replica: Replica,
-    /// It has sent something within the time-out for unresponsive peers.
+    /// Whether it has sent a message within the timeout for unresponsive peers.
     pub is_responsive: bool,
-    /// How long ago it is known to have heard this process.
+    /// Time since it last proved that it receives this process's messages.
     pub contact_age: Option<Duration>,
 }
 
-/// Who this process is.
+/// Identity of this process.
 struct Identity {
     replica: Replica,
     /// The replica's name.
@@ -117,7 +117,7 @@
     }
 }
 
-/// Numbers for requests, reads and writes. They start from 1 in each incarnation.
+/// Generator of ids for requests, reads and writes. Ids restart from 1 in each incarnation.
 #[derive(Default)]
 struct RequestIds {
     last: u64,
@@ -130,7 +130,7 @@
     }
 }
 
-/// The decisions of one control process.
+/// State machine of one control process.
 pub struct StateMachine {
     identity: Identity,
     lifecycle: Lifecycle,
@@ -146,12 +146,12 @@
     persistence: Persistence,
     request_ids: RequestIds,
     random: oorandom::Rand64,
-    /// What is to be done, in order. Whoever drives the state machine takes it after each call.
+    /// Actions to carry out, in order. The caller drains them after each call.
     pub actions: Vec<Action>,
 }
 
 impl StateMachine {
-    /// How this process introduces itself to peers and gateways.
+    /// The handshake message for peers and gateways.
     pub fn hello(&self) -> Hello {
         let replica = &self.identity.replica;
         Hello {
@@ -168,23 +168,23 @@
         }
     }
 
-    /// Whether the coordinator may bring this replica in: its disk is complete, and it will not be discarded as soon as a peer
-    /// confirms that this replica is no member.
+    /// Whether the coordinator may add this replica to the replica set: its disk is complete, and this process is not
+    /// going to discard its items once a peer confirms that it is not a member.
     fn is_ready_to_join(&self) -> bool {
         self.lifecycle.is_complete() && !self.is_stale_non_member()
     }
 
-    /// How far this process may be relied on.
+    /// Current state of this replica.
     pub fn replica_state(&self) -> ReplicaState {
         self.lifecycle.state()
     }
 
-    /// The committed items that are known here.
+    /// The committed items known to this replica.
     pub fn item_store(&self) -> &ItemStore {
         self.configuration.item_store()
     }
 
-    /// To be called about ten times a second.
+    /// Runs all periodic work. Must be called about ten times per second.
     pub fn tick(&mut self, now: Timestamp) {
         if self.quorum.start_heartbeat_if_due(now) {
             self.send_heartbeats(now);
@@ -205,7 +205,7 @@
         self.expire_requests(now);
     }
 
-    /// A process that doesn't serve reads from its peers; the bootstrap node also creates the first replica set.
+    /// While this process is not serving, it reads from its peers. The bootstrap node also creates the first replica set.
     fn tick_catch_up(&mut self, now: Timestamp) {
         let is_behind = matches!(
             self.replica_state(),
@@ -247,7 +247,7 @@
     }
 }
 
-/// Whole milliseconds, as logs and operators' calls show them.
+/// Converts a duration to whole milliseconds, for logs and API responses.
 pub fn millis(duration: Duration) -> i64 {
     duration.as_micros() / 1000
 }
--- a/crates/control-plane/src/state_machine/records.rs
+++ b/crates/control-plane/src/state_machine/records.rs
@@ -1,26 +1,26 @@
-//! Keys and encodings of the records that the state machine itself keeps on disk. Items and what the acceptor accepted
-//! have encodings of their own, in `kitepass-config` and `kitepass-coordination`.
+//! Keys and encodings of the records that the state machine itself stores on disk. The encodings of items are defined in
+//! `kitepass-config`, those of accepted proposals in `kitepass-coordination`.
 
 pub(super) use kitepass_coordination::consensus::Record;
 
-/// Key of the record that says that this disk holds all that was acknowledged here.
+/// Key of the record that marks this disk as holding everything that this replica has acknowledged.
 const COMPLETE_KEY: &[u8] = b"full";
-/// Key of the record of this disk's replica id, which is part of the replica's name.
+/// Key of this disk's replica id, which is part of the replica's name.
 const REPLICA_ID_KEY: &[u8] = b"folder";
-/// Key of the record of the last lease vote.
+/// Key of the last granted lease vote.
 const VOTE_KEY: &[u8] = b"vote";
-/// Key of the record of the gateways that counted as live.
+/// Key of the list of live gateways.
 ///
-/// Invariant: the number of live gateways outlives a restart of all control processes. Otherwise the first few gateways
-/// that come back would be taken for all of them, and each would get too large a share of every quota.
+/// Invariant: the number of live gateways survives a restart of all control processes. Otherwise the first few gateways
+/// to reconnect would be counted as the only ones, and each would get too large a share of every quota.
 const LIVE_GATEWAYS_KEY: &[u8] = b"live";
 
-/// To whom this voter granted the lease last.
+/// The last lease vote that this replica granted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct RecordedVote {
-    /// Name of the replica that the vote went to.
+    /// Name of the replica that received the vote.
     pub(super) candidate: String,
-    /// Version of the newest replica set that the voter knew when it voted.
+    /// Version of the newest replica set known to the voter at the time of the vote.
     pub(super) replica_set_version: u64,
 }
 
@@ -30,7 +30,7 @@
         (VOTE_KEY.to_vec(), value)
     }
 
-    /// A value in an earlier form reads as a vote for nobody.
+    /// Decodes a vote. A value in an older or invalid format decodes to the default, a vote for no candidate.
     fn from_value(value: &[u8]) -> RecordedVote {
         let decode = || {
             let (version, candidate) = value.split_first_chunk::<8>()?;
@@ -41,7 +41,7 @@
     }
 }
 
-/// A record of the state machine's own, decoded.
+/// A decoded record of the state machine.
 pub(super) enum StateMachineRecord {
     Complete,
     ReplicaId(u64),
@@ -49,7 +49,7 @@
     LiveGateways(Vec<String>),
 }
 
-/// Decodes a record, if it is one of the state machine's own.
+/// Decodes a record of the state machine. Returns `None` for any other record.
 pub(super) fn decode(key: &[u8], value: &[u8]) -> Option<StateMachineRecord> {
     match key {
         COMPLETE_KEY => Some(StateMachineRecord::Complete),
@@ -72,17 +72,17 @@
     (COMPLETE_KEY.to_vec(), vec![1])
 }
 
-/// The record that takes [`complete`] back: an empty value removes a record.
+/// The record that revokes [`complete`]. Its empty value deletes the stored record.
 pub(super) fn incomplete() -> Record {
     (COMPLETE_KEY.to_vec(), Vec::new())
 }
 
-/// The record of this disk's replica id.
+/// The record that stores this disk's replica id.
 pub(super) fn replica_id(id: u64) -> Record {
     (REPLICA_ID_KEY.to_vec(), id.to_be_bytes().to_vec())
 }
 
-/// The record of the gateways that count as live.
+/// The record that stores the list of live gateways.
 pub(super) fn live_gateways(node_ids: &[String]) -> Record {
     (LIVE_GATEWAYS_KEY.to_vec(), node_ids.join(",").into_bytes())
 }
