--- a/crates/control-plane/src/state_machine/coordinator.rs
+++ b/crates/control-plane/src/state_machine/coordinator.rs
@@ -1,5 +1,5 @@
-//! The coordinator role: the lease under which one process holds it, and what that process does with it, which is
-//! counting usage and reading the platform's list of backends.
+//! The coordinator role: the lease that grants it to one process, and the state that the holder keeps, namely usage counts
+//! and the platform's endpoint list.
 
 use super::configuration::Configuration;
 use super::records::RecordedVote;
@@ -12,44 +12,44 @@
 use kitepass_time::{Duration, Timestamp};
 use log::{info, warn};
 
-/// The one singleton role, by its name on the wire: whoever holds its lease reads the platform's list, holds the usage
-/// counts and changes the replica set.
+/// Name on the wire of the coordinator role. The holder of its lease reads the platform's endpoint list, aggregates usage
+/// and changes the replica set.
 pub const COORDINATOR_ROLE: &str = "steward";
 
-/// How far this process has come with the role. [`Coordinator::set_state`] alone changes it.
+/// State of this process in the coordinator election. Changed only by [`Coordinator::set_state`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CoordinatorState {
-    /// Another process holds the lease, or nobody.
+    /// This process does not hold the lease.
     Follower,
-    /// It won the lease under a term, and has yet to read what a read quorum holds.
+    /// This process won the lease under this term, but has not yet read the state of a read quorum.
     ///
-    /// Invariant: it does not act in this state. By what it knew before it would bring back an older list, count or
-    /// replica set.
+    /// Invariant: it does not act as coordinator in this state. Its own state may be outdated and would restore an older
+    /// endpoint list, usage count or replica set.
     Recovering(u64),
-    /// It has read, since it won the lease under that term, what a read quorum holds, and acts.
+    /// This process has read the state of a read quorum since it won the lease under this term, and acts as coordinator.
     Active(u64),
 }
 
-/// How a lease request is answered.
+/// Response to a lease request.
 pub(super) enum VoteDecision {
-    /// The answer may leave at once.
+    /// The vote may be sent immediately.
     Ready(LeaseVote),
-    /// The answer may leave once the vote is on disk: a voter that restarts would otherwise grant to another what it had
-    /// granted.
+    /// The vote may be sent only once it is on disk. Otherwise, a voter that restarts could grant the same lease to another
+    /// candidate.
     AfterRecord(RecordedVote, LeaseVote),
 }
 
-/// What a voter must know to answer a lease request.
+/// State of this replica that decides how it votes on a lease request.
 pub(super) struct VoteContext<'a> {
-    /// The replica set in force, and the incoming one.
+    /// The current replica set and, during a replica set change, the incoming one.
     pub(super) replica_sets: Option<&'a JointReplicaSets>,
-    /// The epoch that fences off requests of earlier ones, by what this replica has accepted.
+    /// Lease requests of earlier epochs are rejected. 0 unless this replica has accepted an undecided replica set.
     pub(super) fencing_epoch: u64,
-    /// Whether this replica's vote counts.
+    /// Whether this replica is entitled to grant a lease.
     pub(super) may_grant: bool,
 }
 
-/// This process' part in the election, and what it keeps for the role.
+/// This process as voter, candidate and holder of the coordinator role.
 pub(super) struct Coordinator {
     voter: LeaseVoter,
     recorded_vote: RecordedVote,
@@ -61,8 +61,8 @@
 }
 
 impl Coordinator {
-    /// `has_never_voted`: this disk has never held a vote. `recorded_vote` is the one on disk; `newest` is the newest
-    /// replica set that is known; `first_request_id` differs in each incarnation.
+    /// `has_never_voted` is true if no vote has ever been stored on this disk. `recorded_vote` is the vote on disk, `newest`
+    /// the newest known replica set. `first_request_id` must differ in each incarnation.
     pub(super) fn new(
         now: Timestamp,
         has_never_voted: bool,
@@ -71,8 +71,8 @@
         first_request_id: u64,
         tolerance: QuotaTolerance,
     ) -> Coordinator {
-        // Invariant: a recorded vote counts only with the replica set that it was given under. Of a later set a majority
-        // may have granted the lease to another since.
+        // Invariant: a recorded vote is valid only for the replica set under which it was granted. A majority of a newer
+        // set may have granted the lease to another candidate since.
         let is_valid = newest.as_ref().is_some_and(|set| set.version == recorded_vote.replica_set_version);
         let vote = is_valid.then(|| (COORDINATOR_ROLE.to_owned(), recorded_vote.candidate.clone()));
         Coordinator {
@@ -90,13 +90,13 @@
         self.state
     }
 
-    /// The term under which this process holds the lease now.
+    /// The term under which this process currently holds the lease.
     pub(super) fn lease_term(&self, now: Timestamp) -> Option<u64> {
         self.candidate.held_term(now)
     }
 
-    /// The term under which this process acts as coordinator now: it holds the lease, and has read a read quorum since it
-    /// won it.
+    /// The term under which this process currently acts as coordinator: it holds the lease and has read the state of a read
+    /// quorum since it won it.
     pub(super) fn active_term(&self, now: Timestamp) -> Option<u64> {
         self.lease_term(now).filter(|term| self.state == CoordinatorState::Active(*term))
     }
@@ -120,12 +120,13 @@
         self.state = to;
     }
 
-    /// The lease is lost, or was given back.
+    /// Returns to the follower state after the lease was lost or released.
     pub(super) fn step_down(&mut self) {
         self.set_state(CoordinatorState::Follower);
     }
 
-    /// What a read quorum holds has been read; true if this process acts as coordinator from now on.
+    /// Ends the recovery after the state of a read quorum was read. Returns true if this process has become the active
+    /// coordinator.
     pub(super) fn complete_recovery(&mut self, now: Timestamp) -> bool {
         match self.state {
             CoordinatorState::Recovering(term) if self.lease_term(now) == Some(term) => {
@@ -136,31 +137,31 @@
         }
     }
 
-    /// A new replica set may have become known to the voter.
+    /// Passes the newest known replica set to the voter.
     pub(super) fn observe_replica_set(&mut self, now: Timestamp, newest: &ReplicaSet) {
         self.voter.observe_replica_set(now, newest);
     }
 
-    /// Whether, as far as this voter granted it, nobody but `own_name` holds the lease.
+    /// Whether, according to the votes granted by this voter, no replica other than `own_name` holds the lease.
     pub(super) fn is_lease_free_for(&self, now: Timestamp, own_name: &str) -> bool {
         self.voter.holder(now, COORDINATOR_ROLE).is_none_or(|holder| holder == own_name)
     }
 
-    /// Votes on the request of the replica `candidate`.
+    /// Votes on a lease request of the replica `candidate`.
     pub(super) fn vote(
         &mut self,
         now: Timestamp,
         candidate: &str,
         request: &LeaseRequest,
-        view: &VoteContext,
+        context: &VoteContext,
     ) -> VoteDecision {
-        let newest = view.replica_sets.map(JointReplicaSets::newest);
+        let newest = context.replica_sets.map(JointReplicaSets::newest);
         if let Some(newest) = newest {
             self.voter.observe_replica_set(now, newest);
         }
-        let epoch = view.replica_sets.map_or(0, JointReplicaSets::epoch).max(view.fencing_epoch);
+        let epoch = context.replica_sets.map_or(0, JointReplicaSets::epoch).max(context.fencing_epoch);
         let mut vote = self.voter.vote(now, candidate, request, epoch);
-        vote.is_granted &= view.may_grant;
+        vote.is_granted &= context.may_grant;
         let replica_set_version = newest.map_or(0, |set| set.version);
         let recorded = RecordedVote { candidate: candidate.to_owned(), replica_set_version };
         if vote.is_granted && self.recorded_vote != recorded {
@@ -170,12 +171,12 @@
         }
     }
 
-    /// A vote is on disk.
+    /// Records that a granted vote is on disk.
     pub(super) fn vote_recorded(&mut self, recorded: RecordedVote) {
         self.recorded_vote = recorded;
     }
 
-    /// The vote of the replica `voter`. Gives the term if the lease is held from now on and was not before.
+    /// Processes a vote of the replica `voter`. Returns the term if this vote has won the lease.
     pub(super) fn receive_vote(
         &mut self,
         now: Timestamp,
@@ -193,23 +194,24 @@
         Some(term)
     }
 
-    /// The request for the lease, or for its renewal, that is due now. `wait` is drawn.
+    /// Returns the lease or renewal request that is due now, if any. `delay` is random, so that candidates do not all send
+    /// their requests at the same time.
     pub(super) fn lease_request(
         &mut self,
         now: Timestamp,
         is_free: bool,
-        wait: Duration,
+        delay: Duration,
         epoch: u64,
     ) -> Option<LeaseRequest> {
-        self.candidate.tick(now, is_free, wait, epoch)
+        self.candidate.tick(now, is_free, delay, epoch)
     }
 
-    /// The request that gives a held lease back.
+    /// Returns the request that releases the lease, if it is held.
     pub(super) fn release(&mut self, now: Timestamp) -> Option<LeaseRequest> {
         self.candidate.release(now)
     }
 
-    /// Adds a gateway's usage, if this process is coordinator; gives the totals.
+    /// Adds a gateway's usage report and returns the totals, if this process is the active coordinator.
     pub(super) fn record_usage(
         &mut self,
         now: Timestamp,
@@ -222,14 +224,14 @@
         Some(usage.record(now, report, live_node_ids, |tenant| configuration.rate_limit(tenant)))
     }
 
-    /// Forgets usage that is long past.
+    /// Removes expired usage counts.
     pub(super) fn expire_usage(&mut self, now: Timestamp) {
         if let Some(usage) = &mut self.usage {
             usage.expire(now);
         }
     }
 
-    /// A complete reading of the platform's list; gives the items that are new by it.
+    /// Processes a complete read of the platform's endpoint list. Returns the items that it adds or changes.
     pub(super) fn update_endpoints(
         &mut self,
         now: Timestamp,
--- a/crates/control-plane/src/state_machine/persistence.rs
+++ b/crates/control-plane/src/state_machine/persistence.rs
@@ -1,4 +1,4 @@
-//! Records on their way to disk, and what may be done only once they are there.
+//! Writes of records to disk, and the steps that must wait until they are durable.
 
 use super::records::{Record, RecordedVote};
 use super::Action;
@@ -6,21 +6,21 @@
 use kitepass_coordination::protocol::{AcceptResponse, LeaseVote, PrepareResponse};
 use std::collections::BTreeMap;
 
-/// What waits until records are on disk.
+/// The step to take once a write is on disk.
 pub(super) enum PendingWrite {
-    /// The answer to an accept request.
+    /// Send the response to an accept request.
     Accept { node_id: String, response: AcceptResponse, reservation: Option<BallotReservation> },
-    /// The answer to a prepare request, and the reservation that covers its promise.
+    /// Send the response to a prepare request. The reservation covers its promised ballot.
     Promise { node_id: String, response: PrepareResponse, reservation: BallotReservation },
-    /// A lease vote.
+    /// Send a lease vote.
     Vote { node_id: String, recorded: RecordedVote, vote: LeaseVote },
-    /// That this disk is complete.
+    /// Mark this disk as complete.
     Completeness,
-    /// Nothing waits.
+    /// No step depends on the write.
     Nothing,
 }
 
-/// Writes in flight, by the request id under which the disk reports them, and records that can wait for the next
+/// Writes in flight, by the request id that identifies them in [`Action::Persist`], and records deferred to the next
 /// write.
 #[derive(Default)]
 pub(super) struct Persistence {
@@ -29,7 +29,7 @@
 }
 
 impl Persistence {
-    /// Records that go to disk with the next write, or at the next tick.
+    /// Defers records to the next write, or to the next tick if there is no write before it.
     pub(super) fn defer(&mut self, records: impl IntoIterator<Item = Record>) {
         self.deferred.extend(records);
     }
@@ -38,7 +38,7 @@
         !self.deferred.is_empty()
     }
 
-    /// Sends records to disk, behind all that were deferred; `then` waits for them.
+    /// Writes the deferred records, followed by these. `then` is the step to take once they are on disk.
     pub(super) fn write(&mut self, request_id: u64, records: Vec<Record>, then: PendingWrite) -> Action {
         let mut batch = std::mem::take(&mut self.deferred);
         batch.extend(records);
@@ -46,8 +46,8 @@
         Action::Persist(request_id, batch)
     }
 
-    /// A write is on disk; returns what waited for it. Writes complete in order, so an earlier one that is still
-    /// in flight was dropped by the store: what waited for it is given up.
+    /// Records that a write is on disk, and returns the step that waited for it. Writes complete in order, so an earlier
+    /// write that is still in flight was dropped by the store, and the step that waited for it is discarded.
     pub(super) fn write_completed(&mut self, request_id: u64) -> Option<PendingWrite> {
         let then = self.in_flight.remove(&request_id);
         self.in_flight = self.in_flight.split_off(&request_id);
@@ -59,7 +59,7 @@
         self.in_flight.is_empty()
     }
 
-    /// Whether the record that this disk is complete is being written.
+    /// Whether the record that marks this disk as complete is being written.
     pub(super) fn is_writing_completeness(&self) -> bool {
         self.in_flight.values().any(|then| matches!(then, PendingWrite::Completeness))
     }
