--- a/crates/control-plane/src/state_machine/bootstrap.rs
+++ b/crates/control-plane/src/state_machine/bootstrap.rs
@@ -1,5 +1,5 @@
-//! Cluster bootstrap: on the first start of a cluster, one process, the bootstrap node, waits for its peers to connect and
-//! creates the first replica set from them.
+//! Cluster bootstrap: on the first start of a cluster, one process, the bootstrap node, waits for its peers to connect
+//! and creates the first replica set from them.
 
 use kitepass_time::{Duration, Timestamp};
 
--- a/crates/control-plane/src/state_machine/configuration.rs
+++ b/crates/control-plane/src/state_machine/configuration.rs
@@ -1,4 +1,5 @@
-//! The committed items and the state derived from them: active replica sets, rate limits of tenants, home regions of hosts.
+//! The committed items and the state derived from them: active replica sets, rate limits of tenants, home regions of
+//! hosts.
 
 use super::home_regions::HomeRegions;
 use bytes::Bytes;
@@ -8,8 +9,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Maximum number of tombstones kept for backends. If a stale copy restores a backend whose tombstone was purged, the next
-/// read of the platform's endpoint list deletes it again.
+/// Maximum number of tombstones kept for backends. If a stale copy restores a backend whose tombstone was purged, the
+/// next read of the platform's endpoint list deletes it again.
 const MAX_BACKEND_TOMBSTONES: usize = 4_096;
 
 /// An item with the digests of its older versions.
@@ -157,15 +158,15 @@
         self.joint_replica_sets().is_some_and(|sets| sets.is_write_quorum(copies))
     }
 
-    /// Whether the replicas that responded form a read quorum. `activated_version` is the highest version of a replica set
-    /// whose activation any of them has accepted.
+    /// Whether the replicas that responded form a read quorum. `activated_version` is the highest version of a replica
+    /// set whose activation any of them has accepted.
     ///
-    /// During a replica set change, a read needs a read quorum of both sets until the activation of the incoming one has
-    /// been accepted, and of the incoming set alone from then on.
+    /// During a replica set change, a read needs a read quorum of both sets until the activation of the incoming one
+    /// has been accepted, and of the incoming set alone from then on.
     ///
-    /// Assumption: a replica that accepted the activation holds everything committed under the previous set, and nothing
-    /// more is committed under the previous set alone. The exception is needed because losing a replica right after
-    /// another one was replaced may leave the previous set without a read quorum for good.
+    /// Assumption: a replica that accepted the activation holds everything committed under the previous set, and
+    /// nothing more is committed under the previous set alone. The exception is needed because losing a replica right
+    /// after another one was replaced may leave the previous set without a read quorum for good.
     pub(super) fn is_read_quorum(&self, responders: &BTreeSet<String>, activated_version: u64) -> bool {
         self.joint_replica_sets().is_some_and(|sets| match &sets.incoming {
             Some(incoming) if incoming.version == activated_version => incoming.is_read_quorum(responders),
--- a/crates/control-plane/src/state_machine/coordinator.rs
+++ b/crates/control-plane/src/state_machine/coordinator.rs
@@ -1,5 +1,5 @@
-//! The coordinator role: the lease that grants it to one process, and the state that the holder keeps, namely usage counts
-//! and the platform's endpoint list.
+//! The coordinator role: the lease that grants it to one process, and the state that the holder keeps, namely usage
+//! counts and the platform's endpoint list.
 
 use super::configuration::Configuration;
 use super::records::RecordedVote;
@@ -12,8 +12,8 @@
 use kitepass_time::{Duration, Timestamp};
 use log::{info, warn};
 
-/// Name on the wire of the coordinator role. The holder of its lease reads the platform's endpoint list, aggregates usage
-/// and changes the replica set.
+/// Name on the wire of the coordinator role. The holder of its lease reads the platform's endpoint list, aggregates
+/// usage and changes the replica set.
 pub const COORDINATOR_ROLE: &str = "steward";
 
 /// State of this process in the coordinator election. Changed only by [`Coordinator::set_state`].
@@ -23,10 +23,11 @@
     Follower,
     /// This process won the lease under this term, but has not yet read the state of a read quorum.
     ///
-    /// Invariant: it does not act as coordinator in this state. Its own state may be outdated and would restore an older
-    /// endpoint list, usage count or replica set.
+    /// Invariant: it does not act as coordinator in this state. Its own state may be outdated and would restore an
+    /// older endpoint list, usage count or replica set.
     Recovering(u64),
-    /// This process has read the state of a read quorum since it won the lease under this term, and acts as coordinator.
+    /// This process has read the state of a read quorum since it won the lease under this term, and acts as
+    /// coordinator.
     Active(u64),
 }
 
@@ -34,8 +35,8 @@
 pub(super) enum VoteDecision {
     /// The vote may be sent immediately.
     Ready(LeaseVote),
-    /// The vote may be sent only once it is on disk. Otherwise, a voter that restarts could grant the same lease to another
-    /// candidate.
+    /// The vote may be sent only once it is on disk. Otherwise, a voter that restarts could grant the same lease to
+    /// another candidate.
     AfterRecord(RecordedVote, LeaseVote),
 }
 
@@ -71,8 +72,8 @@
         first_request_id: u64,
         tolerance: QuotaTolerance,
     ) -> Coordinator {
-        // Invariant: a recorded vote is valid only for the replica set under which it was granted. A majority of a newer
-        // set may have granted the lease to another candidate since.
+        // Invariant: a recorded vote is valid only for the replica set under which it was granted. A majority of a
+        // newer set may have granted the lease to another candidate since.
         let is_valid = newest.as_ref().is_some_and(|set| set.version == recorded_vote.replica_set_version);
         let vote = is_valid.then(|| (COORDINATOR_ROLE.to_owned(), recorded_vote.candidate.clone()));
         Coordinator {
@@ -95,8 +96,8 @@
         self.candidate.held_term(now)
     }
 
-    /// The term under which this process currently acts as coordinator: it holds the lease and has read the state of a read
-    /// quorum since it won it.
+    /// The term under which this process currently acts as coordinator: it holds the lease and has read the state of a
+    /// read quorum since it won it.
     pub(super) fn active_term(&self, now: Timestamp) -> Option<u64> {
         self.lease_term(now).filter(|term| self.state == CoordinatorState::Active(*term))
     }
@@ -194,8 +195,8 @@
         Some(term)
     }
 
-    /// Returns the lease or renewal request that is due now, if any. `delay` is random, so that candidates do not all send
-    /// their requests at the same time.
+    /// Returns the lease or renewal request that is due now, if any. `delay` is random, so that candidates do not all
+    /// send their requests at the same time.
     pub(super) fn lease_request(
         &mut self,
         now: Timestamp,
--- a/crates/control-plane/src/state_machine/lifecycle.rs
+++ b/crates/control-plane/src/state_machine/lifecycle.rs
@@ -11,16 +11,16 @@
     CatchingUp,
     /// Caught up and in contact with a majority. Requests and sessions are accepted.
     Serving,
-    /// Caught up earlier, but no longer in contact with a majority. This replica may be missing committed changes, so it
-    /// does not present its items as current. Gateways are notified and move to a serving replica if there is one.
+    /// Caught up earlier, but no longer in contact with a majority. This replica may be missing committed changes, so
+    /// it does not present its items as current. Gateways are notified and move to a serving replica if there is one.
     Isolated,
     /// Shutting down. No new requests or sessions are accepted.
     ShuttingDown,
 }
 
 impl ReplicaState {
-    /// Name of the state in the operator API (field `standing` of `/v1/members`). These names are part of the API and must
-    /// not change.
+    /// Name of the state in the operator API (field `standing` of `/v1/members`). These names are part of the API and
+    /// must not change.
     pub fn wire_name(self) -> &'static str {
         match self {
             ReplicaState::Uninitialized => "blank",
--- a/crates/control-plane/src/state_machine/membership.rs
+++ b/crates/control-plane/src/state_machine/membership.rs
@@ -1,5 +1,5 @@
-//! Observations of the replicas, from which the next replica set is computed, and the takeover of a replica set change that
-//! the coordinator left unfinished.
+//! Observations of the replicas, from which the next replica set is computed, and the takeover of a replica set change
+//! that the coordinator left unfinished.
 
 use super::quorum::Quorum;
 use kitepass_coordination::membership::{Replica, ReplicaObservations, ReplicaSet};
@@ -8,11 +8,11 @@
 
 /// A replica that has been disconnected for this long may be replaced, if another one is available in its zone.
 ///
-/// Invariant: it remains a member until its replacement has joined. Until then, the loss of a second replica may leave no
-/// majority.
+/// Invariant: it remains a member until its replacement has joined. Until then, the loss of a second replica may leave
+/// no majority.
 const REPLACEMENT_TIMEOUT: Duration = Duration::from_micros(1_000_000);
-/// Time that the coordinator has to finish a replica set change, before another replica takes it over. A random jitter is
-/// added to it.
+/// Time that the coordinator has to finish a replica set change, before another replica takes it over. A random jitter
+/// is added to it.
 const TAKE_OVER_TIMEOUT: Duration = Duration::from_micros(1_500_000);
 /// Upper bound of the jitter added to [`TAKE_OVER_TIMEOUT`], in microseconds.
 const MAX_TAKE_OVER_JITTER_MICROS: u64 = 1_500_000;
@@ -45,8 +45,8 @@
         self.shutting_down.insert(name.to_owned());
     }
 
-    /// Observes the members of `replica_set` and the connected replicas. `own_replica` is the replica of this process, if
-    /// its disk is complete. A replica that has never connected counts as disconnected since `started_at`, when this
+    /// Observes the members of `replica_set` and the connected replicas. `own_replica` is the replica of this process,
+    /// if its disk is complete. A replica that has never connected counts as disconnected since `started_at`, when this
     /// process started.
     pub(super) fn observe(
         &mut self,
@@ -61,8 +61,8 @@
         let complete = complete.map(|peer| Replica::from(&peer.hello)).chain(own_replica).collect();
         let leaving = quorum.peers().filter(|peer| peer.is_shutting_down);
         self.shutting_down.extend(leaving.map(|peer| peer.name.clone()));
-        // Invariant: a replica that was removed because it is shutting down is not a candidate for the replica set while it is
-        // still connected. It would be added again and leave before the change is done.
+        // Invariant: a replica that was removed because it is shutting down is not a candidate for the replica set
+        // while it is still connected. It would be added again and leave before the change is done.
         self.shutting_down.retain(|name| replica_set.contains(name) || quorum.is_peer_connected(name));
         self.disconnected_since.retain(|name, _| replica_set.contains(name));
         let names = replica_set.replicas.iter().map(Replica::name);
@@ -77,7 +77,8 @@
         self.unfinished_change = None;
     }
 
-    /// Whether this process should activate the incoming replica set itself, because the coordinator has taken too long.
+    /// Whether this process should activate the incoming replica set itself, because the coordinator has taken too
+    /// long.
     /// `random_below` returns a random number below its argument.
     pub(super) fn should_take_over(
         &mut self,
--- a/crates/control-plane/src/state_machine/mod.rs
+++ b/crates/control-plane/src/state_machine/mod.rs
@@ -10,7 +10,7 @@
 //! | `configuration` | committed items, active replica sets, rate limits |
 //! | `quorum` | connected peers, and contact with a majority of the replicas |
 //! | `catch_up` | reads of other replicas' items |
-//! | `proposals` | pending requests, promised and accepted ballots, and other proposers' proposals that are being watched |
+//! | `proposals` | pending requests, the acceptor, and proposals of other proposers that are being watched |
 //! | `membership` | observations of replicas, used to compute the next replica set |
 //! | `coordinator` | lease of the coordinator role, usage counts, the platform's endpoint list |
 //! | `sessions` | gateway sessions, and the items that each gateway is missing |
@@ -205,7 +205,8 @@
         self.expire_requests(now);
     }
 
-    /// While this process is not serving, it reads from its peers. The bootstrap node also creates the first replica set.
+    /// While this process is not serving, it reads from its peers. The bootstrap node also creates the first replica
+    /// set.
     fn tick_catch_up(&mut self, now: Timestamp) {
         let is_behind = matches!(
             self.replica_state(),
--- a/crates/control-plane/src/state_machine/persistence.rs
+++ b/crates/control-plane/src/state_machine/persistence.rs
@@ -46,8 +46,8 @@
         Action::Persist(request_id, batch)
     }
 
-    /// Records that a write is on disk, and returns the step that waited for it. Writes complete in order, so an earlier
-    /// write that is still in flight was dropped by the store, and the step that waited for it is discarded.
+    /// Records that a write is on disk, and returns the step that waited for it. Writes complete in order, so an
+    /// earlier write that is still in flight was dropped by the store, and the step that waited for it is discarded.
     pub(super) fn write_completed(&mut self, request_id: u64) -> Option<PendingWrite> {
         let then = self.in_flight.remove(&request_id);
         self.in_flight = self.in_flight.split_off(&request_id);
--- a/crates/control-plane/src/state_machine/quorum.rs
+++ b/crates/control-plane/src/state_machine/quorum.rs
@@ -1,7 +1,7 @@
 //! Connected control processes, and contact with a majority of the replicas.
 //!
-//! This process is in contact with a replica while that replica has recently proved, by echoing a heartbeat or by answering
-//! a request, that it receives the messages of this process.
+//! This process is in contact with a replica while that replica has recently proved, by echoing a heartbeat or by
+//! answering a request, that it receives the messages of this process.
 
 use super::{Action, HEARTBEAT_INTERVAL, UNRESPONSIVE_TIMEOUT};
 use kitepass_coordination::membership::{Replica, ReplicaSet};
@@ -14,8 +14,8 @@
 /// Client look-ups are answered until contact with a majority is older than this. It bounds the age of the gateway list
 /// that they return.
 const MAX_LOOK_UP_CONTACT_AGE: Duration = Duration::from_micros(4_000_000);
-/// Number of consecutive heartbeats with a different digest after which a peer's items are read. A single one may have been
-/// sent before the peer received an update.
+/// Number of consecutive heartbeats with a different digest after which a peer's items are read. A single one may have
+/// been sent before the peer received an update.
 const STALE_AFTER_DIGEST_MISMATCHES: u32 = 2;
 
 /// A connected control process.
@@ -66,8 +66,8 @@
         self.log_contact(now, change);
     }
 
-    /// Re-evaluates the contact after a message that proves contact with one peer. Contact can only be regained by it, not
-    /// lost.
+    /// Re-evaluates the contact after a message that proves contact with one peer. Contact can only be regained by it,
+    /// not lost.
     pub(super) fn check_reconnected(&mut self, now: Timestamp, replica_sets: &[ReplicaSet]) {
         let change = self.contact.check_reconnected(now, replica_sets);
         self.log_contact(now, change);
@@ -149,8 +149,9 @@
         self.contact.response_received(now, name, sent_at);
     }
 
-    /// Records the peer state reported by a heartbeat. `digest` is the digest of all local items. Returns true if the peer's
-    /// digest has differed in [`STALE_AFTER_DIGEST_MISMATCHES`] consecutive heartbeats, so that its items must be read.
+    /// Records the peer state reported by a heartbeat. `digest` is the digest of all local items. Returns true if the
+    /// peer's digest has differed in [`STALE_AFTER_DIGEST_MISMATCHES`] consecutive heartbeats, so that its items must
+    /// be read.
     pub(super) fn receive_heartbeat(&mut self, node_id: &str, heartbeat: &Heartbeat, digest: u64) -> bool {
         let Some(peer) = self.peers.get_mut(node_id) else { return false };
         peer.hello.is_serving = heartbeat.is_serving;
@@ -223,8 +224,8 @@
         serving.max_by_key(|peer| peer.last_received_at).map(|peer| peer.hello.address.as_str())
     }
 
-    /// Node id of the peer that reports to be the coordinator, under the highest term if there are several. Only a peer's own
-    /// report counts, because a lease vote granted to a candidate does not show that it won the lease.
+    /// Node id of the peer that reports to be the coordinator, under the highest term if there are several. Only a
+    /// peer's own report counts, because a lease vote granted to a candidate does not show that it won the lease.
     pub(super) fn coordinator(&self) -> Option<&str> {
         let coordinators = self.peers.iter().filter(|(_, peer)| peer.coordinator_term > 0);
         coordinators.max_by_key(|(_, peer)| peer.coordinator_term).map(|(node_id, _)| node_id.as_str())
--- a/crates/control-plane/src/state_machine/startup.rs
+++ b/crates/control-plane/src/state_machine/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a state machine: what its disk holds is read back, and the parts are built from it.
+//! Startup of the state machine: restores its components from the records on disk.
 
 use super::bootstrap::Bootstrap;
 use super::catch_up::CatchUp;
@@ -21,23 +21,24 @@
 use kitepass_time::Timestamp;
 use log::{error, info};
 
-/// What a process is at its start.
+/// Parameters of a new state machine.
 pub struct StartParameters {
-    /// This process' replica. Its replica id is taken from the records, or drawn if there are none.
+    /// The replica of this process. Its replica id is replaced by the one on disk, or by a new one if the disk is empty
+    /// or contains malformed records.
     pub replica: Replica,
-    /// Drawn anew at each start.
+    /// A random number, different at each start.
     pub incarnation: u64,
-    /// The first start of the whole system, with an empty disk.
+    /// Whether this is the first start of the whole cluster. Ignored if there is state on disk.
     pub is_first_start: bool,
-    /// Whether this process gathers the first replica set.
+    /// Whether this process creates the first replica set.
     pub is_bootstrap_node: bool,
-    /// All records on its disk.
+    /// All records on disk.
     pub records: Vec<(Vec<u8>, Vec<u8>)>,
-    /// By how much the gateways together may exceed a quota.
+    /// How far the gateways may collectively exceed a quota.
     pub tolerance: QuotaTolerance,
 }
 
-/// What a disk's records say.
+/// State restored from the records on disk.
 #[derive(Default)]
 struct RestoredRecords {
     item_store: ItemStore,
@@ -45,11 +46,11 @@
     sessions: SessionTable,
     vote: RecordedVote,
     is_complete: bool,
-    /// 0 where there is no such record.
+    /// 0 if there is no such record.
     replica_id: u64,
-    /// Whether there is anything but a replica id.
+    /// Whether there are records other than the replica id.
     has_state: bool,
-    /// Removals of records that can't be read.
+    /// Deletions of malformed records.
     removals: Vec<Record>,
 }
 
@@ -59,16 +60,16 @@
         for (key, value) in records {
             restored.add(now, key, value);
         }
-        // A malformed record may stand for an acceptance by which a proposal was chosen. So the disk counts as lost, and
-        // its content is read again from the other replicas.
+        // A malformed record may have held an accepted proposal that was chosen by this acceptance. The disk is
+        // therefore treated as lost, and its content is read again from the other replicas.
         restored.is_complete &= restored.removals.is_empty();
         restored
     }
 
     fn add(&mut self, now: Timestamp, key: &[u8], value: &[u8]) {
-        let own = records::decode(key, value);
-        self.has_state |= !matches!(own, Some(StateMachineRecord::ReplicaId(_)));
-        match own {
+        let record = records::decode(key, value);
+        self.has_state |= !matches!(record, Some(StateMachineRecord::ReplicaId(_)));
+        match record {
             Some(StateMachineRecord::Complete) => self.is_complete = true,
             Some(StateMachineRecord::ReplicaId(id)) => self.replica_id = id,
             Some(StateMachineRecord::Vote(vote)) => self.vote = vote,
@@ -90,12 +91,13 @@
 }
 
 impl StateMachine {
-    /// Builds a state machine from what its disk holds. The first actions may be waiting when it returns.
+    /// Creates a state machine from the records on disk. [`StateMachine::actions`] may already contain the first
+    /// actions.
     pub fn new(now: Timestamp, start: StartParameters) -> StateMachine {
         let mut restored = RestoredRecords::read(now, &start.records);
-        let is_garbled = !restored.removals.is_empty();
-        // The disk of a version that had no replica ids stays the replica that it was, with id 0.
-        let is_new_replica = start.records.is_empty() || is_garbled;
+        let has_malformed_records = !restored.removals.is_empty();
+        // A disk written by a version without replica ids keeps its identity, with the id 0.
+        let is_new_replica = start.records.is_empty() || has_malformed_records;
         let new_replica_id = is_new_replica.then(|| start.incarnation.max(1));
         let replica_id = new_replica_id.unwrap_or(restored.replica_id);
         let identity = Identity::new(Replica { replica_id, ..start.replica.clone() }, start.incarnation);
@@ -104,7 +106,7 @@
 
         let mut state_machine = StateMachine::assemble(now, &start, identity, restored);
         if let Some(id) = new_replica_id {
-            // The first record of all, so that whatever else is on disk is on disk under this id.
+            // The id is the first record to be written, so that all other records are stored under this id.
             state_machine.persist(vec![records::replica_id(id)], PendingWrite::Nothing);
         }
         if !removals.is_empty() {
--- a/crates/control-plane/src/state_machine/tombstones.rs
+++ b/crates/control-plane/src/state_machine/tombstones.rs
@@ -1,53 +1,53 @@
-//! Tombstones: the record of a drop, kept until every replica holds it, and the doubt about what a process holds that
-//! was away for so long that tombstones may have been forgotten meanwhile.
+//! Tombstones mark deleted items and are purged once every replica has stored them. A process that was out of contact
+//! for so long that tombstones may have been purged meanwhile must treat its items as potentially stale.
 
 use kitepass_config::ItemStore;
 use kitepass_coordination::tombstones::{ExpiredTombstone, TombstoneCollector};
 use kitepass_time::{Duration, Timestamp};
 use std::collections::BTreeSet;
 
-/// A tombstone is forgotten once every replica has held it on disk for this time.
-const TOMBSTONE_AGE: Duration = Duration::from_micros(3_600_000_000);
-/// Tombstones are looked through no more often.
+/// A tombstone is purged once every replica has held it on disk for this long.
+const TOMBSTONE_RETENTION: Duration = Duration::from_micros(3_600_000_000);
+/// Minimum interval between two searches for expired tombstones.
 const COLLECTION_INTERVAL: Duration = Duration::from_micros(2_000_000);
 
-/// When tombstones may be forgotten, and whether what is held here is still to be trusted.
+/// Decides when tombstones may be purged, and whether the local items may be stale.
 pub(super) struct Tombstones {
     collector: TombstoneCollector,
-    age: Duration,
+    retention: Duration,
     last_collection_at: Timestamp,
     last_contact_at: Timestamp,
     may_be_stale: bool,
 }
 
 impl Tombstones {
-    /// `holds_items`: whether anything is held from before this start.
+    /// `holds_items` is whether any items were restored from disk. Those may be stale.
     pub(super) fn new(now: Timestamp, holds_items: bool) -> Tombstones {
         Tombstones {
-            collector: TombstoneCollector::new(TOMBSTONE_AGE),
-            age: TOMBSTONE_AGE,
+            collector: TombstoneCollector::new(TOMBSTONE_RETENTION),
+            retention: TOMBSTONE_RETENTION,
             last_collection_at: now,
             last_contact_at: now,
             may_be_stale: holds_items,
         }
     }
 
-    pub(super) fn set_retention(&mut self, age: Duration) {
-        self.age = age;
-        self.collector = TombstoneCollector::new(age);
+    pub(super) fn set_retention(&mut self, retention: Duration) {
+        self.retention = retention;
+        self.collector = TombstoneCollector::new(retention);
     }
 
-    /// The replica of this name has all that this one holds on disk.
+    /// Records that the named replica holds all items of this replica on disk.
     pub(super) fn replica_persisted(&mut self, now: Timestamp, name: &str) {
         self.collector.replica_persisted(now, name);
     }
 
-    /// Another process is coordinator, or nobody: what was seen so far counts no longer.
+    /// Discards the collected observations, because this process is not the coordinator.
     pub(super) fn clear(&mut self) {
         self.collector.clear();
     }
 
-    /// Whether tombstones are to be looked through now; that time is noted.
+    /// Whether the next search for expired tombstones is due. If so, the collection interval restarts.
     pub(super) fn start_collection_if_due(&mut self, now: Timestamp) -> bool {
         let is_due = now - self.last_collection_at >= COLLECTION_INTERVAL;
         if is_due {
@@ -56,7 +56,7 @@
         is_due
     }
 
-    /// Tombstones that all these replicas have held for long enough.
+    /// Tombstones that all of these replicas have held for the retention time.
     pub(super) fn expired(
         &mut self,
         now: Timestamp,
@@ -66,25 +66,25 @@
         self.collector.expired(now, item_store, replicas)
     }
 
-    /// This process serves and is in contact with a majority: what it holds is what all hold.
+    /// Records that this process is serving and in contact with a majority, so that its items are up to date.
     pub(super) fn contact_confirmed(&mut self, now: Timestamp) {
         self.last_contact_at = now;
         self.may_be_stale = false;
     }
 
-    /// This process is not in contact. After half a tombstone's age what it holds is in doubt.
+    /// Records that this process is not in contact. After half of the retention time, its items may be stale.
     pub(super) fn contact_missing(&mut self, now: Timestamp, holds_items: bool) {
-        if (now - self.last_contact_at).as_micros() > self.age.as_micros() / 2 {
+        if (now - self.last_contact_at).as_micros() > self.retention.as_micros() / 2 {
             self.may_be_stale |= holds_items;
         }
     }
 
-    /// Whether this process holds what it held before it was away for long, and has yet to be found a member.
+    /// Whether the local items date from before a restart or a long loss of contact, and have not been confirmed since.
     pub(super) fn may_be_stale(&self) -> bool {
         self.may_be_stale
     }
 
-    /// What was in doubt is discarded.
+    /// Records that the potentially stale items were discarded.
     pub(super) fn discarded(&mut self) {
         self.may_be_stale = false;
     }
