--- a/crates/control-plane/src/state_machine/tests/bootstrap.rs
+++ b/crates/control-plane/src/state_machine/tests/bootstrap.rs
@@ -3,13 +3,13 @@
 use rstest::rstest;
 
 #[rstest]
-#[case::alone_it_waits_for_others(true, true, None, 3_999, false)]
-#[case::alone_it_bootstraps_in_the_end(true, true, None, 4_000, true)]
-#[case::others_may_still_come(true, true, Some(200), 1_099, false)]
-#[case::nobody_has_come_for_some_time(true, true, Some(200), 1_100, true)]
-#[case::another_bootstraps(true, false, Some(200), 9_000, false)]
-#[case::not_at_a_later_start(false, true, Some(200), 9_000, false)]
-fn the_bootstrap_node_waits_for_others(
+#[case::waits_without_peers(true, true, None, 3_999, false)]
+#[case::bootstraps_alone_after_delay(true, true, None, 4_000, true)]
+#[case::waits_for_more_peers(true, true, Some(200), 1_099, false)]
+#[case::bootstraps_after_quiet_period(true, true, Some(200), 1_100, true)]
+#[case::is_not_bootstrap_node(true, false, Some(200), 9_000, false)]
+#[case::is_not_first_start(false, true, Some(200), 9_000, false)]
+fn bootstrap_node_waits_for_peers(
     #[case] is_first_start: bool,
     #[case] is_bootstrap_node: bool,
     #[case] peer_joined_at: Option<i64>,
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_known_replica_set_ends_the_first_start() {
+fn known_replica_set_ends_bootstrap() {
     let mut bootstrap = Bootstrap::new(at(0), true, false);
     assert!(bootstrap.is_first_start());
     bootstrap.finish();
--- a/crates/control-plane/src/state_machine/tests/catch_up.rs
+++ b/crates/control-plane/src/state_machine/tests/catch_up.rs
@@ -5,7 +5,7 @@
 
 const REQUEST_ID: u64 = 3;
 
-fn other_store() -> ItemStore {
+fn peer_item_store() -> ItemStore {
     let mut item_store = ItemStore::new();
     for number in 0..30 {
         let name = format!("l{number}").into();
@@ -19,9 +19,9 @@
     PrepareRequest { request_id: REQUEST_ID, bucket_digests, ..PrepareRequest::default() }
 }
 
-/// A chunk of at most about `bytes`, as the other answers it.
+/// A peer's response to `request`, with a chunk of about `bytes` at most.
 fn chunk(request: &PrepareRequest, bytes: usize) -> (Vec<(Item, Vec<VersionDigest>)>, PrepareResponse) {
-    let store = other_store();
+    let store = peer_item_store();
     let chunk = store.history_chunk(&request.bucket_digests, request.first_bucket as usize, bytes);
     let response = PrepareResponse {
         request_id: request.request_id,
@@ -38,15 +38,15 @@
     )
 }
 
-fn reading() -> CatchUp {
+fn catch_up_with_read() -> CatchUp {
     let mut catch_up = CatchUp::new(at(0));
     catch_up.start_read(at(0), "s1", &request());
     catch_up
 }
 
 #[test]
-fn a_reading_goes_on_chunk_by_chunk() {
-    let mut catch_up = reading();
+fn read_continues_chunk_by_chunk() {
+    let mut catch_up = catch_up_with_read();
     let (mut request, mut items_read, mut chunks) = (request(), 0, 0);
     loop {
         let (items, response) = chunk(&request, 500);
@@ -57,7 +57,7 @@
                 assert_eq!(first_response.first_bucket, 0);
                 break;
             }
-            ChunkOutcome::Ignored => panic!("chunk {chunks} is ignored"),
+            ChunkOutcome::Ignored => panic!("chunk {chunks} was ignored"),
         }
     }
     assert_eq!(items_read, 30);
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn an_answer_to_an_earlier_incarnation_ends_no_reading() {
-    let mut catch_up = reading();
+fn response_to_earlier_incarnation_does_not_end_read() {
+    let mut catch_up = catch_up_with_read();
     let (items, response) = chunk(&request(), usize::MAX);
     assert_eq!(response.next_bucket as usize, BUCKET_COUNT);
     let outcome = catch_up.receive_chunk(at(10), "s1", false, true, &items, response.clone());
@@ -77,16 +77,16 @@
 }
 
 #[test]
-fn an_outsiders_answer_completes_no_reading() {
-    let mut catch_up = reading();
+fn response_of_non_member_does_not_complete_read() {
+    let mut catch_up = catch_up_with_read();
     let (items, response) = chunk(&request(), usize::MAX);
     let outcome = catch_up.receive_chunk(at(10), "s1", true, false, &items, response);
     assert!(matches!(outcome, ChunkOutcome::Ignored));
 }
 
 #[test]
-fn a_chunk_that_comes_twice_counts_once() {
-    let mut catch_up = reading();
+fn duplicate_chunk_is_ignored() {
+    let mut catch_up = catch_up_with_read();
     let (items, response) = chunk(&request(), 500);
     let outcome = catch_up.receive_chunk(at(10), "s1", true, true, &items, response.clone());
     assert!(matches!(outcome, ChunkOutcome::Continue(_)));
@@ -96,39 +96,40 @@
 }
 
 #[test]
-fn an_incomplete_chunk_is_asked_for_again_three_times() {
-    let mut catch_up = reading();
+fn incomplete_chunk_is_requested_again_three_times() {
+    let mut catch_up = catch_up_with_read();
     let (items, response) = chunk(&request(), usize::MAX);
-    let short = &items[1..];
+    let incomplete_items = &items[1..];
     for attempt in 1..=3 {
-        let outcome = catch_up.receive_chunk(at(attempt), "s1", true, true, short, response.clone());
+        let outcome =
+            catch_up.receive_chunk(at(attempt), "s1", true, true, incomplete_items, response.clone());
         let ChunkOutcome::Continue(again) = outcome else { panic!("attempt {attempt}") };
         assert_eq!(again.first_bucket, 0);
     }
-    let outcome = catch_up.receive_chunk(at(4), "s1", true, true, short, response);
+    let outcome = catch_up.receive_chunk(at(4), "s1", true, true, incomplete_items, response);
     assert!(matches!(outcome, ChunkOutcome::Ignored));
     assert!(!catch_up.is_read_in_progress(at(4), REQUEST_ID, "s1"));
 }
 
 #[test]
-fn an_overdue_reading_is_kept_only_for_what_waits_for_it() {
-    let mut catch_up = reading();
+fn overdue_read_is_kept_only_while_it_is_needed() {
+    let mut catch_up = catch_up_with_read();
     assert!(catch_up.is_read_in_progress(at(500), REQUEST_ID, "s1"));
     assert!(!catch_up.is_read_in_progress(at(501), REQUEST_ID, "s1"));
     let (items, response) = chunk(&request(), usize::MAX);
     catch_up.expire_reads(at(501), |id| id == REQUEST_ID);
     catch_up.delay_accept("s2", REQUEST_ID, AcceptRequest::default());
     catch_up.expire_reads(at(502), |_| false);
-    let (node_id, _) = catch_up.take_delayed_accept(REQUEST_ID).expect("it waits");
+    let (node_id, _) = catch_up.take_delayed_accept(REQUEST_ID).expect("the accept request is still delayed");
     assert_eq!(node_id, "s2");
     assert!(catch_up.take_delayed_accept(REQUEST_ID).is_none());
     catch_up.expire_reads(at(503), |_| false);
     let outcome = catch_up.receive_chunk(at(504), "s1", true, true, &items, response);
-    assert!(matches!(outcome, ChunkOutcome::Ignored), "nothing waited for it any more");
+    assert!(matches!(outcome, ChunkOutcome::Ignored), "the expired read is no longer needed");
 }
 
 #[test]
-fn a_restart_forgets_whom_it_has_read_and_takes_a_new_id() {
+fn restart_discards_completed_reads_and_uses_new_id() {
     let mut catch_up = CatchUp::new(at(0));
     assert_eq!(catch_up.catch_up_id(at(5), || 8), 8);
     assert_eq!(catch_up.catch_up_id(at(6), || 9), 8);
--- a/crates/control-plane/src/state_machine/tests/coordinator.rs
+++ b/crates/control-plane/src/state_machine/tests/coordinator.rs
@@ -23,19 +23,19 @@
     Coordinator::new(at(0), has_never_voted, recorded, Some(newest), 7, TOLERANCE)
 }
 
-/// Asks for the lease until a request is sent, and gives that and the time.
+/// Ticks until a lease request is sent. Returns its time in milliseconds and the request.
 fn first_request(coordinator: &mut Coordinator) -> (i64, LeaseRequest) {
     let epoch = replica_sets().epoch();
     let requests = (0..50).map(|tick| {
         let millis = tick * 100;
-        let wait = Duration::from_micros(100_000);
-        (millis, coordinator.lease_request(at(millis), true, wait, epoch))
+        let delay = Duration::from_micros(100_000);
+        (millis, coordinator.lease_request(at(millis), true, delay, epoch))
     });
     let mut sent = requests.filter_map(|(millis, request)| Some((millis, request?)));
-    sent.next().expect("it asks for the lease")
+    sent.next().expect("a lease request")
 }
 
-/// Wins the lease, and gives the time.
+/// Wins the lease. Returns the time in milliseconds.
 fn win(coordinator: &mut Coordinator) -> i64 {
     let (millis, request) = first_request(coordinator);
     let replica_sets = replica_sets();
@@ -50,12 +50,12 @@
     let won: Vec<bool> = (0..3)
         .map(|n| coordinator.receive_vote(at(millis), &replica(n).name(), &vote, &replica_sets).is_some())
         .collect();
-    assert_eq!(won.iter().filter(|won| **won).count(), 1, "it wins once");
+    assert_eq!(won.iter().filter(|won| **won).count(), 1, "the lease is won exactly once");
     millis
 }
 
 #[test]
-fn the_winner_of_the_lease_acts_only_after_it_has_read_a_majority() {
+fn lease_holder_is_active_only_after_recovery() {
     let mut coordinator = coordinator(RecordedVote::default(), true);
     assert!(!coordinator.complete_recovery(at(0)));
     let millis = win(&mut coordinator);
@@ -65,11 +65,11 @@
     assert_eq!(coordinator.active_term(at(millis)), None);
     assert!(coordinator.complete_recovery(at(millis)));
     assert_eq!(coordinator.active_term(at(millis)), term);
-    assert!(!coordinator.complete_recovery(at(millis)), "it acts already");
+    assert!(!coordinator.complete_recovery(at(millis)), "already active");
 }
 
 #[test]
-fn a_lease_that_has_expired_makes_nobody_act() {
+fn expired_lease_does_not_activate_coordinator() {
     let mut coordinator = coordinator(RecordedVote::default(), true);
     let millis = win(&mut coordinator);
     assert!(!coordinator.complete_recovery(at(millis + 10_000)));
@@ -80,7 +80,7 @@
 
 fn vote(coordinator: &mut Coordinator, candidate: u64, may_grant: bool) -> VoteDecision {
     let replica_sets = replica_sets();
-    let view = VoteContext { replica_sets: Some(&replica_sets), fencing_epoch: 0, may_grant };
+    let context = VoteContext { replica_sets: Some(&replica_sets), fencing_epoch: 0, may_grant };
     let request = LeaseRequest {
         role: COORDINATOR_ROLE.to_owned(),
         term: 3,
@@ -88,13 +88,15 @@
         epoch: replica_sets.epoch(),
         ..LeaseRequest::default()
     };
-    coordinator.vote(at(0), &replica(candidate).name(), &request, &view)
+    coordinator.vote(at(0), &replica(candidate).name(), &request, &context)
 }
 
 #[test]
-fn a_new_vote_is_written_before_it_is_sent_and_the_same_vote_is_not_written_again() {
+fn new_vote_is_recorded_before_it_is_sent_and_repeated_vote_is_not_recorded_again() {
     let mut coordinator = coordinator(RecordedVote::default(), true);
-    let VoteDecision::AfterRecord(recorded, sent) = vote(&mut coordinator, 1, true) else { panic!("sent") };
+    let VoteDecision::AfterRecord(recorded, sent) = vote(&mut coordinator, 1, true) else {
+        panic!("sent before it was recorded")
+    };
     assert!(sent.is_granted);
     assert_eq!(recorded, RecordedVote { candidate: replica(1).name(), replica_set_version: 1 });
     coordinator.vote_recorded(recorded);
@@ -103,13 +105,13 @@
 }
 
 #[test]
-fn a_replica_whose_vote_does_not_count_grants_nothing() {
+fn replica_not_entitled_to_vote_grants_nothing() {
     let mut coordinator = coordinator(RecordedVote::default(), true);
     assert!(matches!(vote(&mut coordinator, 1, false), VoteDecision::Ready(vote) if !vote.is_granted));
 }
 
 #[test]
-fn after_a_restart_only_the_recorded_candidate_is_granted_the_lease_at_once() {
+fn after_restart_only_recorded_candidate_is_granted_lease_immediately() {
     let recorded = |replica_set_version| RecordedVote { candidate: replica(1).name(), replica_set_version };
     let is_granted = |recorded: RecordedVote, candidate: u64| match vote(
         &mut coordinator(recorded, false),
@@ -120,11 +122,11 @@
     };
     assert!(is_granted(recorded(1), 1));
     assert!(!is_granted(recorded(1), 2));
-    assert!(!is_granted(recorded(0), 1), "the vote was for an earlier replica set");
+    assert!(!is_granted(recorded(0), 1), "the vote was granted under an earlier replica set");
 }
 
 #[test]
-fn a_released_lease_is_held_no_longer() {
+fn released_lease_is_no_longer_held() {
     let mut coordinator = coordinator(RecordedVote::default(), true);
     assert!(coordinator.release(at(0)).is_none());
     let millis = win(&mut coordinator);
--- a/crates/control-plane/src/state_machine/tests/decision.rs
+++ b/crates/control-plane/src/state_machine/tests/decision.rs
@@ -21,7 +21,7 @@
     ReplicaSet { replicas: (0..3).map(replica).collect(), version }
 }
 
-/// A configuration with a replica set in force, and these items.
+/// A configuration with a current replica set and these items.
 fn configuration(items: impl IntoIterator<Item = Item>) -> Configuration {
     let mut item_store = ItemStore::new();
     item_store.apply(replica_set(1).to_item(CURRENT));
@@ -33,8 +33,8 @@
     Ballot { epoch: configuration.epoch(), round, proposer: 1 }
 }
 
-/// A request that a read quorum has answered, which told of these accepted proposals.
-fn answered(
+/// A request prepared by a read quorum that reported these accepted proposals.
+fn prepared(
     configuration: &Configuration,
     request: Request,
     proposal: Option<Proposal>,
@@ -49,23 +49,23 @@
 
 fn patch(configuration: &Configuration, items: Vec<Item>, accepted: &[Proposal]) -> Decision {
     let proposal = Proposal::new(items.clone());
-    let pending = answered(configuration, Request::Patch(items), Some(proposal), accepted);
+    let pending = prepared(configuration, Request::Patch(items), Some(proposal), accepted);
     decide(&pending, configuration, &WatchList::default())
 }
 
 #[test]
-fn a_new_change_is_proposed_if_it_is_valid() {
+fn new_change_is_proposed_if_valid() {
     let valid = patch(&configuration([]), vec![service(1, Some(SERVICE))], &[]);
     assert!(matches!(valid, Decision::Propose(_)));
     let route =
         r#"{"deadline-ms":500,"depot":"d.example","lane-prefix":"/","line":"none","mail-kind":"safe"}"#;
     let invalid = patch(&configuration([]), vec![item(Kind::Route, "r", 1, Some(route))], &[]);
-    let Decision::Reject { reason, .. } = invalid else { panic!("it is taken") };
+    let Decision::Reject { reason, .. } = invalid else { panic!("the invalid change was not rejected") };
     assert!(reason.contains("none"), "{reason}");
 }
 
 #[test]
-fn a_committed_change_is_confirmed_and_another_content_is_a_conflict() {
+fn committed_change_is_confirmed_and_different_value_conflicts() {
     let configuration = configuration([service(3, Some(SERVICE))]);
     let same = patch(&configuration, vec![service(3, Some(SERVICE))], &[]);
     assert!(matches!(same, Decision::Committed));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_change_waits_for_another_that_may_be_chosen_and_is_proposed_if_it_may_be_itself() {
+fn change_is_blocked_by_accepted_rival_and_proposed_if_accepted_itself() {
     let configuration = configuration([]);
     let (own, other) = (service(1, Some(SERVICE)), service(1, None));
     let (own_proposal, other_proposal) = (Proposal::new(vec![own.clone()]), Proposal::new(vec![other]));
@@ -85,37 +85,37 @@
 }
 
 #[test]
-fn a_request_of_an_earlier_epoch_begins_again() {
+fn request_of_earlier_epoch_is_retried() {
     let proposal = Proposal::new(vec![service(1, Some(SERVICE))]);
     let earlier = configuration([]);
     let request = Request::Patch(proposal.items().to_vec());
-    let pending = answered(&earlier, request, Some(proposal), &[]);
+    let pending = prepared(&earlier, request, Some(proposal), &[]);
     let later = configuration([replica_set(2).to_item(INCOMING)]);
     assert!(later.epoch() > earlier.epoch());
     assert!(matches!(decide(&pending, &later, &WatchList::default()), Decision::Retry));
 }
 
 #[test]
-fn an_evacuation_takes_the_next_version_or_is_not_needed() {
+fn evacuation_uses_next_version_or_is_not_needed() {
     let configuration = configuration([item(Kind::Evacuation, "z", 4, Some("1"))]);
     let evacuate = |on: bool, version: u64| {
         let proposal = Proposal::new(vec![item(Kind::Evacuation, "z", version, on.then_some("1"))]);
         let request = Request::Evacuate { zone: "z".to_owned(), on };
-        let pending = answered(&configuration, request, Some(proposal), &[]);
+        let pending = prepared(&configuration, request, Some(proposal), &[]);
         decide(&pending, &configuration, &WatchList::default())
     };
-    assert!(matches!(evacuate(true, 5), Decision::NotNeeded), "it stands");
+    assert!(matches!(evacuate(true, 5), Decision::NotNeeded), "the zone is already being evacuated");
     assert!(matches!(evacuate(false, 5), Decision::Propose(_)));
-    assert!(matches!(evacuate(false, 4), Decision::Retry), "the version is taken meanwhile");
+    assert!(matches!(evacuate(false, 4), Decision::Retry), "the version has been used meanwhile");
 }
 
 #[test]
-fn a_proposal_of_another_is_pushed_only_if_it_may_be_chosen() {
+fn watched_proposal_is_proposed_again_only_if_accepted() {
     let configuration = configuration([]);
     let proposal = Proposal::new(vec![service(1, Some(SERVICE))]);
     let resolve = |accepted: &[Proposal], watch_list: &WatchList| {
         let request = Request::ResolveProposal(proposal.clone());
-        let pending = answered(&configuration, request, Some(proposal.clone()), accepted);
+        let pending = prepared(&configuration, request, Some(proposal.clone()), accepted);
         decide(&pending, &configuration, watch_list)
     };
     let mut rejected = WatchList::default();
@@ -127,47 +127,50 @@
 }
 
 #[test]
-fn a_read_waits_for_what_may_be_chosen() {
+fn read_is_blocked_by_accepted_uncommitted_proposals() {
     let configuration = configuration([service(1, Some(SERVICE))]);
-    let (committed, open) =
+    let (committed, undecided) =
         (Proposal::new(vec![service(1, Some(SERVICE))]), Proposal::new(vec![service(2, None)]));
     let read = |accepted: &[Proposal]| {
-        let pending = answered(&configuration, Request::Get, None, accepted);
+        let pending = prepared(&configuration, Request::Get, None, accepted);
         decide(&pending, &configuration, &WatchList::default())
     };
     assert!(matches!(read(&[]), Decision::ReadComplete));
     assert!(matches!(read(from_ref(&committed)), Decision::ReadComplete));
     assert!(
-        matches!(read(&[committed, open.clone()]), Decision::BlockedBy(ids) if ids == [open.proposal_id()].into())
+        matches!(read(&[committed, undecided.clone()]), Decision::BlockedBy(ids) if ids == [undecided.proposal_id()].into())
     );
 }
 
 #[test]
-fn the_read_before_an_activation_does_not_wait_for_that_activation() {
+fn read_before_activation_is_not_blocked_by_that_activation() {
     let configuration = configuration([replica_set(2).to_item(INCOMING)]);
-    let (activation, open) =
+    let (activation, undecided) =
         (Proposal::new(vec![replica_set(2).to_item(CURRENT)]), Proposal::new(vec![service(2, None)]));
     let read = |request: Request, accepted: &[Proposal], activated_version: u64| {
-        let mut pending = answered(&configuration, request, None, accepted);
+        let mut pending = prepared(&configuration, request, None, accepted);
         pending.replica_prepared("a", activated_version);
         decide(&pending, &configuration, &WatchList::default())
     };
     let before = || Request::PrepareActivation(replica_set(2));
     assert!(matches!(read(before(), from_ref(&activation), 0), Decision::ReadComplete));
     assert!(matches!(read(Request::Get, &[activation], 0), Decision::BlockedBy(_)));
-    assert!(matches!(read(before(), from_ref(&open), 0), Decision::BlockedBy(_)));
-    assert!(matches!(read(before(), &[open], 2), Decision::ReadComplete), "it is accepted somewhere");
+    assert!(matches!(read(before(), from_ref(&undecided), 0), Decision::BlockedBy(_)));
+    assert!(
+        matches!(read(before(), &[undecided], 2), Decision::ReadComplete),
+        "a replica has accepted the activation"
+    );
 }
 
 #[test]
-fn only_the_next_replica_set_is_brought_in() {
+fn only_next_replica_set_version_is_proposed() {
     let configuration = configuration([]);
-    let bring_in = |version: u64| {
+    let propose = |version: u64| {
         let incoming = replica_set(version);
         let proposal = Proposal::new(vec![incoming.to_item(INCOMING)]);
-        let pending = answered(&configuration, Request::ProposeReplicaSet(incoming), Some(proposal), &[]);
+        let pending = prepared(&configuration, Request::ProposeReplicaSet(incoming), Some(proposal), &[]);
         decide(&pending, &configuration, &WatchList::default())
     };
-    assert!(matches!(bring_in(2), Decision::Propose(_)));
-    assert!(matches!(bring_in(3), Decision::NotNeeded));
+    assert!(matches!(propose(2), Decision::Propose(_)));
+    assert!(matches!(propose(3), Decision::NotNeeded));
 }
--- a/crates/control-plane/src/state_machine/tests/membership.rs
+++ b/crates/control-plane/src/state_machine/tests/membership.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_replica_never_heard_is_unresponsive_some_time_after_the_start() {
+fn replica_that_never_connected_is_unresponsive_after_timeout_from_start() {
     let (mut membership, quorum) = (Membership::default(), quorum([1]));
     let observations = observe(&mut membership, &quorum, 1_000);
     assert_eq!(observations.complete, [replica(0), replica(1)].into());
@@ -35,10 +35,10 @@
 }
 
 #[test]
-fn a_lost_replica_is_unresponsive_some_time_after_its_loss_until_it_is_back() {
+fn disconnected_replica_is_unresponsive_after_timeout_until_it_reconnects() {
     let (mut membership, mut quorum) = (Membership::default(), quorum([1, 2]));
-    let lost = quorum.remove("s2").expect("it was connected");
-    membership.replica_disconnected(at(5_000), lost.name);
+    let disconnected = quorum.remove("s2").expect("s2 was connected");
+    membership.replica_disconnected(at(5_000), disconnected.name);
     assert!(observe(&mut membership, &quorum, 6_000).unresponsive.is_empty());
     assert_eq!(observe(&mut membership, &quorum, 6_001).unresponsive, names(&[2]));
     quorum.connect(at(6_002), &peer(2));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_replica_that_said_that_it_shuts_down_stays_known_after_it_is_gone() {
+fn replica_shutting_down_is_remembered_after_it_disconnects() {
     let (mut membership, mut quorum) = (Membership::default(), quorum([1, 2]));
     let heartbeat = Heartbeat { is_shutting_down: true, ..Heartbeat::default() };
     quorum.receive_heartbeat("s2", &heartbeat, 0);
@@ -56,37 +56,37 @@
     assert_eq!(observe(&mut membership, &quorum, 200).shutting_down, names(&[2]));
 }
 
-/// It is still connected, and its disk complete: it must not come in again as a newcomer.
+/// The removed replica is still connected and its disk is complete, so it must not be added again as a new replica.
 #[test]
-fn a_replica_that_was_removed_as_it_shuts_down_stays_known_while_it_is_connected() {
+fn removed_replica_shutting_down_is_remembered_while_it_is_connected() {
     let (mut membership, mut quorum) = (Membership::default(), quorum([1, 2, 3]));
     let heartbeat = Heartbeat { is_shutting_down: true, is_complete: true, ..Heartbeat::default() };
     quorum.receive_heartbeat("s3", &heartbeat, 0);
     let replica_set = replica_set();
-    assert!(!replica_set.contains(&replica(3).name()), "it was removed");
+    assert!(!replica_set.contains(&replica(3).name()), "s3 was removed");
     for millis in [100, 200] {
         assert_eq!(observe(&mut membership, &quorum, millis).shutting_down, names(&[3]));
     }
-    // Its next incarnation is a newcomer like any other.
+    // Its next incarnation may be added like any other replica.
     quorum.connect(at(300), &peer(3));
     membership.replica_connected(&replica(3).name());
     assert!(observe(&mut membership, &quorum, 400).shutting_down.is_empty());
 }
 
 #[test]
-fn an_unfinished_change_is_taken_over_after_a_time_out_and_a_drawn_time() {
+fn unfinished_change_is_taken_over_after_timeout_and_jitter() {
     let mut membership = Membership::default();
     let incoming = replica_set();
     let mut is_due = |millis: i64| membership.should_take_over(at(millis), &incoming, |_| 200_000);
-    assert!(!is_due(0), "it has just been seen");
+    assert!(!is_due(0), "the change has just been observed");
     assert!(!is_due(1_699));
     assert!(is_due(1_700));
-    assert!(!is_due(1_800), "the next time is as far away again");
+    assert!(!is_due(1_800), "the timeout has restarted");
     assert!(is_due(3_400));
 }
 
 #[test]
-fn another_change_is_left_to_its_coordinator_first() {
+fn timeout_starts_again_for_each_change() {
     let mut membership = Membership::default();
     assert!(!membership.should_take_over(at(0), &replica_set(), |_| 0));
     let next = ReplicaSet { version: 5, ..replica_set() };
--- a/crates/control-plane/src/state_machine/tests/mod.rs
+++ b/crates/control-plane/src/state_machine/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The parts of the state machine, each alone. What they do together is tested in the crate's `tests/`.
+//! Unit tests of the state machine's components. Their interaction is tested in the crate's `tests/` directory.
 
 mod bootstrap;
 mod catch_up;
@@ -15,12 +15,12 @@
 use kitepass_coordination::protocol::Hello;
 use kitepass_time::Timestamp;
 
-/// So many milliseconds after the beginning.
+/// The time this many milliseconds after the start of a test.
 fn at(millis: i64) -> Timestamp {
     Timestamp::from_micros(millis * 1_000)
 }
 
-/// The control process `s<number>` in the zone `z<number>`.
+/// The handshake message of control process `s<number>` in zone `z<number>`.
 fn peer(number: u64) -> Hello {
     Hello {
         node_id: format!("s{number}"),
--- a/crates/control-plane/src/state_machine/tests/persistence.rs
+++ b/crates/control-plane/src/state_machine/tests/persistence.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn deferred_records_go_before_those_of_the_next_write() {
+fn deferred_records_precede_those_of_next_write() {
     let mut persistence = Persistence::default();
     persistence.defer([record("a"), record("b")]);
     assert!(persistence.has_deferred() && persistence.is_idle());
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_write_on_disk_gives_what_waited_for_it_once() {
+fn completed_write_returns_its_pending_step_once() {
     let mut persistence = Persistence::default();
     persistence.write(1, vec![records::complete()], PendingWrite::Completeness);
     assert!(persistence.is_writing_completeness());
@@ -28,18 +28,18 @@
 }
 
 #[test]
-fn an_earlier_write_that_was_never_reported_is_given_up() {
+fn earlier_unreported_write_is_discarded() {
     let mut persistence = Persistence::default();
     for id in 1..=3 {
         persistence.write(id, Vec::new(), PendingWrite::Nothing);
     }
     assert!(persistence.write_completed(2).is_some());
     assert!(persistence.write_completed(1).is_none());
-    assert!(!persistence.is_idle(), "the later write is still in flight");
+    assert!(!persistence.is_idle(), "the last write is still in flight");
 }
 
 #[test]
-fn a_vote_is_read_back_from_its_record() {
+fn vote_record_round_trips() {
     let vote = RecordedVote { candidate: "s1/5".to_owned(), replica_set_version: 9 };
     let (key, value) = vote.to_record();
     let Some(StateMachineRecord::Vote(read)) = records::decode(&key, &value) else { panic!("no vote") };
@@ -48,19 +48,19 @@
 
 #[rstest]
 #[case::too_short(b"s1")]
-#[case::no_text(&[0, 0, 0, 0, 0, 0, 0, 1, 0xff])]
-fn a_vote_in_another_form_is_nobodys(#[case] value: &[u8]) {
+#[case::invalid_utf8(&[0, 0, 0, 0, 0, 0, 0, 1, 0xff])]
+fn vote_in_other_format_decodes_to_default(#[case] value: &[u8]) {
     let Some(StateMachineRecord::Vote(vote)) = records::decode(b"vote", value) else { panic!("no vote") };
     assert_eq!(vote, RecordedVote::default());
 }
 
 #[test]
-fn live_gateways_are_read_back_from_their_record() {
+fn live_gateways_record_round_trips() {
     let node_ids = vec!["g1".to_owned(), "g2".to_owned()];
     for expected in [node_ids, Vec::new()] {
         let (key, value) = records::live_gateways(&expected);
         let Some(StateMachineRecord::LiveGateways(read)) = records::decode(&key, &value) else {
-            panic!("no gateways")
+            panic!("no gateway list")
         };
         assert_eq!(read, expected);
     }
--- a/crates/control-plane/src/state_machine/tests/proposals.rs
+++ b/crates/control-plane/src/state_machine/tests/proposals.rs
@@ -25,8 +25,8 @@
 #[rstest]
 #[case::get(Request::Get, 2_500)]
 #[case::small_change(Request::Patch(vec![item("a", 1)]), 2_500)]
-#[case::nobody_waits(Request::ReadMajority, 5_000)]
-fn a_request_has_a_time_out(#[case] request: Request, #[case] timeout: i64) {
+#[case::read_without_client(Request::ReadMajority, 5_000)]
+fn request_times_out(#[case] request: Request, #[case] timeout: i64) {
     let mut requests = PendingRequests::default();
     requests.insert(PendingId(1), pending(request));
     assert!(requests.overdue(at(timeout)).is_empty());
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_large_request_has_more_time() {
+fn large_request_has_longer_timeout() {
     let large = Item { value: Some(vec![0; 3 << 20].into()), ..item("a", 1) };
     let mut requests = PendingRequests::default();
     requests.insert(PendingId(1), pending(Request::Patch(vec![large])));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_request_resumes_after_its_pause_or_once_nothing_blocks_it() {
+fn request_resumes_after_backoff_or_when_unblocked() {
     let blocking = proposal("a").proposal_id();
     let mut requests = PendingRequests::default();
     for (id, phase) in [
@@ -61,29 +61,29 @@
 #[rstest]
 #[case::not_observed(false, [100_000, 200_000, 400_000, 400_000, 400_000])]
 #[case::observed(true, [100_000, 200_000, 400_000, 800_000, 800_000])]
-fn pauses_double_up_to_a_bound(#[case] is_observed: bool, #[case] expected: [u64; 5]) {
+fn backoff_doubles_up_to_a_limit(#[case] is_observed: bool, #[case] expected: [u64; 5]) {
     let mut observed = ObservedProposals::new();
     observe(&mut observed, is_observed.then(|| (ballot(1), proposal("a"))));
-    let pauses = [0, 1, 2, 3, 9].map(|rejections| {
+    let backoffs = [0, 1, 2, 3, 9].map(|rejections| {
         let request = PendingRequest::new(at(0), None, Request::Get, Some(proposal("a")), observed.clone());
         PendingRequest { rejections, ..request }.max_backoff_micros()
     });
-    assert_eq!(pauses, expected);
+    assert_eq!(backoffs, expected);
 }
 
 #[test]
-fn an_answer_belongs_to_the_attempt_with_its_id_and_ballot() {
+fn response_matches_attempt_by_id_and_ballot() {
     let mut requests = PendingRequests::default();
     let request = PendingRequest { attempt_id: 7, ballot: ballot(2), ..pending(Request::Get) };
     requests.insert(PendingId(1), request);
     assert_eq!(requests.find_by_attempt(7), Some(PendingId(1)));
     assert_eq!(requests.find_by_attempt(8), None);
     assert_eq!(requests.find_by_ballot(7, Some(ballot(2))), Some(PendingId(1)));
-    assert_eq!(requests.find_by_ballot(7, Some(ballot(1))), None, "of an earlier attempt");
+    assert_eq!(requests.find_by_ballot(7, Some(ballot(1))), None, "ballot of an earlier attempt");
 }
 
 #[test]
-fn a_watched_proposal_is_resolved_when_it_is_overdue() {
+fn watched_proposal_is_resolved_when_overdue() {
     let (a, b) = (proposal("a"), proposal("b"));
     let mut watch_list = WatchList::default();
     watch_list.add(ballot(1), &a, at(100));
@@ -96,7 +96,7 @@
         overdue.into_iter().map(|it| (it.proposal, it.attempts)).collect()
     };
     assert!(overdue(&watch_list, 99, None, &[]).is_empty());
-    assert_eq!(overdue(&watch_list, 100, None, &[]), [(a.clone(), 1)], "it keeps its first time");
+    assert_eq!(overdue(&watch_list, 100, None, &[]), [(a.clone(), 1)], "the first deadline is kept");
     assert_eq!(overdue(&watch_list, 200, None, &[&a]), [(b.clone(), 1)]);
     assert_eq!(overdue(&watch_list, 200, Some(b.proposal_id()), &[]), [(b.clone(), 1)]);
     watch_list.resolve_attempted(a.proposal_id(), 1, at(500));
@@ -105,22 +105,22 @@
 }
 
 #[test]
-fn a_resolved_proposal_is_watched_no_longer() {
-    let (committed, conflicting, open) = (proposal("a"), proposal("b"), proposal("c"));
+fn resolved_proposal_is_no_longer_watched() {
+    let (committed, conflicting, undecided) = (proposal("a"), proposal("b"), proposal("c"));
     let mut watch_list = WatchList::default();
-    for proposal in [&committed, &conflicting, &open] {
+    for proposal in [&committed, &conflicting, &undecided] {
         watch_list.add(ballot(1), proposal, at(0));
     }
     let mut item_store = ItemStore::new();
     item_store.apply(item("a", 1));
     item_store.apply(Item { value: None, ..item("b", 1) });
     watch_list.remove_resolved(&item_store);
-    let is_watched = [&committed, &conflicting, &open].map(|it| watch_list.contains(it.proposal_id()));
+    let is_watched = [&committed, &conflicting, &undecided].map(|it| watch_list.contains(it.proposal_id()));
     assert_eq!(is_watched, [false, false, true]);
 }
 
 #[test]
-fn the_highest_rejection_is_remembered() {
+fn highest_rejection_is_kept() {
     let id = proposal("a").proposal_id();
     let mut watch_list = WatchList::default();
     for round in [2, 3, 1] {
@@ -131,12 +131,12 @@
 }
 
 #[test]
-fn each_attempt_counts_its_own_answers() {
+fn each_attempt_counts_only_its_own_responses() {
     let mut request = pending(Request::Get);
     assert!(request.is_waiting());
     request.start_attempt(7, ballot(1));
     assert!(request.replica_prepared("a", 4));
-    assert!(!request.replica_accepted("a"), "nothing is proposed yet");
+    assert!(!request.replica_accepted("a"), "nothing has been proposed yet");
     assert_eq!((request.attempt_id, request.activated_version), (7, 4));
     request.back_off_until(at(50));
     assert!(request.is_waiting());
--- a/crates/control-plane/src/state_machine/tests/quorum.rs
+++ b/crates/control-plane/src/state_machine/tests/quorum.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_heartbeat_is_due_twice_a_second() {
+fn heartbeat_is_due_twice_per_second() {
     let mut quorum = quorum_with_peers([]);
     let due: Vec<i64> =
         (0..=1_200).step_by(100).filter(|ms| quorum.start_heartbeat_if_due(at(*ms))).collect();
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn callers_are_redirected_to_the_serving_peer_that_was_heard_last() {
+fn clients_are_redirected_to_serving_peer_with_latest_message() {
     let mut quorum = quorum_with_peers([1, 2, 3]);
     assert_eq!(quorum.serving_address(at(0)), None);
     for (number, millis) in [(1, 100), (2, 300)] {
@@ -37,11 +37,11 @@
     quorum.message_received(at(400), "s3");
     assert_eq!(quorum.serving_address(at(400)), Some("10.0.0.2"));
     assert_eq!(quorum.serving_address(at(1_800)), Some("10.0.0.2"));
-    assert_eq!(quorum.serving_address(at(1_801)), None, "it has not been heard for too long");
+    assert_eq!(quorum.serving_address(at(1_801)), None, "the peer is unresponsive");
 }
 
 #[test]
-fn a_peer_that_says_nothing_is_unresponsive() {
+fn silent_peer_is_unresponsive() {
     let mut quorum = quorum_with_peers([1, 2]);
     quorum.message_received(at(1_000), "s2");
     assert!(quorum.unresponsive_peers(at(1_500)).is_empty());
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_copy_that_differs_twice_in_a_row_is_stale() {
+fn two_consecutive_digest_mismatches_make_a_peer_stale() {
     let mut quorum = quorum_with_peers([1]);
     let differing = Heartbeat { digest: DIGEST + 1, ..Heartbeat::default() };
     let heartbeats = [&differing, &serving(0), &differing, &differing, &differing, &differing];
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_coordinator_is_who_says_so_under_the_highest_term() {
+fn coordinator_is_peer_reporting_highest_term() {
     let mut quorum = quorum_with_peers([1, 2, 3]);
     assert_eq!(quorum.coordinator(), None);
     quorum.receive_heartbeat("s1", &serving(4), DIGEST);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn another_replica_at_a_node_id_replaces_the_one_before() {
+fn new_replica_at_a_node_id_replaces_previous_one() {
     let mut quorum = quorum_with_peers([1]);
     let successor = kitepass_coordination::protocol::Hello { replica_id: 99, ..peer(1) };
     assert_eq!(quorum.connect(at(10), &successor), Some(replica(1).name()));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn each_peer_gets_a_heartbeat() {
+fn each_peer_is_sent_a_heartbeat() {
     let mut quorum = quorum_with_peers([1, 2]);
     let actions = quorum.heartbeats(at(0), &serving(0));
     let to: Vec<&str> = actions
--- a/crates/control-plane/src/state_machine/tests/sessions.rs
+++ b/crates/control-plane/src/state_machine/tests/sessions.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_gateway_whose_copy_differs_twice_in_a_row_is_stale() {
+fn two_consecutive_digest_mismatches_make_a_gateway_stale() {
     let mut sessions = sessions([1]);
     let is_stale =
         [6, 5, 6, 6, 6].map(|digest| sessions.receive_heartbeat(1, &heartbeat(digest, false), 5).is_stale);
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn a_gateway_that_is_catching_up_is_not_stale() {
+fn gateway_that_is_catching_up_is_not_stale() {
     let mut sessions = sessions([1]);
     sessions.enqueue_catch_up(1, BucketDigests::default());
     assert!((0..4).all(|_| !sessions.receive_heartbeat(1, &heartbeat(6, false), 5).is_stale));
 }
 
 #[test]
-fn a_change_of_readiness_is_told_once() {
+fn readiness_change_is_reported_once() {
     let mut sessions = sessions([1]);
     let changes = [false, true, true, false]
         .map(|is_ready| sessions.receive_heartbeat(1, &heartbeat(5, is_ready), 5).has_readiness_changed);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_list_is_announced_when_it_changes_and_again_after_some_time() {
+fn list_is_announced_on_change_and_periodically() {
     let mut sessions = sessions([1]);
     let announce = |sessions: &mut Sessions, millis| {
         sessions.announcement(at(millis), "s0", 7).map(|list| (list.sequence, list.members.len()))
@@ -51,15 +51,15 @@
     assert_eq!(announce(&mut sessions, 0), Some((1, 1)));
     sessions.message_received(at(3_000), 1);
     assert_eq!(announce(&mut sessions, 3_999), None);
-    assert_eq!(announce(&mut sessions, 4_000), Some((1, 1)), "the same list");
+    assert_eq!(announce(&mut sessions, 4_000), Some((1, 1)), "the list is unchanged");
     sessions.open(at(4_100), 2, gateway(2));
     assert_eq!(announce(&mut sessions, 4_100), Some((2, 2)));
     sessions.force_announcement();
-    assert_eq!(announce(&mut sessions, 4_200), Some((2, 2)), "somebody new has to be told");
+    assert_eq!(announce(&mut sessions, 4_200), Some((2, 2)), "a new peer needs the list");
 }
 
 #[test]
-fn a_gateway_is_reached_on_its_newest_connection() {
+fn newest_session_of_a_gateway_is_used() {
     let mut sessions = sessions([3]);
     sessions.open(at(10), 8, gateway(3));
     assert_eq!(sessions.newest_session_of(3), Some(8));
@@ -69,17 +69,17 @@
 }
 
 #[test]
-fn a_gateway_that_says_nothing_is_no_member_and_later_loses_its_session() {
+fn silent_gateway_is_no_longer_a_member_and_later_its_session_times_out() {
     let mut sessions = sessions([1, 2]);
     let members = |sessions: &mut Sessions, millis| {
         sessions.force_announcement();
-        let list = sessions.announcement(at(millis), "s0", 7).expect("it is to be announced again");
+        let list = sessions.announcement(at(millis), "s0", 7).expect("a forced announcement");
         list.members.into_iter().map(|member| member.node_id).collect::<Vec<_>>()
     };
     sessions.message_received(at(1_000), 2);
     assert_eq!(members(&mut sessions, 1_500), ["g1", "g2"]);
     assert_eq!(members(&mut sessions, 1_501), ["g2"]);
-    // What was held up on its way arrives.
+    // A delayed message arrives.
     sessions.message_received(at(1_600), 1);
     assert_eq!(members(&mut sessions, 1_700), ["g1", "g2"]);
     assert!(sessions.timed_out_sessions(at(11_000)).is_empty());
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_gateway_is_sent_what_it_lacks_in_chunks_that_wait_for_each_other() {
+fn missing_items_are_sent_in_chunks_one_at_a_time() {
     let mut item_store = ItemStore::new();
     for number in 0..40 {
         let value = Some(vec![b'x'; 32 * 1024].into());
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn the_live_gateways_change_with_the_table() {
+fn live_gateways_follow_the_session_table() {
     let mut sessions = sessions([1]);
     assert!(!sessions.refresh_live_gateways());
     sessions.announcement(at(0), "s0", 7);
