--- a/crates/control-plane/src/state_machine/coordinator.rs
+++ b/crates/control-plane/src/state_machine/coordinator.rs
@@ -44,7 +44,8 @@
 pub(super) struct VoteContext<'a> {
     /// The current replica set and, during a replica set change, the incoming one.
     pub(super) replica_sets: Option<&'a JointReplicaSets>,
-    /// Lease requests of earlier epochs are rejected. 0 unless this replica has accepted an undecided replica set.
+    /// Lease requests with a lower epoch are rejected. 0 unless this replica has accepted a replica set that is still
+    /// undecided.
     pub(super) fencing_epoch: u64,
     /// Whether this replica is entitled to grant a lease.
     pub(super) may_grant: bool,
@@ -62,8 +63,8 @@
 }
 
 impl Coordinator {
-    /// `has_never_voted` is true if no vote has ever been stored on this disk. `recorded_vote` is the vote on disk, `newest`
-    /// the newest known replica set. `first_request_id` must differ in each incarnation.
+    /// `has_never_voted` is true if no vote has ever been stored on this disk. `recorded_vote` is the vote on disk,
+    /// `newest` the newest known replica set. `first_request_id` must differ in each incarnation.
     pub(super) fn new(
         now: Timestamp,
         has_never_voted: bool,
--- a/crates/control-plane/src/state_machine/lifecycle.rs
+++ b/crates/control-plane/src/state_machine/lifecycle.rs
@@ -7,7 +7,8 @@
 pub enum ReplicaState {
     /// No replica set is known.
     Uninitialized,
-    /// A replica set is known, but changes committed while this process was down or disconnected are still to be read.
+    /// A replica set is known, but changes committed while this process was down or disconnected have not been read
+    /// yet.
     CatchingUp,
     /// Caught up and in contact with a majority. Requests and sessions are accepted.
     Serving,
--- a/crates/control-plane/src/state_machine/membership.rs
+++ b/crates/control-plane/src/state_machine/membership.rs
@@ -78,8 +78,7 @@
     }
 
     /// Whether this process should activate the incoming replica set itself, because the coordinator has taken too
-    /// long.
-    /// `random_below` returns a random number below its argument.
+    /// long. `random_below` returns a random number below its argument.
     pub(super) fn should_take_over(
         &mut self,
         now: Timestamp,
--- a/crates/control-plane/src/state_machine/records.rs
+++ b/crates/control-plane/src/state_machine/records.rs
@@ -1,6 +1,5 @@
 //! Keys and encodings of the records that the state machine itself stores on disk. The encodings of items are defined
-//! in
-//! `kitepass-config`, those of accepted proposals in `kitepass-coordination`.
+//! in `kitepass-config`, those of accepted proposals in `kitepass-coordination`.
 
 pub(super) use kitepass_coordination::consensus::Record;
 
--- a/crates/control-plane/src/state_machine/sessions.rs
+++ b/crates/control-plane/src/state_machine/sessions.rs
@@ -13,17 +13,17 @@
 use std::sync::Arc;
 
 /// A session is closed after this long without a message from the gateway. After 1.5 s without one, the gateway is no
-/// longer last_announcement as a member, so clients are not directed to it. The session stays open for longer because
+/// longer announced as a member, so clients are not directed to it. The session stays open for longer because
 /// the link may only be congested, and its delayed but ordered messages are then the gateway's only source of updates.
 pub const SESSION_TIMEOUT: Duration = Duration::from_micros(10_000_000);
 /// Maximum total size of the items in flight to gateways that are catching up.
 const MAX_CATCH_UP_BYTES: usize = 8 * 1024 * 1024;
 /// Approximate size of the items in one chunk to a gateway.
 const CHUNK_BYTES: usize = 256 * 1024;
-/// Interval at which an unchanged session list is last_announcement again.
+/// Interval at which an unchanged session list is announced again.
 const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_micros(8 * HEARTBEAT_INTERVAL.as_micros());
-/// Number of consecutive heartbeats with a different digest after which a gateway is asked for its bucket digests. A
-/// single one may have been sent before the gateway received an update.
+/// Number of consecutive heartbeats with a different digest after which a gateway is sent the local bucket digests for
+/// comparison. A single one may have been sent before the gateway received an update.
 const STALE_AFTER_DIGEST_MISMATCHES: u32 = 2;
 
 /// An open session of a gateway.
@@ -34,7 +34,7 @@
     digest_mismatches: u32,
 }
 
-/// The session list that was last last_announcement to the peers.
+/// The session list that was last announced to the peers.
 #[derive(Default)]
 struct Announcement {
     sequence: u64,
@@ -243,7 +243,7 @@
         self.last_announcement.sent_at = Timestamp::default();
     }
 
-    /// Processes the session list last_announcement by a peer.
+    /// Processes the session list announced by a peer.
     pub(super) fn receive_list(
         &mut self,
         now: Timestamp,
@@ -254,7 +254,7 @@
         self.table.update(now, node_id, incarnation, list);
     }
 
-    /// Records a peer's heartbeat, which keeps its last last_announcement session list valid.
+    /// Records a peer's heartbeat, which keeps its last announced session list valid.
     pub(super) fn peer_heartbeat(&mut self, now: Timestamp, node_id: &str, incarnation: u64) {
         self.table.heartbeat_received(now, node_id, incarnation);
     }
--- a/crates/control-plane/src/state_machine/tombstones.rs
+++ b/crates/control-plane/src/state_machine/tombstones.rs
@@ -42,7 +42,7 @@
         self.collector.replica_persisted(now, name);
     }
 
-    /// Discards the collected observations, because this process is not the coordinator.
+    /// Discards the recorded observations, because this process is not the active coordinator.
     pub(super) fn clear(&mut self) {
         self.collector.clear();
     }
