--- a/crates/control-plane/src/state_machine/startup.rs
+++ b/crates/control-plane/src/state_machine/startup.rs
@@ -51,7 +51,7 @@
     /// Whether there are records other than the replica id.
     has_state: bool,
     /// Deletions of malformed records.
-    removals: Vec<Record>,
+    deletions: Vec<Record>,
 }
 
 impl RestoredRecords {
@@ -60,9 +60,9 @@
         for (key, value) in records {
             restored.add(now, key, value);
         }
-        // A malformed record may have held an accepted proposal that was chosen by this acceptance. The disk is
+        // A malformed record may have held a proposal that was chosen because this replica had accepted it. The disk is
         // therefore treated as lost, and its content is read again from the other replicas.
-        restored.is_complete &= restored.removals.is_empty();
+        restored.is_complete &= restored.deletions.is_empty();
         restored
     }
 
@@ -85,7 +85,7 @@
             self.item_store.merge_with_history(item, &history);
         } else if self.acceptor.restore(key, value) == RestoreOutcome::Malformed {
             error!("event=record-garbled key={:?}", String::from_utf8_lossy(key));
-            self.removals.push((key.to_owned(), Vec::new()));
+            self.deletions.push((key.to_owned(), Vec::new()));
         }
     }
 }
@@ -95,22 +95,22 @@
     /// actions.
     pub fn new(now: Timestamp, start: StartParameters) -> StateMachine {
         let mut restored = RestoredRecords::read(now, &start.records);
-        let has_malformed_records = !restored.removals.is_empty();
+        let has_malformed_records = !restored.deletions.is_empty();
         // A disk written by a version without replica ids keeps its identity, with the id 0.
         let is_new_replica = start.records.is_empty() || has_malformed_records;
         let new_replica_id = is_new_replica.then(|| start.incarnation.max(1));
         let replica_id = new_replica_id.unwrap_or(restored.replica_id);
         let identity = Identity::new(Replica { replica_id, ..start.replica.clone() }, start.incarnation);
-        let mut removals = std::mem::take(&mut restored.removals);
-        removals.extend(restored.acceptor.commit_all(&restored.item_store));
+        let mut deletions = std::mem::take(&mut restored.deletions);
+        deletions.extend(restored.acceptor.commit_all(&restored.item_store));
 
         let mut state_machine = StateMachine::assemble(now, &start, identity, restored);
         if let Some(id) = new_replica_id {
             // The id is the first record to be written, so that all other records are stored under this id.
             state_machine.persist(vec![records::replica_id(id)], PendingWrite::Nothing);
         }
-        if !removals.is_empty() {
-            state_machine.persist(removals, PendingWrite::Nothing);
+        if !deletions.is_empty() {
+            state_machine.persist(deletions, PendingWrite::Nothing);
         }
         state_machine
     }
