--- a/crates/coordination/examples/explore_consensus.rs
+++ b/crates/coordination/examples/explore_consensus.rs
@@ -2,7 +2,7 @@
 //! steps per model, and `SEEDS` the number of random walks per system. Prints what was explored and how long competing
 //! proposers took, and exits with status 1 if a property was violated.
 
-use consensus_model::{explore, walk_all, Race, RaceResult, Setup, CONFIRMED, SYSTEMS};
+use consensus_model::{explore, run_random_walks, Race, RaceResult, Setup, CONFIRMED, SYSTEMS};
 use std::process::ExitCode;
 
 #[path = "../tests/consensus_model/mod.rs"]
@@ -70,7 +70,7 @@
     let mut has_passed = true;
     for system in SYSTEMS {
         let setup = Setup::named(system.name).bounds(60, 6, 200, 1);
-        has_passed &= walk_all(system.name, &setup, 0..seeds, STEPS_PER_WALK).broken.is_empty();
+        has_passed &= run_random_walks(system.name, &setup, 0..seeds, STEPS_PER_WALK).broken.is_empty();
     }
     has_passed
 }
@@ -91,7 +91,7 @@
 }
 
 fn run_races(proposers: usize, race: &Race) -> bool {
-    let setup = Setup::rivals(proposers);
+    let setup = Setup::competing_proposers(proposers);
     let results: Vec<RaceResult> = (0..RACES).filter_map(|seed| race.run(&setup, seed)).collect();
     let summary = |time: fn(&RaceResult) -> f64| {
         let mut times: Vec<f64> = results.iter().map(time).collect();
--- a/crates/coordination/src/consensus/tests/faults.rs
+++ b/crates/coordination/src/consensus/tests/faults.rs
@@ -4,7 +4,7 @@
 use super::super::acceptor::Acceptor;
 use super::super::proposer::proposal_status_without;
 use super::super::safeguard::Safeguard;
-use consensus_model::{explore, walk_all, ReplicaSetSafeguard, Setup, CONFIRMED};
+use consensus_model::{explore, run_random_walks, ReplicaSetSafeguard, Setup, CONFIRMED};
 use rstest::rstest;
 
 #[path = "../../../tests/consensus_model/mod.rs"]
@@ -51,7 +51,7 @@
     #[case] property: &str,
 ) {
     let setup = without(safeguard, Setup::named(system).bounds(60, 6, 200, 1));
-    let walked = walk_all(&format!("{system} without {safeguard:?}"), &setup, 0..2_000, 1_000);
+    let walked = run_random_walks(&format!("{system} without {safeguard:?}"), &setup, 0..2_000, 1_000);
     assert!(walked.broken.contains_key(property), "{walked:?}");
 }
 
@@ -62,7 +62,7 @@
 fn random_walks_detect_a_disabled_replica_set_safeguard(#[case] safeguard: ReplicaSetSafeguard) {
     let is_detected = ["epochs-one", "epochs-apart", "epochs-five"].into_iter().any(|system| {
         let setup = Setup::named(system).bounds(60, 6, 200, 1).without(safeguard);
-        let walked = walk_all(&format!("{system} without {safeguard:?}"), &setup, 0..2_000, 1_000);
+        let walked = run_random_walks(&format!("{system} without {safeguard:?}"), &setup, 0..2_000, 1_000);
         walked.broken.contains_key("what was chosen is found")
     });
     assert!(is_detected);
@@ -81,7 +81,7 @@
     assert_eq!(explored.found, [CONFIRMED].into(), "{explored:?}");
     for system in ["same", "ring", "versions", "epochs-five"] {
         let setup = without(safeguard, Setup::named(system).bounds(60, 6, 200, 1));
-        let walked = walk_all(&format!("{system} without {safeguard:?}"), &setup, 0..200, 1_000);
+        let walked = run_random_walks(&format!("{system} without {safeguard:?}"), &setup, 0..200, 1_000);
         assert!(walked.broken.is_empty(), "{walked:?}");
     }
 }
--- a/crates/coordination/tests/consensus.rs
+++ b/crates/coordination/tests/consensus.rs
@@ -2,7 +2,7 @@
 //! `cargo run --release -p kitepass-coordination --example explore_consensus`; the tests that take a safeguard out are in
 //! `src/consensus/tests/faults.rs`.
 
-use consensus_model::{explore, walk_all, Race, Setup, CONFIRMED, SYSTEMS};
+use consensus_model::{explore, run_random_walks, Race, Setup, CONFIRMED, SYSTEMS};
 use rstest::rstest;
 
 mod consensus_model;
@@ -32,7 +32,7 @@
 fn no_random_walk_breaks_consensus() {
     for system in SYSTEMS {
         let setup = Setup::named(system.name).bounds(60, 6, 200, 1);
-        let walked = walk_all(system.name, &setup, 0..500, 1_000);
+        let walked = run_random_walks(system.name, &setup, 0..500, 1_000);
         assert!(walked.broken.is_empty(), "{walked:?}");
         assert!(walked.confirmed > 0, "{walked:?}");
     }
@@ -43,7 +43,7 @@
 fn rivals_are_all_answered_in_time(#[values(0.2, 0.9, 55.0)] round_trip: f64) {
     let race = Race { round_trip, sync: 2.0, spread: 10.0, backoff: (20.0, 150.0), doublings: 0 };
     for seed in 0..50 {
-        let result = race.run(&Setup::rivals(8), seed).expect("all end");
+        let result = race.run(&Setup::competing_proposers(8), seed).expect("all end");
         assert!(result.first < 1_000.0 && result.all < 2_000.0 && result.attempts < 20, "{seed} {result:?}");
     }
 }
--- a/crates/coordination/tests/consensus_model/mod.rs
+++ b/crates/coordination/tests/consensus_model/mod.rs
@@ -32,5 +32,5 @@
     exploration::{explore, CONFIRMED},
     race::{Race, RaceResult},
     setup::{ReplicaSetSafeguard, Setup, SYSTEMS},
-    walks::walk_all,
+    walks::run_random_walks,
 };
--- a/crates/coordination/tests/consensus_model/setup.rs
+++ b/crates/coordination/tests/consensus_model/setup.rs
@@ -190,7 +190,7 @@
     }
 
     /// So many proposals for one version of one item, each with other content, on five replicas.
-    pub(crate) fn rivals(number: usize) -> Setup {
+    pub(crate) fn competing_proposers(number: usize) -> Setup {
         let proposals: Vec<String> = (1..=number).map(|n| format!("a{n}")).collect();
         let proposals: Vec<&str> = proposals.iter().map(String::as_str).collect();
         let goals: Vec<usize> = (0..number).collect();
--- a/crates/coordination/tests/consensus_model/walks.rs
+++ b/crates/coordination/tests/consensus_model/walks.rs
@@ -22,7 +22,7 @@
 }
 
 /// Random walks, one for each seed.
-pub(crate) fn walk_all(name: &str, setup: &Setup, seeds: Range<u64>, steps: usize) -> Walked {
+pub(crate) fn run_random_walks(name: &str, setup: &Setup, seeds: Range<u64>, steps: usize) -> Walked {
     let (started, mut walked) = (std::time::Instant::now(), Walked::default());
     let number = seeds.end - seeds.start;
     for seed in seeds {
