--- a/crates/data-plane/src/attempt/lifecycle.rs
+++ b/crates/data-plane/src/attempt/lifecycle.rs
@@ -3,7 +3,7 @@
 use super::ResponseClass;
 
 /// Statuses of this gateway's own that promise the client that its request was not and will not be executed.
-const NEVER_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
+const NOT_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 /// The state of a request. `RequestLifecycle::transition` alone changes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -55,7 +55,7 @@
     /// Attempts whose connection was established.
     attempts_sent: u32,
     /// An attempt has ended that the backend may have executed.
-    has_maybe_executed: bool,
+    had_ambiguous_attempt: bool,
     /// Every byte of the body that has arrived is still buffered.
     is_body_buffered: bool,
 }
@@ -69,7 +69,7 @@
             is_idempotent,
             max_attempts,
             attempts_sent: 0,
-            has_maybe_executed: false,
+            had_ambiguous_attempt: false,
             is_body_buffered: true,
         }
     }
@@ -105,7 +105,7 @@
 
     /// Whether a backend has executed it, is executing it, or may yet do so by what was sent.
     pub fn may_have_executed(&self) -> bool {
-        self.has_maybe_executed || matches!(self.state, RequestState::Sent | RequestState::Responding)
+        self.had_ambiguous_attempt || matches!(self.state, RequestState::Sent | RequestState::Responding)
     }
 
     /// Whether an attempt may be made, after the one that is in flight if one is.
@@ -182,7 +182,7 @@
     /// Back from an attempt, which may have been executed if any byte was written and the backend does not say
     /// otherwise.
     fn return_to_pending(&mut self, may_have_executed: bool) {
-        self.has_maybe_executed |= may_have_executed && self.state == RequestState::Sent;
+        self.had_ambiguous_attempt |= may_have_executed && self.state == RequestState::Sent;
         self.transition(RequestState::Pending);
     }
 
@@ -258,8 +258,8 @@
             RequestState::Completed => NextStep::Wait,
             RequestState::Responding => self.attempt_failed(),
             _ => {
-                let is_promise = NEVER_EXECUTED_STATUSES.contains(&status);
-                let status = if is_promise && self.may_have_executed() { 502 } else { status };
+                let means_not_executed = NOT_EXECUTED_STATUSES.contains(&status);
+                let status = if means_not_executed && self.may_have_executed() { 502 } else { status };
                 self.transition(RequestState::Completed);
                 NextStep::Reject(status)
             }
--- a/crates/data-plane/src/attempt/response_reader.rs
+++ b/crates/data-plane/src/attempt/response_reader.rs
@@ -30,7 +30,7 @@
     /// The response does not name the request that it belongs to.
     MissingRequestId,
     /// A response to another request came where HEAD requests were sent, so that its end is not known.
-    SurplusBesideHead,
+    AmbiguousStaleResponse,
     /// The input ended before the body was complete.
     Truncated,
 }
@@ -42,7 +42,7 @@
             ResponseFailure::Closed => "closed",
             ResponseFailure::Malformed => "malformed",
             ResponseFailure::MissingRequestId => "missing-request-id",
-            ResponseFailure::SurplusBesideHead => "surplus-beside-head",
+            ResponseFailure::AmbiguousStaleResponse => "surplus-beside-head",
             ResponseFailure::Truncated => "truncated",
         }
     }
@@ -84,7 +84,7 @@
     /// Bytes of the body that were read and not yet passed to the client.
     pub body: Vec<u8>,
     /// The present response belongs to an earlier request; its bytes are read and dropped.
-    is_surplus: bool,
+    is_stale: bool,
 }
 
 impl ResponseReader {
@@ -111,7 +111,7 @@
                 Err(failure) => return ReadProgress::Failed(failure),
                 Ok(is_complete) => is_complete,
             };
-            if self.is_surplus {
+            if self.is_stale {
                 self.body.clear();
                 if is_complete {
                     self.head = None;
@@ -139,11 +139,11 @@
         let Some((head, framing)) = read.map_err(|_| ResponseFailure::Malformed)? else { return Ok(false) };
         // A surplus response to an earlier request may stand in this one's place.
         let responds_to = head.field("x-try-id").ok_or(ResponseFailure::MissingRequestId)?;
-        self.is_surplus = responds_to != context.request_id;
-        if self.is_surplus && (context.is_head_request || context.had_head_request) {
+        self.is_stale = responds_to != context.request_id;
+        if self.is_stale && (context.is_head_request || context.had_head_request) {
             // Invariant: where a response ends depends on the method of its own request. Read by another one's,
             // bytes of its body would pass for the next response.
-            return Err(ResponseFailure::SurplusBesideHead);
+            return Err(ResponseFailure::AmbiguousStaleResponse);
         }
         self.body_reader = Some(Body::new(framing));
         self.head = Some(head);
@@ -159,9 +159,9 @@
         input_state: InputState,
     ) -> Result<bool, ResponseFailure> {
         let body_reader = self.body_reader.as_mut().expect("set with the head");
-        let room = (2 * context.max_buffered_bytes).saturating_sub(self.body.len());
+        let capacity = (2 * context.max_buffered_bytes).saturating_sub(self.body.len());
         let is_complete =
-            body_reader.read(input, &mut self.body, room).map_err(|_| ResponseFailure::Malformed)?;
+            body_reader.read(input, &mut self.body, capacity).map_err(|_| ResponseFailure::Malformed)?;
         // Invariant: a body without a length is complete only where the connection ended in order; else it would be
         // complete wherever the connection broke.
         let ends_with_input = input_state == InputState::Ended && input.is_empty();
--- a/crates/data-plane/src/control_session/candidate.rs
+++ b/crates/data-plane/src/control_session/candidate.rs
@@ -8,9 +8,9 @@
 use kitepass_time::{Duration, Timestamp};
 
 /// A connection that brings no hello for so long is given up. Each further one to the same address has twice the time, up to
-/// [`MAX_DOUBLINGS`]: it may be the gateway's own link that is slow.
+/// [`MAX_TIMEOUT_DOUBLINGS`]: it may be the gateway's own link that is slow.
 const CONNECT_TIMEOUT: Duration = Duration::from_micros(1_400_000);
-const MAX_DOUBLINGS: u32 = 2;
+const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
 
 /// Why a session with another control process is wanted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,18 +39,18 @@
 pub(super) struct Candidate {
     pub(super) address: String,
     pub(super) reason: Reason,
-    gives_up_at: Timestamp,
+    deadline: Timestamp,
 }
 
 impl Candidate {
     /// A connection to a selected address that is opened now.
     pub(super) fn new(now: Timestamp, selection: Selection, reason: Reason) -> Candidate {
-        let timeout = CONNECT_TIMEOUT * (1 << selection.earlier_failures.min(MAX_DOUBLINGS));
-        Candidate { address: selection.address, reason, gives_up_at: now + timeout }
+        let timeout = CONNECT_TIMEOUT * (1 << selection.earlier_failures.min(MAX_TIMEOUT_DOUBLINGS));
+        Candidate { address: selection.address, reason, deadline: now + timeout }
     }
 
     /// Whether it has taken too long.
     pub(super) fn is_timed_out(&self, now: Timestamp) -> bool {
-        now > self.gives_up_at
+        now > self.deadline
     }
 }
--- a/crates/data-plane/src/control_session/boundary.rs
+++ b/crates/data-plane/src/control_session/change_progress.rs
@@ -9,35 +9,35 @@
 
 /// What has begun and not ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct ChangeBoundary {
+pub(super) struct ChangeProgress {
     /// A change of which more is to come.
-    is_change_open: bool,
+    is_change_incomplete: bool,
     /// A transfer of what was missing, or the beginning of a session, which starts with one.
-    is_transfer_open: bool,
+    is_transfer_in_progress: bool,
 }
 
-impl ChangeBoundary {
+impl ChangeProgress {
     /// Whether all that has begun has ended.
-    pub(super) fn is_reached(self) -> bool {
-        !self.is_change_open && !self.is_transfer_open
+    pub(super) fn is_complete(self) -> bool {
+        !self.is_change_incomplete && !self.is_transfer_in_progress
     }
 
     /// A session has been opened: what the one before had begun is not ended by it, but by what is transferred now.
     pub(super) fn session_opened(&mut self) {
-        *self = ChangeBoundary { is_change_open: false, is_transfer_open: true };
+        *self = ChangeProgress { is_change_incomplete: false, is_transfer_in_progress: true };
     }
 
     /// Items have come.
     pub(super) fn items_received(&mut self, extent: Extent) {
         match extent {
-            Extent::Complete => self.is_change_open = false,
-            Extent::Continued => self.is_change_open = true,
-            Extent::Transfer => self.is_transfer_open = true,
+            Extent::Complete => self.is_change_incomplete = false,
+            Extent::Continued => self.is_change_incomplete = true,
+            Extent::Transfer => self.is_transfer_in_progress = true,
         }
     }
 
     /// The gateway holds all that a control process holds, which holds whole changes.
-    pub(super) fn copies_agree(&mut self) {
-        *self = ChangeBoundary::default();
+    pub(super) fn mark_in_sync(&mut self) {
+        *self = ChangeProgress::default();
     }
 }
--- a/crates/data-plane/src/control_session/directory.rs
+++ b/crates/data-plane/src/control_session/directory.rs
@@ -5,34 +5,34 @@
 use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// After a failed attempt a control process is left alone for so long, times the number of failures in a row.
+/// After a failed attempt a control process is left alone for so long, consecutive_count the number of failures in a row.
 const RETRY_INTERVAL: Duration = Duration::from_micros(350_000);
 /// Failures in a row that lengthen the interval at most.
 const MAX_BACKOFF_FAILURES: u32 = 6;
-/// A control process that was found isolated from the quorum is avoided for so long, times how often it was found so
-/// in a row, up to [`MAX_AVOIDANCE`].
+/// A control process that was found isolation_records from the quorum is avoided for so long, consecutive_count how often it was found so
+/// in a row, up to [`MAX_AVOIDANCE_TIME`].
 ///
-/// Invariant: where all are isolated, gateways do not go round among them without end.
-const AVOIDANCE_INTERVAL: Duration = Duration::from_micros(10_000_000);
-/// Longest time for which an isolated control process is avoided.
-const MAX_AVOIDANCE: Duration = Duration::from_micros(20_000_000);
-/// A nearer control process is gone over to no sooner than this after it was last tried or found isolated.
+/// Invariant: where all are isolation_records, gateways do not go round among them without end.
+const BASE_AVOIDANCE_TIME: Duration = Duration::from_micros(10_000_000);
+/// Longest time for which an isolation_records control process is avoided.
+const MAX_AVOIDANCE_TIME: Duration = Duration::from_micros(20_000_000);
+/// A nearer control process is gone over to no sooner than this after it was last tried or found isolation_records.
 const NEARER_RETRY_INTERVAL: Duration = Duration::from_micros(12_000_000);
 
-/// Attempts to open a session with a control process.
+/// SessionAttempts to open a session with a control process.
 #[derive(Clone, Copy, Debug, Default)]
-struct Attempts {
+struct SessionAttempts {
     last: Timestamp,
-    /// Attempts since the last that was followed by a complete synchronization.
+    /// SessionAttempts since the last that was followed by a complete synchronization.
     failures: u32,
 }
 
-/// A control process that was isolated from the quorum when it was last heard.
+/// A control process that was isolation_records from the quorum when it was last heard.
 #[derive(Clone, Copy, Debug)]
 struct IsolationRecord {
     recorded_at: Timestamp,
     /// How often in a row.
-    times: u32,
+    consecutive_count: u32,
 }
 
 /// How near a control process is; a nearer one is preferred.
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Selection {
     pub(super) address: String,
-    /// Attempts in a row before this one that were followed by no complete synchronization.
+    /// SessionAttempts in a row before this one that were followed by no complete synchronization.
     pub(super) earlier_failures: u32,
 }
 
@@ -81,8 +81,8 @@
     bootstrap: Vec<String>,
     /// The zone of each live control process.
     zones: BTreeMap<String, String>,
-    attempts: BTreeMap<String, Attempts>,
-    isolated: BTreeMap<String, IsolationRecord>,
+    attempts: BTreeMap<String, SessionAttempts>,
+    isolation_records: BTreeMap<String, IsolationRecord>,
     /// The control process of the present session, or of the last.
     current: String,
 }
@@ -101,7 +101,7 @@
             bootstrap,
             zones: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            isolated: BTreeMap::new(),
+            isolation_records: BTreeMap::new(),
             current: String::new(),
         }
     }
@@ -130,18 +130,21 @@
         self.current = address;
     }
 
-    /// A control process is isolated from the quorum. `is_new` if it was in contact, or not heard, before.
+    /// A control process is isolation_records from the quorum. `is_new` if it was in contact, or not heard, before.
     pub(super) fn record_isolation(&mut self, now: Timestamp, address: &str, is_new: bool) {
-        let times = self.isolated.get(address).map_or(0, |record| record.times) + u32::from(is_new);
-        self.isolated.insert(address.to_owned(), IsolationRecord { recorded_at: now, times });
+        let consecutive_count =
+            self.isolation_records.get(address).map_or(0, |record| record.consecutive_count)
+                + u32::from(is_new);
+        self.isolation_records
+            .insert(address.to_owned(), IsolationRecord { recorded_at: now, consecutive_count });
     }
 
     /// The current control process is in contact with the quorum.
     pub(super) fn record_contact(&mut self) {
-        self.isolated.remove(&self.current);
+        self.isolation_records.remove(&self.current);
     }
 
-    /// A session has synchronized. One that is isolated says nothing of the others' failures.
+    /// A session has synchronized. One that is isolation_records says nothing of the others' failures.
     pub(super) fn reset_failures(&mut self, is_isolated: bool) {
         for (address, attempts) in &mut self.attempts {
             if !is_isolated || *address == self.current {
@@ -167,23 +170,23 @@
         all
     }
 
-    /// Whether a control process was isolated when it was last heard, and is not to be tried again yet.
+    /// Whether a control process was isolation_records when it was last heard, and is not to be tried again yet.
     fn is_avoided(&self, now: Timestamp, address: &str) -> bool {
-        self.isolated.get(address).is_some_and(|record| {
-            let avoidance = AVOIDANCE_INTERVAL * i64::from(record.times.max(1));
-            now - record.recorded_at < avoidance.min(MAX_AVOIDANCE)
+        self.isolation_records.get(address).is_some_and(|record| {
+            let avoidance = BASE_AVOIDANCE_TIME * i64::from(record.consecutive_count.max(1));
+            now - record.recorded_at < avoidance.min(MAX_AVOIDANCE_TIME)
         })
     }
 
     /// Whether there is another control process that may be in contact with the quorum.
     pub(super) fn has_alternative(&self, now: Timestamp, item_store: &ItemStore) -> bool {
-        let has_failed_lately = |address: &str| {
+        let has_failed_recently = |address: &str| {
             self.attempts
                 .get(address)
-                .is_some_and(|attempts| attempts.failures > 0 && now - attempts.last < MAX_AVOIDANCE)
+                .is_some_and(|attempts| attempts.failures > 0 && now - attempts.last < MAX_AVOIDANCE_TIME)
         };
         self.all(item_store).iter().any(|address| {
-            *address != self.current && !self.is_avoided(now, address) && !has_failed_lately(address)
+            *address != self.current && !self.is_avoided(now, address) && !has_failed_recently(address)
         })
     }
 
@@ -192,7 +195,7 @@
         let is_long_ago = |at: Timestamp| now - at > NEARER_RETRY_INTERVAL;
         self.zones.keys().any(|address| {
             self.proximity(address) < self.proximity(&self.current)
-                && self.isolated.get(address).is_none_or(|record| is_long_ago(record.recorded_at))
+                && self.isolation_records.get(address).is_none_or(|record| is_long_ago(record.recorded_at))
                 && self.attempts.get(address).is_none_or(|attempts| is_long_ago(attempts.last))
         })
     }
@@ -232,14 +235,14 @@
         draw: u64,
     ) -> Option<Selection> {
         let all = self.all(item_store);
-        let may_be_tried: Vec<&String> = all
+        let eligible: Vec<&String> = all
             .iter()
             .filter(|address| self.is_in_scope(scope, address) && !self.is_backing_off(now, address))
             .collect();
-        let best = may_be_tried.iter().map(|address| self.preference(now, address)).min()?;
-        let equally_good: Vec<&String> =
-            may_be_tried.into_iter().filter(|address| self.preference(now, address) == best).collect();
-        let address = equally_good[(draw % equally_good.len() as u64) as usize].clone();
+        let best = eligible.iter().map(|address| self.preference(now, address)).min()?;
+        let equally_preferred: Vec<&String> =
+            eligible.into_iter().filter(|address| self.preference(now, address) == best).collect();
+        let address = equally_preferred[(draw % equally_preferred.len() as u64) as usize].clone();
         let attempts = self.attempts.entry(address.clone()).or_default();
         let earlier_failures = attempts.failures;
         attempts.last = now;
--- a/crates/data-plane/src/control_session/mod.rs
+++ b/crates/data-plane/src/control_session/mod.rs
@@ -5,16 +5,16 @@
 //! [`CandidateOutcome::Promoted`] that connection is the session from then on. The owner hands in the session's messages, and
 //! sends those in [`ControlSession::candidate_outgoing`], [`ControlSession::outgoing`] and [`ControlSession::outgoing_items`].
 
-mod boundary;
 mod candidate;
+mod change_progress;
 mod directory;
 mod updates;
 
 pub use candidate::CandidateOutcome;
 pub use updates::{LiveGateways, SessionState, SessionUpdates, TickOutcome};
 
-use boundary::ChangeBoundary;
 use candidate::{Candidate, Reason};
+use change_progress::ChangeProgress;
 use directory::{Directory, Scope};
 use kitepass_config::{Item, ItemStore, Kind};
 use kitepass_coordination::protocol::{
@@ -40,15 +40,15 @@
 ///
 /// Invariant: tombstones are purged no sooner than twice this after all of the control plane knew them. A gateway that
 /// stayed away longer could keep what was deleted meanwhile, and nobody would tell it.
-const MAX_UNSYNCED: Duration = Duration::from_micros(1_800_000_000);
+const MAX_UNSYNCED_TIME: Duration = Duration::from_micros(1_800_000_000);
 /// After so many repairs in a row that left a difference the gateway starts again from nothing: it holds something
 /// that the control plane has purged.
-const MAX_FAILED_REPAIRS: u32 = 8;
+const MAX_FAILED_SYNCS: u32 = 8;
 /// A control process that becomes isolated from the quorum is stayed with for so long, if another may be better, so
 /// that a short partition moves no gateway. One that is isolated from the start is left as soon as it has synchronized.
-const ISOLATION_GRACE: Duration = Duration::from_micros(1_500_000);
+const ISOLATION_GRACE_PERIOD: Duration = Duration::from_micros(1_500_000);
 /// A nearer control process is gone over to no sooner than this after the session was opened.
-const MIN_SESSION_TIME: Duration = Duration::from_micros(3_000_000);
+const MIN_SESSION_AGE: Duration = Duration::from_micros(3_000_000);
 
 /// A synchronization from nothing, in progress.
 struct Resync {
@@ -66,10 +66,10 @@
     resync: Option<Resync>,
     /// When the gateway last held the same as a control process in contact with the quorum.
     last_synced: Timestamp,
-    max_unsynced: Duration,
+    max_unsynced_time: Duration,
     /// The control process is to be asked again for what is missing.
-    wants_digests: bool,
-    failed_repairs: u32,
+    should_send_digests: bool,
+    failed_syncs: u32,
     directory: Directory,
     /// The connection that is being opened.
     candidate: Option<Candidate>,
@@ -80,7 +80,7 @@
     /// contact.
     isolation_deadline: Option<Timestamp>,
     /// Where the items that have come stand between changes.
-    boundary: ChangeBoundary,
+    change_progress: ChangeProgress,
     /// Whether the gateway has synchronized once: from then on it may serve.
     has_synced: bool,
     has_membership: bool,
@@ -105,15 +105,15 @@
             item_store: ItemStore::new(),
             resync: None,
             last_synced: Timestamp::default(),
-            max_unsynced: MAX_UNSYNCED,
-            wants_digests: false,
-            failed_repairs: 0,
+            max_unsynced_time: MAX_UNSYNCED_TIME,
+            should_send_digests: false,
+            failed_syncs: 0,
             candidate: None,
             last_received: Timestamp::default(),
             opened_at: Timestamp::default(),
             last_heartbeat: Timestamp::default(),
             isolation_deadline: None,
-            boundary: ChangeBoundary::default(),
+            change_progress: ChangeProgress::default(),
             has_synced: false,
             has_membership: false,
             is_ready: false,
@@ -130,8 +130,8 @@
     }
 
     /// For tests: the longest time without synchronization, in place of the usual one.
-    pub fn set_max_unsynced_time(&mut self, max_unsynced: Duration) {
-        self.max_unsynced = max_unsynced;
+    pub fn set_max_unsynced_time(&mut self, max_unsynced_time: Duration) {
+        self.max_unsynced_time = max_unsynced_time;
     }
 
     /// Takes the addresses of the settings.
@@ -147,7 +147,7 @@
     /// Whether [`ControlSession::item_store`] holds whole changes, and not parts of some. Whoever acts on the items does so
     /// only then: between two messages of one change, requests that both configurations allow would be rejected.
     pub fn holds_complete_changes(&self) -> bool {
-        self.boundary.is_reached()
+        self.change_progress.is_complete()
     }
 
     /// Whether any backend is known.
@@ -156,7 +156,7 @@
     }
 
     /// Whether the gateway has synchronized, and is not starting again from nothing.
-    fn is_complete(&self) -> bool {
+    fn is_fully_synced(&self) -> bool {
         self.has_synced && self.resync.is_none()
     }
 
@@ -181,7 +181,7 @@
     fn begin_resync(&mut self, now: Timestamp, why: &str) {
         info!("event=resync why={why} items={}", self.item_store.len());
         self.resync = Some(Resync { item_store: ItemStore::new(), began_at: now });
-        self.failed_repairs = 0;
+        self.failed_syncs = 0;
     }
 
     /// A synchronization from nothing is complete: its items take the place of the present ones. What is not among
@@ -191,8 +191,8 @@
         let old = std::mem::replace(&mut self.item_store, resync.item_store);
         let is_new = |item: &&Item| old.get(item.kind, &item.name) != Some(*item);
         updates.items.extend(self.item_store.items().filter(is_new).cloned());
-        let is_gone = |item: &&Item| item.is_set() && self.item_store.get(item.kind, &item.name).is_none();
-        updates.items.extend(old.items().filter(is_gone).map(|item| Item { value: None, ..item.clone() }));
+        let is_deleted = |item: &&Item| item.is_set() && self.item_store.get(item.kind, &item.name).is_none();
+        updates.items.extend(old.items().filter(is_deleted).map(|item| Item { value: None, ..item.clone() }));
     }
 
     /// The control process says whether it is in contact with the quorum. One that is not is left after `grace`.
@@ -216,22 +216,22 @@
         if self.candidate.is_some() {
             return None;
         }
-        let (reason, scope) = self.wanted(now)?;
+        let (reason, scope) = self.reason_to_connect(now)?;
         let selection = self.directory.select(now, &self.item_store, scope, draw)?;
         let address = selection.address.clone();
         let unsynced_since = self.resync.as_ref().map_or(self.last_synced, |resync| resync.began_at);
-        if self.has_synced && now - unsynced_since > self.max_unsynced {
+        if self.has_synced && now - unsynced_since > self.max_unsynced_time {
             self.begin_resync(now, "unsynced");
         }
         debug!("event=control-candidate control={address} reason={reason:?}");
-        let hello = Hello { is_serving: self.is_complete(), ..self.hello.clone() };
+        let hello = Hello { is_serving: self.is_fully_synced(), ..self.hello.clone() };
         self.candidate_outgoing = vec![Message::Hello(hello), self.digests()];
         self.candidate = Some(Candidate::new(now, selection, reason));
         Some(address)
     }
 
-    /// Whether a session with another control process is wanted: why, and with which ones.
-    fn wanted(&self, now: Timestamp) -> Option<(Reason, Scope)> {
+    /// Whether a session with another control process is reason_to_connect: why, and with which ones.
+    fn reason_to_connect(&self, now: Timestamp) -> Option<(Reason, Scope)> {
         if self.state == SessionState::Disconnected {
             return Some((Reason::Disconnected, Scope::All));
         }
@@ -245,8 +245,8 @@
         if is_isolated_too_long && self.directory.has_alternative(now, &self.item_store) {
             return Some((Reason::Isolated, Scope::Others));
         }
-        let is_settled = now - self.opened_at > MIN_SESSION_TIME;
-        (is_settled && self.directory.has_nearer(now)).then_some((Reason::Nearer, Scope::Nearer))
+        let is_old_enough = now - self.opened_at > MIN_SESSION_AGE;
+        (is_old_enough && self.directory.has_nearer(now)).then_some((Reason::Nearer, Scope::Nearer))
     }
 
     /// Whether the session's control process has sent nothing for too long.
@@ -260,7 +260,7 @@
         self.directory.add(hello.address.clone(), hello.zone.clone());
         // One that is isolated is no better than the session that there is. Without any it is, but not for a first
         // configuration.
-        if !hello.is_serving && (self.state != SessionState::Disconnected || !self.is_complete()) {
+        if !hello.is_serving && (self.state != SessionState::Disconnected || !self.is_fully_synced()) {
             info!("event=control-isolated control={}", candidate.address);
             self.directory.record_isolation(now, &candidate.address, true);
             return CandidateOutcome::Rejected;
@@ -269,12 +269,12 @@
         self.outgoing.clear();
         self.outgoing_items.clear();
         self.candidate_outgoing.clear();
-        self.wants_digests = false;
+        self.should_send_digests = false;
         self.announced_ready = !self.is_ready;
         self.last_received = now;
         self.opened_at = now;
         self.isolation_deadline = None;
-        self.boundary.session_opened();
+        self.change_progress.session_opened();
         self.transition(SessionState::Syncing(now));
         self.update_contact(now, hello.is_serving, Duration::ZERO);
         CandidateOutcome::Promoted
@@ -312,13 +312,13 @@
     pub fn tick(&mut self, now: Timestamp) -> TickOutcome {
         self.item_store.purge_oldest_tombstones(Kind::Backend, MAX_BACKEND_TOMBSTONES);
         let outcome = TickOutcome {
-            should_close_session: self.is_timed_out(now),
-            should_close_candidate: self.gives_up_candidate(now),
+            should_close_session: self.is_session_timed_out(now),
+            should_close_candidate: self.should_close_candidate(now),
         };
         if self.state == SessionState::Disconnected || outcome.should_close_session {
             return outcome;
         }
-        if std::mem::take(&mut self.wants_digests) {
+        if std::mem::take(&mut self.should_send_digests) {
             let digests = self.digests();
             self.outgoing.push(digests);
         }
@@ -328,14 +328,14 @@
             self.outgoing.push(Message::Heartbeat(Heartbeat {
                 digest: self.synced_store().digest(),
                 is_ready: self.is_ready,
-                is_serving: self.is_complete(),
+                is_serving: self.is_fully_synced(),
                 ..Heartbeat::default()
             }));
         }
         outcome
     }
 
-    fn is_timed_out(&self, now: Timestamp) -> bool {
+    fn is_session_timed_out(&self, now: Timestamp) -> bool {
         match self.state {
             SessionState::Disconnected => false,
             SessionState::Syncing(since) if now - since > SYNC_TIMEOUT => true,
@@ -343,8 +343,8 @@
         }
     }
 
-    /// Whether the candidate connection has taken too long, or is wanted no longer.
-    fn gives_up_candidate(&self, now: Timestamp) -> bool {
+    /// Whether the candidate connection has taken too long, or is reason_to_connect no longer.
+    fn should_close_candidate(&self, now: Timestamp) -> bool {
         let Some(candidate) = &self.candidate else { return false };
         candidate.is_timed_out(now) || candidate.reason == Reason::Unresponsive && self.is_responsive(now)
     }
@@ -369,7 +369,7 @@
         }
         // Invariant: an old configuration is never taken for the newest. A gateway that has synchronized once does no
         // worse by staying a while.
-        if self.is_isolated() && !self.is_complete() {
+        if self.is_isolated() && !self.is_fully_synced() {
             updates.should_close = true;
             return;
         }
@@ -384,11 +384,11 @@
     }
 
     fn receive_heartbeat(&mut self, now: Timestamp, heartbeat: &Heartbeat) {
-        self.update_contact(now, heartbeat.is_serving, ISOLATION_GRACE);
+        self.update_contact(now, heartbeat.is_serving, ISOLATION_GRACE_PERIOD);
         // Messages come in order, so that an equal digest tells that nothing is missing.
         let is_equal = heartbeat.digest == self.item_store.digest();
         if is_equal && heartbeat.is_serving && !heartbeat.is_transferring {
-            self.boundary.copies_agree();
+            self.change_progress.mark_in_sync();
         }
         if !self.is_isolated() && self.resync.is_none() && is_equal {
             self.last_synced = now;
@@ -399,7 +399,7 @@
         if matches!(self.state, SessionState::Syncing(_)) {
             self.transition(SessionState::Syncing(now));
         }
-        self.boundary.items_received(items.extent());
+        self.change_progress.items_received(items.extent());
         for item in items.items.into_iter().filter_map(ItemMessage::into_item) {
             match &mut self.resync {
                 Some(resync) => _ = resync.item_store.merge(item),
@@ -444,15 +444,15 @@
 
     /// The control process has sent all that it holds. `is_equal` if the gateway holds the same and nothing else.
     fn sync_finished(&mut self, now: Timestamp, is_equal: bool, updates: &mut SessionUpdates) {
-        self.failed_repairs = if is_equal { 0 } else { self.failed_repairs + 1 };
+        self.failed_syncs = if is_equal { 0 } else { self.failed_syncs + 1 };
         // Invariant: a gateway that served by a part of the items would serve by less than was acknowledged.
-        if !self.is_complete() && !is_equal {
-            info!("event=sync-differs control={} times={}", self.directory.current(), self.failed_repairs);
-            self.wants_digests = true;
+        if !self.is_fully_synced() && !is_equal {
+            info!("event=sync-differs control={} times={}", self.directory.current(), self.failed_syncs);
+            self.should_send_digests = true;
             return;
         }
         self.finish_resync(updates);
-        self.boundary.copies_agree();
+        self.change_progress.mark_in_sync();
         if self.state != SessionState::Synced {
             info!("event=synced control={} items={}", self.directory.current(), self.item_store.len());
         }
@@ -461,9 +461,9 @@
         self.directory.reset_failures(self.is_isolated());
         if !self.is_isolated() {
             self.last_synced = if is_equal { now } else { self.last_synced };
-            if self.failed_repairs >= MAX_FAILED_REPAIRS {
+            if self.failed_syncs >= MAX_FAILED_SYNCS {
                 self.begin_resync(now, "differs");
-                self.wants_digests = true;
+                self.should_send_digests = true;
             }
         }
     }
--- a/crates/data-plane/src/load_balancer/backend.rs
+++ b/crates/data-plane/src/load_balancer/backend.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 /// Weight of the newest latency in a moving average.
-const NEWEST_WEIGHT: f64 = 0.2;
+const LATENCY_EWMA_WEIGHT: f64 = 0.2;
 /// By what a rejection lengthens a backend's usual latency.
 pub(super) const REJECTION_LATENCY_FACTOR: f64 = 1.2;
 /// Longest slow start that the backend list may ask for, in milliseconds.
@@ -27,7 +27,7 @@
     Failed,
     /// The connection was never established.
     Unreachable,
-    /// The connection broke, brought an invalid response, or took too long.
+    /// The connection broke, brought an invalid response, or elapsed too long.
     Broken,
     /// This gateway or its client gave it up.
     Abandoned,
@@ -47,7 +47,7 @@
     /// Whether it takes no new requests.
     pub(super) is_draining: bool,
     /// When its slow start is over.
-    pub(super) warm_at: Timestamp,
+    pub(super) warm_up_ends_at: Timestamp,
     /// Its usual latency as seen from here.
     pub(super) latency: Option<Duration>,
     /// Attempts of this gateway at it.
@@ -71,7 +71,11 @@
             address,
             zone: text("district")?.into(),
             is_draining: value["closing"].as_bool().unwrap_or(false),
-            warm_at: if slow_start > Duration::ZERO { now + slow_start } else { Timestamp::default() },
+            warm_up_ends_at: if slow_start > Duration::ZERO {
+                now + slow_start
+            } else {
+                Timestamp::default()
+            },
             latency: None,
             in_flight: 0,
             ejection: Ejection::default(),
@@ -82,11 +86,11 @@
 
     /// Whether it is in its slow start, and bears few requests only.
     pub(super) fn is_warming_up(&self, now: Timestamp) -> bool {
-        self.warm_at > now
+        self.warm_up_ends_at > now
     }
 }
 
 /// Takes a latency into a moving average.
-pub(super) fn average_in(average: &mut Duration, newest: Duration) {
-    *average = *average + (newest - *average).mul_f64(NEWEST_WEIGHT);
+pub(super) fn update_moving_average(average: &mut Duration, newest: Duration) {
+    *average = *average + (newest - *average).mul_f64(LATENCY_EWMA_WEIGHT);
 }
--- a/crates/data-plane/src/load_balancer/ejection.rs
+++ b/crates/data-plane/src/load_balancer/ejection.rs
@@ -18,7 +18,7 @@
 /// Cost of an ejected backend, in seconds, above that of any other one.
 const EJECTED_COST: f64 = 1e6;
 /// What each second that is left of an ejection adds to the cost.
-const REMAINING_TIME_COST: f64 = 1e3;
+const COST_PER_REMAINING_SECOND: f64 = 1e3;
 
 /// Whether a backend is ejected, and how often it failed in a row.
 #[derive(Debug, Default)]
@@ -36,7 +36,7 @@
     /// What the ejection adds to the backend's cost: the sooner it ends, the less.
     pub(super) fn cost(&self, now: Timestamp) -> f64 {
         if self.is_active(now) {
-            EJECTED_COST + (self.until - now).as_secs() * REMAINING_TIME_COST
+            EJECTED_COST + (self.until - now).as_secs() * COST_PER_REMAINING_SECOND
         } else {
             0.0
         }
@@ -46,7 +46,7 @@
     pub(super) fn attempt_ended(&mut self, now: Timestamp, outcome: AttemptOutcome) {
         match outcome {
             AttemptOutcome::Completed => *self = Ejection::default(),
-            AttemptOutcome::Rejected => self.extend_to(now + REJECTION_EJECTION_TIME),
+            AttemptOutcome::Rejected => self.extend_until(now + REJECTION_EJECTION_TIME),
             AttemptOutcome::Misdirected => self.until = now + MAX_EJECTION_TIME,
             AttemptOutcome::Unreachable => self.eject(now, BASE_EJECTION_TIME * UNREACHABLE_FACTOR),
             AttemptOutcome::Broken => self.eject(now, BASE_EJECTION_TIME),
@@ -56,10 +56,10 @@
 
     /// The backend says that it closes its connections.
     pub(super) fn record_connection_close(&mut self, now: Timestamp) {
-        self.extend_to(now + CLOSING_EJECTION_TIME);
+        self.extend_until(now + CLOSING_EJECTION_TIME);
     }
 
-    fn extend_to(&mut self, until: Timestamp) {
+    fn extend_until(&mut self, until: Timestamp) {
         self.until = self.until.max(until);
     }
 
--- a/crates/data-plane/src/load_balancer/locality.rs
+++ b/crates/data-plane/src/load_balancer/locality.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 /// Round trip to another region, for a backend whose latency is not known.
-const OTHER_REGION_LATENCY: Duration = Duration::from_micros(110_000);
+const CROSS_REGION_LATENCY: Duration = Duration::from_micros(110_000);
 /// Factor on the latency of a backend in another zone, for the price of traffic between zones.
-const OTHER_ZONE_FACTOR: f64 = 1.1;
+const CROSS_ZONE_COST_FACTOR: f64 = 1.1;
 
 /// Where this gateway stands, and the region of each zone.
 pub(super) struct Locality {
@@ -45,16 +45,16 @@
         if self.is_in_own_region(zone) {
             Duration::ZERO
         } else {
-            OTHER_REGION_LATENCY
+            CROSS_REGION_LATENCY
         }
     }
 
     /// By what the latency of a backend in a zone is multiplied, for the price of the traffic.
-    pub(super) fn zone_factor(&self, zone: &str) -> f64 {
+    pub(super) fn zone_cost_factor(&self, zone: &str) -> f64 {
         if self.is_own_zone(zone) {
             1.0
         } else {
-            OTHER_ZONE_FACTOR
+            CROSS_ZONE_COST_FACTOR
         }
     }
 }
--- a/crates/data-plane/src/load_balancer/mod.rs
+++ b/crates/data-plane/src/load_balancer/mod.rs
@@ -99,7 +99,7 @@
     pub fn set_evacuated_zones(&mut self, now: Timestamp, zones: &BTreeSet<Arc<str>>) {
         let readmitted: BTreeSet<Arc<str>> = self.evacuated_zones.difference(zones).cloned().collect();
         for backend in self.backends.values_mut().filter(|backend| readmitted.contains(&backend.zone)) {
-            backend.warm_at = backend.warm_at.max(now + slow_start::READMISSION_TIME);
+            backend.warm_up_ends_at = backend.warm_up_ends_at.max(now + slow_start::READMISSION_WARM_UP_TIME);
         }
         self.evacuated_zones = zones.clone();
     }
@@ -116,7 +116,7 @@
         if let Some(known) = self.backends.get_mut(&item.name) {
             if known.address == backend.address && known.service == backend.service {
                 known.is_draining = backend.is_draining;
-                known.warm_at = backend.warm_at;
+                known.warm_up_ends_at = backend.warm_up_ends_at;
                 return;
             }
             self.remove_backend(&item.name);
@@ -171,9 +171,9 @@
         let latency =
             backend.latency.unwrap_or_else(|| self.service_latency(&backend.service) + extra_latency);
         let load = 1.0 + IN_FLIGHT_COST * f64::from(backend.in_flight);
-        let zone_factor = self.locality.zone_factor(&backend.zone);
+        let zone_cost_factor = self.locality.zone_cost_factor(&backend.zone);
         let connect_time = if has_idle_connection { Duration::ZERO } else { HANDSHAKE_COST + extra_latency };
-        latency.as_secs() * load * zone_factor + connect_time.as_secs() + backend.ejection.cost(now)
+        latency.as_secs() * load * zone_cost_factor + connect_time.as_secs() + backend.ejection.cost(now)
     }
 
     /// Draws a backend for an attempt, which counts as in flight there from now on.
@@ -199,8 +199,8 @@
         let mut candidates = Candidates::default();
         for backend_id in self.services.get(request.service)? {
             let backend = &self.backends[backend_id];
-            let is_too_cold = backend.is_warming_up(now) && !self.slow_start.allows(now, backend);
-            if !self.is_eligible(backend, request) || is_too_cold {
+            let is_slow_start_limited = backend.is_warming_up(now) && !self.slow_start.allows(now, backend);
+            if !self.is_eligible(backend, request) || is_slow_start_limited {
                 continue;
             }
             candidates.all.push(backend_id);
@@ -229,23 +229,26 @@
         }
     }
 
-    /// An attempt at a backend has ended, `took` after it began.
+    /// An attempt at a backend has ended, `elapsed` after it began.
     pub fn attempt_ended(
         &mut self,
         now: Timestamp,
         backend_id: &str,
         outcome: AttemptOutcome,
-        took: Duration,
+        elapsed: Duration,
     ) {
         let Some(backend) = self.backends.get_mut(backend_id) else { return };
         backend.in_flight = backend.in_flight.saturating_sub(1);
         backend.ejection.attempt_ended(now, outcome);
         match outcome {
             AttemptOutcome::Completed => {
-                backend::average_in(backend.latency.get_or_insert(took), took);
+                backend::update_moving_average(backend.latency.get_or_insert(elapsed), elapsed);
                 if self.locality.is_own_zone(&backend.zone) {
                     let service = backend.service.clone();
-                    backend::average_in(self.service_latencies.entry(service).or_insert(took), took);
+                    backend::update_moving_average(
+                        self.service_latencies.entry(service).or_insert(elapsed),
+                        elapsed,
+                    );
                 }
             }
             AttemptOutcome::Rejected => {
--- a/crates/data-plane/src/load_balancer/slow_start.rs
+++ b/crates/data-plane/src/load_balancer/slow_start.rs
@@ -10,11 +10,11 @@
 use std::sync::Arc;
 
 /// The fraction of the rate that a warming-up backend bears that is used.
-const USED_FRACTION: f64 = 0.5;
+const RATE_SAFETY_FACTOR: f64 = 0.5;
 /// Gateways that use a warming-up backend at most.
 const MAX_GATEWAYS: usize = 3;
 /// Backends of a zone that is readmitted count as warming up for so long.
-pub(super) const READMISSION_TIME: Duration = Duration::from_micros(4_000_000);
+pub(super) const READMISSION_WARM_UP_TIME: Duration = Duration::from_micros(4_000_000);
 
 /// FNV-1a, 64 bits.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct GatewayRank {
     list_version: u64,
-    preferred_gateways: usize,
+    better_ranked_gateways: usize,
 }
 
 /// What this gateway knows of the others, and the rates of services.
@@ -58,16 +58,16 @@
 
     /// Whether this gateway may send a request to a warming-up backend now.
     pub(super) fn allows(&self, now: Timestamp, backend: &Backend) -> bool {
-        let rate = self.rates.get(&backend.service).copied().unwrap_or(0.0) * USED_FRACTION;
+        let rate = self.rates.get(&backend.service).copied().unwrap_or(0.0) * RATE_SAFETY_FACTOR;
         let gateways = (rate.floor() as usize).min(MAX_GATEWAYS);
         let rank = backend.gateway_rank;
         if gateways == 0 || self.live_gateways.is_empty() || rank.list_version != self.list_version {
             return false;
         }
         let min_gap_secs = gateways as f64 / rate;
-        let is_gap_over =
+        let is_gap_elapsed =
             backend.last_slow_start_attempt.is_none_or(|last| (now - last).as_secs() >= min_gap_secs);
-        rank.preferred_gateways < gateways && is_gap_over
+        rank.better_ranked_gateways < gateways && is_gap_elapsed
     }
 
     /// Ranks this gateway among all for a backend, once for each list of live gateways.
@@ -78,8 +78,8 @@
         let own_hash = hash(&self.node_id, &backend.id);
         let is_preferred =
             |node_id: &&String| ***node_id != *self.node_id && hash(node_id, &backend.id) < own_hash;
-        let preferred_gateways = self.live_gateways.iter().filter(is_preferred).count();
-        backend.gateway_rank = GatewayRank { list_version: self.list_version, preferred_gateways };
+        let better_ranked_gateways = self.live_gateways.iter().filter(is_preferred).count();
+        backend.gateway_rank = GatewayRank { list_version: self.list_version, better_ranked_gateways };
     }
 }
 
--- a/crates/data-plane/src/load_balancer/tests.rs
+++ b/crates/data-plane/src/load_balancer/tests.rs
@@ -5,7 +5,8 @@
 const START: Timestamp = Timestamp::from_micros(1_000_000_000);
 
 fn balancer(node_id: &str) -> LoadBalancer {
-    let regions = [("a1", "a"), ("a2", "a"), ("b1", "b")].map(|(d, p)| (d.to_owned(), p.to_owned()));
+    let regions =
+        [("a1", "a"), ("a2", "a"), ("b1", "b")].map(|(zone, region)| (zone.to_owned(), region.to_owned()));
     let mut balancer = LoadBalancer::new(7, node_id, "a1", &regions.into());
     balancer.set_live_gateways((0..12).map(|n| format!("g{n}")).collect());
     balancer.set_slow_start_rates([("l".into(), 6.7)].into_iter());
--- a/crates/data-plane/src/quota/mod.rs
+++ b/crates/data-plane/src/quota/mod.rs
@@ -59,9 +59,9 @@
     rng: oorandom::Rand64,
     live_gateways: usize,
     tolerance: QuotaTolerance,
-    opened_at: Timestamp,
+    started_at: Timestamp,
     /// When the newest report that was answered had been sent.
-    last_answered: Option<Timestamp>,
+    last_answered_report: Option<Timestamp>,
     grant_requests: Vec<TenantUsage>,
     decisions: Vec<Decision>,
 }
@@ -74,8 +74,8 @@
             rng: oorandom::Rand64::new(u128::from(seed)),
             live_gateways: 1,
             tolerance,
-            opened_at: now,
-            last_answered: None,
+            started_at: now,
+            last_answered_report: None,
             grant_requests: Vec::new(),
             decisions: Vec::new(),
         }
@@ -93,7 +93,8 @@
 
     /// The isolation of this gateway from the count, if no report has been answered for long.
     fn isolation(&self, now: Timestamp) -> Option<Isolation> {
-        let since = self.last_answered.map_or(self.opened_at, |answered| answered + COORDINATOR_TIMEOUT);
+        let since =
+            self.last_answered_report.map_or(self.started_at, |answered| answered + COORDINATOR_TIMEOUT);
         let isolation =
             Isolation { since, live_gateways: self.live_gateways as f64, tolerance: self.tolerance };
         (now >= since).then_some(isolation)
@@ -146,7 +147,7 @@
 
     /// Ends a period: the usage to report to the count.
     pub fn close_period(&mut self, now: Timestamp) -> Vec<TenantUsage> {
-        self.tenants.retain(|_, tenant_quota| tenant_quota.is_in_use(now));
+        self.tenants.retain(|_, tenant_quota| tenant_quota.is_active(now));
         self.tenants
             .iter_mut()
             .filter_map(|(tenant, tenant_quota)| tenant_quota.close_period(tenant))
@@ -165,13 +166,13 @@
 
     /// The count has answered a report that was sent at `sent_at`.
     pub fn apply_totals(&mut self, now: Timestamp, sent_at: Timestamp, totals: &UsageTotals) {
-        self.last_answered = self.last_answered.max(Some(sent_at));
+        self.last_answered_report = self.last_answered_report.max(Some(sent_at));
         for total in &totals.tenants {
             if totals.is_mid_period {
                 self.apply_grant(now, sent_at, total);
             } else if let Some(tenant_quota) = self.tenants.get_mut(total.tenant.as_str()) {
                 tenant_quota.receive_grants(now, total);
-                tenant_quota.serve_waiting(&mut self.decisions);
+                tenant_quota.admit_waiting(&mut self.decisions);
                 tenant_quota.update_ratio(now, total);
             }
         }
@@ -181,8 +182,8 @@
     fn apply_grant(&mut self, now: Timestamp, sent_at: Timestamp, total: &TenantTotal) {
         let Some(tenant_quota) = self.tenants.get_mut(total.tenant.as_str()) else { return };
         tenant_quota.receive_grants(now, total);
-        tenant_quota.serve_waiting(&mut self.decisions);
-        let Some(requested) = tenant_quota.take_grant_request_sent_by(sent_at) else { return };
+        tenant_quota.admit_waiting(&mut self.decisions);
+        let Some(requested) = tenant_quota.take_answered_grant_request(sent_at) else { return };
         if total.granted < requested {
             tenant_quota.reject_waiting(now, &mut self.decisions);
         } else {
@@ -192,13 +193,13 @@
 
     /// To be called about ten times a second: decides on requests whose grant does not come.
     pub fn tick(&mut self, now: Timestamp) {
-        let is_late = |tenant_quota: &TenantQuota| tenant_quota.has_overdue_grant_request(now);
-        if self.tenants.values().any(is_late) && self.isolation(now).is_none() {
+        let is_overdue = |tenant_quota: &TenantQuota| tenant_quota.has_overdue_grant_request(now);
+        if self.tenants.values().any(is_overdue) && self.isolation(now).is_none() {
             // Nothing is answered: this gateway is isolated from now on, not only after the whole time.
-            self.last_answered = Some(now - COORDINATOR_TIMEOUT);
+            self.last_answered_report = Some(now - COORDINATOR_TIMEOUT);
         }
         let isolation = self.isolation(now);
-        for tenant_quota in self.tenants.values_mut().filter(|tenant_quota| is_late(tenant_quota)) {
+        for tenant_quota in self.tenants.values_mut().filter(|tenant_quota| is_overdue(tenant_quota)) {
             tenant_quota.give_up_grant_request(now, isolation, &mut self.decisions);
         }
     }
--- a/crates/data-plane/src/quota/tenant.rs
+++ b/crates/data-plane/src/quota/tenant.rs
@@ -15,13 +15,13 @@
 const EXHAUSTED_TIME: Duration = Duration::from_micros(250_000);
 /// Periods in a row, after its last request, in which a tenant's usage is still reported.
 const REPORTED_IDLE_PERIODS: u32 = 1;
-/// Weight of the newest period in the requests expected of the next.
-const NEWEST_WEIGHT: f64 = 0.4;
-/// How many grants are held in advance, as a multiple of the requests expected.
+/// Weight of the newest period in the requests expected_requests of the next.
+const EXPECTED_EWMA_WEIGHT: f64 = 0.4;
+/// How many grants are held in advance, as a multiple of the requests expected_requests.
 const PREFETCH_FACTOR: f64 = 1.3;
-/// A tenant of which fewer requests a period are expected has no grant held in advance.
-const MIN_EXPECTED_FOR_PREFETCH: f64 = 0.05;
-/// Grants that may be held beyond the target before they are returned.
+/// A tenant of which fewer requests a period are expected_requests has no grant held in advance.
+const MIN_EXPECTED_REQUESTS: f64 = 0.05;
+/// Grants that may be held beyond the target_grants before they are returned.
 const RETURN_THRESHOLD: u32 = 2;
 /// Longest time between two totals that counts for the remaining burst, in seconds.
 const MAX_TOTALS_GAP_SECS: f64 = 3.0;
@@ -51,8 +51,8 @@
     /// Requests that wait for a grant, in the order in which they came.
     waiting: VecDeque<RequestId>,
     exhausted_until: Timestamp,
-    /// Requests expected in a period, by the recent ones.
-    expected: f64,
+    /// Requests expected_requests in a period, by the recent ones.
+    expected_requests: f64,
     local_share: LocalShare,
     last_request: Timestamp,
     idle_periods: u32,
@@ -71,7 +71,7 @@
             grant_request: None,
             waiting: VecDeque::new(),
             exhausted_until: Timestamp::default(),
-            expected: 0.0,
+            expected_requests: 0.0,
             local_share,
             last_request: now,
             idle_periods: 0,
@@ -92,7 +92,7 @@
     }
 
     /// Whether the tenant is to be remembered.
-    pub(super) fn is_in_use(&self, now: Timestamp) -> bool {
+    pub(super) fn is_active(&self, now: Timestamp) -> bool {
         now - self.last_request < IDLE_TENANT_TIMEOUT || !self.waiting.is_empty()
     }
 
@@ -142,14 +142,14 @@
             tenant: tenant.to_owned(),
             reserved: self.grants,
             requested,
-            prefetch: 1 + (self.expected / 4.0) as u32,
+            prefetch: 1 + (self.expected_requests / 4.0) as u32,
             ..TenantUsage::default()
         }
     }
 
     /// Ends a period: the usage to report, unless the tenant is idle.
     pub(super) fn close_period(&mut self, tenant: &str) -> Option<TenantUsage> {
-        self.expected += (f64::from(self.offered) - self.expected) * NEWEST_WEIGHT;
+        self.expected_requests += (f64::from(self.offered) - self.expected_requests) * EXPECTED_EWMA_WEIGHT;
         if self.offered == 0 {
             self.idle_periods += 1;
             if self.idle_periods > REPORTED_IDLE_PERIODS && self.grants == 0 {
@@ -158,15 +158,15 @@
         }
         let offered = std::mem::take(&mut self.offered);
         let forwarded = std::mem::take(&mut self.forwarded);
-        let target = (self.expected * PREFETCH_FACTOR).floor() as u32;
-        let max_grants = if self.expected > MIN_EXPECTED_FOR_PREFETCH { target + 1 } else { 0 };
+        let target_grants = (self.expected_requests * PREFETCH_FACTOR).floor() as u32;
+        let max_grants = if self.expected_requests > MIN_EXPECTED_REQUESTS { target_grants + 1 } else { 0 };
         // Grants that are not needed are returned, for the other gateways.
-        let is_far_above = self.grants > max_grants + RETURN_THRESHOLD;
-        let returned = if is_far_above { self.grants - max_grants } else { 0 };
+        let exceeds_threshold = self.grants > max_grants + RETURN_THRESHOLD;
+        let returned = if exceeds_threshold { self.grants - max_grants } else { 0 };
         self.grants -= returned;
         // While a request for grants is on its way no others are asked for.
         let may_request = self.grant_request.is_none();
-        let requested = if may_request { target.saturating_sub(self.grants) } else { 0 };
+        let requested = if may_request { target_grants.saturating_sub(self.grants) } else { 0 };
         let prefetch = if may_request { max_grants.saturating_sub(self.grants + requested) } else { 0 };
         Some(TenantUsage {
             tenant: tenant.to_owned(),
@@ -182,11 +182,11 @@
     /// Takes what the count's owner grants, and the share that it reserves for this gateway.
     pub(super) fn receive_grants(&mut self, now: Timestamp, total: &TenantTotal) {
         self.grants = self.grants.saturating_add(total.granted);
-        self.local_share.reserve(now, f64::from(total.share));
+        self.local_share.set_reserved_share(now, f64::from(total.share));
     }
 
     /// Admits those that wait, first come first served, as far as there are grants.
-    pub(super) fn serve_waiting(&mut self, decisions: &mut Vec<Decision>) {
+    pub(super) fn admit_waiting(&mut self, decisions: &mut Vec<Decision>) {
         while self.grants > 0 {
             let Some(request) = self.waiting.pop_front() else { return };
             self.take_grant();
@@ -198,7 +198,7 @@
     ///
     /// Invariant: a late answer to an earlier request, given up since, decides nothing for those that wait for the
     /// answer to this one.
-    pub(super) fn take_grant_request_sent_by(&mut self, sent_at: Timestamp) -> Option<u32> {
+    pub(super) fn take_answered_grant_request(&mut self, sent_at: Timestamp) -> Option<u32> {
         let request = self.grant_request.take_if(|request| request.sent_at <= sent_at);
         request.map(|request| request.requested)
     }
--- a/crates/data-plane/src/quota/tests.rs
+++ b/crates/data-plane/src/quota/tests.rs
@@ -7,7 +7,7 @@
 const TOLERANCE: QuotaTolerance = QuotaTolerance { window: 5.0, excess: 0.1, margin: 20.0 };
 
 /// Gateways around one shared count, on timers of their own, for a minute.
-struct Fleet {
+struct Scenario {
     /// The rate limit at a time, in requests a second; times are in milliseconds.
     limit: fn(i64) -> f64,
     /// Requests a second over all, and the share of the first gateway.
@@ -15,7 +15,7 @@
     /// Whether a gateway reaches the count at a time.
     is_connected: fn(u64, i64) -> bool,
     /// Whether the count's owner is lost at a time: a new one begins with nothing, after some seconds without any.
-    loses_counts: fn(i64) -> bool,
+    loses_coordinator: fn(i64) -> bool,
 }
 
 /// Totals on their way back to a gateway.
@@ -26,8 +26,8 @@
     totals: UsageTotals,
 }
 
-/// What a fleet did.
-struct Outcome {
+/// What a scenario did.
+struct SimulationResult {
     /// When each admitted request was admitted.
     admitted: Vec<i64>,
     /// Requests offered.
@@ -37,7 +37,7 @@
 /// The way to the count and back takes so many milliseconds.
 const ROUND_TRIP_MILLIS: i64 = 110;
 
-fn simulate(fleet: &Fleet, gateways: u64, seed: u64) -> Outcome {
+fn simulate(scenario: &Scenario, gateways: u64, seed: u64) -> SimulationResult {
     let mut rng = oorandom::Rand64::new(u128::from(seed));
     let at = |millis: i64| Timestamp::from_micros(millis * 1000);
     let tenant: Arc<str> = "t".into();
@@ -45,17 +45,17 @@
         (0..gateways).map(|n| Quota::new(at(-5_000), seed * 8 + n, TOLERANCE)).collect();
     let live: Vec<String> = (0..gateways).map(|n| n.to_string()).collect();
     quotas.iter_mut().for_each(|quota| quota.set_live_gateways(gateways as usize));
-    let (mut counts, mut counts_back_at) = (UsageCounts::new(TOLERANCE), 0);
+    let (mut counts, mut coordinator_back_at) = (UsageCounts::new(TOLERANCE), 0);
     let (mut admitted, mut offered, mut request) = (Vec::new(), 0.0, 0);
     let mut in_transit: VecDeque<InTransit> = VecDeque::new();
     for now in 0..60_000i64 {
-        if (fleet.loses_counts)(now) {
-            (counts, counts_back_at) = (UsageCounts::new(TOLERANCE), now + 3_000);
+        if (scenario.loses_coordinator)(now) {
+            (counts, coordinator_back_at) = (UsageCounts::new(TOLERANCE), now + 3_000);
         }
-        let rate = (fleet.limit)(now);
+        let rate = (scenario.limit)(now);
         let rate_limit = RateLimit { rate, burst: rate };
         for (gateway, quota) in quotas.iter_mut().enumerate() {
-            let is_connected = now >= counts_back_at && (fleet.is_connected)(gateway as u64, now);
+            let is_connected = now >= coordinator_back_at && (scenario.is_connected)(gateway as u64, now);
             let usage =
                 (now % 1000 == gateway as i64 * 960 / gateways as i64).then(|| quota.close_period(at(now)));
             let grant_requests = quota.take_grant_requests();
@@ -86,7 +86,7 @@
             let InTransit { gateway, sent_at, totals, .. } = in_transit.pop_front().unwrap();
             quotas[gateway].apply_totals(at(now), at(sent_at), &totals);
         }
-        let (demand, first) = (fleet.demand)(now);
+        let (demand, first) = (scenario.demand)(now);
         for (gateway, quota) in quotas.iter_mut().enumerate() {
             let share = if gateway == 0 { first } else { (1.0 - first) / (gateways - 1) as f64 };
             if rng.rand_float() < demand * share / 1000.0 {
@@ -99,7 +99,7 @@
                 .extend(quota.take_decisions().iter().filter(|decision| decision.is_admitted).map(|_| now));
         }
     }
-    Outcome { admitted, offered }
+    SimulationResult { admitted, offered }
 }
 
 fn admitted(request: u64) -> Decision {
@@ -110,35 +110,35 @@
     Decision { request: RequestId(request), is_admitted: false }
 }
 
-const ALWAYS: fn(u64, i64) -> bool = |_, _| true;
-const NEVER: fn(i64) -> bool = |_| false;
+const ALWAYS_CONNECTED: fn(u64, i64) -> bool = |_, _| true;
+const NEVER_LOST: fn(i64) -> bool = |_| false;
 const STEADY: fn(i64) -> (f64, f64) = |_| (150.0, 0.125);
 const BURST: fn(i64) -> (f64, f64) =
     |now| if now / 7_000 % 2 == 1 { (1500.0, 0.125) } else { (100.0, 0.125) };
 const MOVING: fn(i64) -> (f64, f64) = |now| (800.0, if now / 5_000 % 2 == 1 { 0.8 } else { 0.02 });
 const INTERMITTENT: fn(u64, i64) -> bool = |gateway, now| gateway > 2 || now / 9_000 % 2 == 0;
-const COUNTS_LOST: fn(i64) -> bool = |now| now % 16_000 == 4_321;
+const COORDINATOR_LOST: fn(i64) -> bool = |now| now % 16_000 == 4_321;
 
 /// The bound holds in every window: with a demand many times the usual that begins between two periods or moves
 /// between gateways; while gateways are partitioned from the count, and demand moves to them; and while the owner of the count is lost. Where
 /// the demand is within the quota hardly anything is rejected, also where a gateway's share is below one.
 #[rstest]
-#[case::steady(Fleet { limit: |_| 200.0, demand: STEADY, is_connected: ALWAYS, loses_counts: NEVER }, 8, 0.99)]
-#[case::burst(Fleet { limit: |_| 200.0, demand: BURST, is_connected: ALWAYS, loses_counts: NEVER }, 8, 0.0)]
-#[case::moving(Fleet { limit: |_| 200.0, demand: MOVING, is_connected: ALWAYS, loses_counts: NEVER }, 8, 0.0)]
-#[case::partition(Fleet { limit: |_| 200.0, demand: MOVING, is_connected: INTERMITTENT, loses_counts: NEVER }, 8, 0.0)]
-#[case::counts_lost(Fleet { limit: |_| 200.0, demand: MOVING, is_connected: ALWAYS, loses_counts: COUNTS_LOST }, 8, 0.0)]
-#[case::disconnected(Fleet { limit: |_| 200.0, demand: BURST, is_connected: |_, now| now < 20_000, loses_counts: NEVER }, 8, 0.0)]
-#[case::steady_while_counts_are_lost(Fleet { limit: |_| 200.0, demand: STEADY, is_connected: ALWAYS, loses_counts: COUNTS_LOST }, 8, 0.9)]
-#[case::spread_thin(Fleet { limit: |_| 200.0, demand: STEADY, is_connected: ALWAYS, loses_counts: NEVER }, 60, 0.98)]
-#[case::spread_thin_and_moving(Fleet { limit: |_| 200.0, demand: MOVING, is_connected: INTERMITTENT, loses_counts: COUNTS_LOST }, 60, 0.0)]
+#[case::steady(Scenario { limit: |_| 200.0, demand: STEADY, is_connected: ALWAYS_CONNECTED, loses_coordinator: NEVER_LOST }, 8, 0.99)]
+#[case::burst(Scenario { limit: |_| 200.0, demand: BURST, is_connected: ALWAYS_CONNECTED, loses_coordinator: NEVER_LOST }, 8, 0.0)]
+#[case::moving(Scenario { limit: |_| 200.0, demand: MOVING, is_connected: ALWAYS_CONNECTED, loses_coordinator: NEVER_LOST }, 8, 0.0)]
+#[case::partition(Scenario { limit: |_| 200.0, demand: MOVING, is_connected: INTERMITTENT, loses_coordinator: NEVER_LOST }, 8, 0.0)]
+#[case::coordinator_lost(Scenario { limit: |_| 200.0, demand: MOVING, is_connected: ALWAYS_CONNECTED, loses_coordinator: COORDINATOR_LOST }, 8, 0.0)]
+#[case::disconnected(Scenario { limit: |_| 200.0, demand: BURST, is_connected: |_, now| now < 20_000, loses_coordinator: NEVER_LOST }, 8, 0.0)]
+#[case::steady_while_coordinator_is_lost(Scenario { limit: |_| 200.0, demand: STEADY, is_connected: ALWAYS_CONNECTED, loses_coordinator: COORDINATOR_LOST }, 8, 0.9)]
+#[case::many_gateways(Scenario { limit: |_| 200.0, demand: STEADY, is_connected: ALWAYS_CONNECTED, loses_coordinator: NEVER_LOST }, 60, 0.98)]
+#[case::many_gateways_and_moving(Scenario { limit: |_| 200.0, demand: MOVING, is_connected: INTERMITTENT, loses_coordinator: COORDINATOR_LOST }, 60, 0.0)]
 fn no_window_admits_more_than_the_quota(
-    #[case] fleet: Fleet,
+    #[case] scenario: Scenario,
     #[case] gateways: u64,
     #[case] min_admitted_fraction: f64,
 ) {
     for seed in 0..3 {
-        let Outcome { admitted, offered } = simulate(&fleet, gateways, seed);
+        let SimulationResult { admitted, offered } = simulate(&scenario, gateways, seed);
         for end in (5_000..60_000).step_by(50) {
             let sent = admitted.iter().filter(|at| (end - 5_000..end).contains(*at)).count() as f64;
             assert!(sent <= (200.0 * 5.0 + 200.0) * 1.1 + 20.0, "{sent} in the 5 s before {end}");
@@ -153,10 +153,15 @@
 }
 
 #[test]
-fn a_limit_that_falls_in_mid_period_binds_within_a_window() {
+fn a_limit_lowered_in_mid_period_takes_effect_within_a_window() {
     let limit = |now| if now < 30_500 { 400.0 } else { 100.0 };
-    let fleet = Fleet { limit, demand: |_| (900.0, 0.125), is_connected: ALWAYS, loses_counts: NEVER };
-    let Outcome { admitted, .. } = simulate(&fleet, 8, 3);
+    let scenario = Scenario {
+        limit,
+        demand: |_| (900.0, 0.125),
+        is_connected: ALWAYS_CONNECTED,
+        loses_coordinator: NEVER_LOST,
+    };
+    let SimulationResult { admitted, .. } = simulate(&scenario, 8, 3);
     for end in (36_000..60_000).step_by(50) {
         let sent = admitted.iter().filter(|at| (end - 5_000..end).contains(*at)).count() as f64;
         assert!(sent <= 600.0 * 1.1 + 20.0, "{sent} in the 5 s before {end}");
@@ -232,7 +237,7 @@
 
 /// Whoever waits where no answer comes is rejected, or admitted by the local share, and nobody twice.
 #[test]
-fn nobody_waits_for_long_and_what_exceeds_the_quota_is_rejected_at_once() {
+fn requests_wait_for_a_bounded_time_and_excess_is_rejected_at_once() {
     let at = |millis: i64| Timestamp::from_micros(millis * 1000);
     let mut quota = Quota::new(at(-9_000), 1, TOLERANCE);
     let (tenant, rate_limit) = ("t".into(), RateLimit { rate: 10.0, burst: 10.0 });
--- a/crates/data-plane/src/retry_budget.rs
+++ b/crates/data-plane/src/retry_budget.rs
@@ -10,7 +10,7 @@
 /// Slots into which a window is divided for counting.
 const SLOTS_PER_WINDOW: i64 = 20;
 /// The fraction of the allowed retries that is used: windows slide, and requests may not arrive.
-const USED_FRACTION: f64 = 0.8;
+const BUDGET_SAFETY_FACTOR: f64 = 0.8;
 
 /// The rule that all gateways together keep: in every window, at most `ratio` retries for a request, and `margin`
 /// retries beyond that.
@@ -56,7 +56,7 @@
     }
 
     /// The service's window, moved on to the present slot.
-    fn current_window(&mut self, now: Timestamp, service: &Arc<str>) -> &mut ServiceWindow {
+    fn advance_window(&mut self, now: Timestamp, service: &Arc<str>) -> &mut ServiceWindow {
         let number = now.period_and_offset(self.limits.window / SLOTS_PER_WINDOW).0;
         let window = self.services.entry(service.clone()).or_default();
         while window.slots.front().is_some_and(|slot| slot.number <= number - SLOTS_PER_WINDOW) {
@@ -70,17 +70,18 @@
 
     /// Counts a request for a service.
     pub fn record_request(&mut self, now: Timestamp, service: &Arc<str>) {
-        self.current_window(now, service).current_slot().requests += 1;
+        self.advance_window(now, service).current_slot().requests += 1;
     }
 
     /// Whether one more retry is within the budget of one among `gateways` gateways; it is counted then.
     pub fn try_acquire(&mut self, now: Timestamp, service: &Arc<str>, gateways: usize) -> bool {
         let RetryLimits { ratio, margin, .. } = self.limits;
-        let window = self.current_window(now, service);
+        let window = self.advance_window(now, service);
         let (requests, retries) = window.totals();
-        let is_within = retries + 1.0 <= USED_FRACTION * (ratio * requests + margin / gateways.max(1) as f64);
-        window.current_slot().retries += u32::from(is_within);
-        is_within
+        let is_allowed =
+            retries + 1.0 <= BUDGET_SAFETY_FACTOR * (ratio * requests + margin / gateways.max(1) as f64);
+        window.current_slot().retries += u32::from(is_allowed);
+        is_allowed
     }
 }
 
--- a/crates/data-plane/tests/attempt/backend_responses.rs
+++ b/crates/data-plane/tests/attempt/backend_responses.rs
@@ -15,7 +15,7 @@
     Malformed,
     NoRequestId,
     /// A response to another request, which was answered before.
-    Surplus,
+    Stale,
 }
 
 /// What a backend may respond to a request of its own.
@@ -34,9 +34,9 @@
 /// The body of a response to a request.
 pub(crate) fn body(request: u8, kind: ResponseKind) -> &'static str {
     match (kind, request) {
-        (ResponseKind::Short | ResponseKind::Surplus, 0) => "a0",
-        (ResponseKind::Short | ResponseKind::Surplus, 1) => "b1",
-        (ResponseKind::Short | ResponseKind::Surplus, _) => "x9",
+        (ResponseKind::Short | ResponseKind::Stale, 0) => "a0",
+        (ResponseKind::Short | ResponseKind::Stale, 1) => "b1",
+        (ResponseKind::Short | ResponseKind::Stale, _) => "x9",
         (ResponseKind::Long | ResponseKind::UntilClose, 0) => "a0a0a0",
         (ResponseKind::Long | ResponseKind::UntilClose, _) => "b1b1b1",
         _ => "",
@@ -46,7 +46,7 @@
 fn response(request: u8, kind: ResponseKind) -> String {
     let body = body(request, kind);
     let (status, fields) = match kind {
-        ResponseKind::Short | ResponseKind::Long | ResponseKind::Surplus => {
+        ResponseKind::Short | ResponseKind::Long | ResponseKind::Stale => {
             (200, format!("X-Postmark: {request}\r\n"))
         }
         ResponseKind::UntilClose => {
@@ -99,7 +99,7 @@
 
 fn piece_count(kind: ResponseKind) -> u8 {
     match kind {
-        ResponseKind::Short | ResponseKind::Surplus => 2,
+        ResponseKind::Short | ResponseKind::Stale => 2,
         ResponseKind::Long | ResponseKind::UntilClose => 3,
         _ => 1,
     }
--- a/crates/data-plane/tests/attempt/calls.rs
+++ b/crates/data-plane/tests/attempt/calls.rs
@@ -57,7 +57,7 @@
 
 /// What is true of a request, kept beside its lifecycle.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
-struct Truth {
+struct ReferenceState {
     is_in_flight: bool,
     /// Bytes of the attempt in flight were written.
     is_written: bool,
@@ -70,7 +70,7 @@
     final_responses: u32,
 }
 
-impl Truth {
+impl ReferenceState {
     fn end_attempt(&mut self, may_have_executed: bool) {
         self.maybe_executed += u32::from(self.is_written && may_have_executed);
         self.is_in_flight = false;
@@ -84,42 +84,42 @@
 
 /// A lifecycle, and what is true of its request.
 #[derive(Clone)]
-struct Subject {
+struct CheckedLifecycle {
     lifecycle: RequestLifecycle,
-    truth: Truth,
+    reference: ReferenceState,
     is_idempotent: bool,
 }
 
-impl Subject {
+impl CheckedLifecycle {
     fn is_completed(&self) -> bool {
         self.lifecycle.state() == RequestState::Completed
     }
 
     /// Makes a call, and checks what it answers.
-    fn make(&mut self, call: Call) {
-        let before = self.truth.clone();
+    fn apply(&mut self, call: Call) {
+        let before = self.reference.clone();
         let was_completed = self.is_completed();
         let next = match call {
             Call::BeginAttempt { is_connected } => self.begin_attempt(is_connected),
             Call::Connected => {
                 let was_connecting = self.lifecycle.state() == RequestState::Connecting;
-                self.truth.attempts_sent += u32::from(was_connecting);
+                self.reference.attempts_sent += u32::from(was_connecting);
                 self.lifecycle.connected();
                 NextStep::Wait
             }
             Call::BytesWritten => {
-                self.truth.is_written |= self.lifecycle.state() == RequestState::Connected;
+                self.reference.is_written |= self.lifecycle.state() == RequestState::Connected;
                 self.lifecycle.bytes_written();
                 NextStep::Wait
             }
             Call::BodyDropped => {
                 self.lifecycle.body_dropped();
-                self.truth.is_body_dropped = true;
+                self.reference.is_body_dropped = true;
                 NextStep::Wait
             }
             Call::AttemptFailed => {
                 let next = self.lifecycle.attempt_failed();
-                self.truth.end_attempt(true);
+                self.reference.end_attempt(true);
                 next
             }
             Call::ResponseComplete(class) => self.response_complete(class),
@@ -127,7 +127,7 @@
             Call::DeliverErrorResponse => {
                 if self.lifecycle.deliver_error_response() {
                     assert!(!before.is_in_flight && !was_completed);
-                    self.truth.final_responses += 1;
+                    self.reference.final_responses += 1;
                 }
                 NextStep::Wait
             }
@@ -147,7 +147,7 @@
             }
             Call::ClientDisconnected => {
                 self.lifecycle.client_disconnected();
-                self.truth.final_responses += u32::from(!was_completed);
+                self.reference.final_responses += u32::from(!was_completed);
                 NextStep::Wait
             }
         };
@@ -156,20 +156,20 @@
     }
 
     fn begin_attempt(&mut self, is_connected: bool) -> NextStep {
-        let before = self.truth.clone();
+        let before = self.reference.clone();
         let was_completed = self.is_completed();
         if self.lifecycle.begin_attempt(is_connected) {
             let is_first = !was_completed && !before.is_in_flight;
             assert!(is_first && !before.is_body_dropped && before.attempts_sent < MAX_ATTEMPTS, "{before:?}");
             assert!(self.is_idempotent || !before.may_have_executed(), "sent twice: {before:?}");
-            self.truth.is_in_flight = true;
-            self.truth.attempts_sent += u32::from(is_connected);
+            self.reference.is_in_flight = true;
+            self.reference.attempts_sent += u32::from(is_connected);
         }
         NextStep::Wait
     }
 
     fn response_complete(&mut self, class: ResponseClass) -> NextStep {
-        let before = self.truth.clone();
+        let before = self.reference.clone();
         let was_completed = self.is_completed();
         let next = self.lifecycle.response_complete(class);
         let delivers = matches!(next, NextStep::Deliver | NextStep::RetryOrDeliver | NextStep::StreamLast);
@@ -177,51 +177,51 @@
         let is_for_client = matches!(class, ResponseClass::Success | ResponseClass::Other);
         assert!(next != NextStep::Deliver || is_for_client);
         assert!((next == NextStep::StreamLast) == before.has_response_begun || was_completed);
-        self.truth.end_attempt(!matches!(class, ResponseClass::NotExecuted(_)));
+        self.reference.end_attempt(!matches!(class, ResponseClass::NotExecuted(_)));
         next
     }
 
     fn response_exceeds_buffer(&mut self, class: ResponseClass) -> NextStep {
-        let before = self.truth.clone();
+        let before = self.reference.clone();
         let next = self.lifecycle.response_exceeds_buffer(class);
         match next {
             NextStep::StreamFirst => {
                 assert!(before.is_written && !before.has_response_begun);
                 let is_for_client = matches!(class, ResponseClass::Success | ResponseClass::Other);
                 assert!(is_for_client, "{class:?} is streamed");
-                self.truth.has_response_begun = true;
+                self.reference.has_response_begun = true;
             }
             NextStep::StreamMore => assert!(before.has_response_begun),
-            _ => self.truth.end_attempt(true),
+            _ => self.reference.end_attempt(true),
         }
         next
     }
 
     fn abandon_overdue_attempt(&mut self) -> NextStep {
-        let before = self.truth.clone();
+        let before = self.reference.clone();
         if self.lifecycle.abandon_overdue_attempt() {
             let may_retry = !before.is_body_dropped && before.attempts_sent < MAX_ATTEMPTS;
             assert!(before.is_in_flight && self.is_idempotent && may_retry, "for nothing: {before:?}");
-            self.truth.end_attempt(true);
+            self.reference.end_attempt(true);
         }
         NextStep::Wait
     }
 
     /// What the client gets is true of its request.
-    fn check_next_step(&mut self, before: &Truth, next: NextStep) {
+    fn check_next_step(&mut self, before: &ReferenceState, next: NextStep) {
         match next {
             NextStep::Reject(status) => {
                 assert!(!before.has_response_begun, "a response behind the beginning of another");
                 let is_promise = matches!(status, 408 | 421 | 429 | 503);
                 let may_have_executed = before.may_have_executed();
                 assert!(!is_promise || !may_have_executed, "{status} may be false: {before:?}");
-                self.truth.final_responses += 1;
+                self.reference.final_responses += 1;
             }
-            NextStep::Deliver | NextStep::StreamLast => self.truth.final_responses += 1,
+            NextStep::Deliver | NextStep::StreamLast => self.reference.final_responses += 1,
             NextStep::Abort => {
                 let has_reason = before.has_response_begun || before.may_have_executed();
                 assert!(has_reason, "aborted for nothing: {before:?}");
-                self.truth.final_responses += 1;
+                self.reference.final_responses += 1;
             }
             _ => {}
         }
@@ -229,14 +229,17 @@
 
     /// What the lifecycle says of itself is true of its request.
     fn check_state(&self) {
-        let Subject { lifecycle, truth, is_idempotent } = self;
+        let CheckedLifecycle { lifecycle, reference, is_idempotent } = self;
         let is_completed = self.is_completed();
-        let may_have_executed = truth.may_have_executed();
-        assert!(truth.final_responses <= 1, "a second end: {truth:?}");
-        assert_eq!(truth.final_responses == 1, is_completed, "{lifecycle:?} {truth:?}");
-        assert!(!lifecycle.may_attempt() || *is_idempotent || !may_have_executed, "{lifecycle:?} {truth:?}");
+        let may_have_executed = reference.may_have_executed();
+        assert!(reference.final_responses <= 1, "a second end: {reference:?}");
+        assert_eq!(reference.final_responses == 1, is_completed, "{lifecycle:?} {reference:?}");
+        assert!(
+            !lifecycle.may_attempt() || *is_idempotent || !may_have_executed,
+            "{lifecycle:?} {reference:?}"
+        );
         let promises = lifecycle.rejection_status() == 503;
-        assert!(is_completed || promises != may_have_executed, "{lifecycle:?} {truth:?}");
+        assert!(is_completed || promises != may_have_executed, "{lifecycle:?} {reference:?}");
     }
 }
 
@@ -246,17 +249,18 @@
 fn every_call_is_answered_by_what_is_true(#[case] is_idempotent: bool) {
     let lifecycle = RequestLifecycle::new(is_idempotent, MAX_ATTEMPTS);
     let mut seen = BTreeSet::new();
-    let mut frontier = vec![Subject { lifecycle, truth: Truth::default(), is_idempotent }];
+    let mut frontier =
+        vec![CheckedLifecycle { lifecycle, reference: ReferenceState::default(), is_idempotent }];
     let mut calls = 0u64;
     while !frontier.is_empty() {
         let mut next = Vec::new();
-        for subject in frontier {
+        for checked in frontier {
             for call in all_calls() {
-                let mut subject = subject.clone();
+                let mut checked = checked.clone();
                 calls += 1;
-                subject.make(call);
-                if seen.insert((format!("{:?}", subject.lifecycle), subject.truth.clone())) {
-                    next.push(subject);
+                checked.apply(call);
+                if seen.insert((format!("{:?}", checked.lifecycle), checked.reference.clone())) {
+                    next.push(checked);
                 }
             }
         }
--- a/crates/data-plane/tests/attempt/main.rs
+++ b/crates/data-plane/tests/attempt/main.rs
@@ -3,5 +3,5 @@
 mod backend_responses;
 mod calls;
 mod model;
+mod model_state;
 mod response_reader;
-mod world;
--- a/crates/data-plane/tests/attempt/model.rs
+++ b/crates/data-plane/tests/attempt/model.rs
@@ -2,7 +2,7 @@
 //! also on connections that the gateway has closed; clients count what they receive.
 
 use crate::backend_responses::{Piece, ResponseKind, RESPONSES};
-use crate::world::{Client, Connection, Request, Work, World, REQUEST_PARTS};
+use crate::model_state::{Client, Connection, ModelState, Request, Work, REQUEST_PARTS};
 use kitepass_data_plane::attempt::{InputState, RequestLifecycle, RequestState};
 use rstest::rstest;
 use stateright::{Checker, Model, Property};
@@ -15,7 +15,7 @@
 /// The variable that adds to the depth.
 const EXTRA_DEPTH: &str = "LEG_DEPTH";
 const MAX_ATTEMPTS: u32 = 2;
-/// Responses that a backend sends on a connection at most.
+/// Responses that a backend sends on a connection index most.
 const MAX_RESPONSES: usize = 2;
 /// Names a request that none of the clients made.
 const UNKNOWN_REQUEST: u8 = 9;
@@ -23,7 +23,7 @@
 /// What may happen next. Requests and connections are given by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    RequestComes(usize),
+    RequestArrives(usize),
     /// The rest of a request's body comes.
     BodyCompletes(usize),
     /// An attempt begins, over an idle connection or a new one.
@@ -38,7 +38,7 @@
     WriteFails(usize),
     Executes(usize),
     /// A backend executes a request whose connection was closed.
-    ExecutesLoose(usize),
+    ExecutesOrphaned(usize),
     Responds(usize, ResponseKind),
     RespondsToAnother(usize, u8),
     /// The backend ends its sending, or the connection breaks, with what is in transit or without.
@@ -52,8 +52,8 @@
         pieces: usize,
         with_end: bool,
     },
-    Overdue(usize),
-    Deadline(usize),
+    AttemptOverdue(usize),
+    DeadlineExpires(usize),
     ClientLeaves(usize),
     IdleTimeout(usize),
     ShutDown,
@@ -65,46 +65,46 @@
     is_idempotent: bool,
     /// The body is too long to be buffered, and comes in two parts.
     has_long_body: bool,
-    /// Both requests may be under way at once.
+    /// Both requests may be under way index once.
     is_concurrent: bool,
 }
 
 impl Scenario {
-    fn request_actions(&self, world: &World, at: usize, actions: &mut Vec<Action>) {
-        let request = &world.requests[at];
-        if request.loose_attempts > 0 {
-            actions.push(Action::ExecutesLoose(at));
+    fn request_actions(&self, state: &ModelState, index: usize, actions: &mut Vec<Action>) {
+        let request = &state.requests[index];
+        if request.orphaned_attempts > 0 {
+            actions.push(Action::ExecutesOrphaned(index));
         }
-        let first = &world.requests[0];
-        let is_previous_over = !first.is_waiting() && first.client != Client::NotCome;
-        let may_overlap = self.is_concurrent && first.client != Client::NotCome;
-        let may_come = at == 0 || may_overlap || is_previous_over;
-        if request.client == Client::NotCome && !world.has_shut_down && may_come {
-            actions.push(Action::RequestComes(at));
+        let first = &state.requests[0];
+        let is_previous_over = !first.is_waiting() && first.client != Client::NotArrived;
+        let may_overlap = self.is_concurrent && first.client != Client::NotArrived;
+        let may_arrive = index == 0 || may_overlap || is_previous_over;
+        if request.client == Client::NotArrived && !state.has_shut_down && may_arrive {
+            actions.push(Action::RequestArrives(index));
         }
         if !request.is_waiting() {
             return;
         }
-        actions.extend([Action::Deadline(at), Action::ClientLeaves(at)]);
+        actions.extend([Action::DeadlineExpires(index), Action::ClientLeaves(index)]);
         if !request.is_body_complete {
-            actions.push(Action::BodyCompletes(at));
+            actions.push(Action::BodyCompletes(index));
         }
         if request.lifecycle.is_in_flight() {
-            actions.push(Action::Overdue(at));
+            actions.push(Action::AttemptOverdue(index));
         }
         if request.lifecycle.state() == RequestState::Pending {
-            actions.push(Action::NoBackend(at));
+            actions.push(Action::NoBackend(index));
             if request.lifecycle.may_attempt() {
-                attempt_actions(world, at, actions);
+                attempt_actions(state, index, actions);
             }
         }
     }
 
-    fn begin_attempt(&self, world: &mut World, at: usize, idle: Option<usize>) {
-        let request = &mut world.requests[at];
+    fn begin_attempt(&self, state: &mut ModelState, index: usize, idle: Option<usize>) {
+        let request = &mut state.requests[index];
         request.has_error_response = false;
         if !request.lifecycle.begin_attempt(idle.is_some()) {
-            world.violation = Some("an attempt that may be made does not begin");
+            state.violation = Some("an attempt that may be made does not begin");
             return;
         }
         if self.has_long_body {
@@ -112,52 +112,52 @@
         }
         match idle {
             Some(idle) => {
-                world.connections[idle].attempt = Some(at as u8);
-                world.connections[idle].parts_written = 0;
+                state.connections[idle].attempt = Some(index as u8);
+                state.connections[idle].parts_written = 0;
             }
-            None => world.connections.push(Connection::opening(at as u8)),
+            None => state.connections.push(Connection::opening(index as u8)),
         }
     }
 }
 
-fn attempt_actions(world: &World, at: usize, actions: &mut Vec<Action>) {
+fn attempt_actions(state: &ModelState, index: usize, actions: &mut Vec<Action>) {
     // No backend gets a second attempt of a request, whose id a late response to the first would bear.
     let is_usable = |connection: &Connection| {
-        connection.attempt.is_none() && !connection.responded_to.contains(&(at as u8))
+        connection.attempt.is_none() && !connection.responded_to.contains(&(index as u8))
     };
-    let usable = world.connections.iter().enumerate().filter(|(_, connection)| is_usable(connection));
-    actions.extend(usable.map(|(idle, _)| Action::AttemptBegins(at, Some(idle))));
-    actions.push(Action::AttemptBegins(at, None));
+    let usable = state.connections.iter().enumerate().filter(|(_, connection)| is_usable(connection));
+    actions.extend(usable.map(|(idle, _)| Action::AttemptBegins(index, Some(idle))));
+    actions.push(Action::AttemptBegins(index, None));
 }
 
-fn connection_actions(world: &World, at: usize, actions: &mut Vec<Action>) {
-    let connection = &world.connections[at];
+fn connection_actions(state: &ModelState, index: usize, actions: &mut Vec<Action>) {
+    let connection = &state.connections[index];
     if !connection.is_established {
-        actions.extend([Action::Established(at), Action::Unreachable(at)]);
+        actions.extend([Action::Established(index), Action::Unreachable(index)]);
         return;
     }
     if let Some(request) = connection.attempt {
-        let is_body_complete = world.requests[usize::from(request)].is_body_complete;
+        let is_body_complete = state.requests[usize::from(request)].is_body_complete;
         let max_parts = if is_body_complete { REQUEST_PARTS } else { 1 };
         let parts = connection.parts_written + 1..=max_parts;
-        actions.extend(parts.map(|parts| Action::PartsWritten(at, parts)));
+        actions.extend(parts.map(|parts| Action::PartsWritten(index, parts)));
         if connection.input_state == InputState::Broken && connection.parts_written < REQUEST_PARTS {
-            actions.push(Action::WriteFails(at));
+            actions.push(Action::WriteFails(index));
         }
     } else {
-        actions.push(Action::IdleTimeout(at));
+        actions.push(Action::IdleTimeout(index));
     }
-    backend_actions(connection, at, actions);
+    backend_actions(connection, index, actions);
     let in_transit = connection.in_transit.len();
-    let reads = |pieces, with_end| Action::Reads { connection: at, pieces, with_end };
+    let reads = |pieces, with_end| Action::Reads { connection: index, pieces, with_end };
     actions.extend((1..=in_transit).map(|pieces| reads(pieces, false)));
     if connection.input_state != InputState::Open {
         actions.push(reads(in_transit, true));
     }
 }
 
-/// What the backend at the other end may do.
-fn backend_actions(connection: &Connection, at: usize, actions: &mut Vec<Action>) {
+/// What the backend index the other end may do.
+fn backend_actions(connection: &Connection, index: usize, actions: &mut Vec<Action>) {
     let is_open = connection.input_state == InputState::Open;
     // What is sent behind a body that ends with the connection is a part of it.
     let mut pieces = connection.in_transit.iter().chain(&connection.read_pieces);
@@ -165,11 +165,11 @@
     let may_respond = is_open && connection.responded_to.len() < MAX_RESPONSES && !is_endless;
     if let Some(work) = connection.work {
         if !work.is_executed {
-            actions.push(Action::Executes(at));
+            actions.push(Action::Executes(index));
         }
         if may_respond {
             let is_true = |kind: &&ResponseKind| **kind != ResponseKind::NotExecuted || !work.is_executed;
-            actions.extend(RESPONSES.iter().filter(is_true).map(|kind| Action::Responds(at, *kind)));
+            actions.extend(RESPONSES.iter().filter(is_true).map(|kind| Action::Responds(index, *kind)));
         }
     }
     if may_respond {
@@ -177,13 +177,16 @@
         let earlier = connection.responded_to.iter().copied();
         let earlier = earlier.filter(|request| Some(*request) != present && *request < 2);
         let requests = earlier.chain([UNKNOWN_REQUEST]);
-        actions.extend(requests.map(|request| Action::RespondsToAnother(at, request)));
+        actions.extend(requests.map(|request| Action::RespondsToAnother(index, request)));
     }
     if !is_open {
         return;
     }
-    let ends =
-        |input_state, keeps_in_transit| Action::InputEnds { connection: at, input_state, keeps_in_transit };
+    let ends = |input_state, keeps_in_transit| Action::InputEnds {
+        connection: index,
+        input_state,
+        keeps_in_transit,
+    };
     actions.extend([ends(InputState::Ended, true), ends(InputState::Broken, true)]);
     if !connection.in_transit.is_empty() {
         actions.push(ends(InputState::Broken, false));
@@ -194,21 +197,21 @@
     }
 }
 
-fn no_backend(world: &mut World, at: usize) {
-    let request = &mut world.requests[at];
+fn no_backend(state: &mut ModelState, index: usize) {
+    let request = &mut state.requests[index];
     if request.has_error_response && request.lifecycle.deliver_error_response() {
-        return world.finish(at, Client::Responded(500));
+        return state.finish(index, Client::Responded(500));
     }
     let status = request.lifecycle.rejection_status();
     let next = request.lifecycle.reject(status);
-    world.follow(at, next);
+    state.apply_next_step(index, next);
 }
 
-fn write_parts(world: &mut World, at: usize, parts: u8) {
-    let connection = &mut world.connections[at];
+fn write_parts(state: &mut ModelState, index: usize, parts: u8) {
+    let connection = &mut state.connections[index];
     let Some(request) = connection.attempt else { return };
     connection.parts_written = parts;
-    world.requests[usize::from(request)].lifecycle.bytes_written();
+    state.requests[usize::from(request)].lifecycle.bytes_written();
     let is_new = connection.work.is_none_or(|work| work.request != request);
     let is_answered = connection.responded_to.contains(&request);
     // A backend whose side has broken receives nothing.
@@ -217,14 +220,14 @@
     }
 }
 
-fn execute(world: &mut World, at: usize) {
-    let Some(work) = &mut world.connections[at].work else { return };
+fn execute(state: &mut ModelState, index: usize) {
+    let Some(work) = &mut state.connections[index].work else { return };
     work.is_executed = true;
-    world.requests[usize::from(work.request)].executions += 1;
+    state.requests[usize::from(work.request)].executions += 1;
 }
 
-fn respond(world: &mut World, at: usize, kind: ResponseKind) {
-    let connection = &mut world.connections[at];
+fn respond(state: &mut ModelState, index: usize, kind: ResponseKind) {
+    let connection = &mut state.connections[index];
     let Some(Work { request, is_executed }) = connection.work else { return };
     // An invalid response says nothing of whether the request is executed.
     let is_executed_by_it = matches!(
@@ -236,148 +239,148 @@
     }
     connection.responded_to.push(request);
     connection.in_transit.extend(Piece::all_of(request, kind));
-    world.requests[usize::from(request)].executions += u8::from(is_executed_by_it && !is_executed);
+    state.requests[usize::from(request)].executions += u8::from(is_executed_by_it && !is_executed);
 }
 
-fn respond_to_another(world: &mut World, at: usize, request: u8) {
-    let connection = &mut world.connections[at];
+fn respond_to_another(state: &mut ModelState, index: usize, request: u8) {
+    let connection = &mut state.connections[index];
     connection.responded_to.push(UNKNOWN_REQUEST);
-    connection.in_transit.extend(Piece::all_of(request, ResponseKind::Surplus));
+    connection.in_transit.extend(Piece::all_of(request, ResponseKind::Stale));
 }
 
-fn deadline_expired(world: &mut World, at: usize) {
-    let next = world.requests[at].lifecycle.deadline_expired();
-    world.follow(at, next);
-    world.expect(!world.requests[at].is_waiting(), "a request that waits beyond its deadline");
+fn deadline_expired(state: &mut ModelState, index: usize) {
+    let next = state.requests[index].lifecycle.deadline_expired();
+    state.apply_next_step(index, next);
+    state.expect(!state.requests[index].is_waiting(), "a request that waits beyond its deadline");
 }
 
-fn shut_down(world: &mut World) {
-    world.has_shut_down = true;
-    for at in 0..world.requests.len() {
-        if world.requests[at].is_waiting() {
-            let next = world.requests[at].lifecycle.shut_down();
-            world.follow(at, next);
-            world.expect(!world.requests[at].is_waiting(), "a request that outlives the process");
+fn shut_down(state: &mut ModelState) {
+    state.has_shut_down = true;
+    for index in 0..state.requests.len() {
+        if state.requests[index].is_waiting() {
+            let next = state.requests[index].lifecycle.shut_down();
+            state.apply_next_step(index, next);
+            state.expect(!state.requests[index].is_waiting(), "a request that outlives the process");
         }
     }
-    while !world.connections.is_empty() {
-        world.close_connection(0);
+    while !state.connections.is_empty() {
+        state.close_connection(0);
     }
 }
 
 impl Model for Scenario {
-    type State = World;
+    type State = ModelState;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<ModelState> {
         let request = Request {
             lifecycle: RequestLifecycle::new(self.is_idempotent, MAX_ATTEMPTS),
-            client: Client::NotCome,
+            client: Client::NotArrived,
             is_body_complete: !self.has_long_body,
             has_error_response: false,
             executions: 0,
-            loose_attempts: 0,
+            orphaned_attempts: 0,
         };
         let requests = vec![request; 2];
-        vec![World { requests, connections: Vec::new(), has_shut_down: false, violation: None }]
+        vec![ModelState { requests, connections: Vec::new(), has_shut_down: false, violation: None }]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Action>) {
-        for at in 0..world.requests.len() {
-            self.request_actions(world, at, actions);
+    fn actions(&self, state: &ModelState, actions: &mut Vec<Action>) {
+        for index in 0..state.requests.len() {
+            self.request_actions(state, index, actions);
         }
-        for at in 0..world.connections.len() {
-            connection_actions(world, at, actions);
+        for index in 0..state.connections.len() {
+            connection_actions(state, index, actions);
         }
-        if !world.has_shut_down {
+        if !state.has_shut_down {
             actions.push(Action::ShutDown);
         }
     }
 
-    fn next_state(&self, last: &World, action: Action) -> Option<World> {
-        let mut world = last.clone();
+    fn next_state(&self, last: &ModelState, action: Action) -> Option<ModelState> {
+        let mut state = last.clone();
         match action {
-            Action::RequestComes(at) => world.requests[at].client = Client::Waiting(None),
-            Action::BodyCompletes(at) => world.requests[at].is_body_complete = true,
-            Action::AttemptBegins(at, idle) => self.begin_attempt(&mut world, at, idle),
-            Action::NoBackend(at) => no_backend(&mut world, at),
-            Action::Established(at) => {
-                world.connections[at].is_established = true;
-                let request = world.connections[at].attempt?;
-                world.requests[usize::from(request)].lifecycle.connected();
+            Action::RequestArrives(index) => state.requests[index].client = Client::Waiting(None),
+            Action::BodyCompletes(index) => state.requests[index].is_body_complete = true,
+            Action::AttemptBegins(index, idle) => self.begin_attempt(&mut state, index, idle),
+            Action::NoBackend(index) => no_backend(&mut state, index),
+            Action::Established(index) => {
+                state.connections[index].is_established = true;
+                let request = state.connections[index].attempt?;
+                state.requests[usize::from(request)].lifecycle.connected();
             }
-            Action::Unreachable(at) => world.lose_connection(at),
-            Action::PartsWritten(at, parts) => write_parts(&mut world, at, parts),
-            Action::WriteFails(at) => {
-                let in_transit = world.connections[at].in_transit.len();
-                world.read(at, in_transit, true);
+            Action::Unreachable(index) => state.lose_connection(index),
+            Action::PartsWritten(index, parts) => write_parts(&mut state, index, parts),
+            Action::WriteFails(index) => {
+                let in_transit = state.connections[index].in_transit.len();
+                state.read(index, in_transit, true);
             }
-            Action::Executes(at) => execute(&mut world, at),
-            Action::ExecutesLoose(at) => {
-                world.requests[at].loose_attempts -= 1;
-                world.requests[at].executions += 1;
+            Action::Executes(index) => execute(&mut state, index),
+            Action::ExecutesOrphaned(index) => {
+                state.requests[index].orphaned_attempts -= 1;
+                state.requests[index].executions += 1;
             }
-            Action::Responds(at, kind) => respond(&mut world, at, kind),
-            Action::RespondsToAnother(at, request) => respond_to_another(&mut world, at, request),
+            Action::Responds(index, kind) => respond(&mut state, index, kind),
+            Action::RespondsToAnother(index, request) => respond_to_another(&mut state, index, request),
             Action::InputEnds { connection, input_state, keeps_in_transit } => {
-                let connection = &mut world.connections[connection];
+                let connection = &mut state.connections[connection];
                 if !keeps_in_transit {
                     connection.in_transit.clear();
                 }
                 connection.input_state = input_state;
             }
-            Action::Reads { connection, pieces, with_end } => world.read(connection, pieces, with_end),
-            Action::Overdue(at) => {
-                let lifecycle = &mut world.requests[at].lifecycle;
+            Action::Reads { connection, pieces, with_end } => state.read(connection, pieces, with_end),
+            Action::AttemptOverdue(index) => {
+                let lifecycle = &mut state.requests[index].lifecycle;
                 if lifecycle.may_attempt() && lifecycle.abandon_overdue_attempt() {
-                    world.close_attempt(at);
+                    state.close_attempt(index);
                 }
             }
-            Action::Deadline(at) => deadline_expired(&mut world, at),
-            Action::ClientLeaves(at) => {
-                world.requests[at].lifecycle.client_disconnected();
-                world.finish(at, Client::Left);
+            Action::DeadlineExpires(index) => deadline_expired(&mut state, index),
+            Action::ClientLeaves(index) => {
+                state.requests[index].lifecycle.client_disconnected();
+                state.finish(index, Client::Left);
             }
-            Action::IdleTimeout(at) => world.close_connection(at),
-            Action::ShutDown => shut_down(&mut world),
+            Action::IdleTimeout(index) => state.close_connection(index),
+            Action::ShutDown => shut_down(&mut state),
         }
-        Some(world)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Scenario>> {
         vec![
-            Property::always("nothing is violated", |_, world: &World| world.violation.is_none()),
+            Property::always("nothing is violated", |_, state: &ModelState| state.violation.is_none()),
             Property::always(
                 "a non-idempotent request is executed once",
-                |scenario: &Scenario, world: &World| {
-                    scenario.is_idempotent || world.requests.iter().all(|request| request.executions <= 1)
+                |scenario: &Scenario, state: &ModelState| {
+                    scenario.is_idempotent || state.requests.iter().all(|request| request.executions <= 1)
                 },
             ),
-            Property::always("what is promised not to be executed never is", |_, world: &World| {
+            Property::always("what is promised not to be executed never is", |_, state: &ModelState| {
                 let is_promised =
                     |request: &&Request| matches!(request.client, Client::Responded(408 | 421 | 429 | 503));
-                let mut promised = world.requests.iter().filter(is_promised);
-                promised.all(|request| request.executions == 0 && request.loose_attempts == 0)
+                let mut promised = state.requests.iter().filter(is_promised);
+                promised.all(|request| request.executions == 0 && request.orphaned_attempts == 0)
             }),
-            Property::always("an attempt is on one connection, or none", |_, world: &World| {
-                world.requests.iter().enumerate().all(|(at, request)| {
-                    let has_attempt = |connection: &&Connection| connection.attempt == Some(at as u8);
-                    let count = world.connections.iter().filter(has_attempt).count();
+            Property::always("an attempt is on one connection, or none", |_, state: &ModelState| {
+                state.requests.iter().enumerate().all(|(index, request)| {
+                    let has_attempt = |connection: &&Connection| connection.attempt == Some(index as u8);
+                    let count = state.connections.iter().filter(has_attempt).count();
                     let is_responding = request.lifecycle.state() == RequestState::Responding;
                     count == usize::from(request.lifecycle.is_in_flight() || is_responding)
                 })
             }),
             Property::sometimes(
                 "a request is answered by its second attempt",
-                |scenario: &Scenario, world: &World| {
+                |scenario: &Scenario, state: &ModelState| {
                     let is_answered_by_second = |request: &Request| {
                         request.client == Client::Responded(200) && request.lifecycle.attempts_sent() == 2
                     };
-                    scenario.has_long_body || world.requests.iter().any(is_answered_by_second)
+                    scenario.has_long_body || state.requests.iter().any(is_answered_by_second)
                 },
             ),
-            Property::sometimes("an idle connection is used again", |_, world: &World| {
-                world
+            Property::sometimes("an idle connection is used again", |_, state: &ModelState| {
+                state
                     .connections
                     .iter()
                     .any(|connection| connection.attempt == Some(1) && connection.responded_to.contains(&0))
--- a/crates/data-plane/tests/attempt/world.rs
+++ b/crates/data-plane/tests/attempt/model_state.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Client {
     /// Its request has not come yet.
-    NotCome,
+    NotArrived,
     /// It waits, and has received so much of a long response.
     Waiting(Option<String>),
     /// It has a complete response with this status.
@@ -42,7 +42,7 @@
     /// How often a backend executed it.
     pub(crate) executions: u8,
     /// Attempts on closed connections that a backend may still execute.
-    pub(crate) loose_attempts: u8,
+    pub(crate) orphaned_attempts: u8,
 }
 
 impl Request {
@@ -108,7 +108,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct World {
+pub(crate) struct ModelState {
     pub(crate) requests: Vec<Request>,
     pub(crate) connections: Vec<Connection>,
     pub(crate) has_shut_down: bool,
@@ -116,21 +116,21 @@
     pub(crate) violation: Option<&'static str>,
 }
 
-impl World {
+impl ModelState {
     fn connection_of(&self, request: usize) -> Option<usize> {
         self.connections.iter().position(|connection| connection.attempt == Some(request as u8))
     }
 
-    pub(crate) fn close_connection(&mut self, at: usize) {
-        let connection = self.connections.remove(at);
+    pub(crate) fn close_connection(&mut self, index: usize) {
+        let connection = self.connections.remove(index);
         if let Some(Work { request, is_executed: false }) = connection.work {
-            self.requests[usize::from(request)].loose_attempts += 1; // it may be executed all the same
+            self.requests[usize::from(request)].orphaned_attempts += 1; // it may be executed all the same
         }
     }
 
     pub(crate) fn close_attempt(&mut self, request: usize) {
-        if let Some(at) = self.connection_of(request) {
-            self.close_connection(at);
+        if let Some(index) = self.connection_of(request) {
+            self.close_connection(index);
         }
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// What follows where no backend's response goes to the client.
-    pub(crate) fn follow(&mut self, request: usize, next: NextStep) {
+    pub(crate) fn apply_next_step(&mut self, request: usize, next: NextStep) {
         match next {
             NextStep::Reject(status) => {
                 let has_begun = matches!(self.requests[request].client, Client::Waiting(Some(_)));
@@ -163,23 +163,23 @@
     }
 
     /// A connection is lost, with the attempt on it.
-    pub(crate) fn lose_connection(&mut self, at: usize) {
-        let request = self.connections[at].attempt.map(usize::from);
-        self.close_connection(at);
+    pub(crate) fn lose_connection(&mut self, index: usize) {
+        let request = self.connections[index].attempt.map(usize::from);
+        self.close_connection(index);
         if let Some(request) = request {
             let next = self.requests[request].lifecycle.attempt_failed();
-            self.follow(request, next);
+            self.apply_next_step(request, next);
         }
     }
 
     /// The gateway reads so many pieces, and the end of the input behind them.
-    pub(crate) fn read(&mut self, at: usize, pieces: usize, with_end: bool) {
-        let connection = &mut self.connections[at];
+    pub(crate) fn read(&mut self, index: usize, pieces: usize, with_end: bool) {
+        let connection = &mut self.connections[index];
         let input_state = if with_end { connection.input_state } else { InputState::Open };
         let new: Vec<Piece> = connection.in_transit.drain(..pieces).collect();
         let Some(request) = connection.attempt.map(usize::from) else {
             if pieces > 0 || with_end {
-                self.close_connection(at);
+                self.close_connection(index);
             }
             return;
         };
@@ -197,32 +197,34 @@
         connection.read_pieces.extend(new);
         match reader.read(context, &mut input, input_state) {
             ReadProgress::Partial => {}
-            ReadProgress::Failed(_) => self.lose_connection(at),
-            ReadProgress::BufferFull => self.stream(at, request, &reader),
-            ReadProgress::Complete => self.response_complete(at, request, reader, input.len(), input_state),
+            ReadProgress::Failed(_) => self.lose_connection(index),
+            ReadProgress::BufferFull => self.stream(index, request, &reader),
+            ReadProgress::Complete => {
+                self.response_complete(index, request, reader, input.len(), input_state)
+            }
         }
     }
 
-    fn stream(&mut self, at: usize, request: usize, reader: &ResponseReader) {
+    fn stream(&mut self, index: usize, request: usize, reader: &ResponseReader) {
         let lifecycle = &mut self.requests[request].lifecycle;
         let head = reader.head.as_ref().expect("its body has begun");
         let next = lifecycle.response_exceeds_buffer(ResponseClass::of(head, lifecycle.is_idempotent()));
         match (next, &mut self.requests[request].client) {
             (NextStep::StreamFirst | NextStep::StreamMore, Client::Waiting(received)) => {
-                self.connections[at].streamed_bytes += reader.body.len();
+                self.connections[index].streamed_bytes += reader.body.len();
                 let text = std::str::from_utf8(&reader.body).expect("text");
                 received.get_or_insert_default().push_str(text);
             }
             (next, _) => {
-                self.close_connection(at);
-                self.follow(request, next);
+                self.close_connection(index);
+                self.apply_next_step(request, next);
             }
         }
     }
 
     fn response_complete(
         &mut self,
-        at: usize,
+        index: usize,
         request: usize,
         reader: ResponseReader,
         unread_bytes: usize,
@@ -237,7 +239,7 @@
             ResponseClass::Invalid
         };
         let next = lifecycle.response_complete(class);
-        let connection = &mut self.connections[at];
+        let connection = &mut self.connections[index];
         connection.attempt = None;
         connection.streamed_bytes = 0;
         connection.read_pieces.clear();
@@ -249,7 +251,7 @@
             is_request_finished: self.requests[request].is_body_complete,
         };
         if !may_reuse_connection(class, connection_state) {
-            self.close_connection(at);
+            self.close_connection(index);
         }
         let body = String::from_utf8(reader.body).expect("text");
         match next {
@@ -262,7 +264,7 @@
                 self.deliver(request, &head, &body);
             }
             NextStep::RetryOrDeliver => self.requests[request].has_error_response = true,
-            next => self.follow(request, next),
+            next => self.apply_next_step(request, next),
         }
     }
 
--- a/crates/data-plane/tests/attempt/response_reader.rs
+++ b/crates/data-plane/tests/attempt/response_reader.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nX-Try-Id: t1\r\nX-Postmark: p\r\n";
-const SURPLUS: &str = "HTTP/1.1 200 OK\r\nX-Try-Id: t0\r\nX-Postmark: q\r\nContent-Length: 5\r\n\r\nother";
+const STALE: &str = "HTTP/1.1 200 OK\r\nX-Try-Id: t0\r\nX-Postmark: q\r\nContent-Length: 5\r\n\r\nother";
 const CONTEXT: ResponseContext = ResponseContext {
     request_id: b"t1",
     is_head_request: false,
@@ -51,8 +51,8 @@
 #[case::chunked(HEAD.to_owned() + "Transfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2;x=1\r\ndy\r\n0\r\nT: 1\r\n\r\n", "body")]
 #[case::empty(HEAD.to_owned() + "Content-Length: 0\r\n\r\n", "")]
 #[case::behind_an_interim("HTTP/1.1 100 Continue\r\n\r\n".to_owned() + HEAD + "Content-Length: 4\r\n\r\nbody", "body")]
-#[case::behind_a_surplus(SURPLUS.to_owned() + HEAD + "Content-Length: 4\r\n\r\nbody", "body")]
-#[case::behind_two(SURPLUS.to_owned() + SURPLUS + HEAD + "Content-Length: 4\r\n\r\nbody", "body")]
+#[case::behind_a_surplus(STALE.to_owned() + HEAD + "Content-Length: 4\r\n\r\nbody", "body")]
+#[case::behind_two(STALE.to_owned() + STALE + HEAD + "Content-Length: 4\r\n\r\nbody", "body")]
 fn a_response_is_complete_with_its_last_byte_and_not_before(#[case] text: String, #[case] body: &str) {
     let bytes = text.as_bytes();
     for to in 0..bytes.len() {
@@ -78,10 +78,10 @@
         }
     }
     // Bytes behind it are left where they are.
-    let more = text.clone() + SURPLUS;
+    let more = text.clone() + STALE;
     for cut in 0..=more.len() {
         let outcome = read(more.as_bytes(), &[cut], InputState::Open, CONTEXT);
-        assert_eq!(outcome, Outcome::complete(body, SURPLUS.len()), "cut at {cut}");
+        assert_eq!(outcome, Outcome::complete(body, STALE.len()), "cut at {cut}");
     }
 }
 
@@ -104,15 +104,15 @@
 /// Where it ends depends on the method of the request that it responds to, which is not known.
 #[rstest]
 #[case::neither(false, false, ReadProgress::Complete)]
-#[case::this_one(true, true, ReadProgress::Failed(ResponseFailure::SurplusBesideHead))]
-#[case::one_before(false, true, ReadProgress::Failed(ResponseFailure::SurplusBesideHead))]
+#[case::this_one(true, true, ReadProgress::Failed(ResponseFailure::AmbiguousStaleResponse))]
+#[case::one_before(false, true, ReadProgress::Failed(ResponseFailure::AmbiguousStaleResponse))]
 fn a_surplus_response_beside_a_head_request_fails(
     #[case] is_head_request: bool,
     #[case] had_head_request: bool,
     #[case] expected: ReadProgress,
 ) {
     let context = ResponseContext { is_head_request, had_head_request, ..CONTEXT };
-    let text = SURPLUS.to_owned() + HEAD + "Content-Length: 0\r\n\r\n";
+    let text = STALE.to_owned() + HEAD + "Content-Length: 0\r\n\r\n";
     assert_eq!(read(text.as_bytes(), &[], InputState::Open, context).progress, expected);
     let own = HEAD.to_owned() + "Content-Length: 4\r\n\r\n" + if is_head_request { "" } else { "body" };
     assert_eq!(read(own.as_bytes(), &[], InputState::Open, context).progress, ReadProgress::Complete);
@@ -126,7 +126,7 @@
 #[case::no_chunk(HEAD.to_owned() + "Transfer-Encoding: chunked\r\n\r\nx\r\n", ResponseFailure::Malformed)]
 #[case::long_head("HTTP/1.1 200 OK\r\nA: ".to_owned() + &"a".repeat(33 * 1024), ResponseFailure::Malformed)]
 #[case::no_request_id("HTTP/1.1 200 OK\r\nX-Postmark: p\r\nContent-Length: 0\r\n\r\n".to_owned(), ResponseFailure::MissingRequestId)]
-#[case::malformed_behind_a_surplus(SURPLUS.to_owned() + "garbled\r\n\r\n", ResponseFailure::Malformed)]
+#[case::malformed_behind_a_surplus(STALE.to_owned() + "garbled\r\n\r\n", ResponseFailure::Malformed)]
 fn an_invalid_response_fails_wherever_it_is_cut(#[case] text: String, #[case] failure: ResponseFailure) {
     for cut in (0..=text.len()).step_by(1 + text.len() / 1024) {
         let progress = read(text.as_bytes(), &[cut], InputState::Open, CONTEXT).progress;
--- a/crates/data-plane/tests/control_session.rs
+++ b/crates/data-plane/tests/control_session.rs
@@ -74,7 +74,7 @@
     Message::Heartbeat(Heartbeat { is_serving: true, ..Heartbeat::default() })
 }
 
-const NOTHING: TickOutcome = TickOutcome { should_close_session: false, should_close_candidate: false };
+const NO_ACTION: TickOutcome = TickOutcome { should_close_session: false, should_close_candidate: false };
 
 #[test]
 fn a_first_configuration_is_not_taken_from_an_isolated_control_process() {
@@ -102,7 +102,7 @@
     assert!(!updates.should_close && updates.items.len() == 1);
     for now in (11_300..15_000).step_by(100) {
         receive(&mut session, now, vec![Message::Heartbeat(Heartbeat::default())]);
-        assert_eq!(session.tick(at(now)), NOTHING);
+        assert_eq!(session.tick(at(now)), NO_ACTION);
         assert_eq!(session.next_control_process(at(now), 0), None, "no other is known");
     }
     let is_complete =
@@ -125,7 +125,7 @@
     let mut tried = Vec::new();
     for now in (200..9_000).step_by(100) {
         receive(&mut session, now, vec![Message::Heartbeat(Heartbeat::default())]);
-        assert_eq!(session.tick(at(now)), NOTHING);
+        assert_eq!(session.tick(at(now)), NO_ACTION);
         if let Some(address) = session.next_control_process(at(now), 0) {
             assert_eq!(session.candidate_hello(at(now), &hello(&address, false)), CandidateOutcome::Rejected);
             tried.push((now, address));
@@ -168,9 +168,9 @@
 }
 
 #[test]
-fn a_session_that_brings_nothing_for_ten_seconds_is_given_up() {
+fn a_session_without_input_for_ten_seconds_is_closed() {
     let mut session = synced_session(&["a"], &[]);
-    assert_eq!(session.tick(at(10_000)), NOTHING);
+    assert_eq!(session.tick(at(10_000)), NO_ACTION);
     assert!(session.tick(at(10_030)).should_close_session);
     session.connection_lost("timed-out");
     assert!(session.next_control_process(at(10_040), 0).is_some());
@@ -186,11 +186,11 @@
     assert_eq!(session.candidate_hello(at(1_700), &hello("b", true)), CandidateOutcome::Promoted);
     assert!(matches!(session.state(), SessionState::Syncing(_)));
     receive(&mut session, 1_800, vec![sync_finished(None)]);
-    assert_eq!((session.state(), session.tick(at(1_900))), (SessionState::Synced, NOTHING));
+    assert_eq!((session.state(), session.tick(at(1_900))), (SessionState::Synced, NO_ACTION));
 }
 
 #[test]
-fn a_nearer_control_process_is_gone_over_to_once_it_answers() {
+fn a_session_moves_to_a_nearer_control_process_once_it_answers() {
     let zones = [("a", "z1"), ("b", "z2")];
     let gateway = Hello { node_id: "g".into(), zone: "z2".into(), ..Hello::default() };
     let mut session = ControlSession::new(gateway, vec!["a".into()], BTreeMap::new());
@@ -228,24 +228,24 @@
 }
 
 #[test]
-fn a_change_in_several_messages_is_whole_with_the_last() {
+fn a_change_in_several_messages_is_complete_with_the_last() {
     let mut session = synced_session(&["a"], &[]);
     assert!(session.holds_complete_changes());
-    let is_whole = [
+    let expected_states = [
         (part(4, Extent::Continued), false),
         (serving_heartbeat(), false),
         (part(5, Extent::Continued), false),
         (part(6, Extent::Complete), true),
         (part(7, Extent::Complete), true),
     ];
-    for (message, expected) in is_whole {
+    for (message, expected) in expected_states {
         receive(&mut session, 100, vec![message.clone()]);
         assert_eq!(session.holds_complete_changes(), expected, "{message:?}");
     }
 }
 
 #[test]
-fn what_is_transferred_by_buckets_is_whole_at_its_end() {
+fn a_transfer_by_buckets_is_complete_at_its_end() {
     let mut session = synced_session(&["a"], &[]);
     receive(&mut session, 100, vec![part(4, Extent::Transfer), part(5, Extent::Complete)]);
     assert!(!session.holds_complete_changes(), "a change that comes meanwhile ends no transfer");
@@ -256,7 +256,7 @@
 /// The end of a change was lost with what followed: the next heartbeat that agrees stands for it, unless the control process
 /// may hold parts of changes itself.
 #[test]
-fn an_end_that_never_comes_is_made_up_for_by_agreeing_copies() {
+fn equal_digests_complete_a_change_whose_end_was_lost() {
     let mut session = synced_session(&["a"], &[]);
     receive(&mut session, 100, vec![part(4, Extent::Continued)]);
     let transferring = agreeing_heartbeat(&session, true);
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn a_session_that_ends_in_the_middle_of_a_change_leaves_it_open_until_the_next_has_synchronized() {
+fn a_change_cut_off_with_its_session_is_incomplete_until_the_next_synchronization() {
     let mut session = synced_session(&["a"], &[]);
     receive(&mut session, 100, vec![part(4, Extent::Continued)]);
     session.connection_lost("closed");
