--- a/crates/data-plane/src/attempt/mod.rs
+++ b/crates/data-plane/src/attempt/mod.rs
@@ -1,9 +1,9 @@
-//! A request and its attempts, decided without input or output.
+//! Decides how a request and its attempts proceed, without doing any I/O.
 //!
-//! [`RequestLifecycle`] is the state machine from a request's first byte to its one final response: it is told what
-//! happened and returns the [`NextStep`]. [`ResponseReader`] parses what a backend sends and [`ResponseClass`] says
-//! what a response means by its head. The sockets around them belong to the server. `docs/control-responses.md` has the
-//! table of states and the argument for why it holds.
+//! [`RequestLifecycle`] is the state machine that takes a request from its first byte to its single final response: it
+//! is told of events and returns the [`NextStep`]. [`ResponseReader`] parses what a backend sends, and
+//! [`ResponseClass`] classifies a response by its head. The server owns the sockets. `docs/control-responses.md` has
+//! the table of states and the proof that the invariants hold.
 
 mod lifecycle;
 mod response_class;
--- a/crates/data-plane/src/attempt/response_reader.rs
+++ b/crates/data-plane/src/attempt/response_reader.rs
@@ -3,40 +3,41 @@
 use kitepass_net::http::body::{Body, Head, HeadReader};
 use kitepass_net::http::MessageKind;
 
-/// Longest head of a response that is accepted, in bytes.
+/// Maximum length of a response's head, in bytes.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// Bytes of a response that are buffered before any go to the client; a longer one is streamed.
+/// Bytes of a response that are buffered before any of them is sent to the client; a longer response is streamed.
 pub const MAX_BUFFERED_RESPONSE_BYTES: usize = 256 * 1024;
 
-/// Whether a connection's input goes on behind what has been received.
+/// Whether further input can follow what has been received on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InputState {
-    /// More may come.
+    /// More input may arrive.
     Open,
-    /// The other side has ended its sending in order.
+    /// The peer has closed its sending side in an orderly way.
     Ended,
-    /// The connection broke: what came before may still be a complete response, but a body without a length is not
-    /// ended by it.
+    /// The connection failed, for example by a reset. A response received before that may be complete, but the failure
+    /// does not mark the end of a body without a length.
     Broken,
 }
 
-/// Why a connection brings no response.
+/// Why a connection delivers no valid response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseFailure {
     /// The input ended before a head was complete.
     Closed,
-    /// The bytes are no HTTP/1.1 response, or one that is too long.
+    /// The bytes are not a valid HTTP/1.1 response, or its head is too long.
     Malformed,
     /// The response does not name the request that it belongs to.
     MissingRequestId,
-    /// A response to another request came where HEAD requests were sent, so that its end is not known.
+    /// A response to another request arrived on a connection that has carried a HEAD request, so that its end cannot be
+    /// determined.
     AmbiguousStaleResponse,
     /// The input ended before the body was complete.
     Truncated,
 }
 
 impl ResponseFailure {
-    /// The reason as it is logged.
+    /// Returns the reason as it is logged.
     pub fn as_str(self) -> &'static str {
         match self {
             ResponseFailure::Closed => "closed",
@@ -51,44 +52,44 @@
 /// How much of a response has been read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadProgress {
-    /// Not all of it.
+    /// The response is incomplete.
     Partial,
-    /// All of it.
+    /// The response is complete.
     Complete,
-    /// As much as is buffered: it is to be streamed.
+    /// The buffer is full: the response has to be streamed.
     BufferFull,
-    /// None will come.
+    /// No valid response will follow.
     Failed(ResponseFailure),
 }
 
-/// The request that a response is read for, and its connection.
+/// The request that a response is read for, and the history of its connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseContext<'a> {
-    /// The request's id, as the backend repeats it.
+    /// The request's id, which the backend repeats in its response.
     pub request_id: &'a [u8],
-    /// The request is a HEAD: its response has no body.
+    /// Whether the request is a HEAD request, whose response has no body.
     pub is_head_request: bool,
-    /// A HEAD request was sent on the connection at some time.
+    /// Whether a HEAD request has ever been sent on the connection.
     pub had_head_request: bool,
-    /// Bytes of a body that are buffered; a longer response is streamed.
+    /// Bytes of the body that are buffered; a longer response is streamed.
     pub max_buffered_bytes: usize,
 }
 
-/// The response to an attempt, as it arrives.
+/// Parses the response to an attempt as it arrives.
 #[derive(Debug, Default)]
 pub struct ResponseReader {
     head_reader: HeadReader,
     /// The head, once it is complete.
     pub head: Option<Head>,
     body_reader: Option<Body>,
-    /// Bytes of the body that were read and not yet passed to the client.
+    /// Bytes of the body that have been read and not yet sent to the client.
     pub body: Vec<u8>,
-    /// The present response belongs to an earlier request; its bytes are read and dropped.
+    /// Whether the current response belongs to an earlier request; its bytes are read and discarded.
     is_stale: bool,
 }
 
 impl ResponseReader {
-    /// Reads on in what has been received.
+    /// Parses as much of the received input as possible.
     pub fn read(
         &mut self,
         context: ResponseContext,
@@ -132,17 +133,17 @@
         }
     }
 
-    /// Reads a head; whether it is complete.
+    /// Reads a head; returns whether it is complete.
     fn read_head(&mut self, context: ResponseContext, input: &mut Vec<u8>) -> Result<bool, ResponseFailure> {
         let kind = MessageKind::Response { to_head: context.is_head_request };
         let read = self.head_reader.next(kind, input, MAX_HEAD_BYTES);
         let Some((head, framing)) = read.map_err(|_| ResponseFailure::Malformed)? else { return Ok(false) };
-        // A surplus response to an earlier request may stand in this one's place.
+        // The backend may first send a stale response to an earlier request.
         let responds_to = head.field("x-try-id").ok_or(ResponseFailure::MissingRequestId)?;
         self.is_stale = responds_to != context.request_id;
         if self.is_stale && (context.is_head_request || context.had_head_request) {
-            // Invariant: where a response ends depends on the method of its own request. Read by another one's,
-            // bytes of its body would pass for the next response.
+            // Invariant: the end of a response depends on the method of the request that it answers. With the wrong
+            // method, bytes of its body would be taken for the next response.
             return Err(ResponseFailure::AmbiguousStaleResponse);
         }
         self.body_reader = Some(Body::new(framing));
@@ -151,7 +152,7 @@
         Ok(true)
     }
 
-    /// Reads on in the body; whether it is complete.
+    /// Reads more of the body; returns whether it is complete.
     fn read_body(
         &mut self,
         context: ResponseContext,
@@ -162,8 +163,8 @@
         let capacity = (2 * context.max_buffered_bytes).saturating_sub(self.body.len());
         let is_complete =
             body_reader.read(input, &mut self.body, capacity).map_err(|_| ResponseFailure::Malformed)?;
-        // Invariant: a body without a length is complete only where the connection ended in order; else it would be
-        // complete wherever the connection broke.
+        // Invariant: a body without a length is complete only if the connection was closed in an orderly way. Otherwise
+        // a broken connection would make a truncated body look complete.
         let ends_with_input = input_state == InputState::Ended && input.is_empty();
         Ok(is_complete || ends_with_input && body_reader.end_of_input().is_ok())
     }
--- a/crates/data-plane/src/control_session/change_progress.rs
+++ b/crates/data-plane/src/control_session/change_progress.rs
@@ -1,33 +1,35 @@
-//! Where one change ends and the next begins, among the items that a control process sends.
+//! Tracks whether the items received from a control process form complete changes.
 //!
-//! A change may take several messages, and what a gateway lacks comes bucket by bucket, with parts of many changes in each
-//! message. The items are merged as they come, which needs no more memory than they do; what follows from them, the routing
-//! table, waits for the end of all that has begun. Where the end never comes, the gateway goes by the last whole
-//! configuration until it holds the same as a control process again, at the latest after its next session's synchronization.
+//! A change may span several messages, and a transfer of missing items by buckets carries parts of many changes in each
+//! message. Items are merged as they arrive, so that they need no extra buffer. What is derived from them, the routing
+//! table, is updated only when all changes and transfers that have begun are complete. If the end of one never arrives,
+//! the gateway keeps using its last complete configuration until its items equal those of a control process again,
+//! which is the case at the latest after the synchronization of its next session.
 
 use kitepass_coordination::protocol::Extent;
 
-/// What has begun and not ended.
+/// The changes and transfers that have begun and are not complete.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct ChangeProgress {
-    /// A change of which more is to come.
+    /// More items of a change will follow.
     is_change_incomplete: bool,
-    /// A transfer of what was missing, or the beginning of a session, which starts with one.
+    /// A transfer of missing items is in progress, or a session has begun, which always starts with one.
     is_transfer_in_progress: bool,
 }
 
 impl ChangeProgress {
-    /// Whether all that has begun has ended.
+    /// Returns whether all changes and transfers that have begun are complete.
     pub(super) fn is_complete(self) -> bool {
         !self.is_change_incomplete && !self.is_transfer_in_progress
     }
 
-    /// A session has been opened: what the one before had begun is not ended by it, but by what is transferred now.
+    /// Records a new session. A change that the previous session left incomplete is completed by the transfer that
+    /// begins now.
     pub(super) fn session_opened(&mut self) {
         *self = ChangeProgress { is_change_incomplete: false, is_transfer_in_progress: true };
     }
 
-    /// Items have come.
+    /// Records the arrival of items.
     pub(super) fn items_received(&mut self, extent: Extent) {
         match extent {
             Extent::Complete => self.is_change_incomplete = false,
@@ -36,7 +38,7 @@
         }
     }
 
-    /// The gateway holds all that a control process holds, which holds whole changes.
+    /// Records that the gateway holds the same items as a control process, which only holds complete changes.
     pub(super) fn mark_in_sync(&mut self) {
         *self = ChangeProgress::default();
     }
--- a/crates/data-plane/src/control_session/directory.rs
+++ b/crates/data-plane/src/control_session/directory.rs
@@ -1,41 +1,42 @@
-//! The control processes that a gateway knows, and which of them it opens a session with.
+//! The control processes that a gateway knows, and the selection of the one to open a session with.
 
 use kitepass_config::ItemStore;
 use kitepass_coordination::membership::{ReplicaSet, CURRENT};
 use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// After a failed attempt a control process is left alone for so long, consecutive_count the number of failures in a row.
+/// After a failed attempt a control process is not tried again for this time, multiplied by the number of consecutive
+/// failures.
 const RETRY_INTERVAL: Duration = Duration::from_micros(350_000);
-/// Failures in a row that lengthen the interval at most.
+/// Consecutive failures after which the interval no longer grows.
 const MAX_BACKOFF_FAILURES: u32 = 6;
-/// A control process that was found isolation_records from the quorum is avoided for so long, consecutive_count how often it was found so
-/// in a row, up to [`MAX_AVOIDANCE_TIME`].
+/// How long a control process that was found isolated from the quorum is avoided, multiplied by how often in a row it
+/// was found isolated, up to [`MAX_AVOIDANCE_TIME`].
 ///
-/// Invariant: where all are isolation_records, gateways do not go round among them without end.
+/// Invariant: when all control processes are isolated, gateways do not cycle through them endlessly.
 const BASE_AVOIDANCE_TIME: Duration = Duration::from_micros(10_000_000);
-/// Longest time for which an isolation_records control process is avoided.
+/// Maximum time for which an isolated control process is avoided.
 const MAX_AVOIDANCE_TIME: Duration = Duration::from_micros(20_000_000);
-/// A nearer control process is gone over to no sooner than this after it was last tried or found isolation_records.
+/// Minimum time before the gateway moves to a nearer control process that was tried or found isolated.
 const NEARER_RETRY_INTERVAL: Duration = Duration::from_micros(12_000_000);
 
-/// SessionAttempts to open a session with a control process.
+/// The attempts to open a session with a control process.
 #[derive(Clone, Copy, Debug, Default)]
 struct SessionAttempts {
     last: Timestamp,
-    /// SessionAttempts since the last that was followed by a complete synchronization.
+    /// Attempts since the last one that led to a complete synchronization.
     failures: u32,
 }
 
-/// A control process that was isolation_records from the quorum when it was last heard.
+/// Records that a control process was isolated from the quorum when it was last heard from.
 #[derive(Clone, Copy, Debug)]
 struct IsolationRecord {
     recorded_at: Timestamp,
-    /// How often in a row.
+    /// How often in a row it was found isolated.
     consecutive_count: u32,
 }
 
-/// How near a control process is; a nearer one is preferred.
+/// How near a control process is; nearer ones are preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Proximity {
     SameZone,
@@ -43,27 +44,26 @@
     OtherRegion,
 }
 
-/// Which control processes are to be selected among.
+/// Which control processes may be selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Scope {
     /// All that are known.
     All,
-    /// All but the current one.
+    /// All except the current one.
     Others,
     /// Those that are nearer than the current one.
     Nearer,
 }
 
-/// A control process that a session is to be opened with.
+/// A control process to open a session with.
 #[derive(Clone, Debug)]
 pub(super) struct Selection {
     pub(super) address: String,
-    /// SessionAttempts in a row before this one that were followed by no complete synchronization.
+    /// Consecutive earlier attempts that did not lead to a complete synchronization.
     pub(super) earlier_failures: u32,
 }
 
-/// What makes one control process preferable to another: fewer failures first, then one that is in contact with the
-/// quorum, then a near one.
+/// The order of preference among control processes: fewer failures first, then contact with the quorum, then proximity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Preference {
     failures: u32,
@@ -71,7 +71,7 @@
     proximity: Proximity,
 }
 
-/// The control processes that are known, by address.
+/// The known control processes, by address.
 pub(super) struct Directory {
     own_zone: String,
     own_region: String,
@@ -83,7 +83,7 @@
     zones: BTreeMap<String, String>,
     attempts: BTreeMap<String, SessionAttempts>,
     isolation_records: BTreeMap<String, IsolationRecord>,
-    /// The control process of the present session, or of the last.
+    /// The control process of the current session, or of the last one.
     current: String,
 }
 
@@ -110,27 +110,28 @@
         self.bootstrap = bootstrap;
     }
 
-    /// The control process of the present session, or of the last.
+    /// Returns the control process of the current session, or of the last one.
     pub(super) fn current(&self) -> &str {
         &self.current
     }
 
-    /// Takes the zone that a control process gives in its hello.
+    /// Adds a control process with the zone from its hello.
     pub(super) fn add(&mut self, address: String, zone: String) {
         self.zones.insert(address, zone);
     }
 
-    /// Takes all live control processes, as the membership has them.
+    /// Replaces the live control processes by those of a membership update.
     pub(super) fn replace(&mut self, zones: BTreeMap<String, String>) {
         self.zones = zones;
     }
 
-    /// A session with this control process is established.
+    /// Records that a session with this control process is established.
     pub(super) fn set_current(&mut self, address: String) {
         self.current = address;
     }
 
-    /// A control process is isolation_records from the quorum. `is_new` if it was in contact, or not heard, before.
+    /// Records that a control process is isolated from the quorum. `is_new` if it was in contact, or not heard from,
+    /// before.
     pub(super) fn record_isolation(&mut self, now: Timestamp, address: &str, is_new: bool) {
         let consecutive_count =
             self.isolation_records.get(address).map_or(0, |record| record.consecutive_count)
@@ -139,12 +140,13 @@
             .insert(address.to_owned(), IsolationRecord { recorded_at: now, consecutive_count });
     }
 
-    /// The current control process is in contact with the quorum.
+    /// Records that the current control process is in contact with the quorum.
     pub(super) fn record_contact(&mut self) {
         self.isolation_records.remove(&self.current);
     }
 
-    /// A session has synchronized. One that is isolation_records says nothing of the others' failures.
+    /// Resets failure counts after a synchronization. One with an isolated control process resets only
+    /// the count of that process, as it proves nothing about the others.
     pub(super) fn reset_failures(&mut self, is_isolated: bool) {
         for (address, attempts) in &mut self.attempts {
             if !is_isolated || *address == self.current {
@@ -161,7 +163,7 @@
         }
     }
 
-    /// All control processes that are known, by the settings, the membership or the replica set.
+    /// Returns all control processes known from the settings, the membership or the replica set.
     fn all(&self, item_store: &ItemStore) -> BTreeSet<String> {
         let mut all: BTreeSet<String> = self.bootstrap.iter().chain(self.zones.keys()).cloned().collect();
         if let Some(replica_set) = ReplicaSet::load(item_store, CURRENT) {
@@ -170,7 +172,7 @@
         all
     }
 
-    /// Whether a control process was isolation_records when it was last heard, and is not to be tried again yet.
+    /// Returns whether a control process was isolated when last heard from and must not be tried again yet.
     fn is_avoided(&self, now: Timestamp, address: &str) -> bool {
         self.isolation_records.get(address).is_some_and(|record| {
             let avoidance = BASE_AVOIDANCE_TIME * i64::from(record.consecutive_count.max(1));
@@ -178,7 +180,7 @@
         })
     }
 
-    /// Whether there is another control process that may be in contact with the quorum.
+    /// Returns whether another control process may be in contact with the quorum.
     pub(super) fn has_alternative(&self, now: Timestamp, item_store: &ItemStore) -> bool {
         let has_failed_recently = |address: &str| {
             self.attempts
@@ -190,7 +192,7 @@
         })
     }
 
-    /// Whether there is a live control process nearer than the current one that is worth a try.
+    /// Returns whether a live control process that is nearer than the current one may be tried.
     pub(super) fn has_nearer(&self, now: Timestamp) -> bool {
         let is_long_ago = |at: Timestamp| now - at > NEARER_RETRY_INTERVAL;
         self.zones.keys().any(|address| {
@@ -200,7 +202,7 @@
         })
     }
 
-    /// Whether a control process was tried so lately that it is left alone.
+    /// Returns whether a control process was tried too recently to be tried again.
     fn is_backing_off(&self, now: Timestamp, address: &str) -> bool {
         self.attempts.get(address).is_some_and(|attempts| {
             let failures = attempts.failures.min(MAX_BACKOFF_FAILURES);
@@ -225,8 +227,8 @@
         }
     }
 
-    /// Selects the control process to open a session with, if any may be tried now. `draw` is a random number that
-    /// decides among equally preferable ones. The attempt counts as failed until the session has synchronized.
+    /// Selects the control process to open a session with, if any may be tried now. The random number `draw` decides
+    /// among equally preferred ones. The attempt counts as failed until the session has synchronized.
     pub(super) fn select(
         &mut self,
         now: Timestamp,
--- a/crates/data-plane/src/control_session/mod.rs
+++ b/crates/data-plane/src/control_session/mod.rs
@@ -1,9 +1,10 @@
-//! A gateway's session with a control process, over which all that it knows of the system comes.
+//! A gateway's session with a control process, which delivers all of the gateway's configuration and membership data.
 //!
-//! No input or output. The owner opens a connection, the *candidate*, to each address that
-//! [`ControlSession::next_control_process`] names, and hands in the hello that comes on it; with
-//! [`CandidateOutcome::Promoted`] that connection is the session from then on. The owner hands in the session's messages, and
-//! sends those in [`ControlSession::candidate_outgoing`], [`ControlSession::outgoing`] and [`ControlSession::outgoing_items`].
+//! This module does no I/O. The owner opens a connection, the *candidate*, to each address that
+//! [`ControlSession::next_control_process`] returns, and passes on the hello that it receives there. Once the outcome
+//! is [`CandidateOutcome::Promoted`], that connection is the session. The owner passes on the session's messages, and
+//! sends those in [`ControlSession::candidate_outgoing`], [`ControlSession::outgoing`] and
+//! [`ControlSession::outgoing_items`].
 
 mod candidate;
 mod change_progress;
@@ -26,48 +27,49 @@
 
 /// How often the gateway sends a heartbeat.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_micros(500_000);
-/// For a control process that sends nothing for so long another is sought.
+/// After this time without a message from the control process, the gateway looks for another one.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_micros(1_600_000);
-/// A session that brings nothing for so long is given up though no other was found.
+/// After this time without any input the session is closed even if no other control process was found.
 const SESSION_TIMEOUT: Duration = Duration::from_micros(10_000_000);
-/// Deleted backends that are remembered at most.
+/// Maximum number of tombstones kept for deleted backends.
 const MAX_BACKEND_TOMBSTONES: usize = 4_096;
-/// A session that is established and brings nothing of what is missing for so long is given up; it is long, as many
-/// gateways may wait for their turn.
+/// After this time without any missing items an unfinished synchronization is given up. Long, because a control process
+/// may serve many gateways one after another.
 const SYNC_TIMEOUT: Duration = Duration::from_micros(10_000_000);
-/// A gateway that has not synchronized for so long with a control process in contact with the quorum starts again
-/// from nothing.
+/// After this time without a synchronization with a control process in contact with the quorum, the gateway starts
+/// again with an empty item store.
 ///
-/// Invariant: tombstones are purged no sooner than twice this after all of the control plane knew them. A gateway that
-/// stayed away longer could keep what was deleted meanwhile, and nobody would tell it.
+/// Invariant: tombstones are kept for at least twice this time after the whole control plane has received them. A
+/// gateway that stayed away longer could keep deleted items, and nothing would correct it.
 const MAX_UNSYNCED_TIME: Duration = Duration::from_micros(1_800_000_000);
-/// After so many repairs in a row that left a difference the gateway starts again from nothing: it holds something
-/// that the control plane has purged.
+/// After this many consecutive synchronizations that left a difference, the gateway starts again with an empty item
+/// store, because it holds something that the control plane has purged.
 const MAX_FAILED_SYNCS: u32 = 8;
-/// A control process that becomes isolated from the quorum is stayed with for so long, if another may be better, so
-/// that a short partition moves no gateway. One that is isolated from the start is left as soon as it has synchronized.
+/// How long the gateway stays with a control process that becomes isolated from the quorum before it tries another one,
+/// so that a short partition does not make gateways change sessions. A control process that is isolated from the start
+/// is left as soon as the gateway has synchronized with it.
 const ISOLATION_GRACE_PERIOD: Duration = Duration::from_micros(1_500_000);
-/// A nearer control process is gone over to no sooner than this after the session was opened.
+/// Minimum age of a session before the gateway moves to a nearer control process.
 const MIN_SESSION_AGE: Duration = Duration::from_micros(3_000_000);
 
-/// A synchronization from nothing, in progress.
+/// A synchronization that started with an empty item store and is in progress.
 struct Resync {
     item_store: ItemStore,
     began_at: Timestamp,
 }
 
-/// The session of a gateway with one control process at a time.
+/// A gateway's sessions with control processes, one at a time.
 pub struct ControlSession {
     hello: Hello,
     state: SessionState,
-    /// The items that the gateway serves by.
+    /// The items that the gateway operates on.
     pub item_store: ItemStore,
-    /// A new item store that takes the place of the present one once it is complete.
+    /// A new item store that replaces the current one once it is complete.
     resync: Option<Resync>,
-    /// When the gateway last held the same as a control process in contact with the quorum.
+    /// When the gateway last held the same items as a control process in contact with the quorum.
     last_synced: Timestamp,
     max_unsynced_time: Duration,
-    /// The control process is to be asked again for what is missing.
+    /// Whether to ask the control process again for missing items by sending the digests.
     should_send_digests: bool,
     failed_syncs: u32,
     directory: Directory,
@@ -76,27 +78,28 @@
     last_received: Timestamp,
     opened_at: Timestamp,
     last_heartbeat: Timestamp,
-    /// Set while the control process is isolated from the quorum: after this moment it is left, if another may be in
-    /// contact.
+    /// Set while the control process is isolated from the quorum: when the gateway moves to another one, if one may be
+    /// in contact with the quorum.
     isolation_deadline: Option<Timestamp>,
-    /// Where the items that have come stand between changes.
+    /// Whether the items received so far form complete changes.
     change_progress: ChangeProgress,
-    /// Whether the gateway has synchronized once: from then on it may serve.
+    /// Whether the gateway has ever synchronized, which it must have to serve requests.
     has_synced: bool,
     has_membership: bool,
-    /// Whether the gateway takes requests, which its heartbeats tell.
+    /// Whether the gateway accepts requests, as its heartbeats report.
     pub is_ready: bool,
     announced_ready: bool,
     /// Messages to send on the candidate connection.
     pub candidate_outgoing: Vec<Message>,
-    /// Messages to send.
+    /// Messages to send on the session's connection.
     pub outgoing: Vec<Message>,
-    /// Items to send.
+    /// Items to send on the session's connection.
     pub outgoing_items: Vec<Item>,
 }
 
 impl ControlSession {
-    /// A gateway without a session. `bootstrap` are the addresses of the settings, `regions` the region of each zone.
+    /// Creates a gateway without a session. `bootstrap` has the addresses from the settings, `regions` the region of
+    /// each zone.
     pub fn new(hello: Hello, bootstrap: Vec<String>, regions: BTreeMap<String, String>) -> ControlSession {
         ControlSession {
             directory: Directory::new(hello.zone.clone(), hello.region.clone(), regions, bootstrap),
@@ -124,38 +127,38 @@
         }
     }
 
-    /// How far the session has come.
+    /// Returns the state of the session.
     pub fn state(&self) -> SessionState {
         self.state
     }
 
-    /// For tests: the longest time without synchronization, in place of the usual one.
+    /// Overrides the maximum time without synchronization, for tests.
     pub fn set_max_unsynced_time(&mut self, max_unsynced_time: Duration) {
         self.max_unsynced_time = max_unsynced_time;
     }
 
-    /// Takes the addresses of the settings.
+    /// Sets the control process addresses from the settings.
     pub fn set_bootstrap_addresses(&mut self, addresses: Vec<String>) {
         self.directory.set_bootstrap(addresses);
     }
 
-    /// Whether the gateway has synchronized once, and knows the other gateways.
+    /// Returns whether the gateway has synchronized at least once and knows the other gateways.
     pub fn is_caught_up(&self) -> bool {
         self.has_synced && self.has_membership
     }
 
-    /// Whether [`ControlSession::item_store`] holds whole changes, and not parts of some. Whoever acts on the items does so
-    /// only then: between two messages of one change, requests that both configurations allow would be rejected.
+    /// Returns whether [`ControlSession::item_store`] holds only complete changes. Consumers must act on the items only
+    /// then: between two messages of one change, requests that are allowed both before and after it could be rejected.
     pub fn holds_complete_changes(&self) -> bool {
         self.change_progress.is_complete()
     }
 
-    /// Whether any backend is known.
+    /// Returns whether any backend is known.
     pub fn has_backends(&self) -> bool {
         self.item_store.items_of(Kind::Backend).any(|item| item.value.is_some())
     }
 
-    /// Whether the gateway has synchronized, and is not starting again from nothing.
+    /// Returns whether the gateway has synchronized and is not starting again with an empty item store.
     fn is_fully_synced(&self) -> bool {
         self.has_synced && self.resync.is_none()
     }
@@ -173,7 +176,7 @@
         }
     }
 
-    /// The item store that the session fills: that of a synchronization from nothing, or the present one.
+    /// Returns the item store that the session fills: the new one while starting again, otherwise the current one.
     fn synced_store(&self) -> &ItemStore {
         self.resync.as_ref().map_or(&self.item_store, |resync| &resync.item_store)
     }
@@ -184,8 +187,8 @@
         self.failed_syncs = 0;
     }
 
-    /// A synchronization from nothing is complete: its items take the place of the present ones. What is not among
-    /// them is deleted.
+    /// Replaces the current items by those of the new item store, which is complete. Items that it lacks are reported
+    /// as deleted.
     fn finish_resync(&mut self, updates: &mut SessionUpdates) {
         let Some(resync) = self.resync.take() else { return };
         let old = std::mem::replace(&mut self.item_store, resync.item_store);
@@ -195,7 +198,7 @@
         updates.items.extend(old.items().filter(is_deleted).map(|item| Item { value: None, ..item.clone() }));
     }
 
-    /// The control process says whether it is in contact with the quorum. One that is not is left after `grace`.
+    /// Records whether the control process is in contact with the quorum. If it is not, it may be left after `grace`.
     fn update_contact(&mut self, now: Timestamp, is_in_contact: bool, grace: Duration) {
         if is_in_contact {
             self.isolation_deadline = None;
@@ -211,7 +214,7 @@
         self.directory.record_isolation(now, &control, is_new);
     }
 
-    /// The control process to open a connection to now, if any. `draw` is a random number.
+    /// Returns the address of the control process to connect to now, if any. `draw` is a random number.
     pub fn next_control_process(&mut self, now: Timestamp, draw: u64) -> Option<String> {
         if self.candidate.is_some() {
             return None;
@@ -230,7 +233,7 @@
         Some(address)
     }
 
-    /// Whether a session with another control process is reason_to_connect: why, and with which ones.
+    /// Returns why to open a session with another control process, and which ones to select from, if one is needed.
     fn reason_to_connect(&self, now: Timestamp) -> Option<(Reason, Scope)> {
         if self.state == SessionState::Disconnected {
             return Some((Reason::Disconnected, Scope::All));
@@ -249,17 +252,17 @@
         (is_old_enough && self.directory.has_nearer(now)).then_some((Reason::Nearer, Scope::Nearer))
     }
 
-    /// Whether the session's control process has sent nothing for too long.
+    /// Returns whether the session's control process has sent nothing for too long.
     fn is_unresponsive(&self, now: Timestamp) -> bool {
         self.state != SessionState::Disconnected && now - self.last_received > HEARTBEAT_TIMEOUT
     }
 
-    /// A control process says hello on the candidate connection.
+    /// Handles the hello of the control process on the candidate connection.
     pub fn candidate_hello(&mut self, now: Timestamp, hello: &Hello) -> CandidateOutcome {
         let Some(candidate) = self.candidate.take() else { return CandidateOutcome::Rejected };
         self.directory.add(hello.address.clone(), hello.zone.clone());
-        // One that is isolated is no better than the session that there is. Without any it is, but not for a first
-        // configuration.
+        // An isolated control process is no improvement on an existing session. Without a session it is accepted,
+        // unless the gateway still needs its first complete configuration.
         if !hello.is_serving && (self.state != SessionState::Disconnected || !self.is_fully_synced()) {
             info!("event=control-isolated control={}", candidate.address);
             self.directory.record_isolation(now, &candidate.address, true);
@@ -280,7 +283,7 @@
         CandidateOutcome::Promoted
     }
 
-    /// The candidate connection is closed, or could not be opened.
+    /// Records that the candidate connection was closed or could not be opened.
     pub fn candidate_lost(&mut self, why: &str) {
         self.candidate_outgoing.clear();
         if let Some(candidate) = self.candidate.take() {
@@ -288,18 +291,18 @@
         }
     }
 
-    /// The digests of what is held here, by which the control process finds what is missing.
+    /// Returns the digests of the items held here, from which the control process determines what is missing.
     fn digests(&self) -> Message {
         let digests = self.synced_store().bucket_hashes().to_vec();
         Message::BucketDigests(BucketDigests { digests, ends_transfer: false })
     }
 
-    /// The session's connection is closed.
+    /// Records that the session's connection was closed.
     pub fn connection_lost(&mut self, why: &str) {
         let control = self.directory.current();
         match self.state {
             SessionState::Disconnected => {}
-            // Ordinary: one that has not caught up yet.
+            // Expected: the control process has not caught up yet.
             _ if why == "not-current" => debug!("event=control-session-lost control={control} why={why}"),
             _ => warn!("event=control-session-lost control={control} why={why}"),
         }
@@ -308,7 +311,7 @@
         self.transition(SessionState::Disconnected);
     }
 
-    /// To be called about ten times a second. Tells what is to be closed.
+    /// Performs periodic work, and returns which connections to close. To be called about ten times a second.
     pub fn tick(&mut self, now: Timestamp) -> TickOutcome {
         self.item_store.purge_oldest_tombstones(Kind::Backend, MAX_BACKEND_TOMBSTONES);
         let outcome = TickOutcome {
@@ -343,32 +346,33 @@
         }
     }
 
-    /// Whether the candidate connection has taken too long, or is reason_to_connect no longer.
+    /// Returns whether the candidate connection has taken too long or is no longer needed.
     fn should_close_candidate(&self, now: Timestamp) -> bool {
         let Some(candidate) = &self.candidate else { return false };
         candidate.is_timed_out(now) || candidate.reason == Reason::Unresponsive && self.is_responsive(now)
     }
 
-    /// Whether the session stands, and its control process has been heard lately.
+    /// Returns whether there is a session whose control process was heard from recently.
     fn is_responsive(&self, now: Timestamp) -> bool {
         self.state != SessionState::Disconnected && !self.is_unresponsive(now)
     }
 
-    /// Bytes have come that are no complete message yet.
+    /// Records that bytes of an incomplete message have arrived.
     ///
-    /// Invariant: over a slow connection a message of many MiB takes longer than the heartbeat time-out.
+    /// Invariant: a message that is still arriving keeps the session alive, because over a slow connection a message of
+    /// many MiB takes longer than the heartbeat timeout.
     pub fn bytes_received(&mut self, now: Timestamp) {
         self.last_received = now;
     }
 
-    /// Takes a message of the session's control process.
+    /// Handles a message of the session's control process.
     pub fn receive(&mut self, now: Timestamp, message: Message, updates: &mut SessionUpdates) {
         self.last_received = now;
         if let Message::Heartbeat(heartbeat) = &message {
             self.receive_heartbeat(now, heartbeat);
         }
-        // Invariant: an old configuration is never taken for the newest. A gateway that has synchronized once does no
-        // worse by staying a while.
+        // Invariant: an outdated configuration is never taken for the newest one. A gateway that has already
+        // synchronized loses nothing by staying for a while.
         if self.is_isolated() && !self.is_fully_synced() {
             updates.should_close = true;
             return;
@@ -385,7 +389,7 @@
 
     fn receive_heartbeat(&mut self, now: Timestamp, heartbeat: &Heartbeat) {
         self.update_contact(now, heartbeat.is_serving, ISOLATION_GRACE_PERIOD);
-        // Messages come in order, so that an equal digest tells that nothing is missing.
+        // Messages arrive in order, so equal digests mean that nothing is missing.
         let is_equal = heartbeat.digest == self.item_store.digest();
         if is_equal && heartbeat.is_serving && !heartbeat.is_transferring {
             self.change_progress.mark_in_sync();
@@ -409,11 +413,12 @@
         }
     }
 
-    /// The control process tells the digests of all that it holds, at the end of a synchronization or as a question.
+    /// Handles the digests of all items that the control process holds. They end a synchronization or ask for the
+    /// gateway's digests.
     fn receive_digests(&mut self, now: Timestamp, theirs: &BucketDigests, updates: &mut SessionUpdates) {
-        // Backends that the control process has lost are sent back; whoever reads the list corrects what is wrong in
-        // it. Invariant: no item of the configuration is, for an old one could come back that way. The control plane
-        // has all of them: it tells them here only once they are committed.
+        // Backends that the control process has lost are sent back; consumers of the backend list correct outdated
+        // entries. Invariant: items of the configuration are never sent back, because an outdated one could be restored
+        // that way. The control plane has all of them, since it sends them to gateways only once they are committed.
         let differing = self.synced_store().differing_items(&theirs.digests);
         let sent_back: Vec<Item> = differing.filter(|item| item.kind == Kind::Backend).cloned().collect();
         self.outgoing_items.extend(sent_back);
@@ -442,10 +447,11 @@
         }
     }
 
-    /// The control process has sent all that it holds. `is_equal` if the gateway holds the same and nothing else.
+    /// Handles the end of a synchronization. `is_equal` if the gateway holds the same items as the control process.
     fn sync_finished(&mut self, now: Timestamp, is_equal: bool, updates: &mut SessionUpdates) {
         self.failed_syncs = if is_equal { 0 } else { self.failed_syncs + 1 };
-        // Invariant: a gateway that served by a part of the items would serve by less than was acknowledged.
+        // Invariant: a gateway never serves with an incomplete set of items, because changes that were acknowledged
+        // could be missing.
         if !self.is_fully_synced() && !is_equal {
             info!("event=sync-differs control={} times={}", self.directory.current(), self.failed_syncs);
             self.should_send_digests = true;
--- a/crates/data-plane/src/load_balancer/backend.rs
+++ b/crates/data-plane/src/load_balancer/backend.rs
@@ -1,4 +1,4 @@
-//! A backend, and what the outcome of an attempt says of it.
+//! A backend, and the outcomes of attempts at it.
 
 use super::ejection::Ejection;
 use super::slow_start::GatewayRank;
@@ -7,50 +7,51 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Weight of the newest latency in a moving average.
+/// Weight of the newest latency in the exponentially weighted moving average.
 const LATENCY_EWMA_WEIGHT: f64 = 0.2;
-/// By what a rejection lengthens a backend's usual latency.
+/// Factor by which a rejection raises a backend's average latency.
 pub(super) const REJECTION_LATENCY_FACTOR: f64 = 1.2;
-/// Longest slow start that the backend list may ask for, in milliseconds.
+/// Maximum slow start that the backend list may request, in milliseconds.
 const MAX_SLOW_START_MS: i64 = 600_000;
 
 /// How an attempt ended, as far as its backend is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It brought a response of the backend's own.
+    /// The backend sent a valid response.
     Completed,
-    /// The backend says that it did not execute the request: full, draining, or past its deadline there.
+    /// The backend states that it did not execute the request, because it is full, is draining, or received the request
+    /// after its deadline.
     Rejected,
-    /// Another backend has the address now.
+    /// Another backend now uses the address.
     Misdirected,
     /// The backend failed, and may have executed the request.
     Failed,
-    /// The connection was never established.
+    /// The connection could not be established.
     Unreachable,
-    /// The connection broke, brought an invalid response, or elapsed too long.
+    /// The connection broke, delivered an invalid response, or took too long.
     Broken,
-    /// This gateway or its client gave it up.
+    /// The gateway or its client abandoned the attempt.
     Abandoned,
 }
 
-/// A backend.
+/// A backend that requests are forwarded to.
 #[derive(Debug)]
 pub struct Backend {
     /// Its id in the backend list.
     pub id: Arc<str>,
     /// The service that it provides.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// The zone that it stands in.
+    /// The zone that it runs in.
     pub zone: Arc<str>,
-    /// Whether it takes no new requests.
+    /// Whether it accepts no new requests.
     pub(super) is_draining: bool,
-    /// When its slow start is over.
+    /// When its slow start ends.
     pub(super) warm_up_ends_at: Timestamp,
-    /// Its usual latency as seen from here.
+    /// Its average latency, as measured by this gateway.
     pub(super) latency: Option<Duration>,
-    /// Attempts of this gateway at it.
+    /// Attempts of this gateway in flight at the backend.
     pub(super) in_flight: u32,
     pub(super) ejection: Ejection,
     pub(super) last_slow_start_attempt: Option<Timestamp>,
@@ -58,7 +59,7 @@
 }
 
 impl Backend {
-    /// A backend as an item of the backend list describes it; none if the item is deleted or cannot be read.
+    /// Parses an item of the backend list; none if the item is deleted or invalid.
     pub(super) fn from_item(now: Timestamp, item: &Item) -> Option<Backend> {
         let value: serde_json::Value = serde_json::from_slice(item.value.as_deref()?).ok()?;
         let text = |name: &str| value[name].as_str();
@@ -84,13 +85,13 @@
         })
     }
 
-    /// Whether it is in its slow start, and bears few requests only.
+    /// Returns whether the backend is in its slow start and can handle only few requests.
     pub(super) fn is_warming_up(&self, now: Timestamp) -> bool {
         self.warm_up_ends_at > now
     }
 }
 
-/// Takes a latency into a moving average.
+/// Updates a moving average with the newest latency.
 pub(super) fn update_moving_average(average: &mut Duration, newest: Duration) {
     *average = *average + (newest - *average).mul_f64(LATENCY_EWMA_WEIGHT);
 }
--- a/crates/data-plane/src/load_balancer/ejection.rs
+++ b/crates/data-plane/src/load_balancer/ejection.rs
@@ -1,26 +1,26 @@
-//! Ejection of backends that fail: they get no attempts for a time that doubles with each failure in a row.
+//! Ejection of failing backends: they get no attempts for a time that doubles with each consecutive failure.
 
 use super::AttemptOutcome;
 use kitepass_time::{Duration, Timestamp};
 
-/// Ejection after a first failure.
+/// Ejection time after the first failure.
 const BASE_EJECTION_TIME: Duration = Duration::from_micros(400_000);
-/// Longest ejection.
+/// Maximum ejection time.
 const MAX_EJECTION_TIME: Duration = Duration::from_micros(6_400_000);
-/// Ejection of a backend that rejected a request.
+/// Ejection time of a backend that rejected a request.
 const REJECTION_EJECTION_TIME: Duration = Duration::from_micros(80_000);
-/// Ejection of a backend that says that it closes its connections.
+/// Ejection time of a backend that announced that it closes its connections.
 const CLOSING_EJECTION_TIME: Duration = Duration::from_micros(200_000);
-/// A backend that cannot be reached is ejected for so many times the usual time.
+/// Factor on the ejection time of an unreachable backend.
 const UNREACHABLE_FACTOR: i64 = 3;
-/// The ejection time doubles so often at most.
+/// How often the ejection time doubles at most.
 const MAX_DOUBLINGS: u32 = 4;
-/// Cost of an ejected backend, in seconds, above that of any other one.
+/// Cost of an ejected backend, in seconds, which exceeds that of any other backend.
 const EJECTED_COST: f64 = 1e6;
-/// What each second that is left of an ejection adds to the cost.
+/// Additional cost for each remaining second of an ejection.
 const COST_PER_REMAINING_SECOND: f64 = 1e3;
 
-/// Whether a backend is ejected, and how often it failed in a row.
+/// The ejection state of a backend.
 #[derive(Debug, Default)]
 pub(super) struct Ejection {
     until: Timestamp,
@@ -28,12 +28,12 @@
 }
 
 impl Ejection {
-    /// Whether the backend is ejected.
+    /// Returns whether the backend is ejected.
     pub(super) fn is_active(&self, now: Timestamp) -> bool {
         self.until > now
     }
 
-    /// What the ejection adds to the backend's cost: the sooner it ends, the less.
+    /// Returns what the ejection adds to the backend's cost: the sooner it ends, the less.
     pub(super) fn cost(&self, now: Timestamp) -> f64 {
         if self.is_active(now) {
             EJECTED_COST + (self.until - now).as_secs() * COST_PER_REMAINING_SECOND
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Takes in how an attempt ended.
+    /// Records the outcome of an attempt.
     pub(super) fn attempt_ended(&mut self, now: Timestamp, outcome: AttemptOutcome) {
         match outcome {
             AttemptOutcome::Completed => *self = Ejection::default(),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The backend says that it closes its connections.
+    /// Records that the backend announced that it closes its connections.
     pub(super) fn record_connection_close(&mut self, now: Timestamp) {
         self.extend_until(now + CLOSING_EJECTION_TIME);
     }
--- a/crates/data-plane/src/load_balancer/locality.rs
+++ b/crates/data-plane/src/load_balancer/locality.rs
@@ -1,15 +1,15 @@
-//! Distance between this gateway and a backend's zone, and the price of it.
+//! The location of this gateway relative to the zones of backends, and what the distance costs.
 
 use kitepass_time::Duration;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Round trip to another region, for a backend whose latency is not known.
+/// Round-trip time to another region, for a backend without a measured latency.
 const CROSS_REGION_LATENCY: Duration = Duration::from_micros(110_000);
-/// Factor on the latency of a backend in another zone, for the price of traffic between zones.
+/// Factor on the latency of a backend in another zone, which accounts for the price of traffic between zones.
 const CROSS_ZONE_COST_FACTOR: f64 = 1.1;
 
-/// Where this gateway stands, and the region of each zone.
+/// The zone of this gateway, and the region of each zone.
 pub(super) struct Locality {
     own_zone: Arc<str>,
     own_region: Arc<str>,
@@ -22,7 +22,7 @@
         Locality { own_zone: zone.into(), own_region, regions: regions.clone() }
     }
 
-    /// The region of a zone; empty for a zone that is not known.
+    /// Returns the region of a zone, or an empty string for an unknown zone.
     pub(super) fn region_of(&self, zone: &str) -> &str {
         self.regions.get(zone).map_or("", String::as_str)
     }
@@ -35,12 +35,12 @@
         *self.own_region == *self.region_of(zone)
     }
 
-    /// Whether a zone stands in one of these regions; an empty set does not restrict.
+    /// Returns whether a zone is in one of the given regions; an empty slice allows all.
     pub(super) fn is_within(&self, zone: &str, regions: &[Arc<str>]) -> bool {
         regions.is_empty() || regions.iter().any(|region| **region == *self.region_of(zone))
     }
 
-    /// What the distance to a zone adds to a round trip.
+    /// Returns the additional round-trip time to a zone.
     pub(super) fn extra_latency(&self, zone: &str) -> Duration {
         if self.is_in_own_region(zone) {
             Duration::ZERO
@@ -49,7 +49,7 @@
         }
     }
 
-    /// By what the latency of a backend in a zone is multiplied, for the price of the traffic.
+    /// Returns the cost factor on the latency of a backend in a zone.
     pub(super) fn zone_cost_factor(&self, zone: &str) -> f64 {
         if self.is_own_zone(zone) {
             1.0
--- a/crates/data-plane/src/load_balancer/mod.rs
+++ b/crates/data-plane/src/load_balancer/mod.rs
@@ -1,8 +1,8 @@
-//! Selects the backend that an attempt goes to. No input or output.
+//! Selects the backend for an attempt. This module does no I/O.
 //!
-//! Each backend has a cost: its usual latency as seen from here, distance and queueing included, times the number of
-//! attempts in flight there. A few backends are drawn, mostly near ones, and the cheapest of them is selected; the
-//! draw keeps gateways that know the same from all choosing one backend.
+//! The cost of a backend is its average latency as measured by this gateway, including distance and queueing, scaled up
+//! with the number of attempts in flight there. A few backends are drawn at random, mostly near ones, and the cheapest
+//! of them is selected. The random draw keeps gateways with the same information from all choosing the same backend.
 
 mod backend;
 mod ejection;
@@ -20,34 +20,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What one more attempt in flight adds to a backend's cost, as a fraction of its latency.
+/// Cost of each further attempt in flight at a backend, as a fraction of its latency.
 const IN_FLIGHT_COST: f64 = 0.6;
-/// Latency of a service that nothing is known of.
+/// Latency assumed for a service without any measurement.
 const UNKNOWN_LATENCY: Duration = Duration::from_micros(100_000);
-/// Cost of a new connection, beside its round trip.
+/// Cost of a new connection, in addition to its round trip.
 const HANDSHAKE_COST: Duration = Duration::from_micros(20_000);
-/// Backends drawn among the near ones with an idle connection.
+/// Number of draws among near backends with an idle connection.
 const IDLE_DRAWS: usize = 2;
-/// Backends drawn among all near ones.
+/// Number of draws among all near backends.
 const NEAR_DRAWS: usize = 2;
-/// Backends drawn among all.
+/// Number of draws among all backends.
 const ALL_DRAWS: usize = 1;
-/// Random numbers taken for each selection, used or not, so that the sequence does not depend on the backends.
+/// Random numbers taken for each selection, whether used or not, so that the random sequence does not depend on the
+/// backends.
 const DRAWS: usize = IDLE_DRAWS + NEAR_DRAWS + ALL_DRAWS;
 
-/// What an attempt needs.
+/// The requirements of an attempt.
 pub struct SelectionRequest<'a> {
-    /// The service.
+    /// The service that the request is for.
     pub service: &'a Arc<str>,
-    /// Sets of regions, each of which restricts the selection; an empty one does not.
+    /// Sets of regions that each restrict the selection; an empty set does not restrict it.
     pub allowed_regions: [&'a [Arc<str>]; 2],
-    /// Backends that already had an attempt of this request.
+    /// Backends that have already been tried for this request.
     pub tried_backends: &'a [Arc<str>],
-    /// Whether there is an idle connection to a backend: a new one costs a round trip, and a slot for a moment.
+    /// Whether there is an idle connection to a backend. A new connection costs a round trip, and briefly occupies a
+    /// connection slot of the backend.
     pub has_idle_connection: &'a dyn Fn(&Arc<str>) -> bool,
 }
 
-/// The backends that may take an attempt, by how the draw prefers them.
+/// The backends that may take an attempt, grouped for the draw.
 #[derive(Default)]
 struct Candidates<'a> {
     idle: Vec<&'a Arc<str>>,
@@ -55,12 +57,12 @@
     all: Vec<&'a Arc<str>>,
 }
 
-/// The backends as this gateway knows them.
+/// Selects backends by cost, from what this gateway knows of them.
 pub struct LoadBalancer {
     backends: BTreeMap<Arc<str>, Backend>,
-    /// Backend ids by service, in the order in which they were learned.
+    /// Backend ids by service, in the order in which they became known.
     services: BTreeMap<Arc<str>, Vec<Arc<str>>>,
-    /// Usual latency of a service within this zone.
+    /// Average latency of a service within the gateway's own zone.
     service_latencies: BTreeMap<Arc<str>, Duration>,
     locality: Locality,
     slow_start: SlowStart,
@@ -69,7 +71,7 @@
 }
 
 impl LoadBalancer {
-    /// A load balancer that knows no backend yet. `regions` gives the region of each zone.
+    /// Creates a load balancer that knows no backends. `regions` has the region of each zone.
     pub fn new(seed: u64, node_id: &str, zone: &str, regions: &BTreeMap<String, String>) -> LoadBalancer {
         LoadBalancer {
             backends: BTreeMap::new(),
@@ -82,20 +84,20 @@
         }
     }
 
-    /// Takes the node ids of the live gateways, in order.
+    /// Sets the node ids of the live gateways, in order.
     pub fn set_live_gateways(&mut self, node_ids: Vec<String>) {
         self.slow_start.set_live_gateways(node_ids);
     }
 
-    /// Takes the requests a second that a warming-up backend of each service bears.
+    /// Sets, for each service, how many requests a second a backend can handle while it is warming up.
     pub fn set_slow_start_rates(&mut self, rates: impl Iterator<Item = (Arc<str>, f64)>) {
         self.slow_start.set_rates(rates);
     }
 
-    /// Takes the zones to which no attempt may go.
+    /// Sets the zones that no attempt may go to.
     ///
-    /// Invariant: a backend of a zone that is readmitted may have begun its slow start shortly before, which the
-    /// backend list tells late; so all of them count as warming up for a while.
+    /// Invariant: a backend of a readmitted zone may have begun its slow start just before, and the backend list may
+    /// report that late. So all backends of the zone count as warming up for a while.
     pub fn set_evacuated_zones(&mut self, now: Timestamp, zones: &BTreeSet<Arc<str>>) {
         let readmitted: BTreeSet<Arc<str>> = self.evacuated_zones.difference(zones).cloned().collect();
         for backend in self.backends.values_mut().filter(|backend| readmitted.contains(&backend.zone)) {
@@ -104,7 +106,7 @@
         self.evacuated_zones = zones.clone();
     }
 
-    /// Takes an item of the backend list: a backend that is new, changed or gone.
+    /// Handles an item of the backend list: a backend that is new, changed or deleted.
     pub fn update_backend(&mut self, now: Timestamp, item: &Item) {
         if item.kind != Kind::Backend {
             return;
@@ -132,32 +134,32 @@
         }
     }
 
-    /// A backend by its id.
+    /// Returns a backend by its id.
     pub fn get(&self, backend_id: &str) -> Option<&Backend> {
         self.backends.get(backend_id)
     }
 
-    /// The number of backends known.
+    /// Returns the number of known backends.
     pub fn len(&self) -> usize {
         self.backends.len()
     }
 
-    /// Whether no backend is known.
+    /// Returns whether no backend is known.
     pub fn is_empty(&self) -> bool {
         self.backends.is_empty()
     }
 
-    /// The region of a zone; empty for a zone that the settings do not name.
+    /// Returns the region of a zone, or an empty string for a zone that the settings do not name.
     pub fn region_of(&self, zone: &str) -> &str {
         self.locality.region_of(zone)
     }
 
-    /// The usual latency of a service within this zone.
+    /// Returns the average latency of a service within the gateway's own zone.
     pub fn service_latency(&self, service: &str) -> Duration {
         self.service_latencies.get(service).copied().unwrap_or(UNKNOWN_LATENCY)
     }
 
-    /// Whether an attempt may go to a backend at all.
+    /// Returns whether the backend is eligible for an attempt at all.
     fn is_eligible(&self, backend: &Backend, request: &SelectionRequest) -> bool {
         !backend.is_draining
             && !self.evacuated_zones.contains(&backend.zone)
@@ -165,7 +167,7 @@
             && request.allowed_regions.iter().all(|regions| self.locality.is_within(&backend.zone, regions))
     }
 
-    /// The expected cost of one more attempt at a backend, in seconds.
+    /// Returns the expected cost of another attempt at a backend, in seconds.
     fn cost(&self, now: Timestamp, backend: &Backend, has_idle_connection: bool) -> f64 {
         let extra_latency = self.locality.extra_latency(&backend.zone);
         let latency =
@@ -176,7 +178,7 @@
         latency.as_secs() * load * zone_cost_factor + connect_time.as_secs() + backend.ejection.cost(now)
     }
 
-    /// Draws a backend for an attempt, which counts as in flight there from now on.
+    /// Selects a backend for an attempt, which counts as in flight there from now on.
     pub fn select(&mut self, now: Timestamp, request: &SelectionRequest) -> Option<Arc<str>> {
         self.rank_for_slow_start(now, request.service);
         let draws: [u64; DRAWS] = std::array::from_fn(|_| self.rng.rand_u64());
@@ -194,7 +196,7 @@
         Some(selected)
     }
 
-    /// The backends that may take an attempt now; none if the service is not known.
+    /// Returns the backends that may take an attempt now, or none if the service is unknown.
     fn candidates(&self, now: Timestamp, request: &SelectionRequest) -> Option<Candidates<'_>> {
         let mut candidates = Candidates::default();
         for backend_id in self.services.get(request.service)? {
@@ -211,7 +213,7 @@
                 }
             }
         }
-        // An ejected backend is tried only where there is no other.
+        // Ejected backends are tried only if there are no others.
         let is_ejected = |backend_id: &Arc<str>| self.backends[backend_id].ejection.is_active(now);
         if candidates.all.iter().any(|backend_id| !is_ejected(backend_id)) {
             candidates.all.retain(|backend_id| !is_ejected(backend_id));
@@ -219,7 +221,7 @@
         Some(candidates)
     }
 
-    /// Determines for the warming-up backends of a service whether this gateway is one of the few that may use them.
+    /// Determines, for each warming-up backend of a service, whether this gateway is one of the few that may use it.
     fn rank_for_slow_start(&mut self, now: Timestamp, service: &Arc<str>) {
         for backend_id in self.services.get(service).into_iter().flatten() {
             let Some(backend) = self.backends.get_mut(backend_id) else { continue };
@@ -229,7 +231,7 @@
         }
     }
 
-    /// An attempt at a backend has ended, `elapsed` after it began.
+    /// Records that an attempt at a backend has ended, `elapsed` after it began.
     pub fn attempt_ended(
         &mut self,
         now: Timestamp,
@@ -264,7 +266,7 @@
         }
     }
 
-    /// A backend says in a response that it closes its connections.
+    /// Records that a backend announced in a response that it closes its connections.
     pub fn record_connection_close(&mut self, now: Timestamp, backend_id: &str) {
         if let Some(backend) = self.backends.get_mut(backend_id) {
             backend.ejection.record_connection_close(now);
@@ -273,8 +275,8 @@
 }
 
 impl<'a> Candidates<'a> {
-    /// Draws among the idle, the near and all candidates; what is not drawn among near ones for want of any is drawn
-    /// among all.
+    /// Draws from the idle, the near and all candidates. If there are no near candidates, their draws are made from all
+    /// candidates instead.
     fn draw(&self, draws: &[u64]) -> Vec<&'a Arc<str>> {
         let all_draws = if self.near.is_empty() { NEAR_DRAWS + ALL_DRAWS } else { ALL_DRAWS };
         let mut draws = draws.iter();
--- a/crates/data-plane/src/load_balancer/slow_start.rs
+++ b/crates/data-plane/src/load_balancer/slow_start.rs
@@ -1,39 +1,40 @@
-//! Slow start: a backend that is warming up gets few requests from all gateways together.
+//! Slow start: limits the requests that all gateways together send to a backend that is warming up.
 //!
-//! Invariant: many gateways, each with a little, would overload such a backend. So only a few of them use it, which
-//! all gateways choose alike without any exchange, by a hash of gateway and backend; each of the few keeps to its
-//! share of the rate that the backend bears.
+//! Invariant: if every gateway sent a few requests, their sum would overload such a backend. So only a few gateways use
+//! it. All gateways compute the same selection without communicating, from a hash of gateway and backend, and each of
+//! the selected gateways keeps to its share of the rate that the backend can handle.
 
 use super::Backend;
 use kitepass_time::{Duration, Timestamp};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The fraction of the rate that a warming-up backend bears that is used.
+/// The fraction of a warming-up backend's rate that is used.
 const RATE_SAFETY_FACTOR: f64 = 0.5;
-/// Gateways that use a warming-up backend at most.
+/// Maximum number of gateways that use a warming-up backend.
 const MAX_GATEWAYS: usize = 3;
-/// Backends of a zone that is readmitted count as warming up for so long.
+/// How long the backends of a readmitted zone count as warming up.
 pub(super) const READMISSION_WARM_UP_TIME: Duration = Duration::from_micros(4_000_000);
 
-/// FNV-1a, 64 bits.
+/// Parameters of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
-/// How many gateways are preferred to this one for a backend, and for which list of gateways that holds.
+/// How many gateways rank before this one for a backend, and the version of the gateway list for which that was
+/// computed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct GatewayRank {
     list_version: u64,
     better_ranked_gateways: usize,
 }
 
-/// What this gateway knows of the others, and the rates of services.
+/// The live gateways, and the rates of services.
 pub(super) struct SlowStart {
     node_id: Arc<str>,
     live_gateways: Vec<String>,
-    /// Counts the lists of live gateways, so that a rank is computed once for each.
+    /// Counts changes of the list of live gateways, so that each rank is computed only once per list.
     list_version: u64,
-    /// Requests a second that a warming-up backend of a service bears.
+    /// For each service, how many requests a second a backend can handle while it is warming up.
     rates: BTreeMap<Arc<str>, f64>,
 }
 
@@ -56,7 +57,7 @@
         self.rates = rates.collect();
     }
 
-    /// Whether this gateway may send a request to a warming-up backend now.
+    /// Returns whether this gateway may send a request to a warming-up backend now.
     pub(super) fn allows(&self, now: Timestamp, backend: &Backend) -> bool {
         let rate = self.rates.get(&backend.service).copied().unwrap_or(0.0) * RATE_SAFETY_FACTOR;
         let gateways = (rate.floor() as usize).min(MAX_GATEWAYS);
@@ -70,7 +71,7 @@
         rank.better_ranked_gateways < gateways && is_gap_elapsed
     }
 
-    /// Ranks this gateway among all for a backend, once for each list of live gateways.
+    /// Computes the rank of this gateway for a backend, once per list of live gateways.
     pub(super) fn rank(&self, backend: &mut Backend) {
         if backend.gateway_rank.list_version == self.list_version {
             return;
--- a/crates/data-plane/src/load_balancer/tests.rs
+++ b/crates/data-plane/src/load_balancer/tests.rs
@@ -37,8 +37,8 @@
     balancer.select(START, &request).map(|backend_id| backend_id.to_string())
 }
 
-/// Where nothing may go nothing goes: a draining or warming-up backend, an evacuated zone, one that had the request,
-/// and one that is not in an allowed region.
+/// No attempt goes to a draining backend, to one in an evacuated zone, to one that the request has already tried, or to
+/// one outside the allowed regions.
 #[rstest]
 #[case::open(false, 0, &[], &[], &[], true)]
 #[case::draining(true, 0, &[], &[], &[], false)]
@@ -62,7 +62,8 @@
     assert_eq!(selected.is_some(), is_selected);
 }
 
-/// All gateways together, each by itself: a warming-up backend gets no more than it bears in any second.
+/// The sum over all gateways, which do not communicate, stays within what a warming-up backend can handle in every
+/// second.
 #[test]
 fn a_warming_up_backend_gets_few_requests_from_all_gateways_together() {
     let mut gateways: Vec<LoadBalancer> = (0..12).map(|n| balancer(&format!("g{n}"))).collect();
@@ -87,7 +88,7 @@
     assert!(sent.len() > 40, "{}", sent.len());
 }
 
-/// A failed backend is left alone, near goes before far, and an idle connection before a new one.
+/// Failed backends are avoided, near ones are preferred over far ones, and idle connections over new ones.
 #[test]
 fn the_cheapest_backend_is_selected() {
     let mut balancer = balancer("g0");
@@ -107,7 +108,7 @@
     assert_eq!(count(&mut balancer, "y", "y"), 200);
     balancer.attempt_ended(START, "y", AttemptOutcome::Unreachable, Duration::ZERO);
     assert_eq!(count(&mut balancer, "x", "y"), 200);
-    // Of two that are out of reach the far one is better than none.
+    // If both near backends are unreachable, the far one is used.
     balancer.attempt_ended(START, "x", AttemptOutcome::Unreachable, Duration::ZERO);
     assert_eq!(count(&mut balancer, "far", ""), 200);
 }
--- a/crates/data-plane/src/quota/local_share.rs
+++ b/crates/data-plane/src/quota/local_share.rs
@@ -1,35 +1,35 @@
-//! A gateway's own share of a tenant's limit, used while the shared count does not answer: a token bucket.
+//! A gateway's local share of a tenant's rate limit: a token bucket that is used while the coordinator does not reply.
 
 use kitepass_coordination::usage::{QuotaTolerance, RateLimit};
 use kitepass_time::{Duration, Timestamp};
 
-/// The share that was told last is valid for so long, less than the count's owner reserves it; then every gateway has
-/// an equal share.
+/// How long the last share received from the coordinator is valid, which is shorter than the coordinator reserves it.
+/// Afterwards every gateway uses an equal share.
 const RESERVED_SHARE_VALIDITY: Duration = Duration::from_micros(8_000_000);
-/// The fraction of the bucket that a gateway starts with: an earlier incarnation may have spent the rest.
+/// The fraction of the bucket that a new gateway process starts with, because its predecessor may have used the rest.
 const INITIAL_FILL_FRACTION: f64 = 0.25;
-/// The fraction of the bucket that is there when the count has just stopped answering.
+/// The fraction of the bucket that is available when the coordinator has just stopped replying.
 const ISOLATION_FILL_FRACTION: f64 = 0.1;
 
-/// A gateway that does not reach the count.
+/// The state of a gateway that gets no replies from the coordinator.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Isolation {
-    /// Since when.
+    /// When it began.
     pub(super) since: Timestamp,
-    /// Gateways that count as live.
+    /// The number of live gateways.
     pub(super) live_gateways: f64,
     pub(super) tolerance: QuotaTolerance,
 }
 
-/// The share that the count's owner reserves for this gateway.
+/// The share that the coordinator reserves for this gateway.
 #[derive(Clone, Copy, Debug)]
 struct ReservedShare {
-    /// A fraction of the tenant's limit.
+    /// The share, as a fraction of the tenant's rate limit.
     fraction: f64,
     reserved_at: Timestamp,
 }
 
-/// The token bucket of a gateway's share.
+/// The token bucket for the gateway's share.
 #[derive(Debug)]
 pub(super) struct LocalShare {
     tokens: f64,
@@ -38,7 +38,8 @@
 }
 
 impl LocalShare {
-    /// The share of a tenant that was not seen before: it may pass its limit over all gateways together.
+    /// Creates the share of a new tenant. Over all gateways together, the tenant may exceed its limit up to the
+    /// tolerance.
     pub(super) fn new(
         now: Timestamp,
         rate_limit: RateLimit,
@@ -50,12 +51,12 @@
         LocalShare { tokens, refilled_at: now, reserved_share: None }
     }
 
-    /// Takes the share that the count's owner told.
+    /// Sets the share received from the coordinator.
     pub(super) fn set_reserved_share(&mut self, now: Timestamp, fraction: f64) {
         self.reserved_share = Some(ReservedShare { fraction, reserved_at: now });
     }
 
-    /// Takes one token, if there is one, out of a bucket that fills since this gateway is isolated.
+    /// Takes a token if there is one, from a bucket that is refilled from the time when the gateway became isolated.
     pub(super) fn try_take(&mut self, now: Timestamp, isolation: Isolation, rate_limit: RateLimit) -> bool {
         let reserved_share = self
             .reserved_share
@@ -64,8 +65,8 @@
             reserved_share.map_or(1.0 / isolation.live_gateways, |reserved_share| reserved_share.fraction);
         let capacity = (max_tokens(rate_limit, isolation.tolerance) * fraction).max(1.0);
         if self.refilled_at < isolation.since {
-            // Invariant: what filled while the others used it is not given a second time; a tenth is within the
-            // tolerance.
+            // Invariant: what was refilled while other gateways could use it is not granted a second time. The initial
+            // fraction is covered by the tolerance.
             self.tokens = ISOLATION_FILL_FRACTION * capacity;
             self.refilled_at = isolation.since;
         }
@@ -78,7 +79,7 @@
     }
 }
 
-/// Tokens that the buckets of all gateways hold together at most.
+/// Returns the maximum number of tokens in the buckets of all gateways together.
 fn max_tokens(rate_limit: RateLimit, tolerance: QuotaTolerance) -> f64 {
     rate_limit.burst + tolerance.allowance(rate_limit)
 }
--- a/crates/data-plane/src/quota/mod.rs
+++ b/crates/data-plane/src/quota/mod.rs
@@ -1,14 +1,15 @@
-//! Per-tenant quotas: probabilistic admission against a shared usage count. No input or output; `docs/system.md` has
-//! the design and the departures from it.
+//! Per-tenant quotas: probabilistic admission based on shared usage counts, which the control plane's coordinator
+//! keeps. This module does no I/O. `docs/system.md` describes the design and where this module extends it.
 //!
-//! The ordinary path: each second, on its own timer, a gateway reports to the shared count what each tenant offered
-//! it, and reads the totals. `ratio = (actual - limit) / actual`, where `limit = rate x period + remaining burst`.
-//! Each request is rejected with that probability, before a backend is selected.
+//! The basic mechanism: once a second, on its own timer, each gateway reports to the coordinator how many requests each
+//! tenant offered it, and receives the totals over all gateways. `ratio = (actual - limit) / actual`, where `limit =
+//! rate x period + remaining burst`. Each request is rejected with that probability, before a backend is selected.
 //!
-//! Departures, behind the draw. What passes it takes one of the tenant's grants, which the owner of the count hands
-//! out: in advance where a gateway is offered many requests, one by one where it is offered few. They act where the
-//! ratio cannot know yet, as when a demand many times the usual begins between two periods. While the count does not
-//! answer, the last ratio stays valid for a while, and behind it stands this gateway's own share of the limit.
+//! The extensions: a request that is not rejected that way uses one of the tenant's grants. The coordinator hands them
+//! out in advance to a gateway with many requests, and one by one to a gateway with few. Grants limit what the ratio
+//! cannot reflect yet, for example load that rises to many times its usual level between two periods. While the
+//! coordinator does not reply, the last ratio stays valid for a while, and the gateway's local share of the limit
+//! replaces the grants.
 
 mod local_share;
 mod tenant;
@@ -24,50 +25,50 @@
 use std::sync::Arc;
 use tenant::TenantQuota;
 
-/// How often a gateway reports its usage and reads the totals.
+/// How often a gateway reports its usage and receives the totals.
 pub const PERIOD: Duration = Duration::from_micros(1_000_000);
-/// A request waits for a grant at most so long.
+/// How long a request waits for a grant at most.
 const GRANT_TIMEOUT: Duration = Duration::from_micros(400_000);
-/// A tenant without requests is forgotten after so long.
+/// How long a tenant without requests is remembered.
 const IDLE_TENANT_TIMEOUT: Duration = Duration::from_micros(30_000_000);
-/// Tenants counted at most.
+/// Maximum number of tenants counted.
 const MAX_TENANTS: usize = 65_536;
 
-/// What becomes of a request.
+/// The immediate result for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is within its tenant's quota.
+    /// The request is within its tenant's quota.
     Admitted,
-    /// It is beyond its tenant's quota.
+    /// The request exceeds its tenant's quota.
     Rejected,
-    /// It waits for a grant; [`Quota::take_decisions`] tells what becomes of it.
+    /// The request waits for a grant; [`Quota::take_decisions`] will return the decision.
     Pending,
 }
 
-/// What became of a request that waited for a grant.
+/// The decision on a request that waited for a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Decision {
     /// The request.
     pub request: RequestId,
-    /// Whether it goes on; else it is rejected.
+    /// Whether the request is admitted; otherwise it is rejected.
     pub is_admitted: bool,
 }
 
-/// The quotas of all tenants, as one gateway keeps them.
+/// The quotas of all tenants, as one gateway enforces them.
 pub struct Quota {
     tenants: BTreeMap<Arc<str>, TenantQuota>,
     rng: oorandom::Rand64,
     live_gateways: usize,
     tolerance: QuotaTolerance,
     started_at: Timestamp,
-    /// When the newest report that was answered had been sent.
+    /// When the latest report that got a reply was sent.
     last_answered_report: Option<Timestamp>,
     grant_requests: Vec<TenantUsage>,
     decisions: Vec<Decision>,
 }
 
 impl Quota {
-    /// Quotas without any tenant.
+    /// Creates quotas without any tenants.
     pub fn new(now: Timestamp, seed: u64, tolerance: QuotaTolerance) -> Quota {
         Quota {
             tenants: BTreeMap::new(),
@@ -81,17 +82,17 @@
         }
     }
 
-    /// Takes the bound on what may pass beyond the limit.
+    /// Sets by how much the admitted requests may exceed the limit.
     pub fn set_tolerance(&mut self, tolerance: QuotaTolerance) {
         self.tolerance = tolerance;
     }
 
-    /// Takes the number of gateways that count as live.
+    /// Sets the number of live gateways.
     pub fn set_live_gateways(&mut self, live_gateways: usize) {
         self.live_gateways = live_gateways.max(1);
     }
 
-    /// The isolation of this gateway from the count, if no report has been answered for long.
+    /// Returns the isolation of this gateway if no report has been answered for too long.
     fn isolation(&self, now: Timestamp) -> Option<Isolation> {
         let since =
             self.last_answered_report.map_or(self.started_at, |answered| answered + COORDINATOR_TIMEOUT);
@@ -100,7 +101,7 @@
         (now >= since).then_some(isolation)
     }
 
-    /// Whether a request is admitted. A rate of zero is no limit.
+    /// Decides whether a request is admitted. A rate of zero means no limit.
     pub fn admit(
         &mut self,
         now: Timestamp,
@@ -114,7 +115,7 @@
         let isolation = self.isolation(now);
         self.ensure_tenant(now, tenant, rate_limit);
         let Some(tenant_quota) = self.tenants.get_mut(tenant) else {
-            return Admission::Rejected; // fail closed: what is not counted would pass without limit
+            return Admission::Rejected; // fail closed: uncounted requests would not be limited
         };
         tenant_quota.record_request(now, rate_limit);
         if tenant_quota.is_ratio_valid(now) && self.rng.rand_float() < tenant_quota.rejection_ratio {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Counts a tenant from now on, unless there are too many.
+    /// Starts counting a tenant, unless there are too many.
     fn ensure_tenant(&mut self, now: Timestamp, tenant: &Arc<str>, rate_limit: RateLimit) {
         if self.tenants.contains_key(tenant) || self.tenants.len() >= MAX_TENANTS {
             return;
@@ -145,7 +146,7 @@
         self.tenants.insert(tenant.clone(), TenantQuota::new(now, rate_limit, local_share));
     }
 
-    /// Ends a period: the usage to report to the count.
+    /// Ends a period; returns the usage to report to the coordinator.
     pub fn close_period(&mut self, now: Timestamp) -> Vec<TenantUsage> {
         self.tenants.retain(|_, tenant_quota| tenant_quota.is_active(now));
         self.tenants
@@ -154,7 +155,7 @@
             .collect()
     }
 
-    /// Takes the requests for grants that are to be sent before the period ends.
+    /// Takes the grant requests to send before the period ends.
     pub fn take_grant_requests(&mut self) -> Vec<TenantUsage> {
         std::mem::take(&mut self.grant_requests)
     }
@@ -164,7 +165,7 @@
         std::mem::take(&mut self.decisions)
     }
 
-    /// The count has answered a report that was sent at `sent_at`.
+    /// Handles the coordinator's reply to a report that was sent at `sent_at`.
     pub fn apply_totals(&mut self, now: Timestamp, sent_at: Timestamp, totals: &UsageTotals) {
         self.last_answered_report = self.last_answered_report.max(Some(sent_at));
         for total in &totals.tenants {
@@ -178,7 +179,7 @@
         }
     }
 
-    /// The answer to a request for grants, for one tenant.
+    /// Handles the reply to a grant request, for one tenant.
     fn apply_grant(&mut self, now: Timestamp, sent_at: Timestamp, total: &TenantTotal) {
         let Some(tenant_quota) = self.tenants.get_mut(total.tenant.as_str()) else { return };
         tenant_quota.receive_grants(now, total);
@@ -191,11 +192,11 @@
         }
     }
 
-    /// To be called about ten times a second: decides on requests whose grant does not come.
+    /// Decides on requests whose grant has not arrived in time. To be called about ten times a second.
     pub fn tick(&mut self, now: Timestamp) {
         let is_overdue = |tenant_quota: &TenantQuota| tenant_quota.has_overdue_grant_request(now);
         if self.tenants.values().any(is_overdue) && self.isolation(now).is_none() {
-            // Nothing is answered: this gateway is isolated from now on, not only after the whole time.
+            // The coordinator does not reply: the gateway counts as isolated at once, before the full timeout.
             self.last_answered_report = Some(now - COORDINATOR_TIMEOUT);
         }
         let isolation = self.isolation(now);
@@ -204,12 +205,12 @@
         }
     }
 
-    /// The number of tenants counted.
+    /// Returns the number of tenants counted.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Whether no tenant is counted.
+    /// Returns whether no tenant is counted.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
--- a/crates/data-plane/src/quota/tests.rs
+++ b/crates/data-plane/src/quota/tests.rs
@@ -6,19 +6,19 @@
 
 const TOLERANCE: QuotaTolerance = QuotaTolerance { window: 5.0, excess: 0.1, margin: 20.0 };
 
-/// Gateways around one shared count, on timers of their own, for a minute.
+/// Simulated gateways with one coordinator, each on its own timer, for a minute.
 struct Scenario {
-    /// The rate limit at a time, in requests a second; times are in milliseconds.
+    /// The rate limit at a time, in requests a second. Times are in milliseconds.
     limit: fn(i64) -> f64,
-    /// Requests a second over all, and the share of the first gateway.
+    /// The requests a second over all gateways, and the fraction that the first gateway gets.
     demand: fn(i64) -> (f64, f64),
-    /// Whether a gateway reaches the count at a time.
+    /// Whether a gateway can reach the coordinator at a time.
     is_connected: fn(u64, i64) -> bool,
-    /// Whether the count's owner is lost at a time: a new one begins with nothing, after some seconds without any.
+    /// Whether the coordinator is lost at a time. A new one starts with empty counts after 3 seconds.
     loses_coordinator: fn(i64) -> bool,
 }
 
-/// Totals on their way back to a gateway.
+/// Totals in transit to a gateway.
 struct InTransit {
     arrives_at: i64,
     gateway: usize,
@@ -26,15 +26,15 @@
     totals: UsageTotals,
 }
 
-/// What a scenario did.
+/// The result of a simulation.
 struct SimulationResult {
     /// When each admitted request was admitted.
     admitted: Vec<i64>,
-    /// Requests offered.
+    /// The number of requests offered.
     offered: f64,
 }
 
-/// The way to the count and back takes so many milliseconds.
+/// Round-trip time between a gateway and the coordinator.
 const ROUND_TRIP_MILLIS: i64 = 110;
 
 fn simulate(scenario: &Scenario, gateways: u64, seed: u64) -> SimulationResult {
@@ -119,9 +119,9 @@
 const INTERMITTENT: fn(u64, i64) -> bool = |gateway, now| gateway > 2 || now / 9_000 % 2 == 0;
 const COORDINATOR_LOST: fn(i64) -> bool = |now| now % 16_000 == 4_321;
 
-/// The bound holds in every window: with a demand many times the usual that begins between two periods or moves
-/// between gateways; while gateways are partitioned from the count, and demand moves to them; and while the owner of the count is lost. Where
-/// the demand is within the quota hardly anything is rejected, also where a gateway's share is below one.
+/// The limit holds in every window: when load rises to many times its usual level between two periods or moves between
+/// gateways, when gateways are partitioned from the coordinator while load moves to them, and when the coordinator is
+/// lost. Load within the quota is hardly ever rejected, even if a gateway's share is below one request.
 #[rstest]
 #[case::steady(Scenario { limit: |_| 200.0, demand: STEADY, is_connected: ALWAYS_CONNECTED, loses_coordinator: NEVER_LOST }, 8, 0.99)]
 #[case::burst(Scenario { limit: |_| 200.0, demand: BURST, is_connected: ALWAYS_CONNECTED, loses_coordinator: NEVER_LOST }, 8, 0.0)]
@@ -148,7 +148,7 @@
             "{} of {offered} admitted",
             admitted.len()
         );
-        assert!(admitted.len() > 3_000, "{} admitted only", admitted.len());
+        assert!(admitted.len() > 3_000, "only {} admitted", admitted.len());
     }
 }
 
@@ -168,8 +168,8 @@
     }
 }
 
-/// The ordinary path by itself: each request draws against the ratio of all that was offered; rejected requests
-/// count as offered, and an unlimited tenant is not counted at all.
+/// The basic mechanism alone: the ratio covers all requests offered, including rejected ones, and each request is
+/// rejected with that probability. A tenant without a limit is not counted.
 #[test]
 fn the_draw_follows_the_ratio_of_all_that_was_offered() {
     let at = |millis: i64| Timestamp::from_micros(millis * 1000);
@@ -186,7 +186,7 @@
         .count();
     assert!(
         (1_650..1_850).contains(&admitted),
-        "{admitted}: a quarter for the 3 s that the ratio is valid, then all"
+        "{admitted}: expected a quarter for the 3 s that the ratio is valid, then all"
     );
     assert_eq!(quota.close_period(at(4_100))[0].offered, 4_001);
     let free = RateLimit { rate: 0.0, burst: 0.0 };
@@ -195,8 +195,8 @@
     );
 }
 
-/// The answer to a request for grants that was given up decides nothing for those that wait for a later one; what it
-/// grants counts.
+/// A late reply to a grant request that was given up must not reject the requests that wait for the reply to a later
+/// one. The grants in it are still used.
 #[rstest]
 #[case::nothing(0, vec![])]
 #[case::one(1, vec![admitted(2)])]
@@ -219,7 +219,7 @@
         (Admission::Pending, 1)
     );
     quota.tick(at(500));
-    assert_eq!(quota.take_decisions().len(), 1, "given up");
+    assert_eq!(quota.take_decisions().len(), 1, "decided when the grant request is given up");
     quota.apply_totals(at(510), at(505), &UsageTotals::default());
     for request in [2, 3] {
         assert_eq!(quota.admit(at(520), &tenant, rate_limit, RequestId(request)), Admission::Pending);
@@ -235,7 +235,7 @@
     );
 }
 
-/// Whoever waits where no answer comes is rejected, or admitted by the local share, and nobody twice.
+/// Without a reply, waiting requests are rejected or admitted from the local share, each of them exactly once.
 #[test]
 fn requests_wait_for_a_bounded_time_and_excess_is_rejected_at_once() {
     let at = |millis: i64| Timestamp::from_micros(millis * 1000);
--- a/crates/data-plane/src/retry_budget.rs
+++ b/crates/data-plane/src/retry_budget.rs
@@ -1,61 +1,60 @@
-//! The budget of retries, by service: a fraction of this gateway's own requests, and its share of a fixed margin.
+//! The retry budget of each service: a fraction of this gateway's own requests, plus its share of a fixed margin.
 //!
-//! Only the margin is divided among the gateways, so that the sum over all of them holds without any exchange
-//! between them. No input or output.
+//! Only the margin is divided among the gateways, so the limit holds for the sum over all of them without
+//! communication. This module does no I/O.
 
 use kitepass_time::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Slots into which a window is divided for counting.
+/// Number of slots into which a window is divided for counting.
 const SLOTS_PER_WINDOW: i64 = 20;
-/// The fraction of the allowed retries that is used: windows slide, and requests may not arrive.
+/// The fraction of the allowed retries that is used, because windows slide and requests may get lost on the way.
 const BUDGET_SAFETY_FACTOR: f64 = 0.8;
 
-/// The rule that all gateways together keep: in every window, at most `ratio` retries for a request, and `margin`
-/// retries beyond that.
+/// The limits for all gateways together: in every window, at most `ratio` retries per request, plus `margin` retries.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryLimits {
-    /// Retries allowed for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// The length of the sliding window.
+    /// Length of the sliding window.
     pub window: Duration,
-    /// Retries allowed in a window beyond the ratio, for all gateways together.
+    /// Retries allowed in a window in addition to the ratio, for all gateways together.
     pub margin: f64,
 }
 
-/// What happened in one slot of a window.
+/// The counts of one slot of a window.
 struct Slot {
-    /// The slot's number, counted in slots from the clock's origin.
+    /// The slot's number, counted from the clock's origin.
     number: i64,
     requests: u32,
     retries: u32,
 }
 
-/// The slots of a service's present window, oldest first.
+/// The slots of a service's current window, oldest first.
 #[derive(Default)]
 struct ServiceWindow {
     slots: VecDeque<Slot>,
 }
 
-/// Counts requests and retries of each service, and says whether one more retry is allowed.
+/// Counts the requests and retries of each service, and decides whether another retry is allowed.
 pub struct RetryBudget {
     limits: RetryLimits,
     services: BTreeMap<Arc<str>, ServiceWindow>,
 }
 
 impl RetryBudget {
-    /// An empty budget.
+    /// Creates an empty budget.
     pub fn new(limits: RetryLimits) -> RetryBudget {
         RetryBudget { limits, services: BTreeMap::new() }
     }
 
-    /// Takes new limits; what was counted stays.
+    /// Sets new limits; existing counts are kept.
     pub fn set_limits(&mut self, limits: RetryLimits) {
         self.limits = limits;
     }
 
-    /// The service's window, moved on to the present slot.
+    /// Advances the service's window to the current slot and returns it.
     fn advance_window(&mut self, now: Timestamp, service: &Arc<str>) -> &mut ServiceWindow {
         let number = now.period_and_offset(self.limits.window / SLOTS_PER_WINDOW).0;
         let window = self.services.entry(service.clone()).or_default();
@@ -73,7 +72,7 @@
         self.advance_window(now, service).current_slot().requests += 1;
     }
 
-    /// Whether one more retry is within the budget of one among `gateways` gateways; it is counted then.
+    /// Returns whether this gateway, one of `gateways`, may make another retry, and counts it if so.
     pub fn try_acquire(&mut self, now: Timestamp, service: &Arc<str>, gateways: usize) -> bool {
         let RetryLimits { ratio, margin, .. } = self.limits;
         let window = self.advance_window(now, service);
@@ -87,10 +86,10 @@
 
 impl ServiceWindow {
     fn current_slot(&mut self) -> &mut Slot {
-        self.slots.back_mut().expect("a window that was moved on has the present slot")
+        self.slots.back_mut().expect("an advanced window has the current slot")
     }
 
-    /// Requests and retries in the window.
+    /// Returns the requests and retries in the window.
     fn totals(&self) -> (f64, f64) {
         self.slots.iter().fold((0.0, 0.0), |(requests, retries), slot| {
             (requests + f64::from(slot.requests), retries + f64::from(slot.retries))
@@ -109,7 +108,7 @@
         let mut gateways: Vec<RetryBudget> = (0..10).map(|_| RetryBudget::new(limits)).collect();
         let mut rng = oorandom::Rand64::new(7);
         let (mut requests, mut retries) = (Vec::new(), Vec::new());
-        // Nearly every request fails, and the load comes and goes.
+        // Nearly every request fails, and the load rises and falls.
         for millis in 0..60_000i64 {
             let now = Timestamp::from_micros(millis * 1000);
             let millis_per_request = if millis / 7_000 % 2 == 0 { 2 } else { 20 };
