--- a/crates/data-plane/src/quota/local_share.rs
+++ b/crates/data-plane/src/quota/local_share.rs
@@ -38,8 +38,8 @@
 }
 
 impl LocalShare {
-    /// Creates the share of a new tenant. Over all gateways together, the tenant may exceed its limit up to the
-    /// tolerance.
+    /// Creates the share of a new tenant. Each gateway starts with at least one token, so over all gateways
+    /// together the tenant may exceed its limit.
     pub(super) fn new(
         now: Timestamp,
         rate_limit: RateLimit,
@@ -65,8 +65,8 @@
             reserved_share.map_or(1.0 / isolation.live_gateways, |reserved_share| reserved_share.fraction);
         let capacity = (max_tokens(rate_limit, isolation.tolerance) * fraction).max(1.0);
         if self.refilled_at < isolation.since {
-            // Invariant: what was refilled while other gateways could use it is not granted a second time. The initial
-            // fraction is covered by the tolerance.
+            // Invariant: what was refilled while other gateways could use it is not granted a second time. The
+            // tolerance covers the fraction that the bucket starts with.
             self.tokens = ISOLATION_FILL_FRACTION * capacity;
             self.refilled_at = isolation.since;
         }
--- a/crates/data-plane/tests/attempt/backend_responses.rs
+++ b/crates/data-plane/tests/attempt/backend_responses.rs
@@ -1,24 +1,24 @@
-//! What the backends of the model send, byte by byte.
+//! The bytes that the model's backends send.
 
 /// A kind of response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum ResponseKind {
     Short,
     Long,
-    /// A body that ends with the connection.
+    /// A body that ends when the connection is closed.
     UntilClose,
-    /// The backend says that it did not execute the request.
+    /// The backend states that it did not execute the request.
     NotExecuted,
     Own500,
     Own503,
     NoPostmark,
     Malformed,
     NoRequestId,
-    /// A response to another request, which was answered before.
+    /// A stale response: it answers a request that was already answered.
     Stale,
 }
 
-/// What a backend may respond to a request of its own.
+/// The responses that a backend may send to the request that it has received.
 pub(crate) const RESPONSES: [ResponseKind; 9] = [
     ResponseKind::Short,
     ResponseKind::Long,
@@ -31,7 +31,7 @@
     ResponseKind::NoRequestId,
 ];
 
-/// The body of a response to a request.
+/// Returns the body of a response to a request.
 pub(crate) fn body(request: u8, kind: ResponseKind) -> &'static str {
     match (kind, request) {
         (ResponseKind::Short | ResponseKind::Stale, 0) => "a0",
@@ -73,17 +73,17 @@
     /// The request that the response names.
     pub(crate) request: u8,
     pub(crate) kind: ResponseKind,
-    /// Which of the response's pieces it is.
+    /// The position of the piece within the response.
     pub(crate) index: u8,
 }
 
 impl Piece {
-    /// The pieces of a response: cut in its head, and in its body.
+    /// Returns the pieces of a response, which is cut in its head and in its body.
     pub(crate) fn all_of(request: u8, kind: ResponseKind) -> impl Iterator<Item = Piece> {
         (0..piece_count(kind)).map(move |index| Piece { request, kind, index })
     }
 
-    /// The piece's bytes.
+    /// Returns the bytes of the piece.
     pub(crate) fn bytes(self) -> Vec<u8> {
         let response = response(self.request, self.kind).into_bytes();
         let length = response.len();
--- a/crates/data-plane/tests/attempt/calls.rs
+++ b/crates/data-plane/tests/attempt/calls.rs
@@ -1,4 +1,4 @@
-//! All orders of calls to a lifecycle, also such as no server makes: each of its answers holds by itself.
+//! Explores all sequences of calls to a lifecycle, including those that the server never makes, and checks each result.
 
 use kitepass_data_plane::attempt::{
     may_reuse_connection, ConnectionState, InputState, NextStep, RequestLifecycle, RequestState,
@@ -55,15 +55,15 @@
     calls
 }
 
-/// What is true of a request, kept beside its lifecycle.
+/// The reference state of a request, which is tracked independently of its lifecycle.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 struct ReferenceState {
     is_in_flight: bool,
-    /// Bytes of the attempt in flight were written.
+    /// Whether bytes of the attempt in flight were written.
     is_written: bool,
     /// Attempts whose connection was established.
     attempts_sent: u32,
-    /// Attempts that ended and may have been executed.
+    /// Attempts that have ended and may have been executed.
     maybe_executed: u32,
     is_body_dropped: bool,
     has_response_begun: bool,
@@ -82,7 +82,7 @@
     }
 }
 
-/// A lifecycle, and what is true of its request.
+/// A lifecycle, together with the reference state of its request.
 #[derive(Clone)]
 struct CheckedLifecycle {
     lifecycle: RequestLifecycle,
@@ -95,7 +95,7 @@
         self.lifecycle.state() == RequestState::Completed
     }
 
-    /// Makes a call, and checks what it answers.
+    /// Makes a call and checks its result.
     fn apply(&mut self, call: Call) {
         let before = self.reference.clone();
         let was_completed = self.is_completed();
@@ -134,7 +134,7 @@
             Call::AbandonOverdueAttempt => self.abandon_overdue_attempt(),
             Call::DeadlineExpired => {
                 let next = self.lifecycle.deadline_expired();
-                assert!(was_completed || next != NextStep::Wait, "it waits beyond its deadline");
+                assert!(was_completed || next != NextStep::Wait, "the request waits beyond its deadline");
                 next
             }
             Call::Reject(status) => self.lifecycle.reject(status),
@@ -161,7 +161,7 @@
         if self.lifecycle.begin_attempt(is_connected) {
             let is_first = !was_completed && !before.is_in_flight;
             assert!(is_first && !before.is_body_dropped && before.attempts_sent < MAX_ATTEMPTS, "{before:?}");
-            assert!(self.is_idempotent || !before.may_have_executed(), "sent twice: {before:?}");
+            assert!(self.is_idempotent || !before.may_have_executed(), "may be executed twice: {before:?}");
             self.reference.is_in_flight = true;
             self.reference.attempts_sent += u32::from(is_connected);
         }
@@ -173,7 +173,7 @@
         let was_completed = self.is_completed();
         let next = self.lifecycle.response_complete(class);
         let delivers = matches!(next, NextStep::Deliver | NextStep::RetryOrDeliver | NextStep::StreamLast);
-        assert!(!delivers || before.is_written, "a response to what was not sent: {before:?}");
+        assert!(!delivers || before.is_written, "response to a request that was not sent: {before:?}");
         let is_for_client = matches!(class, ResponseClass::Success | ResponseClass::Other);
         assert!(next != NextStep::Deliver || is_for_client);
         assert!((next == NextStep::StreamLast) == before.has_response_begun || was_completed);
@@ -188,7 +188,7 @@
             NextStep::StreamFirst => {
                 assert!(before.is_written && !before.has_response_begun);
                 let is_for_client = matches!(class, ResponseClass::Success | ResponseClass::Other);
-                assert!(is_for_client, "{class:?} is streamed");
+                assert!(is_for_client, "a response of class {class:?} is streamed");
                 self.reference.has_response_begun = true;
             }
             NextStep::StreamMore => assert!(before.has_response_begun),
@@ -201,38 +201,47 @@
         let before = self.reference.clone();
         if self.lifecycle.abandon_overdue_attempt() {
             let may_retry = !before.is_body_dropped && before.attempts_sent < MAX_ATTEMPTS;
-            assert!(before.is_in_flight && self.is_idempotent && may_retry, "for nothing: {before:?}");
+            assert!(
+                before.is_in_flight && self.is_idempotent && may_retry,
+                "abandoned although no retry is allowed: {before:?}"
+            );
             self.reference.end_attempt(true);
         }
         NextStep::Wait
     }
 
-    /// What the client gets is true of its request.
+    /// Checks that what the client gets matches the reference state.
     fn check_next_step(&mut self, before: &ReferenceState, next: NextStep) {
         match next {
             NextStep::Reject(status) => {
-                assert!(!before.has_response_begun, "a response behind the beginning of another");
+                assert!(
+                    !before.has_response_begun,
+                    "the gateway's response follows the start of another one"
+                );
                 let is_promise = matches!(status, 408 | 421 | 429 | 503);
                 let may_have_executed = before.may_have_executed();
-                assert!(!is_promise || !may_have_executed, "{status} may be false: {before:?}");
+                assert!(
+                    !is_promise || !may_have_executed,
+                    "{status} may be wrong, the request may have been executed: {before:?}"
+                );
                 self.reference.final_responses += 1;
             }
             NextStep::Deliver | NextStep::StreamLast => self.reference.final_responses += 1,
             NextStep::Abort => {
                 let has_reason = before.has_response_begun || before.may_have_executed();
-                assert!(has_reason, "aborted for nothing: {before:?}");
+                assert!(has_reason, "aborted without a reason: {before:?}");
                 self.reference.final_responses += 1;
             }
             _ => {}
         }
     }
 
-    /// What the lifecycle says of itself is true of its request.
+    /// Checks that what the lifecycle reports matches the reference state.
     fn check_state(&self) {
         let CheckedLifecycle { lifecycle, reference, is_idempotent } = self;
         let is_completed = self.is_completed();
         let may_have_executed = reference.may_have_executed();
-        assert!(reference.final_responses <= 1, "a second end: {reference:?}");
+        assert!(reference.final_responses <= 1, "more than one final response: {reference:?}");
         assert_eq!(reference.final_responses == 1, is_completed, "{lifecycle:?} {reference:?}");
         assert!(
             !lifecycle.may_attempt() || *is_idempotent || !may_have_executed,
--- a/crates/data-plane/tests/attempt/main.rs
+++ b/crates/data-plane/tests/attempt/main.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of a request, [`kitepass_data_plane::attempt`], in all orders of what may happen to it.
+//! Tests of the request lifecycle, [`kitepass_data_plane::attempt`], under all orders of events.
 
 mod backend_responses;
 mod calls;
--- a/crates/data-plane/tests/attempt/model.rs
+++ b/crates/data-plane/tests/attempt/model.rs
@@ -1,5 +1,6 @@
-//! Requests, connections and backends around the lifecycle, explored in all orders. Backends count what they execute,
-//! also on connections that the gateway has closed; clients count what they receive.
+//! Model checking of the lifecycle with requests, connections and backends, in all orders of events. Backends count
+//! what they execute, including what arrived on connections that the gateway has closed; clients count what they
+//! receive.
 
 use crate::backend_responses::{Piece, ResponseKind, RESPONSES};
 use crate::model_state::{Client, Connection, ModelState, Request, Work, REQUEST_PARTS};
@@ -7,41 +8,41 @@
 use rstest::rstest;
 use stateright::{Checker, Model, Property};
 
-/// Steps from the start that are explored where one request comes after the other. The variable [`EXTRA_DEPTH`] adds
-/// to them, for the long form.
+/// Exploration depth when one request follows the other. The environment variable [`EXTRA_DEPTH`] increases it for
+/// longer runs.
 const DEPTH: usize = 16;
-/// Steps from the start that are explored where both requests come together.
+/// Exploration depth when both requests may be in progress at once.
 const CONCURRENT_DEPTH: usize = 12;
-/// The variable that adds to the depth.
+/// The environment variable whose value is added to the depth.
 const EXTRA_DEPTH: &str = "LEG_DEPTH";
 const MAX_ATTEMPTS: u32 = 2;
-/// Responses that a backend sends on a connection index most.
+/// Maximum number of responses that a backend sends on one connection.
 const MAX_RESPONSES: usize = 2;
-/// Names a request that none of the clients made.
+/// The id of a request that no client has made.
 const UNKNOWN_REQUEST: u8 = 9;
 
-/// What may happen next. Requests and connections are given by their index.
+/// The next event. Requests and connections are identified by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Action {
     RequestArrives(usize),
-    /// The rest of a request's body comes.
+    /// The rest of a request's body arrives.
     BodyCompletes(usize),
-    /// An attempt begins, over an idle connection or a new one.
+    /// An attempt starts on the idle connection given, or on a new one.
     AttemptBegins(usize, Option<usize>),
-    /// No backend can take the request, or the retry budget is spent.
+    /// No backend can take the request, or the retry budget is exhausted.
     NoBackend(usize),
     Established(usize),
     Unreachable(usize),
-    /// So many parts of the request are written.
+    /// This many parts of the request are written.
     PartsWritten(usize, u8),
-    /// The connection breaks as it is written to.
+    /// The connection breaks while it is written to.
     WriteFails(usize),
     Executes(usize),
-    /// A backend executes a request whose connection was closed.
+    /// A backend executes a request although its connection was closed.
     ExecutesOrphaned(usize),
     Responds(usize, ResponseKind),
     RespondsToAnother(usize, u8),
-    /// The backend ends its sending, or the connection breaks, with what is in transit or without.
+    /// The backend closes its sending side or the connection breaks; data in transit is kept or lost.
     InputEnds {
         connection: usize,
         input_state: InputState,
@@ -59,13 +60,13 @@
     ShutDown,
 }
 
-/// What the requests of the model are like.
+/// The properties of the model's requests.
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     is_idempotent: bool,
-    /// The body is too long to be buffered, and comes in two parts.
+    /// Whether the body is too long to be buffered; it then arrives in two parts.
     has_long_body: bool,
-    /// Both requests may be under way index once.
+    /// Whether both requests may be in progress at once.
     is_concurrent: bool,
 }
 
@@ -104,7 +105,7 @@
         let request = &mut state.requests[index];
         request.has_error_response = false;
         if !request.lifecycle.begin_attempt(idle.is_some()) {
-            state.violation = Some("an attempt that may be made does not begin");
+            state.violation = Some("an attempt that may be made does not start");
             return;
         }
         if self.has_long_body {
@@ -121,7 +122,7 @@
 }
 
 fn attempt_actions(state: &ModelState, index: usize, actions: &mut Vec<Action>) {
-    // No backend gets a second attempt of a request, whose id a late response to the first would bear.
+    // No backend gets two attempts of a request, because a late response to the first would carry the same id.
     let is_usable = |connection: &Connection| {
         connection.attempt.is_none() && !connection.responded_to.contains(&(index as u8))
     };
@@ -156,10 +157,10 @@
     }
 }
 
-/// What the backend index the other end may do.
+/// Adds what the backend of a connection may do.
 fn backend_actions(connection: &Connection, index: usize, actions: &mut Vec<Action>) {
     let is_open = connection.input_state == InputState::Open;
-    // What is sent behind a body that ends with the connection is a part of it.
+    // Whatever follows a body that ends with the connection belongs to that body.
     let mut pieces = connection.in_transit.iter().chain(&connection.read_pieces);
     let is_endless = pieces.any(|piece| piece.kind == ResponseKind::UntilClose);
     let may_respond = is_open && connection.responded_to.len() < MAX_RESPONSES && !is_endless;
@@ -214,7 +215,7 @@
     state.requests[usize::from(request)].lifecycle.bytes_written();
     let is_new = connection.work.is_none_or(|work| work.request != request);
     let is_answered = connection.responded_to.contains(&request);
-    // A backend whose side has broken receives nothing.
+    // After its input has broken, a backend receives nothing.
     if is_new && connection.input_state != InputState::Broken && parts > 0 && !is_answered {
         connection.work = Some(Work { request, is_executed: false });
     }
@@ -229,7 +230,7 @@
 fn respond(state: &mut ModelState, index: usize, kind: ResponseKind) {
     let connection = &mut state.connections[index];
     let Some(Work { request, is_executed }) = connection.work else { return };
-    // An invalid response says nothing of whether the request is executed.
+    // An invalid response does not tell whether the request was executed.
     let is_executed_by_it = matches!(
         kind,
         ResponseKind::Short | ResponseKind::Long | ResponseKind::UntilClose | ResponseKind::Own500
@@ -251,7 +252,7 @@
 fn deadline_expired(state: &mut ModelState, index: usize) {
     let next = state.requests[index].lifecycle.deadline_expired();
     state.apply_next_step(index, next);
-    state.expect(!state.requests[index].is_waiting(), "a request that waits beyond its deadline");
+    state.expect(!state.requests[index].is_waiting(), "a request waits beyond its deadline");
 }
 
 fn shut_down(state: &mut ModelState) {
@@ -260,7 +261,7 @@
         if state.requests[index].is_waiting() {
             let next = state.requests[index].lifecycle.shut_down();
             state.apply_next_step(index, next);
-            state.expect(!state.requests[index].is_waiting(), "a request that outlives the process");
+            state.expect(!state.requests[index].is_waiting(), "a request is not ended by the shutdown");
         }
     }
     while !state.connections.is_empty() {
@@ -349,20 +350,20 @@
 
     fn properties(&self) -> Vec<Property<Scenario>> {
         vec![
-            Property::always("nothing is violated", |_, state: &ModelState| state.violation.is_none()),
+            Property::always("no violation occurs", |_, state: &ModelState| state.violation.is_none()),
             Property::always(
-                "a non-idempotent request is executed once",
+                "a non-idempotent request is executed at most once",
                 |scenario: &Scenario, state: &ModelState| {
                     scenario.is_idempotent || state.requests.iter().all(|request| request.executions <= 1)
                 },
             ),
-            Property::always("what is promised not to be executed never is", |_, state: &ModelState| {
+            Property::always("a promise of non-execution is kept", |_, state: &ModelState| {
                 let is_promised =
                     |request: &&Request| matches!(request.client, Client::Responded(408 | 421 | 429 | 503));
                 let mut promised = state.requests.iter().filter(is_promised);
                 promised.all(|request| request.executions == 0 && request.orphaned_attempts == 0)
             }),
-            Property::always("an attempt is on one connection, or none", |_, state: &ModelState| {
+            Property::always("an attempt in flight has one connection", |_, state: &ModelState| {
                 state.requests.iter().enumerate().all(|(index, request)| {
                     let has_attempt = |connection: &&Connection| connection.attempt == Some(index as u8);
                     let count = state.connections.iter().filter(has_attempt).count();
@@ -379,7 +380,7 @@
                     scenario.has_long_body || state.requests.iter().any(is_answered_by_second)
                 },
             ),
-            Property::sometimes("an idle connection is used again", |_, state: &ModelState| {
+            Property::sometimes("an idle connection is reused", |_, state: &ModelState| {
                 state
                     .connections
                     .iter()
@@ -397,7 +398,8 @@
 #[case::non_idempotent_concurrent(Scenario { is_idempotent: false, has_long_body: false, is_concurrent: true })]
 #[case::idempotent_concurrent(Scenario { is_idempotent: true, has_long_body: false, is_concurrent: true })]
 fn in_every_order_a_request_is_executed_and_answered_as_promised(#[case] scenario: Scenario) {
-    let extra = std::env::var(EXTRA_DEPTH).map_or(0, |extra| extra.parse().expect("a number"));
+    let extra = std::env::var(EXTRA_DEPTH)
+        .map_or(0, |extra| extra.parse().expect("the extra depth must be a number"));
     let depth = extra + if scenario.is_concurrent { CONCURRENT_DEPTH } else { DEPTH };
     let checker = scenario.checker().threads(3).target_max_depth(depth).spawn_bfs().join();
     println!(
--- a/crates/data-plane/tests/attempt/model_state.rs
+++ b/crates/data-plane/tests/attempt/model_state.rs
@@ -1,7 +1,6 @@
-//! The state of the model: requests, the gateway's connections, and what the gateway does with what it reads.
+//! The state of the model: requests, the gateway's connections, and how the gateway handles what it reads.
 //!
-//! The lifecycle and the reader are the real ones; around them stands what the server does with sockets, in a few
-//! lines each.
+//! The model uses the real lifecycle and reader. What the server does with its sockets is reduced to a few lines.
 
 use crate::backend_responses::{body, Piece, ResponseKind};
 use kitepass_data_plane::attempt::{
@@ -9,25 +8,25 @@
     RequestState, ResponseClass, ResponseContext, ResponseReader,
 };
 
-/// A longer body is streamed.
+/// Longer bodies are streamed.
 const MAX_BUFFERED_BYTES: usize = 3;
-/// More than any response is long.
+/// More than the length of any response.
 const UNLIMITED_BYTES: usize = 1 << 20;
-/// In how many parts a request is written.
+/// The number of parts in which a request is written.
 pub(crate) const REQUEST_PARTS: u8 = 2;
 
-/// What a client has come to.
+/// The state of a client.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Client {
-    /// Its request has not come yet.
+    /// Its request has not arrived yet.
     NotArrived,
-    /// It waits, and has received so much of a long response.
+    /// It waits for a response, and has received this much of a long one.
     Waiting(Option<String>),
-    /// It has a complete response with this status.
+    /// It has received a complete response with this status.
     Responded(u16),
-    /// Its connection was closed by the gateway.
+    /// The gateway has closed its connection.
     Aborted,
-    /// It closed its connection.
+    /// The client has closed its connection.
     Left,
 }
 
@@ -35,11 +34,11 @@
 pub(crate) struct Request {
     pub(crate) lifecycle: RequestLifecycle,
     pub(crate) client: Client,
-    /// All of its body has come from the client.
+    /// Whether the client has sent its whole body.
     pub(crate) is_body_complete: bool,
-    /// A backend's error response is there to be delivered.
+    /// Whether a backend's error response is available for delivery.
     pub(crate) has_error_response: bool,
-    /// How often a backend executed it.
+    /// How often a backend has executed it.
     pub(crate) executions: u8,
     /// Attempts on closed connections that a backend may still execute.
     pub(crate) orphaned_attempts: u8,
@@ -51,7 +50,7 @@
     }
 }
 
-/// A request that a backend has and has not answered.
+/// A request that a backend has received and not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Work {
     pub(crate) request: u8,
@@ -62,24 +61,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Connection {
     pub(crate) is_established: bool,
-    /// The request whose attempt is on it.
+    /// The request whose attempt uses the connection.
     pub(crate) attempt: Option<u8>,
-    /// Parts of the request that were written, of [`REQUEST_PARTS`].
+    /// How many of the [`REQUEST_PARTS`] parts of the request were written.
     pub(crate) parts_written: u8,
     /// Pieces that were read for the attempt.
     pub(crate) read_pieces: Vec<Piece>,
-    /// Bytes of its response's body that were streamed.
+    /// Bytes of the response's body that were streamed.
     pub(crate) streamed_bytes: usize,
     pub(crate) work: Option<Work>,
-    /// Requests that its backend has responded to here.
+    /// Requests that the backend has responded to on this connection.
     pub(crate) responded_to: Vec<u8>,
-    /// What is in transit to the gateway, and how it ends.
+    /// What is in transit to the gateway, and how the input ends.
     pub(crate) in_transit: Vec<Piece>,
     pub(crate) input_state: InputState,
 }
 
 impl Connection {
-    /// A connection that is being opened for a request.
+    /// Creates a connection that is being opened for a request.
     pub(crate) fn opening(request: u8) -> Connection {
         Connection {
             is_established: false,
@@ -94,7 +93,7 @@
         }
     }
 
-    /// The response as far as it was read before, without what was streamed.
+    /// Returns the reader with what was read before, without what was streamed.
     fn reader(&self, context: ResponseContext) -> (ResponseReader, Vec<u8>) {
         let (mut reader, mut input) = (ResponseReader::default(), Vec::new());
         for piece in &self.read_pieces {
@@ -112,7 +111,7 @@
     pub(crate) requests: Vec<Request>,
     pub(crate) connections: Vec<Connection>,
     pub(crate) has_shut_down: bool,
-    /// The first thing that was not as it should be.
+    /// The first violation that was found.
     pub(crate) violation: Option<&'static str>,
 }
 
@@ -124,7 +123,7 @@
     pub(crate) fn close_connection(&mut self, index: usize) {
         let connection = self.connections.remove(index);
         if let Some(Work { request, is_executed: false }) = connection.work {
-            self.requests[usize::from(request)].orphaned_attempts += 1; // it may be executed all the same
+            self.requests[usize::from(request)].orphaned_attempts += 1; // the backend may still execute it
         }
     }
 
@@ -140,21 +139,21 @@
         }
     }
 
-    /// A client's request is over.
+    /// Ends a client's request.
     pub(crate) fn finish(&mut self, request: usize, client: Client) {
-        self.expect(self.requests[request].is_waiting(), "a second response to one request");
+        self.expect(self.requests[request].is_waiting(), "a request gets a second response");
         self.requests[request].client = client;
         let is_completed = self.requests[request].lifecycle.state() == RequestState::Completed;
-        self.expect(is_completed, "finished, and not completed");
+        self.expect(is_completed, "a request is finished and its lifecycle is not completed");
         self.close_attempt(request);
     }
 
-    /// What follows where no backend's response goes to the client.
+    /// Performs a step that does not send a backend's response to the client.
     pub(crate) fn apply_next_step(&mut self, request: usize, next: NextStep) {
         match next {
             NextStep::Reject(status) => {
                 let has_begun = matches!(self.requests[request].client, Client::Waiting(Some(_)));
-                self.expect(!has_begun, "a response behind the beginning of another");
+                self.expect(!has_begun, "the gateway's response follows the start of another one");
                 self.finish(request, Client::Responded(status));
             }
             NextStep::Abort => self.finish(request, Client::Aborted),
@@ -162,7 +161,7 @@
         }
     }
 
-    /// A connection is lost, with the attempt on it.
+    /// Handles the loss of a connection and of the attempt on it.
     pub(crate) fn lose_connection(&mut self, index: usize) {
         let request = self.connections[index].attempt.map(usize::from);
         self.close_connection(index);
@@ -172,7 +171,7 @@
         }
     }
 
-    /// The gateway reads so many pieces, and the end of the input behind them.
+    /// Reads this many pieces, and the end of the input after them if `with_end`.
     pub(crate) fn read(&mut self, index: usize, pieces: usize, with_end: bool) {
         let connection = &mut self.connections[index];
         let input_state = if with_end { connection.input_state } else { InputState::Open };
@@ -207,12 +206,12 @@
 
     fn stream(&mut self, index: usize, request: usize, reader: &ResponseReader) {
         let lifecycle = &mut self.requests[request].lifecycle;
-        let head = reader.head.as_ref().expect("its body has begun");
+        let head = reader.head.as_ref().expect("the head precedes the body");
         let next = lifecycle.response_exceeds_buffer(ResponseClass::of(head, lifecycle.is_idempotent()));
         match (next, &mut self.requests[request].client) {
             (NextStep::StreamFirst | NextStep::StreamMore, Client::Waiting(received)) => {
                 self.connections[index].streamed_bytes += reader.body.len();
-                let text = std::str::from_utf8(&reader.body).expect("text");
+                let text = std::str::from_utf8(&reader.body).expect("bodies are text");
                 received.get_or_insert_default().push_str(text);
             }
             (next, _) => {
@@ -230,7 +229,7 @@
         unread_bytes: usize,
         input_state: InputState,
     ) {
-        let head = reader.head.expect("complete");
+        let head = reader.head.expect("a complete response has a head");
         let lifecycle = &mut self.requests[request].lifecycle;
         let was_sent = matches!(lifecycle.state(), RequestState::Sent | RequestState::Responding);
         let class = if was_sent {
@@ -246,19 +245,19 @@
         let connection_state = ConnectionState {
             input_state,
             unread_bytes,
-            // The backend may yet execute the request by what it still gets, where it has not answered it.
+            // If the request has not been answered, the backend may still execute it with what it receives later.
             unsent_bytes: usize::from(REQUEST_PARTS - connection.parts_written),
             is_request_finished: self.requests[request].is_body_complete,
         };
         if !may_reuse_connection(class, connection_state) {
             self.close_connection(index);
         }
-        let body = String::from_utf8(reader.body).expect("text");
+        let body = String::from_utf8(reader.body).expect("bodies are text");
         match next {
             NextStep::Deliver => self.deliver(request, &head, &body),
             NextStep::StreamLast => {
                 let Client::Waiting(Some(received)) = &self.requests[request].client else {
-                    return self.violation = Some("an end without a beginning");
+                    return self.violation = Some("the end of a response is streamed without its start");
                 };
                 let body = received.clone() + &body;
                 self.deliver(request, &head, &body);
@@ -268,16 +267,19 @@
         }
     }
 
-    /// A complete response has gone to a client.
+    /// Checks and delivers a complete response to a client.
     fn deliver(&mut self, request: usize, head: &kitepass_net::http::body::Head, received: &str) {
         let is_own = head.field("x-try-id") == Some(request.to_string().as_bytes());
-        self.expect(is_own, "another request's response");
+        self.expect(is_own, "a client gets the response to another request");
         let status = head.status();
         if status < 300 {
             let kinds = [ResponseKind::Short, ResponseKind::Long];
             let is_complete = kinds.iter().any(|kind| body(request as u8, *kind) == received);
-            self.expect(is_complete, "a body that is not complete, or another's");
-            self.expect(self.requests[request].executions > 0, "a response of nobody's");
+            self.expect(is_complete, "a client gets an incomplete body or that of another request");
+            self.expect(
+                self.requests[request].executions > 0,
+                "a client gets a success response although no backend executed its request",
+            );
         }
         self.finish(request, Client::Responded(status));
     }
--- a/crates/data-plane/tests/attempt/response_reader.rs
+++ b/crates/data-plane/tests/attempt/response_reader.rs
@@ -1,4 +1,4 @@
-//! Responses cut anywhere, with the connection open, ended or broken behind each cut.
+//! Responses cut at every position, after which the connection stays open, is closed or breaks.
 
 use kitepass_data_plane::attempt::{
     InputState, ReadProgress, ResponseContext, ResponseFailure, ResponseReader,
@@ -14,7 +14,7 @@
     max_buffered_bytes: 1024,
 };
 
-/// What came of reading a text.
+/// The result of reading a text.
 #[derive(Debug, PartialEq, Eq)]
 struct Outcome {
     progress: ReadProgress,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Reads a text in pieces, until it is complete, fails or fills the buffer.
+/// Reads a text in pieces, until the response is complete, fails or fills the buffer.
 fn read(text: &[u8], cuts: &[usize], input_state: InputState, context: ResponseContext) -> Outcome {
     let (mut reader, mut input, mut from) = (ResponseReader::default(), Vec::new(), 0);
     let mut progress = ReadProgress::Partial;
@@ -45,14 +45,14 @@
     Outcome { progress, body: reader.body, unread: input.len() + text.len() - from }
 }
 
-/// Of each beginning of a response: what came of it, and how it ends.
+/// Checks every prefix of a response with every state of the input after it.
 #[rstest]
 #[case::sized(HEAD.to_owned() + "Content-Length: 4\r\n\r\nbody", "body")]
 #[case::chunked(HEAD.to_owned() + "Transfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2;x=1\r\ndy\r\n0\r\nT: 1\r\n\r\n", "body")]
 #[case::empty(HEAD.to_owned() + "Content-Length: 0\r\n\r\n", "")]
-#[case::behind_an_interim("HTTP/1.1 100 Continue\r\n\r\n".to_owned() + HEAD + "Content-Length: 4\r\n\r\nbody", "body")]
-#[case::behind_a_surplus(STALE.to_owned() + HEAD + "Content-Length: 4\r\n\r\nbody", "body")]
-#[case::behind_two(STALE.to_owned() + STALE + HEAD + "Content-Length: 4\r\n\r\nbody", "body")]
+#[case::after_an_interim_response("HTTP/1.1 100 Continue\r\n\r\n".to_owned() + HEAD + "Content-Length: 4\r\n\r\nbody", "body")]
+#[case::after_a_stale_response(STALE.to_owned() + HEAD + "Content-Length: 4\r\n\r\nbody", "body")]
+#[case::after_two_stale_responses(STALE.to_owned() + STALE + HEAD + "Content-Length: 4\r\n\r\nbody", "body")]
 fn a_response_is_complete_with_its_last_byte_and_not_before(#[case] text: String, #[case] body: &str) {
     let bytes = text.as_bytes();
     for to in 0..bytes.len() {
@@ -77,7 +77,7 @@
             }
         }
     }
-    // Bytes behind it are left where they are.
+    // Bytes after the response remain unread.
     let more = text.clone() + STALE;
     for cut in 0..=more.len() {
         let outcome = read(more.as_bytes(), &[cut], InputState::Open, CONTEXT);
@@ -85,7 +85,7 @@
     }
 }
 
-/// Such a body is complete where the connection ends in order, and nowhere else.
+/// Such a body is complete only if the connection is closed in an orderly way.
 #[rstest]
 #[case(InputState::Open, ReadProgress::Partial)]
 #[case(InputState::Ended, ReadProgress::Complete)]
@@ -101,11 +101,11 @@
     }
 }
 
-/// Where it ends depends on the method of the request that it responds to, which is not known.
+/// The end of a stale response depends on the method of the request that it answers, which is not known.
 #[rstest]
-#[case::neither(false, false, ReadProgress::Complete)]
-#[case::this_one(true, true, ReadProgress::Failed(ResponseFailure::AmbiguousStaleResponse))]
-#[case::one_before(false, true, ReadProgress::Failed(ResponseFailure::AmbiguousStaleResponse))]
+#[case::no_head_request(false, false, ReadProgress::Complete)]
+#[case::head_request(true, true, ReadProgress::Failed(ResponseFailure::AmbiguousStaleResponse))]
+#[case::earlier_head_request(false, true, ReadProgress::Failed(ResponseFailure::AmbiguousStaleResponse))]
 fn a_surplus_response_beside_a_head_request_fails(
     #[case] is_head_request: bool,
     #[case] had_head_request: bool,
@@ -119,14 +119,14 @@
 }
 
 #[rstest]
-#[case::no_response("\0\u{1}\r\n\r\n".to_owned(), ResponseFailure::Malformed)]
-#[case::protocol("HTTP/1.1 101 Go\r\n\r\n".to_owned(), ResponseFailure::Malformed)]
+#[case::not_a_response("\0\u{1}\r\n\r\n".to_owned(), ResponseFailure::Malformed)]
+#[case::switching_protocols("HTTP/1.1 101 Go\r\n\r\n".to_owned(), ResponseFailure::Malformed)]
 #[case::two_framings(HEAD.to_owned() + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ResponseFailure::Malformed)]
 #[case::two_lengths(HEAD.to_owned() + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nbody", ResponseFailure::Malformed)]
-#[case::no_chunk(HEAD.to_owned() + "Transfer-Encoding: chunked\r\n\r\nx\r\n", ResponseFailure::Malformed)]
+#[case::invalid_chunk_size(HEAD.to_owned() + "Transfer-Encoding: chunked\r\n\r\nx\r\n", ResponseFailure::Malformed)]
 #[case::long_head("HTTP/1.1 200 OK\r\nA: ".to_owned() + &"a".repeat(33 * 1024), ResponseFailure::Malformed)]
 #[case::no_request_id("HTTP/1.1 200 OK\r\nX-Postmark: p\r\nContent-Length: 0\r\n\r\n".to_owned(), ResponseFailure::MissingRequestId)]
-#[case::malformed_behind_a_surplus(STALE.to_owned() + "garbled\r\n\r\n", ResponseFailure::Malformed)]
+#[case::malformed_after_a_stale_response(STALE.to_owned() + "garbled\r\n\r\n", ResponseFailure::Malformed)]
 fn an_invalid_response_fails_wherever_it_is_cut(#[case] text: String, #[case] failure: ResponseFailure) {
     for cut in (0..=text.len()).step_by(1 + text.len() / 1024) {
         let progress = read(text.as_bytes(), &[cut], InputState::Open, CONTEXT).progress;
@@ -134,7 +134,7 @@
     }
 }
 
-/// A surplus response never fills the buffer; a long one of its own does, and there is what was read.
+/// A stale response never fills the buffer. A long response of the attempt itself does, and its bytes are available.
 #[test]
 fn a_long_response_fills_the_buffer_and_a_long_surplus_one_does_not() {
     let long = |id: &str| {
--- a/crates/data-plane/tests/control_session.rs
+++ b/crates/data-plane/tests/control_session.rs
@@ -1,5 +1,5 @@
-//! The control session's own defences against a control process that is isolated from the quorum: the messages are
-//! given to it as such a control process would send them.
+//! How a control session protects the gateway from a control process that is isolated from the quorum. The tests pass
+//! in the messages that such a control process would send.
 
 use kitepass_config::{Item, ItemStore, Kind};
 use kitepass_coordination::protocol::{
@@ -33,7 +33,7 @@
     Message::Items(Items::complete(vec![ItemMessage::from(&item(version))]))
 }
 
-/// The control process has sent all that it holds, which is this version of the item, or nothing.
+/// The end of a synchronization. The control process holds this version of the item, or nothing.
 fn sync_finished(version: Option<u64>) -> Message {
     let mut item_store = ItemStore::new();
     version.into_iter().for_each(|version| _ = item_store.merge(item(version)));
@@ -43,12 +43,12 @@
     })
 }
 
-/// A gateway that opens a session with the control process that it draws.
+/// Creates a gateway that connects to the control process it has selected.
 fn session(now: i64, bootstrap: &[&str]) -> (ControlSession, String) {
     let hello = Hello { node_id: "g".into(), ..Hello::default() };
     let mut session =
         ControlSession::new(hello, bootstrap.iter().map(ToString::to_string).collect(), BTreeMap::new());
-    let address = session.next_control_process(at(now), 0).expect("one is known");
+    let address = session.next_control_process(at(now), 0).expect("a control process is known");
     (session, address)
 }
 
@@ -58,7 +58,7 @@
     updates
 }
 
-/// A gateway that has a session with the first of these, and all that it holds. It may know the zones of some.
+/// Creates a gateway that has synchronized with the first of these control processes, and knows the zones of some.
 fn synced_session(bootstrap: &[&str], zones: &[(&str, &str)]) -> ControlSession {
     let (mut session, address) = session(0, bootstrap);
     assert_eq!(session.candidate_hello(at(10), &hello(&address, true)), CandidateOutcome::Promoted);
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_first_configuration_is_not_taken_from_an_isolated_control_process() {
-    // It says so in its hello, or in a heartbeat before all items have come.
+    // The control process reports its isolation in its hello, or in a heartbeat before all items have arrived.
     let membership = || Message::MembershipUpdate(MembershipUpdate::default());
     let (mut isolated, address) = session(0, &["a"]);
     assert_eq!(isolated.candidate_hello(at(100), &hello(&address, false)), CandidateOutcome::Rejected);
@@ -93,32 +93,33 @@
     assert_eq!(session.item_store.len(), 0);
 
     session.connection_lost("not-current");
-    let address = session.next_control_process(at(11_000), 0).expect("one is known");
+    let address = session.next_control_process(at(11_000), 0).expect("a control process is known");
     assert_eq!(session.candidate_hello(at(11_010), &hello(&address, true)), CandidateOutcome::Promoted);
     let updates = receive(&mut session, 11_100, vec![items(3), sync_finished(Some(3)), membership()]);
     assert!(!updates.should_close && session.is_caught_up() && updates.items.len() == 1);
-    // Once it has synchronized it says so, and stays where all are isolated.
+    // Once synchronized, the gateway reports that and stays, as all control processes are isolated.
     let updates = receive(&mut session, 11_200, vec![Message::Heartbeat(Heartbeat::default()), items(4)]);
     assert!(!updates.should_close && updates.items.len() == 1);
     for now in (11_300..15_000).step_by(100) {
         receive(&mut session, now, vec![Message::Heartbeat(Heartbeat::default())]);
         assert_eq!(session.tick(at(now)), NO_ACTION);
-        assert_eq!(session.next_control_process(at(now), 0), None, "no other is known");
+        assert_eq!(session.next_control_process(at(now), 0), None, "no other control process is known");
     }
     let is_complete =
         |message: &Message| matches!(message, Message::Heartbeat(heartbeat) if heartbeat.is_serving);
     assert!(session.outgoing.iter().any(is_complete));
-    // After so long without synchronization that it starts from nothing, it is as one that has never synchronized, and
-    // serves by what it has.
+    // After so long without synchronization the gateway starts again with an empty item store. It is treated like one
+    // that has never synchronized, and keeps serving with the items it has.
     session.connection_lost("closed");
     let later = 4_000_000;
-    let address = session.next_control_process(at(later), 0).expect("one is known");
+    let address = session.next_control_process(at(later), 0).expect("a control process is known");
     assert!(matches!(&session.candidate_outgoing[0], Message::Hello(hello) if !hello.is_serving));
     assert_eq!(session.candidate_hello(at(later), &hello(&address, false)), CandidateOutcome::Rejected);
     assert_eq!(session.item_store.get(Kind::Service, "l").map(|item| item.version), Some(4));
 }
 
-/// Where its control process becomes isolated it tries each other one once, after a while, and stays meanwhile.
+/// When its control process becomes isolated, a gateway waits for a while, then tries each other one once, and keeps
+/// its session meanwhile.
 #[test]
 fn each_other_control_process_is_tried_once_where_all_are_isolated() {
     let mut session = synced_session(&["a", "b", "c"], &[]);
@@ -138,7 +139,7 @@
     assert_eq!(addresses, ["b", "c"]);
 }
 
-/// The gateway's own link is congested: its control process is not heard, and no other answers.
+/// The gateway's own link is congested: nothing arrives from its control process, and no other one answers.
 #[test]
 fn a_session_is_kept_while_no_other_control_process_answers() {
     let mut session = synced_session(&["a", "b", "c"], &[]);
@@ -152,11 +153,11 @@
         opened.extend(session.next_control_process(at(now), 0).map(|address| (now, address)));
         assert_eq!(session.state(), SessionState::Synced);
     }
-    // 1.4 s for the first to each address, twice and four times as long for the next ones.
+    // The first attempt at each address has 1.4 s; the next ones have two and four times as long.
     let times: Vec<i64> = opened.iter().map(|(now, _)| *now).collect();
     assert_eq!(times, [1_700, 3_200, 4_700, 7_600], "{opened:?}");
     assert!(opened.iter().all(|(_, address)| address != "a"), "{opened:?}");
-    // What was late arrives, and the session goes on as if nothing had been.
+    // Delayed messages arrive, and the session continues as before.
     let updates = receive(&mut session, 9_950, vec![items(4), serving_heartbeat()]);
     assert_eq!((updates.items.len(), updates.should_close), (1, false));
     assert_eq!(
@@ -176,13 +177,13 @@
     assert!(session.next_control_process(at(10_040), 0).is_some());
 }
 
-/// Its control process has lost its power, or is cut off: another is found as soon as that is noticed.
+/// The control process has failed or is partitioned: the gateway moves to another one as soon as it notices.
 #[test]
 fn a_session_moves_to_a_control_process_that_answers() {
     let mut session = synced_session(&["a", "b"], &[]);
     assert_eq!(session.next_control_process(at(1_620), 0), None);
     assert_eq!(session.next_control_process(at(1_630), 0).as_deref(), Some("b"));
-    assert_eq!(session.candidate_outgoing.len(), 2, "a hello and the digests of what it holds");
+    assert_eq!(session.candidate_outgoing.len(), 2, "a hello and the digests of the gateway's items");
     assert_eq!(session.candidate_hello(at(1_700), &hello("b", true)), CandidateOutcome::Promoted);
     assert!(matches!(session.state(), SessionState::Syncing(_)));
     receive(&mut session, 1_800, vec![sync_finished(None)]);
@@ -194,30 +195,30 @@
     let zones = [("a", "z1"), ("b", "z2")];
     let gateway = Hello { node_id: "g".into(), zone: "z2".into(), ..Hello::default() };
     let mut session = ControlSession::new(gateway, vec!["a".into()], BTreeMap::new());
-    session.next_control_process(at(0), 0).expect("one is known");
+    session.next_control_process(at(0), 0).expect("a control process is known");
     session.candidate_hello(at(10), &hello("a", true));
     let (control_addresses, control_zones) =
         zones.map(|(address, zone)| (address.into(), zone.into())).into_iter().unzip();
     let membership = MembershipUpdate { control_addresses, control_zones, ..MembershipUpdate::default() };
     receive(&mut session, 20, vec![sync_finished(None), Message::MembershipUpdate(membership)]);
     receive(&mut session, 2_900, vec![serving_heartbeat()]);
-    assert_eq!(session.next_control_process(at(2_900), 0), None, "it stays for a while");
+    assert_eq!(session.next_control_process(at(2_900), 0), None, "the session is too young to be replaced");
     receive(&mut session, 3_100, vec![serving_heartbeat()]);
     assert_eq!(session.next_control_process(at(3_100), 0).as_deref(), Some("b"));
-    // It does not answer, and the session goes on.
+    // The nearer control process does not answer, and the session continues.
     receive(&mut session, 4_600, vec![serving_heartbeat()]);
     assert_eq!(
         session.tick(at(4_600)),
         TickOutcome { should_close_session: false, should_close_candidate: true }
     );
     session.candidate_lost("timed-out");
-    assert_eq!(session.next_control_process(at(4_700), 0), None, "it is left alone for a time");
+    assert_eq!(session.next_control_process(at(4_700), 0), None, "it is not retried for a while");
     receive(&mut session, 15_200, vec![serving_heartbeat()]);
     assert_eq!(session.next_control_process(at(15_200), 0).as_deref(), Some("b"));
     assert_eq!(session.candidate_hello(at(15_300), &hello("b", true)), CandidateOutcome::Promoted);
 }
 
-/// Items of a message that stands like this to whole changes.
+/// Returns items with the given extent.
 fn part(version: u64, extent: Extent) -> Message {
     Message::Items(Items { items: vec![ItemMessage::from(&item(version))], extent: extent.into() })
 }
@@ -248,13 +249,13 @@
 fn a_transfer_by_buckets_is_complete_at_its_end() {
     let mut session = synced_session(&["a"], &[]);
     receive(&mut session, 100, vec![part(4, Extent::Transfer), part(5, Extent::Complete)]);
-    assert!(!session.holds_complete_changes(), "a change that comes meanwhile ends no transfer");
+    assert!(!session.holds_complete_changes(), "a complete change does not end a transfer in progress");
     receive(&mut session, 200, vec![sync_finished(Some(5))]);
     assert!(session.holds_complete_changes());
 }
 
-/// The end of a change was lost with what followed: the next heartbeat that agrees stands for it, unless the control process
-/// may hold parts of changes itself.
+/// If the end of a change was lost, the next heartbeat with an equal digest completes the change, unless the control
+/// process itself may hold parts of changes.
 #[test]
 fn equal_digests_complete_a_change_whose_end_was_lost() {
     let mut session = synced_session(&["a"], &[]);
@@ -273,7 +274,7 @@
     receive(&mut session, 100, vec![part(4, Extent::Continued)]);
     session.connection_lost("closed");
     assert!(!session.holds_complete_changes());
-    session.next_control_process(at(1_000), 0).expect("one is known");
+    session.next_control_process(at(1_000), 0).expect("a control process is known");
     session.candidate_hello(at(1_010), &hello("a", true));
     receive(&mut session, 1_020, vec![part(6, Extent::Complete)]);
     assert!(!session.holds_complete_changes());
