--- a/crates/data-plane/src/control_session/mod.rs
+++ b/crates/data-plane/src/control_session/mod.rs
@@ -33,8 +33,8 @@
 const SESSION_TIMEOUT: Duration = Duration::from_micros(10_000_000);
 /// Maximum number of tombstones kept for deleted backends.
 const MAX_BACKEND_TOMBSTONES: usize = 4_096;
-/// After this time without any missing items an unfinished synchronization is given up. Long, because a control process
-/// may serve many gateways one after another.
+/// A session that is still synchronizing is closed after this time without any missing items. Long, because a control
+/// process may serve many gateways one after another.
 const SYNC_TIMEOUT: Duration = Duration::from_micros(10_000_000);
 /// After this time without a synchronization with a control process in contact with the quorum, the gateway starts
 /// again with an empty item store.
--- a/crates/data-plane/tests/attempt/model_state.rs
+++ b/crates/data-plane/tests/attempt/model_state.rs
@@ -229,7 +229,7 @@
         unread_bytes: usize,
         input_state: InputState,
     ) {
-        let head = reader.head.expect("a complete response has a head");
+        let head = reader.head.expect("complete");
         let lifecycle = &mut self.requests[request].lifecycle;
         let was_sent = matches!(lifecycle.state(), RequestState::Sent | RequestState::Responding);
         let class = if was_sent {
