--- a/crates/data-plane/tests/attempt/calls.rs
+++ b/crates/data-plane/tests/attempt/calls.rs
@@ -159,8 +159,11 @@
         let before = self.reference.clone();
         let was_completed = self.is_completed();
         if self.lifecycle.begin_attempt(is_connected) {
-            let is_first = !was_completed && !before.is_in_flight;
-            assert!(is_first && !before.is_body_dropped && before.attempts_sent < MAX_ATTEMPTS, "{before:?}");
+            let is_pending = !was_completed && !before.is_in_flight;
+            assert!(
+                is_pending && !before.is_body_dropped && before.attempts_sent < MAX_ATTEMPTS,
+                "{before:?}"
+            );
             assert!(self.is_idempotent || !before.may_have_executed(), "may be executed twice: {before:?}");
             self.reference.is_in_flight = true;
             self.reference.attempts_sent += u32::from(is_connected);
@@ -218,10 +221,10 @@
                     !before.has_response_begun,
                     "the gateway's response follows the start of another one"
                 );
-                let is_promise = matches!(status, 408 | 421 | 429 | 503);
+                let means_not_executed = matches!(status, 408 | 421 | 429 | 503);
                 let may_have_executed = before.may_have_executed();
                 assert!(
-                    !is_promise || !may_have_executed,
+                    !means_not_executed || !may_have_executed,
                     "{status} may be wrong, the request may have been executed: {before:?}"
                 );
                 self.reference.final_responses += 1;
@@ -247,8 +250,8 @@
             !lifecycle.may_attempt() || *is_idempotent || !may_have_executed,
             "{lifecycle:?} {reference:?}"
         );
-        let promises = lifecycle.rejection_status() == 503;
-        assert!(is_completed || promises != may_have_executed, "{lifecycle:?} {reference:?}");
+        let promises_no_execution = lifecycle.rejection_status() == 503;
+        assert!(is_completed || promises_no_execution != may_have_executed, "{lifecycle:?} {reference:?}");
     }
 }
 
--- a/crates/data-plane/tests/attempt/model.rs
+++ b/crates/data-plane/tests/attempt/model.rs
@@ -215,7 +215,7 @@
     state.requests[usize::from(request)].lifecycle.bytes_written();
     let is_new = connection.work.is_none_or(|work| work.request != request);
     let is_answered = connection.responded_to.contains(&request);
-    // After its input has broken, a backend receives nothing.
+    // A backend receives nothing on a broken connection.
     if is_new && connection.input_state != InputState::Broken && parts > 0 && !is_answered {
         connection.work = Some(Work { request, is_executed: false });
     }
