--- a/crates/data-plane/tests/attempt/backend_responses.rs
+++ b/crates/data-plane/tests/attempt/backend_responses.rs
@@ -1,24 +1,24 @@
-//! What the backends of the model send, byte by byte.
+//! The bytes that the model's backends send.
 
 /// A kind of response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum ResponseKind {
     Short,
     Long,
-    /// A body that ends with the connection.
+    /// A body that ends when the connection is closed.
     UntilClose,
-    /// The backend says that it did not execute the request.
+    /// The backend states that it did not execute the request.
     NotExecuted,
     Own500,
     Own503,
     NoPostmark,
     Malformed,
     NoRequestId,
-    /// A response to another request, which was answered before.
-    Surplus,
+    /// A stale response: it answers a request that was already answered.
+    Stale,
 }
 
-/// What a backend may respond to a request of its own.
+/// The responses that a backend may send to the request that it has received.
 pub(crate) const RESPONSES: [ResponseKind; 9] = [
     ResponseKind::Short,
     ResponseKind::Long,
@@ -31,12 +31,12 @@
     ResponseKind::NoRequestId,
 ];
 
-/// The body of a response to a request.
+/// Returns the body of a response to a request.
 pub(crate) fn body(request: u8, kind: ResponseKind) -> &'static str {
     match (kind, request) {
-        (ResponseKind::Short | ResponseKind::Surplus, 0) => "a0",
-        (ResponseKind::Short | ResponseKind::Surplus, 1) => "b1",
-        (ResponseKind::Short | ResponseKind::Surplus, _) => "x9",
+        (ResponseKind::Short | ResponseKind::Stale, 0) => "a0",
+        (ResponseKind::Short | ResponseKind::Stale, 1) => "b1",
+        (ResponseKind::Short | ResponseKind::Stale, _) => "x9",
         (ResponseKind::Long | ResponseKind::UntilClose, 0) => "a0a0a0",
         (ResponseKind::Long | ResponseKind::UntilClose, _) => "b1b1b1",
         _ => "",
@@ -46,7 +46,7 @@
 fn response(request: u8, kind: ResponseKind) -> String {
     let body = body(request, kind);
     let (status, fields) = match kind {
-        ResponseKind::Short | ResponseKind::Long | ResponseKind::Surplus => {
+        ResponseKind::Short | ResponseKind::Long | ResponseKind::Stale => {
             (200, format!("X-Postmark: {request}\r\n"))
         }
         ResponseKind::UntilClose => {
@@ -73,17 +73,17 @@
     /// The request that the response names.
     pub(crate) request: u8,
     pub(crate) kind: ResponseKind,
-    /// Which of the response's pieces it is.
+    /// The position of the piece within the response.
     pub(crate) index: u8,
 }
 
 impl Piece {
-    /// The pieces of a response: cut in its head, and in its body.
+    /// Returns the pieces of a response, which is cut in its head and in its body.
     pub(crate) fn all_of(request: u8, kind: ResponseKind) -> impl Iterator<Item = Piece> {
         (0..piece_count(kind)).map(move |index| Piece { request, kind, index })
     }
 
-    /// The piece's bytes.
+    /// Returns the bytes of the piece.
     pub(crate) fn bytes(self) -> Vec<u8> {
         let response = response(self.request, self.kind).into_bytes();
         let length = response.len();
@@ -99,7 +99,7 @@
 
 fn piece_count(kind: ResponseKind) -> u8 {
     match kind {
-        ResponseKind::Short | ResponseKind::Surplus => 2,
+        ResponseKind::Short | ResponseKind::Stale => 2,
         ResponseKind::Long | ResponseKind::UntilClose => 3,
         _ => 1,
     }
--- a/crates/data-plane/tests/attempt/calls.rs
+++ b/crates/data-plane/tests/attempt/calls.rs
@@ -1,4 +1,4 @@
-//! All orders of calls to a lifecycle, also such as no server makes: each of its answers holds by itself.
+//! Explores all sequences of calls to a lifecycle, including those that the server never makes, and checks each result.
 
 use kitepass_data_plane::attempt::{
     may_reuse_connection, ConnectionState, InputState, NextStep, RequestLifecycle, RequestState,
@@ -55,22 +55,22 @@
     calls
 }
 
-/// What is true of a request, kept beside its lifecycle.
+/// The reference state of a request, which is tracked independently of its lifecycle.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
-struct Truth {
+struct ReferenceState {
     is_in_flight: bool,
-    /// Bytes of the attempt in flight were written.
+    /// Whether bytes of the attempt in flight were written.
     is_written: bool,
     /// Attempts whose connection was established.
     attempts_sent: u32,
-    /// Attempts that ended and may have been executed.
+    /// Attempts that have ended and may have been executed.
     maybe_executed: u32,
     is_body_dropped: bool,
     has_response_begun: bool,
     final_responses: u32,
 }
 
-impl Truth {
+impl ReferenceState {
     fn end_attempt(&mut self, may_have_executed: bool) {
         self.maybe_executed += u32::from(self.is_written && may_have_executed);
         self.is_in_flight = false;
@@ -82,44 +82,44 @@
     }
 }
 
-/// A lifecycle, and what is true of its request.
+/// A lifecycle, together with the reference state of its request.
 #[derive(Clone)]
-struct Subject {
+struct CheckedLifecycle {
     lifecycle: RequestLifecycle,
-    truth: Truth,
+    reference: ReferenceState,
     is_idempotent: bool,
 }
 
-impl Subject {
+impl CheckedLifecycle {
     fn is_completed(&self) -> bool {
         self.lifecycle.state() == RequestState::Completed
     }
 
-    /// Makes a call, and checks what it answers.
-    fn make(&mut self, call: Call) {
-        let before = self.truth.clone();
+    /// Makes a call and checks its result.
+    fn apply(&mut self, call: Call) {
+        let before = self.reference.clone();
         let was_completed = self.is_completed();
         let next = match call {
             Call::BeginAttempt { is_connected } => self.begin_attempt(is_connected),
             Call::Connected => {
                 let was_connecting = self.lifecycle.state() == RequestState::Connecting;
-                self.truth.attempts_sent += u32::from(was_connecting);
+                self.reference.attempts_sent += u32::from(was_connecting);
                 self.lifecycle.connected();
                 NextStep::Wait
             }
             Call::BytesWritten => {
-                self.truth.is_written |= self.lifecycle.state() == RequestState::Connected;
+                self.reference.is_written |= self.lifecycle.state() == RequestState::Connected;
                 self.lifecycle.bytes_written();
                 NextStep::Wait
             }
             Call::BodyDropped => {
                 self.lifecycle.body_dropped();
-                self.truth.is_body_dropped = true;
+                self.reference.is_body_dropped = true;
                 NextStep::Wait
             }
             Call::AttemptFailed => {
                 let next = self.lifecycle.attempt_failed();
-                self.truth.end_attempt(true);
+                self.reference.end_attempt(true);
                 next
             }
             Call::ResponseComplete(class) => self.response_complete(class),
@@ -127,14 +127,14 @@
             Call::DeliverErrorResponse => {
                 if self.lifecycle.deliver_error_response() {
                     assert!(!before.is_in_flight && !was_completed);
-                    self.truth.final_responses += 1;
+                    self.reference.final_responses += 1;
                 }
                 NextStep::Wait
             }
             Call::AbandonOverdueAttempt => self.abandon_overdue_attempt(),
             Call::DeadlineExpired => {
                 let next = self.lifecycle.deadline_expired();
-                assert!(was_completed || next != NextStep::Wait, "it waits beyond its deadline");
+                assert!(was_completed || next != NextStep::Wait, "the request waits beyond its deadline");
                 next
             }
             Call::Reject(status) => self.lifecycle.reject(status),
@@ -147,7 +147,7 @@
             }
             Call::ClientDisconnected => {
                 self.lifecycle.client_disconnected();
-                self.truth.final_responses += u32::from(!was_completed);
+                self.reference.final_responses += u32::from(!was_completed);
                 NextStep::Wait
             }
         };
@@ -156,87 +156,102 @@
     }
 
     fn begin_attempt(&mut self, is_connected: bool) -> NextStep {
-        let before = self.truth.clone();
+        let before = self.reference.clone();
         let was_completed = self.is_completed();
         if self.lifecycle.begin_attempt(is_connected) {
-            let is_first = !was_completed && !before.is_in_flight;
-            assert!(is_first && !before.is_body_dropped && before.attempts_sent < MAX_ATTEMPTS, "{before:?}");
-            assert!(self.is_idempotent || !before.may_have_executed(), "sent twice: {before:?}");
-            self.truth.is_in_flight = true;
-            self.truth.attempts_sent += u32::from(is_connected);
+            let is_pending = !was_completed && !before.is_in_flight;
+            assert!(
+                is_pending && !before.is_body_dropped && before.attempts_sent < MAX_ATTEMPTS,
+                "{before:?}"
+            );
+            assert!(self.is_idempotent || !before.may_have_executed(), "may be executed twice: {before:?}");
+            self.reference.is_in_flight = true;
+            self.reference.attempts_sent += u32::from(is_connected);
         }
         NextStep::Wait
     }
 
     fn response_complete(&mut self, class: ResponseClass) -> NextStep {
-        let before = self.truth.clone();
+        let before = self.reference.clone();
         let was_completed = self.is_completed();
         let next = self.lifecycle.response_complete(class);
         let delivers = matches!(next, NextStep::Deliver | NextStep::RetryOrDeliver | NextStep::StreamLast);
-        assert!(!delivers || before.is_written, "a response to what was not sent: {before:?}");
+        assert!(!delivers || before.is_written, "response to a request that was not sent: {before:?}");
         let is_for_client = matches!(class, ResponseClass::Success | ResponseClass::Other);
         assert!(next != NextStep::Deliver || is_for_client);
         assert!((next == NextStep::StreamLast) == before.has_response_begun || was_completed);
-        self.truth.end_attempt(!matches!(class, ResponseClass::NotExecuted(_)));
+        self.reference.end_attempt(!matches!(class, ResponseClass::NotExecuted(_)));
         next
     }
 
     fn response_exceeds_buffer(&mut self, class: ResponseClass) -> NextStep {
-        let before = self.truth.clone();
+        let before = self.reference.clone();
         let next = self.lifecycle.response_exceeds_buffer(class);
         match next {
             NextStep::StreamFirst => {
                 assert!(before.is_written && !before.has_response_begun);
                 let is_for_client = matches!(class, ResponseClass::Success | ResponseClass::Other);
-                assert!(is_for_client, "{class:?} is streamed");
-                self.truth.has_response_begun = true;
+                assert!(is_for_client, "a response of class {class:?} is streamed");
+                self.reference.has_response_begun = true;
             }
             NextStep::StreamMore => assert!(before.has_response_begun),
-            _ => self.truth.end_attempt(true),
+            _ => self.reference.end_attempt(true),
         }
         next
     }
 
     fn abandon_overdue_attempt(&mut self) -> NextStep {
-        let before = self.truth.clone();
+        let before = self.reference.clone();
         if self.lifecycle.abandon_overdue_attempt() {
             let may_retry = !before.is_body_dropped && before.attempts_sent < MAX_ATTEMPTS;
-            assert!(before.is_in_flight && self.is_idempotent && may_retry, "for nothing: {before:?}");
-            self.truth.end_attempt(true);
+            assert!(
+                before.is_in_flight && self.is_idempotent && may_retry,
+                "abandoned although no retry is allowed: {before:?}"
+            );
+            self.reference.end_attempt(true);
         }
         NextStep::Wait
     }
 
-    /// What the client gets is true of its request.
-    fn check_next_step(&mut self, before: &Truth, next: NextStep) {
+    /// Checks that what the client gets matches the reference state.
+    fn check_next_step(&mut self, before: &ReferenceState, next: NextStep) {
         match next {
             NextStep::Reject(status) => {
-                assert!(!before.has_response_begun, "a response behind the beginning of another");
-                let is_promise = matches!(status, 408 | 421 | 429 | 503);
+                assert!(
+                    !before.has_response_begun,
+                    "the gateway's response follows the start of another one"
+                );
+                let means_not_executed = matches!(status, 408 | 421 | 429 | 503);
                 let may_have_executed = before.may_have_executed();
-                assert!(!is_promise || !may_have_executed, "{status} may be false: {before:?}");
-                self.truth.final_responses += 1;
+                assert!(
+                    !means_not_executed || !may_have_executed,
+                    "{status} may be wrong, the request may have been executed: {before:?}"
+                );
+                self.reference.final_responses += 1;
             }
-            NextStep::Deliver | NextStep::StreamLast => self.truth.final_responses += 1,
+            NextStep::Deliver | NextStep::StreamLast => self.reference.final_responses += 1,
             NextStep::Abort => {
                 let has_reason = before.has_response_begun || before.may_have_executed();
-                assert!(has_reason, "aborted for nothing: {before:?}");
-                self.truth.final_responses += 1;
+                assert!(has_reason, "aborted without a reason: {before:?}");
+                self.reference.final_responses += 1;
             }
             _ => {}
         }
     }
 
-    /// What the lifecycle says of itself is true of its request.
+    /// Checks that what the lifecycle reports matches the reference state.
     fn check_state(&self) {
-        let Subject { lifecycle, truth, is_idempotent } = self;
+        let CheckedLifecycle { lifecycle, reference, is_idempotent } = self;
         let is_completed = self.is_completed();
-        let may_have_executed = truth.may_have_executed();
-        assert!(truth.final_responses <= 1, "a second end: {truth:?}");
-        assert_eq!(truth.final_responses == 1, is_completed, "{lifecycle:?} {truth:?}");
-        assert!(!lifecycle.may_attempt() || *is_idempotent || !may_have_executed, "{lifecycle:?} {truth:?}");
-        let promises = lifecycle.rejection_status() == 503;
-        assert!(is_completed || promises != may_have_executed, "{lifecycle:?} {truth:?}");
+        let may_have_executed = reference.may_have_executed();
+        assert!(reference.final_responses <= 1, "more than one final response: {reference:?}");
+        assert_eq!(reference.final_responses == 1, is_completed, "{lifecycle:?} {reference:?}");
+        assert!(
+            !lifecycle.may_attempt() || *is_idempotent || !may_have_executed,
+            "{lifecycle:?} {reference:?}"
+        );
+        let promises_no_execution = lifecycle.rejection_status() == 503;
+        assert!(is_completed || promises_no_execution != may_have_executed, "{lifecycle:?} {reference:?}");
     }
 }
 
@@ -246,17 +261,18 @@
 fn every_call_is_answered_by_what_is_true(#[case] is_idempotent: bool) {
     let lifecycle = RequestLifecycle::new(is_idempotent, MAX_ATTEMPTS);
     let mut seen = BTreeSet::new();
-    let mut frontier = vec![Subject { lifecycle, truth: Truth::default(), is_idempotent }];
+    let mut frontier =
+        vec![CheckedLifecycle { lifecycle, reference: ReferenceState::default(), is_idempotent }];
     let mut calls = 0u64;
     while !frontier.is_empty() {
         let mut next = Vec::new();
-        for subject in frontier {
+        for checked in frontier {
             for call in all_calls() {
-                let mut subject = subject.clone();
+                let mut checked = checked.clone();
                 calls += 1;
-                subject.make(call);
-                if seen.insert((format!("{:?}", subject.lifecycle), subject.truth.clone())) {
-                    next.push(subject);
+                checked.apply(call);
+                if seen.insert((format!("{:?}", checked.lifecycle), checked.reference.clone())) {
+                    next.push(checked);
                 }
             }
         }
