--- a/crates/control-plane/src/cli/client/exchange.rs
+++ b/crates/control-plane/src/cli/client/exchange.rs
@@ -134,7 +134,7 @@
 
     /// Whether the end of the connection completes the response.
     fn ends_here(&mut self) -> bool {
-        self.begun.as_mut().is_some_and(|(_, body)| body.end_of_input().is_ok())
+        self.begun.as_mut().is_some_and(|(_, body)| body.finish_at_eof().is_ok())
     }
 
     fn into_response(self) -> Option<HttpResponse> {
--- a/crates/control-plane/src/server/platform_client.rs
+++ b/crates/control-plane/src/server/platform_client.rs
@@ -80,7 +80,7 @@
         let Some((body, status)) = &mut self.begun else { return Ok(None) };
         let capacity = MAX_PAGE_BYTES - self.bytes.len().min(MAX_PAGE_BYTES);
         let is_complete =
-            body.read(input, &mut self.bytes, capacity)? || has_ended && body.end_of_input().is_ok();
+            body.read(input, &mut self.bytes, capacity)? || has_ended && body.finish_at_eof().is_ok();
         if !is_complete {
             return Ok(None);
         }
--- a/crates/data-plane/src/attempt/response_reader.rs
+++ b/crates/data-plane/src/attempt/response_reader.rs
@@ -166,6 +166,6 @@
         // Invariant: a body without a length is complete only if the connection was closed in an orderly way. Otherwise
         // a broken connection would make a truncated body look complete.
         let ends_with_input = input_state == InputState::Ended && input.is_empty();
-        Ok(is_complete || ends_with_input && body_reader.end_of_input().is_ok())
+        Ok(is_complete || ends_with_input && body_reader.finish_at_eof().is_ok())
     }
 }
--- a/crates/data-plane/src/server/upstream.rs
+++ b/crates/data-plane/src/server/upstream.rs
@@ -122,7 +122,7 @@
     /// Takes a usable idle connection to a backend, and closes the unusable ones that it finds first.
     fn take_idle_upstream(&mut self, now: Timestamp, backend_id: &str) -> Option<UpstreamId> {
         while let Some(id) = self.idle_connections.pop(backend_id) {
-            let is_usable = |upstream: &Upstream| upstream.connection.is_quiet() && now < upstream.idle_until;
+            let is_usable = |upstream: &Upstream| upstream.connection.is_idle() && now < upstream.idle_until;
             if self.upstreams.get(&id).is_some_and(is_usable) {
                 return Some(id);
             }
--- a/crates/gateway/src/backends/pool.rs
+++ b/crates/gateway/src/backends/pool.rs
@@ -18,7 +18,7 @@
             let Some(connection) = self.backends.connections.get(key) else { continue };
             // Invariant: no request is written to a connection that the backend has closed. It would be lost,
             // and the policy would have to take it for one that may have run.
-            if since > oldest && poll::is_quiet(&connection.socket) {
+            if since > oldest && poll::is_idle(&connection.socket) {
                 return Some(key);
             }
             self.backends.connections.remove(key);
--- a/crates/gateway/src/clients/accept.rs
+++ b/crates/gateway/src/clients/accept.rs
@@ -82,7 +82,7 @@
             let Some((key, client)) = candidates.min_by_key(|(_, client)| client.received_at) else {
                 return false;
             };
-            if poll::is_quiet(&client.socket) {
+            if poll::is_idle(&client.socket) {
                 return self.clients.all.remove(key).is_some();
             }
             client.received_at = now;
@@ -121,7 +121,7 @@
             if client.message_begun_at.is_some() && client.output.is_empty() {
                 self.close(key, Closing::AfterOutput);
                 self.respond(key, 408, None, "");
-            } else if !client.output.is_empty() || poll::is_quiet(&client.socket) {
+            } else if !client.output.is_empty() || poll::is_idle(&client.socket) {
                 self.client_disconnected(key);
             }
         }
--- a/crates/gateway/src/clients/receive.rs
+++ b/crates/gateway/src/clients/receive.rs
@@ -132,7 +132,7 @@
         // Invariant: a trace id is open once at a time; a backend would take one request for the other. A
         // client that has disconnected, without our having read that yet, may have sent its request again.
         if let Some(other) = self.requests.open_request(head.trace()).map(|request| request.client) {
-            if self.clients.all.get(other).is_some_and(|client| !poll::has_ended(&client.socket)) {
+            if self.clients.all.get(other).is_some_and(|client| !poll::is_closed_by_peer(&client.socket)) {
                 return self.respond(key, 400, None, "X-Trace-Id: still open elsewhere\n");
             }
             self.client_disconnected(other);
--- a/crates/gateway/src/poll.rs
+++ b/crates/gateway/src/poll.rs
@@ -1,7 +1,8 @@
 //! Readiness of sockets: the shared poller, with a [`Source`] packed into each token.
 
 pub(crate) use kitepass_net::poller::{
-    accept, clear_and_shrink, connect_result, has_ended, is_quiet, listen, read, write, Clock, ReadOutcome,
+    accept, clear_and_shrink, connect_result, is_closed_by_peer, is_idle, listen, read, write, Clock,
+    ReadOutcome,
 };
 use kitepass_net::{poller, Errno};
 use kitepass_time::Duration;
@@ -110,7 +111,7 @@
     pub(crate) fn wait(&mut self, time: Option<Duration>, ready: &mut Vec<ReadyEvent>) -> Result<()> {
         self.poll.wait(time, &mut self.raw)?;
         ready.extend(self.raw.drain(..).filter_map(
-            |poller::ReadyEvent { token, is_readable: read, is_writable: write, has_peer_ended: ended }| {
+            |poller::ReadyEvent { token, is_readable: read, is_writable: write, is_read_closed: ended }| {
                 Some(ReadyEvent { source: Source::unpack(token)?, read, write, ended })
             },
         ));
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -27,7 +27,7 @@
     is_established: bool,
     is_readable: bool,
     /// The peer has ended its sending; unread bytes may precede the end.
-    has_peer_ended: bool,
+    is_read_closed: bool,
 }
 
 impl Connection {
@@ -40,7 +40,7 @@
             written: 0,
             is_established: true,
             is_readable: true,
-            has_peer_ended: false,
+            is_read_closed: false,
         }
     }
 
@@ -82,7 +82,7 @@
     /// Why the connection could not be established.
     pub fn handle_event(&mut self, event: &ReadyEvent) -> Result<()> {
         self.is_readable |= event.is_readable;
-        self.has_peer_ended |= event.has_peer_ended;
+        self.is_read_closed |= event.is_read_closed;
         if !self.is_established && event.is_writable {
             socket::connect_result(&self.socket)?;
             self.is_established = true;
@@ -98,7 +98,7 @@
     /// The system's: the connection is lost.
     pub fn read_available(&mut self, scratch: &mut [u8], max_input_bytes: usize) -> Result<bool> {
         while self.is_readable() && self.input.len() < max_input_bytes {
-            match socket::read(&self.socket, scratch, &mut self.input, self.has_peer_ended)? {
+            match socket::read(&self.socket, scratch, &mut self.input, self.is_read_closed)? {
                 ReadOutcome::Bytes => {}
                 ReadOutcome::WouldBlock => self.is_readable = false,
                 ReadOutcome::EndOfStream => return Ok(true),
@@ -121,7 +121,7 @@
             Err(error) => {
                 // What came before the connection broke is still to be read, and no edge may have told of it yet.
                 self.is_readable = true;
-                self.has_peer_ended = true;
+                self.is_read_closed = true;
                 return Err(error);
             }
         };
@@ -156,9 +156,9 @@
     }
 
     /// Whether the peer has neither sent anything that is not used nor ended its sending.
-    pub fn is_quiet(&self) -> bool {
-        let may_be_quiet = self.is_established && self.input.is_empty() && !self.has_peer_ended;
-        may_be_quiet && socket::is_quiet(&self.socket)
+    pub fn is_idle(&self) -> bool {
+        let may_be_idle = self.is_established && self.input.is_empty() && !self.is_read_closed;
+        may_be_idle && socket::is_idle(&self.socket)
     }
 }
 
--- a/crates/net/src/http/body.rs
+++ b/crates/net/src/http/body.rs
@@ -85,7 +85,7 @@
     ///
     /// Invariant: only a body that the connection's end delimits is completed by it. Otherwise a truncated body would
     /// pass for a complete one.
-    pub fn end_of_input(&mut self) -> Result<(), ParseError> {
+    pub fn finish_at_eof(&mut self) -> Result<(), ParseError> {
         match self.state {
             BodyState::ToTheEnd => {
                 self.state = BodyState::Complete;
--- a/crates/net/src/http/tests/body.rs
+++ b/crates/net/src/http/tests/body.rs
@@ -31,7 +31,7 @@
         }
     }
     if let Some(mut body) = body {
-        body.end_of_input()?;
+        body.finish_at_eof()?;
         assert!(body.is_complete());
     }
     assert!(!heads.has_partial_head(&input), "something is left over");
--- a/crates/net/src/poller.rs
+++ b/crates/net/src/poller.rs
@@ -12,7 +12,7 @@
 pub use crate::buffer::clear_and_shrink;
 pub use crate::clock::Clock;
 pub use crate::socket::{
-    accept, connect_result, has_ended, is_quiet, listen, read, set_user_timeout, write, ReadOutcome,
+    accept, connect_result, is_closed_by_peer, is_idle, listen, read, set_user_timeout, write, ReadOutcome,
 };
 
 /// How many events one wait returns at most; more stay for the next.
@@ -29,7 +29,7 @@
     pub is_writable: bool,
     /// The peer has ended its sending. After whatever is read the end is still to be read, and no further edge will
     /// tell of it.
-    pub has_peer_ended: bool,
+    pub is_read_closed: bool,
 }
 
 /// Watches sockets, edge-triggered. A closed socket is watched no longer. Events of it that were taken before may
@@ -105,6 +105,6 @@
         token: event.data.u64(),
         is_readable: flags.intersects(EventFlags::IN | EventFlags::RDHUP | lost),
         is_writable: flags.intersects(EventFlags::OUT | lost),
-        has_peer_ended: flags.intersects(EventFlags::RDHUP | lost),
+        is_read_closed: flags.intersects(EventFlags::RDHUP | lost),
     }
 }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -84,7 +84,7 @@
 
 /// Reads once, at most as many bytes as `scratch` has, and appends them to `into`.
 ///
-/// `peer_has_ended` says that the poller has told of the end of the peer's sending. Then `Bytes` is returned until
+/// `is_read_closed` says that the poller has told of the end of the peer's sending. Then `Bytes` is returned until
 /// the end itself has been read, because no further edge will tell of it.
 ///
 /// # Errors
@@ -94,7 +94,7 @@
     socket: impl AsFd,
     scratch: &mut [u8],
     into: &mut Vec<u8>,
-    peer_has_ended: bool,
+    is_read_closed: bool,
 ) -> Result<ReadOutcome> {
     loop {
         match net::recv(&socket, &mut *scratch, RecvFlags::empty()) {
@@ -102,7 +102,7 @@
             Ok((length, _)) => {
                 into.extend_from_slice(&scratch[..length]);
                 // A short read has emptied the socket; the next edge tells of more.
-                let is_drained = length < scratch.len() && !peer_has_ended;
+                let is_drained = length < scratch.len() && !is_read_closed;
                 return Ok(if is_drained { ReadOutcome::WouldBlock } else { ReadOutcome::Bytes });
             }
             Err(Errno::AGAIN) => return Ok(ReadOutcome::WouldBlock),
@@ -131,12 +131,12 @@
 }
 
 /// Whether the peer has neither sent anything unread nor ended its sending.
-pub fn is_quiet(socket: impl AsFd) -> bool {
+pub fn is_idle(socket: impl AsFd) -> bool {
     peek(socket) == Err(Errno::AGAIN)
 }
 
 /// Whether the peer has ended its sending, or the connection is lost, with nothing unread before that.
-pub fn has_ended(socket: impl AsFd) -> bool {
+pub fn is_closed_by_peer(socket: impl AsFd) -> bool {
     !matches!(peek(socket), Ok(1) | Err(Errno::AGAIN))
 }
 
--- a/crates/net/tests/error_texts.rs
+++ b/crates/net/tests/error_texts.rs
@@ -78,6 +78,6 @@
     let mut input = b"POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\n".to_vec();
     let head = HeadReader::default().next(MessageKind::Request, &mut input, MAX_HEAD_BYTES).unwrap();
     let (_, framing) = head.expect("the head is complete");
-    let error = Body::new(framing).end_of_input().unwrap_err();
+    let error = Body::new(framing).finish_at_eof().unwrap_err();
     assert_eq!(format!("{error:?}"), r#"Malformed("a body that breaks off")"#);
 }
--- a/crates/net/tests/golden.rs
+++ b/crates/net/tests/golden.rs
@@ -294,7 +294,7 @@
     match body {
         Some((mut reader, decoded)) => {
             let _ = writeln!(outcome, "  body at the end: {}", escaped(&decoded));
-            if let Err(fault) = reader.end_of_input() {
+            if let Err(fault) = reader.finish_at_eof() {
                 describe_fault(fault, &mut outcome);
             }
         }
--- a/crates/soak/src/http_stream.rs
+++ b/crates/soak/src/http_stream.rs
@@ -83,7 +83,7 @@
                 Err(_) => return Err(ReadError::Malformed),
             }
             match self.read_more() {
-                Err(ReadError::Closed) if body_reader.end_of_input().is_ok() => return Ok((head, body)),
+                Err(ReadError::Closed) if body_reader.finish_at_eof().is_ok() => return Ok((head, body)),
                 read => read?,
             }
         }
