--- a/crates/gateway/src/backends/attempt.rs
+++ b/crates/gateway/src/backends/attempt.rs
@@ -16,9 +16,10 @@
 impl Runtime {
     /// Begins an attempt of a queued request on a backend, to be answered within `timeout` and before the
     /// request's deadline. Where nothing can be sent, the attempt ends at once.
-    pub(crate) fn begin_attempt(&mut self, request: RequestKey, backend: &str, timeout: Duration) {
+    pub(crate) fn start_attempt(&mut self, request: RequestKey, backend: &str, timeout: Duration) {
         let now = self.now();
-        let Some(queued) = self.requests.get_mut(request).filter(|r| r.state() == State::Queued) else {
+        let Some(queued) = self.requests.get_mut(request).filter(|request| request.state() == State::Queued)
+        else {
             return;
         };
         queued.attempts += 1;
@@ -50,10 +51,10 @@
         connection.attempt = Some(Attempt {
             request,
             timer,
-            sent: now,
+            started_at: now,
             deadline,
             is_head_request: head.is_head(),
-            has_response_begun: false,
+            has_response_started: false,
         });
         if is_connected {
             self.write_backend(key);
@@ -96,7 +97,7 @@
     }
 
     /// Ends an attempt whose complete answer has come, and keeps its connection if it can be used again.
-    pub(super) fn finish_attempt(&mut self, key: ConnectionKey, answer: Message, ended: bool) {
+    pub(super) fn finish_attempt(&mut self, key: ConnectionKey, response: Message, ended: bool) {
         let now = self.now();
         let Some(connection) = self.backends.connections.get_mut(key) else { return };
         let Some(attempt) = connection.attempt.take() else { return };
@@ -114,18 +115,18 @@
                 if record.is_live
                     && is_request_written
                     && !ended
-                    && answer.is_persistent()
+                    && response.is_persistent()
                     && connection.input.is_empty() =>
             {
-                record.idle.push_back(IdleConnection { since: now, key });
+                record.idle.push_back(IdleConnection { idle_since: now, key });
             }
             _ => drop(self.backends.connections.remove(key)),
         }
-        let outcome = response_outcome(&answer);
+        let outcome = response_outcome(&response);
         let units =
-            answer.field("x-true-cost").and_then(|units| std::str::from_utf8(units).ok()?.parse().ok());
+            response.field("x-true-cost").and_then(|units| std::str::from_utf8(units).ok()?.parse().ok());
         let actual_units = units.filter(|units: &f64| *units > 0.0 && *units < 1e6);
-        let elapsed = now - attempt.sent;
+        let elapsed = now - attempt.started_at;
         let ended = AttemptEnded {
             request: attempt.request,
             backend,
@@ -134,20 +135,20 @@
             elapsed,
             actual_units,
         };
-        self.end_attempt(ended, Some(&answer));
+        self.end_attempt(ended, Some(&response));
     }
 
     /// Ends an attempt whose time is up: that of its connection, of its begun answer, or of the whole
     /// attempt.
     pub(crate) fn attempt_timed_out(&mut self, key: ConnectionKey) {
-        let has_response_begun = self
+        let has_response_started = self
             .backends
             .connections
             .get(key)
             .and_then(|connection| connection.attempt.as_ref())
-            .is_some_and(|attempt| attempt.has_response_begun);
+            .is_some_and(|attempt| attempt.has_response_started);
         let stalled = FailureCause::ParseError(ParseError::Malformed("an answer that does not go on"));
-        self.fail_connection(key, if has_response_begun { stalled } else { FailureCause::TimedOut });
+        self.fail_connection(key, if has_response_started { stalled } else { FailureCause::TimedOut });
     }
 
     /// Closes a connection and ends the attempt that it carries.
@@ -163,11 +164,11 @@
         // proves that nothing ran: so the idle connections go.
         let last_heard =
             self.backends.records.get(&connection.backend).map_or(now, |record| record.last_heard);
-        if cause == FailureCause::TimedOut && last_heard < attempt.sent {
+        if cause == FailureCause::TimedOut && last_heard < attempt.started_at {
             self.close_idle_connections(&connection.backend);
         }
         debug!("{}: {failure:?}", connection.backend);
-        let (request, backend, elapsed) = (attempt.request, connection.backend, now - attempt.sent);
+        let (request, backend, elapsed) = (attempt.request, connection.backend, now - attempt.started_at);
         let ended = AttemptEnded {
             request,
             backend,
@@ -180,12 +181,14 @@
     }
 
     /// Moves the request on from an attempt that has ended, and reports the end to the policy.
-    fn end_attempt(&mut self, mut ended: AttemptEnded, answer: Option<&Message>) {
+    fn end_attempt(&mut self, mut ended: AttemptEnded, response: Option<&Message>) {
         let Some(request) = self.requests.get_mut(ended.request) else { return };
         request.last_outcome = Some(ended.outcome);
         let is_abandoned = request.state() == State::Abandoned;
-        if let Some(answer) = answer.filter(|_| ended.outcome == AttemptOutcome::Completed && !is_abandoned) {
-            self.complete(ended.request, answer);
+        if let Some(response) =
+            response.filter(|_| ended.outcome == AttemptOutcome::Completed && !is_abandoned)
+        {
+            self.forward_response(ended.request, response);
             ended.is_final = true;
         }
         ended.is_final |= is_abandoned;
--- a/crates/gateway/src/backends/connection.rs
+++ b/crates/gateway/src/backends/connection.rs
@@ -34,7 +34,8 @@
             attempt.timer = self.timers.schedule(deadline, Timer::Attempt(key));
             // While the connection was being made, the backend may have begun to drain, or the client have
             // left.
-            let is_awaited = self.requests.get(attempt.request).is_some_and(|c| c.state() == State::InFlight);
+            let is_awaited =
+                self.requests.get(attempt.request).is_some_and(|request| request.state() == State::InFlight);
             let is_live = self.backends.records.get(&connection.backend).is_some_and(|record| record.is_live);
             if !is_live || !is_awaited {
                 self.fail_connection(key, FailureCause::NotSendable);
@@ -72,7 +73,7 @@
             if !connection.is_connected {
                 return;
             }
-            let outcome = poll::read(&connection.socket, &mut self.scratch, &mut connection.input, ended);
+            let outcome = poll::read(&connection.socket, &mut self.read_buffer, &mut connection.input, ended);
             let Some(attempt) = &mut connection.attempt else {
                 // An idle connection that the backend closes, or on which it sends bytes unasked, cannot be
                 // reused.
@@ -84,14 +85,14 @@
             let kind = MessageKind::Response { to_head: attempt.is_head_request };
             let ended = matches!(outcome, Ok(ReadOutcome::EndOfStream));
             match connection.reader.next(kind, &mut connection.input, ended) {
-                Ok(Some(answer)) => return self.finish_attempt(key, answer, ended),
+                Ok(Some(response)) => return self.finish_attempt(key, response, ended),
                 Ok(None)
                     if connection.reader.has_partial_message(&connection.input)
-                        && !attempt.has_response_begun =>
+                        && !attempt.has_response_started =>
                 {
                     // An answer whose Content-Length is too large would be waited for until the deadline: one
                     // that has begun gets no longer than a connection does to come up.
-                    attempt.has_response_begun = true;
+                    attempt.has_response_started = true;
                     let due = attempt.deadline.min(now + self.connection_settings.connect_timeout);
                     self.timers.cancel(attempt.timer);
                     attempt.timer = self.timers.schedule(due, Timer::Attempt(key));
--- a/crates/gateway/src/backends/failure.rs
+++ b/crates/gateway/src/backends/failure.rs
@@ -33,7 +33,7 @@
     NotSendable,
 }
 
-/// An attempt that ended without a complete answer.
+/// An attempt that ended without a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Failure {
     pub(super) progress: Progress,
@@ -57,10 +57,10 @@
 
 /// What a complete response means for the policy. A backend that did not run the request says so with status
 /// 503 or 504 and `X-Never-Ran: 1`.
-pub(super) fn response_outcome(answer: &Message) -> AttemptOutcome {
-    match answer.status() {
+pub(super) fn response_outcome(response: &Message) -> AttemptOutcome {
+    match response.status() {
         200 => AttemptOutcome::Completed,
-        503 | 504 if answer.field("x-never-ran") == Some(b"1") => AttemptOutcome::Rejected,
+        503 | 504 if response.field("x-never-ran") == Some(b"1") => AttemptOutcome::Rejected,
         _ => AttemptOutcome::Failed,
     }
 }
--- a/crates/gateway/src/backends/mod.rs
+++ b/crates/gateway/src/backends/mod.rs
@@ -40,7 +40,7 @@
 /// A connection that is kept for a later attempt.
 struct IdleConnection {
     /// When it completed its last attempt.
-    since: Timestamp,
+    idle_since: Timestamp,
     key: ConnectionKey,
 }
 
@@ -66,12 +66,12 @@
     /// Fires when the connection, the begun answer or the whole attempt takes too long.
     timer: TimerKey,
     /// When it was begun.
-    sent: Timestamp,
+    started_at: Timestamp,
     deadline: Timestamp,
     /// Whether the request's method is HEAD, whose answer has no body.
     is_head_request: bool,
     /// Whether the first bytes of its answer have come.
-    has_response_begun: bool,
+    has_response_started: bool,
 }
 
 /// All backends that discovery lists, and the connections to them.
@@ -90,33 +90,33 @@
     }
 
     /// Whether any backend takes attempts.
-    pub(crate) fn any_listed(&self) -> bool {
+    pub(crate) fn has_live_backend(&self) -> bool {
         self.records.values().any(|record| record.is_live)
     }
 }
 
 impl Runtime {
     /// Takes over what discovery says of a backend; `address` is `None` where it cannot be read.
-    pub(crate) fn list_backend(&mut self, id: &str, address: Option<SocketAddr>, status: BackendStatus) {
+    pub(crate) fn update_backend(&mut self, id: &str, address: Option<SocketAddr>, status: BackendStatus) {
         if status == BackendStatus::Removed {
             self.close_idle_connections(id);
             self.backends.records.remove(id);
             return;
         }
         let record = self.backends.records.entry(id.into()).or_default();
-        let has_moved = address.is_some() && record.address != address;
+        let address_changed = address.is_some() && record.address != address;
         record.address = address.or(record.address);
         record.is_live = status == BackendStatus::Live;
-        if has_moved || !record.is_live {
+        if address_changed || !record.is_live {
             self.close_idle_connections(id);
         }
     }
 
     /// Removes all backends for which `listed` is false: those that a complete list leaves out.
-    pub(crate) fn retain_backends(&mut self, listed: impl Fn(&str) -> bool) {
-        let removed: Vec<_> = self.backends.records.keys().filter(|id| !listed(id)).cloned().collect();
+    pub(crate) fn retain_backends(&mut self, is_listed: impl Fn(&str) -> bool) {
+        let removed: Vec<_> = self.backends.records.keys().filter(|id| !is_listed(id)).cloned().collect();
         for id in removed {
-            self.list_backend(&id, None, BackendStatus::Removed);
+            self.update_backend(&id, None, BackendStatus::Removed);
         }
     }
 
--- a/crates/gateway/src/backends/pool.rs
+++ b/crates/gateway/src/backends/pool.rs
@@ -12,13 +12,13 @@
 impl Runtime {
     /// Takes the connection that was idle for the shortest time, if the backend has not closed it.
     pub(super) fn reuse_connection(&mut self, backend: &str, now: Timestamp) -> Option<ConnectionKey> {
-        let oldest = now - self.idle_timeout();
+        let earliest_allowed = now - self.idle_timeout();
         let record = self.backends.records.get_mut(backend)?;
-        while let Some(IdleConnection { since, key }) = record.idle.pop_back() {
+        while let Some(IdleConnection { idle_since, key }) = record.idle.pop_back() {
             let Some(connection) = self.backends.connections.get(key) else { continue };
             // Invariant: no request is written to a connection that the backend has closed. It would be lost,
             // and the policy would have to take it for one that may have run.
-            if since > oldest && poll::is_idle(&connection.socket) {
+            if idle_since > earliest_allowed && poll::is_idle(&connection.socket) {
                 return Some(key);
             }
             self.backends.connections.remove(key);
@@ -42,14 +42,14 @@
         address: &SocketAddr,
     ) -> rustix::io::Result<ConnectionKey> {
         if self.backends.connections.len() >= self.backends.max_connections {
-            self.close_longest_idle();
+            self.evict_longest_idle();
         }
         if self.backends.connections.len() >= self.backends.max_connections {
             return Err(Errno::MFILE);
         }
         let connect = |key| {
             Ok(BackendConnection {
-                socket: self.poll.connect(address, Source::BackendConnection(key))?,
+                socket: self.poller.connect(address, Source::BackendConnection(key))?,
                 backend: backend.clone(),
                 is_connected: false,
                 attempt: None,
@@ -63,10 +63,10 @@
     }
 
     /// Closes the connections that have been idle longest until there is room for another.
-    fn close_longest_idle(&mut self) {
+    fn evict_longest_idle(&mut self) {
         while self.backends.connections.len() >= self.backends.max_connections {
             let idle = self.backends.records.values_mut().filter(|record| !record.idle.is_empty());
-            let Some(record) = idle.min_by_key(|record| record.idle[0].since) else { return };
+            let Some(record) = idle.min_by_key(|record| record.idle[0].idle_since) else { return };
             if let Some(IdleConnection { key, .. }) = record.idle.pop_front() {
                 self.backends.connections.remove(key);
             }
@@ -76,14 +76,14 @@
     /// Closes connections that have been idle for too long, and sets the timer that does so again.
     pub(crate) fn drop_idle_connections(&mut self) {
         let now = self.now();
-        let oldest = now - self.idle_timeout();
+        let earliest_allowed = now - self.idle_timeout();
         for record in self.backends.records.values_mut() {
-            while record.idle.front().is_some_and(|idle| idle.since <= oldest) {
+            while record.idle.front().is_some_and(|idle| idle.idle_since <= earliest_allowed) {
                 if let Some(IdleConnection { key, .. }) = record.idle.pop_front() {
                     self.backends.connections.remove(key);
                 }
             }
         }
-        self.wake_at(now + self.connection_settings.idle_timeout / 16, Timer::DropIdleConnections);
+        self.schedule_timer(now + self.connection_settings.idle_timeout / 16, Timer::DropIdleConnections);
     }
 }
--- a/crates/gateway/src/backends/tests.rs
+++ b/crates/gateway/src/backends/tests.rs
@@ -41,8 +41,8 @@
         ("204 None", AttemptOutcome::Failed),
     ] {
         let mut input = format!("HTTP/1.1 {text}\r\nContent-Length: 0\r\n\r\n").into_bytes();
-        let answer =
+        let response =
             MessageReader::default().next(MessageKind::Response { to_head: false }, &mut input, false);
-        assert_eq!(response_outcome(&answer.unwrap().unwrap()), outcome, "{text}");
+        assert_eq!(response_outcome(&response.unwrap().unwrap()), outcome, "{text}");
     }
 }
--- a/crates/gateway/src/clients/accept.rs
+++ b/crates/gateway/src/clients/accept.rs
@@ -1,6 +1,6 @@
 //! Accepting clients, and closing connections that are idle or overdue.
 
-use super::{Client, Closing};
+use super::{Client, CloseState};
 use crate::http::MessageReader;
 use crate::poll::{self, ClientKey, ReadyEvent, Source};
 use crate::runtime::{Runtime, Timer};
@@ -25,7 +25,7 @@
                 Ok(Some(socket)) => {
                     let key = self.add_client(socket);
                     if self.clients.all.len() > self.clients.max_accepted {
-                        self.close_an_idle_client(key);
+                        self.evict_idle_client(key);
                     }
                 }
                 Ok(None) => {
@@ -35,8 +35,8 @@
                 Err(error) => {
                     // Without a pause the loop would spin for as long as no descriptor is free.
                     warn!("cannot let a client in: {error}");
-                    self.close_an_idle_client(ClientKey::default());
-                    return self.wake_at(self.now() + ACCEPT_RETRY_INTERVAL, Timer::AcceptClients);
+                    self.evict_idle_client(ClientKey::default());
+                    return self.schedule_timer(self.now() + ACCEPT_RETRY_INTERVAL, Timer::AcceptClients);
                 }
             }
         }
@@ -49,43 +49,43 @@
             socket,
             input: Vec::new(),
             reader: MessageReader::default(),
-            received_at: now,
-            since: now,
-            message_begun_at: None,
-            has_been_answered: false,
+            input_received_at: now,
+            last_response_at: now,
+            message_started_at: None,
+            has_responded: false,
             lingered_bytes: 0,
             has_unread_input: false,
             request: None,
             output: Vec::new(),
             written: 0,
-            closing: Closing::No,
+            close_state: CloseState::Open,
             continue_sent: false,
         });
-        if let Err(error) = self.poll.add(&self.clients.all[key].socket, Source::Client(key)) {
+        if let Err(error) = self.poller.add(&self.clients.all[key].socket, Source::Client(key)) {
             warn!("a client cannot be watched: {error}");
             self.clients.all.remove(key);
         }
         key
     }
 
-    /// Closes an idle or overdue connection to make room for `newcomer`; false if there is none. Called only
+    /// Closes an idle or overdue connection to make room for `new_client`; false if there is none. Called only
     /// when all places are taken, so that the search is bounded.
-    pub(super) fn close_an_idle_client(&mut self, newcomer: ClientKey) -> bool {
+    pub(super) fn evict_idle_client(&mut self, new_client: ClientKey) -> bool {
         let now = self.now();
         // The one that has been idle longest goes, and never the one just accepted: its request is on its
         // way. Invariant: a connection whose socket holds an unread request is not closed; the request would
         // be lost.
         for _ in 0..4 {
-            let can_be_closed = |client: &Client| client.is_idle() || client.is_overdue(now);
+            let is_evictable = |client: &Client| client.is_idle() || client.is_overdue(now);
             let candidates =
-                self.clients.all.iter_mut().filter(|(key, c)| *key != newcomer && can_be_closed(c));
-            let Some((key, client)) = candidates.min_by_key(|(_, client)| client.received_at) else {
+                self.clients.all.iter_mut().filter(|(key, c)| *key != new_client && is_evictable(c));
+            let Some((key, client)) = candidates.min_by_key(|(_, client)| client.input_received_at) else {
                 return false;
             };
             if poll::is_idle(&client.socket) {
                 return self.clients.all.remove(key).is_some();
             }
-            client.received_at = now;
+            client.input_received_at = now;
         }
         false
     }
@@ -105,7 +105,7 @@
                 key,
             );
             if self.clients.all.get(key).is_some_and(Client::is_idle) {
-                self.close(key, Closing::Lingering);
+                self.close(key, CloseState::Lingering);
             }
         }
     }
@@ -113,13 +113,13 @@
     /// Closes connections that have exceeded their time-outs, and sets the timer that does so again.
     pub(crate) fn sweep_clients(&mut self) {
         let now = self.now();
-        self.wake_at(now + SWEEP_INTERVAL, Timer::SweepClients);
+        self.schedule_timer(now + SWEEP_INTERVAL, Timer::SweepClients);
         let overdue: Vec<_> =
             self.clients.all.iter().filter(|(_, c)| c.is_overdue(now)).map(|(key, _)| key).collect();
         for key in overdue {
             let Some(client) = self.clients.all.get(key) else { continue };
-            if client.message_begun_at.is_some() && client.output.is_empty() {
-                self.close(key, Closing::AfterOutput);
+            if client.message_started_at.is_some() && client.output.is_empty() {
+                self.close(key, CloseState::AfterOutput);
                 self.respond(key, 408, None, "");
             } else if !client.output.is_empty() || poll::is_idle(&client.socket) {
                 self.client_disconnected(key);
--- a/crates/gateway/src/clients/mod.rs
+++ b/crates/gateway/src/clients/mod.rs
@@ -16,7 +16,7 @@
 
 /// How long a connection's first message may take from its acceptance, a later one from its first byte, and
 /// an answer until the client has taken it: a client that is slower, or silent, loses its connection.
-const MESSAGE_TIMEOUT: Duration = Duration::from_micros(2_500_000);
+const TRANSFER_TIMEOUT: Duration = Duration::from_micros(2_500_000);
 /// How long a connection without any request is kept: some clients send one request, or none, and never
 /// disconnect.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -28,14 +28,14 @@
     input: Vec<u8>,
     reader: MessageReader,
     /// When the bytes in the input arrived.
-    received_at: Timestamp,
+    input_received_at: Timestamp,
     /// When it was accepted or, later, had its last answer.
-    since: Timestamp,
+    last_response_at: Timestamp,
     /// When the message that is not complete yet began.
-    message_begun_at: Option<Timestamp>,
+    message_started_at: Option<Timestamp>,
     /// Whether it has had an answer.
-    has_been_answered: bool,
-    /// How many bytes were read since its last answer was written.
+    has_responded: bool,
+    /// How many bytes were read since its last response was written.
     lingered_bytes: usize,
     /// Whether the socket may hold more bytes than the input has room for.
     has_unread_input: bool,
@@ -44,16 +44,16 @@
     /// The answer, of which the first `written` bytes have gone to the socket.
     output: Vec<u8>,
     written: usize,
-    closing: Closing,
+    close_state: CloseState,
     /// Whether the request that is being read has had its interim response.
     continue_sent: bool,
 }
 
 /// How far the closing of a connection has come. Only `Runtime::close` changes it, and only forwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Closing {
+enum CloseState {
     /// The connection stays open.
-    No,
+    Open,
     /// It closes once its output is written.
     AfterOutput,
     /// Nothing more is written, and what is read is dropped.
@@ -94,27 +94,27 @@
 
 impl Client {
     /// Whether no request is in progress and nothing is left to write.
-    fn is_quiet(&self) -> bool {
-        self.request.is_none() && self.output.is_empty() && self.closing == Closing::No
+    fn is_between_requests(&self) -> bool {
+        self.request.is_none() && self.output.is_empty() && self.close_state == CloseState::Open
     }
 
     /// Whether nothing is in progress, not even a message that is being read.
     fn is_idle(&self) -> bool {
-        self.is_quiet() && !self.reader.has_partial_message(&self.input)
+        self.is_between_requests() && !self.reader.has_partial_message(&self.input)
     }
 
     /// Whether it has exceeded a time-out: for its message, for taking an answer, or for a next request.
     fn is_overdue(&self, now: Timestamp) -> bool {
-        if self.request.is_some() || self.closing == Closing::Lingering {
+        if self.request.is_some() || self.close_state == CloseState::Lingering {
             return false;
         }
-        let (since, time) = match self.message_begun_at {
-            _ if !self.output.is_empty() => (self.since, MESSAGE_TIMEOUT),
-            Some(message_begun_at) => {
-                (if self.has_been_answered { message_begun_at } else { self.since }, MESSAGE_TIMEOUT)
+        let (since, timeout) = match self.message_started_at {
+            _ if !self.output.is_empty() => (self.last_response_at, TRANSFER_TIMEOUT),
+            Some(started_at) => {
+                (if self.has_responded { started_at } else { self.last_response_at }, TRANSFER_TIMEOUT)
             }
-            None => (self.since, IDLE_TIMEOUT),
+            None => (self.last_response_at, IDLE_TIMEOUT),
         };
-        now - since > time
+        now - since > timeout
     }
 }
--- a/crates/gateway/src/clients/receive.rs
+++ b/crates/gateway/src/clients/receive.rs
@@ -1,6 +1,6 @@
 //! Reading clients' requests.
 
-use super::Closing;
+use super::CloseState;
 use crate::http::{Message, MessageKind, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use crate::poll::{self, ClientKey, ReadOutcome, ReadyEvent};
 use crate::request::Request;
@@ -24,7 +24,7 @@
         if ready.write {
             self.write_client(key);
         }
-        self.next_request(key);
+        self.process_next_request(key);
     }
 
     /// Reads what a client has sent; false if it has disconnected.
@@ -32,10 +32,10 @@
         let now = self.now();
         let Some(client) = self.clients.all.get_mut(key) else { return true };
         if client.request.is_none() || client.input.is_empty() {
-            client.received_at = now;
+            client.input_received_at = now;
         }
         loop {
-            if client.closing == Closing::Lingering {
+            if client.close_state == CloseState::Lingering {
                 client.lingered_bytes += std::mem::take(&mut client.input).len();
                 if client.lingered_bytes > MAX_LINGER_BYTES {
                     return true; // left unread until the linger time-out
@@ -45,7 +45,7 @@
             if client.has_unread_input {
                 return true; // read once there is room, so that no client fills the memory
             }
-            match poll::read(&client.socket, &mut self.scratch, &mut client.input, ended) {
+            match poll::read(&client.socket, &mut self.read_buffer, &mut client.input, ended) {
                 Ok(ReadOutcome::Bytes) => {}
                 Ok(ReadOutcome::WouldBlock) => return true,
                 Ok(ReadOutcome::EndOfStream) => return false,
@@ -69,11 +69,12 @@
     }
 
     /// Takes the next request off a client's input if it is complete and no other is in progress.
-    pub(crate) fn next_request(&mut self, key: ClientKey) {
+    pub(crate) fn process_next_request(&mut self, key: ClientKey) {
         let now = self.now();
         loop {
             let Some(client) = self.clients.all.get_mut(key) else { return };
-            if client.request.is_some() || client.closing != Closing::No || !client.output.is_empty() {
+            if client.request.is_some() || client.close_state != CloseState::Open || !client.output.is_empty()
+            {
                 return;
             }
             let message = match client.reader.next(MessageKind::Request, &mut client.input, false) {
@@ -86,7 +87,7 @@
                 }
                 Ok(None) => {
                     if client.reader.has_partial_message(&client.input) {
-                        client.message_begun_at.get_or_insert(now);
+                        client.message_started_at.get_or_insert(now);
                     }
                     if !client.continue_sent && client.reader.expects_continue(&client.input) {
                         client.continue_sent = true;
@@ -97,15 +98,15 @@
                 }
                 Err(error) => {
                     debug!("a client's message: {error:?}");
-                    self.close(key, Closing::AfterOutput); // where its next message would begin is unknown
+                    self.close(key, CloseState::AfterOutput); // where its next message would begin is unknown
                     self.respond(key, error.status(), None, &format!("{error:?}\n"));
                     return;
                 }
             };
             client.continue_sent = false;
-            client.message_begun_at = None;
+            client.message_started_at = None;
             if !message.is_persistent() || self.phase == Phase::Closing {
-                self.close(key, Closing::AfterOutput);
+                self.close(key, CloseState::AfterOutput);
             }
             self.handle_message(key, message);
         }
@@ -131,20 +132,20 @@
         };
         // Invariant: a trace id is open once at a time; a backend would take one request for the other. A
         // client that has disconnected, without our having read that yet, may have sent its request again.
-        if let Some(other) = self.requests.open_request(head.trace()).map(|request| request.client) {
+        if let Some(other) = self.requests.open_request(head.trace_id()).map(|request| request.client) {
             if self.clients.all.get(other).is_some_and(|client| !poll::is_closed_by_peer(&client.socket)) {
                 return self.respond(key, 400, None, "X-Trace-Id: still open elsewhere\n");
             }
             self.client_disconnected(other);
         }
-        let is_full = self.clients.all.len() > self.clients.max_served && !self.close_an_idle_client(key);
+        let is_full = self.clients.all.len() > self.clients.max_served && !self.evict_idle_client(key);
         let Some(client) = self.clients.all.get_mut(key) else { return };
         if is_full {
-            self.close(key, Closing::AfterOutput);
+            self.close(key, CloseState::AfterOutput);
             return self.respond(key, 503, None, "too many connections\n");
         }
         // Invariant: the answer must reach the client before its time is up, however late a timer fires.
-        let deadline = client.received_at + head.expires - self.connection_settings.deadline_grace;
+        let deadline = client.input_received_at + head.timeout - self.connection_settings.deadline_grace;
         let request = self.requests.insert(Request::new(key, head, deadline));
         client.request = Some(request);
         self.events.push_back(Event::RequestArrived(request));
--- a/crates/gateway/src/clients/response.rs
+++ b/crates/gateway/src/clients/response.rs
@@ -1,6 +1,6 @@
 //! Writing answers to clients, and closing connections behind them.
 
-use super::Closing;
+use super::CloseState;
 use crate::http::Message;
 use crate::poll::{self, clear_and_shrink, ClientKey};
 use crate::request::{RequestKey, State};
@@ -17,20 +17,26 @@
 
 impl Runtime {
     /// Forwards a backend's successful answer to the client.
-    pub(crate) fn complete(&mut self, key: RequestKey, answer: &Message) {
-        let Some((client, to_head)) = self.requests.get(key).map(|c| (c.client, c.head.is_head())) else {
+    pub(crate) fn forward_response(&mut self, key: RequestKey, response: &Message) {
+        let Some((client, is_head_request)) = self.requests.get(key).map(|c| (c.client, c.head.is_head()))
+        else {
             return;
         };
-        self.answer(
+        self.write_response(
             client,
             200,
-            |head| answer.append_forwarded_fields(&[], head),
-            if to_head { b"" } else { answer.body() },
+            |head| response.append_forwarded_fields(&[], head),
+            if is_head_request { b"" } else { response.body() },
         );
     }
 
     /// Answers a request that the policy has rejected or given up; `retry_in` becomes `Retry-After`.
-    pub(crate) fn answer_failure(&mut self, key: RequestKey, is_rejected: bool, retry_in: Option<Duration>) {
+    pub(crate) fn respond_with_failure(
+        &mut self,
+        key: RequestKey,
+        is_rejected: bool,
+        retry_in: Option<Duration>,
+    ) {
         let Some(request) = self.requests.get(key) else { return };
         let status = match (is_rejected, request.attempts, request.last_outcome) {
             (true, 0, _) => 429,
@@ -54,22 +60,28 @@
                 head.extend_from_slice(b"Content-Type: text/plain\r\n");
             }
         };
-        self.answer(key, status, write_fields, text.as_bytes());
+        self.write_response(key, status, write_fields, text.as_bytes());
     }
 
     /// Writes an answer; `write_fields` adds its header fields.
-    fn answer(&mut self, key: ClientKey, status: u16, write_fields: impl FnOnce(&mut Vec<u8>), body: &[u8]) {
+    fn write_response(
+        &mut self,
+        key: ClientKey,
+        status: u16,
+        write_fields: impl FnOnce(&mut Vec<u8>),
+        body: &[u8],
+    ) {
         if self.phase == Phase::Closing {
-            self.close(key, Closing::AfterOutput);
+            self.close(key, CloseState::AfterOutput);
         }
         let now = self.now();
         let Some(client) = self.clients.all.get_mut(key) else { return };
-        (client.since, client.has_been_answered) = (now, true);
+        (client.last_response_at, client.has_responded) = (now, true);
         let output = &mut client.output;
         // Writing to memory cannot fail.
         let _ = write!(output, "HTTP/1.1 {status} {}\r\n", reason_phrase(status));
         write_fields(output);
-        if client.closing != Closing::No {
+        if client.close_state != CloseState::Open {
             output.extend_from_slice(b"Connection: close\r\n");
         }
         let _ = write!(output, "Content-Length: {}\r\n\r\n", body.len());
@@ -91,8 +103,8 @@
             Ok(true) => {
                 clear_and_shrink(&mut client.output);
                 client.written = 0;
-                if client.closing == Closing::AfterOutput {
-                    self.close(key, Closing::Lingering);
+                if client.close_state == CloseState::AfterOutput {
+                    self.close(key, CloseState::Lingering);
                 }
             }
             Err(error) => {
@@ -103,13 +115,13 @@
     }
 
     /// Moves the closing of a connection on to `to`.
-    pub(super) fn close(&mut self, key: ClientKey, to: Closing) {
+    pub(super) fn close(&mut self, key: ClientKey, to: CloseState) {
         let until = self.now() + LINGER_TIMEOUT;
-        let Some(client) = self.clients.all.get_mut(key).filter(|client| client.closing < to) else { return };
-        client.closing = to;
-        if to == Closing::Lingering {
+        let Some(client) = self.clients.all.get_mut(key).filter(|c| c.close_state < to) else { return };
+        client.close_state = to;
+        if to == CloseState::Lingering {
             let _ = rustix::net::shutdown(&client.socket, Shutdown::Write);
-            self.wake_at(until, Timer::Linger(key));
+            self.schedule_timer(until, Timer::Linger(key));
         }
     }
 }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub(crate) enum ControlMessage {
     /// Drain and stop.
-    End,
+    Shutdown,
     /// Reach discovery and the counter at these addresses.
     UpdateAddresses(Addresses),
     /// Read the configuration again, if it came from a file.
@@ -30,8 +30,8 @@
 impl Control {
     /// Shuts the gateway down gracefully, as SIGTERM does: it serves on for a moment, answers the requests
     /// that it has accepted, and ends.
-    pub fn end(&self) {
-        self.send(ControlMessage::End);
+    pub fn shut_down(&self) {
+        self.send(ControlMessage::Shutdown);
     }
 
     /// Changes the addresses of discovery and the counter, as SIGHUP does from the configuration file.
@@ -53,9 +53,9 @@
     messages: Receiver<ControlMessage>,
     control: Control,
     /// Set by SIGTERM and SIGINT. A signal handler may do no more than set such a flag and wake the loop.
-    end: Arc<AtomicBool>,
+    shutdown_requested: Arc<AtomicBool>,
     /// Set by SIGHUP.
-    reload: Arc<AtomicBool>,
+    reload_requested: Arc<AtomicBool>,
 }
 
 impl ControlReceiver {
@@ -69,7 +69,13 @@
         waker.set_nonblocking(true)?;
         let (sender, messages) = channel();
         let control = Control { messages: sender, waker: Arc::new(waker) };
-        Ok(ControlReceiver { socket, messages, control, end: Arc::default(), reload: Arc::default() })
+        Ok(ControlReceiver {
+            socket,
+            messages,
+            control,
+            shutdown_requested: Arc::default(),
+            reload_requested: Arc::default(),
+        })
     }
 
     /// Registers handlers for SIGTERM, SIGINT and SIGHUP.
@@ -77,7 +83,11 @@
     /// # Errors
     /// What the system says where a handler cannot be registered.
     pub(crate) fn register_signals(&self) -> io::Result<()> {
-        for (signal, flag) in [(SIGTERM, &self.end), (SIGINT, &self.end), (SIGHUP, &self.reload)] {
+        for (signal, flag) in [
+            (SIGTERM, &self.shutdown_requested),
+            (SIGINT, &self.shutdown_requested),
+            (SIGHUP, &self.reload_requested),
+        ] {
             // Invariant: the flag is registered before the waker, so that the loop finds it set when it
             // wakes.
             signal_hook::flag::register(signal, flag.clone())?;
@@ -97,11 +107,14 @@
     }
 
     /// All messages that have come, those of signals last.
-    pub(crate) fn take_messages(&self, scratch: &mut [u8]) -> Vec<ControlMessage> {
-        while poll::read(&self.socket, scratch, &mut Vec::new(), true) == Ok(poll::ReadOutcome::Bytes) {}
+    pub(crate) fn take_messages(&self, read_buffer: &mut [u8]) -> Vec<ControlMessage> {
+        while poll::read(&self.socket, read_buffer, &mut Vec::new(), true) == Ok(poll::ReadOutcome::Bytes) {}
         let mut messages: Vec<_> = self.messages.try_iter().collect();
-        messages.extend(self.reload.swap(false, Ordering::Relaxed).then_some(ControlMessage::Reload));
-        messages.extend(self.end.swap(false, Ordering::Relaxed).then_some(ControlMessage::End));
+        messages
+            .extend(self.reload_requested.swap(false, Ordering::Relaxed).then_some(ControlMessage::Reload));
+        messages.extend(
+            self.shutdown_requested.swap(false, Ordering::Relaxed).then_some(ControlMessage::Shutdown),
+        );
         messages
     }
 }
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -20,17 +20,17 @@
 /// An addition to one of the counter's numbers.
 struct Call {
     /// When it is reported as unanswered.
-    due: Timestamp,
+    deadline: Timestamp,
     /// The number's name.
     name: String,
     /// The query of its target: the amount, and how long the number is kept.
-    target_suffix: String,
+    query: String,
 }
 
 /// A connection to the counter.
 struct Connection {
     /// Tells its events from those of other connections.
-    number: u32,
+    id: u32,
     socket: OwnedFd,
     is_connected: bool,
     /// Whether no more calls are written to it, as its address was replaced or it no longer answers. It stays
@@ -39,9 +39,9 @@
     /// Until when a closing connection stays open for late answers.
     drain_deadline: Timestamp,
     /// When it was opened.
-    begun: Timestamp,
+    opened_at: Timestamp,
     /// When an answer last came, or a call was last written while none was unanswered.
-    active_at: Timestamp,
+    last_active_at: Timestamp,
     reader: MessageReader,
     /// Bytes that have been read and not parsed yet.
     input: Vec<u8>,
@@ -51,7 +51,7 @@
     /// The unanswered calls in its output, in the order of their answers.
     calls: VecDeque<Call>,
     /// How many of these, from the front, the policy has been told are unanswered.
-    reported_late: usize,
+    reported_unknown: usize,
 }
 
 /// The calls to the shared counter and the connections to it.
@@ -65,8 +65,8 @@
     /// The timer of the earliest time-out, while there is one.
     timer: Option<(Timestamp, TimerKey)>,
     /// The number of the newest connection.
-    last_number: u32,
-    /// When the newest connection was begun, until it is made.
+    last_connection_id: u32,
+    /// When the newest connection was opened, until it is established.
     connecting_since: Option<Timestamp>,
 }
 
@@ -78,21 +78,21 @@
             connections: Vec::new(),
             unsent: VecDeque::new(),
             timer: None,
-            last_number: 0,
+            last_connection_id: 0,
             connecting_since: None,
         }
     }
 
     /// When the next call times out or the next closing connection is dropped.
-    fn due(&self) -> Option<Timestamp> {
-        let awaited =
-            self.connections.iter().flat_map(|connection| connection.calls.get(connection.reported_late));
+    fn next_deadline(&self) -> Option<Timestamp> {
+        let pending =
+            self.connections.iter().flat_map(|connection| connection.calls.get(connection.reported_unknown));
         let closing = self
             .connections
             .iter()
             .filter(|connection| connection.is_closing)
             .map(|connection| connection.drain_deadline);
-        awaited.chain(self.unsent.front()).map(|call| call.due).chain(closing).min()
+        pending.chain(self.unsent.front()).map(|call| call.deadline).chain(closing).min()
     }
 }
 
@@ -105,9 +105,9 @@
                 .events
                 .push_back(Event::CounterAnswered { name: name.to_owned(), total: Reading::NotAdded });
         };
-        let target_suffix = format!("?by={amount}&expire_ms={}", (keep.as_micros() / 1000).max(1));
-        let due = self.now() + timeout;
-        self.counter.unsent.push_back(Call { due, name: name.to_owned(), target_suffix });
+        let query = format!("?by={amount}&expire_ms={}", (keep.as_micros() / 1000).max(1));
+        let deadline = self.now() + timeout;
+        self.counter.unsent.push_back(Call { deadline, name: name.to_owned(), query });
         self.schedule_call_timeout();
         self.connect_counter(timeout);
         self.write_counter_calls();
@@ -115,7 +115,7 @@
 
     /// Sends further calls to another address. Calls in flight are not sent again: their connection stays
     /// open for their answers.
-    pub(crate) fn move_counter(&mut self, address: Option<SocketAddr>) {
+    pub(crate) fn set_counter_address(&mut self, address: Option<SocketAddr>) {
         if address == self.counter.address {
             return;
         }
@@ -128,7 +128,7 @@
         self.drop_closing_connections();
         self.schedule_call_timeout();
         let Some(timeout) = self.config.counter_timeout.filter(|_| address.is_some()) else {
-            return self.fail_unsent();
+            return self.fail_unsent_calls();
         };
         if !self.counter.unsent.is_empty() {
             self.connect_counter(timeout);
@@ -148,35 +148,34 @@
             return;
         }
         counter.connecting_since = Some(now);
-        counter.last_number = counter.last_number.wrapping_add(1);
-        let number = counter.last_number;
-        match self.poll.connect(&address, Source::Counter(number)) {
+        counter.last_connection_id = counter.last_connection_id.wrapping_add(1);
+        let id = counter.last_connection_id;
+        match self.poller.connect(&address, Source::Counter(id)) {
             Ok(socket) => counter.connections.push(Connection {
-                number,
+                id,
                 socket,
                 is_connected: false,
                 is_closing: false,
                 drain_deadline: now,
-                begun: now,
-                active_at: now,
+                opened_at: now,
+                last_active_at: now,
                 reader: MessageReader::default(),
                 input: Vec::new(),
                 output: Vec::new(),
                 written: 0,
                 calls: VecDeque::new(),
-                reported_late: 0,
+                reported_unknown: 0,
             }),
             Err(error) => {
                 debug!("counter: no connection: {error}");
-                self.fail_unsent();
+                self.fail_unsent_calls();
             }
         }
     }
 
     /// Serves a connection whose socket has become ready.
-    pub(crate) fn counter_ready(&mut self, ready: ReadyEvent, number: u32) {
-        let Some(position) =
-            self.counter.connections.iter().position(|connection| connection.number == number)
+    pub(crate) fn counter_ready(&mut self, ready: ReadyEvent, id: u32) {
+        let Some(position) = self.counter.connections.iter().position(|connection| connection.id == id)
         else {
             return;
         };
@@ -189,7 +188,7 @@
             self.counter.connecting_since = None;
         }
         if ready.read {
-            self.read_totals(position, ready.ended);
+            self.read_counter(position, ready.ended);
         }
         if ready.write {
             self.write_counter_calls();
@@ -207,15 +206,15 @@
                 continue;
             }
             if connection.calls.is_empty() {
-                connection.active_at = now;
+                connection.last_active_at = now;
             }
             if let Some(host) = counter.address.filter(|_| !connection.is_closing) {
                 for call in counter.unsent.drain(..) {
-                    let Call { name, target_suffix, .. } = &call;
+                    let Call { name, query, .. } = &call;
                     // Writing to memory cannot fail.
                     let _ = write!(
                         connection.output,
-                        "POST /counters/{name}{target_suffix} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n"
+                        "POST /counters/{name}{query} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n"
                     );
                     connection.calls.push_back(call);
                 }
@@ -232,13 +231,13 @@
     }
 
     /// Reads answers and reports their totals.
-    fn read_totals(&mut self, position: usize, ended: bool) {
+    fn read_counter(&mut self, position: usize, ended: bool) {
         loop {
             let connection = &mut self.counter.connections[position];
-            let outcome = poll::read(&connection.socket, &mut self.scratch, &mut connection.input, ended);
-            let has_ended = outcome == Ok(ReadOutcome::EndOfStream);
-            if let Err(why) = self.take_answers(position, has_ended) {
-                return self.drop_counter_connection(position, why);
+            let outcome = poll::read(&connection.socket, &mut self.read_buffer, &mut connection.input, ended);
+            let is_end_of_stream = outcome == Ok(ReadOutcome::EndOfStream);
+            if let Err(reason) = self.handle_responses(position, is_end_of_stream) {
+                return self.drop_counter_connection(position, reason);
             }
             match outcome {
                 Ok(ReadOutcome::Bytes) => {}
@@ -252,13 +251,13 @@
     /// Takes all complete answers off a connection's input.
     ///
     /// # Errors
-    /// Says why the connection is of no more use.
-    fn take_answers(&mut self, position: usize, has_ended: bool) -> Result<(), &'static str> {
+    /// The reason why the connection cannot be used any more.
+    fn handle_responses(&mut self, position: usize, is_end_of_stream: bool) -> Result<(), &'static str> {
         loop {
             let connection = &mut self.counter.connections[position];
             let kind = MessageKind::Response { to_head: false };
-            match connection.reader.next(kind, &mut connection.input, has_ended) {
-                Ok(Some(answer)) => self.take_answer(position, &answer)?,
+            match connection.reader.next(kind, &mut connection.input, is_end_of_stream) {
+                Ok(Some(response)) => self.handle_response(position, &response)?,
                 Ok(None) if connection.input.len() > MAX_BODY_BYTES => return Err("an answer too large"),
                 Ok(None) => return Ok(()),
                 Err(error) => {
@@ -272,30 +271,30 @@
     /// Reports the answer to the oldest unanswered call of a connection.
     ///
     /// # Errors
-    /// Says why the connection is of no more use.
-    fn take_answer(&mut self, position: usize, answer: &Message) -> Result<(), &'static str> {
+    /// The reason why the connection cannot be used any more.
+    fn handle_response(&mut self, position: usize, response: &Message) -> Result<(), &'static str> {
         let now = self.now();
         let connection = &mut self.counter.connections[position];
-        connection.active_at = now;
+        connection.last_active_at = now;
         let call = connection.calls.pop_front().ok_or("an answer to no call")?;
-        let number = total(answer);
-        let is_late = connection.reported_late > 0;
-        connection.reported_late -= usize::from(is_late);
-        let total = match (number, answer.status()) {
-            (Some(number), _) if is_late => Reading::Late(number),
-            (Some(number), _) => Reading::Known(number),
+        let value = total(response);
+        let is_late = connection.reported_unknown > 0;
+        connection.reported_unknown -= usize::from(is_late);
+        let total = match (value, response.status()) {
+            (Some(value), _) if is_late => Reading::Late(value),
+            (Some(value), _) => Reading::Known(value),
             (None, 400 | 404 | 503) => Reading::NotAdded,
             (None, _) => Reading::Unknown,
         };
-        if !is_late || number.is_some() {
+        if !is_late || value.is_some() {
             self.events.push_back(Event::CounterAnswered { name: call.name, total });
         }
         // Status 200 without a number: the amount was added, the total is unknown, and the answers that follow
         // on that connection cannot be matched to calls.
-        if number.is_none() && answer.status() == 200 {
+        if value.is_none() && response.status() == 200 {
             return Err("an answer without a number");
         }
-        if !answer.is_persistent() {
+        if !response.is_persistent() {
             return Err("closed");
         }
         Ok(())
@@ -304,10 +303,10 @@
     /// Sets one timer for all calls: most are answered well before, and a timer for each would mostly fire in
     /// vain.
     fn schedule_call_timeout(&mut self) {
-        let Some(due) = self.counter.due() else { return };
+        let Some(due) = self.counter.next_deadline() else { return };
         // A closing connection may stay open beyond the time-out of a call that is made meanwhile.
-        if let Some((_, later)) = self.counter.timer.take_if(|(set, _)| due < *set) {
-            self.timers.cancel(later);
+        if let Some((_, later_timer)) = self.counter.timer.take_if(|(scheduled, _)| due < *scheduled) {
+            self.timers.cancel(later_timer);
         }
         if self.counter.timer.is_none() {
             self.counter.timer = Some((due, self.timers.schedule(due, Timer::CounterCalls)));
@@ -317,48 +316,51 @@
     /// Reports calls that have timed out, and replaces a connection that no longer answers.
     pub(crate) fn expire_counter_calls(&mut self) {
         let now = self.now();
-        let allowed = self.connection_settings.connect_timeout;
-        let timeout = self.config.counter_timeout.unwrap_or(allowed).min(allowed);
+        let connect_timeout = self.connection_settings.connect_timeout;
+        let timeout = self.config.counter_timeout.unwrap_or(connect_timeout).min(connect_timeout);
         let counter = &mut self.counter;
         counter.timer = None;
-        let has_capacity = counter.connections.len() < MAX_CONNECTIONS;
+        let can_replace = counter.connections.len() < MAX_CONNECTIONS;
         for connection in &mut counter.connections {
-            let reported_before = connection.reported_late;
+            let previously_reported = connection.reported_unknown;
             while let Some(call) =
-                connection.calls.get(connection.reported_late).filter(|call| call.due <= now)
+                connection.calls.get(connection.reported_unknown).filter(|call| call.deadline <= now)
             {
                 self.events
                     .push_back(Event::CounterAnswered { name: call.name.clone(), total: Reading::Unknown });
-                connection.reported_late += 1;
+                connection.reported_unknown += 1;
             }
             // A machine that has vanished never closes its connections, one connection can stall while others
             // do not, and no answer follows one that is incomplete: a new connection settles which it is. A
             // counter that is only slow still answers over the old connections, whose number is bounded.
             let is_stuck = connection.reader.has_partial_message(&connection.input)
-                || now - connection.active_at > timeout * 4;
-            if connection.reported_late > reported_before
+                || now - connection.last_active_at > timeout * 4;
+            if connection.reported_unknown > previously_reported
                 && is_stuck
-                && has_capacity
+                && can_replace
                 && !connection.is_closing
             {
                 (connection.is_closing, connection.drain_deadline) =
-                    (true, connection.active_at + allowed * 8);
+                    (true, connection.last_active_at + connect_timeout * 8);
                 // Invariant: these are reported before any later call of the same name is answered.
-                for call in connection.calls.iter().skip(connection.reported_late) {
+                for call in connection.calls.iter().skip(connection.reported_unknown) {
                     self.events.push_back(Event::CounterAnswered {
                         name: call.name.clone(),
                         total: Reading::Unknown,
                     });
                 }
-                connection.reported_late = connection.calls.len();
+                connection.reported_unknown = connection.calls.len();
             }
         }
         // A call that has timed out is not sent any more.
-        while let Some(call) = counter.unsent.pop_front_if(|call| call.due <= now) {
+        while let Some(call) = counter.unsent.pop_front_if(|call| call.deadline <= now) {
             self.events.push_back(Event::CounterAnswered { name: call.name, total: Reading::NotAdded });
         }
-        if let Some(position) =
-            self.counter.connections.iter().position(|l| !l.is_connected && now - l.begun > allowed)
+        if let Some(position) = self
+            .counter
+            .connections
+            .iter()
+            .position(|c| !c.is_connected && now - c.opened_at > connect_timeout)
         {
             self.drop_counter_connection(position, "silent");
         }
@@ -369,36 +371,36 @@
     /// Drops the closing connections from which neither an awaited nor a late answer can come any more.
     fn drop_closing_connections(&mut self) {
         let now = self.event_time;
-        let is_awaited = |connection: &Connection| {
+        let may_receive = |connection: &Connection| {
             connection.is_connected
-                && (connection.reported_late < connection.calls.len() || now < connection.drain_deadline)
+                && (connection.reported_unknown < connection.calls.len() || now < connection.drain_deadline)
         };
-        self.counter.connections.retain(|connection| !connection.is_closing || is_awaited(connection));
+        self.counter.connections.retain(|connection| !connection.is_closing || may_receive(connection));
     }
 
     /// Drops a connection. Whether the calls written to it took effect is unknown. Unsent calls did not; they
     /// wait for the next connection, or fail where this one could not be made.
-    fn drop_counter_connection(&mut self, position: usize, why: &str) {
-        debug!("counter: {why}");
+    fn drop_counter_connection(&mut self, position: usize, reason: &str) {
+        debug!("counter: {reason}");
         let connection = self.counter.connections.remove(position);
-        for call in connection.calls.into_iter().skip(connection.reported_late) {
+        for call in connection.calls.into_iter().skip(connection.reported_unknown) {
             self.events.push_back(Event::CounterAnswered { name: call.name, total: Reading::Unknown });
         }
         if !connection.is_connected && !connection.is_closing {
-            self.fail_unsent();
+            self.fail_unsent_calls();
         }
     }
 
     /// Reports all unsent calls as not added.
-    fn fail_unsent(&mut self) {
+    fn fail_unsent_calls(&mut self) {
         let unsent = self.counter.unsent.drain(..);
         self.events
             .extend(unsent.map(|call| Event::CounterAnswered { name: call.name, total: Reading::NotAdded }));
     }
 }
 
-/// The total in a successful answer.
-fn total(answer: &Message) -> Option<f64> {
-    let text = std::str::from_utf8(answer.body()).ok().filter(|_| answer.status() == 200)?;
+/// The total in a successful response.
+fn total(response: &Message) -> Option<f64> {
+    let text = std::str::from_utf8(response.body()).ok().filter(|_| response.status() == 200)?;
     text.trim().parse::<f64>().ok().filter(|total| total.is_finite())
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -21,7 +21,7 @@
 /// A connection to discovery.
 struct Connection {
     /// Tells its events from those of other connections.
-    number: u32,
+    id: u32,
     socket: OwnedFd,
     is_connected: bool,
     /// When bytes last came, or when it was opened.
@@ -29,8 +29,8 @@
     reader: MessageReader,
     /// Bytes that have been read and not parsed yet.
     input: Vec<u8>,
-    /// The body as far as it has come, without the lines taken from it.
-    partial_lines: Vec<u8>,
+    /// The body as far as it has come, without the lines already taken from it.
+    partial_line: Vec<u8>,
     /// The request, of which the first `written` bytes have gone to the socket.
     output: Vec<u8>,
     written: usize,
@@ -39,45 +39,45 @@
 /// The watch on discovery's list of backends.
 pub(crate) struct Watch {
     address: SocketAddr,
-    /// The version of the list as taken over so far.
-    index: u64,
+    /// The version of the list that was last applied.
+    version: u64,
     /// The newest is last. One to a replaced address stays before it until the newest has brought a line.
     connections: Vec<Connection>,
     /// The number of the newest connection.
-    last_number: u32,
+    last_connection_id: u32,
     /// When a connection was last up.
     last_connected_at: Timestamp,
     /// When the log last said that discovery does not answer; `None` once it answers again.
-    logged_at: Option<Timestamp>,
+    outage_logged_at: Option<Timestamp>,
 }
 
 impl Watch {
     /// Begins a watch with the list that the gateway had last, which discovery's own then replaces.
     pub(crate) fn new(
         address: SocketAddr,
-        known: &Value,
+        initial_backends: &Value,
         policy: &mut Gateway,
         runtime: &mut Runtime,
     ) -> Watch {
-        let (last_connected_at, logged_at) = (runtime.now(), None);
+        let (last_connected_at, outage_logged_at) = (runtime.now(), None);
         let mut watch = Watch {
             address,
-            index: 0,
+            version: 0,
             connections: Vec::new(),
-            last_number: 0,
+            last_connection_id: 0,
             last_connected_at,
-            logged_at,
+            outage_logged_at,
         };
-        if !known.is_null() {
-            watch.change(known, true, policy, runtime);
+        if !initial_backends.is_null() {
+            watch.apply_change(initial_backends, true, policy, runtime);
         }
         watch.open(runtime);
-        runtime.wake_at(runtime.now() + HEARTBEAT_INTERVAL / 4, Timer::Watch);
+        runtime.schedule_timer(runtime.now() + HEARTBEAT_INTERVAL / 4, Timer::Watch);
         watch
     }
 
     /// Resumes the watch at another address, from the last version.
-    pub(crate) fn move_to(&mut self, address: SocketAddr, runtime: &mut Runtime) {
+    pub(crate) fn set_address(&mut self, address: SocketAddr, runtime: &mut Runtime) {
         if address != self.address {
             self.address = address;
             self.connections.truncate(1); // of several moves, only the last address is still wanted
@@ -87,24 +87,24 @@
 
     /// Opens a connection and asks for the changes since the last version.
     fn open(&mut self, runtime: &mut Runtime) {
-        self.last_number = self.last_number.wrapping_add(1);
-        let number = self.last_number;
-        let source = Source::Watch(number);
-        let opened = runtime.poll.connect(&self.address, source);
-        let (index, address) = (self.index, self.address);
+        self.last_connection_id = self.last_connection_id.wrapping_add(1);
+        let id = self.last_connection_id;
+        let source = Source::Watch(id);
+        let opened = runtime.poller.connect(&self.address, source);
+        let (version, address) = (self.version, self.address);
         let output = format!(
-            "GET /v1/servers?stream=1&index={index} HTTP/1.1\r\nHost: {address}\r\n\
+            "GET /v1/servers?stream=1&index={version} HTTP/1.1\r\nHost: {address}\r\n\
              Accept: application/json\r\n\r\n"
         );
         self.connections.extend(opened.map_err(|error| debug!("discovery: {error}")).ok().map(|socket| {
             Connection {
-                number,
+                id,
                 socket,
                 is_connected: false,
                 last_heard: runtime.now(),
                 reader: MessageReader::default(),
                 input: Vec::new(),
-                partial_lines: Vec::new(),
+                partial_line: Vec::new(),
                 output: output.into_bytes(),
                 written: 0,
             }
@@ -113,55 +113,54 @@
 
     /// Drops connections that no longer answer, opens a new one where the newest is gone, and sets the timer
     /// that does so again.
-    pub(crate) fn maintain(&mut self, runtime: &mut Runtime) {
+    pub(crate) fn check_connections(&mut self, runtime: &mut Runtime) {
         let now = runtime.now();
         let connect_timeout = runtime.connection_settings.connect_timeout;
         self.connections.retain(|connection| {
             now - connection.last_heard
                 <= if connection.is_connected { HEARTBEAT_INTERVAL * 3 } else { connect_timeout }
         });
-        if self.connections.last().is_none_or(|connection| connection.number != self.last_number) {
+        if self.connections.last().is_none_or(|connection| connection.id != self.last_connection_id) {
             self.open(runtime);
         }
-        self.log_availability(now);
-        runtime.wake_at(now + HEARTBEAT_INTERVAL / 4, Timer::Watch);
+        self.log_outage(now);
+        runtime.schedule_timer(now + HEARTBEAT_INTERVAL / 4, Timer::Watch);
     }
 
     /// Logs from time to time that discovery does not answer, and that it answers again. Without this,
     /// nothing would explain why a gateway that started without a list rejects all requests.
-    fn log_availability(&mut self, now: Timestamp) {
+    fn log_outage(&mut self, now: Timestamp) {
         let address = self.address;
         if self.connections.iter().any(|connection| connection.is_connected) {
             self.last_connected_at = now;
-            if self.logged_at.take().is_some() {
+            if self.outage_logged_at.take().is_some() {
                 info!("discovery at {address} answers again");
             }
         } else if now - self.last_connected_at >= HEARTBEAT_INTERVAL
-            && self.logged_at.is_none_or(|logged_at| now - logged_at >= LOG_INTERVAL)
+            && self.outage_logged_at.is_none_or(|outage_logged_at| now - outage_logged_at >= LOG_INTERVAL)
         {
-            self.logged_at = Some(now);
-            let seconds_away = (now - self.last_connected_at).as_secs();
-            warn!("discovery at {address} has not answered for {seconds_away:.0} s; the list of backends stays as it was");
+            self.outage_logged_at = Some(now);
+            let outage_seconds = (now - self.last_connected_at).as_secs();
+            warn!("discovery at {address} has not answered for {outage_seconds:.0} s; the list of backends stays as it was");
         }
     }
 
     /// Serves a connection whose socket has become ready.
-    pub(crate) fn ready(
+    pub(crate) fn handle_ready(
         &mut self,
         ready: ReadyEvent,
-        number: u32,
+        id: u32,
         policy: &mut Gateway,
         runtime: &mut Runtime,
     ) {
-        let Some(position) = self.connections.iter().position(|connection| connection.number == number)
-        else {
+        let Some(position) = self.connections.iter().position(|connection| connection.id == id) else {
             return;
         };
         let mut connection = self.connections.remove(position);
-        match self.advance(&mut connection, ready, policy, runtime) {
+        match self.handle_io(&mut connection, ready, policy, runtime) {
             Ok(true) => self.connections.splice(..position, [connection]).for_each(drop),
             Ok(false) => self.connections.insert(position, connection),
-            Err(why) => debug!("discovery: {why}"), // `maintain` opens another
+            Err(reason) => debug!("discovery: {reason}"), // `check_connections` opens another
         }
     }
 
@@ -169,7 +168,7 @@
     ///
     /// # Errors
     /// Says why the connection is of no more use.
-    fn advance(
+    fn handle_io(
         &mut self,
         connection: &mut Connection,
         ready: ReadyEvent,
@@ -190,10 +189,10 @@
         let mut has_received_line = false;
         loop {
             let outcome =
-                poll::read(&connection.socket, &mut runtime.scratch, &mut connection.input, ready.ended);
+                poll::read(&connection.socket, &mut runtime.read_buffer, &mut connection.input, ready.ended);
             connection.last_heard = runtime.now();
             let is_complete =
-                connection.reader.read_chunked_response(&mut connection.input, &mut connection.partial_lines);
+                connection.reader.read_chunked_response(&mut connection.input, &mut connection.partial_line);
             let is_complete = is_complete.map_err(|error| format!("{error:?}"))?;
             if is_complete.is_some() && connection.reader.chunked_response_status(&connection.input) != 200 {
                 return Err(format!(
@@ -201,15 +200,15 @@
                     connection.reader.chunked_response_status(&connection.input)
                 ));
             }
-            let mut taken = 0;
-            while let Some(length) = memchr::memchr(b'\n', &connection.partial_lines[taken..]) {
-                let line = taken..taken + length;
-                taken = line.end + 1;
-                self.line(connection.partial_lines[line].trim_ascii(), policy, runtime)?;
+            let mut consumed = 0;
+            while let Some(length) = memchr::memchr(b'\n', &connection.partial_line[consumed..]) {
+                let line = consumed..consumed + length;
+                consumed = line.end + 1;
+                self.handle_line(connection.partial_line[line].trim_ascii(), policy, runtime)?;
                 has_received_line = true;
             }
-            connection.partial_lines.drain(..taken);
-            if connection.partial_lines.len() > MAX_LINE_BYTES {
+            connection.partial_line.drain(..consumed);
+            if connection.partial_line.len() > MAX_LINE_BYTES {
                 return Err("a line too long".to_owned());
             }
             match outcome {
@@ -225,12 +224,17 @@
     ///
     /// # Errors
     /// The line is not JSON.
-    fn line(&mut self, line: &[u8], policy: &mut Gateway, runtime: &mut Runtime) -> Result<(), String> {
+    fn handle_line(
+        &mut self,
+        line: &[u8],
+        policy: &mut Gateway,
+        runtime: &mut Runtime,
+    ) -> Result<(), String> {
         if line.is_empty() {
             return Ok(());
         }
         let change: Value = serde_json::from_slice(line).map_err(|error| error.to_string())?;
-        self.change(&change, false, policy, runtime);
+        self.apply_change(&change, false, policy, runtime);
         if runtime.phase == Phase::Starting {
             runtime.phase = Phase::Serving;
         }
@@ -238,18 +242,24 @@
     }
 
     /// Takes over a change of the list; `is_initial` for the complete list that the gateway was started with.
-    fn change(&mut self, change: &Value, is_initial: bool, policy: &mut Gateway, runtime: &mut Runtime) {
+    fn apply_change(
+        &mut self,
+        change: &Value,
+        is_initial: bool,
+        policy: &mut Gateway,
+        runtime: &mut Runtime,
+    ) {
         let Some(entries) = change["instances"].as_array() else {
             return warn!("discovery: instances: expected an array");
         };
-        self.index = change["generation"].as_u64().unwrap_or(self.index);
+        self.version = change["generation"].as_u64().unwrap_or(self.version);
         let is_complete = is_initial || change["reset"].as_bool().unwrap_or(false);
         let mut backends = Vec::with_capacity(entries.len());
         for entry in entries {
             match parse_entry(entry) {
-                Ok((listed, address)) => {
-                    runtime.list_backend(&listed.id, address, listed.status);
-                    backends.push(listed);
+                Ok((backend, address)) => {
+                    runtime.update_backend(&backend.id, address, backend.status);
+                    backends.push(backend);
                 }
                 Err(error) => warn!("discovery: {error}"),
             }
@@ -280,13 +290,13 @@
         warn!("discovery: {id}: hostPort: expected address and port, found {}", entry["hostPort"]);
     }
     let started = entry["startedAtMs"].as_f64().filter(|millis| *millis > 0.0);
-    let listed = BackendEntry {
+    let backend = BackendEntry {
         id: id.to_owned(),
         zone: entry["zone"].as_str().unwrap_or_default().to_owned(),
         cell: entry["cell"].as_i64().unwrap_or_default(),
         status,
-        weight: entry["weight"].as_f64().filter(|size| *size > 0.0 && size.is_finite()).unwrap_or(1.0),
+        weight: entry["weight"].as_f64().filter(|weight| *weight > 0.0 && weight.is_finite()).unwrap_or(1.0),
         started: started.map(|millis| Timestamp::from_micros((millis * 1000.0) as i64)),
     };
-    Ok((listed, address))
+    Ok((backend, address))
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -31,7 +31,7 @@
         return ExitCode::SUCCESS;
     }
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("error")).init();
-    match kitepass_gateway::Launch::from_env().and_then(kitepass_gateway::run) {
+    match kitepass_gateway::StartupConfig::from_env().and_then(kitepass_gateway::run) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("kitepass: {error}");
--- a/crates/gateway/src/poll.rs
+++ b/crates/gateway/src/poll.rs
@@ -43,27 +43,27 @@
 
 impl Source {
     /// The token that the source is watched under.
-    fn pack(self) -> u64 {
+    fn to_token(self) -> u64 {
         let (kind, key) = match self {
             Source::Listener => (0, 0),
             Source::Control => (1, 0),
-            Source::Counter(number) => (2, u64::from(number) << 32),
-            Source::Watch(number) => (3, u64::from(number) << 32),
+            Source::Counter(id) => (2, u64::from(id) << 32),
+            Source::Watch(id) => (3, u64::from(id) << 32),
             Source::Client(key) => (4, key.data().as_ffi()),
             Source::BackendConnection(key) => (5, key.data().as_ffi()),
         };
         key | kind << KIND_SHIFT
     }
 
-    /// The source of a token; `None` for a token that `pack` never gives.
-    fn unpack(data: u64) -> Option<Source> {
-        let key = || KeyData::from_ffi(data & !(15 << KIND_SHIFT));
-        let number = (data >> 32) as u32;
-        Some(match (data & u64::from(u32::MAX)) >> KIND_SHIFT {
+    /// The source of a token; `None` for a token that `to_token` never gives.
+    fn from_token(token: u64) -> Option<Source> {
+        let key = || KeyData::from_ffi(token & !(15 << KIND_SHIFT));
+        let id = (token >> 32) as u32;
+        Some(match (token & u64::from(u32::MAX)) >> KIND_SHIFT {
             0 => Source::Listener,
             1 => Source::Control,
-            2 => Source::Counter(number),
-            3 => Source::Watch(number),
+            2 => Source::Counter(id),
+            3 => Source::Watch(id),
             4 => Source::Client(key().into()),
             5 => Source::BackendConnection(key().into()),
             _ => return None,
@@ -86,33 +86,33 @@
 
 /// The poller of all of a gateway's sockets.
 pub(crate) struct Poller {
-    poll: poller::Poller,
+    inner: poller::Poller,
     /// The events of the last wait, with their tokens.
-    raw: Vec<poller::ReadyEvent>,
+    events: Vec<poller::ReadyEvent>,
 }
 
 impl Poller {
     /// Opens the poller.
     pub(crate) fn new() -> Result<Poller> {
-        Ok(Poller { poll: poller::Poller::new()?, raw: Vec::new() })
+        Ok(Poller { inner: poller::Poller::new()?, events: Vec::new() })
     }
 
     /// Watches a socket until it is closed: edge-triggered, an event each time that it becomes ready.
     pub(crate) fn add(&self, socket: impl AsFd, source: Source) -> Result<()> {
-        self.poll.add(socket, source.pack())
+        self.inner.add(socket, source.to_token())
     }
 
     /// Begins a connection and watches it; it becomes ready to write once it is made or has failed.
     pub(crate) fn connect(&self, address: &SocketAddr, source: Source) -> Result<OwnedFd> {
-        self.poll.connect(address, source.pack())
+        self.inner.connect(address, source.to_token())
     }
 
     /// Waits until a socket is ready or `time` is over, and adds the events to `ready`.
-    pub(crate) fn wait(&mut self, time: Option<Duration>, ready: &mut Vec<ReadyEvent>) -> Result<()> {
-        self.poll.wait(time, &mut self.raw)?;
-        ready.extend(self.raw.drain(..).filter_map(
+    pub(crate) fn wait(&mut self, timeout: Option<Duration>, ready: &mut Vec<ReadyEvent>) -> Result<()> {
+        self.inner.wait(timeout, &mut self.events)?;
+        ready.extend(self.events.drain(..).filter_map(
             |poller::ReadyEvent { token, is_readable: read, is_writable: write, is_read_closed: ended }| {
-                Some(ReadyEvent { source: Source::unpack(token)?, read, write, ended })
+                Some(ReadyEvent { source: Source::from_token(token)?, read, write, ended })
             },
         ));
         Ok(())
@@ -131,8 +131,8 @@
         let (old, new) = (Source::BackendConnection(gone), Source::BackendConnection(connections.insert(())));
         assert_ne!(old, new);
         for source in [Source::Listener, Source::Control, Source::Counter(7), Source::Watch(9), old, new] {
-            assert_eq!(Source::unpack(source.pack()), Some(source));
+            assert_eq!(Source::from_token(source.to_token()), Some(source));
         }
-        assert_eq!(Source::unpack(u64::MAX), None);
+        assert_eq!(Source::from_token(u64::MAX), None);
     }
 }
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -2,7 +2,7 @@
 //! configuration is ignored, and an invalid one changes nothing.
 
 use crate::server::Server;
-use crate::startup::Launch;
+use crate::startup::StartupConfig;
 use log::{error, info, warn};
 use std::net::SocketAddr;
 
@@ -18,9 +18,9 @@
 impl Server {
     /// Reads the configuration's file again and takes up its addresses.
     pub(crate) fn reload(&mut self) {
-        let Some(path) = &self.origin else { return warn!("nothing to read again: it came from no file") };
-        match Launch::read(path) {
-            Ok(launch) => self.update_addresses(launch.addresses),
+        let Some(path) = &self.config_path else { return warn!("cannot reload: no configuration file") };
+        match StartupConfig::from_file(path) {
+            Ok(startup) => self.update_addresses(startup.addresses),
             Err(error) => error!("the old configuration stays: {error}"),
         }
     }
@@ -28,7 +28,7 @@
     /// Connects to discovery and the counter at other addresses.
     pub(crate) fn update_addresses(&mut self, addresses: Addresses) {
         info!("discovery at {}, counter at {:?}", addresses.discovery, addresses.counter);
-        self.watch.move_to(addresses.discovery, &mut self.runtime);
-        self.runtime.move_counter(addresses.counter);
+        self.watch.set_address(addresses.discovery, &mut self.runtime);
+        self.runtime.set_counter_address(addresses.counter);
     }
 }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -14,12 +14,12 @@
 }
 
 /// The id that the policy has for a request.
-pub(crate) fn id(key: RequestKey) -> String {
+pub(crate) fn id_from_key(key: RequestKey) -> String {
     key.data().as_ffi().to_string()
 }
 
 /// The key of a request's id; `None` for text that is no id.
-pub(crate) fn key(id: &str) -> Option<RequestKey> {
+pub(crate) fn key_from_id(id: &str) -> Option<RequestKey> {
     id.parse().ok().map(|ffi| KeyData::from_ffi(ffi).into())
 }
 
@@ -72,54 +72,54 @@
 /// All requests under way.
 #[derive(Default)]
 pub(crate) struct Requests {
-    all: SlotMap<RequestKey, Request>,
+    requests: SlotMap<RequestKey, Request>,
     /// The requests that are still to be answered, by their trace ids.
-    open: HashMap<Box<[u8]>, RequestKey>,
+    open_by_trace_id: HashMap<Box<[u8]>, RequestKey>,
 }
 
 impl Requests {
     /// Adds a request and opens its trace id.
     pub(crate) fn insert(&mut self, request: Request) -> RequestKey {
-        let trace = request.head.trace().into();
-        let key = self.all.insert(request);
-        self.open.insert(trace, key);
+        let trace_id = request.head.trace_id().into();
+        let key = self.requests.insert(request);
+        self.open_by_trace_id.insert(trace_id, key);
         key
     }
 
     /// The request that is still to be answered under a trace id.
-    pub(crate) fn open_request(&self, trace: &[u8]) -> Option<&Request> {
-        self.get(*self.open.get(trace)?)
+    pub(crate) fn open_request(&self, trace_id: &[u8]) -> Option<&Request> {
+        self.get(*self.open_by_trace_id.get(trace_id)?)
     }
 
     /// The request of a key, until it is finished.
     pub(crate) fn get(&self, key: RequestKey) -> Option<&Request> {
-        self.all.get(key)
+        self.requests.get(key)
     }
 
     /// The request of a key, to be changed.
     pub(crate) fn get_mut(&mut self, key: RequestKey) -> Option<&mut Request> {
-        self.all.get_mut(key)
+        self.requests.get_mut(key)
     }
 
     /// Changes a request's state. A finished request is removed, and an abandoned one no longer holds its
     /// trace id.
-    pub(crate) fn set_state(&mut self, key: RequestKey, to: State) {
-        if let (State::Abandoned | State::Finished, Some(request)) = (to, self.all.get(key)) {
-            let trace = request.head.trace();
-            if self.open.get(trace) == Some(&key) {
-                self.open.remove(trace);
+    pub(crate) fn set_state(&mut self, key: RequestKey, state: State) {
+        if let (State::Abandoned | State::Finished, Some(request)) = (state, self.requests.get(key)) {
+            let trace_id = request.head.trace_id();
+            if self.open_by_trace_id.get(trace_id) == Some(&key) {
+                self.open_by_trace_id.remove(trace_id);
             }
         }
-        if to == State::Finished {
-            self.all.remove(key);
-        } else if let Some(request) = self.all.get_mut(key) {
-            request.state = to;
+        if state == State::Finished {
+            self.requests.remove(key);
+        } else if let Some(request) = self.requests.get_mut(key) {
+            request.state = state;
         }
     }
 
     /// Whether no request is under way.
     pub(crate) fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.requests.is_empty()
     }
 }
 
--- a/crates/gateway/src/request/tests.rs
+++ b/crates/gateway/src/request/tests.rs
@@ -26,5 +26,5 @@
         assert!(requests.open_request(format!("t{n}").as_bytes()).is_none());
         requests.set_state(key, State::Finished);
     }
-    assert!(requests.is_empty() && requests.open.is_empty());
+    assert!(requests.is_empty() && requests.open_by_trace_id.is_empty());
 }
--- a/crates/gateway/src/request_head.rs
+++ b/crates/gateway/src/request_head.rs
@@ -6,12 +6,12 @@
 use std::ops::Range;
 
 /// Customers' numbers are below this.
-const CUSTOMER_LIMIT: u64 = 1 << 33;
+const TENANT_ID_LIMIT: u64 = 1 << 33;
 /// The longest trace id, in bytes.
 const MAX_TRACE_ID_BYTES: usize = 128;
 
 /// The field with the trace id.
-const TRACE: &str = "x-trace-id";
+const TRACE_ID: &str = "x-trace-id";
 /// The field with the name of the customer's plan.
 const TARIFF: &str = "x-tariff";
 /// The field with the time that the client waits, in milliseconds.
@@ -26,19 +26,19 @@
 pub(crate) struct RequestHead {
     pub(crate) message: Message,
     /// The byte range of the workload's name in the target.
-    workload: Range<usize>,
+    workload_range: Range<usize>,
     /// The customer's id. Invariant: lower case; else one tenant would have a quota for each spelling.
-    pub(crate) customer: String,
+    pub(crate) tenant: String,
     /// The name of the customer's plan.
     pub(crate) plan: String,
     /// How long the client waits for the answer.
-    pub(crate) expires: Duration,
+    pub(crate) timeout: Duration,
     /// The units that the request is estimated to cost.
     pub(crate) units: f64,
     /// How many gateways share the customer; 0 where the request does not say.
-    pub(crate) width: u32,
+    pub(crate) gateways: u32,
     /// The first gateway of those.
-    pub(crate) first: u32,
+    pub(crate) first_gateway: u32,
     /// The beginning of every attempt's head; only the remaining time follows it.
     attempt_head: Vec<u8>,
 }
@@ -54,51 +54,63 @@
     pub(crate) fn read(message: Message, config: &GatewayConfig) -> Result<RequestHead, RequestError> {
         let target = text(message.start_line_part(1)).ok_or("target")?;
         let path = target.split('?').next().unwrap_or_default();
-        let (class, customer) = path[1..].split_once('/').ok_or("target: expected class and customer")?;
-        let workload = 1..1 + class.len();
-        let customer = customer.rsplit('/').next().unwrap_or_default().to_ascii_lowercase();
-        let digits_alone = customer.len() == 16 && customer.bytes().all(|b| b.is_ascii_hexdigit());
-        let number = u64::from_str_radix(&customer, 16).ok().filter(|_| digits_alone);
-        if number.is_none_or(|c| c >= CUSTOMER_LIMIT) {
+        let (workload_name, tenant) =
+            path[1..].split_once('/').ok_or("target: expected class and customer")?;
+        let workload_range = 1..1 + workload_name.len();
+        let tenant = tenant.rsplit('/').next().unwrap_or_default().to_ascii_lowercase();
+        let is_hex_id = tenant.len() == 16 && tenant.bytes().all(|b| b.is_ascii_hexdigit());
+        let number = u64::from_str_radix(&tenant, 16).ok().filter(|_| is_hex_id);
+        if number.is_none_or(|c| c >= TENANT_ID_LIMIT) {
             return Err("customer: expected 16 hex digits, a number below 2^33");
         }
-        let class = config.workloads.iter().find(|w| w.name == class).ok_or("class: not known")?;
+        let workload = config.workloads.iter().find(|w| w.name == workload_name).ok_or("class: not known")?;
 
-        let trace = single_field(&message, TRACE)?.ok_or("X-Trace-Id: expected one")?;
-        if !(1..=MAX_TRACE_ID_BYTES).contains(&trace.len()) || !trace.iter().all(u8::is_ascii_graphic) {
+        let trace_id = single_field(&message, TRACE_ID)?.ok_or("X-Trace-Id: expected one")?;
+        if !(1..=MAX_TRACE_ID_BYTES).contains(&trace_id.len()) || !trace_id.iter().all(u8::is_ascii_graphic) {
             return Err("X-Trace-Id: expected an id");
         }
         let plan = single_field(&message, TARIFF)?.and_then(text).ok_or("X-Tariff: expected a plan")?;
         if !config.plans.iter().any(|p| p.name == plan) {
             return Err("X-Tariff: not known");
         }
-        let expires =
+        let timeout =
             single_field(&message, EXPIRES_IN_MS)?.and_then(parse_decimal).filter(|millis| *millis < 1 << 32);
-        let expires = expires.ok_or("X-Expires-In-Ms: expected whole milliseconds")?;
+        let timeout = timeout.ok_or("X-Expires-In-Ms: expected whole milliseconds")?;
         let key = single_field(&message, IDEMPOTENCY_KEY)?.filter(|key| !key.is_empty());
-        if matches!(class.idempotency, Idempotency::Deduplicated { .. }) && key.is_none() {
+        if matches!(workload.idempotency, Idempotency::Deduplicated { .. }) && key.is_none() {
             return Err("Idempotency-Key: expected one"); // without it a retry would take effect twice
         }
-        if [TRACE, IDEMPOTENCY_KEY].iter().any(|name| message.has_connection_option(name.as_bytes())) {
+        if [TRACE_ID, IDEMPOTENCY_KEY].iter().any(|name| message.has_connection_option(name.as_bytes())) {
             // Without its key a retry would take effect twice.
             return Err("Connection: names a field that a backend must see");
         }
         let weight = single_field(&message, WEIGHT)?.and_then(text).ok_or("X-Weight: expected one")?;
-        let (units, width, first) = parse_weight(weight, config).ok_or("X-Weight: expected units and set")?;
+        let (units, gateways, first_gateway) =
+            parse_weight(weight, config).ok_or("X-Weight: expected units and set")?;
 
-        let (plan, expires) = (plan.to_owned(), Duration::from_micros(expires as i64 * 1000));
+        let (plan, timeout) = (plan.to_owned(), Duration::from_micros(timeout as i64 * 1000));
         let attempt_head = attempt_head(&message);
-        Ok(RequestHead { workload, customer, plan, expires, units, width, first, attempt_head, message })
+        Ok(RequestHead {
+            workload_range,
+            tenant,
+            plan,
+            timeout,
+            units,
+            gateways,
+            first_gateway,
+            attempt_head,
+            message,
+        })
     }
 
     /// The name of the request's workload.
     pub(crate) fn workload(&self) -> &str {
-        text(&self.message.start_line_part(1)[self.workload.clone()]).unwrap_or_default()
+        text(&self.message.start_line_part(1)[self.workload_range.clone()]).unwrap_or_default()
     }
 
     /// The trace id. Invariant: no other request may have it while this one is open.
-    pub(crate) fn trace(&self) -> &[u8] {
-        self.message.field(TRACE).unwrap_or_default()
+    pub(crate) fn trace_id(&self) -> &[u8] {
+        self.message.field(TRACE_ID).unwrap_or_default()
     }
 
     /// Whether the method is HEAD, whose answer has no body.
@@ -107,10 +119,11 @@
     }
 
     /// Appends the message of an attempt that may take as long as `wait`.
-    pub(crate) fn append_attempt(&self, wait: Duration, into: &mut Vec<u8>) {
-        into.extend_from_slice(&self.attempt_head);
-        into.extend_from_slice(format!("X-Expires-In-Ms: {}\r\n\r\n", wait.as_micros() / 1000).as_bytes());
-        into.extend_from_slice(self.message.body());
+    pub(crate) fn append_attempt(&self, timeout: Duration, output: &mut Vec<u8>) {
+        output.extend_from_slice(&self.attempt_head);
+        output
+            .extend_from_slice(format!("X-Expires-In-Ms: {}\r\n\r\n", timeout.as_micros() / 1000).as_bytes());
+        output.extend_from_slice(self.message.body());
     }
 }
 
@@ -132,9 +145,9 @@
 /// # Errors
 /// The field occurs twice.
 fn single_field<'a>(message: &'a Message, name: &str) -> Result<Option<&'a [u8]>, RequestError> {
-    let mut found = message.fields().filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()));
-    let first = found.next().map(|(_, value)| value);
-    match found.next() {
+    let mut values = message.fields().filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()));
+    let first = values.next().map(|(_, value)| value);
+    match values.next() {
         Some(_) => Err("a field that stands twice"),
         None => Ok(first),
     }
@@ -147,22 +160,22 @@
 
 /// Units, width and first gateway of an `X-Weight` field. Where it names no set of gateways, the width is 0.
 fn parse_weight(text: &str, config: &GatewayConfig) -> Option<(f64, u32, u32)> {
-    let (mut units, mut width, mut first) = (None, None, None);
+    let (mut units, mut gateways, mut first_gateway) = (None, None, None);
     for part in text.split(',') {
         let (name, value) = part.trim().split_once('=')?;
         match name {
             "units" if units.is_none() => units = Some(value.parse::<f64>().ok()?),
-            "spread" if width.is_none() => width = Some(parse_u32(value).filter(|width| *width >= 1)?),
-            "first" if first.is_none() => first = Some(parse_u32(value)?),
+            "spread" if gateways.is_none() => gateways = Some(parse_u32(value).filter(|n| *n >= 1)?),
+            "first" if first_gateway.is_none() => first_gateway = Some(parse_u32(value)?),
             "units" | "spread" | "first" => return None, // given twice: which one is meant is unknown
             _ => {}                                      // later versions may add names
         }
     }
-    let (width, first) = (width.unwrap_or(0), first.unwrap_or(0));
-    let in_set = width <= config.gateways && first < config.gateways;
+    let (gateways, first_gateway) = (gateways.unwrap_or(0), first_gateway.unwrap_or(0));
+    let is_valid_set = gateways <= config.gateways && first_gateway < config.gateways;
     // Invariant: no request costs more than the largest allowed; one that did would use up its tenant's quota.
-    let units = units.filter(|units| *units > 0.0 && *units <= config.max_units && in_set)?;
-    Some((units, width, first))
+    let units = units.filter(|units| *units > 0.0 && *units <= config.max_units && is_valid_set)?;
+    Some((units, gateways, first_gateway))
 }
 
 /// A decimal number that fits 32 bits.
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -95,7 +95,7 @@
     /// The time of the event or timer that is being handled. The clock is read once for each: a request takes
     /// microseconds, and reading the clock at every step was a noticeable part of that.
     pub(crate) event_time: Timestamp,
-    pub(crate) poll: Poller,
+    pub(crate) poller: Poller,
     pub(crate) timers: TimerWheel<Timer>,
     /// Events that the policy has not been told of yet.
     pub(crate) events: VecDeque<Event>,
@@ -110,7 +110,7 @@
     /// The client whose request the policy is being told of.
     pub(crate) current_client: Option<ClientKey>,
     /// The buffer that sockets are read into.
-    pub(crate) scratch: Vec<u8>,
+    pub(crate) read_buffer: Vec<u8>,
 }
 
 impl Runtime {
@@ -126,13 +126,13 @@
     }
 
     /// Sets a timer.
-    pub(crate) fn wake_at(&mut self, due: Timestamp, timer: Timer) {
+    pub(crate) fn schedule_timer(&mut self, due: Timestamp, timer: Timer) {
         self.timers.schedule(due, timer);
     }
 
     /// Takes note that a client has disconnected: its request is not answered, and an attempt in flight only
     /// ends.
-    pub(crate) fn client_left(&mut self, key: RequestKey) {
+    pub(crate) fn abandon_request(&mut self, key: RequestKey) {
         let Some(request) = self.requests.get(key) else { return };
         let has_attempt = request.state() == State::InFlight;
         self.requests.set_state(key, if has_attempt { State::Abandoned } else { State::Finished });
@@ -141,20 +141,20 @@
 
 impl Host for Runtime {
     fn send_attempt(&mut self, request: &str, backend: &str, timeout: Duration) {
-        if let Some(key) = request::key(request) {
-            self.begin_attempt(key, backend, timeout);
+        if let Some(key) = request::key_from_id(request) {
+            self.start_attempt(key, backend, timeout);
         }
     }
 
     fn reject(&mut self, request: &str, retry_in: Option<Duration>) {
-        if let Some(key) = request::key(request) {
-            self.answer_failure(key, true, retry_in);
+        if let Some(key) = request::key_from_id(request) {
+            self.respond_with_failure(key, true, retry_in);
         }
     }
 
     fn fail(&mut self, request: &str) {
-        if let Some(key) = request::key(request) {
-            self.answer_failure(key, false, None);
+        if let Some(key) = request::key_from_id(request) {
+            self.respond_with_failure(key, false, None);
         }
     }
 
@@ -171,6 +171,6 @@
     fn answer_peer(&mut self, _: u32, _: u16, _: QuotaDecision) {}
 
     fn set_timer(&mut self, token: &str, after: Duration) {
-        self.wake_at(self.now() + after, Timer::Policy(token.to_owned()));
+        self.schedule_timer(self.now() + after, Timer::Policy(token.to_owned()));
     }
 }
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -11,11 +11,11 @@
 
 impl Runtime {
     /// Begins the shutdown, unless it has begun already.
-    pub(crate) fn begin_shutdown(&mut self) {
+    pub(crate) fn start_shutdown(&mut self) {
         if matches!(self.phase, Phase::Starting | Phase::Serving) {
             info!("told to end");
             self.phase = Phase::ShuttingDown;
-            self.wake_at(self.now() + DRAIN_DURATION, Timer::StopAccepting);
+            self.schedule_timer(self.now() + DRAIN_DURATION, Timer::StopAccepting);
         }
     }
 
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -12,7 +12,7 @@
 
 /// All that a gateway needs to start.
 #[derive(Debug)]
-pub struct Launch {
+pub struct StartupConfig {
     /// The gateway's name, for the log.
     pub name: String,
     /// Where it accepts clients.
@@ -22,83 +22,85 @@
     /// The seed of the policy's random numbers.
     pub seed: u64,
     /// The most descriptors that it may open.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The policy's settings.
     pub config: GatewayConfig,
     /// The time limits of connections and answers.
     pub connection_settings: ConnectionSettings,
     /// The list of backends as this gateway last had it, in discovery's format; null if there is none.
-    pub known: Value,
+    pub initial_backends: Value,
     /// The file that this came from, for reloads.
-    pub origin: Option<PathBuf>,
+    pub config_path: Option<PathBuf>,
 }
 
 /// How long a start waits for discovery before it uses the list that it was given.
 pub(crate) const INITIAL_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 /// The fewest descriptors that a gateway can serve with.
-const MIN_SOCKETS: u64 = 64;
+const MIN_DESCRIPTORS: u64 = 64;
 
-impl Launch {
+impl StartupConfig {
     /// Reads the configuration that `BALANCER_CONFIG` names.
     ///
     /// # Errors
-    /// The variable is not set, or as [`Launch::read`].
-    pub fn from_env() -> Result<Launch, String> {
+    /// The variable is not set, or as [`StartupConfig::from_file`].
+    pub fn from_env() -> Result<StartupConfig, String> {
         let path = std::env::var_os("BALANCER_CONFIG");
         let path = path.ok_or("BALANCER_CONFIG: expected a file's path; see kitepass --help")?;
-        Launch::read(Path::new(&path))
+        StartupConfig::from_file(Path::new(&path))
     }
 
     /// Reads a configuration file.
     ///
     /// # Errors
-    /// The file cannot be read, or as [`Launch::from_text`]; begins with the file's path.
-    pub fn read(path: &Path) -> Result<Launch, String> {
+    /// The file cannot be read, or as [`StartupConfig::from_json`]; begins with the file's path.
+    pub fn from_file(path: &Path) -> Result<StartupConfig, String> {
         let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
-        let mut launch = Launch::from_text(&text).map_err(|error| format!("{}: {error}", path.display()))?;
-        launch.origin = Some(path.to_owned());
-        Ok(launch)
+        let mut startup =
+            StartupConfig::from_json(&text).map_err(|error| format!("{}: {error}", path.display()))?;
+        startup.config_path = Some(path.to_owned());
+        Ok(startup)
     }
 
     /// Parses a configuration.
     ///
     /// # Errors
     /// Names the first field that is missing or not valid, and what was expected of it.
-    pub fn from_text(text: &str) -> Result<Launch, String> {
-        let all: Value = serde_json::from_str(text).map_err(|error| format!("expected JSON, {error}"))?;
+    pub fn from_json(text: &str) -> Result<StartupConfig, String> {
+        let root: Value = serde_json::from_str(text).map_err(|error| format!("expected JSON, {error}"))?;
         let (mut config, connection_settings) =
-            kitepass_gateway_config::from_value("settings", &all["settings"])?;
+            kitepass_gateway_config::from_value("settings", &root["settings"])?;
         if config.gateway_index >= config.gateways {
             return Err("settings.Me: expected a number below ReplicasOfMe".to_owned());
         }
         // Gateways on sockets do not know each other's addresses: they share nothing but the counter.
         config.max_peer_messages = 0.0;
-        let seed = all["seed"].as_str().and_then(|seed| u64::from_str_radix(seed, 16).ok());
-        let sockets = match &all["limits"]["sockets"] {
+        let seed = root["seed"].as_str().and_then(|seed| u64::from_str_radix(seed, 16).ok());
+        let max_descriptors = match &root["limits"]["sockets"] {
             Value::Null => u64::MAX,
             found => found
                 .as_u64()
-                .filter(|sockets| *sockets >= MIN_SOCKETS)
-                .ok_or_else(|| format!("limits.sockets: expected a whole number from {MIN_SOCKETS}"))?,
+                .filter(|limit| *limit >= MIN_DESCRIPTORS)
+                .ok_or_else(|| format!("limits.sockets: expected a whole number from {MIN_DESCRIPTORS}"))?,
         };
-        let allowed = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
-        let known = &all["known"];
-        if !known.is_null() && !known["instances"].is_array() {
+        let descriptor_limit = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
+        let initial_backends = &root["known"];
+        if !initial_backends.is_null() && !initial_backends["instances"].is_array() {
             return Err("known.instances: expected an array".to_owned());
         }
-        Ok(Launch {
-            name: all["name"].as_str().ok_or("name: expected text")?.to_owned(),
-            listen: address(&all, "listen")?.ok_or("listen: expected an address and a port")?,
+        Ok(StartupConfig {
+            name: root["name"].as_str().ok_or("name: expected text")?.to_owned(),
+            listen: parse_address(&root, "listen")?.ok_or("listen: expected an address and a port")?,
             addresses: Addresses {
-                discovery: address(&all, "discovery")?.ok_or("discovery: expected an address and a port")?,
-                counter: address(&all, "counter")?,
+                discovery: parse_address(&root, "discovery")?
+                    .ok_or("discovery: expected an address and a port")?,
+                counter: parse_address(&root, "counter")?,
             },
             seed: seed.ok_or("seed: expected up to 16 hex digits")?,
-            sockets: sockets.min(allowed).min(1 << 16) as usize,
+            max_descriptors: max_descriptors.min(descriptor_limit).min(1 << 16) as usize,
             config,
             connection_settings,
-            known: known.clone(),
-            origin: None,
+            initial_backends: initial_backends.clone(),
+            config_path: None,
         })
     }
 }
@@ -107,7 +109,7 @@
     /// Serves with the list that the gateway was started with, as discovery has not answered; without any
     /// live backend on it, the gateway goes on waiting.
     pub(crate) fn use_initial_list(&mut self) {
-        if self.phase == Phase::Starting && self.backends.any_listed() {
+        if self.phase == Phase::Starting && self.backends.has_live_backend() {
             self.phase = Phase::Serving;
         }
     }
@@ -117,8 +119,8 @@
 ///
 /// # Errors
 /// The field holds something else.
-fn address(all: &Value, key: &str) -> Result<Option<SocketAddr>, String> {
-    match &all[key] {
+fn parse_address(root: &Value, key: &str) -> Result<Option<SocketAddr>, String> {
+    match &root[key] {
         Value::Null => Ok(None),
         found => {
             let address = found.as_str().and_then(|text| text.parse().ok());
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -5,13 +5,13 @@
 #![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 #![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
 
-use kitepass_gateway::Launch;
+use kitepass_gateway::StartupConfig;
 use std::fmt::Write;
 use std::path::Path;
 
-/// A configuration with these fields in place of the usual ones; those that are empty are left out.
-fn with(changed: &[(&str, &str)]) -> String {
-    let usual = [
+/// A configuration with these fields in place of the default ones; those that are empty are left out.
+fn config_with(changed: &[(&str, &str)]) -> String {
+    let defaults = [
         ("name", r#""g7""#),
         ("listen", r#""127.0.0.1:9000""#),
         ("discovery", r#""127.0.0.1:8500""#),
@@ -22,8 +22,8 @@
         ("known", r#"{"instances":[{"id":"b1"}]}"#),
     ];
     let value =
-        |name: &str, usual| changed.iter().find(|(n, _)| *n == name).map_or(usual, |(_, value)| *value);
-    let fields = usual.map(|(name, usual)| (name, value(name, usual)));
+        |name: &str, default| changed.iter().find(|(n, _)| *n == name).map_or(default, |(_, value)| *value);
+    let fields = defaults.map(|(name, default)| (name, value(name, default)));
     let set = fields.iter().filter(|(_, value)| !value.is_empty());
     let texts: Vec<String> = set.map(|(name, value)| format!("\"{name}\":{value}")).collect();
     format!("{{{}}}", texts.join(","))
@@ -31,59 +31,62 @@
 
 fn configurations() -> Vec<(&'static str, String)> {
     vec![
-        ("every field", with(&[])),
-        ("without a counter", with(&[("counter", "")])),
-        ("a counter of null", with(&[("counter", "null")])),
-        ("no known list", with(&[("known", "")])),
-        ("a short seed", with(&[("seed", r#""F""#)])),
+        ("every field", config_with(&[])),
+        ("without a counter", config_with(&[("counter", "")])),
+        ("a counter of null", config_with(&[("counter", "null")])),
+        ("no known list", config_with(&[("known", "")])),
+        ("a short seed", config_with(&[("seed", r#""F""#)])),
         (
             "messages of peers",
-            with(&[("settings", r#"{"Caps":{"PeerMessages":true},"FamilyInfo":{"MailPerS":40}}"#)]),
+            config_with(&[("settings", r#"{"Caps":{"PeerMessages":true},"FamilyInfo":{"MailPerS":40}}"#)]),
         ),
         // What cannot be taken.
         ("no JSON", "{".into()),
         ("empty text", String::new()),
         ("another kind of value", "[]".into()),
         ("no fields", "{}".into()),
-        ("no name", with(&[("name", "")])),
-        ("a name of another kind", with(&[("name", "7")])),
-        ("no address to listen on", with(&[("listen", "")])),
-        ("an address without a port", with(&[("listen", r#""127.0.0.1""#)])),
-        ("an address by name", with(&[("listen", r#""localhost:9000""#)])),
-        ("an address of another kind", with(&[("listen", "9000")])),
-        ("no discovery", with(&[("discovery", "")])),
-        ("a bad address of discovery", with(&[("discovery", r#""""#)])),
-        ("a bad address of the counter", with(&[("counter", r#""x""#)])),
-        ("no seed", with(&[("seed", "")])),
-        ("a seed of another kind", with(&[("seed", "7")])),
-        ("a seed of 17 digits", with(&[("seed", r#""18c1f30d27a5be964""#)])),
-        ("a seed that is no number", with(&[("seed", r#""xyz""#)])),
-        ("too few sockets", with(&[("limits", r#"{"sockets":63}"#)])),
-        ("a fraction of sockets", with(&[("limits", r#"{"sockets":96.5}"#)])),
-        ("sockets of another kind", with(&[("limits", r#"{"sockets":"96"}"#)])),
-        ("no settings", with(&[("settings", "")])),
-        ("settings of another kind", with(&[("settings", "[]")])),
-        ("a number that is not below the replicas'", with(&[("settings", r#"{"ReplicasOfMe":3,"Me":3}"#)])),
-        ("a bad field of the settings", with(&[("settings", r#"{"Plans":[{"Refill":"x"}]}"#)])),
-        ("a known list of another kind", with(&[("known", "[]")])),
-        ("a known list without instances", with(&[("known", "{}")])),
-        ("several bad fields", with(&[("name", ""), ("listen", ""), ("seed", ""), ("settings", "")])),
+        ("no name", config_with(&[("name", "")])),
+        ("a name of another kind", config_with(&[("name", "7")])),
+        ("no address to listen on", config_with(&[("listen", "")])),
+        ("an address without a port", config_with(&[("listen", r#""127.0.0.1""#)])),
+        ("an address by name", config_with(&[("listen", r#""localhost:9000""#)])),
+        ("an address of another kind", config_with(&[("listen", "9000")])),
+        ("no discovery", config_with(&[("discovery", "")])),
+        ("a bad address of discovery", config_with(&[("discovery", r#""""#)])),
+        ("a bad address of the counter", config_with(&[("counter", r#""x""#)])),
+        ("no seed", config_with(&[("seed", "")])),
+        ("a seed of another kind", config_with(&[("seed", "7")])),
+        ("a seed of 17 digits", config_with(&[("seed", r#""18c1f30d27a5be964""#)])),
+        ("a seed that is no number", config_with(&[("seed", r#""xyz""#)])),
+        ("too few sockets", config_with(&[("limits", r#"{"sockets":63}"#)])),
+        ("a fraction of sockets", config_with(&[("limits", r#"{"sockets":96.5}"#)])),
+        ("sockets of another kind", config_with(&[("limits", r#"{"sockets":"96"}"#)])),
+        ("no settings", config_with(&[("settings", "")])),
+        ("settings of another kind", config_with(&[("settings", "[]")])),
+        (
+            "a number that is not below the replicas'",
+            config_with(&[("settings", r#"{"ReplicasOfMe":3,"Me":3}"#)]),
+        ),
+        ("a bad field of the settings", config_with(&[("settings", r#"{"Plans":[{"Refill":"x"}]}"#)])),
+        ("a known list of another kind", config_with(&[("known", "[]")])),
+        ("a known list without instances", config_with(&[("known", "{}")])),
+        ("several bad fields", config_with(&[("name", ""), ("listen", ""), ("seed", ""), ("settings", "")])),
     ]
 }
 
-fn describe(launch: &Launch) -> String {
-    let counter = launch.addresses.counter.map_or("none".to_owned(), |address| address.to_string());
+fn describe(startup: &StartupConfig) -> String {
+    let counter = startup.addresses.counter.map_or("none".to_owned(), |address| address.to_string());
     [
-        format!("name={:?} listen={}", launch.name, launch.listen),
-        format!("discovery={} counter={counter}", launch.addresses.discovery),
-        format!("seed={:016x} sockets={}", launch.seed, launch.sockets),
-        format!("ReplicasOfMe={} Me={}", launch.config.gateways, launch.config.gateway_index),
-        format!("MailPerS={}", launch.config.max_peer_messages),
-        format!("ConnIdle={} us", launch.connection_settings.idle_timeout.as_micros()),
-        format!("known={}", launch.known),
+        format!("name={:?} listen={}", startup.name, startup.listen),
+        format!("discovery={} counter={counter}", startup.addresses.discovery),
+        format!("seed={:016x} sockets={}", startup.seed, startup.max_descriptors),
+        format!("ReplicasOfMe={} Me={}", startup.config.gateways, startup.config.gateway_index),
+        format!("MailPerS={}", startup.config.max_peer_messages),
+        format!("ConnIdle={} us", startup.connection_settings.idle_timeout.as_micros()),
+        format!("known={}", startup.initial_backends),
         format!(
             "file={}",
-            launch.origin.as_ref().map_or("none".to_owned(), |path| path.display().to_string())
+            startup.config_path.as_ref().map_or("none".to_owned(), |path| path.display().to_string())
         ),
     ]
     .iter()
@@ -92,37 +95,37 @@
 }
 
 #[test]
-fn configurations_are_read_as_ever() {
-    let mut found = String::new();
+fn configurations_match_the_golden_file() {
+    let mut actual = String::new();
     for (name, text) in configurations() {
-        let outcome = match Launch::from_text(&text) {
-            Ok(launch) => describe(&launch),
+        let outcome = match StartupConfig::from_json(&text) {
+            Ok(startup) => describe(&startup),
             Err(error) => format!("  error: {error}\n"),
         };
-        let _ = write!(found, "{name}: {text}\n{outcome}");
+        let _ = write!(actual, "{name}: {text}\n{outcome}");
     }
     let golden = include_str!("golden/configurations.txt");
-    let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join("configurations.txt");
-    std::fs::write(&left, &found).expect("a file in the build's folder");
+    let actual_path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("configurations.txt");
+    std::fs::write(&actual_path, &actual).expect("a file in the build's folder");
     assert!(
-        found == golden,
+        actual == golden,
         "it differs from golden/configurations.txt; what was found is in {}",
-        left.display()
+        actual_path.display()
     );
 }
 
 /// The file's path goes before what is wrong.
 #[test]
-fn files_that_cannot_be_read_are_named_as_ever() {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let missing = folder.join("no-such-configuration.json");
-    let error = Launch::read(&missing).expect_err("no such file");
+fn errors_begin_with_the_file_path() {
+    let directory = Path::new(env!("CARGO_TARGET_TMPDIR"));
+    let missing = directory.join("no-such-configuration.json");
+    let error = StartupConfig::from_file(&missing).expect_err("no such file");
     assert_eq!(error, format!("{}: No such file or directory (os error 2)", missing.display()));
-    let bad = folder.join("bad-configuration.json");
-    std::fs::write(&bad, with(&[("name", "")])).expect("a file in the build's folder");
-    let error = Launch::read(&bad).expect_err("no name");
+    let bad = directory.join("bad-configuration.json");
+    std::fs::write(&bad, config_with(&[("name", "")])).expect("a file in the build's folder");
+    let error = StartupConfig::from_file(&bad).expect_err("no name");
     assert_eq!(error, format!("{}: name: expected text", bad.display()));
-    let good = folder.join("good-configuration.json");
-    std::fs::write(&good, with(&[])).expect("a file in the build's folder");
-    assert_eq!(Launch::read(&good).expect("a good file").origin, Some(good));
+    let good = directory.join("good-configuration.json");
+    std::fs::write(&good, config_with(&[])).expect("a file in the build's folder");
+    assert_eq!(StartupConfig::from_file(&good).expect("a good file").config_path, Some(good));
 }
--- a/crates/gateway/tests/sockets/bad_input.rs
+++ b/crates/gateway/tests/sockets/bad_input.rs
@@ -1,18 +1,18 @@
 //! Bad input from clients, backends and the configuration.
 
-use crate::harness::{ok, request_head, settings, start, write_config};
-use crate::{serving, serving_with};
+use crate::harness::{gateway_command, ok_response, request_head, settings, write_config};
+use crate::{start_gateway, start_gateway_with_backends};
 use std::process::Stdio;
 
 #[test]
 fn bad_input_from_a_client_is_answered_and_affects_no_other() {
-    let (gateway, _watch, backend_stub) = serving(256);
+    let (gateway, _watch, backend_stub) = start_gateway(256);
     let mut other = gateway.connect();
     other.send(request_head("once", "t1") + "\r\n");
     let mut connection = backend_stub.accept();
     connection.receive();
     let good = request_head("look", "t2") + "\r\n";
-    let door = request_head("door", "t2") + "Idempotency-Key: k\r\n";
+    let dedup_head = request_head("door", "t2") + "Idempotency-Key: k\r\n";
     // The framing is intact: the connection stays open.
     let mut client = gateway.connect();
     for (from, to) in [
@@ -55,26 +55,26 @@
         (good.replace("HTTP/1.1", "HTTP/3"), 400),
         (good.replace("X-Tariff:", "X-Tariff :"), 400),
         (good.replace("\r\n", "\n"), 400),
-        (format!("{door}Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello"), 400),
-        (format!("{door}Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\nhello"), 400),
-        (format!("{door}Content-Length: +5\r\n\r\nhello"), 400),
-        (format!("{door}Transfer-Encoding: chunked\r\n\r\nhello\r\n"), 400),
-        (format!("{door}Content-Length: 65537\r\n\r\n"), 413),
-        (format!("{door}Transfer-Encoding: chunked\r\n\r\n10001\r\n"), 413),
+        (format!("{dedup_head}Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello"), 400),
+        (format!("{dedup_head}Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\nhello"), 400),
+        (format!("{dedup_head}Content-Length: +5\r\n\r\nhello"), 400),
+        (format!("{dedup_head}Transfer-Encoding: chunked\r\n\r\nhello\r\n"), 400),
+        (format!("{dedup_head}Content-Length: 65537\r\n\r\n"), 413),
+        (format!("{dedup_head}Transfer-Encoding: chunked\r\n\r\n10001\r\n"), 413),
         (good.replace("X-Tariff: team", &format!("X-Tariff: {large}")), 431),
     ] {
         let mut client = gateway.connect();
         assert_eq!(client.send(&text).receive().status(), status, "{}", &text[..text.len().min(300)]);
-        assert!(client.ends());
+        assert!(client.ends_without_data());
     }
-    assert!(backend_stub.is_untouched(), "a leg was sent");
-    connection.send(ok("fine"));
+    assert!(backend_stub.has_no_connection(), "a leg was sent");
+    connection.send(ok_response("fine"));
     assert_eq!(other.receive().body, b"fine");
 }
 
 #[test]
 fn bad_input_from_a_backend_ends_its_connection_and_no_other() {
-    let (gateway, _watch, backend_stub) = serving_with(256, 12);
+    let (gateway, _watch, backend_stub) = start_gateway_with_backends(256, 12);
     let large = format!("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n{}", "a".repeat(65537));
     for answer in [
         "nonsense\r\n\r\n",
@@ -88,7 +88,7 @@
         connection.receive();
         connection.send(answer);
         assert_eq!(client.receive().status(), 502);
-        assert!(connection.ends());
+        assert!(connection.ends_without_data());
     }
 }
 
@@ -111,17 +111,17 @@
         (good.replace("\"ConnIdle\":15.0", "\"ConnIdle\":\"x\""), "settings.Caps.ConnIdle:"),
     ] {
         let path = write_config(&text);
-        refused(&path, what);
+        assert_startup_fails(&path, what);
         std::fs::remove_file(path).unwrap();
     }
-    refused(std::path::Path::new("/nowhere/config.json"), "/nowhere/config.json");
+    assert_startup_fails(std::path::Path::new("/nowhere/config.json"), "/nowhere/config.json");
 }
 
-fn refused(path: &std::path::Path, what: &str) {
-    let output = start(path).stderr(Stdio::piped()).output().unwrap();
-    let next_log_line = String::from_utf8(output.stderr).unwrap();
+fn assert_startup_fails(path: &std::path::Path, what: &str) {
+    let output = gateway_command(path).stderr(Stdio::piped()).output().unwrap();
+    let stderr = String::from_utf8(output.stderr).unwrap();
     assert!(
-        !output.status.success() && next_log_line.contains(what) && next_log_line.lines().count() == 1,
-        "{what}: {next_log_line}"
+        !output.status.success() && stderr.contains(what) && stderr.lines().count() == 1,
+        "{what}: {stderr}"
     );
 }
--- a/crates/gateway/tests/sockets/harness.rs
+++ b/crates/gateway/tests/sockets/harness.rs
@@ -13,7 +13,7 @@
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A loopback address of this process that no other test uses.
-fn own_address() -> IpAddr {
+fn next_loopback_address() -> IpAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let [.., high, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, high | 128, low, NEXT.fetch_add(1, Ordering::Relaxed)).into()
@@ -50,7 +50,7 @@
         Connection { stream, input: Vec::new() }
     }
 
-    pub(crate) fn to(address: SocketAddr) -> Connection {
+    pub(crate) fn connect(address: SocketAddr) -> Connection {
         Connection::new(TcpStream::connect_timeout(&address, TEST_TIMEOUT).expect("a connection"))
     }
 
@@ -82,13 +82,13 @@
                     return Some(Message { body, ..message });
                 }
             }
-            if !self.more() {
+            if !self.read_more() {
                 return None;
             }
         }
     }
 
-    fn more(&mut self) -> bool {
+    fn read_more(&mut self) -> bool {
         let mut buffer = [0; 4096];
         loop {
             return match self.stream.read(&mut buffer) {
@@ -105,11 +105,11 @@
     }
 
     /// Whether the peer closes the connection without sending anything more.
-    pub(crate) fn ends(&mut self) -> bool {
-        !self.more() && self.input.is_empty()
+    pub(crate) fn ends_without_data(&mut self) -> bool {
+        !self.read_more() && self.input.is_empty()
     }
 
-    pub(crate) fn end_sending(&mut self) {
+    pub(crate) fn shutdown_write(&mut self) {
         self.stream.shutdown(Shutdown::Write).unwrap();
     }
 }
@@ -122,7 +122,7 @@
 
 impl StubServer {
     pub(crate) fn open() -> StubServer {
-        let listener = TcpListener::bind((own_address(), 0)).unwrap();
+        let listener = TcpListener::bind((next_loopback_address(), 0)).unwrap();
         let (address, (accepted, connections)) = (listener.local_addr().unwrap(), channel());
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -139,7 +139,7 @@
     }
 
     /// Whether nobody has connected so far.
-    pub(crate) fn is_untouched(&self) -> bool {
+    pub(crate) fn has_no_connection(&self) -> bool {
         self.connections.try_recv().is_err()
     }
 }
@@ -153,7 +153,7 @@
 
 impl FullListener {
     pub(crate) fn open() -> FullListener {
-        let listener = TcpListener::bind((own_address(), 0)).unwrap();
+        let listener = TcpListener::bind((next_loopback_address(), 0)).unwrap();
         net::listen(&listener, 0).unwrap(); // a queue of one
         let address = listener.local_addr().unwrap();
         FullListener { address, listener, _first: TcpStream::connect(address).unwrap() }
@@ -173,11 +173,11 @@
     let socket =
         net::socket_with(AddressFamily::INET, SocketType::STREAM, SocketFlags::CLOEXEC, None).unwrap();
     net::sockopt::set_socket_reuseaddr(&socket, true).unwrap();
-    net::bind(&socket, &SocketAddr::new(own_address(), 0)).unwrap();
+    net::bind(&socket, &SocketAddr::new(next_loopback_address(), 0)).unwrap();
     net::getsockname(&socket).unwrap().try_into().unwrap()
 }
 
-pub(crate) fn backend(id: &str, address: SocketAddr, lifecycle: &str) -> String {
+pub(crate) fn backend_entry(id: &str, address: SocketAddr, lifecycle: &str) -> String {
     format!(
         r#"{{"instanceId":"{id}","hostPort":"{address}","zone":"z","machineType":"m","cell":1,"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":0}}"#
     )
@@ -188,7 +188,7 @@
 
 impl Watch {
     /// Accepts the gateway's next watch, and returns it with the gateway's request.
-    pub(crate) fn begin(discovery: &StubServer) -> (Watch, Message) {
+    pub(crate) fn accept(discovery: &StubServer) -> (Watch, Message) {
         let mut connection = discovery.accept();
         let request = connection.receive();
         connection.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -200,8 +200,8 @@
         self.send_line(&format!(r#"{{"generation":{generation},"reset":{reset},"instances":[{entries}]}}"#));
     }
 
-    pub(crate) fn ends(mut self) -> bool {
-        self.0.ends()
+    pub(crate) fn ends_without_data(mut self) -> bool {
+        self.0.ends_without_data()
     }
 
     pub(crate) fn send_line(&mut self, line: &str) {
@@ -210,8 +210,8 @@
 }
 
 /// Settings of a single gateway without a counter, or of one of two gateways with one.
-pub(crate) fn settings(counted: bool) -> String {
-    let (counter, gateways) = if counted { ("true", "2") } else { ("false", "1") };
+pub(crate) fn settings(has_counter: bool) -> String {
+    let (counter, gateways) = if has_counter { ("true", "2") } else { ("false", "1") };
     SETTINGS.replace("COUNTED", counter).replace("GATEWAYS", gateways)
 }
 
@@ -230,14 +230,14 @@
     pub(crate) sockets: u32,
     pub(crate) counter: Option<SocketAddr>,
     pub(crate) known: &'a [String],
-    pub(crate) connect_within: f64,
+    pub(crate) connect_timeout: f64,
     /// The time-out of a call to the counter, in seconds.
     pub(crate) counter_timeout: f64,
 }
 
 impl Default for Options<'_> {
     fn default() -> Self {
-        Options { sockets: 256, counter: None, known: &[], connect_within: 0.25, counter_timeout: 0.5 }
+        Options { sockets: 256, counter: None, known: &[], connect_timeout: 0.25, counter_timeout: 0.5 }
     }
 }
 
@@ -246,21 +246,21 @@
     pub(crate) address: SocketAddr,
     pub(crate) discovery: StubServer,
     child: Child,
-    config: PathBuf,
-    text: String,
-    log: Receiver<String>,
+    config_path: PathBuf,
+    config_text: String,
+    log_lines: Receiver<String>,
 }
 
 impl Gateway {
     pub(crate) fn start(options: &Options) -> Gateway {
         let (address, discovery) = (unused_address(), StubServer::open());
         let counter = options.counter.map_or("null".to_owned(), |counter| format!("\"{counter}\""));
-        let within = format!("\"ConnectTimeout\":{}", options.connect_within);
+        let connect_timeout = format!("\"ConnectTimeout\":{}", options.connect_timeout);
         let counter_timeout = format!("\"CounterTimeout\":{}", options.counter_timeout);
         let settings = settings(options.counter.is_some())
-            .replace("\"ConnectTimeout\":0.25", &within)
+            .replace("\"ConnectTimeout\":0.25", &connect_timeout)
             .replace("\"CounterTimeout\":0.5", &counter_timeout);
-        let text = format!(
+        let config_text = format!(
             r#"{{"name":"g0","listen":"{address}","discovery":"{}","counter":{counter},"seed":"8c1f30d27a5be964",
              "limits":{{"cores":1.0,"memory_mb":192,"sockets":{}}},"settings":{settings},
              "known":{{"generation":7,"reset":true,"instances":[{}]}}}}"#,
@@ -268,32 +268,33 @@
             options.sockets,
             options.known.join(",")
         );
-        let config = write_config(&text);
-        let mut child = start(&config).stderr(Stdio::piped()).spawn().expect("the program starts");
-        let (lines, (sender, log)) = (BufReader::new(child.stderr.take().unwrap()).lines(), channel());
+        let config_path = write_config(&config_text);
+        let mut child =
+            gateway_command(&config_path).stderr(Stdio::piped()).spawn().expect("the program starts");
+        let (lines, (sender, log_lines)) = (BufReader::new(child.stderr.take().unwrap()).lines(), channel());
         std::thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
-        Gateway { address, discovery, child, config, text, log }
+        Gateway { address, discovery, child, config_path, config_text, log_lines }
     }
 
     /// Changes the configuration file and has the gateway reload it.
     pub(crate) fn reload(&mut self, changes: &[(&str, &str)]) {
         for (from, to) in changes {
-            assert!(self.text.contains(from), "{from}");
-            self.text = self.text.replace(from, to);
+            assert!(self.config_text.contains(from), "{from}");
+            self.config_text = self.config_text.replace(from, to);
         }
         // Put in place by a rename: an earlier signal may have the file read just now.
-        let complete = write_config(&self.text);
-        std::fs::rename(complete, &self.config).unwrap();
+        let complete = write_config(&self.config_text);
+        std::fs::rename(complete, &self.config_path).unwrap();
         self.signal(rustix::process::Signal::HUP);
     }
 
     /// The next line of its log.
     pub(crate) fn next_log_line(&self) -> String {
-        self.log.recv_timeout(TEST_TIMEOUT).expect("a line")
+        self.log_lines.recv_timeout(TEST_TIMEOUT).expect("a line")
     }
 
     pub(crate) fn remove_config(&self) {
-        std::fs::remove_file(&self.config).unwrap();
+        std::fs::remove_file(&self.config_path).unwrap();
     }
 
     pub(crate) fn descriptors(&self) -> usize {
@@ -307,20 +308,20 @@
     }
 
     pub(crate) fn has_logged_nothing(&self) -> bool {
-        self.log.try_recv().is_err()
+        self.log_lines.try_recv().is_err()
     }
 
     /// Starts a gateway with these backends and waits until it is ready.
-    pub(crate) fn ready(options: &Options, backends: &[String]) -> (Gateway, Watch) {
+    pub(crate) fn start_ready(options: &Options, backends: &[String]) -> (Gateway, Watch) {
         let gateway = Gateway::start(options);
-        let (mut watch, _) = Watch::begin(&gateway.discovery);
+        let (mut watch, _) = Watch::accept(&gateway.discovery);
         watch.send_list(8, true, backends);
         gateway.wait_until(200);
         (gateway, watch)
     }
 
     pub(crate) fn connect(&self) -> Connection {
-        Connection::to(self.address)
+        Connection::connect(self.address)
     }
 
     /// Polls the readiness check until it answers this status.
@@ -341,7 +342,7 @@
     }
 
     /// Waits until the program has ended; whether it ended with success.
-    pub(crate) fn ends_well(&mut self) -> bool {
+    pub(crate) fn exits_successfully(&mut self) -> bool {
         let begun = Instant::now();
         while begun.elapsed() < TEST_TIMEOUT {
             if let Some(status) = self.child.try_wait().unwrap() {
@@ -361,7 +362,7 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.config);
+        let _ = std::fs::remove_file(&self.config_path);
     }
 }
 
@@ -373,7 +374,7 @@
     path
 }
 
-pub(crate) fn start(config: &std::path::Path) -> Command {
+pub(crate) fn gateway_command(config: &std::path::Path) -> Command {
     let mut program = Command::new(env!("CARGO_BIN_EXE_kitepass"));
     program.env("BALANCER_CONFIG", config).env_remove("RUST_LOG").stdin(Stdio::null());
     program
@@ -389,6 +390,6 @@
     )
 }
 
-pub(crate) fn ok(body: &str) -> String {
+pub(crate) fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/crates/gateway/tests/sockets/main.rs
+++ b/crates/gateway/tests/sockets/main.rs
@@ -7,20 +7,21 @@
 mod service;
 
 use harness::{
-    backend, ok, request_head, unused_address, Connection, FullListener, Gateway, Options, StubServer, Watch,
+    backend_entry, ok_response, request_head, unused_address, Connection, FullListener, Gateway, Options,
+    StubServer, Watch,
 };
 use std::time::Instant;
 
-fn serving(sockets: u32) -> (Gateway, Watch, StubServer) {
-    serving_with(sockets, 1)
+fn start_gateway(sockets: u32) -> (Gateway, Watch, StubServer) {
+    start_gateway_with_backends(sockets, 1)
 }
 
 /// One stub listed as several backends: with a single backend, the policy soon takes failures for an overload.
-fn serving_with(sockets: u32, backends: usize) -> (Gateway, Watch, StubServer) {
+fn start_gateway_with_backends(sockets: u32, backends: usize) -> (Gateway, Watch, StubServer) {
     let backend_stub = StubServer::open();
     let options = Options { sockets, ..Options::default() };
-    let entry = |n| backend(&format!("b{n}"), backend_stub.address, "ready");
-    let (gateway, watch) = Gateway::ready(&options, &(0..backends).map(entry).collect::<Vec<_>>());
+    let entry = |n| backend_entry(&format!("b{n}"), backend_stub.address, "ready");
+    let (gateway, watch) = Gateway::start_ready(&options, &(0..backends).map(entry).collect::<Vec<_>>());
     (gateway, watch, backend_stub)
 }
 
@@ -29,14 +30,14 @@
     client.send(request_head("once", trace) + "\r\n"); // its attempt has all of the client's time
     let mut connection = backend_stub.accept();
     assert_eq!(connection.receive().field("x-trace-id"), Some(trace));
-    connection.send(ok("fine"));
+    connection.send(ok_response("fine"));
     assert_eq!(client.receive().body, b"fine");
     connection
 }
 
 #[test]
 fn a_request_is_forwarded_byte_for_byte_and_its_connections_are_kept() {
-    let (gateway, _watch, backend_stub) = serving(256);
+    let (gateway, _watch, backend_stub) = start_gateway(256);
     let mut client = gateway.connect();
     let body = "\0\r\n\r\n{\"a\": 1}";
     let head = request_head("door", "t1")
@@ -60,14 +61,14 @@
     let head = request_head("door", "t2") + "Idempotency-Key: k-2\r\nTransfer-Encoding: chunked\r\n\r\n";
     client.send(head + "5\r\nhello\r\n1\r\n!\r\n0\r\n\r\n");
     assert_eq!(connection.receive().body, b"hello!");
-    connection.send(ok(""));
+    connection.send(ok_response(""));
     assert_eq!(client.receive().status(), 200);
-    assert!(backend_stub.is_untouched());
+    assert!(backend_stub.has_no_connection());
 }
 
 #[test]
 fn a_request_beyond_the_quota_is_rejected_with_retry_after() {
-    let (gateway, _watch, backend_stub) = serving(256);
+    let (gateway, _watch, backend_stub) = start_gateway(256);
     let mut client = gateway.connect();
     let tiny = |trace| request_head("look", trace).replace("team", "tiny") + "\r\n";
     client.send(tiny("t1"));
@@ -83,7 +84,7 @@
 
 #[test]
 fn an_attempt_that_never_ran_is_retried_and_one_that_may_have_run_is_not() {
-    let (gateway, mut watch, backend_stub) = serving_with(256, 12);
+    let (gateway, mut watch, backend_stub) = start_gateway_with_backends(256, 12);
     let mut client = gateway.connect();
     // Rejected with the proof that it never ran: retried, although it is not idempotent.
     client.send(request_head("once", "t1") + "\r\n");
@@ -108,17 +109,18 @@
     }
     // Nobody listens: it never ran, so even a non-idempotent request may be rejected.
     let mut idle = serve_request(&mut client, &backend_stub, "t3");
-    watch.send_list(9, true, &[backend("b2", unused_address(), "ready")]);
-    assert!(idle.ends(), "closed on the news that b1 is gone");
+    watch.send_list(9, true, &[backend_entry("b2", unused_address(), "ready")]);
+    assert!(idle.ends_without_data(), "closed on the news that b1 is gone");
     client.send(request_head("once", "t4") + "\r\n");
     assert_eq!(client.receive().status(), 503);
-    assert!(backend_stub.is_untouched());
+    assert!(backend_stub.has_no_connection());
 }
 
 #[test]
 fn a_connection_that_is_not_made_proves_that_nothing_ran() {
-    let crowded = FullListener::open();
-    let (gateway, _watch) = Gateway::ready(&Options::default(), &[backend("b1", crowded.address, "ready")]);
+    let full_listener = FullListener::open();
+    let (gateway, _watch) =
+        Gateway::start_ready(&Options::default(), &[backend_entry("b1", full_listener.address, "ready")]);
     let mut client = gateway.connect();
     client.send(request_head("once", "t1") + "\r\n");
     assert_eq!(client.receive().status(), 503, "a bounce: a retry is harmless");
@@ -126,20 +128,21 @@
 
 #[test]
 fn nothing_is_sent_for_a_client_that_disconnected_during_a_connect() {
-    let crowded = FullListener::open();
-    let options = Options { connect_within: 8.0, ..Options::default() };
-    let (gateway, _watch) = Gateway::ready(&options, &[backend("b1", crowded.address, "ready")]);
+    let full_listener = FullListener::open();
+    let options = Options { connect_timeout: 8.0, ..Options::default() };
+    let (gateway, _watch) =
+        Gateway::start_ready(&options, &[backend_entry("b1", full_listener.address, "ready")]);
     let mut client = gateway.connect();
     client.send(request_head("once", "t1") + "\r\n");
     gateway.wait_until(200); // it has the request by now
     drop(client);
     gateway.wait_until(200);
-    assert!(crowded.accept_second().ends());
+    assert!(full_listener.accept_second().ends_without_data());
 }
 
 #[test]
 fn an_unanswered_attempt_ends_in_time_to_answer_the_client() {
-    let (gateway, _watch, backend_stub) = serving(256);
+    let (gateway, _watch, backend_stub) = start_gateway(256);
     let (mut client, begun) = (gateway.connect(), Instant::now());
     client.send(request_head("once", "t1").replace("20000", "600") + "\r\n");
     let mut connection = backend_stub.accept();
@@ -147,12 +150,12 @@
     assert_eq!(client.receive().status(), 504);
     let elapsed = begun.elapsed().as_millis();
     assert!((500..650).contains(&elapsed), "{elapsed} ms");
-    assert!(connection.ends(), "a leg that is given up closes its connection");
+    assert!(connection.ends_without_data(), "a leg that is given up closes its connection");
 }
 
 #[test]
 fn connections_to_an_unresponsive_backend_are_not_reused() {
-    let (gateway, _watch, backend_stub) = serving(256);
+    let (gateway, _watch, backend_stub) = start_gateway(256);
     let mut clients = [gateway.connect(), gateway.connect()];
     let mut traces = ["t0", "t1"].into_iter();
     let mut connections = clients.each_mut().map(|client| {
@@ -162,27 +165,27 @@
         connection
     });
     for (client, connection) in clients.iter_mut().zip(&mut connections) {
-        connection.send(ok("fine"));
+        connection.send(ok_response("fine"));
         assert_eq!(client.receive().status(), 200);
     }
     // Both connections are kept; the newer is reused, and nothing comes from the backend any more.
-    let [first, accept_second] = &mut connections;
+    let [first, second] = &mut connections;
     clients[0].send(request_head("once", "t2").replace("20000", "700") + "\r\n");
-    accept_second.receive();
+    second.receive();
     assert_eq!(clients[0].receive().status(), 504);
-    assert!(accept_second.ends() && first.ends());
+    assert!(second.ends_without_data() && first.ends_without_data());
 }
 
 #[test]
 fn split_heads_and_pipelined_requests_are_served() {
-    let (gateway, _watch, backend_stub) = serving(256);
+    let (gateway, _watch, backend_stub) = start_gateway(256);
     let mut client = gateway.connect();
     for byte in (request_head("look", "t1") + "\r\n").bytes() {
         client.send([byte]);
     }
     let mut connection = backend_stub.accept();
     assert_eq!(connection.receive().field("X-Trace-Id"), Some("t1"));
-    for byte in ok("one").bytes() {
+    for byte in ok_response("one").bytes() {
         connection.send([byte]);
     }
     assert_eq!(client.receive().body, b"one");
@@ -196,15 +199,15 @@
             client.send("GET ");
             gateway.wait_until(200);
         }
-        connection.send(ok(answer));
+        connection.send(ok_response(answer));
         assert_eq!(client.receive().body, answer.as_bytes());
     }
-    assert!(client.ends());
+    assert!(client.ends_without_data());
 }
 
 #[test]
 fn the_attempt_of_a_client_that_disconnects_ends_without_an_answer() {
-    let (mut gateway, _watch, backend_stub) = serving(256);
+    let (mut gateway, _watch, backend_stub) = start_gateway(256);
     let mut client = gateway.connect();
     client.send(request_head("once", "t1") + "\r\n");
     let mut connection = backend_stub.accept();
@@ -215,20 +218,20 @@
     // A gateway ends once no attempt is in flight.
     gateway.terminate();
     gateway.wait_until(503);
-    connection.send(ok("for nobody"));
-    assert!(gateway.ends_well());
+    connection.send(ok_response("for nobody"));
+    assert!(gateway.exits_successfully());
 }
 
 #[test]
 fn a_connection_that_the_backend_has_closed_is_not_used_again() {
-    let (gateway, _watch, backend_stub) = serving(256);
+    let (gateway, _watch, backend_stub) = start_gateway(256);
     let mut client = gateway.connect();
     for trace in ["t1", "t2", "t3"] {
         // The backend closes each connection after its answer; a non-idempotent request must not be lost on it.
         client.send(request_head("once", trace) + "\r\n");
         let mut connection = backend_stub.accept();
         connection.receive();
-        connection.send(ok("fine")).end_sending();
+        connection.send(ok_response("fine")).shutdown_write();
         assert_eq!(client.receive().status(), 200);
     }
 }
@@ -236,37 +239,37 @@
 #[test]
 fn a_draining_or_removed_backend_gets_no_new_request_and_a_lost_watch_removes_none() {
     let (one, two) = (StubServer::open(), StubServer::open());
-    let entry = |id, backend_stub: &StubServer, lifecycle| backend(id, backend_stub.address, lifecycle);
+    let entry = |id, backend_stub: &StubServer, lifecycle| backend_entry(id, backend_stub.address, lifecycle);
     // The list in its configuration is enough to start with.
     let known = [entry("b1", &one, "ready")];
     let gateway = Gateway::start(&Options { known: &known, ..Options::default() });
-    let (mut watch, request) = Watch::begin(&gateway.discovery);
+    let (mut watch, request) = Watch::accept(&gateway.discovery);
     assert!(request.head.starts_with("GET /v1/servers?stream=1&index=7 "), "{}", request.head);
     gateway.wait_until(200);
     let mut client = gateway.connect();
     let mut idle = serve_request(&mut client, &one, "t1");
     watch.send_list(9, false, &[entry("b1", &one, "draining"), entry("b2", &two, "ready")]);
-    assert!(idle.ends(), "closed on the news");
+    assert!(idle.ends_without_data(), "closed on the news");
     let mut idle = serve_request(&mut client, &two, "t2");
-    assert!(one.is_untouched());
+    assert!(one.has_no_connection());
     // An invalid line, then the end of the watch: it is resumed from the last version.
     watch.send_line("{\"generation\":");
     drop(watch);
-    let (mut watch, request) = Watch::begin(&gateway.discovery);
+    let (mut watch, request) = Watch::accept(&gateway.discovery);
     assert!(request.head.contains("index=9 "), "{}", request.head);
     client.send(request_head("look", "t3") + "\r\n");
     assert_eq!(idle.receive().field("X-Trace-Id"), Some("t3"), "silence took b2 away");
-    idle.send(ok(""));
+    idle.send(ok_response(""));
     assert_eq!(client.receive().status(), 200);
     // An invalid entry does not affect the others; backends that a complete list leaves out are removed.
     watch.send_list(10, true, &["{\"instanceId\":5}".to_owned(), entry("b1", &one, "ready")]);
-    assert!(idle.ends());
+    assert!(idle.ends_without_data());
     serve_request(&mut client, &one, "t4");
 }
 
 #[test]
 fn a_gateway_that_shuts_down_answers_accepted_and_late_requests() {
-    let (mut gateway, _watch, backend_stub) = serving_with(256, 12);
+    let (mut gateway, _watch, backend_stub) = start_gateway_with_backends(256, 12);
     let (mut early, mut idle) = (gateway.connect(), gateway.connect());
     early.send(request_head("once", "t1") + "\r\n");
     let mut connection = backend_stub.accept();
@@ -276,18 +279,18 @@
     gateway.wait_until(503);
     // Clients still connect for a while.
     serve_request(&mut gateway.connect(), &backend_stub, "t3");
-    assert!(idle.ends(), "idle connections are closed in the end");
-    connection.send(ok("late"));
+    assert!(idle.ends_without_data(), "idle connections are closed in the end");
+    connection.send(ok_response("late"));
     let answer = early.receive();
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"late".as_slice()));
     assert_eq!(answer.field("Connection"), Some("close"));
-    assert!(early.ends());
-    assert!(gateway.ends_well());
+    assert!(early.ends_without_data());
+    assert!(gateway.exits_successfully());
 }
 
 #[test]
 fn clients_beyond_the_limit_are_rejected_and_idle_ones_are_closed() {
-    let (mut gateway, _watch, backend_stub) = serving_with(64, 12);
+    let (mut gateway, _watch, backend_stub) = start_gateway_with_backends(64, 12);
     // Of 64 descriptors 24 are reserved and half of the rest are for backends; 21 are for clients, two of them for those
     // that are answered that there are too many.
     let (mut clients, mut connections) = (Vec::new(), Vec::new());
@@ -303,7 +306,7 @@
         let mut client = gateway.connect();
         client.send(request_head("look", &format!("w{n}")) + "\r\n");
         assert_eq!(client.receive().status(), 503);
-        assert!(client.ends());
+        assert!(client.ends_without_data());
     }
     for (client, connection) in clients.iter_mut().zip(&mut connections) {
         connection.send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nfine");
@@ -311,27 +314,27 @@
     }
     // These are idle now and are closed for others.
     for n in 0..19 {
-        serve_request(&mut gateway.connect(), &backend_stub, &format!("v{n}")).end_sending();
+        serve_request(&mut gateway.connect(), &backend_stub, &format!("v{n}")).shutdown_write();
     }
-    assert!(clients[0].ends());
+    assert!(clients[0].ends_without_data());
     assert!(gateway.is_running());
 }
 
 #[test]
 fn an_unresponsive_watch_is_resumed() {
-    let (gateway, _silent, backend_stub) = serving(256);
+    let (gateway, _silent, backend_stub) = start_gateway(256);
     // No empty lines come; the next watch begins at the last version sent.
-    let (mut watch, request) = Watch::begin(&gateway.discovery);
+    let (mut watch, request) = Watch::accept(&gateway.discovery);
     assert!(request.head.contains("index=8 "), "{}", request.head);
     let mut idle = serve_request(&mut gateway.connect(), &backend_stub, "t1");
-    watch.send_list(9, false, &[backend("b0", backend_stub.address, "draining")]);
-    assert!(idle.ends());
+    watch.send_list(9, false, &[backend_entry("b0", backend_stub.address, "draining")]);
+    assert!(idle.ends_without_data());
 }
 
 #[test]
 fn a_gateway_without_any_list_is_not_ready() {
     let gateway = Gateway::start(&Options::default());
-    let (mut watch, _) = Watch::begin(&gateway.discovery);
+    let (mut watch, _) = Watch::accept(&gateway.discovery);
     let begun = Instant::now();
     while begun.elapsed().as_millis() < 1300 {
         gateway.wait_until(503); // also after the time-out for using the configured list
--- a/crates/gateway/tests/sockets/reload.rs
+++ b/crates/gateway/tests/sockets/reload.rs
@@ -1,10 +1,11 @@
 //! Reloading the configuration of a running gateway.
 
-use crate::counter::{gateway_with_spent_quota, pass, send_pooled_request};
+use crate::counter::{gateway_with_spent_quota, send_pooled_request, serve_next};
 use crate::harness::{
-    backend, ok, request_head, settings, unused_address, Gateway, Options, StubServer, Watch, TEST_TIMEOUT,
+    backend_entry, ok_response, request_head, settings, unused_address, Gateway, Options, StubServer, Watch,
+    TEST_TIMEOUT,
 };
-use kitepass_gateway::{Addresses, Launch, Server};
+use kitepass_gateway::{Addresses, Server, StartupConfig};
 use rustix::process::Signal;
 
 #[test]
@@ -23,29 +24,29 @@
     let addresses =
         [(discovery, moved.address.to_string()), (old.address.to_string(), new.address.to_string())];
     gateway.reload(&addresses.each_ref().map(|(from, to)| (from.as_str(), to.as_str())));
-    let (mut next, request) = Watch::begin(&moved);
+    let (mut next, request) = Watch::accept(&moved);
     assert!(request.head.contains("index=8 "), "from the last version: {}", request.head);
     gateway.signal(Signal::HUP);
     // Calls in flight at the old addresses finish there, and none is sent again.
-    connection.send(ok("fine"));
+    connection.send(ok_response("fine"));
     assert_eq!(other.receive().body, b"fine");
-    calls.send(ok("0.5"));
-    pass(&mut client, &mut connection);
-    assert!(calls.ends(), "nothing more goes to the old counter");
+    calls.send(ok_response("0.5"));
+    serve_next(&mut client, &mut connection);
+    assert!(calls.ends_without_data(), "nothing more goes to the old counter");
     send_pooled_request(&mut client, "t4");
     let mut calls = new.accept();
     assert!(calls.receive().head.contains("/counters/00000000b4d65521/."));
-    calls.send(ok("0.5"));
-    pass(&mut client, &mut connection);
+    calls.send(ok_response("0.5"));
+    serve_next(&mut client, &mut connection);
     // The old watch stays open until the new one has brought a line; draining takes effect.
-    next.send_list(9, false, &[backend("b1", unused_address(), "draining")]);
-    assert!(connection.ends(), "an idle connection to a backend that drains");
-    assert!(watch.ends());
-    assert!(old.is_untouched() && new.is_untouched() && gateway.discovery.is_untouched());
+    next.send_list(9, false, &[backend_entry("b1", unused_address(), "draining")]);
+    assert!(connection.ends_without_data(), "an idle connection to a backend that drains");
+    assert!(watch.ends_without_data());
+    assert!(old.has_no_connection() && new.has_no_connection() && gateway.discovery.has_no_connection());
     gateway.signal(Signal::HUP);
     gateway.terminate();
     drop((client, other));
-    assert!(gateway.ends_well());
+    assert!(gateway.exits_successfully());
     assert!(gateway.has_logged_nothing());
 }
 
@@ -53,14 +54,14 @@
 fn an_invalid_reload_changes_nothing() {
     let backend_stub = StubServer::open();
     let (mut gateway, mut watch) =
-        Gateway::ready(&Options::default(), &[backend("b0", backend_stub.address, "ready")]);
+        Gateway::start_ready(&Options::default(), &[backend_entry("b0", backend_stub.address, "ready")]);
     let mut client = gateway.connect();
     let mut idle = crate::serve_request(&mut client, &backend_stub, "t0");
     let discovery = format!("\"discovery\":\"{}\"", gateway.discovery.address);
-    let (there, bad_counter) = ("\"discovery\":\"there\"", "\"counter\":5");
+    let (bad_discovery, bad_counter) = ("\"discovery\":\"there\"", "\"counter\":5");
     for (changes, what) in [
-        (vec![(discovery.as_str(), there)], "discovery:"),
-        (vec![(there, discovery.as_str()), ("\"counter\":null", bad_counter)], "counter:"),
+        (vec![(discovery.as_str(), bad_discovery)], "discovery:"),
+        (vec![(bad_discovery, discovery.as_str()), ("\"counter\":null", bad_counter)], "counter:"),
         (vec![(bad_counter, "\"counter\":null"), ("{\"name\"", "{,\"name\"")], "expected JSON"),
     ] {
         gateway.reload(&changes);
@@ -71,10 +72,10 @@
     gateway.signal(Signal::HUP);
     assert!(gateway.next_log_line().contains("No such file"));
     // The old watch is still in use.
-    watch.send_list(9, true, &[backend("b1", backend_stub.address, "ready")]);
-    assert!(idle.ends(), "closed on the news that b0 is gone");
+    watch.send_list(9, true, &[backend_entry("b1", backend_stub.address, "ready")]);
+    assert!(idle.ends_without_data(), "closed on the news that b0 is gone");
     crate::serve_request(&mut client, &backend_stub, "t1");
-    assert!(gateway.discovery.is_untouched() && gateway.has_logged_nothing());
+    assert!(gateway.discovery.has_no_connection() && gateway.has_logged_nothing());
 }
 
 #[test]
@@ -86,19 +87,19 @@
         discovery.address,
         settings(false)
     );
-    let (told, receive) = std::sync::mpsc::channel();
+    let (control_sender, control_receiver) = std::sync::mpsc::channel();
     // A gateway runs on the thread that opened it.
-    let running = std::thread::spawn(move || {
-        let server = Server::open(Launch::from_text(&text)?)?;
-        told.send(server.control()).unwrap();
+    let server_thread = std::thread::spawn(move || {
+        let server = Server::open(StartupConfig::from_json(&text)?)?;
+        control_sender.send(server.control()).unwrap();
         server.run()
     });
-    let control = receive.recv_timeout(TEST_TIMEOUT).unwrap();
-    let (watch, _) = Watch::begin(&discovery);
+    let control = control_receiver.recv_timeout(TEST_TIMEOUT).unwrap();
+    let (watch, _) = Watch::accept(&discovery);
     control.update_addresses(Addresses { discovery: moved.address, counter: None });
-    let (mut next, _) = Watch::begin(&moved);
+    let (mut next, _) = Watch::accept(&moved);
     next.send_list(9, true, &[]);
-    assert!(watch.ends());
-    control.end();
-    assert_eq!(running.join().unwrap(), Ok(()));
+    assert!(watch.ends_without_data());
+    control.shut_down();
+    assert_eq!(server_thread.join().unwrap(), Ok(()));
 }
--- a/crates/gateway/tests/sockets/service.rs
+++ b/crates/gateway/tests/sockets/service.rs
@@ -1,52 +1,52 @@
 //! Clients and backends that misbehave, while others are served.
 
-use crate::harness::{backend, ok, request_head, Connection};
-use crate::{serve_request, serving, serving_with};
+use crate::harness::{backend_entry, ok_response, request_head, Connection};
+use crate::{serve_request, start_gateway, start_gateway_with_backends};
 use std::time::Instant;
 
 /// Whether the connection closes within the gateway's time-outs, whatever comes on it before.
-fn ends_in_time(connection: &mut Connection, begun: Instant) -> bool {
+fn ends_before_timeout(connection: &mut Connection, begun: Instant) -> bool {
     while connection.receive_or_end().is_some() {}
     begun.elapsed().as_millis() < 3000
 }
 
 #[test]
 fn silent_and_slow_clients_are_closed_in_time_while_others_are_served() {
-    let (gateway, _watch, backend_stub) = serving(128);
+    let (gateway, _watch, backend_stub) = start_gateway(128);
     let begun = Instant::now();
     let mut silent: Vec<_> = (0..40).map(|_| gateway.connect()).collect();
     let (mut half, mut slow) = (gateway.connect(), gateway.connect());
     half.send("POST /door/00000000b4d65521 HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
     slow.send("GET /look/00000000b4d65521 HTTP/1.1\r\nX-A: ");
-    let mut usual = gateway.connect();
-    let mut connection = serve_request(&mut usual, &backend_stub, "t1");
+    let mut active = gateway.connect();
+    let mut connection = serve_request(&mut active, &backend_stub, "t1");
     // Byte by byte, for as long as the connection is open: each byte comes in time, the complete head never does.
     let mut left = 8000;
     while begun.elapsed().as_millis() < 2800 {
         left -= i32::from(left > 0 && slow.try_send("a")); // less than a head may hold
-        usual.send(request_head("once", "t2").replace("units=1", "units=0.001") + "\r\n");
+        active.send(request_head("once", "t2").replace("units=1", "units=0.001") + "\r\n");
         connection.receive();
-        connection.send(ok("fine"));
-        assert_eq!(usual.receive().body, b"fine");
+        connection.send(ok_response("fine"));
+        assert_eq!(active.receive().body, b"fine");
     }
     assert_eq!((slow.receive().status(), half.receive().status()), (408, 408));
     assert!(begun.elapsed().as_millis() < 3000);
     for connection in silent.iter_mut().chain([&mut half]) {
-        assert!(ends_in_time(connection, begun));
+        assert!(ends_before_timeout(connection, begun));
     }
     // A client that sends requests and then stays idle is closed as well, if later.
-    assert!(usual.ends());
+    assert!(active.ends_without_data());
 }
 
 #[test]
 fn a_body_too_large_is_not_read_and_hundreds_of_pipelined_bad_requests_are_all_answered() {
-    let (gateway, _watch, backend_stub) = serving(128);
-    let mut hog = gateway.connect();
-    hog.send(request_head("door", "t1") + "Idempotency-Key: k\r\nContent-Length: 60000000\r\n\r\n");
+    let (gateway, _watch, backend_stub) = start_gateway(128);
+    let mut oversized = gateway.connect();
+    oversized.send(request_head("door", "t1") + "Idempotency-Key: k\r\nContent-Length: 60000000\r\n\r\n");
     let piece = vec![b'a'; 1 << 16];
     let begun = Instant::now();
     let mut sent = 0;
-    while sent < 60_000_000 && hog.try_send(&piece) {
+    while sent < 60_000_000 && oversized.try_send(&piece) {
         sent += piece.len();
     }
     assert!(sent < 60_000_000 && begun.elapsed().as_millis() < 3000, "{sent}");
@@ -54,38 +54,38 @@
     many.send((request_head("look", "t2").replace("units=1", "units=9") + "\r\n").repeat(300));
     serve_request(&mut gateway.connect(), &backend_stub, "t3");
     assert!((0..300).all(|_| many.receive().status() == 400));
-    assert!(backend_stub.is_untouched());
+    assert!(backend_stub.has_no_connection());
 }
 
 #[test]
 fn the_longest_idle_clients_are_closed_and_none_that_was_just_accepted() {
-    let (gateway, _watch, backend_stub) = serving_with(96, 12);
+    let (gateway, _watch, backend_stub) = start_gateway_with_backends(96, 12);
     // A third of the descriptors is for clients, and one of these stays free.
-    let rest = |_| {
+    let connect_idle = |_| {
         let mut connection = gateway.connect();
         connection.send("GET /healthz HTTP/1.1\r\nHost: g\r\n\r\n").receive();
         connection
     };
-    let mut at_rest: Vec<_> = (0..31).map(rest).collect();
+    let mut idle_clients: Vec<_> = (0..31).map(connect_idle).collect();
     // These all connect before any of them sends a byte.
-    let mut usual: Vec<_> = (0..5).map(|_| gateway.connect()).collect();
-    for connection in &mut at_rest[..4] {
-        assert!(connection.ends());
+    let mut active: Vec<_> = (0..5).map(|_| gateway.connect()).collect();
+    for connection in &mut idle_clients[..4] {
+        assert!(connection.ends_without_data());
     }
-    for (n, client) in usual.iter_mut().enumerate() {
-        serve_request(client, &backend_stub, &format!("t{n}")).end_sending();
+    for (n, client) in active.iter_mut().enumerate() {
+        serve_request(client, &backend_stub, &format!("t{n}")).shutdown_write();
     }
 }
 
 #[test]
 fn a_trace_id_that_is_open_elsewhere_is_rejected_and_the_open_request_continues() {
-    let (gateway, _watch, backend_stub) = serving_with(128, 12);
+    let (gateway, _watch, backend_stub) = start_gateway_with_backends(128, 12);
     let (mut first, mut other) = (gateway.connect(), gateway.connect());
     first.send(request_head("once", "t1") + "\r\n");
     let mut connection = backend_stub.accept();
     connection.receive();
     assert_eq!(other.send(request_head("look", "t1") + "\r\n").receive().status(), 400);
-    connection.send(ok("fine"));
+    connection.send(ok_response("fine"));
     assert_eq!(first.receive().body, b"fine");
     // The id is free again, and so is that of a request whose client has disconnected.
     other.send(request_head("once", "t1") + "\r\n");
@@ -95,14 +95,14 @@
     again.send(request_head("once", "t1") + "\r\n");
     let mut connection = backend_stub.accept();
     connection.receive();
-    connection.send(ok("fine"));
+    connection.send(ok_response("fine"));
     assert_eq!(again.receive().body, b"fine");
 }
 
 #[test]
 fn an_incomplete_answer_is_abandoned_well_before_the_requests_deadline() {
-    let (gateway, _watch, backend_stub) = serving_with(128, 12);
-    let interim = "HTTP/1.1 103 Early\r\n\r\n".repeat(9) + &ok("late");
+    let (gateway, _watch, backend_stub) = start_gateway_with_backends(128, 12);
+    let interim = "HTTP/1.1 103 Early\r\n\r\n".repeat(9) + &ok_response("late");
     for answer in
         ["\u{1}\u{2}noise", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", "HTTP/1.1 2", &interim]
     {
@@ -112,16 +112,16 @@
         connection.receive();
         connection.send(answer);
         assert_eq!(client.receive().status(), 502, "{answer}");
-        assert!(connection.ends() && begun.elapsed().as_millis() < 2000, "{answer}");
+        assert!(connection.ends_without_data() && begun.elapsed().as_millis() < 2000, "{answer}");
     }
     // Bytes behind a valid answer close the connection, and do not affect the answer.
     let mut client = gateway.connect();
     client.send(request_head("once", "t2") + "\r\n");
     let mut connection = backend_stub.accept();
     connection.receive();
-    connection.send(ok("fine") + &ok("fine"));
+    connection.send(ok_response("fine") + &ok_response("fine"));
     assert_eq!(client.receive().body, b"fine");
-    assert!(connection.ends());
+    assert!(connection.ends_without_data());
     let mut connection = serve_request(&mut client, &backend_stub, "t3");
     connection.send("noise"); // later, while it is idle
     serve_request(&mut client, &backend_stub, "t4");
@@ -129,20 +129,20 @@
 
 #[test]
 fn replaced_backends_and_clients_leak_no_descriptors() {
-    let (gateway, mut watch, backend_stub) = serving(128);
+    let (gateway, mut watch, backend_stub) = start_gateway(128);
     let mut last = serve_request(&mut gateway.connect(), &backend_stub, "t");
     let before = gateway.descriptors();
     for n in 0..200 {
         // A new backend at the address of the removed one: no connection of the old one is reused for it.
-        watch.send_list(10 + n, true, &[backend(&format!("n{n}"), backend_stub.address, "ready")]);
-        assert!(last.ends());
+        watch.send_list(10 + n, true, &[backend_entry(&format!("n{n}"), backend_stub.address, "ready")]);
+        assert!(last.ends_without_data());
         let mut client = gateway.connect();
         // Not idempotent: another class would be cancelled and retried on a slow machine, over a connection that the
         // test does not answer.
         client.send(request_head("once", "t").replace("b4d65521", &format!("{n:08x}")) + "\r\n");
         last = backend_stub.accept();
         last.receive();
-        last.send(ok("fine"));
+        last.send(ok_response("fine"));
         assert_eq!(client.receive().body, b"fine");
     }
     // The gateway may not have read yet that the last clients disconnected.
@@ -152,16 +152,16 @@
 
 #[test]
 fn replaced_connections_leak_no_memory() {
-    let (gateway, mut watch, backend_stub) = serving(128);
+    let (gateway, mut watch, backend_stub) = start_gateway(128);
     let large = "a".repeat(60_000);
     let mut round = |n: u64| {
-        watch.send_list(10 + n, true, &[backend(&format!("n{n}"), backend_stub.address, "ready")]);
+        watch.send_list(10 + n, true, &[backend_entry(&format!("n{n}"), backend_stub.address, "ready")]);
         let mut client = gateway.connect();
         let head = request_head("once", &format!("t{n}")) + "Content-Length: 60000\r\n\r\n" + &large;
         client.send(head);
         let mut connection = backend_stub.accept();
         assert_eq!(connection.receive().body.len(), 60_000);
-        connection.send(ok(&large));
+        connection.send(ok_response(&large));
         assert_eq!(client.receive().body.len(), 60_000);
         // Incomplete requests as well: half a body, and a head that does not end.
         gateway
