--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -1,7 +1,6 @@
-//! What is read of a gateway's configuration, and what is said of a bad one, stays as it is: in plain text, under the names
-//! that the file itself has, beside the text in `golden/`.
+//! Golden test of the configuration: the parsed values and the error messages must equal the text in `golden/`.
 
-// Until the issue "Readable code 2" has reached this crate.
+// Temporary, until the issue "Readable code 2" is done for this crate.
 #![allow(missing_docs, unreachable_pub, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 #![allow(clippy::too_many_arguments, clippy::too_many_lines, clippy::wildcard_imports)]
 
@@ -9,7 +8,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// A configuration with these fields in place of the default ones; those that are empty are left out.
+/// A configuration with some fields changed; fields with an empty value are left out.
 fn config_with(changed: &[(&str, &str)]) -> String {
     let defaults = [
         ("name", r#""g7""#),
@@ -40,7 +39,7 @@
             "messages of peers",
             config_with(&[("settings", r#"{"Caps":{"PeerMessages":true},"FamilyInfo":{"MailPerS":40}}"#)]),
         ),
-        // What cannot be taken.
+        // Invalid configurations.
         ("no JSON", "{".into()),
         ("empty text", String::new()),
         ("another kind of value", "[]".into()),
@@ -106,26 +105,26 @@
     }
     let golden = include_str!("golden/configurations.txt");
     let actual_path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("configurations.txt");
-    std::fs::write(&actual_path, &actual).expect("a file in the build's folder");
+    std::fs::write(&actual_path, &actual).expect("the target directory is writable");
     assert!(
         actual == golden,
-        "it differs from golden/configurations.txt; what was found is in {}",
+        "the output differs from golden/configurations.txt; it is in {}",
         actual_path.display()
     );
 }
 
-/// The file's path goes before what is wrong.
+/// An error message begins with the path of the configuration file.
 #[test]
 fn errors_begin_with_the_file_path() {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let missing = directory.join("no-such-configuration.json");
-    let error = StartupConfig::from_file(&missing).expect_err("no such file");
+    let error = StartupConfig::from_file(&missing).expect_err("missing file");
     assert_eq!(error, format!("{}: No such file or directory (os error 2)", missing.display()));
     let bad = directory.join("bad-configuration.json");
-    std::fs::write(&bad, config_with(&[("name", "")])).expect("a file in the build's folder");
-    let error = StartupConfig::from_file(&bad).expect_err("no name");
+    std::fs::write(&bad, config_with(&[("name", "")])).expect("the target directory is writable");
+    let error = StartupConfig::from_file(&bad).expect_err("missing name");
     assert_eq!(error, format!("{}: name: expected text", bad.display()));
     let good = directory.join("good-configuration.json");
-    std::fs::write(&good, config_with(&[])).expect("a file in the build's folder");
-    assert_eq!(StartupConfig::from_file(&good).expect("a good file").config_path, Some(good));
+    std::fs::write(&good, config_with(&[])).expect("the target directory is writable");
+    assert_eq!(StartupConfig::from_file(&good).expect("valid file").config_path, Some(good));
 }
--- a/crates/gateway/tests/sockets/bad_input.rs
+++ b/crates/gateway/tests/sockets/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input from clients, backends and the configuration.
+//! Tests of invalid input from clients, backends and the configuration.
 
 use crate::harness::{gateway_command, ok_response, request_head, settings, write_config};
 use crate::{start_gateway, start_gateway_with_backends};
@@ -13,7 +13,7 @@
     connection.receive();
     let good = request_head("look", "t2") + "\r\n";
     let dedup_head = request_head("door", "t2") + "Idempotency-Key: k\r\n";
-    // The framing is intact: the connection stays open.
+    // Message framing is intact, so the connection stays open.
     let mut client = gateway.connect();
     for (from, to) in [
         ("X-Trace-Id: t2\r\n", ""),
@@ -28,7 +28,7 @@
         ("units=1", "units=-1"),
         ("units=1", "units=1e300"),
         ("units=1", "units=nan"),
-        ("units=1", "units=6.5"), // more than the largest request may cost
+        ("units=1", "units=6.5"), // exceeds the largest cost allowed
         ("units=1", "units=2,units=1"),
         ("spread=1", "spread=+1"),
         ("first=0", "first=4294967296"),
@@ -42,12 +42,12 @@
         ("/look/00000000b4d65521", "/"),
         ("/look/", "/odd/"),
         ("X-Tariff: team", "X-Tariff: odd"),
-        ("/look/", "/door/"), // without a key
+        ("/look/", "/door/"), // without an idempotency key
     ] {
         assert!(good.contains(from), "{from}");
         assert_eq!(client.send(good.replace(from, to)).receive().status(), 400, "{from} -> {to}");
     }
-    // The framing is lost: the connection is closed after the answer.
+    // Message framing is broken, so the connection is closed after the response.
     let large = "a".repeat(20_000);
     for (text, status) in [
         ("nonsense\r\n\r\n".to_owned(), 400),
@@ -67,7 +67,7 @@
         assert_eq!(client.send(&text).receive().status(), status, "{}", &text[..text.len().min(300)]);
         assert!(client.ends_without_data());
     }
-    assert!(backend_stub.has_no_connection(), "a leg was sent");
+    assert!(backend_stub.has_no_connection(), "an attempt was sent");
     connection.send(ok_response("fine"));
     assert_eq!(other.receive().body, b"fine");
 }
@@ -76,7 +76,7 @@
 fn bad_input_from_a_backend_ends_its_connection_and_no_other() {
     let (gateway, _watch, backend_stub) = start_gateway_with_backends(256, 12);
     let large = format!("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n{}", "a".repeat(65537));
-    for answer in [
+    for response in [
         "nonsense\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
         "HTTP/1.1 101 Go\r\n\r\n",
@@ -86,7 +86,7 @@
         client.send(request_head("once", "t1") + "\r\n");
         let mut connection = backend_stub.accept();
         connection.receive();
-        connection.send(answer);
+        connection.send(response);
         assert_eq!(client.receive().status(), 502);
         assert!(connection.ends_without_data());
     }
--- a/crates/gateway/tests/sockets/harness.rs
+++ b/crates/gateway/tests/sockets/harness.rs
@@ -1,5 +1,5 @@
-//! Stubs of what a gateway talks to, driven by the test step by step: an accepted connection is handed to the test, and
-//! each side sends only what the test sends. Nothing waits for longer than [`TEST_TIMEOUT`].
+//! Stubs of clients, backends, discovery and the counter service, which send only what the test tells them to. Nothing
+//! waits for longer than [`TEST_TIMEOUT`].
 
 use rustix::net::{self, AddressFamily, SocketFlags, SocketType};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -19,7 +19,7 @@
     Ipv4Addr::new(127, high | 128, low, NEXT.fetch_add(1, Ordering::Relaxed)).into()
 }
 
-/// A message as received, the head with its empty line.
+/// A received message. The head includes the empty line at its end.
 #[derive(Debug)]
 pub(crate) struct Message {
     pub(crate) head: String,
@@ -28,7 +28,7 @@
 
 impl Message {
     pub(crate) fn status(&self) -> u16 {
-        self.head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
+        self.head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a valid status")
     }
 
     pub(crate) fn field(&self, name: &str) -> Option<&str> {
@@ -51,7 +51,9 @@
     }
 
     pub(crate) fn connect(address: SocketAddr) -> Connection {
-        Connection::new(TcpStream::connect_timeout(&address, TEST_TIMEOUT).expect("a connection"))
+        Connection::new(
+            TcpStream::connect_timeout(&address, TEST_TIMEOUT).expect("an established connection"),
+        )
     }
 
     pub(crate) fn send(&mut self, text: impl AsRef<[u8]>) -> &mut Connection {
@@ -66,7 +68,7 @@
 
     /// The next complete message.
     pub(crate) fn receive(&mut self) -> Message {
-        self.receive_or_end().expect("a message")
+        self.receive_or_end().expect("complete message")
     }
 
     /// The next complete message; `None` if the peer has closed the connection before it.
@@ -96,10 +98,10 @@
                     self.input.extend_from_slice(&buffer[..length]);
                     length > 0
                 }
-                // A stopped and resumed process interrupts a read that has a time-out.
+                // A read with a time-out is interrupted when the process is stopped and resumed.
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => false,
-                Err(error) => panic!("nothing came: {error}"),
+                Err(error) => panic!("read failed: {error}"),
             };
         }
     }
@@ -114,7 +116,7 @@
     }
 }
 
-/// A server that accepts connections and hands each to the test.
+/// A server that accepts connections and passes them to the test.
 pub(crate) struct StubServer {
     pub(crate) address: SocketAddr,
     connections: Receiver<Connection>,
@@ -135,16 +137,16 @@
     }
 
     pub(crate) fn accept(&self) -> Connection {
-        self.connections.recv_timeout(TEST_TIMEOUT).expect("a connection")
+        self.connections.recv_timeout(TEST_TIMEOUT).expect("an established connection")
     }
 
-    /// Whether nobody has connected so far.
+    /// Whether no connection is waiting to be accepted by the test.
     pub(crate) fn has_no_connection(&self) -> bool {
         self.connections.try_recv().is_err()
     }
 }
 
-/// A backend whose accept queue is full: further connections are not made until it accepts one.
+/// A backend whose accept queue is full: further connects stay pending until it accepts a connection.
 pub(crate) struct FullListener {
     pub(crate) address: SocketAddr,
     listener: TcpListener,
@@ -154,22 +156,22 @@
 impl FullListener {
     pub(crate) fn open() -> FullListener {
         let listener = TcpListener::bind((next_loopback_address(), 0)).unwrap();
-        net::listen(&listener, 0).unwrap(); // a queue of one
+        net::listen(&listener, 0).unwrap(); // an accept queue of one
         let address = listener.local_addr().unwrap();
         FullListener { address, listener, _first: TcpStream::connect(address).unwrap() }
     }
 
-    /// Accepts the connection in the queue, and then the next one that is made.
+    /// Accepts the connection in the queue, and then the next one.
     pub(crate) fn accept_second(self) -> Connection {
         self.listener.accept().unwrap();
         Connection::new(self.listener.accept().unwrap().0)
     }
 }
 
-/// An address where connections are refused, and where a gateway can listen.
+/// An address on which connections are refused and a gateway can listen.
 pub(crate) fn unused_address() -> SocketAddr {
-    // Invariant: this socket never listens. A program that another test starts at this moment holds a copy of every
-    // descriptor until it executes; a listener would live on in it, accept connections and keep the address in use.
+    // Invariant: this socket never listens. A process that another test is forking just now holds a copy of every
+    // descriptor until its exec; a listener would stay open in it, accept connections and keep the address in use.
     let socket =
         net::socket_with(AddressFamily::INET, SocketType::STREAM, SocketFlags::CLOEXEC, None).unwrap();
     net::sockopt::set_socket_reuseaddr(&socket, true).unwrap();
@@ -183,11 +185,11 @@
     )
 }
 
-/// The watch of a gateway on discovery.
+/// The discovery side of a gateway's watch.
 pub(crate) struct Watch(Connection);
 
 impl Watch {
-    /// Accepts the gateway's next watch, and returns it with the gateway's request.
+    /// Accepts the gateway's next watch. Returns it with the gateway's request.
     pub(crate) fn accept(discovery: &StubServer) -> (Watch, Message) {
         let mut connection = discovery.accept();
         let request = connection.receive();
@@ -225,7 +227,7 @@
   {"Name":"pooled","Refill":0.000001,"StoreSize":2.8}],
  "Safety":{"AnswerSlack":0.016,"DrainGrace":0.5,"Fall":1.0,"FallMultiple":3.0,"WarmWithin":10.0,"ColdFrom":0.3}}"#;
 
-/// What a gateway is started with, besides the settings.
+/// Start-up options of a gateway under test.
 pub(crate) struct Options<'a> {
     pub(crate) sockets: u32,
     pub(crate) counter: Option<SocketAddr>,
@@ -241,7 +243,7 @@
     }
 }
 
-/// A running gateway, and its discovery.
+/// A running gateway with its discovery stub.
 pub(crate) struct Gateway {
     pub(crate) address: SocketAddr,
     pub(crate) discovery: StubServer,
@@ -270,27 +272,27 @@
         );
         let config_path = write_config(&config_text);
         let mut child =
-            gateway_command(&config_path).stderr(Stdio::piped()).spawn().expect("the program starts");
+            gateway_command(&config_path).stderr(Stdio::piped()).spawn().expect("gateway started");
         let (lines, (sender, log_lines)) = (BufReader::new(child.stderr.take().unwrap()).lines(), channel());
         std::thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
         Gateway { address, discovery, child, config_path, config_text, log_lines }
     }
 
-    /// Changes the configuration file and has the gateway reload it.
+    /// Changes the configuration file and signals the gateway to reload it.
     pub(crate) fn reload(&mut self, changes: &[(&str, &str)]) {
         for (from, to) in changes {
             assert!(self.config_text.contains(from), "{from}");
             self.config_text = self.config_text.replace(from, to);
         }
-        // Put in place by a rename: an earlier signal may have the file read just now.
+        // Replaced atomically, as the gateway may be reading the file because of an earlier signal.
         let complete = write_config(&self.config_text);
         std::fs::rename(complete, &self.config_path).unwrap();
         self.signal(rustix::process::Signal::HUP);
     }
 
-    /// The next line of its log.
+    /// The next line of the gateway's log.
     pub(crate) fn next_log_line(&self) -> String {
-        self.log_lines.recv_timeout(TEST_TIMEOUT).expect("a line")
+        self.log_lines.recv_timeout(TEST_TIMEOUT).expect("log line")
     }
 
     pub(crate) fn remove_config(&self) {
@@ -324,11 +326,11 @@
         Connection::connect(self.address)
     }
 
-    /// Polls the readiness check until it answers this status.
+    /// Polls the readiness check until it returns this status.
     pub(crate) fn wait_until(&self, status: u16) {
-        let (mut connection, begun) = (self.connect(), Instant::now());
+        let (mut connection, started) = (self.connect(), Instant::now());
         while connection.send("GET /healthz HTTP/1.1\r\nHost: g\r\n\r\n").receive().status() != status {
-            assert!(begun.elapsed() < TEST_TIMEOUT, "not {status} in time");
+            assert!(started.elapsed() < TEST_TIMEOUT, "no status {status} within the time-out");
         }
     }
 
@@ -341,10 +343,10 @@
         rustix::process::kill_process(id, signal).expect("signalled");
     }
 
-    /// Waits until the program has ended; whether it ended with success.
+    /// Waits for the program to exit. Returns whether it succeeded.
     pub(crate) fn exits_successfully(&mut self) -> bool {
-        let begun = Instant::now();
-        while begun.elapsed() < TEST_TIMEOUT {
+        let started = Instant::now();
+        while started.elapsed() < TEST_TIMEOUT {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.success();
             }
@@ -380,8 +382,8 @@
     program
 }
 
-/// A request's head, as clients send it, without its empty line. Only an attempt of a `once` request has all of the
-/// client's time: an attempt of another class is cancelled once it is overdue, and the request is retried.
+/// A request's head without the empty line at its end. Only an attempt of class `once` has the client's full time: an
+/// attempt of another class is cancelled and retried if it takes too long.
 pub(crate) fn request_head(class: &str, trace: &str) -> String {
     let method = if class == "door" { "POST" } else { "GET" };
     format!(
--- a/crates/gateway/tests/sockets/reload.rs
+++ b/crates/gateway/tests/sockets/reload.rs
@@ -1,4 +1,4 @@
-//! Reloading the configuration of a running gateway.
+//! Tests of reloading the configuration of a running gateway.
 
 use crate::counter::{gateway_with_spent_quota, send_pooled_request, serve_next};
 use crate::harness::{
@@ -19,28 +19,32 @@
     other.send(request_head("once", "t3").replace("b4d65521", "b4d65522") + "\r\n");
     let attempt = connection.receive();
     assert_eq!(attempt.field("X-Trace-Id"), Some("t3"));
-    // Two reloads, the second while the first is still in progress.
+    // Two reloads, the second one while the first is in progress.
     let (discovery, moved) = (gateway.discovery.address.to_string(), StubServer::open());
     let addresses =
         [(discovery, moved.address.to_string()), (old.address.to_string(), new.address.to_string())];
     gateway.reload(&addresses.each_ref().map(|(from, to)| (from.as_str(), to.as_str())));
     let (mut next, request) = Watch::accept(&moved);
-    assert!(request.head.contains("index=8 "), "from the last version: {}", request.head);
+    assert!(
+        request.head.contains("index=8 "),
+        "the watch does not resume from the last version: {}",
+        request.head
+    );
     gateway.signal(Signal::HUP);
-    // Calls in flight at the old addresses finish there, and none is sent again.
+    // Calls in flight to the old address finish there, and none is repeated.
     connection.send(ok_response("fine"));
     assert_eq!(other.receive().body, b"fine");
     calls.send(ok_response("0.5"));
     serve_next(&mut client, &mut connection);
-    assert!(calls.ends_without_data(), "nothing more goes to the old counter");
+    assert!(calls.ends_without_data(), "no further call is sent to the old address");
     send_pooled_request(&mut client, "t4");
     let mut calls = new.accept();
     assert!(calls.receive().head.contains("/counters/00000000b4d65521/."));
     calls.send(ok_response("0.5"));
     serve_next(&mut client, &mut connection);
-    // The old watch stays open until the new one has brought a line; draining takes effect.
+    // The old watch stays open until the new one has received a line; the change in that line is applied.
     next.send_list(9, false, &[backend_entry("b1", unused_address(), "draining")]);
-    assert!(connection.ends_without_data(), "an idle connection to a backend that drains");
+    assert!(connection.ends_without_data(), "an idle connection to a draining backend is closed");
     assert!(watch.ends_without_data());
     assert!(old.has_no_connection() && new.has_no_connection() && gateway.discovery.has_no_connection());
     gateway.signal(Signal::HUP);
@@ -73,7 +77,7 @@
     assert!(gateway.next_log_line().contains("No such file"));
     // The old watch is still in use.
     watch.send_list(9, true, &[backend_entry("b1", backend_stub.address, "ready")]);
-    assert!(idle.ends_without_data(), "closed on the news that b0 is gone");
+    assert!(idle.ends_without_data(), "the connection to b0 is closed as b0 is no longer listed");
     crate::serve_request(&mut client, &backend_stub, "t1");
     assert!(gateway.discovery.has_no_connection() && gateway.has_logged_nothing());
 }
@@ -88,7 +92,7 @@
         settings(false)
     );
     let (control_sender, control_receiver) = std::sync::mpsc::channel();
-    // A gateway runs on the thread that opened it.
+    // A gateway must run on the thread that opened it.
     let server_thread = std::thread::spawn(move || {
         let server = Server::open(StartupConfig::from_json(&text)?)?;
         control_sender.send(server.control()).unwrap();
