--- a/crates/gateway/src/backends/attempt.rs
+++ b/crates/gateway/src/backends/attempt.rs
@@ -23,7 +23,7 @@
             return;
         };
         queued.attempts += 1;
-        let (head, deadline) = (queued.head.clone(), queued.deadline.min(now + timeout));
+        let (parsed, deadline) = (queued.parsed.clone(), queued.deadline.min(now + timeout));
         self.requests.set_state(request, State::InFlight);
         let Some((backend_id, record)) = self.backends.records.get_key_value(backend) else {
             return self.end_unsent_attempt(request, backend.into(), AttemptOutcome::NotSent);
@@ -47,13 +47,13 @@
         };
         let timer = self.timers.schedule(due, Timer::Attempt(key));
         let connection = &mut self.backends.connections[key];
-        head.append_attempt(deadline - now, &mut connection.output);
+        parsed.append_attempt(deadline - now, &mut connection.output);
         connection.attempt = Some(Attempt {
             request,
             timer,
             started_at: now,
             deadline,
-            is_head_request: head.is_head(),
+            is_head_request: parsed.is_head_request(),
             has_response_started: false,
         });
         if is_connected {
--- a/crates/gateway/src/clients/accept.rs
+++ b/crates/gateway/src/clients/accept.rs
@@ -1,6 +1,6 @@
 //! Accepts clients, and closes connections that are idle or have timed out.
 
-use super::{Client, CloseState};
+use super::{ClientConnection, CloseState};
 use crate::http::MessageReader;
 use crate::poll::{self, ClientKey, ReadyEvent, Source};
 use crate::runtime::{Runtime, Timer};
@@ -18,13 +18,13 @@
     pub(crate) fn accept_clients(&mut self) {
         while let Some(listener) = &self.clients.listener {
             self.clients.has_pending_accept = true;
-            if self.clients.all.len() > self.clients.max_accepted {
+            if self.clients.connections.len() > self.clients.max_accepted {
                 return; // the next connection that closes calls this again
             }
             match poll::accept(listener) {
                 Ok(Some(socket)) => {
                     let key = self.add_client(socket);
-                    if self.clients.all.len() > self.clients.max_accepted {
+                    if self.clients.connections.len() > self.clients.max_accepted {
                         self.evict_idle_client(key);
                     }
                 }
@@ -45,7 +45,7 @@
     /// Adds an accepted connection and registers its socket with the poller.
     fn add_client(&mut self, socket: OwnedFd) -> ClientKey {
         let now = self.now();
-        let key = self.clients.all.insert(Client {
+        let key = self.clients.connections.insert(ClientConnection {
             socket,
             input: Vec::new(),
             reader: MessageReader::default(),
@@ -61,9 +61,9 @@
             close_state: CloseState::Open,
             continue_sent: false,
         });
-        if let Err(error) = self.poller.add(&self.clients.all[key].socket, Source::Client(key)) {
+        if let Err(error) = self.poller.add(&self.clients.connections[key].socket, Source::Client(key)) {
             warn!("registering a client socket failed: {error}");
-            self.clients.all.remove(key);
+            self.clients.connections.remove(key);
         }
         key
     }
@@ -76,14 +76,14 @@
         // transit. Invariant: a connection whose socket holds an unread request is not closed; the request
         // would be lost.
         for _ in 0..4 {
-            let is_evictable = |client: &Client| client.is_idle() || client.is_overdue(now);
+            let is_evictable = |client: &ClientConnection| client.is_idle() || client.is_overdue(now);
             let candidates =
-                self.clients.all.iter_mut().filter(|(key, c)| *key != new_client && is_evictable(c));
+                self.clients.connections.iter_mut().filter(|(key, c)| *key != new_client && is_evictable(c));
             let Some((key, client)) = candidates.min_by_key(|(_, client)| client.input_received_at) else {
                 return false;
             };
             if poll::is_idle(&client.socket) {
-                return self.clients.all.remove(key).is_some();
+                return self.clients.connections.remove(key).is_some();
             }
             client.input_received_at = now;
         }
@@ -98,13 +98,13 @@
 
     /// Closes connections without a request in progress; the others close after their next response.
     pub(crate) fn close_idle_clients(&mut self) {
-        let keys: Vec<_> = self.clients.all.keys().collect();
+        let keys: Vec<_> = self.clients.connections.keys().collect();
         for key in keys {
             self.client_ready(
                 ReadyEvent { source: Source::Client(key), read: true, write: false, ended: true },
                 key,
             );
-            if self.clients.all.get(key).is_some_and(Client::is_idle) {
+            if self.clients.connections.get(key).is_some_and(ClientConnection::is_idle) {
                 self.close(key, CloseState::Lingering);
             }
         }
@@ -115,9 +115,9 @@
         let now = self.now();
         self.schedule_timer(now + SWEEP_INTERVAL, Timer::SweepClients);
         let overdue: Vec<_> =
-            self.clients.all.iter().filter(|(_, c)| c.is_overdue(now)).map(|(key, _)| key).collect();
+            self.clients.connections.iter().filter(|(_, c)| c.is_overdue(now)).map(|(key, _)| key).collect();
         for key in overdue {
-            let Some(client) = self.clients.all.get(key) else { continue };
+            let Some(client) = self.clients.connections.get(key) else { continue };
             if client.message_started_at.is_some() && client.output.is_empty() {
                 self.close(key, CloseState::AfterOutput);
                 self.respond(key, 408, None, "");
--- a/crates/gateway/src/clients/mod.rs
+++ b/crates/gateway/src/clients/mod.rs
@@ -21,7 +21,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A client's connection.
-pub(crate) struct Client {
+pub(crate) struct ClientConnection {
     socket: OwnedFd,
     /// Bytes that were read but not parsed yet.
     input: Vec<u8>,
@@ -61,7 +61,7 @@
 
 /// All client connections, and the listener that accepts them.
 pub(crate) struct Clients {
-    all: SlotMap<ClientKey, Client>,
+    connections: SlotMap<ClientKey, ClientConnection>,
     /// `None` once no more clients are accepted.
     listener: Option<OwnedFd>,
     /// Above this number of connections, requests are rejected and their connections closed.
@@ -77,7 +77,7 @@
     /// above `max_accepted`.
     pub(crate) fn new(listener: OwnedFd, max_served: usize, max_accepted: usize) -> Clients {
         Clients {
-            all: SlotMap::with_key(),
+            connections: SlotMap::with_key(),
             listener: Some(listener),
             max_served,
             max_accepted,
@@ -87,11 +87,11 @@
 
     /// Whether no client is connected.
     pub(crate) fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.connections.is_empty()
     }
 }
 
-impl Client {
+impl ClientConnection {
     /// Whether the connection is open, has no request in progress and nothing left to write.
     fn is_between_requests(&self) -> bool {
         self.request.is_none() && self.output.is_empty() && self.close_state == CloseState::Open
--- a/crates/gateway/src/clients/receive.rs
+++ b/crates/gateway/src/clients/receive.rs
@@ -2,9 +2,9 @@
 
 use super::CloseState;
 use crate::http::{Message, MessageKind, MAX_BODY_BYTES, MAX_HEAD_BYTES};
+use crate::parsed_request::ParsedRequest;
 use crate::poll::{self, ClientKey, ReadOutcome, ReadyEvent};
 use crate::request::Request;
-use crate::request_head::RequestHead;
 use crate::runtime::{Event, Phase, Runtime};
 use log::debug;
 
@@ -30,7 +30,7 @@
     /// Reads what a client has sent. Returns false if it has disconnected.
     fn read_client(&mut self, key: ClientKey, ended: bool) -> bool {
         let now = self.now();
-        let Some(client) = self.clients.all.get_mut(key) else { return true };
+        let Some(client) = self.clients.connections.get_mut(key) else { return true };
         if client.request.is_none() || client.input.is_empty() {
             client.input_received_at = now;
         }
@@ -59,7 +59,7 @@
 
     /// Drops a connection in any state, and reports its request to the policy as abandoned.
     pub(crate) fn client_disconnected(&mut self, key: ClientKey) {
-        let Some(client) = self.clients.all.remove(key) else { return };
+        let Some(client) = self.clients.connections.remove(key) else { return };
         if let Some(request) = client.request {
             self.events.push_back(Event::ClientDisconnected(request));
         }
@@ -72,7 +72,7 @@
     pub(crate) fn process_next_request(&mut self, key: ClientKey) {
         let now = self.now();
         loop {
-            let Some(client) = self.clients.all.get_mut(key) else { return };
+            let Some(client) = self.clients.connections.get_mut(key) else { return };
             if client.request.is_some() || client.close_state != CloseState::Open || !client.output.is_empty()
             {
                 return;
@@ -123,8 +123,8 @@
                 if ready { "ready\n" } else { "" },
             );
         }
-        let head = match RequestHead::read(message, &self.config) {
-            Ok(head) => head,
+        let parsed = match ParsedRequest::parse(message, &self.config) {
+            Ok(parsed) => parsed,
             Err(error) => {
                 debug!("invalid request from a client: {error}");
                 return self.respond(key, 400, None, &format!("{error}\n"));
@@ -132,21 +132,27 @@
         };
         // Invariant: no two requests in progress have the same trace id, as a backend could confuse them. A client
         // may repeat its request on a new connection before the gateway has noticed that the old one is closed.
-        if let Some(other) = self.requests.open_request(head.trace_id()).map(|request| request.client) {
-            if self.clients.all.get(other).is_some_and(|client| !poll::is_closed_by_peer(&client.socket)) {
+        if let Some(other) = self.requests.open_request(parsed.trace_id()).map(|request| request.client) {
+            if self
+                .clients
+                .connections
+                .get(other)
+                .is_some_and(|client| !poll::is_closed_by_peer(&client.socket))
+            {
                 return self.respond(key, 400, None, "X-Trace-Id: still open elsewhere\n");
             }
             self.client_disconnected(other);
         }
-        let is_full = self.clients.all.len() > self.clients.max_served && !self.evict_idle_client(key);
-        let Some(client) = self.clients.all.get_mut(key) else { return };
+        let is_full =
+            self.clients.connections.len() > self.clients.max_served && !self.evict_idle_client(key);
+        let Some(client) = self.clients.connections.get_mut(key) else { return };
         if is_full {
             self.close(key, CloseState::AfterOutput);
             return self.respond(key, 503, None, "too many connections\n");
         }
         // Invariant: the response must reach the client within its time limit, even if a timer fires late.
-        let deadline = client.input_received_at + head.timeout - self.connection_settings.deadline_grace;
-        let request = self.requests.insert(Request::new(key, head, deadline));
+        let deadline = client.input_received_at + parsed.timeout - self.connection_settings.deadline_grace;
+        let request = self.requests.insert(Request::new(key, parsed, deadline));
         client.request = Some(request);
         self.events.push_back(Event::RequestArrived(request));
     }
--- a/crates/gateway/src/clients/response.rs
+++ b/crates/gateway/src/clients/response.rs
@@ -18,7 +18,8 @@
 impl Runtime {
     /// Forwards a backend's successful response to the client.
     pub(crate) fn forward_response(&mut self, key: RequestKey, response: &Message) {
-        let Some((client, is_head_request)) = self.requests.get(key).map(|c| (c.client, c.head.is_head()))
+        let Some((client, is_head_request)) =
+            self.requests.get(key).map(|c| (c.client, c.parsed.is_head_request()))
         else {
             return;
         };
@@ -75,7 +76,7 @@
             self.close(key, CloseState::AfterOutput);
         }
         let now = self.now();
-        let Some(client) = self.clients.all.get_mut(key) else { return };
+        let Some(client) = self.clients.connections.get_mut(key) else { return };
         (client.last_response_at, client.has_responded) = (now, true);
         let output = &mut client.output;
         // Writing to memory cannot fail.
@@ -88,7 +89,7 @@
         output.extend_from_slice(body);
         client.request = None;
         self.write_client(key);
-        if self.clients.all.get(key).is_some_and(|client| !client.input.is_empty()) {
+        if self.clients.connections.get(key).is_some_and(|client| !client.input.is_empty()) {
             self.events.push_back(Event::Pipelined(key));
         }
     }
@@ -96,7 +97,9 @@
     /// Writes as much of the response as the socket accepts, and then closes the connection if it is to be closed.
     pub(super) fn write_client(&mut self, key: ClientKey) {
         // Without output the connection is not closed either, as its response may not be queued yet.
-        let Some(client) = self.clients.all.get_mut(key).filter(|c| !c.output.is_empty()) else { return };
+        let Some(client) = self.clients.connections.get_mut(key).filter(|c| !c.output.is_empty()) else {
+            return;
+        };
         match poll::write(&client.socket, &client.output, &mut client.written) {
             Ok(false) => {}
             Ok(true) => {
@@ -116,7 +119,9 @@
     /// Advances the closing of a connection to the stage `to`.
     pub(super) fn close(&mut self, key: ClientKey, to: CloseState) {
         let until = self.now() + LINGER_TIMEOUT;
-        let Some(client) = self.clients.all.get_mut(key).filter(|c| c.close_state < to) else { return };
+        let Some(client) = self.clients.connections.get_mut(key).filter(|c| c.close_state < to) else {
+            return;
+        };
         client.close_state = to;
         if to == CloseState::Lingering {
             let _ = rustix::net::shutdown(&client.socket, Shutdown::Write);
--- a/crates/gateway/src/request_head.rs
+++ b/crates/gateway/src/parsed_request.rs
@@ -23,7 +23,7 @@
 
 /// A request as received, with the values parsed from it.
 #[derive(Debug)]
-pub(crate) struct RequestHead {
+pub(crate) struct ParsedRequest {
     pub(crate) message: Message,
     /// The byte range of the workload's name within the request target.
     workload_range: Range<usize>,
@@ -46,12 +46,12 @@
 /// Why a request is invalid, as text for its client.
 pub(crate) type RequestError = &'static str;
 
-impl RequestHead {
+impl ParsedRequest {
     /// Parses and validates a request.
     ///
     /// # Errors
     /// Names the first part that is missing or not allowed by `config`.
-    pub(crate) fn read(message: Message, config: &GatewayConfig) -> Result<RequestHead, RequestError> {
+    pub(crate) fn parse(message: Message, config: &GatewayConfig) -> Result<ParsedRequest, RequestError> {
         let target = text(message.start_line_part(1)).ok_or("target")?;
         let path = target.split('?').next().unwrap_or_default();
         let (workload_name, tenant) =
@@ -91,7 +91,7 @@
 
         let (plan, timeout) = (plan.to_owned(), Duration::from_micros(timeout as i64 * 1000));
         let attempt_head = attempt_head(&message);
-        Ok(RequestHead {
+        Ok(ParsedRequest {
             workload_range,
             tenant,
             plan,
@@ -115,7 +115,7 @@
     }
 
     /// Whether the method is HEAD, whose response has no body.
-    pub(crate) fn is_head(&self) -> bool {
+    pub(crate) fn is_head_request(&self) -> bool {
         self.message.start_line_part(0) == b"HEAD"
     }
 
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,7 +1,7 @@
 //! The accepted requests, each from its arrival to its final response.
 
+use crate::parsed_request::ParsedRequest;
 use crate::poll::ClientKey;
-use crate::request_head::RequestHead;
 use kitepass_gateway_policy::AttemptOutcome;
 use kitepass_time::Timestamp;
 use slotmap::{Key, KeyData, SlotMap};
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) client: ClientKey,
-    pub(crate) head: Rc<RequestHead>,
+    pub(crate) parsed: Rc<ParsedRequest>,
     /// When the response must have been sent.
     pub(crate) deadline: Timestamp,
     /// How many attempts have been started.
@@ -52,10 +52,10 @@
 
 impl Request {
     /// A queued request that has had no attempt.
-    pub(crate) fn new(client: ClientKey, head: RequestHead, deadline: Timestamp) -> Request {
+    pub(crate) fn new(client: ClientKey, parsed: ParsedRequest, deadline: Timestamp) -> Request {
         Request {
             client,
-            head: Rc::new(head),
+            parsed: Rc::new(parsed),
             deadline,
             attempts: 0,
             last_outcome: None,
@@ -80,7 +80,7 @@
 impl Requests {
     /// Adds a request and reserves its trace id.
     pub(crate) fn insert(&mut self, request: Request) -> RequestKey {
-        let trace_id = request.head.trace_id().into();
+        let trace_id = request.parsed.trace_id().into();
         let key = self.requests.insert(request);
         self.open_by_trace_id.insert(trace_id, key);
         key
@@ -104,7 +104,7 @@
     /// Changes a request's state. A finished request is removed; an abandoned one releases its trace id.
     pub(crate) fn set_state(&mut self, key: RequestKey, state: State) {
         if let (State::Abandoned | State::Finished, Some(request)) = (state, self.requests.get(key)) {
-            let trace_id = request.head.trace_id();
+            let trace_id = request.parsed.trace_id();
             if self.open_by_trace_id.get(trace_id) == Some(&key) {
                 self.open_by_trace_id.remove(trace_id);
             }
--- a/crates/gateway/src/request/tests.rs
+++ b/crates/gateway/src/request/tests.rs
@@ -2,8 +2,8 @@
 
 use super::{Request, Requests, State};
 use crate::http::{MessageKind, MessageReader};
+use crate::parsed_request::ParsedRequest;
 use crate::poll::ClientKey;
-use crate::request_head::RequestHead;
 use kitepass_time::Timestamp;
 
 #[test]
@@ -18,8 +18,8 @@
         )
         .into_bytes();
         let message = MessageReader::default().next(MessageKind::Request, &mut text, false).unwrap().unwrap();
-        let head = RequestHead::read(message, &config).unwrap();
-        let key = requests.insert(Request::new(ClientKey::default(), head, Timestamp::from_micros(0)));
+        let parsed = ParsedRequest::parse(message, &config).unwrap();
+        let key = requests.insert(Request::new(ClientKey::default(), parsed, Timestamp::from_micros(0)));
         assert!(requests.open_request(format!("t{n}").as_bytes()).is_some());
         requests.set_state(key, State::InFlight);
         requests.set_state(key, State::Abandoned);
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -189,17 +189,17 @@
             match event {
                 Event::RequestArrived(key) => {
                     let Some(request) = runtime.requests.get(key) else { continue };
-                    let (head, deadline) = (request.head.clone(), request.deadline);
+                    let (parsed, deadline) = (request.parsed.clone(), request.deadline);
                     runtime.current_client = Some(request.client);
                     let incoming = IncomingRequest {
                         id: &request::id_from_key(key),
-                        tenant: &head.tenant,
-                        workload: head.workload(),
-                        plan: &head.plan,
+                        tenant: &parsed.tenant,
+                        workload: parsed.workload(),
+                        plan: &parsed.plan,
                         deadline,
-                        units: head.units,
-                        gateways: head.gateways,
-                        first_gateway: head.first_gateway,
+                        units: parsed.units,
+                        gateways: parsed.gateways,
+                        first_gateway: parsed.first_gateway,
                     };
                     policy.request_arrived(now, &incoming, runtime);
                 }
--- a/crates/gateway/tests/sockets/counter.rs
+++ b/crates/gateway/tests/sockets/counter.rs
@@ -40,7 +40,7 @@
 
 #[test]
 fn an_unreachable_counter_does_not_delay_the_response() {
-    let (_gateway, _watch, mut client, _line) = gateway_with_spent_quota(unused_address());
+    let (_gateway, _watch, mut client, _connection) = gateway_with_spent_quota(unused_address());
     send_pooled_request(&mut client, "t2");
     assert_eq!(client.receive().status(), 429);
 }
@@ -124,7 +124,7 @@
     let (gateway, _watch) =
         Gateway::start_ready(&options, &[backend_entry("b1", backend_stub.address, "ready")]);
     let mut client = gateway.connect();
-    let one = |trace| request_head("once", trace).replace("spread=1", "spread=2") + "\r\n";
+    let single_request = |trace| request_head("once", trace).replace("spread=1", "spread=2") + "\r\n";
     // The name of a sum changes every 8 s of the wall clock, and a total under the previous name does not apply to the
     // current window. So all calls, which take about a second, must be within one window.
     let millis_into_window = || SystemTime::UNIX_EPOCH.elapsed().unwrap().as_millis() % 8000;
@@ -134,7 +134,7 @@
     let (mut connection, mut calls, mut names) = (None, None, Vec::new());
     // Each call is sent half a call time-out after the previous one.
     for trace in ["t1", "t2", "t3"] {
-        client.send(one(trace));
+        client.send(single_request(trace));
         serve_next(&mut client, connection.get_or_insert_with(|| backend_stub.accept()));
         let call = calls.get_or_insert_with(|| counter.accept()).receive().head;
         assert!(call.contains("/counters/00000000b4d65521."), "{call}");
@@ -143,5 +143,5 @@
     assert!(names.iter().all(|name| *name == names[0]), "the calls have different names: {names:?}");
     // The usage of the other gateways uses up the quota.
     calls.unwrap().send(ok_response("900000000000000"));
-    assert_eq!(client.send(one("t4")).receive().status(), 429);
+    assert_eq!(client.send(single_request("t4")).receive().status(), 429);
 }
--- a/crates/gateway/tests/sockets/harness.rs
+++ b/crates/gateway/tests/sockets/harness.rs
@@ -229,9 +229,9 @@
 
 /// Start-up options of a gateway under test.
 pub(crate) struct Options<'a> {
-    pub(crate) sockets: u32,
+    pub(crate) max_descriptors: u32,
     pub(crate) counter: Option<SocketAddr>,
-    pub(crate) known: &'a [String],
+    pub(crate) initial_backends: &'a [String],
     pub(crate) connect_timeout: f64,
     /// The time-out of a call to the counter, in seconds.
     pub(crate) counter_timeout: f64,
@@ -239,7 +239,13 @@
 
 impl Default for Options<'_> {
     fn default() -> Self {
-        Options { sockets: 256, counter: None, known: &[], connect_timeout: 0.25, counter_timeout: 0.5 }
+        Options {
+            max_descriptors: 256,
+            counter: None,
+            initial_backends: &[],
+            connect_timeout: 0.25,
+            counter_timeout: 0.5,
+        }
     }
 }
 
@@ -267,8 +273,8 @@
              "limits":{{"cores":1.0,"memory_mb":192,"sockets":{}}},"settings":{settings},
              "known":{{"generation":7,"reset":true,"instances":[{}]}}}}"#,
             discovery.address,
-            options.sockets,
-            options.known.join(",")
+            options.max_descriptors,
+            options.initial_backends.join(",")
         );
         let config_path = write_config(&config_text);
         let mut child =
--- a/crates/gateway/tests/sockets/main.rs
+++ b/crates/gateway/tests/sockets/main.rs
@@ -12,15 +12,15 @@
 };
 use std::time::Instant;
 
-fn start_gateway(sockets: u32) -> (Gateway, Watch, StubServer) {
-    start_gateway_with_backends(sockets, 1)
+fn start_gateway(max_descriptors: u32) -> (Gateway, Watch, StubServer) {
+    start_gateway_with_backends(max_descriptors, 1)
 }
 
 /// Starts a gateway with one stub listed as several backends. With a single backend, the policy would soon treat
 /// failures as an overload.
-fn start_gateway_with_backends(sockets: u32, backends: usize) -> (Gateway, Watch, StubServer) {
+fn start_gateway_with_backends(max_descriptors: u32, backends: usize) -> (Gateway, Watch, StubServer) {
     let backend_stub = StubServer::open();
-    let options = Options { sockets, ..Options::default() };
+    let options = Options { max_descriptors, ..Options::default() };
     let entry = |n| backend_entry(&format!("b{n}"), backend_stub.address, "ready");
     let (gateway, watch) = Gateway::start_ready(&options, &(0..backends).map(entry).collect::<Vec<_>>());
     (gateway, watch, backend_stub)
@@ -240,20 +240,24 @@
 
 #[test]
 fn a_draining_or_removed_backend_gets_no_new_request_and_a_lost_watch_removes_none() {
-    let (one, two) = (StubServer::open(), StubServer::open());
+    let (first_backend, second_backend) = (StubServer::open(), StubServer::open());
     let entry = |id, backend_stub: &StubServer, lifecycle| backend_entry(id, backend_stub.address, lifecycle);
     // The list in the configuration is sufficient to start serving.
-    let known = [entry("b1", &one, "ready")];
-    let gateway = Gateway::start(&Options { known: &known, ..Options::default() });
+    let initial_backends = [entry("b1", &first_backend, "ready")];
+    let gateway = Gateway::start(&Options { initial_backends: &initial_backends, ..Options::default() });
     let (mut watch, request) = Watch::accept(&gateway.discovery);
     assert!(request.head.starts_with("GET /v1/servers?stream=1&index=7 "), "{}", request.head);
     gateway.wait_until(200);
     let mut client = gateway.connect();
-    let mut idle = serve_request(&mut client, &one, "t1");
-    watch.send_list(9, false, &[entry("b1", &one, "draining"), entry("b2", &two, "ready")]);
+    let mut idle = serve_request(&mut client, &first_backend, "t1");
+    watch.send_list(
+        9,
+        false,
+        &[entry("b1", &first_backend, "draining"), entry("b2", &second_backend, "ready")],
+    );
     assert!(idle.ends_without_data(), "closed as b1 is draining");
-    let mut idle = serve_request(&mut client, &two, "t2");
-    assert!(one.has_no_connection());
+    let mut idle = serve_request(&mut client, &second_backend, "t2");
+    assert!(first_backend.has_no_connection());
     // After an invalid line and a lost connection, the watch is resumed from the last version.
     watch.send_line("{\"generation\":");
     drop(watch);
@@ -264,9 +268,9 @@
     idle.send(ok_response(""));
     assert_eq!(client.receive().status(), 200);
     // An invalid entry does not affect the others; backends that are not on a complete list are removed.
-    watch.send_list(10, true, &["{\"instanceId\":5}".to_owned(), entry("b1", &one, "ready")]);
+    watch.send_list(10, true, &["{\"instanceId\":5}".to_owned(), entry("b1", &first_backend, "ready")]);
     assert!(idle.ends_without_data());
-    serve_request(&mut client, &one, "t4");
+    serve_request(&mut client, &first_backend, "t4");
 }
 
 #[test]
--- a/crates/gateway/tests/sockets/reload.rs
+++ b/crates/gateway/tests/sockets/reload.rs
@@ -10,21 +10,23 @@
 
 #[test]
 fn a_reload_under_load_moves_discovery_and_counter_and_loses_no_request() {
-    let (old, new) = (StubServer::open(), StubServer::open());
-    let (mut gateway, watch, mut client, mut connection) = gateway_with_spent_quota(old.address);
+    let (old_counter, new_counter) = (StubServer::open(), StubServer::open());
+    let (mut gateway, watch, mut client, mut connection) = gateway_with_spent_quota(old_counter.address);
     send_pooled_request(&mut client, "t2");
-    let mut calls = old.accept();
+    let mut calls = old_counter.accept();
     calls.receive();
     let mut other = gateway.connect();
     other.send(request_head("once", "t3").replace("b4d65521", "b4d65522") + "\r\n");
     let attempt = connection.receive();
     assert_eq!(attempt.field("X-Trace-Id"), Some("t3"));
     // Two reloads, the second one while the first is in progress.
-    let (discovery, moved) = (gateway.discovery.address.to_string(), StubServer::open());
-    let addresses =
-        [(discovery, moved.address.to_string()), (old.address.to_string(), new.address.to_string())];
+    let (discovery, new_discovery) = (gateway.discovery.address.to_string(), StubServer::open());
+    let addresses = [
+        (discovery, new_discovery.address.to_string()),
+        (old_counter.address.to_string(), new_counter.address.to_string()),
+    ];
     gateway.reload(&addresses.each_ref().map(|(from, to)| (from.as_str(), to.as_str())));
-    let (mut next, request) = Watch::accept(&moved);
+    let (mut new_watch, request) = Watch::accept(&new_discovery);
     assert!(
         request.head.contains("index=8 "),
         "the watch does not resume from the last version: {}",
@@ -38,15 +40,19 @@
     serve_next(&mut client, &mut connection);
     assert!(calls.ends_without_data(), "no further call is sent to the old address");
     send_pooled_request(&mut client, "t4");
-    let mut calls = new.accept();
+    let mut calls = new_counter.accept();
     assert!(calls.receive().head.contains("/counters/00000000b4d65521/."));
     calls.send(ok_response("0.5"));
     serve_next(&mut client, &mut connection);
     // The old watch stays open until the new one has received a line; the change in that line is applied.
-    next.send_list(9, false, &[backend_entry("b1", unused_address(), "draining")]);
+    new_watch.send_list(9, false, &[backend_entry("b1", unused_address(), "draining")]);
     assert!(connection.ends_without_data(), "an idle connection to a draining backend is closed");
     assert!(watch.ends_without_data());
-    assert!(old.has_no_connection() && new.has_no_connection() && gateway.discovery.has_no_connection());
+    assert!(
+        old_counter.has_no_connection()
+            && new_counter.has_no_connection()
+            && gateway.discovery.has_no_connection()
+    );
     gateway.signal(Signal::HUP);
     gateway.terminate();
     drop((client, other));
@@ -84,7 +90,7 @@
 
 #[test]
 fn an_embedding_program_reloads_and_ends_a_gateway_without_signals() {
-    let (discovery, moved) = (StubServer::open(), StubServer::open());
+    let (discovery, new_discovery) = (StubServer::open(), StubServer::open());
     let text = format!(
         r#"{{"name":"g0","listen":"{}","discovery":"{}","seed":"1","settings":{}}}"#,
         unused_address(),
@@ -100,9 +106,9 @@
     });
     let control = control_receiver.recv_timeout(TEST_TIMEOUT).unwrap();
     let (watch, _) = Watch::accept(&discovery);
-    control.update_addresses(Addresses { discovery: moved.address, counter: None });
-    let (mut next, _) = Watch::accept(&moved);
-    next.send_list(9, true, &[]);
+    control.update_addresses(Addresses { discovery: new_discovery.address, counter: None });
+    let (mut new_watch, _) = Watch::accept(&new_discovery);
+    new_watch.send_list(9, true, &[]);
     assert!(watch.ends_without_data());
     control.shut_down();
     assert_eq!(server_thread.join().unwrap(), Ok(()));
--- a/crates/gateway/tests/sockets/service.rs
+++ b/crates/gateway/tests/sockets/service.rs
@@ -15,8 +15,8 @@
     let (gateway, _watch, backend_stub) = start_gateway(128);
     let started = Instant::now();
     let mut silent: Vec<_> = (0..40).map(|_| gateway.connect()).collect();
-    let (mut half, mut slow) = (gateway.connect(), gateway.connect());
-    half.send("POST /door/00000000b4d65521 HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
+    let (mut half_sent, mut slow) = (gateway.connect(), gateway.connect());
+    half_sent.send("POST /door/00000000b4d65521 HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
     slow.send("GET /look/00000000b4d65521 HTTP/1.1\r\nX-A: ");
     let mut active = gateway.connect();
     let mut connection = serve_request(&mut active, &backend_stub, "t1");
@@ -29,9 +29,9 @@
         connection.send(ok_response("fine"));
         assert_eq!(active.receive().body, b"fine");
     }
-    assert_eq!((slow.receive().status(), half.receive().status()), (408, 408));
+    assert_eq!((slow.receive().status(), half_sent.receive().status()), (408, 408));
     assert!(started.elapsed().as_millis() < 3000);
-    for connection in silent.iter_mut().chain([&mut half]) {
+    for connection in silent.iter_mut().chain([&mut half_sent]) {
         assert!(ends_before_timeout(connection, started));
     }
     // A client that is idle after its requests is closed as well, but later.
@@ -50,10 +50,10 @@
         sent += piece.len();
     }
     assert!(sent < 60_000_000 && started.elapsed().as_millis() < 3000, "{sent}");
-    let mut many = gateway.connect();
-    many.send((request_head("look", "t2").replace("units=1", "units=9") + "\r\n").repeat(300));
+    let mut pipelined = gateway.connect();
+    pipelined.send((request_head("look", "t2").replace("units=1", "units=9") + "\r\n").repeat(300));
     serve_request(&mut gateway.connect(), &backend_stub, "t3");
-    assert!((0..300).all(|_| many.receive().status() == 400));
+    assert!((0..300).all(|_| pipelined.receive().status() == 400));
     assert!(backend_stub.has_no_connection());
 }
 
