--- a/crates/coordination/src/consensus/tests/faults.rs
+++ b/crates/coordination/src/consensus/tests/faults.rs
@@ -35,16 +35,16 @@
 fn exploration_detects_a_disabled_safeguard(#[case] safeguard: Safeguard, #[case] restarts: u8) {
     let setup = without(safeguard, Setup::named("pair").bounds(1, restarts, 0, 16));
     let explored = explore(&format!("pair without {safeguard:?}"), setup, usize::MAX, 1);
-    assert!(explored.found.contains("one content a version"), "{explored:?}");
+    assert!(explored.found.contains("one content per version"), "{explored:?}");
 }
 
 /// Detected by random walks.
 #[rstest]
-#[case::ignore_conflicting(Safeguard::IgnoreConflicting, "epochs-five", "all can be resolved")]
-#[case::epoch_first(Safeguard::EpochFirst, "epochs-five", "one content a version")]
-#[case::rejection(Safeguard::Rejection, "spoiled", "answers are true")]
-#[case::resolve_first(Safeguard::ResolveFirst, "ring", "what was chosen is found")]
-#[case::promise(Safeguard::Promise, "ring", "one content a version")]
+#[case::ignore_conflicting(Safeguard::IgnoreConflicting, "epochs-five", "all proposals can be resolved")]
+#[case::epoch_first(Safeguard::EpochFirst, "epochs-five", "one content per version")]
+#[case::rejection(Safeguard::Rejection, "spoiled", "results are correct")]
+#[case::resolve_first(Safeguard::ResolveFirst, "ring", "chosen proposals are observed")]
+#[case::promise(Safeguard::Promise, "ring", "one content per version")]
 fn random_walks_detect_a_disabled_safeguard(
     #[case] safeguard: Safeguard,
     #[case] system: &str,
@@ -63,7 +63,7 @@
     let is_detected = ["epochs-one", "epochs-apart", "epochs-five"].into_iter().any(|system| {
         let setup = Setup::named(system).bounds(60, 6, 200, 1).without(safeguard);
         let walked = run_random_walks(&format!("{system} without {safeguard:?}"), &setup, 0..2_000, 1_000);
-        walked.broken.contains_key("what was chosen is found")
+        walked.broken.contains_key("chosen proposals are observed")
     });
     assert!(is_detected);
 }
--- a/crates/coordination/tests/consensus_model/exploration.rs
+++ b/crates/coordination/tests/consensus_model/exploration.rs
@@ -1,4 +1,4 @@
-//! All schedules of a system, by `stateright`.
+//! Explores all schedules of a system with the `stateright` model checker.
 
 use super::setup::{contains, Setup};
 use super::state::{Action, Node, Phase, State};
@@ -7,12 +7,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
-/// The property that is to be met at least once, unlike the others, which must hold always.
+/// Must hold in at least one state; the other properties must hold in every state.
 pub(crate) const CONFIRMED: &str = "a proposal is confirmed";
-pub(super) const ONE_CONTENT: &str = "one content a version";
-pub(super) const TRUE_ANSWERS: &str = "answers are true";
-pub(super) const CHOSEN_IS_FOUND: &str = "what was chosen is found";
-pub(super) const RESOLVABLE: &str = "all can be resolved";
+pub(super) const ONE_CONTENT_PER_VERSION: &str = "one content per version";
+pub(super) const RESULTS_ARE_CORRECT: &str = "results are correct";
+pub(super) const CHOSEN_IS_OBSERVED: &str = "chosen proposals are observed";
+pub(super) const RESOLVABLE: &str = "all proposals can be resolved";
 
 impl Model for Setup {
     type State = State;
@@ -29,35 +29,35 @@
             chosen: 0,
             committed: 0,
             restarts: 0,
-            lost: 0,
+            lost_responses: 0,
         }]
     }
 
-    /// The order matters: random walks draw from this list.
+    /// Random walks select actions by their index in this list, so its order determines what a seed does.
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        for (proposer, of) in state.proposers.iter().enumerate() {
-            if let Phase::Preparing { responded, .. } = of.phase {
-                let open = (0..self.replicas).filter(|replica| !contains(responded, *replica));
+        for (proposer, proposer_state) in state.proposers.iter().enumerate() {
+            if let Phase::Preparing { responded, .. } = proposer_state.phase {
+                let pending = (0..self.replicas).filter(|replica| !contains(responded, *replica));
                 let prepare = |replica| Action::Prepare { proposer, replica, is_response_delivered: true };
-                actions.extend(open.map(prepare));
+                actions.extend(pending.map(prepare));
             }
         }
         for request in &state.in_flight {
-            if request.required & !state.nodes[request.replica].committed != 0 {
+            if request.required_commits & !state.nodes[request.replica].committed != 0 {
                 continue;
             }
             let accept =
                 |is_response_delivered| Action::Accept { request: request.clone(), is_response_delivered };
-            let is_awaited = state.proposers.iter().any(|p| p.awaits(request.ballot));
+            let is_awaited = state.proposers.iter().any(|p| p.awaits_response(request.ballot));
             if is_awaited {
                 actions.push(accept(true));
             }
-            if !is_awaited || state.lost < self.max_lost {
+            if !is_awaited || state.lost_responses < self.max_lost_responses {
                 actions.push(accept(false));
             }
         }
         for replica in 0..self.replicas {
-            let unknown = self.numbers(state.committed & !state.nodes[replica].committed);
+            let unknown = self.proposals_in(state.committed & !state.nodes[replica].committed);
             actions.extend(unknown.map(|proposal| Action::Commit { replica, proposal }));
             if state.restarts < self.max_restarts {
                 actions.push(Action::Restart { replica });
@@ -74,15 +74,17 @@
 
     fn properties(&self) -> Vec<Property<Setup>> {
         vec![
-            Property::always(ONE_CONTENT, |setup: &Setup, state| setup.is_one_content(state)),
-            Property::always(TRUE_ANSWERS, |setup: &Setup, state| setup.are_answers_true(state)),
-            Property::always(CHOSEN_IS_FOUND, |setup: &Setup, state| {
-                setup.is_found_by_every_read_quorum(state)
+            Property::always(ONE_CONTENT_PER_VERSION, |setup: &Setup, state| {
+                setup.has_one_content_per_version(state)
+            }),
+            Property::always(RESULTS_ARE_CORRECT, |setup: &Setup, state| setup.are_results_correct(state)),
+            Property::always(CHOSEN_IS_OBSERVED, |setup: &Setup, state| {
+                setup.is_chosen_observed_by_every_read_quorum(state)
             }),
             Property::always(RESOLVABLE, |setup: &Setup, state: &State| {
                 let mut hasher = DefaultHasher::new();
                 state.hash(&mut hasher);
-                !hasher.finish().is_multiple_of(setup.resolvable_sample) || setup.is_resolvable(state)
+                !hasher.finish().is_multiple_of(setup.resolvable_check_interval) || setup.is_resolvable(state)
             }),
             Property::sometimes(CONFIRMED, |_, state: &State| {
                 state.proposers.iter().any(|proposer| proposer.phase == Phase::Confirmed)
@@ -91,19 +93,19 @@
     }
 }
 
-/// What was explored, and what was found.
+/// The result of an exploration.
 #[derive(Debug)]
 pub(crate) struct Explored {
     pub(crate) states: usize,
     pub(crate) steps: usize,
     pub(crate) depth: usize,
-    /// Nothing is left within the bounds.
+    /// Whether all states within the bounds were explored.
     pub(crate) is_complete: bool,
-    /// [`CONFIRMED`], and the properties that broke.
+    /// [`CONFIRMED`] if it was reached, and the properties that were violated.
     pub(crate) found: BTreeSet<&'static str>,
 }
 
-/// Explores all of a system, or about so many steps of it, the shortest schedules first.
+/// Explores the schedules of a system breadth-first, until all are explored or about `max_steps` steps are taken.
 pub(crate) fn explore(name: &str, setup: Setup, max_steps: usize, threads: usize) -> Explored {
     let started = std::time::Instant::now();
     let checker = setup.checker().threads(threads).target_state_count(max_steps).spawn_bfs().join();
--- a/crates/coordination/tests/consensus_model/mod.rs
+++ b/crates/coordination/tests/consensus_model/mod.rs
@@ -1,21 +1,22 @@
-//! A model of consensus as a whole: replicas with the acceptor that ships, proposers that go by the evaluation that ships,
-//! a network that loses, delays and reorders, replicas that restart, and one change of the replica set. `stateright`
-//! explores small systems completely; long random walks go through larger ones.
+//! A model of the complete consensus protocol: replicas and proposers that run the production acceptor and evaluation of
+//! proposals, a network that loses, delays and reorders messages, replicas that restart, and one change of the replica
+//! set. Small systems are explored completely with `stateright`, larger ones with long random walks.
 //!
-//! | module | what it has |
+//! | module | content |
 //! | --- | --- |
-//! | `setup` | what is modelled, and its bounds; the systems by name |
-//! | `state` | replicas, proposers and messages in flight |
-//! | `proposing`, `replicas` | the steps of proposers and of replicas |
-//! | `properties` | what must hold in every state |
-//! | `symmetry` | replicas that differ by their names alone |
-//! | `exploration` | all schedules |
-//! | `walks` | random schedules |
-//! | `race` | how rivals fare in time |
+//! | `setup` | the modelled systems by name, and the bounds of an exploration |
+//! | `state` | the state of replicas, proposers and messages in flight |
+//! | `proposing`, `replicas` | the actions of proposers and of replicas |
+//! | `properties` | the properties that must hold in every state |
+//! | `symmetry` | symmetry reduction for interchangeable replicas |
+//! | `exploration` | exploration of all schedules |
+//! | `walks` | random walks |
+//! | `race` | how long competing proposers take |
 //!
-//! A proposer that crashes is one that takes no further step: its messages still arrive, or do not.
+//! A crash of a proposer needs no action of its own: it is a schedule in which the proposer takes no further step. Its
+//! messages may still arrive.
 
-#![allow(dead_code)] // Each target that includes the model uses a part of it.
+#![allow(dead_code)] // Each target that includes this module uses only part of it.
 
 mod exploration;
 mod properties;
@@ -27,7 +28,7 @@
 mod symmetry;
 mod walks;
 
-#[allow(unused_imports)] // As above.
+#[allow(unused_imports)] // For the same reason.
 pub(crate) use self::{
     exploration::{explore, CONFIRMED},
     race::{Race, RaceResult},
--- a/crates/coordination/tests/consensus_model/proposing.rs
+++ b/crates/coordination/tests/consensus_model/proposing.rs
@@ -1,4 +1,4 @@
-//! What proposers do.
+//! The actions of proposers.
 
 use super::setup::{contains, ReplicaSetSafeguard, Setup};
 use super::state::{AcceptRequest, Node, Phase, Proposer};
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Setup {
-    /// A proposer that has begun.
+    /// A proposer at the start of its first attempt.
     pub(super) fn proposer(&self, incarnation: u64, goal: usize, attempts: u8) -> Proposer {
         let mut proposer = Proposer {
             incarnation,
@@ -25,16 +25,17 @@
         proposer
     }
 
-    /// Begins an attempt at a proposal, if one is left.
+    /// Starts an attempt to commit a proposal, unless no attempts are left.
     pub(super) fn begin(&self, proposer: &mut Proposer, target: usize) {
         if proposer.attempts_left == 0 {
             proposer.phase = Phase::GivenUp;
             return;
         }
         proposer.attempts_left -= 1;
-        // The incoming replica set is in force only after it has been brought in.
-        let is_open = |n: &usize| !contains(proposer.committed, *n);
-        let incoming = self.incoming.filter(is_open).filter(|_| Some(target) == self.current);
+        // A replica set must be committed as the incoming one before it can be put into force.
+        let is_uncommitted = |n: &usize| !contains(proposer.committed, *n);
+        let incoming =
+            self.incoming_proposal.filter(is_uncommitted).filter(|_| Some(target) == self.current_proposal);
         proposer.target = incoming.unwrap_or(target);
         let observed = proposer.observed.keys().fold(0, |set, n| set | 1 << n);
         let epoch = self.epoch(proposer.committed, observed);
@@ -43,11 +44,12 @@
         proposer.phase = Phase::Preparing { ballot, responded: 0 };
     }
 
-    /// What the proposer's own evaluation, and that of a change of the replica set, say of its target.
+    /// The status of the proposer's target, by the evaluation of proposals and the additional rules for a change of the
+    /// replica set.
     fn evaluate(&self, proposer: &Proposer) -> ProposalStatus {
         let (item_store, target) = (self.item_store(proposer.committed), proposer.target);
         let possibly_chosen = self.possibly_chosen(proposer);
-        let is_open = |n: usize| {
+        let is_undecided = |n: usize| {
             let proposal = &self.proposals[n];
             n != target
                 && possibly_chosen.contains_key(&proposal.proposal_id())
@@ -58,15 +60,15 @@
         if matches!(status, ProposalStatus::Committed | ProposalStatus::Conflicting(_)) {
             return status;
         }
-        // A change of the replica set comes first of all.
-        let change = self.incoming.filter(|n| proposer.observed.contains_key(n) && is_open(*n));
+        // A change of the replica set takes precedence over all other proposals.
+        let change = self.incoming_proposal.filter(|n| proposer.observed.contains_key(n) && is_undecided(*n));
         if let Some(change) = change {
             return ProposalStatus::BlockedBy(self.proposals[change].proposal_id());
         }
-        // The incoming replica set is in force only once nothing is left open.
-        let open = proposer.observed.iter().filter(|(n, _)| is_open(**n));
-        match open.max_by_key(|(_, ballot)| **ballot) {
-            Some((n, _)) if Some(target) == self.current => {
+        // The incoming replica set is put into force only after all other proposals have been resolved.
+        let undecided = proposer.observed.iter().filter(|(n, _)| is_undecided(**n));
+        match undecided.max_by_key(|(_, ballot)| **ballot) {
+            Some((n, _)) if Some(target) == self.current_proposal => {
                 ProposalStatus::BlockedBy(self.proposals[*n].proposal_id())
             }
             _ => status,
@@ -81,7 +83,7 @@
         possibly_chosen(&observed.collect(), &rejected.collect())
     }
 
-    /// A read quorum has responded.
+    /// Starts phase 2, or ends the attempt, once a read quorum has responded in phase 1.
     pub(super) fn finish_prepare(&self, proposer: &mut Proposer, in_flight: &mut BTreeSet<AcceptRequest>) {
         let Phase::Preparing { ballot, .. } = proposer.phase else { return };
         let (goal, target) = (proposer.goal, proposer.target);
@@ -90,7 +92,7 @@
             ProposalStatus::Committed if is_own => proposer.phase = Phase::Confirmed,
             ProposalStatus::Conflicting(_) if is_own => proposer.phase = Phase::Conflicting,
             ProposalStatus::Committed | ProposalStatus::Conflicting(_) => self.begin(proposer, goal),
-            ProposalStatus::BlockedBy(proposal_id) => self.begin(proposer, self.number_of(proposal_id)),
+            ProposalStatus::BlockedBy(proposal_id) => self.begin(proposer, self.index_of(proposal_id)),
             ProposalStatus::New if self.invalidated_by[target] & proposer.committed != 0 => {
                 if !is_own {
                     return self.begin(proposer, goal);
@@ -106,18 +108,20 @@
         }
     }
 
+    /// The requests to reject a proposal, one per replica.
     fn rejections(&self, ballot: Ballot, proposal: usize) -> impl Iterator<Item = AcceptRequest> {
-        let (was_accepted_before, required) = (false, 0);
+        let (was_accepted_before, required_commits) = (false, 0);
         (0..self.replicas).map(move |replica| AcceptRequest {
             replica,
             ballot,
             proposal,
             was_accepted_before,
-            rejects: true,
-            required,
+            is_rejection: true,
+            required_commits,
         })
     }
 
+    /// The requests to accept the proposer's target, one per replica.
     fn accept_requests(
         &self,
         proposer: &Proposer,
@@ -125,22 +129,23 @@
         was_accepted_before: bool,
     ) -> impl Iterator<Item = AcceptRequest> {
         let proposal = proposer.target;
-        let holds_all = Some(proposal) == self.current && self.is_enabled(ReplicaSetSafeguard::HoldAll);
-        let required = if holds_all { proposer.committed } else { 0 };
+        let holds_all =
+            Some(proposal) == self.current_proposal && self.is_enabled(ReplicaSetSafeguard::HoldAll);
+        let required_commits = if holds_all { proposer.committed } else { 0 };
         (0..self.replicas).map(move |replica| AcceptRequest {
             replica,
             ballot,
             proposal,
             was_accepted_before,
-            rejects: false,
-            required,
+            is_rejection: false,
+            required_commits,
         })
     }
 
-    /// What comes with a refusal: what is committed, and a change of the replica set that is under way.
-    pub(super) fn learn(&self, proposer: &mut Proposer, node: &Node) {
+    /// Processes the information in a refusal: the committed proposals, and a change of the replica set in progress.
+    pub(super) fn learn_from_refusal(&self, proposer: &mut Proposer, node: &Node) {
         proposer.committed |= node.committed;
-        let Some(incoming) = self.incoming else { return };
+        let Some(incoming) = self.incoming_proposal else { return };
         let accepted = node.acceptor.get(self.proposals[incoming].proposal_id());
         proposer.observed.extend(accepted.map(|(ballot, _)| (incoming, ballot)));
     }
--- a/crates/coordination/tests/consensus_model/race.rs
+++ b/crates/coordination/tests/consensus_model/race.rs
@@ -1,4 +1,4 @@
-//! How rivals fare in time. Nothing is lost.
+//! Measures how long competing proposers take if no message is lost.
 
 use super::setup::{contains, Setup};
 use super::state::{Action, Phase, Proposer, State};
@@ -6,25 +6,25 @@
 use stateright::Model;
 use std::collections::BTreeMap;
 
-/// The jitter of a message, as a part of the round trip.
-const JITTER: f64 = 0.1;
+/// The maximum jitter of a message, as a fraction of the round trip time.
+const JITTER_FRACTION: f64 = 0.1;
 
-/// All proposers begin within a `spread`; an attempt that is refused is retried after a random backoff; what is committed
-/// is told to all replicas. Times are in milliseconds.
+/// The parameters of a race. Proposers start at random times within `spread`, retry a refused attempt after a random
+/// backoff, and notify all replicas of commits. Times are in milliseconds.
 pub(crate) struct Race {
-    /// Between a proposer and a replica, there and back.
+    /// The round trip time between a proposer and a replica.
     pub(crate) round_trip: f64,
-    /// Until a record is on disk.
+    /// The average time to write a record to disk.
     pub(crate) sync: f64,
     pub(crate) spread: f64,
-    /// The backoff after a refusal is drawn between these.
+    /// The minimum and maximum backoff after a refusal.
     pub(crate) backoff: (f64, f64),
-    /// How often the upper bound of the backoff doubles, once with each refusal.
+    /// The maximum backoff doubles with each refusal, up to this number of times.
     pub(crate) doublings: u32,
 }
 
-/// When the first proposal was committed and when all had their answers, in milliseconds, and the most attempts that one
-/// took.
+/// When the first proposal was committed and when all proposers had their final results, in milliseconds, and the largest
+/// number of attempts of a proposer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RaceResult {
     pub(crate) first: f64,
@@ -32,7 +32,7 @@
     pub(crate) attempts: u8,
 }
 
-/// What happens, and the attempt that it belongs to.
+/// An action, and the ballot of the attempt that it belongs to.
 type Event = (Action, Ballot);
 
 struct Run<'a> {
@@ -40,16 +40,16 @@
     setup: &'a Setup,
     rng: oorandom::Rand64,
     state: State,
-    /// By microseconds, then by the order of sending.
+    /// Scheduled events by time in microseconds, then by send order.
     events: BTreeMap<(u64, u64), Event>,
     sent: u64,
-    /// By proposer.
+    /// The number of refusals, by proposer.
     refusals: Vec<u32>,
     result: RaceResult,
 }
 
 impl Race {
-    /// None if a proposer has run out of attempts.
+    /// Returns `None` if a proposer has run out of attempts.
     pub(crate) fn run(&self, setup: &Setup, seed: u64) -> Option<RaceResult> {
         let mut run = Run::new(self, setup, seed);
         run.start();
@@ -77,13 +77,14 @@
 
     fn send(&mut self, at: f64, event: Event) {
         self.sent += 1;
-        let at = at + self.race.round_trip * JITTER * self.rng.rand_float();
+        let at = at + self.race.round_trip * JITTER_FRACTION * self.rng.rand_float();
         self.events.insert(((at * 1_000.0) as u64, self.sent), event);
     }
 
     fn start(&mut self) {
         for proposer in 0..self.state.proposers.len() {
-            let ballot = self.state.proposers[proposer].phase.ballot().expect("it has begun");
+            let ballot =
+                self.state.proposers[proposer].phase.ballot().expect("the proposer has started an attempt");
             let at = self.race.round_trip * 0.5 + self.race.spread * self.rng.rand_float();
             self.send_prepares(at, proposer, ballot);
         }
@@ -95,7 +96,7 @@
         }
     }
 
-    /// None if the proposer has run out of attempts.
+    /// Returns `None` if the proposer has run out of attempts.
     fn handle(&mut self, now: f64, action: Action, ballot: Ballot) -> Option<()> {
         let proposer = match &action {
             Action::Prepare { proposer, .. } => *proposer,
@@ -109,7 +110,7 @@
             }
         };
         let before = self.state.proposers[proposer].clone();
-        if is_outdated(&action, &before, ballot) {
+        if is_obsolete(&action, &before, ballot) {
             return Some(());
         }
         let committed = self.state.committed;
@@ -122,14 +123,14 @@
     }
 
     fn send_commits(&mut self, now: f64, committed: u32, ballot: Ballot) {
-        for proposal in self.setup.numbers(committed) {
+        for proposal in self.setup.proposals_in(committed) {
             for replica in 0..self.setup.replicas {
                 self.send(now + self.race.round_trip, (Action::Commit { replica, proposal }, ballot));
             }
         }
     }
 
-    /// What a proposer does once it has entered another phase.
+    /// Schedules what follows if the proposer has entered a new phase. Returns `None` if it has run out of attempts.
     fn follow_up(&mut self, now: f64, proposer: usize, before: &Proposer) -> Option<()> {
         let after = self.state.proposers[proposer].clone();
         if (&after.phase, after.attempts_left) == (&before.phase, before.attempts_left) {
@@ -143,7 +144,7 @@
                 self.result.attempts = self.result.attempts.max(attempts);
             }
             Phase::Preparing { ballot, responded: 0 } => {
-                // A refusal is followed by a backoff, resolving another proposal is not.
+                // There is a backoff after a refusal, but not before or after resolving another proposal.
                 let is_refused = before.target == after.target && before.committed == after.committed;
                 let backoff = if is_refused { self.draw_backoff(proposer) } else { 0.0 };
                 self.send_prepares(now + self.race.round_trip + backoff, proposer, ballot);
@@ -155,11 +156,11 @@
     }
 
     fn draw_backoff(&mut self, proposer: usize) -> f64 {
-        let (least, most) = self.race.backoff;
+        let (min, max) = self.race.backoff;
         let doublings = self.race.doublings.min(self.refusals[proposer]);
-        let most = most * f64::from(1 << doublings);
+        let max = max * f64::from(1 << doublings);
         self.refusals[proposer] += 1;
-        least + (most - least) * self.rng.rand_float()
+        min + (max - min) * self.rng.rand_float()
     }
 
     fn send_accepts(&mut self, now: f64, ballot: Ballot) {
@@ -172,10 +173,10 @@
     }
 }
 
-/// A prepare request of an attempt that is over, or to a replica that has responded already.
-fn is_outdated(action: &Action, proposer: &Proposer, ballot: Ballot) -> bool {
+/// Whether this is a prepare request of an earlier attempt, or one to a replica that has already responded.
+fn is_obsolete(action: &Action, proposer: &Proposer, ballot: Ballot) -> bool {
     let Action::Prepare { replica, .. } = action else { return false };
-    let is_open =
+    let is_awaited =
         matches!(proposer.phase, Phase::Preparing { responded, .. } if !contains(responded, *replica));
-    proposer.phase.ballot() != Some(ballot) || !is_open
+    proposer.phase.ballot() != Some(ballot) || !is_awaited
 }
--- a/crates/coordination/tests/consensus_model/setup.rs
+++ b/crates/coordination/tests/consensus_model/setup.rs
@@ -1,4 +1,4 @@
-//! What is modelled, and its bounds.
+//! The modelled systems, and the bounds of an exploration or a walk.
 
 use kitepass_config::{Item, ItemStore, Kind};
 use kitepass_coordination::consensus::{
@@ -7,7 +7,7 @@
 use kitepass_coordination::membership::{Replica, ReplicaSet};
 use std::collections::BTreeSet;
 
-/// Sets of replicas and of proposals, by bits.
+/// A set of replicas or of proposals, as a bit mask of their indices.
 pub(super) type BitSet = u32;
 
 pub(super) fn contains(set: BitSet, number: usize) -> bool {
@@ -17,46 +17,50 @@
 /// How a proposer evaluates its proposal after phase 1.
 pub(crate) type Evaluation = fn(&Proposal, &ObservedProposals, &ItemStore) -> ProposalStatus;
 
-/// The safeguards of a change of the replica set that are not the acceptor's or the proposer's own, for tests that take
-/// one out.
+/// The safeguards of a change of the replica set that the model itself implements, in addition to those of the acceptor
+/// and of the proposer. Mutation tests disable one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReplicaSetSafeguard {
-    /// Before the incoming replica set is in force, all that is accepted anywhere is resolved.
+    /// Before the incoming replica set is put into force, all proposals accepted by any replica are resolved.
     ResolveAll,
-    /// Only replicas that hold all that is committed count toward the write quorum of what puts it in force.
+    /// Only replicas that have all committed proposals count toward the write quorum of the proposal that puts the
+    /// incoming replica set into force.
     HoldAll,
-    /// A replica that knows of the incoming replica set accepts nothing of the epoch before.
+    /// A replica that knows of the incoming replica set accepts nothing in an earlier epoch.
     Fence,
 }
 
-/// A system, and the bounds of what happens in it.
+/// A system, and the bounds of its exploration.
 pub(crate) struct Setup {
     pub(super) proposals: Vec<Proposal>,
-    /// By proposal, those with other content for one of its keys.
+    /// The proposals that conflict with each proposal: those with different content for one of its keys.
     pub(super) conflicts: Vec<BitSet>,
-    /// By the set of committed proposals.
+    /// The contents of the item store, by the set of committed proposals.
     item_stores: Vec<ItemStore>,
-    /// By epoch, then by set of replicas.
+    /// Whether a set of replicas is a read quorum, by epoch, then by the set.
     read_quorums: Vec<Vec<bool>>,
+    /// The same for write quorums.
     write_quorums: Vec<Vec<bool>>,
+    /// The number of replicas.
     pub(super) replicas: usize,
-    /// By proposer, the proposal that it wants committed.
+    /// The proposal that each proposer has to commit.
     pub(super) goals: Vec<usize>,
-    /// The proposals that bring the incoming replica set in, and put it in force.
-    pub(super) incoming: Option<usize>,
-    pub(super) current: Option<usize>,
-    /// By proposal, those after whose commit its content is invalid.
+    /// The proposal that makes the second replica set the incoming one, if there is a second one.
+    pub(super) incoming_proposal: Option<usize>,
+    /// The proposal that puts the incoming replica set into force.
+    pub(super) current_proposal: Option<usize>,
+    /// The proposals that make the content of each proposal invalid once they are committed.
     pub(super) invalidated_by: Vec<BitSet>,
-    /// Attempts of each proposer.
+    /// The number of attempts of each proposer.
     pub(super) attempts: u8,
     pub(super) max_restarts: u8,
-    /// Responses to accept requests that may be lost.
-    pub(super) max_lost: u8,
-    /// By replica, the replica sets that it is in: those that are in the same ones are alike.
+    /// The maximum number of responses to accept requests that are lost.
+    pub(super) max_lost_responses: u8,
+    /// The replica sets that each replica belongs to. Replicas that belong to the same sets are interchangeable.
     pub(super) memberships: Vec<BitSet>,
     pub(super) disabled: Option<ReplicaSetSafeguard>,
-    /// Of so many states one is checked for whether a newcomer, alone, brings all proposals to an end.
-    pub(super) resolvable_sample: u64,
+    /// In one of this many states, [`Setup::is_resolvable`] is checked, which is expensive.
+    pub(super) resolvable_check_interval: u64,
     pub(super) new_acceptor: fn() -> Acceptor,
     pub(super) evaluation: Evaluation,
 }
@@ -65,11 +69,12 @@
     Item { kind: Kind::Service, name: name.into(), version, value: Some(value.to_owned().into()) }
 }
 
-/// `a1 b2` gives version 1 of `a` the content `1`, and that of `b` the content `2`; `a1.3` is version 3 of `a`.
+/// Parses items in the form `NAME CONTENT`, without the space, and optionally `.VERSION`: `a1 b2` gives version 1 of item
+/// `a` the content `1` and version 1 of item `b` the content `2`; `a1.3` is version 3 of `a`.
 fn parse_proposal(text: &str) -> Proposal {
-    let parse_item = |word: &str| {
-        let version = word.get(3..).and_then(|version| version.parse().ok()).unwrap_or(1);
-        item(&word[..1], version, &word[1..2])
+    let parse_item = |token: &str| {
+        let version = token.get(3..).and_then(|version| version.parse().ok()).unwrap_or(1);
+        item(&token[..1], version, &token[1..2])
     };
     Proposal::new(text.split(' ').map(parse_item).collect())
 }
@@ -83,21 +88,21 @@
     ReplicaSet { replicas: replicas.iter().map(replica).collect(), version: 1 }
 }
 
-fn is_in_conflict(one: &Proposal, other: &Proposal) -> bool {
+fn are_conflicting(one: &Proposal, other: &Proposal) -> bool {
     let conflicts = |item: &Item| other.items().iter().any(|o| key(item) == key(o) && item != o);
     one.items().iter().any(conflicts)
 }
 
-/// By proposal, those that conflict with it.
+/// The proposals that conflict with each proposal.
 fn conflicts(proposals: &[Proposal]) -> Vec<BitSet> {
     let conflicts_of = |one: &Proposal| {
-        let others = (0..proposals.len()).filter(|n| is_in_conflict(one, &proposals[*n]));
+        let others = (0..proposals.len()).filter(|n| are_conflicting(one, &proposals[*n]));
         others.fold(0, |set, n| set | 1 << n)
     };
     proposals.iter().map(conflicts_of).collect()
 }
 
-/// By the set of committed proposals.
+/// The contents of the item store, by the set of committed proposals.
 fn item_stores(proposals: &[Proposal]) -> Vec<ItemStore> {
     let item_store = |committed: BitSet| {
         let mut item_store = ItemStore::new();
@@ -109,13 +114,14 @@
     (0..1 << proposals.len()).map(item_store).collect()
 }
 
-/// By epoch and set of replicas, whether it is a quorum of all replica sets that count then.
+/// Whether a set of replicas is a quorum of all replica sets whose quorums are required in an epoch; by epoch, then by
+/// the set.
 fn quorums(
     replica_sets: &[ReplicaSet],
     replicas: usize,
     is_quorum: fn(&ReplicaSet, &BTreeSet<String>) -> bool,
 ) -> Vec<Vec<bool>> {
-    // In the odd epoch between two replica sets, both count.
+    // In the odd epoch between two replica sets, quorums of both are required.
     let epochs: Vec<&[ReplicaSet]> = match replica_sets {
         [only] => vec![std::slice::from_ref(only)],
         both => vec![&both[..1], both, &both[1..]],
@@ -131,31 +137,32 @@
     epochs.into_iter().map(of_epoch).collect()
 }
 
-/// By replica, the replica sets that it is in.
+/// The replica sets that each replica belongs to.
 fn memberships(replica_sets: &[&[usize]], replicas: usize) -> Vec<BitSet> {
     let of_replica = |replica: usize| {
         let sets = replica_sets.iter().enumerate();
-        let with_it = sets.filter(|(_, replica_set)| replica_set.contains(&replica));
-        with_it.fold(0, |set, (n, _)| set | 1 << n)
+        let sets_with_replica = sets.filter(|(_, replica_set)| replica_set.contains(&replica));
+        sets_with_replica.fold(0, |set, (n, _)| set | 1 << n)
     };
     (0..replicas).map(of_replica).collect()
 }
 
 impl Setup {
-    /// Each proposer wants one of the proposals, by its number. With two replica sets, one more proposer brings the
-    /// second one in.
+    /// `goals` has the index of the proposal that each proposer has to commit. If there are two replica sets, an additional
+    /// proposer replaces the first set with the second.
     fn new(proposals: &[&str], goals: &[usize], replica_sets: &[&[usize]]) -> Setup {
         let mut proposals: Vec<Proposal> = proposals.iter().map(|text| parse_proposal(text)).collect();
         let mut goals = goals.to_vec();
-        let (mut incoming, mut current) = (None, None);
+        let (mut incoming_proposal, mut current_proposal) = (None, None);
         if replica_sets.len() > 1 {
             let replica_set_item = |name| Item { kind: Kind::ReplicaSet, ..item(name, 2, "cast") };
-            (incoming, current) = (Some(proposals.len()), Some(proposals.len() + 1));
+            (incoming_proposal, current_proposal) = (Some(proposals.len()), Some(proposals.len() + 1));
             proposals.push(Proposal::new(vec![replica_set_item("next")]));
             proposals.push(Proposal::new(vec![replica_set_item("now")]));
             goals.push(proposals.len() - 1);
         }
-        let replicas = replica_sets.iter().flat_map(|set| set.iter()).max().expect("a replica") + 1;
+        let replicas =
+            replica_sets.iter().flat_map(|set| set.iter()).max().expect("at least one replica") + 1;
         let sets: Vec<ReplicaSet> = replica_sets.iter().map(|replicas| replica_set(replicas)).collect();
         Setup {
             conflicts: conflicts(&proposals),
@@ -167,21 +174,21 @@
             proposals,
             replicas,
             goals,
-            incoming,
-            current,
+            incoming_proposal,
+            current_proposal,
             attempts: 2,
             max_restarts: 0,
-            max_lost: 0,
+            max_lost_responses: 0,
             disabled: None,
-            resolvable_sample: 1,
+            resolvable_check_interval: 1,
             new_acceptor: Acceptor::new,
             evaluation: proposal_status,
         }
     }
 
-    /// One of [`SYSTEMS`].
+    /// Returns one of [`SYSTEMS`].
     pub(crate) fn named(name: &str) -> Setup {
-        let system = SYSTEMS.iter().find(|system| system.name == name).expect("a system's name");
+        let system = SYSTEMS.iter().find(|system| system.name == name).expect("the name of a system");
         let mut setup = Setup::new(system.proposals, system.goals, system.replica_sets);
         if system.has_invalidation {
             setup.invalidated_by[0] = 1 << 1;
@@ -189,7 +196,7 @@
         setup
     }
 
-    /// So many proposals for one version of one item, each with other content, on five replicas.
+    /// A system of five replicas and `number` proposers, each with different content for the same version of an item.
     pub(crate) fn competing_proposers(number: usize) -> Setup {
         let proposals: Vec<String> = (1..=number).map(|n| format!("a{n}")).collect();
         let proposals: Vec<&str> = proposals.iter().map(String::as_str).collect();
@@ -197,24 +204,24 @@
         Setup::new(&proposals, &goals, &[&[0, 1, 2, 3, 4]]).bounds(250, 0, 0, 1)
     }
 
-    /// Attempts of each proposer, restarts of replicas, lost responses, and of how many states one is checked for being
-    /// resolvable.
+    /// Sets the number of attempts of each proposer, the maximum numbers of restarts and of lost responses, and in one of
+    /// how many states [`Setup::is_resolvable`] is checked.
     pub(crate) fn bounds(
         self,
         attempts: u8,
         max_restarts: u8,
-        max_lost: u8,
-        resolvable_sample: u64,
+        max_lost_responses: u8,
+        resolvable_check_interval: u64,
     ) -> Setup {
-        Setup { attempts, max_restarts, max_lost, resolvable_sample, ..self }
+        Setup { attempts, max_restarts, max_lost_responses, resolvable_check_interval, ..self }
     }
 
-    /// With another acceptor and evaluation, for tests that take a safeguard out.
+    /// Replaces the acceptor and the evaluation of proposals, for tests that disable a safeguard.
     pub(crate) fn with_algorithm(self, new_acceptor: fn() -> Acceptor, evaluation: Evaluation) -> Setup {
         Setup { new_acceptor, evaluation, ..self }
     }
 
-    /// Without a safeguard of the change of the replica set.
+    /// Disables a safeguard of changes of the replica set.
     pub(crate) fn without(self, disabled: ReplicaSetSafeguard) -> Setup {
         Setup { disabled: Some(disabled), ..self }
     }
@@ -223,21 +230,21 @@
         self.disabled != Some(safeguard)
     }
 
-    pub(super) fn number_of(&self, proposal_id: ProposalId) -> usize {
-        let is_it = |proposal: &Proposal| proposal.proposal_id() == proposal_id;
-        self.proposals.iter().position(is_it).expect("a proposal of the setup")
+    pub(super) fn index_of(&self, proposal_id: ProposalId) -> usize {
+        let is_same = |proposal: &Proposal| proposal.proposal_id() == proposal_id;
+        self.proposals.iter().position(is_same).expect("a proposal of this setup")
     }
 
     pub(super) fn item_store(&self, committed: BitSet) -> &ItemStore {
         &self.item_stores[committed as usize]
     }
 
-    /// The epoch of one that knows these proposals to be committed, and has observed these.
+    /// The epoch of a process, by the proposals that it knows to be committed and those that it has observed.
     pub(super) fn epoch(&self, committed: BitSet, observed: BitSet) -> u64 {
         let has = |set: BitSet, proposal: Option<usize>| proposal.is_some_and(|n| contains(set, n));
-        if has(committed, self.current) {
+        if has(committed, self.current_proposal) {
             2
-        } else if has(committed | observed, self.incoming) {
+        } else if has(committed | observed, self.incoming_proposal) {
             1
         } else {
             0
@@ -252,21 +259,22 @@
         self.write_quorums[epoch as usize][replicas as usize]
     }
 
-    /// The numbers of a set of proposals.
-    pub(super) fn numbers(&self, set: BitSet) -> impl Iterator<Item = usize> {
+    /// The indices of the proposals in a set.
+    pub(super) fn proposals_in(&self, set: BitSet) -> impl Iterator<Item = usize> {
         (0..self.proposals.len()).filter(move |n| contains(set, *n))
     }
 }
 
-/// A system that is modelled.
+/// A modelled system.
 pub(crate) struct System {
     pub(crate) name: &'static str,
     /// See [`parse_proposal`].
     proposals: &'static [&'static str],
-    /// By proposer, the number of its proposal.
+    /// The index of the proposal that each proposer has to commit.
     goals: &'static [usize],
+    /// The replicas of each replica set.
     replica_sets: &'static [&'static [usize]],
-    /// The first proposal is invalid once the second one is committed.
+    /// Whether the first proposal becomes invalid once the second one is committed.
     has_invalidation: bool,
 }
 
@@ -283,6 +291,8 @@
     System { has_invalidation: true, ..system }
 }
 
+/// All systems. In the ones called `spoiled`, a proposal becomes invalid while it is being proposed; in the ones called
+/// `epochs`, the replica set changes.
 pub(crate) const SYSTEMS: &[System] = &[
     system("pair", &["a1", "a2"], &[0, 1], &[&[0, 1, 2]]),
     system("four", &["a1", "a2"], &[0, 1], &[&[0, 1, 2, 3]]),
--- a/crates/coordination/tests/consensus_model/walks.rs
+++ b/crates/coordination/tests/consensus_model/walks.rs
@@ -1,13 +1,13 @@
-//! Random schedules of a system.
+//! Random walks through the states of a system.
 
-use super::exploration::{CHOSEN_IS_FOUND, ONE_CONTENT, RESOLVABLE, TRUE_ANSWERS};
+use super::exploration::{CHOSEN_IS_OBSERVED, ONE_CONTENT_PER_VERSION, RESOLVABLE, RESULTS_ARE_CORRECT};
 use super::setup::Setup;
 use super::state::{Action, Phase, State};
 use stateright::Model;
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// What random walks brought about.
+/// Totals over a number of random walks, as of their final states.
 #[derive(Default, Debug)]
 pub(crate) struct Walked {
     pub(crate) steps: u64,
@@ -17,11 +17,11 @@
     pub(crate) rejected: u64,
     pub(crate) restarts: u64,
     pub(crate) replica_set_changes: u64,
-    /// The properties that broke: in how many walks, and the first one's seed.
+    /// The violated properties, each with the number of walks that violated it and the seed of the first of them.
     pub(crate) broken: BTreeMap<&'static str, (u64, u64)>,
 }
 
-/// Random walks, one for each seed.
+/// Runs one random walk per seed, of at most `steps` steps each.
 pub(crate) fn run_random_walks(name: &str, setup: &Setup, seeds: Range<u64>, steps: usize) -> Walked {
     let (started, mut walked) = (std::time::Instant::now(), Walked::default());
     let number = seeds.end - seeds.start;
@@ -32,18 +32,18 @@
     walked
 }
 
-/// A random walk. One proposer at a time is the most likely to go on, so that walks come far; its messages are lost and
-/// late all the same, and it may give up and begin again.
+/// A random walk. To make progress, it favors the actions of one proposer at a time, the focused proposer. Its messages can
+/// be lost or delayed like all others, and its attempts can be restarted.
 struct Walk<'a> {
     setup: &'a Setup,
     rng: oorandom::Rand64,
     state: State,
-    /// The proposer that is the most likely to go on.
+    /// The focused proposer.
     focus: usize,
-    /// Of 12 steps, how many are the focused proposer's.
+    /// The average number of steps out of 12 that are restricted to actions of the focused proposer.
     focused_steps: u64,
-    /// Replicas are told of commits as part of the focused proposer's steps.
-    are_commits_prompt: bool,
+    /// Whether commits, too, count as actions of the focused proposer.
+    are_commits_immediate: bool,
 }
 
 impl Setup {
@@ -51,13 +51,13 @@
         let mut walk = Walk::new(self, seed);
         let mut actions = Vec::new();
         for step in 0..steps {
-            walk.disturb();
+            walk.switch_or_restart();
             actions.clear();
             self.actions(&walk.state, &mut actions);
-            let Some(action) = walk.draw(&mut actions) else { break };
+            let Some(action) = walk.draw_action(&mut actions) else { break };
             self.apply(&mut walk.state, action);
             walked.steps += 1;
-            if let Some(broken) = self.broken_property(&walk.state, step) {
+            if let Some(broken) = self.violated_property(&walk.state, step) {
                 walked.broken.entry(broken).or_insert((0, seed)).0 += 1;
                 break;
             }
@@ -65,14 +65,14 @@
         walked.add(self, &walk.state);
     }
 
-    /// The costly properties are checked after some steps only.
-    fn broken_property(&self, state: &State, step: usize) -> Option<&'static str> {
-        if !self.is_one_content(state) {
-            Some(ONE_CONTENT)
-        } else if !self.are_answers_true(state) {
-            Some(TRUE_ANSWERS)
-        } else if step.is_multiple_of(8) && !self.is_found_by_every_read_quorum(state) {
-            Some(CHOSEN_IS_FOUND)
+    /// The first violated property. Expensive properties are checked only every few steps.
+    fn violated_property(&self, state: &State, step: usize) -> Option<&'static str> {
+        if !self.has_one_content_per_version(state) {
+            Some(ONE_CONTENT_PER_VERSION)
+        } else if !self.are_results_correct(state) {
+            Some(RESULTS_ARE_CORRECT)
+        } else if step.is_multiple_of(8) && !self.is_chosen_observed_by_every_read_quorum(state) {
+            Some(CHOSEN_IS_OBSERVED)
         } else if step.is_multiple_of(64) && !self.is_resolvable(state) {
             Some(RESOLVABLE)
         } else {
@@ -85,13 +85,13 @@
     fn new(setup: &'a Setup, seed: u64) -> Walk<'a> {
         let mut rng = oorandom::Rand64::new(u128::from(seed));
         let focused_steps = rng.rand_range(1..12);
-        let are_commits_prompt = rng.rand_range(0..2) == 0;
+        let are_commits_immediate = rng.rand_range(0..2) == 0;
         let state = setup.init_states().remove(0);
-        Walk { setup, rng, state, focus: 0, focused_steps, are_commits_prompt }
+        Walk { setup, rng, state, focus: 0, focused_steps, are_commits_immediate }
     }
 
-    /// Now and then another proposer goes on, or the focused one begins again.
-    fn disturb(&mut self) {
+    /// Occasionally focuses another proposer, or restarts the attempt of the focused one.
+    fn switch_or_restart(&mut self) {
         if self.rng.rand_range(0..24) == 0 {
             self.focus = self.draw_index(self.state.proposers.len());
         }
@@ -107,20 +107,20 @@
         self.rng.rand_range(0..length as u64) as usize
     }
 
-    /// One of the possible actions.
-    fn draw(&mut self, actions: &mut Vec<Action>) -> Option<Action> {
-        let (focus, are_commits_prompt) = (self.focus, self.are_commits_prompt);
-        let incarnation = self.state.proposers[focus].incarnation;
-        let is_of_focus = |action: &Action| match action {
+    /// Selects one of the possible actions at random.
+    fn draw_action(&mut self, actions: &mut Vec<Action>) -> Option<Action> {
+        let (focus, are_commits_immediate) = (self.focus, self.are_commits_immediate);
+        let focused_incarnation = self.state.proposers[focus].incarnation;
+        let is_focused = |action: &Action| match action {
             Action::Prepare { proposer, .. } => *proposer == focus,
             Action::Accept { request, is_response_delivered } => {
-                request.ballot.proposer == incarnation && *is_response_delivered
+                request.ballot.proposer == focused_incarnation && *is_response_delivered
             }
-            Action::Commit { .. } => are_commits_prompt,
+            Action::Commit { .. } => are_commits_immediate,
             Action::Restart { .. } => false,
         };
-        if self.rng.rand_range(0..12) < self.focused_steps && actions.iter().any(is_of_focus) {
-            actions.retain(is_of_focus);
+        if self.rng.rand_range(0..12) < self.focused_steps && actions.iter().any(is_focused) {
+            actions.retain(is_focused);
         }
         if actions.is_empty() {
             return None;
