--- a/crates/coordination/tests/consensus_model/proposing.rs
+++ b/crates/coordination/tests/consensus_model/proposing.rs
@@ -129,9 +129,9 @@
         was_accepted_before: bool,
     ) -> impl Iterator<Item = AcceptRequest> {
         let proposal = proposer.target;
-        let holds_all =
+        let requires_all_commits =
             Some(proposal) == self.current_proposal && self.is_enabled(ReplicaSetSafeguard::HoldAll);
-        let required_commits = if holds_all { proposer.committed } else { 0 };
+        let required_commits = if requires_all_commits { proposer.committed } else { 0 };
         (0..self.replicas).map(move |replica| AcceptRequest {
             replica,
             ballot,
--- a/crates/coordination/tests/quorum_contact.rs
+++ b/crates/coordination/tests/quorum_contact.rs
@@ -1,5 +1,5 @@
-//! Quorum contact by what peers echo: a process that hears nothing, one that nobody hears, late heartbeats, earlier
-//! incarnations, made-up numbers.
+//! Quorum contact by the sequence numbers that peers echo: one-way and two-way partitions, delayed heartbeats, and echoed
+//! numbers of earlier incarnations or that were never sent.
 
 use kitepass_coordination::membership::{Replica, ReplicaSet};
 use kitepass_coordination::quorum_contact::{ContactState, QuorumContact, CONTACT_TIMEOUT};
@@ -15,10 +15,11 @@
     ReplicaSet { replicas: (0..replicas).map(replica).collect(), version: 1 }
 }
 
-const HEARTBEAT_INTERVAL: i64 = 500;
-/// The latency of each link, in milliseconds.
-const LATENCY: i64 = 50;
+const HEARTBEAT_INTERVAL_MS: i64 = 500;
+/// The one-way latency of each link.
+const LATENCY_MS: i64 = 50;
 
+/// A heartbeat in flight; `due` is when it arrives, in milliseconds.
 struct HeartbeatInFlight {
     due: i64,
     from: usize,
@@ -27,7 +28,7 @@
     echoed_sequence: u32,
 }
 
-/// Replicas that send each other heartbeats.
+/// Simulated replicas that send each other heartbeats.
 struct Network {
     replica_set: ReplicaSet,
     contacts: Vec<QuorumContact>,
@@ -45,24 +46,24 @@
         Network { replica_set: replica_set(replicas), contacts, in_flight: Vec::new() }
     }
 
-    /// When each was first out of contact in a span of time, if it was. `is_delivered` says from whom to whom heartbeats
-    /// arrive.
+    /// Runs the simulation for a period and returns when each replica first lost contact, if it did. `is_delivered` decides
+    /// by sender and receiver whether a heartbeat arrives.
     fn run(&mut self, start: i64, end: i64, is_delivered: impl Fn(usize, usize) -> bool) -> Vec<Option<i64>> {
-        let mut disconnected_at = vec![None; self.contacts.len()];
+        let mut first_disconnected_at = vec![None; self.contacts.len()];
         for now in (start..end).step_by(10) {
             self.deliver(now, &is_delivered);
-            for (n, disconnected_at) in disconnected_at.iter_mut().enumerate() {
-                if now % HEARTBEAT_INTERVAL == n as i64 * 70 {
+            for (n, first_disconnected_at) in first_disconnected_at.iter_mut().enumerate() {
+                if now % HEARTBEAT_INTERVAL_MS == n as i64 * 70 {
                     self.send(now, n);
                 }
                 let contact = &mut self.contacts[n];
                 contact.evaluate(at(now), std::slice::from_ref(&self.replica_set));
                 if contact.state() == ContactState::Disconnected {
-                    disconnected_at.get_or_insert(now);
+                    first_disconnected_at.get_or_insert(now);
                 }
             }
         }
-        disconnected_at
+        first_disconnected_at
     }
 
     fn deliver(&mut self, now: i64, is_delivered: impl Fn(usize, usize) -> bool) {
@@ -78,39 +79,45 @@
     fn send(&mut self, now: i64, from: usize) {
         for to in (0..self.contacts.len()).filter(|to| *to != from) {
             let (sequence, echoed_sequence) = self.contacts[from].next_heartbeat(at(now), &format!("s{to}"));
-            let due = now + LATENCY;
+            let due = now + LATENCY_MS;
             self.in_flight.push(HeartbeatInFlight { due, from, to, sequence, echoed_sequence });
         }
     }
 }
 
 #[rstest]
-#[case::deaf(|_, to| to != 0)]
-#[case::mute(|from, _| from != 0)]
-#[case::both(|from, to| from != 0 && to != 0)]
-// It hears two and is heard by the two others.
-#[case::crossed(|from, to| !(from == 0 && to < 3 || to == 0 && from >= 3))]
-fn a_partitioned_replica_is_out_of_contact_in_time(#[case] is_delivered: fn(usize, usize) -> bool) {
+#[case::receives_nothing(|_, to| to != 0)]
+#[case::sends_nothing(|from, _| from != 0)]
+#[case::fully_isolated(|from, to| from != 0 && to != 0)]
+// Replica 0 receives from two peers, and only the other two receive from it.
+#[case::two_one_way_partitions(|from, to| !(from == 0 && to < 3 || to == 0 && from >= 3))]
+fn a_partitioned_replica_loses_contact_in_time(#[case] is_delivered: fn(usize, usize) -> bool) {
     let mut network = Network::new(5);
     network.run(0, 3_000, |_, _| true);
     assert!(network.contacts.iter().all(|contact| contact.state() == ContactState::Connected));
-    let disconnected_at = network.run(3_000, 13_000, is_delivered);
+    let first_disconnected_at = network.run(3_000, 13_000, is_delivered);
     assert!(
-        disconnected_at[0].is_some_and(|since| since <= 3_000 + CONTACT_TIMEOUT.as_micros() / 1000 + 10),
-        "{disconnected_at:?}"
+        first_disconnected_at[0]
+            .is_some_and(|since| since <= 3_000 + CONTACT_TIMEOUT.as_micros() / 1000 + 10),
+        "{first_disconnected_at:?}"
     );
     assert!(
-        disconnected_at[1..].iter().all(Option::is_none),
-        "the others are a majority: {disconnected_at:?}"
+        first_disconnected_at[1..].iter().all(Option::is_none),
+        "the other replicas are a majority: {first_disconnected_at:?}"
     );
     assert!(!network.contacts[0].is_connected(at(13_000)));
     network.run(13_000, 14_200, |_, _| true);
-    assert_eq!(network.contacts[0].state(), ContactState::Connected, "a heartbeat each way is enough");
+    assert_eq!(
+        network.contacts[0].state(),
+        ContactState::Connected,
+        "one heartbeat in each direction is enough"
+    );
 }
 
-/// A peer's heartbeats wait to be read while this process is busy: the first that is read echoes an old number.
+/// While this process is busy, several heartbeats of a peer accumulate. The first one processed echoes an old number, which
+/// must not end contact before the others are processed.
 #[test]
-fn a_backlog_of_heartbeats_is_read_before_contact_is_lost() {
+fn a_backlog_of_heartbeats_is_processed_before_contact_is_lost() {
     let replica_sets = [replica_set(2)];
     let mut contact = QuorumContact::new("s0", 1);
     contact.peer_connected(at(0), "s1", 7);
@@ -120,7 +127,7 @@
     let (second, _) = contact.next_heartbeat(at(1_000), "s1");
     contact.heartbeat_received(at(2_500), "s1", 2, first);
     assert_eq!(contact.check_reconnected(at(2_500), &replica_sets), None);
-    assert!(!contact.is_connected(at(2_500)), "nothing may be answered by this proof");
+    assert!(!contact.is_connected(at(2_500)), "the proof is too old to answer requests");
     assert_eq!(contact.state(), ContactState::Connected);
     contact.heartbeat_received(at(2_501), "s1", 3, second);
     assert_eq!(contact.check_reconnected(at(2_501), &replica_sets), None);
@@ -133,22 +140,22 @@
 }
 
 #[test]
-fn a_minority_of_any_size_is_out_of_contact_and_a_single_replica_is_in() {
+fn without_a_majority_there_is_no_contact_and_a_single_replica_is_connected() {
     let mut network = Network::new(6);
     network.run(0, 3_000, |_, _| true);
-    // Three and three: neither half is a majority.
-    let disconnected_at = network.run(3_000, 6_000, |from, to| (from < 3) == (to < 3));
-    assert!(disconnected_at.iter().all(Option::is_some), "{disconnected_at:?}");
-    let mut alone = QuorumContact::new("s0", 7);
-    assert_eq!(alone.evaluate(at(0), &[replica_set(1)]), Some(ContactState::Connected));
-    // Both replica sets count while one is brought in, and no replica set at all is no contact.
-    assert_eq!(alone.evaluate(at(0), &[replica_set(1), replica_set(3)]), Some(ContactState::Disconnected));
-    assert_eq!(alone.evaluate(at(0), &[replica_set(1)]), Some(ContactState::Connected));
-    assert_eq!(alone.evaluate(at(0), &[]), Some(ContactState::Disconnected));
+    // Two halves of three replicas each: neither is a majority.
+    let first_disconnected_at = network.run(3_000, 6_000, |from, to| (from < 3) == (to < 3));
+    assert!(first_disconnected_at.iter().all(Option::is_some), "{first_disconnected_at:?}");
+    let mut single = QuorumContact::new("s0", 7);
+    assert_eq!(single.evaluate(at(0), &[replica_set(1)]), Some(ContactState::Connected));
+    // During a change, a majority of both replica sets is required. Without any replica set there is no contact.
+    assert_eq!(single.evaluate(at(0), &[replica_set(1), replica_set(3)]), Some(ContactState::Disconnected));
+    assert_eq!(single.evaluate(at(0), &[replica_set(1)]), Some(ContactState::Connected));
+    assert_eq!(single.evaluate(at(0), &[]), Some(ContactState::Disconnected));
 }
 
 #[test]
-fn a_proof_is_as_old_as_the_number_that_it_echoes_however_late_it_arrives() {
+fn proof_of_contact_is_dated_by_when_the_echoed_number_was_sent() {
     let mut contact = QuorumContact::new("s0", 0);
     let replica_sets = [replica_set(3)];
     contact.peer_connected(at(0), "s1", 1);
@@ -160,25 +167,25 @@
         (contact.state(), contact.contact_age(at(1_100))),
         (ContactState::Connected, Some(Duration::from_micros(100_000)))
     );
-    // An older number that arrives later takes nothing back, and adds nothing.
+    // An echo of an older number that arrives later changes nothing.
     contact.heartbeat_received(at(2_900), "s1", 6, early);
     contact.evaluate(at(2_900), &replica_sets);
     assert_eq!(contact.last_contact("s1"), Some(at(1_000)));
-    // A process that was suspended meanwhile is out of contact at once, before anything is evaluated anew.
+    // A process that was suspended has no contact as soon as it resumes, even before the state is evaluated again.
     assert!(contact.is_connected(at(3_000)) && !contact.is_connected(at(3_001)));
     assert_eq!(contact.evaluate(at(3_001), &replica_sets), Some(ContactState::Disconnected));
-    // A response is as old as its request.
+    // A response proves contact as of the time when the request was sent.
     contact.response_received(at(3_050), "s1", at(2_000));
     assert_eq!(contact.last_contact("s1"), Some(at(2_000)));
     contact.response_received(at(3_060), "s1", at(500));
     contact.response_received(at(3_060), "s2", at(3_000));
     assert_eq!((contact.last_contact("s1"), contact.last_contact("s2")), (Some(at(2_000)), None));
-    // What it echoes itself is the last number that it received.
+    // The process itself echoes the last number that it received.
     assert_eq!(contact.next_heartbeat(at(3_100), "s1").1, 6);
 }
 
 #[test]
-fn numbers_of_an_earlier_incarnation_of_another_peer_and_made_up_ones_prove_nothing() {
+fn numbers_not_sent_to_this_peer_by_this_incarnation_prove_nothing() {
     let mut first = QuorumContact::new("s0", 1_000);
     first.peer_connected(at(0), "s1", 1);
     let (old, _) = first.next_heartbeat(at(0), "s1");
@@ -188,23 +195,23 @@
     contact.peer_connected(at(0), "s2", 1);
     let (one, _) = contact.next_heartbeat(at(100), "s1");
     let (two, _) = contact.next_heartbeat(at(100), "s2");
-    for wrong in [old, two, two + 1, 0, u32::MAX] {
-        contact.heartbeat_received(at(200), "s1", 1, wrong);
-        assert_eq!(contact.last_contact("s1"), None, "{wrong}");
+    for invalid in [old, two, two + 1, 0, u32::MAX] {
+        contact.heartbeat_received(at(200), "s1", 1, invalid);
+        assert_eq!(contact.last_contact("s1"), None, "{invalid}");
     }
-    // A heartbeat of an unknown peer, and one to a peer that never connected.
+    // A heartbeat from a peer that never connected, and one to it.
     contact.heartbeat_received(at(200), "s9", 1, one);
     assert_eq!((contact.last_contact("s9"), contact.next_heartbeat(at(200), "s9")), (None, (0, 0)));
     contact.heartbeat_received(at(200), "s1", 1, one);
     assert_eq!(contact.last_contact("s1"), Some(at(100)));
-    // The same incarnation keeps its proof; the next one has heard nothing yet, and what the one before heard counts no
-    // more.
+    // Contact with the same incarnation is kept. A new incarnation has received nothing yet, and contact with the previous
+    // one no longer counts.
     contact.peer_connected(at(300), "s1", 1);
     assert_eq!(contact.last_contact("s1"), Some(at(100)));
     contact.peer_connected(at(300), "s1", 2);
     contact.heartbeat_received(at(400), "s1", 1, one);
     assert_eq!(contact.last_contact("s1"), None);
-    // Of a great many numbers the newest are remembered; a peer that is silent for long is forgotten.
+    // Only the newest sequence numbers are remembered, and a peer that has been silent for long is removed.
     let (long_ago, _) = contact.next_heartbeat(at(500), "s1");
     (0..100).for_each(|_| _ = contact.next_heartbeat(at(600), "s1"));
     contact.heartbeat_received(at(700), "s1", 1, long_ago);
