--- a/crates/coordination/tests/lease/main.rs
+++ b/crates/coordination/tests/lease/main.rs
@@ -1,4 +1,4 @@
-//! Leases over changes of the replica set: at no moment do two processes hold the lease of one role.
+//! Leases during changes of the replica set: at most one process holds the lease of a role at any time.
 
 use kitepass_time::Timestamp;
 use model::Model;
@@ -15,32 +15,33 @@
 }
 
 #[test]
-fn no_two_hold_a_lease_at_once_over_changes_of_the_replica_set() {
+fn at_most_one_process_holds_the_lease_during_replica_set_changes() {
     let mut counts: BTreeMap<&str, u64> = BTreeMap::new();
     let seeds = std::env::var("KITEPASS_SEEDS").ok().and_then(|text| text.parse().ok());
     for seed in 0..seeds.unwrap_or(250) {
         let mut model = Model::new(seed);
-        assert_eq!(model.run(40_000), None, "seed {seed}: two hold the lease");
+        assert_eq!(model.run(40_000), None, "seed {seed}: two processes hold the lease");
         model.counts().iter().for_each(|(what, n)| *counts.entry(*what).or_default() += n);
     }
     println!("{counts:?}");
     assert!(counts["held"] > 20_000 && counts["epochs"] > 1_500 && counts["lost disks"] > 500, "{counts:?}");
 }
 
-/// In a partition while the replica set changes, each safeguard that is taken out is missed.
+/// Mutation test: in a partition during a change of the replica set, two processes hold the lease if any one of the
+/// safeguards is disabled.
 #[test]
-fn each_safeguard_of_the_lease_is_missed() {
+fn disabling_any_safeguard_allows_two_lease_holders() {
     for (safeguard, candidate_epoch, voter_epoch, restarts) in [
         (Safeguard::RequestEpoch, 2, 3, false),
         (Safeguard::Fence, 2, 2, false),
         (Safeguard::RenewalsOnly, 2, 4, false),
         (Safeguard::JointQuorum, 3, 3, false),
-        (Safeguard::RecallByReplicaSet, 2, 4, true),
+        (Safeguard::PersistedVoteReplicaSet, 2, 4, true),
     ] {
         let partition = Partition { disabled: None, candidate_epoch, voter_epoch, restarts };
         let outcome = partition.run();
         assert_eq!(
-            (outcome.most_holders, outcome.is_held_at_the_end),
+            (outcome.most_holders, outcome.is_held_at_end),
             (1, true),
             "with all safeguards: {partition:?}"
         );
--- a/crates/coordination/tests/lease/model.rs
+++ b/crates/coordination/tests/lease/model.rs
@@ -1,5 +1,6 @@
-//! Replicas that vote and ask while replica sets follow one another by joint consensus, under a random schedule of late,
-//! lost and repeated messages, partitions, pauses, restarts and lost disks.
+//! A model of replicas that vote and request leases while the replica set is changed repeatedly by joint consensus, under a
+//! random schedule of delayed, lost and duplicated messages, partitions, pauses, restarts and lost disks. All times are in
+//! milliseconds.
 
 use super::{at, ROLE};
 use kitepass_coordination::lease::{LeaseCandidate, LeaseVoter};
@@ -9,25 +10,26 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const NODES: usize = 6;
-/// In milliseconds, as all times here.
-const STEP: i64 = 50;
-const PARTITION_INTERVAL: i64 = 3_000;
+/// The simulated time between two steps.
+const STEP_MS: i64 = 50;
+/// How often the set of cut links changes.
+const PARTITION_INTERVAL_MS: i64 = 3_000;
 
-/// The last vote of a voter, and the version of the newest replica set that it knew of then.
+/// The last vote of a voter, with the version of the newest replica set that the voter knew of when it voted.
 #[derive(Clone, Default)]
 struct RecordedVote {
     candidate: String,
     version: u64,
 }
 
-/// What a process has on its disk.
+/// The data on the disk of a process.
 #[derive(Default)]
 struct Disk {
-    /// The epoch that it knows of by what is committed.
+    /// The epoch according to the committed replica sets that the process knows of; 0 if it knows of none.
     known_epoch: u64,
-    /// The version of the newest incoming replica set that it has accepted, and of the one that it accepted to be in
-    /// force.
+    /// The version of the newest replica set that the process has accepted as the incoming one.
     accepted_incoming: u64,
+    /// The version of the newest replica set that the process has accepted as the current one.
     accepted_current: u64,
     vote: RecordedVote,
 }
@@ -37,8 +39,8 @@
     voter: LeaseVoter,
     candidate: LeaseCandidate,
     paused_until: i64,
-    /// It learns of what is committed once in so many steps.
-    learning_interval: u64,
+    /// The average number of steps until the process learns of committed replica sets.
+    learn_interval: u64,
     disk: Disk,
 }
 
@@ -60,17 +62,18 @@
 pub(super) struct Model {
     rng: oorandom::Rand64,
     now: i64,
-    /// By version.
+    /// All replica sets so far, by version.
     replica_sets: Vec<ReplicaSet>,
-    /// The epoch that is committed.
+    /// The committed epoch.
     epoch: u64,
     processes: Vec<Process>,
     requests: Vec<RequestInFlight>,
     votes: Vec<VoteInFlight>,
-    /// A change of the replica set begins once in so many steps, and a replica accepts it once in so many.
+    /// The average number of steps until a change of the replica set starts.
     change_interval: u64,
+    /// The average number of steps until a replica accepts the change.
     accept_interval: u64,
-    /// Links in one direction over which no message goes for now.
+    /// The links that currently drop all messages, as sender and receiver.
     cut_links: BTreeSet<(usize, usize)>,
     counts: BTreeMap<&'static str, u64>,
 }
@@ -86,7 +89,7 @@
             voter: LeaseVoter::new(at(0), n < replicas.len(), BTreeMap::new(), None),
             candidate: LeaseCandidate::new(ROLE, rng.rand_u64()),
             paused_until: 0,
-            learning_interval: [4, 8, 40, 200][rng.rand_range(0..4) as usize],
+            learn_interval: [4, 8, 40, 200][rng.rand_range(0..4) as usize],
             disk: Disk { known_epoch: 2, accepted_incoming: 1, accepted_current: 1, ..Disk::default() },
         };
         let processes = (0..NODES).map(new_process).collect();
@@ -107,34 +110,34 @@
         }
     }
 
-    /// How often what has happened.
+    /// How often each kind of event has happened.
     pub(super) fn counts(&self) -> &BTreeMap<&'static str, u64> {
         &self.counts
     }
 
-    /// Runs for a while; when two held the lease at once, if they did.
+    /// Runs until a point in time. If two processes hold the lease at the same time, stops and returns that time.
     pub(super) fn run(&mut self, until: i64) -> Option<i64> {
         while self.now < until {
-            self.now += STEP;
-            if self.now % PARTITION_INTERVAL == 0 {
+            self.now += STEP_MS;
+            if self.now % PARTITION_INTERVAL_MS == 0 {
                 self.draw_partition();
             }
             let epoch = self.epoch;
             self.change_replica_set();
             if epoch != self.epoch {
-                self.restart_some();
+                self.restart_at_random();
             }
             for n in 0..NODES {
-                self.disturb(n);
+                self.inject_fault(n);
                 if self.processes[n].paused_until <= self.now {
                     self.tick(n);
                 }
             }
             self.deliver_requests();
             self.deliver_votes();
-            let holders = self.holders();
+            let holders = self.count_holders();
             *self.counts.entry("held").or_default() += holders as u64;
-            self.count("looks");
+            self.count_event("looks");
             if holders > 1 {
                 return Some(self.now);
             }
@@ -142,12 +145,12 @@
         None
     }
 
-    fn holders(&self) -> usize {
+    fn count_holders(&self) -> usize {
         let is_holder = |process: &&Process| process.candidate.held_term(at(self.now)).is_some();
         self.processes.iter().filter(is_holder).count()
     }
 
-    fn count(&mut self, what: &'static str) {
+    fn count_event(&mut self, what: &'static str) {
         *self.counts.entry(what).or_default() += 1;
     }
 
@@ -155,25 +158,26 @@
         self.rng.rand_range(0..times) == 0
     }
 
-    fn replica_sets(&self, epoch: u64) -> JointReplicaSets {
+    /// The replica sets whose quorums are required in an epoch.
+    fn replica_sets_in(&self, epoch: u64) -> JointReplicaSets {
         let version = epoch as usize / 2;
         let incoming = (epoch % 2 == 1).then(|| self.replica_sets[version + 1].clone());
         JointReplicaSets { current: self.replica_sets[version].clone(), incoming }
     }
 
     fn draw_partition(&mut self) {
-        let share = self.rng.rand_range(2..8);
+        let odds = self.rng.rand_range(2..8);
         let links = (0..NODES).flat_map(|from| (0..NODES).map(move |to| (from, to)));
-        let is_cut = |(from, to): &(usize, usize)| from != to && self.rng.rand_range(0..share) == 0;
+        let is_cut = |(from, to): &(usize, usize)| from != to && self.rng.rand_range(0..odds) == 0;
         self.cut_links = links.filter(is_cut).collect();
     }
 
-    /// A replica set follows the one in force: any of the replicas that there are now. That is more than the succession
-    /// that ships does.
+    /// Changes the replica set in two phases, as consensus does. The next set consists of arbitrary replicas, which covers
+    /// more changes than production code makes.
     fn change_replica_set(&mut self) {
         let version = self.epoch / 2 + 1;
-        let is_settled = self.epoch.is_multiple_of(2) && self.replica_sets.len() as u64 == version;
-        if is_settled && self.one_in(self.change_interval) {
+        let is_unchanging = self.epoch.is_multiple_of(2) && self.replica_sets.len() as u64 == version;
+        if is_unchanging && self.one_in(self.change_interval) {
             self.draw_replica_set(version);
         }
         if self.replica_sets.len() as u64 == version {
@@ -191,7 +195,7 @@
         let incoming = &self.replica_sets[version as usize];
         if current.is_write_quorum(&accepted) && incoming.is_write_quorum(&accepted) {
             self.epoch += 1;
-            self.count("epochs");
+            self.count_event("epochs");
         }
     }
 
@@ -215,15 +219,16 @@
             if self.epoch.is_multiple_of(2) {
                 disk.accepted_incoming = version;
             } else {
-                // It has asked for all that the writer holds, the incoming replica set too.
+                // Before it accepts, a replica fetches everything committed, including the incoming replica set.
                 disk.known_epoch = disk.known_epoch.max(self.epoch);
                 disk.accepted_current = version;
             }
         }
     }
 
-    /// Restarts are most telling right after a change.
-    fn restart_some(&mut self) {
+    /// Restarts each process with some probability. Called right after a change, when restarts are most likely to reveal
+    /// faults.
+    fn restart_at_random(&mut self) {
         for n in 0..NODES {
             if self.one_in(8) {
                 self.restart(n);
@@ -231,15 +236,15 @@
         }
     }
 
-    fn disturb(&mut self, n: usize) {
+    fn inject_fault(&mut self, n: usize) {
         match self.rng.rand_range(0..1_500) {
             0..4 => self.processes[n].paused_until = self.now + self.rng.rand_range(0..4_000) as i64,
             4..12 => {
-                self.count("restarts");
+                self.count_event("restarts");
                 self.restart(n);
             }
             12..14 if self.may_lose_disk(n) => {
-                self.count("lost disks");
+                self.count_event("lost disks");
                 let process = &mut self.processes[n];
                 process.replica.replica_id = self.rng.rand_u64();
                 process.disk = Disk::default();
@@ -249,35 +254,36 @@
         }
     }
 
-    /// Disks are lost one at a time: all others have been replaced.
+    /// Whether the process may lose its disk now: only one disk may be lost at a time, so all replicas of other nodes that
+    /// have lost theirs must have been replaced.
     fn may_lose_disk(&self, n: usize) -> bool {
         let exists = |replica: &Replica| self.processes.iter().any(|process| process.replica == *replica);
-        let is_its_own = |replica: &Replica| replica.node_id == self.processes[n].replica.node_id;
-        let is_replaced = |replica_set: &ReplicaSet| {
-            replica_set.replicas.iter().all(|replica| exists(replica) || is_its_own(replica))
+        let is_same_node = |replica: &Replica| replica.node_id == self.processes[n].replica.node_id;
+        let are_replaced = |replica_set: &ReplicaSet| {
+            replica_set.replicas.iter().all(|replica| exists(replica) || is_same_node(replica))
         };
         let version = self.epoch as usize / 2;
-        [version, version + 1].iter().all(|version| self.replica_sets.get(*version).is_none_or(is_replaced))
+        [version, version + 1].iter().all(|version| self.replica_sets.get(*version).is_none_or(are_replaced))
     }
 
     fn restart(&mut self, n: usize) {
         let disk = &self.processes[n].disk;
-        let newest = (disk.known_epoch > 0).then(|| self.replica_sets(disk.known_epoch).newest().clone());
-        let is_of_newest = newest.as_ref().is_some_and(|newest| newest.version == disk.vote.version);
-        let recalled = is_of_newest.then(|| (ROLE.to_owned(), disk.vote.candidate.clone()));
+        let newest = (disk.known_epoch > 0).then(|| self.replica_sets_in(disk.known_epoch).newest().clone());
+        let is_vote_current = newest.as_ref().is_some_and(|newest| newest.version == disk.vote.version);
+        let persisted_vote = is_vote_current.then(|| (ROLE.to_owned(), disk.vote.candidate.clone()));
         let process = &mut self.processes[n];
-        process.voter = LeaseVoter::new(at(self.now), false, recalled.into_iter().collect(), newest);
+        process.voter = LeaseVoter::new(at(self.now), false, persisted_vote.into_iter().collect(), newest);
         process.candidate = LeaseCandidate::new(ROLE, self.rng.rand_u64());
     }
 
     fn tick(&mut self, n: usize) {
-        self.learn(n);
+        self.learn_committed_epoch(n);
         let (now, epoch) = (at(self.now), self.processes[n].disk.known_epoch);
         if epoch == 0 {
             return;
         }
         let name = self.processes[n].replica.name();
-        let replica_sets = self.replica_sets(epoch);
+        let replica_sets = self.replica_sets_in(epoch);
         self.processes[n].voter.observe_replica_set(now, replica_sets.newest());
         if !replica_sets.current.contains(&name) {
             return;
@@ -291,15 +297,15 @@
         }
     }
 
-    fn learn(&mut self, n: usize) {
+    fn learn_committed_epoch(&mut self, n: usize) {
         let known = self.processes[n].disk.known_epoch;
-        if known < self.epoch && self.one_in(self.processes[n].learning_interval) {
+        if known < self.epoch && self.one_in(self.processes[n].learn_interval) {
             let behind = self.rng.rand_range(0..(self.epoch - known).min(3));
             self.processes[n].disk.known_epoch = self.epoch - behind;
         }
     }
 
-    /// Each message is lost, delivered once or delivered twice.
+    /// Sends a request to all processes; each message is lost, delivered once or delivered twice.
     fn send_request(&mut self, from: usize, candidate: &str, request: &LeaseRequest) {
         for to in 0..NODES {
             let is_cut = self.cut_links.contains(&(from, to));
@@ -329,12 +335,12 @@
     fn vote(&mut self, n: usize, candidate: &str, request: &LeaseRequest) -> LeaseVote {
         let now = at(self.now);
         let Disk { known_epoch, accepted_incoming, .. } = self.processes[n].disk;
-        let replica_sets = (known_epoch > 0).then(|| self.replica_sets(known_epoch));
+        let replica_sets = (known_epoch > 0).then(|| self.replica_sets_in(known_epoch));
         let process = &mut self.processes[n];
         if let Some(replica_sets) = &replica_sets {
             process.voter.observe_replica_set(now, replica_sets.newest());
         }
-        // An incoming replica set that it has accepted fences it too.
+        // A replica is also fenced by an incoming replica set that it has accepted but does not know to be committed.
         let is_fenced = accepted_incoming > known_epoch / 2;
         let accepted_epoch = if is_fenced { accepted_incoming * 2 - 1 } else { 0 };
         let mut vote = process.voter.vote(now, candidate, request, known_epoch.max(accepted_epoch));
@@ -356,14 +362,14 @@
             if epoch == 0 {
                 continue;
             }
-            let replica_sets = self.replica_sets(epoch);
+            let replica_sets = self.replica_sets_in(epoch);
             if !replica_sets.contains(&voter) {
                 continue;
             }
             let is_quorum = |votes: &BTreeSet<String>| replica_sets.is_lease_quorum(votes);
             let candidate = &mut self.processes[to].candidate;
             if candidate.receive_vote(at(now), &voter, &vote, epoch, is_quorum) {
-                self.count("won");
+                self.count_event("won");
             }
         }
     }
