--- a/crates/coordination/tests/membership/layouts.rs
+++ b/crates/coordination/tests/membership/layouts.rs
@@ -1,37 +1,41 @@
-//! All small layouts of replicas over regions and zones, and what may be lost of them at once.
+//! All small layouts of replicas over regions and zones, and the losses of their failure domains.
 
 use kitepass_coordination::membership::{Replica, ReplicaSet};
 use std::collections::BTreeSet;
 
-/// How many replicas each zone of each region has.
+/// The number of replicas in each zone, by region.
 pub(super) type Layout = Vec<Vec<usize>>;
 
 const MAX_REGIONS: usize = 3;
 
-/// All ways to write a number as a sum of parts in descending order, none above `most`.
-fn partitions(sum: usize, most: usize) -> Vec<Vec<usize>> {
+/// All ways to write `sum` as a sum of positive integers in descending order, none above `max`.
+fn integer_partitions(sum: usize, max: usize) -> Vec<Vec<usize>> {
     if sum == 0 {
         return vec![vec![]];
     }
-    let first =
-        |part: usize| partitions(sum - part, part).into_iter().map(move |rest| [vec![part], rest].concat());
-    (1..=most.min(sum)).flat_map(first).collect()
+    let first = |part: usize| {
+        integer_partitions(sum - part, part).into_iter().map(move |rest| [vec![part], rest].concat())
+    };
+    (1..=max.min(sum)).flat_map(first).collect()
 }
 
-/// All layouts of so many replicas over 1 to 3 regions and 2 to 6 zones, up to the names of regions and zones.
+/// All layouts of this number of replicas over 1 to 3 regions and 2 to 6 zones. Layouts that differ only in the names of
+/// regions and zones are listed once.
 pub(super) fn layouts(replicas: usize) -> Vec<Layout> {
     let mut all = Vec::new();
-    for regions in partitions(replicas, replicas).into_iter().filter(|regions| regions.len() <= MAX_REGIONS) {
-        let mut open: Vec<Layout> = vec![vec![]];
+    for regions in
+        integer_partitions(replicas, replicas).into_iter().filter(|regions| regions.len() <= MAX_REGIONS)
+    {
+        let mut partial: Vec<Layout> = vec![vec![]];
         for region in regions {
-            let zones = partitions(region, region);
+            let zones = integer_partitions(region, region);
             let extended = |layout: &Layout| {
                 let extend = |zones: &Vec<usize>| [layout.clone(), vec![zones.clone()]].concat();
                 zones.iter().map(extend).collect::<Vec<Layout>>()
             };
-            open = open.iter().flat_map(extended).collect();
+            partial = partial.iter().flat_map(extended).collect();
         }
-        all.extend(open);
+        all.extend(partial);
     }
     all.iter_mut().for_each(|layout| layout.sort());
     all.retain(|layout| (2..=6).contains(&layout.iter().map(Vec::len).sum::<usize>()));
@@ -63,7 +67,7 @@
     Region,
 }
 
-/// Nodes that may be lost at once.
+/// The loss of a failure domain, with the nodes lost at the same time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Loss {
     pub(super) domain: FailureDomain,
@@ -71,23 +75,24 @@
 }
 
 impl Loss {
-    pub(super) fn has(&self, replica: &Replica) -> bool {
+    /// Whether the replica's node is lost.
+    pub(super) fn affects(&self, replica: &Replica) -> bool {
         self.node_ids.contains(&replica.node_id)
     }
 }
 
-/// Each loss of a machine, a zone or a region.
+/// Every loss of a machine, a zone or a region.
 pub(super) fn losses(replicas: &[Replica]) -> BTreeSet<Loss> {
-    let losses_of = |place: fn(&Replica) -> &str, domain: FailureDomain| {
-        let places: BTreeSet<&str> = replicas.iter().map(place).collect();
+    let losses_in = |name_of: fn(&Replica) -> &str, domain: FailureDomain| {
+        let names: BTreeSet<&str> = replicas.iter().map(name_of).collect();
         let loss = |lost: &str| {
-            let lost = replicas.iter().filter(|replica| place(replica) == lost);
+            let lost = replicas.iter().filter(|replica| name_of(replica) == lost);
             Loss { domain, node_ids: lost.map(|replica| replica.node_id.clone()).collect() }
         };
-        places.into_iter().map(loss).collect::<Vec<Loss>>()
+        names.into_iter().map(loss).collect::<Vec<Loss>>()
     };
-    let mut losses = losses_of(|replica| &replica.node_id, FailureDomain::Machine);
-    losses.extend(losses_of(|replica| &replica.zone, FailureDomain::Zone));
-    losses.extend(losses_of(|replica| &replica.region, FailureDomain::Region));
+    let mut losses = losses_in(|replica| &replica.node_id, FailureDomain::Machine);
+    losses.extend(losses_in(|replica| &replica.zone, FailureDomain::Zone));
+    losses.extend(losses_in(|replica| &replica.region, FailureDomain::Region));
     losses.into_iter().collect()
 }
--- a/crates/coordination/tests/membership/steps.rs
+++ b/crates/coordination/tests/membership/steps.rs
@@ -1,26 +1,26 @@
-//! What may be observed of a replica set, so that another one follows.
+//! The observations of a replica set that lead to a next replica set.
 
 use kitepass_coordination::membership::{Replica, ReplicaObservations, ReplicaSet};
 use std::collections::BTreeSet;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum StepKind {
-    /// A newcomer in one zone.
+    /// A new replica appears in one zone.
     Joining,
-    /// A newcomer in each zone.
+    /// New replicas appear in all zones at the same time.
     Filling,
-    /// A node comes back with another disk.
+    /// A node returns with an empty disk.
     ReplacingLostDisk,
-    /// A newcomer takes the place of an unresponsive replica.
+    /// A new replica replaces an unresponsive one in its zone.
     ReplacingUnresponsive,
     /// A replica shuts down.
     Leaving,
-    /// A replica shuts down while a newcomer is in its zone.
+    /// A replica shuts down, and a new replica in its zone succeeds it.
     LeavingForSuccessor,
 }
 
 impl StepKind {
-    /// The disk that is replaced is itself a loss.
+    /// Whether the step replaces a replica that is lost.
     pub(super) fn is_replacing(self) -> bool {
         matches!(self, StepKind::ReplacingLostDisk | StepKind::ReplacingUnresponsive)
     }
@@ -30,59 +30,63 @@
     }
 }
 
+/// A step to a next replica set, caused by these observations.
 pub(super) struct Step {
     pub(super) kind: StepKind,
     pub(super) observations: ReplicaObservations,
 }
 
-/// Another node where a replica is.
-fn newcomer(number: usize, place: &Replica) -> Replica {
+/// A new replica at the location of an existing one.
+fn new_replica(number: usize, location: &Replica) -> Replica {
     Replica {
-        node_id: format!("{}new{number}", place.zone),
+        node_id: format!("{}new{number}", location.zone),
         address: String::new(),
-        zone: place.zone.clone(),
-        region: place.region.clone(),
+        zone: location.zone.clone(),
+        region: location.region.clone(),
         replica_id: 9,
     }
 }
 
-fn with(replicas: &BTreeSet<Replica>, more: impl IntoIterator<Item = Replica>) -> BTreeSet<Replica> {
+fn with_added(replicas: &BTreeSet<Replica>, more: impl IntoIterator<Item = Replica>) -> BTreeSet<Replica> {
     replicas.iter().cloned().chain(more).collect()
 }
 
-fn complete(complete: BTreeSet<Replica>) -> ReplicaObservations {
+fn observe_complete(complete: BTreeSet<Replica>) -> ReplicaObservations {
     ReplicaObservations { complete, ..ReplicaObservations::default() }
 }
 
-/// Steps from a replica set: who joins, whose disk was lost, who leaves, who is unresponsive with another in its place.
+/// All tested steps from a replica set: replicas that are added, replaced or removed.
 pub(super) fn steps(replica_set: &ReplicaSet) -> Vec<Step> {
     let all: BTreeSet<Replica> = replica_set.replicas.iter().cloned().collect();
     let mut one_per_zone = replica_set.replicas.clone();
     one_per_zone.sort_by_key(|replica| (replica.region.clone(), replica.zone.clone()));
     one_per_zone.dedup_by_key(|replica| (replica.region.clone(), replica.zone.clone()));
-    let newcomers: Vec<Replica> = one_per_zone.iter().map(|place| newcomer(0, place)).collect();
+    let new_replicas: Vec<Replica> = one_per_zone.iter().map(|location| new_replica(0, location)).collect();
     let mut steps = Vec::new();
-    for newcomer in &newcomers {
-        let observations = complete(with(&all, [newcomer.clone()]));
+    for new_replica in &new_replicas {
+        let observations = observe_complete(with_added(&all, [new_replica.clone()]));
         steps.push(Step { kind: StepKind::Joining, observations });
     }
-    steps.push(Step { kind: StepKind::Filling, observations: complete(with(&all, newcomers)) });
+    steps.push(Step {
+        kind: StepKind::Filling,
+        observations: observe_complete(with_added(&all, new_replicas)),
+    });
     for replica in &replica_set.replicas {
-        steps.extend(steps_of(replica, &all));
+        steps.extend(steps_for(replica, &all));
     }
     steps
 }
 
-/// The steps that concern one replica.
-fn steps_of(replica: &Replica, all: &BTreeSet<Replica>) -> [Step; 4] {
+/// The steps that replace or remove one replica.
+fn steps_for(replica: &Replica, all: &BTreeSet<Replica>) -> [Step; 4] {
     let name = || [replica.name()].into();
     let rest: BTreeSet<Replica> = all.iter().filter(|other| *other != replica).cloned().collect();
     let replaced = Replica { replica_id: 2, ..replica.clone() };
-    let newcomer = newcomer(1, replica);
-    let replaced_disk = complete(with(&rest, [replaced]));
-    let replaced_unresponsive = complete(with(&rest, [newcomer.clone()]));
-    let leaving = complete(all.clone());
-    let leaving_for_successor = complete(with(all, [newcomer]));
+    let new_replica = new_replica(1, replica);
+    let replaced_disk = observe_complete(with_added(&rest, [replaced]));
+    let replaced_unresponsive = observe_complete(with_added(&rest, [new_replica.clone()]));
+    let leaving = observe_complete(all.clone());
+    let leaving_for_successor = observe_complete(with_added(all, [new_replica]));
     [
         Step { kind: StepKind::ReplacingLostDisk, observations: replaced_disk },
         Step {
