--- a/crates/coordination/tests/framing.rs
+++ b/crates/coordination/tests/framing.rs
@@ -79,8 +79,8 @@
 }
 
 #[rstest]
-#[case::length(&[0, 255, 255, 255], Error::FrameTooLong { length: 0xff_ffff })]
-#[case::both_bits(&[0xc0, 0, 0, 1, 0], Error::UnexpectedFragment)]
+#[case::frame_too_long(&[0, 255, 255, 255], Error::FrameTooLong { length: 0xff_ffff })]
+#[case::both_fragment_bits_set(&[0xc0, 0, 0, 1, 0], Error::UnexpectedFragment)]
 #[case::last_fragment_without_a_first(&[0x40, 0, 0, 1, 0], Error::UnexpectedFragment)]
 #[case::empty_fragments(&[0x80, 0, 0, 0, 0x80, 0, 0, 0], Error::UnexpectedFragment)]
 fn malformed_frames_are_rejected(#[case] bytes: &[u8], #[case] error: Error) {
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What goes over the wire between processes, byte by byte. Processes of two versions talk to each other during an
-//! upgrade, so no line of the golden files may ever change; new messages and fields get lines of their own.
+//! Compares the encoding of messages between processes with golden files, byte by byte. Processes of two versions
+//! communicate during an upgrade, so no line of the golden files may ever change. New messages and fields get new lines.
 
 use bytes::Bytes;
 use kitepass_config::{Item, ItemWithHistory, Kind, VersionDigest};
@@ -26,7 +26,7 @@
 const BALLOTS: &str = include_str!("golden/ballots.txt");
 const PROPOSALS: &str = include_str!("golden/proposals.txt");
 
-/// How the golden files write no bytes at all: a line must not end with a space.
+/// How the golden files represent an empty byte string, so that no line ends with a space.
 const NO_BYTES: &str = "-";
 
 fn to_hex(bytes: &[u8]) -> String {
@@ -44,8 +44,8 @@
     digits.map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap()).collect()
 }
 
-/// One line a value: its name, and its bytes in hex.
-fn lines<'a>(values: impl IntoIterator<Item = (&'a str, Vec<u8>)>) -> String {
+/// One line per value: its name, and its bytes in hex.
+fn to_lines<'a>(values: impl IntoIterator<Item = (&'a str, Vec<u8>)>) -> String {
     let mut text = String::new();
     for (name, bytes) in values {
         writeln!(text, "{name} {}", to_hex(&bytes)).unwrap();
@@ -53,8 +53,8 @@
     text
 }
 
-/// The bytes of one line of a golden file.
-fn golden(file: &str, name: &str) -> Vec<u8> {
+/// The bytes of a value in a golden file.
+fn golden_bytes(file: &str, name: &str) -> Vec<u8> {
     let line = file.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     from_hex(line.unwrap_or_else(|| panic!("no line for {name}")))
 }
@@ -71,22 +71,22 @@
 fn messages_are_encoded_to_the_golden_bytes() {
     let samples = all_samples();
     let encoded = samples.iter().map(|(name, message)| (*name, envelope(message).encode_to_vec()));
-    assert_eq!(lines(encoded), MESSAGES);
+    assert_eq!(to_lines(encoded), MESSAGES);
 }
 
 #[test]
 fn golden_bytes_are_decoded_to_the_messages() {
     for (name, message) in all_samples() {
-        let bytes = golden(MESSAGES, name);
+        let bytes = golden_bytes(MESSAGES, name);
         let decoded = Envelope::decode(&bytes[..]).unwrap();
         assert!(decoded == envelope(&message), "{name}");
         assert_eq!(to_hex(&decoded.encode_to_vec()), to_hex(&bytes), "{name}");
     }
 }
 
-/// The first byte of an envelope holds the variant's tag; from 16 on it takes two.
+/// An envelope starts with the tag of its variant: one byte up to tag 15, two bytes from tag 16.
 #[test]
-fn the_variants_have_tags_1_to_16() {
+fn message_variants_have_tags_1_to_16() {
     for ((name, message), tag) in samples::complete().into_iter().zip(1_u64..) {
         let mut key = Vec::new();
         prost::encoding::encode_varint(tag << 3 | 2, &mut key);
@@ -97,24 +97,26 @@
 
 #[test]
 fn nested_messages_have_the_golden_bytes() {
-    assert_eq!(lines(samples::nested()), NESTED);
-    assert!(Ballot::decode(&golden(NESTED, "ballot")[..]).unwrap() == samples::ballot(1));
-    assert!(RejectedProposal::decode(&golden(NESTED, "rejection")[..]).unwrap() == samples::rejection());
-    let proposal = ProposalMessage::decode(&golden(NESTED, "accepted-proposal")[..]).unwrap();
+    assert_eq!(to_lines(samples::nested()), NESTED);
+    assert!(Ballot::decode(&golden_bytes(NESTED, "ballot")[..]).unwrap() == samples::ballot(1));
+    assert!(
+        RejectedProposal::decode(&golden_bytes(NESTED, "rejection")[..]).unwrap() == samples::rejection()
+    );
+    let proposal = ProposalMessage::decode(&golden_bytes(NESTED, "accepted-proposal")[..]).unwrap();
     assert!(proposal == samples::accepted_proposal());
 }
 
-/// Sets of replicas travel as items like any other, so that their names and values are part of the protocol.
+/// Replica sets are sent as configuration items, so the item names and values are part of the protocol.
 #[test]
-fn replica_sets_are_items() {
+fn replica_sets_are_encoded_as_items() {
     let set = ReplicaSet { replicas: samples::replicas(), version: 81 };
     for (name, expected) in [(CURRENT, "now"), (INCOMING, "next")] {
         let item = set.to_item(name);
         assert_eq!((item.kind as u8, &*item.name, item.version), (7, expected, 81));
-        assert_eq!(to_hex(&item.value.clone().unwrap()), to_hex(&golden(NESTED, "replica-set")));
+        assert_eq!(to_hex(&item.value.clone().unwrap()), to_hex(&golden_bytes(NESTED, "replica-set")));
         assert!(ReplicaSet::from_item(&item) == Some(set.clone()));
     }
-    // Votes and copies are counted by these names.
+    // Votes and acceptances are counted by these names.
     let names: Vec<String> = set.replicas.iter().map(|replica| replica.name()).collect();
     assert_eq!(names, ["node-1#2122232425262728", "node-2"]);
 }
@@ -123,7 +125,7 @@
     Item { kind, name: name.into(), version, value: value.map(Bytes::from_static) }
 }
 
-/// An item of each kind, one of them removed.
+/// One item of each kind. One of them is a tombstone.
 fn items() -> Vec<Item> {
     vec![
         item(Kind::Route, "route-1", 1, Some(b"{\"a\":1}")),
@@ -143,14 +145,17 @@
         assert_eq!(message.kind, number);
         assert!(message.into_item().as_ref() == Some(item), "{}", item.name);
     }
-    let due = vec![(Kind::Tenant, "tenant-1".into(), 5)];
-    let purge = Message::PurgeTombstones(PurgeTombstones::from_expired(&due));
-    assert_eq!(to_hex(&envelope(&purge).encode_to_vec()), to_hex(&golden(MESSAGES, "purge-tombstones")));
+    let expired = vec![(Kind::Tenant, "tenant-1".into(), 5)];
+    let purge = Message::PurgeTombstones(PurgeTombstones::from_expired(&expired));
+    assert_eq!(
+        to_hex(&envelope(&purge).encode_to_vec()),
+        to_hex(&golden_bytes(MESSAGES, "purge-tombstones"))
+    );
     let Message::PurgeTombstones(purge) = purge else { unreachable!() };
-    assert!(purge.into_expired() == due);
+    assert!(purge.into_expired() == expired);
 }
 
-/// A content's hash of 128 bits travels in two halves.
+/// The 128-bit hash of an item's content is sent as two 64-bit halves.
 #[test]
 fn older_versions_of_items_survive_a_round_trip() {
     let item = item(Kind::Route, "route-1", 1_000_000_000_001, Some(b"{\"a\":1}"));
@@ -159,21 +164,21 @@
         VersionDigest { version: 302, digest: 0x7172_7374_7576_7702_8182_8384_8586_8702 },
     ];
     let message = ItemMessage::from(ItemWithHistory { item: &item, older_versions: &history });
-    assert_eq!(to_hex(&message.encode_to_vec()), to_hex(&golden(NESTED, "item")));
+    assert_eq!(to_hex(&message.encode_to_vec()), to_hex(&golden_bytes(NESTED, "item")));
     assert!(message.into_entry() == Some((item, history.to_vec())));
 }
 
-/// They must not be taken for items of the kind that the lowest byte of the number would name.
+/// They must not be mistaken for items of the kind given by the lowest byte of the number.
 #[rstest]
 fn items_of_unknown_kinds_are_skipped(#[values(0, 8, 255, 256 + 1, u32::MAX)] kind: u32) {
     let message = ItemMessage { kind, name: "name".into(), version: 1, ..ItemMessage::default() };
     assert!(message.clone().into_item().is_none());
     assert!(message.clone().into_entry().is_none());
-    // A proposal that cannot be kept complete is not kept at all.
+    // A proposal with an unknown item is discarded as a whole.
     assert!(Proposal::from_messages(vec![message, ItemMessage::from(&items()[0])]).is_none());
 }
 
-/// Field 99 of each wire type: varint, 64 bits, bytes, 32 bits.
+/// Field 99 in each wire type: varint, 64-bit, length-delimited, 32-bit.
 const UNKNOWN_FIELDS: [&str; 4] = ["980601", "99060102030405060708", "9a0603616263", "9d0601020304"];
 
 #[test]
@@ -188,7 +193,7 @@
     }
 }
 
-/// An envelope with a variant 17, which there is not.
+/// An envelope with variant 17, which does not exist.
 const UNKNOWN_VARIANT: &str = "8a0103616263";
 
 #[test]
@@ -197,19 +202,20 @@
     assert!(Envelope::decode(&unknown[..]).unwrap().message.is_none());
     let heartbeat = Message::Heartbeat(samples::heartbeat());
     let known = envelope(&heartbeat).encode_to_vec();
-    // In one envelope with a known one, the known one counts.
+    // If an envelope has both an unknown and a known variant, the known one is used.
     for bytes in [[&unknown[..], &known].concat(), [&known[..], &unknown].concat()] {
         assert!(Envelope::decode(&bytes[..]).unwrap() == envelope(&heartbeat));
     }
     let mut stream = [&(unknown.len() as u32).to_be_bytes()[..], &unknown].concat();
     encode_message(heartbeat.clone(), &mut stream);
-    assert!(read_all(&stream) == [heartbeat]);
+    assert!(decode_all(&stream) == [heartbeat]);
 }
 
-/// Of two variants in one envelope the last one counts; two of the same are merged, field by field.
+/// If an envelope has two different variants, the last one is used. If it has the same variant twice, the two are merged
+/// field by field.
 #[test]
-fn several_variants_in_one_envelope() {
-    let bytes = |name| golden(MESSAGES, name);
+fn several_variants_in_one_envelope_are_merged_or_replaced() {
+    let bytes = |name| golden_bytes(MESSAGES, name);
     let both = [bytes("commit"), bytes("heartbeat")].concat();
     assert!(Envelope::decode(&both[..]).unwrap() == envelope(&Message::Heartbeat(samples::heartbeat())));
     let halves = [bytes("hello.is-current"), bytes("hello.is-complete")].concat();
@@ -217,13 +223,13 @@
     assert!(Envelope::decode(&halves[..]).unwrap() == envelope(&Message::Hello(merged)));
 }
 
-/// Numbers in a list are packed when they are sent, and read one by one as well.
+/// Lists of numbers are encoded as packed fields, but decoded from unpacked fields as well.
 #[test]
-fn lists_of_numbers_are_read_unpacked_too() {
-    // Bucket digests 1 and 2, each with a key of its own.
+fn unpacked_lists_of_numbers_are_decoded() {
+    // Bucket digests 1 and 2, each as a separate field.
     let unpacked = from_hex("2212090100000000000000090200000000000000");
     let Some(Message::BucketDigests(digests)) = Envelope::decode(&unpacked[..]).unwrap().message else {
-        panic!("not bucket digests")
+        panic!("expected bucket digests")
     };
     assert_eq!(digests.digests, [1, 2]);
     let packed = "22120a1001000000000000000200000000000000";
@@ -242,52 +248,52 @@
     assert!(matches!(MessageDecoder::default().next(&frame, &mut 0), Err(Error::Malformed { .. })));
 }
 
-/// All messages of a stream that is complete.
-fn read_all(stream: &[u8]) -> Vec<Message> {
+/// Decodes all messages of a complete stream.
+fn decode_all(stream: &[u8]) -> Vec<Message> {
     let (mut decoder, mut position) = (MessageDecoder::default(), 0);
     let messages = std::iter::from_fn(|| decoder.next(stream, &mut position).unwrap()).collect();
     assert_eq!((position, decoder.buffered_bytes()), (stream.len(), 0));
     messages
 }
 
-/// A commit whose envelope has so many bytes. The period of its content does not divide a frame's
-/// length, so that chunks out of order show.
-fn commit_of(length: usize) -> Message {
-    // Two tags, and two lengths of three bytes each.
-    let content = (0..length - 8).map(|at| (at % 251) as u8).collect::<Vec<u8>>();
+/// A commit whose envelope is encoded in `length` bytes. The period of its content does not divide the length of a frame,
+/// so that frames in the wrong order are detected.
+fn commit_with_encoded_len(length: usize) -> Message {
+    // 8 bytes are two tags of one byte each, and two lengths of three bytes each.
+    let content = (0..length - 8).map(|index| (index % 251) as u8).collect::<Vec<u8>>();
     let message = Message::Commit(Commit { proposal_id: content.into() });
     assert_eq!(envelope(&message).encoded_len(), length);
     message
 }
 
 #[test]
-fn limits_of_frames() {
+fn frame_and_message_size_limits() {
     assert_eq!((MAX_FRAME_BYTES, MAX_MESSAGE_BYTES), (262_144, 25_165_824));
 }
 
 #[test]
-fn a_short_message_and_a_stream_of_several() {
+fn short_messages_are_sent_in_one_frame_each() {
     let mut stream = Vec::new();
     encode_message(Message::Hello(samples::hello()), &mut stream);
-    assert_eq!(to_hex(&stream), to_hex(&golden(FRAMES, "hello")));
-    assert!(read_all(&stream) == [Message::Hello(samples::hello())]);
+    assert_eq!(to_hex(&stream), to_hex(&golden_bytes(FRAMES, "hello")));
+    assert!(decode_all(&stream) == [Message::Hello(samples::hello())]);
     let mut stream = Vec::new();
     let messages: Vec<Message> = samples::complete().into_iter().map(|(_, message)| message).collect();
     messages.iter().for_each(|message| encode_message(message.clone(), &mut stream));
-    assert_eq!(to_hex(&stream), to_hex(&golden(FRAMES, "stream")));
-    assert!(read_all(&stream) == messages);
+    assert_eq!(to_hex(&stream), to_hex(&golden_bytes(FRAMES, "stream")));
+    assert!(decode_all(&stream) == messages);
 }
 
-/// The golden line of a length holds the headers, one after another; between them stand the message's own bytes.
+/// The golden file has only the headers of the frames, one after another. Each is followed by its part of the message.
 #[rstest]
-#[case::the_longest_in_one_frame("one-frame", MAX_FRAME_BYTES)]
+#[case::longest_message_in_one_frame("one-frame", MAX_FRAME_BYTES)]
 #[case::one_byte_more("two-frames", MAX_FRAME_BYTES + 1)]
-#[case::two_frames_that_are_full("two-full-frames", 2 * MAX_FRAME_BYTES)]
+#[case::two_full_frames("two-full-frames", 2 * MAX_FRAME_BYTES)]
 #[case::three_frames("three-frames", 2 * MAX_FRAME_BYTES + 75_712)]
-fn a_long_message_goes_in_several_frames(#[case] name: &str, #[case] length: usize) {
-    let message = commit_of(length);
+fn a_long_message_is_sent_in_several_frames(#[case] name: &str, #[case] length: usize) {
+    let message = commit_with_encoded_len(length);
     let encoded = envelope(&message).encode_to_vec();
-    let headers = golden(FRAMES, name);
+    let headers = golden_bytes(FRAMES, name);
     let payloads = encoded.chunks(MAX_FRAME_BYTES);
     assert_eq!(headers.len(), payloads.len() * 4);
     let frames = headers.chunks(4).zip(payloads);
@@ -295,45 +301,47 @@
     let mut stream = Vec::new();
     encode_message(message.clone(), &mut stream);
     assert!(stream == expected, "{name}");
-    assert!(read_all(&stream) == [message]);
+    assert!(decode_all(&stream) == [message]);
 }
 
 #[test]
-fn a_heartbeat_may_stand_between_frames_of_a_long_message() {
-    let (long, heartbeat) = (commit_of(2 * MAX_FRAME_BYTES), Message::Heartbeat(samples::heartbeat()));
+fn a_heartbeat_may_be_sent_between_frames_of_a_long_message() {
+    let (long, heartbeat) =
+        (commit_with_encoded_len(2 * MAX_FRAME_BYTES), Message::Heartbeat(samples::heartbeat()));
     let (mut send_queue, mut stream) = (SendQueue::default(), Vec::new());
     send_queue.push(EncodedMessage::new(long.clone()), false, &mut stream);
     send_queue.append_frames(&mut stream, 0);
     send_queue.push(EncodedMessage::new(heartbeat.clone()), true, &mut stream);
     send_queue.append_frames(&mut stream, 0);
-    let mut between = Vec::new();
-    encode_message(heartbeat.clone(), &mut between);
+    let mut heartbeat_frame = Vec::new();
+    encode_message(heartbeat.clone(), &mut heartbeat_frame);
     let mut expected = Vec::new();
     encode_message(long.clone(), &mut expected);
-    expected.splice(4 + MAX_FRAME_BYTES..4 + MAX_FRAME_BYTES, between);
+    expected.splice(4 + MAX_FRAME_BYTES..4 + MAX_FRAME_BYTES, heartbeat_frame);
     assert!(stream == expected);
-    assert!(read_all(&stream) == [heartbeat, long]);
+    assert!(decode_all(&stream) == [heartbeat, long]);
 }
 
-/// A message ends once the estimated size of its items exceeds the limit; the estimate is not the encoded size.
+/// A message is complete once the estimated size of its items exceeds the limit. The estimate differs from the encoded
+/// size.
 #[test]
-fn items_go_in_messages_of_256_kibibytes() {
+fn items_are_batched_into_messages_of_256_kibibytes() {
     let large = |number: u64, length: usize| Item {
         kind: Kind::Tenant,
         name: format!("tenant-{number}").into(),
         version: number,
         value: Some(vec![b'v'; length].into()),
     };
-    // The estimate of an item is its name, its value and 32 bytes more.
+    // The estimated size of an item is the length of its name and value plus 32 bytes.
     let exactly = 256 * 1024 - 32 - "tenant-1".len();
     let items = [large(1, exactly), large(2, 0), large(3, 100_000), large(4, 400_000), large(5, 1)];
     let mut stream = Vec::new();
     encode_items(items.iter(), &mut stream);
-    let counts: Vec<usize> = read_all(&stream)
+    let counts: Vec<usize> = decode_all(&stream)
         .into_iter()
         .map(|message| match message {
             Message::Items(Items { items, .. }) => items.len(),
-            _ => panic!("no items"),
+            _ => panic!("expected items"),
         })
         .collect();
     assert_eq!(counts, [2, 2, 1]);
@@ -356,9 +364,9 @@
     assert_eq!(batch_items([].iter(), Extent::Complete), []);
 }
 
-/// In ascending order: by epoch, then by round, then by proposer.
+/// Ballots in ascending order: by epoch, then by round, then by proposer.
 fn ballots() -> Vec<(&'static str, Ballot)> {
-    let ballot = |epoch, round, who| Ballot { epoch, round, proposer: who };
+    let ballot = |epoch, round, proposer_id| Ballot { epoch, round, proposer: proposer_id };
     vec![
         ("zero", ballot(0, 0, 0)),
         ("proposer-1", ballot(0, 0, 1)),
@@ -376,27 +384,27 @@
 #[test]
 fn ballots_have_the_golden_order_and_bytes() {
     let ballots = ballots();
-    assert_eq!(lines(ballots.iter().map(|(name, ballot)| (*name, ballot.encode_to_vec()))), BALLOTS);
-    for (at, (name, ballot)) in ballots.iter().enumerate() {
-        for (other_at, (other_name, other)) in ballots.iter().enumerate() {
-            assert!(ballot.cmp(other) == at.cmp(&other_at), "{name} {other_name}");
+    assert_eq!(to_lines(ballots.iter().map(|(name, ballot)| (*name, ballot.encode_to_vec()))), BALLOTS);
+    for (index, (name, ballot)) in ballots.iter().enumerate() {
+        for (other_index, (other_name, other)) in ballots.iter().enumerate() {
+            assert!(ballot.cmp(other) == index.cmp(&other_index), "{name} {other_name}");
         }
-        assert!(Ballot::decode(&golden(BALLOTS, name)[..]).unwrap() == *ballot, "{name}");
+        assert!(Ballot::decode(&golden_bytes(BALLOTS, name)[..]).unwrap() == *ballot, "{name}");
     }
 }
 
-/// The ballot that a proposer chooses after it has met another one; each as epoch, round and proposer.
+/// The ballot that a proposer chooses after it has seen another one. Ballots are given as epoch, round and proposer.
 #[rstest]
 #[case::the_same_epoch((3, 8, 9), 3, (3, 9, 5))]
 #[case::a_later_epoch((3, 8, 9), 4, (4, 1, 5))]
 #[case::an_earlier_epoch((3, 8, 9), 2, (3, 9, 5))]
 #[case::the_last_round((3, u64::MAX, 9), 3, (3, u64::MAX, 5))]
-fn the_next_ballot(#[case] met: (u64, u64, u64), #[case] epoch: u64, #[case] expected: (u64, u64, u64)) {
-    let ballot = |(epoch, round, who)| Ballot { epoch, round, proposer: who };
-    assert!(Ballot::above(ballot(met), epoch, 5) == ballot(expected));
+fn the_next_ballot(#[case] seen: (u64, u64, u64), #[case] epoch: u64, #[case] expected: (u64, u64, u64)) {
+    let ballot = |(epoch, round, proposer_id)| Ballot { epoch, round, proposer: proposer_id };
+    assert!(Ballot::above(ballot(seen), epoch, 5) == ballot(expected));
 }
 
-/// Proposals by name, each with its items in some order.
+/// The items of each proposal, in the order in which they are given to it.
 fn proposals() -> Vec<(&'static str, Vec<Item>)> {
     let mut reversed = items();
     reversed.reverse();
@@ -416,25 +424,25 @@
     ]
 }
 
-/// One line a proposal: its name, its id, and the key of each item in the items' order.
+/// Each line has the name of a proposal, its ID, and the keys of its items in order.
 #[test]
 fn proposals_have_the_golden_ids_and_keys() {
     let mut text = String::new();
     for (name, items) in proposals() {
         let proposal = Proposal::new(items);
         write!(text, "{name} {}", to_hex(&proposal.proposal_id().0)).unwrap();
-        for (item, of_item) in proposal.items().iter().zip(proposal.keys()) {
-            assert_eq!(key(item), *of_item);
-            write!(text, " {of_item:016x}").unwrap();
+        for (item, item_key) in proposal.items().iter().zip(proposal.keys()) {
+            assert_eq!(key(item), *item_key);
+            write!(text, " {item_key:016x}").unwrap();
         }
         text.push('\n');
     }
     assert_eq!(text, PROPOSALS);
 }
 
-/// The receiver of a proposal finds the same id, as it calculates the hash itself.
+/// The receiver computes the ID from the received items, and gets the same one.
 #[test]
-fn proposals_travel_under_a_ballot() {
+fn proposals_survive_a_round_trip_with_a_ballot() {
     let ballot = samples::ballot(1);
     for (name, items) in proposals() {
         let proposal = Proposal::new(items);
@@ -442,8 +450,8 @@
         let received = ProposalMessage::decode(&bytes[..]).unwrap().into_proposal().unwrap();
         assert!(received == (ballot, proposal), "{name}");
     }
-    // A ballot of nothing but zeros is sent all the same.
+    // A ballot that consists of zeros is encoded, too.
     assert_eq!(to_hex(&ProposalMessage::default().encode_to_vec()), "0a00");
-    // Without a ballot it is one of zeros.
+    // A missing ballot is decoded as one that consists of zeros.
     assert!(ProposalMessage::decode(&[][..]).unwrap().ballot == Ballot::default());
 }
--- a/crates/coordination/tests/golden/samples.rs
+++ b/crates/coordination/tests/golden/samples.rs
@@ -1,6 +1,6 @@
-//! The values whose bytes `messages.txt` holds. In each complete message every field has a value of its own, and no
-//! struct is filled up with defaults, so that a new field does not compile until it is pinned too. All true booleans
-//! look alike: each of them stands alone in a message besides.
+//! The messages whose encoding is in `messages.txt`. In the complete messages, the fields have different values, and no
+//! struct is filled with defaults, so that this file does not compile until a new field is added here. As all booleans that
+//! are true have the same encoding, there are additional messages in which only one of them is set.
 
 use bytes::Bytes;
 use kitepass_coordination::consensus::{Ballot, ProposalMessage};
@@ -12,7 +12,7 @@
 };
 use prost::Message as _;
 
-/// A name in the golden file, and the message.
+/// The name of a message in the golden file, and the message.
 pub(crate) type Sample = (&'static str, Message);
 
 pub(crate) fn hello() -> Hello {
@@ -57,7 +57,7 @@
     }
 }
 
-/// An item with older versions.
+/// An item with two older versions.
 fn item_with_history() -> ItemMessage {
     ItemMessage {
         kind: 1,
@@ -72,7 +72,7 @@
     ItemMessage { kind: 2, name: "tenant-1".into(), version: 5, value: None, older_versions: vec![] }
 }
 
-/// Set, to nothing: not the same as removed.
+/// An item with an empty value, which differs from a removed item.
 fn empty_item() -> ItemMessage {
     ItemMessage {
         kind: 5,
@@ -183,7 +183,7 @@
 }
 
 fn usage_report() -> UsageReport {
-    let add = TenantUsage {
+    let usage = TenantUsage {
         tenant: "tenant-2".into(),
         offered: 51,
         forwarded: 52,
@@ -196,7 +196,7 @@
     UsageReport {
         request_id: 57,
         node_id: "node-5".into(),
-        tenants: vec![add, other],
+        tenants: vec![usage, other],
         incarnation: 0x3938_3736_3534_3332,
         is_mid_period: true,
     }
@@ -236,7 +236,7 @@
     PurgeTombstones { tombstones: vec![removed_item()] }
 }
 
-/// Every variant with every field, in the order of the variants' tags.
+/// Each variant with all fields set, in the order of the variants' tags.
 pub(crate) fn complete() -> Vec<Sample> {
     let bucket_digests = BucketDigests { digests: vec![0x5958_5756_5554_5352, 0, 9], ends_transfer: true };
     vec![
@@ -259,7 +259,7 @@
     ]
 }
 
-/// Every variant with nothing set.
+/// Each variant with no field set.
 pub(crate) fn empty() -> Vec<Sample> {
     vec![
         ("hello.empty", Message::Hello(Hello::default())),
@@ -281,7 +281,7 @@
     ]
 }
 
-/// Each boolean alone, where a message has more than one.
+/// Messages with a single boolean set, for each boolean of a message with several.
 pub(crate) fn booleans() -> Vec<Sample> {
     vec![
         ("hello.is-control-plane", Message::Hello(Hello { is_control_plane: true, ..Hello::default() })),
@@ -332,16 +332,22 @@
     ]
 }
 
-/// Nested messages that are set, with nothing in them.
+/// Messages whose nested messages are present but empty.
 pub(crate) fn nested_defaults() -> Vec<Sample> {
-    let nothing = Some(Ballot::default());
-    let accept_request =
-        AcceptRequest { items: vec![ItemMessage::default()], ballot: nothing, ..AcceptRequest::default() };
-    let accept_response =
-        AcceptResponse { ballot: nothing, answered_ballot: nothing, ..AcceptResponse::default() };
-    let prepare_request = PrepareRequest { ballot: nothing, ..PrepareRequest::default() };
+    let default_ballot = Some(Ballot::default());
+    let accept_request = AcceptRequest {
+        items: vec![ItemMessage::default()],
+        ballot: default_ballot,
+        ..AcceptRequest::default()
+    };
+    let accept_response = AcceptResponse {
+        ballot: default_ballot,
+        answered_ballot: default_ballot,
+        ..AcceptResponse::default()
+    };
+    let prepare_request = PrepareRequest { ballot: default_ballot, ..PrepareRequest::default() };
     let prepare_response = PrepareResponse {
-        ballot: nothing,
+        ballot: default_ballot,
         accepted: vec![ProposalMessage::default()],
         rejected: vec![RejectedProposal::default()],
         ..PrepareResponse::default()
@@ -354,7 +360,7 @@
     ]
 }
 
-/// Seats of replicas; the second one is of a disk without a number.
+/// Two replicas; the second one is on a disk without a replica ID.
 pub(crate) fn replicas() -> Vec<Replica> {
     let first = Replica {
         node_id: "node-1".into(),
@@ -367,7 +373,7 @@
     vec![first, second]
 }
 
-/// Messages that are not sent by themselves, but inside of others or as an item's value.
+/// Messages that are only sent as part of other messages or as the value of an item.
 pub(crate) fn nested() -> Vec<(&'static str, Vec<u8>)> {
     let replica_set = ReplicaSet { replicas: replicas(), version: 81 };
     vec![
