--- a/crates/coordination/tests/consensus_model/setup.rs
+++ b/crates/coordination/tests/consensus_model/setup.rs
@@ -69,8 +69,8 @@
     Item { kind: Kind::Service, name: name.into(), version, value: Some(value.to_owned().into()) }
 }
 
-/// Parses items in the form `NAME CONTENT`, without the space, and optionally `.VERSION`: `a1 b2` gives version 1 of item
-/// `a` the content `1` and version 1 of item `b` the content `2`; `a1.3` is version 3 of `a`.
+/// Parses a list of items, each with a name of one letter, a content of one digit and optionally a version, which is 1 by
+/// default: `a1 b2` is an item `a` with the content `1` and an item `b` with the content `2`; `a1.3` is version 3 of `a`.
 fn parse_proposal(text: &str) -> Proposal {
     let parse_item = |token: &str| {
         let version = token.get(3..).and_then(|version| version.parse().ok()).unwrap_or(1);
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -404,7 +404,7 @@
     assert!(Ballot::above(ballot(seen), epoch, 5) == ballot(expected));
 }
 
-/// The items of each proposal, in the order in which they are given to it.
+/// The name and items of each proposal, in the order in which `Proposal::new` receives them.
 fn proposals() -> Vec<(&'static str, Vec<Item>)> {
     let mut reversed = items();
     reversed.reverse();
