--- a/crates/net/src/buffer.rs
+++ b/crates/net/src/buffer.rs
@@ -1,12 +1,12 @@
-//! Buffers of bytes that are used again and again.
+//! Helpers for reusable byte buffers.
 
-/// The most bytes of capacity that an emptied buffer keeps.
-const MAX_KEPT_CAPACITY: usize = 16 * 1024;
+/// The largest capacity, in bytes, that a cleared buffer keeps.
+const MAX_RETAINED_BYTES: usize = 16 * 1024;
 
-/// Empties a buffer for its next use. The memory of one that has grown large is freed: its connection may be idle
-/// for long.
+/// Clears a buffer for reuse. If its capacity has grown beyond [`MAX_RETAINED_BYTES`] the memory is freed, because the
+/// buffer's connection may stay idle for a long time.
 pub fn clear_and_shrink(buffer: &mut Vec<u8>) {
-    if buffer.capacity() > MAX_KEPT_CAPACITY {
+    if buffer.capacity() > MAX_RETAINED_BYTES {
         *buffer = Vec::new();
     }
     buffer.clear();
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,10 +1,10 @@
-//! The clock that a process' timers and periods follow.
+//! The clock that a process uses for timers and periodic work.
 
 use kitepass_time::Timestamp;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// The wall clock at the start, advanced by the monotonic clock from there on. Processes so number periods alike,
-/// and a wall clock that is set while they run moves no timer.
+/// A clock that starts at the current wall-clock time and then advances with the monotonic clock. Processes therefore
+/// agree on the numbering of periods, and changing the system's wall clock does not move any timer.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -18,14 +18,14 @@
 }
 
 impl Clock {
-    /// A clock that is set to the wall clock as it is now.
+    /// Creates a clock set to the current wall-clock time.
     pub fn new() -> Clock {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         let wall_micros_at_start = since_epoch.map_or(0, |duration| duration.as_micros() as i64);
         Clock { started: Instant::now(), wall_micros_at_start }
     }
 
-    /// The time, in steps of a microsecond; it never goes back.
+    /// The current time in microseconds. Never goes backwards.
     pub fn now(&self) -> Timestamp {
         let elapsed_micros = self.started.elapsed().as_micros() as i64;
         Timestamp::from_micros(self.wall_micros_at_start + elapsed_micros)
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection: its socket, and the bytes that have come and that are to be sent.
+//! A TCP connection with its input and output buffers.
 
 use crate::buffer;
 use crate::poller::{Poller, ReadyEvent};
@@ -10,28 +10,29 @@
 
 pub use crate::socket::error_label;
 
-/// So many bytes of the output's front that have been written are removed, though more are to be sent.
-const MAX_WRITTEN_BYTES: usize = 256 * 1024;
+/// Once more than this many bytes at the front of the output have been written, they are removed from the buffer even
+/// if more output is pending.
+const COMPACTION_THRESHOLD_BYTES: usize = 256 * 1024;
 
-/// A connection under an edge-triggered [`Poller`]: the poller tells of changes alone, so that what a socket is ready
-/// for is remembered until a read or write says otherwise.
+/// A connection registered with an edge-triggered [`Poller`]. The poller reports only changes, so the connection
+/// remembers that the socket is readable until a read would block.
 #[derive(Debug)]
 pub struct Connection {
     socket: OwnedFd,
-    /// What has come and has not been used.
+    /// Received bytes that have not been consumed.
     pub input: Vec<u8>,
-    /// What is to be sent. Its front may have been written already; [`Connection::unsent_bytes`] counts the rest.
+    /// Bytes to send. The front may already have been written; [`Connection::unsent_bytes`] counts the rest.
     pub output: Vec<u8>,
-    /// How many bytes of the output have been written.
+    /// How many bytes at the front of the output have been written.
     written: usize,
     is_established: bool,
     is_readable: bool,
-    /// The peer has ended its sending; unread bytes may precede the end.
+    /// The peer has closed its write side. Unread bytes may remain before the end of the stream.
     is_read_closed: bool,
 }
 
 impl Connection {
-    /// A connection that a listener accepted and that is watched already.
+    /// Wraps an accepted socket that is already registered with the poller.
     pub fn from_accepted(socket: OwnedFd) -> Connection {
         Connection {
             socket,
@@ -44,12 +45,12 @@
         }
     }
 
-    /// Starts a connection. What is put into its output meanwhile is sent once it is established. It fails when
-    /// bytes sent on it are unacknowledged for `user_timeout`.
+    /// Starts a non-blocking connect. Output that is queued in the meantime is sent once the connection is established.
+    /// The connection fails when sent data stays unacknowledged for `user_timeout`.
     ///
     /// # Errors
     ///
-    /// The system's, for want of descriptors or ports.
+    /// The operating system's error, for example if no file descriptor or local port is available.
     pub fn connect(
         poller: &Poller,
         address: &SocketAddr,
@@ -61,11 +62,11 @@
         Ok(Connection { is_established: false, is_readable: false, ..Connection::from_accepted(socket) })
     }
 
-    /// From now on it fails when bytes sent on it are unacknowledged for this time.
+    /// Sets the time after which the connection fails if sent data is unacknowledged.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// The operating system's error.
     pub fn set_user_timeout(&self, user_timeout: Duration) -> Result<()> {
         socket::set_user_timeout(&self.socket, user_timeout)
     }
@@ -75,11 +76,11 @@
         self.is_established
     }
 
-    /// Takes an event of the socket into account.
+    /// Updates the connection's state from a poller event.
     ///
     /// # Errors
     ///
-    /// Why the connection could not be established.
+    /// The reason why the connection could not be established.
     pub fn handle_event(&mut self, event: &ReadyEvent) -> Result<()> {
         self.is_readable |= event.is_readable;
         self.is_read_closed |= event.is_read_closed;
@@ -90,12 +91,13 @@
         Ok(())
     }
 
-    /// Reads what has come into the input, as long as that has fewer than `max_input_bytes`. True if the peer has
-    /// ended its sending and all has been read. `scratch` bounds a single read.
+    /// Reads available bytes into the input buffer while it holds fewer than `max_input_bytes`. Returns true at the end
+    /// of the stream: the peer has closed its write side and everything has been read. A single read returns at most as
+    /// many bytes as `scratch` can hold.
     ///
     /// # Errors
     ///
-    /// The system's: the connection is lost.
+    /// The operating system's error; the connection is lost.
     pub fn read_available(&mut self, scratch: &mut [u8], max_input_bytes: usize) -> Result<bool> {
         while self.is_readable() && self.input.len() < max_input_bytes {
             match socket::read(&self.socket, scratch, &mut self.input, self.is_read_closed)? {
@@ -107,11 +109,11 @@
         Ok(false)
     }
 
-    /// Writes the output as far as the socket takes it; true if nothing is left.
+    /// Writes as much output as the socket accepts. Returns true if nothing is left to send.
     ///
     /// # Errors
     ///
-    /// The system's: the connection is lost.
+    /// The operating system's error; the connection is lost.
     pub fn flush(&mut self) -> Result<bool> {
         if !self.is_established || self.output.is_empty() {
             return Ok(self.output.is_empty());
@@ -119,7 +121,8 @@
         let is_complete = match socket::write(&self.socket, &self.output, &mut self.written) {
             Ok(is_complete) => is_complete,
             Err(error) => {
-                // What came before the connection broke is still to be read, and no edge may have told of it yet.
+                // Data received before the connection failed can still be read. Mark the socket as readable, because
+                // the poller may not have reported it yet.
                 self.is_readable = true;
                 self.is_read_closed = true;
                 return Err(error);
@@ -128,34 +131,34 @@
         if is_complete {
             buffer::clear_and_shrink(&mut self.output);
             self.written = 0;
-        } else if self.written > MAX_WRITTEN_BYTES {
+        } else if self.written > COMPACTION_THRESHOLD_BYTES {
             self.output.drain(..self.written);
             self.written = 0;
         }
         Ok(is_complete)
     }
 
-    /// Ends the sending; what the peer still sends is read.
+    /// Closes the write side. Data from the peer can still be read.
     ///
     /// # Errors
     ///
-    /// The system's: the connection is lost.
+    /// The operating system's error; the connection is lost.
     pub fn shutdown_write(&self) -> Result<()> {
         rustix::net::shutdown(&self.socket, rustix::net::Shutdown::Write)
     }
 
-    /// Whether the socket may hold unread bytes or the end: [`Connection::read_available`] stopped at its bound, or has not been
-    /// called since an event told of it.
+    /// Whether unread bytes or the end of the stream may be pending: [`Connection::read_available`] stopped at its
+    /// limit, or has not been called since the last readable event.
     pub fn is_readable(&self) -> bool {
         self.is_established && self.is_readable
     }
 
-    /// How many bytes are still to be sent.
+    /// How many output bytes have not been written to the socket.
     pub fn unsent_bytes(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Whether the peer has neither sent anything that is not used nor ended its sending.
+    /// Whether the connection is established and open, with no received data pending. An idle connection can be reused.
     pub fn is_idle(&self) -> bool {
         let may_be_idle = self.is_established && self.input.is_empty() && !self.is_read_closed;
         may_be_idle && socket::is_idle(&self.socket)
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,16 +1,18 @@
-//! Sockets, timers and HTTP/1.1 that the programs share. Each program runs its own event loop on one thread:
+//! Sockets, timers and HTTP/1.1 for the project's programs. Each program runs its own single-threaded event loop.
 //!
-//! - [`poller`] watches sockets with epoll, edge-triggered, under tokens of the program's choice.
-//! - [`socket`] has the calls on sockets, none of which blocks; [`connection`] is a socket with its buffers. Their
-//!   errors are the operating system's own ([`Errno`]).
+//! - [`poller`] watches sockets with edge-triggered epoll. Each socket has a token chosen by the program.
+//! - [`socket`] has non-blocking socket calls; [`connection`] combines a socket with its buffers. Their errors are
+//!   those of the operating system ([`Errno`]).
 //! - [`event_fd`] wakes the event loop from another thread.
-//! - [`clock`] is the time that timers follow. [`timer_wheel`] holds the timers:
-//!   [`timer_wheel::TimerWheel::next_deadline`] says how long to wait, [`timer_wheel::TimerWheel::take_due`] what to do then.
-//! - [`http`] reads complete messages, head and body, of bounded size ([`http::MessageReader`]).
-//! - [`http::body`] reads a head ([`http::HeadReader`]) and then its body as it comes ([`http::body::Body`]),
-//!   however long it is. Both parse heads by the same strict rules; a violation is an [`http::ParseError`].
+//! - [`clock`] is the time source for timers, and [`timer_wheel`] holds the timers:
+//!   [`timer_wheel::TimerWheel::next_deadline`] tells how long the event loop may wait, and
+//!   [`timer_wheel::TimerWheel::take_due`] returns the expired timers.
+//! - [`http`] reads complete messages (head and body) of bounded size ([`http::MessageReader`]).
+//! - [`http::body`] reads a head ([`http::HeadReader`]) and then streams a body of any length ([`http::body::Body`]).
+//!   Both readers parse heads by the same strict rules; a violation is an [`http::ParseError`].
 //!
-//! After an error a connection's input is of no more use: where its next message would begin is not known.
+//! After a parse error the rest of the connection's input must be discarded, because the start of the next message is
+//! unknown.
 
 pub mod buffer;
 pub mod clock;
--- a/crates/net/src/poller.rs
+++ b/crates/net/src/poller.rs
@@ -1,4 +1,4 @@
-//! Readiness of sockets, by epoll.
+//! Socket readiness notification with epoll.
 
 use crate::socket;
 use kitepass_time::Duration;
@@ -8,83 +8,83 @@
 use rustix::io::{Errno, Result};
 use std::net::SocketAddr;
 
-// The paths by which other crates know what stands in modules of its own.
+// Re-exports for crates that import these items from this module.
 pub use crate::buffer::clear_and_shrink;
 pub use crate::clock::Clock;
 pub use crate::socket::{
     accept, connect_result, is_closed_by_peer, is_idle, listen, read, set_user_timeout, write, ReadOutcome,
 };
 
-/// How many events one wait returns at most; more stay for the next.
+/// The maximum number of events returned by one wait. Further events are returned by the next wait.
 const MAX_EVENTS: usize = 256;
 
-/// What a socket has become ready for.
+/// A readiness event of a socket.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadyEvent {
-    /// What the socket was registered under.
+    /// The token that the socket was registered with.
     pub token: u64,
-    /// Reading brings bytes, the end of the peer's sending, or an error.
+    /// A read will return bytes, the end of the stream, or an error.
     pub is_readable: bool,
-    /// Writing takes bytes, or fails.
+    /// A write will accept bytes or fail.
     pub is_writable: bool,
-    /// The peer has ended its sending. After whatever is read the end is still to be read, and no further edge will
-    /// tell of it.
+    /// The peer has closed its write side. After reading the remaining bytes the caller must also read the end of the
+    /// stream, because no further edge reports it.
     pub is_read_closed: bool,
 }
 
-/// Watches sockets, edge-triggered. A closed socket is watched no longer. Events of it that were taken before may
-/// still be pending, so its token should not be reused at once.
+/// Watches sockets with edge-triggered epoll. Closing a socket removes it. Events that were already returned for a
+/// closed socket may still be pending, so its token should not be reused immediately.
 pub struct Poller {
     epoll: OwnedFd,
-    /// Where the system writes events.
+    /// The buffer that the operating system writes events to.
     events: Vec<epoll::Event>,
 }
 
 impl Poller {
-    /// A poller that watches no socket.
+    /// Creates a poller without sockets.
     ///
     /// # Errors
     ///
-    /// The system's, for want of descriptors or memory.
+    /// The operating system's error, if it is out of file descriptors or memory.
     pub fn new() -> Result<Poller> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         Ok(Poller { epoll, events: Vec::with_capacity(MAX_EVENTS) })
     }
 
-    /// Watches a socket until it is closed, for reading and writing. Each time that it becomes ready again there is
-    /// an event.
+    /// Watches a socket for reading and writing until it is closed. An event is reported each time it becomes ready
+    /// again.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// The operating system's error.
     pub fn add(&self, socket: impl AsFd, token: u64) -> Result<()> {
         let interest = EventFlags::IN | EventFlags::OUT | EventFlags::RDHUP | EventFlags::ET;
         epoll::add(&self.epoll, socket, EventData::new_u64(token), interest)
     }
 
-    /// Starts to connect and watches the socket. It becomes ready to write once it is established or has failed;
-    /// [`socket::connect_result`] tells which.
+    /// Starts a non-blocking connect and watches the socket. The socket becomes writable once the connection is
+    /// established or has failed; [`socket::connect_result`] distinguishes the two.
     ///
     /// # Errors
     ///
-    /// The system's, for want of descriptors or ports, or of a route.
+    /// The operating system's error, for example if no file descriptor, local port or route is available.
     pub fn connect(&self, address: &SocketAddr, token: u64) -> Result<OwnedFd> {
         let socket = socket::connect(address)?;
         self.add(&socket, token)?;
         Ok(socket)
     }
 
-    /// Waits until a socket is ready or `timeout` has passed, and appends the events to `ready`. Without a time-out
-    /// it waits without end; a signal ends the wait early.
+    /// Waits until a socket is ready or `timeout` has passed, and appends the events to `ready`. Without a timeout it
+    /// waits indefinitely. A signal ends the wait early.
     ///
     /// # Errors
     ///
-    /// The system's; none is expected.
+    /// The operating system's error; none is expected.
     pub fn wait(&mut self, timeout: Option<Duration>, ready: &mut Vec<ReadyEvent>) -> Result<()> {
         let timeout = timeout.map(to_timespec);
         self.events.clear();
-        let free = rustix::buffer::spare_capacity(&mut self.events);
-        match epoll::wait(&self.epoll, free, timeout.as_ref()) {
+        let spare_capacity = rustix::buffer::spare_capacity(&mut self.events);
+        match epoll::wait(&self.epoll, spare_capacity, timeout.as_ref()) {
             Ok(_) | Err(Errno::INTR) => {}
             Err(error) => return Err(error),
         }
@@ -100,11 +100,11 @@
 
 fn to_ready_event(event: &epoll::Event) -> ReadyEvent {
     let flags = event.flags;
-    let lost = EventFlags::HUP | EventFlags::ERR;
+    let error_flags = EventFlags::HUP | EventFlags::ERR;
     ReadyEvent {
         token: event.data.u64(),
-        is_readable: flags.intersects(EventFlags::IN | EventFlags::RDHUP | lost),
-        is_writable: flags.intersects(EventFlags::OUT | lost),
-        is_read_closed: flags.intersects(EventFlags::RDHUP | lost),
+        is_readable: flags.intersects(EventFlags::IN | EventFlags::RDHUP | error_flags),
+        is_writable: flags.intersects(EventFlags::OUT | error_flags),
+        is_read_closed: flags.intersects(EventFlags::RDHUP | error_flags),
     }
 }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -1,4 +1,4 @@
-//! Calls on TCP sockets that never block. Errors are the operating system's own.
+//! Non-blocking operations on TCP sockets. Errors are those of the operating system.
 
 use kitepass_time::Duration;
 use rustix::fd::{AsFd, OwnedFd};
@@ -6,25 +6,25 @@
 use rustix::net::{self, AddressFamily, RecvFlags, SendFlags, SocketFlags, SocketType};
 use std::net::SocketAddr;
 
-/// How many connections may wait to be accepted.
+/// The maximum number of connections waiting to be accepted.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// What a read has brought.
+/// The outcome of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Bytes; more may follow at once.
+    /// Bytes were read, and more may be available immediately.
     Bytes,
-    /// Bytes or none; no more for now.
+    /// No more data is available now; some bytes may have been read.
     WouldBlock,
-    /// The peer has ended its sending, and all has been read.
+    /// The peer has closed its write side, and everything has been read.
     EndOfStream,
 }
 
-/// Opens a socket that listens.
+/// Opens a listening socket.
 ///
 /// # Errors
 ///
-/// The system's, if the address is in use or not this machine's.
+/// The operating system's error, for example if the address is in use or is not a local address.
 pub fn listen(address: &SocketAddr) -> Result<OwnedFd> {
     let socket = open(address)?;
     net::sockopt::set_socket_reuseaddr(&socket, true)?;
@@ -33,11 +33,12 @@
     Ok(socket)
 }
 
-/// Accepts a client that waits; `None` if there is none.
+/// Accepts a pending connection; `None` if there is none.
 ///
 /// # Errors
 ///
-/// The system's, for want of descriptors or memory: the client waits on, and no further edge tells of it.
+/// The operating system's error, for example if it is out of file descriptors or memory. In that case the connection
+/// stays in the backlog, and no further edge reports it.
 pub fn accept(listener: impl AsFd) -> Result<Option<OwnedFd>> {
     loop {
         match net::accept_with(&listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
@@ -46,18 +47,18 @@
                 return Ok(Some(socket));
             }
             Err(Errno::AGAIN) => return Ok(None),
-            // With ECONNABORTED the client has gone while it waited; the next one may be there.
+            // ECONNABORTED: the client disconnected before it was accepted. Try the next one.
             Err(Errno::INTR | Errno::CONNABORTED) => {}
             Err(error) => return Err(error),
         }
     }
 }
 
-/// Starts to connect. Once the socket is ready to write, [`connect_result`] tells how it went.
+/// Starts a non-blocking connect. Once the socket is writable, [`connect_result`] returns the outcome.
 ///
 /// # Errors
 ///
-/// The system's, for want of descriptors or ports, or of a route.
+/// The operating system's error, for example if no file descriptor, local port or route is available.
 pub(crate) fn connect(address: &SocketAddr) -> Result<OwnedFd> {
     let socket = open(address)?;
     net::sockopt::set_tcp_nodelay(&socket, true)?;
@@ -67,41 +68,41 @@
     }
 }
 
-/// Whether a started connection that has become ready to write is established.
+/// Returns the outcome of a non-blocking connect once the socket is writable.
 ///
 /// # Errors
 ///
-/// Why it is not.
+/// The reason why the connection could not be established.
 pub fn connect_result(socket: impl AsFd) -> Result<()> {
     net::sockopt::socket_error(socket)?
 }
 
-/// A new socket, neither connected nor bound.
+/// Creates a socket that is neither bound nor connected.
 fn open(address: &SocketAddr) -> Result<OwnedFd> {
     let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     net::socket_with(family, SocketType::STREAM, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC, None)
 }
 
-/// Reads once, at most as many bytes as `scratch` has, and appends them to `into`.
+/// Performs one read of at most `scratch.len()` bytes and appends them to `buffer`.
 ///
-/// `is_read_closed` says that the poller has told of the end of the peer's sending. Then `Bytes` is returned until
-/// the end itself has been read, because no further edge will tell of it.
+/// `is_read_closed` says that the poller has reported that the peer closed its write side. In this case the outcome is
+/// `Bytes` until the end of the stream has been read, because no further edge reports it.
 ///
 /// # Errors
 ///
-/// The system's: the connection is lost.
+/// The operating system's error; the connection is lost.
 pub fn read(
     socket: impl AsFd,
     scratch: &mut [u8],
-    into: &mut Vec<u8>,
+    buffer: &mut Vec<u8>,
     is_read_closed: bool,
 ) -> Result<ReadOutcome> {
     loop {
         match net::recv(&socket, &mut *scratch, RecvFlags::empty()) {
             Ok((0, _)) => return Ok(ReadOutcome::EndOfStream),
             Ok((length, _)) => {
-                into.extend_from_slice(&scratch[..length]);
-                // A short read has emptied the socket; the next edge tells of more.
+                buffer.extend_from_slice(&scratch[..length]);
+                // A short read has drained the socket; a new edge reports more data.
                 let is_drained = length < scratch.len() && !is_read_closed;
                 return Ok(if is_drained { ReadOutcome::WouldBlock } else { ReadOutcome::Bytes });
             }
@@ -112,12 +113,12 @@
     }
 }
 
-/// Writes as much of `bytes` from `written` on as the socket takes, advances `written`, and says whether all is
-/// written.
+/// Writes as much of `bytes[written..]` as the socket accepts and advances `written`. Returns true if everything has
+/// been written.
 ///
 /// # Errors
 ///
-/// The system's: the connection is lost.
+/// The operating system's error; the connection is lost.
 pub fn write(socket: impl AsFd, bytes: &[u8], written: &mut usize) -> Result<bool> {
     while *written < bytes.len() {
         match net::send(&socket, &bytes[*written..], SendFlags::NOSIGNAL) {
@@ -130,37 +131,36 @@
     Ok(true)
 }
 
-/// Whether the peer has neither sent anything unread nor ended its sending.
+/// Whether the connection is open and has no unread data.
 pub fn is_idle(socket: impl AsFd) -> bool {
     peek(socket) == Err(Errno::AGAIN)
 }
 
-/// Whether the peer has ended its sending, or the connection is lost, with nothing unread before that.
+/// Whether the peer has closed its write side or the connection is lost, with no unread data before that.
 pub fn is_closed_by_peer(socket: impl AsFd) -> bool {
     !matches!(peek(socket), Ok(1) | Err(Errno::AGAIN))
 }
 
-/// The number of unread bytes, at most 1; 0 at the end of the peer's sending.
+/// Peeks at the input: returns 1 if there is unread data, and 0 at the end of the stream.
 fn peek(socket: impl AsFd) -> Result<usize> {
     net::recv(socket, &mut [0; 1], RecvFlags::PEEK).map(|(length, _)| length)
 }
 
-/// Ends a connection, with an error on its next event, once bytes sent on it have been unacknowledged for `timeout`
-/// (`TCP_USER_TIMEOUT`). The time runs only while bytes are unacknowledged; waiting for a response needs a timer of
-/// its own. A duration of less than a millisecond counts as one, since 0 stands for the system's default.
+/// Sets `TCP_USER_TIMEOUT`: the connection fails, and its next event reports an error, once sent data has been
+/// unacknowledged for `timeout`. The timeout runs only while data is unacknowledged; waiting for a response needs a
+/// separate timer. A duration below one millisecond is rounded up to one, because 0 selects the system default.
 ///
-/// Without this a machine that loses its power, and so says nothing, would keep what is sent to it pending for a
-/// quarter of an hour.
+/// Without this option data sent to a machine that has lost power would stay pending for about 15 minutes.
 ///
 /// # Errors
 ///
-/// The system's.
+/// The operating system's error.
 pub fn set_user_timeout(socket: impl AsFd, timeout: Duration) -> Result<()> {
     let millis = (timeout.as_micros() / 1_000).clamp(1, i64::from(i32::MAX));
     net::sockopt::set_tcp_user_timeout(socket, millis as u32)
 }
 
-/// A connection error in a word, for log lines.
+/// A short label of a connection error, for log lines.
 pub fn error_label(error: Errno) -> &'static str {
     match error {
         Errno::CONNRESET => "reset",
