--- a/crates/net/src/http/body.rs
+++ b/crates/net/src/http/body.rs
@@ -1,16 +1,16 @@
-//! Reads the body behind a head as it comes, however long it is. No input or output here.
+//! Streams a message body of any length. Performs no I/O.
 
 use super::chunked::ChunkDecoder;
 use super::error::reason;
 use super::ParseError;
 pub use super::{Framing, Head, HeadReader};
 
-/// The most bytes of a single chunk. A chunk is forwarded in parts, so that this only keeps sums from overflowing.
+/// The maximum size of a single chunk. Chunks are forwarded in parts, so this limit only prevents integer overflow.
 const MAX_CHUNK_BYTES: u64 = 1 << 40;
-/// The most bytes of all trailer lines behind a chunked body.
+/// The maximum size of the trailer section of a chunked body.
 const MAX_TRAILER_BYTES: usize = 8 * 1024;
 
-/// Reads and decodes a body as it comes. Its length is not bounded here; that is up to the caller.
+/// Decodes a body incrementally. The body's length is not limited here; limiting it is up to the caller.
 #[derive(Debug)]
 pub struct Body {
     state: BodyState,
@@ -18,52 +18,57 @@
 
 #[derive(Debug)]
 enum BodyState {
-    /// This many more bytes are to come.
+    /// This many more bytes are expected.
     Sized(u64),
     Chunked(ChunkDecoder),
-    /// The body ends with the connection.
-    ToTheEnd,
+    /// The body ends when the connection is closed.
+    UntilClose,
     Complete,
     Failed(ParseError),
 }
 
 impl Body {
-    /// The body behind a head. One without bytes is complete from the start.
+    /// Creates a reader for a body with this framing. An empty body is complete from the start.
     pub fn new(framing: Framing) -> Body {
         let state = match framing {
             Framing::Empty | Framing::ContentLength(0) => BodyState::Complete,
             Framing::ContentLength(length) => BodyState::Sized(length),
             Framing::Chunked => BodyState::Chunked(ChunkDecoder::strict(MAX_CHUNK_BYTES, MAX_TRAILER_BYTES)),
-            Framing::UntilClose => BodyState::ToTheEnd,
+            Framing::UntilClose => BodyState::UntilClose,
         };
         Body { state }
     }
 
-    /// Moves at most `room` bytes of the decoded body from the front of `input` to `into`; true once the body is
-    /// complete. What is left of the input then belongs to the next message.
+    /// Moves at most `max_bytes` bytes of the decoded body from the front of `input` to `decoded`. Returns true once
+    /// the body is complete; the remaining input then belongs to the next message.
     ///
-    /// If the body is not complete and `room` has been used up, the input may hold more of it: call again with more
-    /// room before waiting for the socket. With no room at all only a chunked body's framing is read.
+    /// If the body is incomplete and `max_bytes` bytes were returned, the input may hold more of the body: call again
+    /// before waiting for the socket. If `max_bytes` is 0 only the framing of a chunked body is read.
     ///
     /// # Errors
     ///
-    /// `Malformed` for what is not a chunk or a trailer, `BodyTooLarge` for a single chunk of more than 2^40 bytes.
-    /// Each later call returns the same error.
-    pub fn read(&mut self, input: &mut Vec<u8>, into: &mut Vec<u8>, room: usize) -> Result<bool, ParseError> {
+    /// `Malformed` for an invalid chunk or trailer, `BodyTooLarge` for a single chunk of more than 2^40 bytes. Later
+    /// calls return the same error.
+    pub fn read(
+        &mut self,
+        input: &mut Vec<u8>,
+        decoded: &mut Vec<u8>,
+        max_bytes: usize,
+    ) -> Result<bool, ParseError> {
         let consumed = match &mut self.state {
-            BodyState::Sized(left) => {
-                let available = usize::try_from(*left).unwrap_or(usize::MAX).min(input.len());
-                let length = available.min(room);
-                into.extend_from_slice(&input[..length]);
-                *left -= length as u64;
+            BodyState::Sized(remaining) => {
+                let available = usize::try_from(*remaining).unwrap_or(usize::MAX).min(input.len());
+                let length = available.min(max_bytes);
+                decoded.extend_from_slice(&input[..length]);
+                *remaining -= length as u64;
                 length
             }
-            BodyState::ToTheEnd => {
-                let length = input.len().min(room);
-                into.extend_from_slice(&input[..length]);
+            BodyState::UntilClose => {
+                let length = input.len().min(max_bytes);
+                decoded.extend_from_slice(&input[..length]);
                 length
             }
-            BodyState::Chunked(decoder) => match decoder.decode(input, into, room) {
+            BodyState::Chunked(decoder) => match decoder.decode(input, decoded, max_bytes) {
                 Ok(consumed) => consumed,
                 Err(error) => return Err(self.fail(error)),
             },
@@ -71,23 +76,24 @@
             BodyState::Failed(error) => return Err(*error),
         };
         input.drain(..consumed);
-        if self.has_no_more_bytes() {
+        if self.is_fully_read() {
             self.state = BodyState::Complete;
         }
         Ok(self.is_complete())
     }
 
-    /// To be called when the connection has ended and all its input has been read.
+    /// Finishes the body at the end of the stream. To be called when the connection is closed and all its input has
+    /// been read.
     ///
     /// # Errors
     ///
-    /// `Malformed` if the body is not complete.
+    /// `Malformed` if the body is incomplete.
     ///
-    /// Invariant: only a body that the connection's end delimits is completed by it. Otherwise a truncated body would
-    /// pass for a complete one.
+    /// Invariant: closing the connection completes only a body that is delimited by the close. Otherwise a truncated
+    /// body would be accepted as complete.
     pub fn finish_at_eof(&mut self) -> Result<(), ParseError> {
         match self.state {
-            BodyState::ToTheEnd => {
+            BodyState::UntilClose => {
                 self.state = BodyState::Complete;
                 Ok(())
             }
@@ -104,19 +110,19 @@
         matches!(self.state, BodyState::Complete)
     }
 
-    /// Whether the framing says that all bytes have been read.
-    fn has_no_more_bytes(&self) -> bool {
+    /// Whether all bytes of a framed body have been read.
+    fn is_fully_read(&self) -> bool {
         match &self.state {
-            BodyState::Sized(left) => *left == 0,
+            BodyState::Sized(remaining) => *remaining == 0,
             BodyState::Chunked(decoder) => decoder.is_done(),
             _ => false,
         }
     }
 
-    /// Records and returns the error.
+    /// Stores the error and returns it.
     ///
-    /// Invariant: nothing is read after an error. Otherwise bytes that have been delivered would be delivered again,
-    /// or a next message be found where none begins.
+    /// Invariant: nothing is read after an error. Otherwise bytes could be delivered twice, or a message could be read
+    /// from a position where none starts.
     fn fail(&mut self, error: ParseError) -> ParseError {
         self.state = BodyState::Failed(error);
         error
--- a/crates/net/src/http/chunked.rs
+++ b/crates/net/src/http/chunked.rs
@@ -1,49 +1,48 @@
-//! The decoder of the chunked transfer coding: RFC 9112 section 7.1.
+//! Decoder of the chunked transfer coding (RFC 9112 section 7.1).
 
 use super::error::{reason, ParseError};
 use super::CRLF_BYTES;
 use memchr::memchr;
 
-/// The most bytes of a line that gives a chunk's size.
+/// The maximum length of a chunk size line in bytes.
 const MAX_SIZE_LINE_BYTES: usize = 256;
 
-/// Decodes a chunked body as its bytes come.
+/// Decodes a chunked body incrementally.
 #[derive(Debug)]
 pub(super) struct ChunkDecoder {
     state: ChunkState,
-    /// The most bytes of one chunk.
+    /// The maximum size of a chunk in bytes.
     max_chunk_bytes: u64,
-    /// How many more bytes the trailer may have; `None` if it is not bounded here.
+    /// How many more bytes the trailer section may have; `None` if it is not limited by the decoder.
     trailer_bytes_left: Option<usize>,
 }
 
-/// What is expected next.
+/// What the decoder expects next.
 #[derive(Debug)]
 enum ChunkState {
-    /// A line with a chunk's size.
+    /// A chunk size line.
     Size,
-    /// This many more bytes of a chunk.
+    /// This many more bytes of a chunk's data.
     Data(u64),
-    /// The line break behind a chunk's data.
+    /// The line break after a chunk's data.
     DataEnd,
-    /// A line of the trailer, or the empty line that ends the body.
+    /// A line of the trailer section, or the empty line that ends the body.
     Trailer,
     /// The body is complete.
     Done,
 }
 
 impl ChunkDecoder {
-    /// A decoder that bounds the length of a line only while its end has not come. That is enough for a body that is
-    /// bounded in size and time.
+    /// Creates a decoder that limits the length of a line only while the line is incomplete. That is sufficient if the
+    /// caller limits the body's size and the time to receive it.
     pub(super) fn lenient(max_chunk_bytes: u64) -> ChunkDecoder {
         ChunkDecoder { state: ChunkState::Size, max_chunk_bytes, trailer_bytes_left: None }
     }
 
-    /// A decoder that bounds each line and the trailer.
+    /// Creates a decoder that limits the length of each line and of the trailer section.
     ///
-    /// Invariant: bodies of unbounded size are decoded with these bounds. Without them a sender could send lines for
-    /// ever that bring no byte of the body, and whether a long line is rejected would depend on where the input
-    /// happens to be split.
+    /// Invariant: bodies of unlimited size are decoded with these limits. Without them a sender could send lines
+    /// without body data forever, and whether a long line is rejected would depend on how the input is split.
     pub(super) fn strict(max_chunk_bytes: u64, max_trailer_bytes: usize) -> ChunkDecoder {
         ChunkDecoder { state: ChunkState::Size, max_chunk_bytes, trailer_bytes_left: Some(max_trailer_bytes) }
     }
@@ -53,8 +52,8 @@
         matches!(self.state, ChunkState::Done)
     }
 
-    /// Decodes `input` and appends at most `max_bytes` of the body to `decoded`. Returns how many bytes of the input
-    /// have been used up.
+    /// Decodes `input` and appends at most `max_bytes` of body data to `decoded`. Returns the number of input bytes
+    /// consumed.
     pub(super) fn decode(
         &mut self,
         input: &[u8],
@@ -65,11 +64,11 @@
         let mut bytes_left = max_bytes;
         while position < input.len() && !self.is_done() {
             let rest = &input[position..];
-            if let ChunkState::Data(chunk_left) = self.state {
+            if let ChunkState::Data(chunk_bytes_left) = self.state {
                 if bytes_left == 0 {
                     break;
                 }
-                let copied = self.copy_data(chunk_left, &rest[..rest.len().min(bytes_left)], decoded);
+                let copied = self.copy_data(chunk_bytes_left, &rest[..rest.len().min(bytes_left)], decoded);
                 position += copied;
                 bytes_left -= copied;
                 continue;
@@ -81,18 +80,19 @@
         Ok(position)
     }
 
-    /// Copies what `available` has of a chunk's data, of which `chunk_left` bytes are missing; returns how much it is.
-    fn copy_data(&mut self, chunk_left: u64, available: &[u8], decoded: &mut Vec<u8>) -> usize {
-        let length = usize::try_from(chunk_left).unwrap_or(usize::MAX).min(available.len());
+    /// Copies the part of a chunk's data that is in `available`; the chunk has `chunk_bytes_left` more bytes. Returns
+    /// the number of bytes copied.
+    fn copy_data(&mut self, chunk_bytes_left: u64, available: &[u8], decoded: &mut Vec<u8>) -> usize {
+        let length = usize::try_from(chunk_bytes_left).unwrap_or(usize::MAX).min(available.len());
         decoded.extend_from_slice(&available[..length]);
-        self.state = match chunk_left - length as u64 {
+        self.state = match chunk_bytes_left - length as u64 {
             0 => ChunkState::DataEnd,
             left => ChunkState::Data(left),
         };
         length
     }
 
-    /// The line at the front of `rest`, without its line break; `None` if it is not complete.
+    /// The line at the front of `rest`, without its line break; `None` if it is incomplete.
     fn next_line<'a>(&self, rest: &'a [u8]) -> Result<Option<&'a [u8]>, ParseError> {
         let too_long = ParseError::Malformed(reason::CHUNK_SIZE);
         let Some(line_feed) = memchr(b'\n', rest) else {
@@ -106,7 +106,7 @@
         line.map(Some).ok_or(ParseError::Malformed(reason::CHUNK_LINE_END))
     }
 
-    /// The most bytes of the line that is expected next.
+    /// The maximum length of the next line in bytes.
     fn max_line_bytes(&self) -> usize {
         match (&self.state, self.trailer_bytes_left) {
             (ChunkState::Trailer, Some(left)) => left,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// What is expected after `line`.
+    /// The state after `line`.
     fn state_after(&mut self, line: &[u8]) -> Result<ChunkState, ParseError> {
         match self.state {
             ChunkState::Size => match parse_chunk_size(line, self.max_chunk_bytes)? {
@@ -133,7 +133,7 @@
     }
 }
 
-/// The size in a chunk's size line; extensions behind a semicolon are ignored.
+/// Parses a chunk size line. Chunk extensions after a semicolon are ignored.
 fn parse_chunk_size(line: &[u8], max_chunk_bytes: u64) -> Result<u64, ParseError> {
     let size = line.split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii_end();
     if size.is_empty() || !size.iter().all(u8::is_ascii_hexdigit) {
--- a/crates/net/src/http/framing.rs
+++ b/crates/net/src/http/framing.rs
@@ -1,19 +1,19 @@
-//! How the end of a body is found: RFC 9112 section 6.
+//! Message body framing (RFC 9112 section 6).
 
 use super::error::{reason, ParseError};
 use super::head::{HeadLayout, MessageKind};
 use super::parse_decimal;
 
-/// How the body behind a head ends.
+/// How the end of a message's body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// There is no body.
     Empty,
-    /// After this many bytes.
+    /// The body has this many bytes.
     ContentLength(u64),
-    /// With the last chunk of the chunked transfer coding and its trailer.
+    /// The body ends with the last chunk of the chunked transfer coding and its trailer section.
     Chunked,
-    /// With the connection.
+    /// The body ends when the connection is closed.
     UntilClose,
 }
 
@@ -22,7 +22,7 @@
     ///
     /// # Errors
     ///
-    /// `Malformed` if the framing fields are invalid, or say two things.
+    /// `Malformed` if the framing fields are invalid or contradict each other.
     pub(super) fn from_head(
         kind: MessageKind,
         layout: &HeadLayout,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Whether a response has no body whatever its fields say: one to `HEAD`, and those of status 204 and 304.
+/// Whether a response has no body regardless of its fields: a response to `HEAD`, or one with status 204 or 304.
 fn has_no_body(kind: MessageKind, status: &[u8]) -> bool {
     match kind {
         MessageKind::Request => false,
@@ -48,10 +48,10 @@
     }
 }
 
-/// What the fields say that determine a body's length.
+/// The fields that determine a body's length.
 #[derive(Default)]
 struct FramingFields {
-    /// `Content-Length` in bytes.
+    /// The value of `Content-Length` in bytes.
     content_length: Option<u64>,
     /// Whether `Transfer-Encoding: chunked` is present.
     is_chunked: bool,
@@ -67,8 +67,8 @@
                 framing.add_transfer_encoding(value)?;
             }
         }
-        // Invariant: never both. An intermediary may believe the other field, and the two would see different
-        // messages (request smuggling, RFC 9112 section 11.2).
+        // Invariant: both fields together are rejected. An intermediary may use the other field and would then see
+        // different message boundaries (request smuggling, RFC 9112 section 11.2).
         if framing.is_chunked && framing.content_length.is_some() {
             return Err(ParseError::Malformed(reason::LENGTH_AND_ENCODING));
         }
--- a/crates/net/src/http/head_reader.rs
+++ b/crates/net/src/http/head_reader.rs
@@ -1,4 +1,4 @@
-//! Parses heads from a connection's input: RFC 9112 sections 2 to 5.
+//! Parser of message heads (RFC 9112 sections 2 to 5).
 
 use super::error::{reason, ParseError};
 use super::framing::Framing;
@@ -7,30 +7,30 @@
 use memchr::memchr;
 use std::ops::Range;
 
-/// What each status line begins with.
+/// The prefix of every status line.
 const STATUS_LINE_PREFIX: &[u8] = b"HTTP/1.";
-/// How many bytes of an incomplete request line are checked for characters that none has.
-const MAX_CHECKED_BYTES: usize = 64;
-/// The most interim responses (1xx) before the final one.
+/// How many bytes of an incomplete request line are checked for invalid characters.
+const MAX_PREFIX_CHECK_BYTES: usize = 64;
+/// The maximum number of interim responses (1xx) before the final one.
 const MAX_INTERIM_RESPONSES: u8 = 8;
 
-/// Reads heads, one after another, from a connection's input. Between two heads the body of the first has to be read
-/// with [`Body`](super::body::Body).
+/// Reads message heads from a connection's input. After each head the message's body must be read with
+/// [`Body`](super::body::Body).
 #[derive(Debug, Default)]
 pub struct HeadReader {
     parser: HeadParser,
 }
 
 impl HeadReader {
-    /// Takes the next head off the front of `input`, once it is complete, and says how the body behind it ends.
-    /// Interim responses (1xx) are dropped. `None` if more input is needed.
+    /// Removes the next head from the front of `input` once it is complete, and returns it with the framing of its
+    /// body. Interim responses (1xx) are discarded. `None` if more input is needed.
     ///
-    /// `max_bytes` bounds the head's length in bytes, including empty lines before it.
+    /// `max_bytes` limits the head's length in bytes, including empty lines before the start line.
     ///
     /// # Errors
     ///
-    /// `HeadTooLarge` beyond `max_bytes`; `Malformed` for what is not a head, for more than 8 interim responses, and for
-    /// 101 Switching Protocols. The input is of no more use then.
+    /// `HeadTooLarge` if the head exceeds `max_bytes`; `Malformed` for an invalid head, for more than 8 interim
+    /// responses, and for 101 Switching Protocols. The rest of the input must be discarded after an error.
     pub fn next(
         &mut self,
         kind: MessageKind,
@@ -43,26 +43,26 @@
         Ok(Some((Head { bytes, layout }, framing)))
     }
 
-    /// Whether a message has begun whose head is not complete. Interim responses before the head count as its begin.
+    /// Whether a message has started whose head is incomplete. Interim responses before the head count as its start.
     pub fn has_partial_head(&self, input: &[u8]) -> bool {
         !input.is_empty() || self.parser.interim_responses > 0
     }
 }
 
-/// The state of parsing one head: the lines that are complete so far.
+/// The state of an incrementally parsed head.
 #[derive(Debug, Default)]
 pub(super) struct HeadParser {
-    /// Where the parsed parts of the head are in the input.
+    /// The positions of the parsed parts of the head in the input.
     pub(super) layout: HeadLayout,
     /// The start of the first line that has not been parsed.
     position: usize,
-    /// How many interim responses have been dropped before this head.
+    /// How many interim responses have been discarded before this head.
     interim_responses: u8,
 }
 
 impl HeadParser {
-    /// Parses the lines that have become complete, within the first `max_bytes` of `input`. Returns the body's
-    /// framing once the head is complete. Interim responses are removed from the input.
+    /// Parses the complete lines within the first `max_bytes` of `input`. Returns the body's framing once the head is
+    /// complete. Interim responses are removed from the input.
     pub(super) fn parse(
         &mut self,
         kind: MessageKind,
@@ -82,7 +82,7 @@
                     if !is_interim {
                         return Framing::from_head(kind, &self.layout, input).map(Some);
                     }
-                    self.drop_interim_response(input)?;
+                    self.discard_interim_response(input)?;
                 }
             }
         }
@@ -93,7 +93,7 @@
         Ok(None)
     }
 
-    /// Moves on to the next complete line; the range includes its line break.
+    /// Advances to the next complete line. The returned range includes the line break.
     fn next_line(&mut self, input: &[u8], max_bytes: usize) -> Result<Option<Range<usize>>, ParseError> {
         let Some(line_feed) = memchr(b'\n', &input[self.position..]) else { return Ok(None) };
         let line = self.position..self.position + line_feed + 1;
@@ -107,21 +107,21 @@
         Ok(Some(line))
     }
 
-    /// Removes a complete interim response from the input; parsing starts again behind it.
-    fn drop_interim_response(&mut self, input: &mut Vec<u8>) -> Result<(), ParseError> {
+    /// Removes a complete interim response from the input and restarts parsing after it.
+    fn discard_interim_response(&mut self, input: &mut Vec<u8>) -> Result<(), ParseError> {
         if self.layout.status(input) == b"101" {
             return Err(ParseError::Malformed(reason::SWITCHING_PROTOCOLS));
         }
         if self.interim_responses == MAX_INTERIM_RESPONSES {
-            return Err(ParseError::Malformed(reason::TOO_MANY_INTERIM));
+            return Err(ParseError::Malformed(reason::TOO_MANY_INTERIM_RESPONSES));
         }
         input.drain(..self.layout.end);
         *self = HeadParser { interim_responses: self.interim_responses + 1, ..HeadParser::default() };
         Ok(())
     }
 
-    /// Rejects the begin of a start line that cannot become one. Without this, bytes of another protocol that never
-    /// bring a line feed would be waited for until a time-out.
+    /// Rejects an incomplete start line that cannot become valid. Without this check, a connection that sends another
+    /// protocol without line feeds would stay open until a timeout.
     fn check_incomplete_start_line(&self, kind: MessageKind, input: &[u8]) -> Result<(), ParseError> {
         if self.layout.has_start_line() {
             return Ok(());
@@ -130,7 +130,7 @@
         let is_plausible = match kind {
             MessageKind::Response { .. } => STATUS_LINE_PREFIX.iter().zip(line).all(|(a, b)| a == b),
             MessageKind::Request => {
-                line.iter().take(MAX_CHECKED_BYTES).all(|byte| matches!(byte, b'\r' | b' '..=b'~'))
+                line.iter().take(MAX_PREFIX_CHECK_BYTES).all(|byte| matches!(byte, b'\r' | b' '..=b'~'))
             }
         };
         if !is_plausible {
@@ -152,7 +152,7 @@
     let second_start = first_space + 1;
     let second_space = match memchr(b' ', &line[second_start..]) {
         Some(offset) => second_start + offset,
-        // A status line may end without a reason phrase.
+        // A status line may omit the reason phrase.
         None if kind.is_response() => line.len(),
         None => return Err(error),
     };
@@ -177,7 +177,7 @@
     is_token(text)
 }
 
-/// Whether a request's target is a path, with or without a query.
+/// Whether a request target is in origin form: a path, optionally with a query.
 fn is_origin_form(target: &[u8]) -> bool {
     target.starts_with(b"/") && target.iter().all(u8::is_ascii_graphic)
 }
@@ -202,15 +202,15 @@
     if value.iter().any(is_control) {
         return Err(ParseError::Malformed(reason::FIELD_VALUE));
     }
-    let is_blank = |byte: &&u8| matches!(byte, b' ' | b'\t');
+    let is_whitespace = |byte: &&u8| matches!(byte, b' ' | b'\t');
     let colon_at = text.start + colon;
-    let value_start = colon_at + 1 + value.iter().take_while(is_blank).count();
-    let trailing_blanks = value.iter().rev().take_while(is_blank).count();
-    let value_end = (text.end - trailing_blanks).max(value_start);
+    let value_start = colon_at + 1 + value.iter().take_while(is_whitespace).count();
+    let trailing_whitespace = value.iter().rev().take_while(is_whitespace).count();
+    let value_end = (text.end - trailing_whitespace).max(value_start);
     Ok(FieldLayout { name: text.start..colon_at, value: value_start..value_end, line })
 }
 
-/// Whether a text is a token: RFC 9110 section 5.6.2.
+/// Whether the text is a token (RFC 9110 section 5.6.2).
 fn is_token(text: &[u8]) -> bool {
     let is_token_byte = |byte: &u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(byte);
     !text.is_empty() && text.iter().all(is_token_byte)
--- a/crates/net/src/http/message.rs
+++ b/crates/net/src/http/message.rs
@@ -1,4 +1,4 @@
-//! Reads complete messages of bounded size.
+//! Reader of complete messages of bounded size.
 
 use super::chunked::ChunkDecoder;
 use super::error::{reason, ParseError};
@@ -8,12 +8,12 @@
 use super::parse_decimal;
 use std::ops::Range;
 
-/// The most bytes of a head that [`MessageReader`] accepts.
+/// The maximum head size in bytes that [`MessageReader`] accepts.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The most bytes of a body that [`MessageReader`] accepts.
+/// The maximum body size in bytes that [`MessageReader`] accepts.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// A complete message. What its head says is asked for as of a [`Head`].
+/// A complete message. Dereferences to its [`Head`].
 #[derive(Debug)]
 pub struct Message {
     head: Head,
@@ -22,14 +22,14 @@
 
 #[derive(Debug)]
 enum MessageBody {
-    /// The body is this part of the head's bytes.
+    /// The body as received: this range of the head's bytes.
     InPlace(Range<usize>),
-    /// A chunked body, decoded.
+    /// A decoded chunked body.
     Decoded(Vec<u8>),
 }
 
 impl Message {
-    /// The body; a chunked one is decoded.
+    /// The body; a chunked body is decoded.
     pub fn body(&self) -> &[u8] {
         match &self.body {
             MessageBody::InPlace(range) => &self.head.bytes[range.clone()],
@@ -46,58 +46,58 @@
     }
 }
 
-/// Reads complete messages, one after another, from a connection's input.
+/// Reads complete messages from a connection's input.
 #[derive(Debug, Default)]
 pub struct MessageReader {
     parser: HeadParser,
-    /// Up to where the input has been read, once the head is complete.
+    /// How far the input has been read; meaningful once the head is complete.
     position: usize,
     stage: Stage,
 }
 
-/// What part of a message is being read.
+/// The part of a message that is being read.
 #[derive(Debug, Default)]
 enum Stage {
     #[default]
     Head,
-    /// A body that ends at this position of the input.
+    /// A body that ends at this position in the input.
     SizedBody { end: usize },
-    /// A chunked body, and what has been decoded of it.
+    /// A chunked body, with the data decoded so far.
     ChunkedBody { decoder: ChunkDecoder, decoded: Vec<u8> },
-    /// A body that ends with the connection.
-    BodyToTheEnd,
+    /// A body that ends when the connection is closed.
+    BodyUntilClose,
 }
 
 impl MessageReader {
-    /// Whether a message has begun and is not complete.
+    /// Whether a message has started and is incomplete.
     pub fn has_partial_message(&self, input: &[u8]) -> bool {
         !input.is_empty() || !self.is_in_head()
     }
 
-    /// Whether a request's head has come, nothing of its body, and the client waits for `100 Continue` before it
-    /// sends the body. Unlike [`Head::expects_continue`] this disregards the version.
+    /// Whether a request's head is complete, none of its body has been received, and the client waits for `100
+    /// Continue` before it sends the body. Unlike [`Head::expects_continue`] this ignores the HTTP version.
     pub fn expects_continue(&self, input: &[u8]) -> bool {
-        let has_head_alone = !self.is_in_head() && input.len() == self.position;
-        has_head_alone && self.parser.layout.has_expect_continue(input)
+        let has_only_head = !self.is_in_head() && input.len() == self.position;
+        has_only_head && self.parser.layout.has_expect_continue(input)
     }
 
-    /// Takes the next message off the front of `input`, once it is complete. `ended` says that no more input will
-    /// come.
+    /// Removes the next message from the front of `input` once it is complete. `at_eof` says that no more
+    /// input follows.
     ///
     /// # Errors
     ///
-    /// Why the message is rejected: it is malformed, or exceeds [`MAX_HEAD_BYTES`] or [`MAX_BODY_BYTES`]. The input
-    /// is of no more use then.
+    /// The reason for rejecting the message: it is malformed, or exceeds [`MAX_HEAD_BYTES`] or [`MAX_BODY_BYTES`]. The
+    /// rest of the input must be discarded after an error.
     pub fn next(
         &mut self,
         kind: MessageKind,
         input: &mut Vec<u8>,
-        ended: bool,
+        at_eof: bool,
     ) -> Result<Option<Message>, ParseError> {
         if self.is_in_head() && !self.read_head(kind, input)? {
             return Ok(None);
         }
-        let Some(body) = self.read_body(input, ended)? else { return Ok(None) };
+        let Some(body) = self.read_body(input, at_eof)? else { return Ok(None) };
         let end = match &body {
             MessageBody::InPlace(range) => range.end,
             MessageBody::Decoded(_) => self.position,
@@ -108,12 +108,12 @@
         Ok(Some(Message { head: Head { bytes, layout }, body }))
     }
 
-    /// Reads a chunked response as it comes and appends what is decoded of its body to `into`. `None` before the
-    /// head is complete; then whether the body is. Not to be mixed with [`MessageReader::next`] within a message.
+    /// Streams a chunked response: appends newly decoded body data to `into`. Returns `None` until the head is
+    /// complete, then whether the body is complete. Must not be mixed with [`MessageReader::next`] within a message.
     ///
     /// # Errors
     ///
-    /// Why the response is rejected; `Malformed` if it is not chunked.
+    /// The reason for rejecting the response; `Malformed` if it is not chunked.
     pub fn read_chunked_response(
         &mut self,
         input: &mut Vec<u8>,
@@ -128,13 +128,14 @@
         };
         self.position += decoder.decode(&input[self.position..], into, usize::MAX)?;
         let is_complete = decoder.is_done();
-        self.drop_decoded_input(input);
+        self.discard_decoded_input(input);
         Ok(Some(is_complete))
     }
 
-    /// The status code of the response that [`MessageReader::read_chunked_response`] reads; 0 before its start line has come.
+    /// The status code of the response that [`MessageReader::read_chunked_response`] reads; 0 before its start line has
+    /// been parsed.
     pub fn chunked_response_status(&self, input: &[u8]) -> u16 {
-        // A status code has three digits, so that none is cut off.
+        // A status code has three digits, so the conversion does not truncate it.
         parse_decimal(self.parser.layout.status(input)).unwrap_or(0) as u16
     }
 
@@ -142,7 +143,7 @@
         matches!(self.stage, Stage::Head)
     }
 
-    /// Reads the head as it comes; true once it is complete.
+    /// Parses the available part of the head; true once the head is complete.
     fn read_head(&mut self, kind: MessageKind, input: &mut Vec<u8>) -> Result<bool, ParseError> {
         let Some(framing) = self.parser.parse(kind, input, MAX_HEAD_BYTES)? else { return Ok(false) };
         let head_end = self.parser.layout.end;
@@ -157,26 +158,26 @@
                 decoder: ChunkDecoder::lenient(MAX_BODY_BYTES as u64),
                 decoded: Vec::new(),
             },
-            Framing::UntilClose => Stage::BodyToTheEnd,
+            Framing::UntilClose => Stage::BodyUntilClose,
         };
         Ok(true)
     }
 
-    /// Reads the body as it comes; `None` until it is complete.
-    fn read_body(&mut self, input: &mut Vec<u8>, ended: bool) -> Result<Option<MessageBody>, ParseError> {
+    /// Reads the available part of the body; `None` until it is complete.
+    fn read_body(&mut self, input: &mut Vec<u8>, at_eof: bool) -> Result<Option<MessageBody>, ParseError> {
         let head_end = self.parser.layout.end;
         match &self.stage {
             Stage::Head => Ok(None),
             Stage::SizedBody { end } if input.len() >= *end => Ok(Some(MessageBody::InPlace(head_end..*end))),
             Stage::SizedBody { .. } => Ok(None),
             Stage::ChunkedBody { .. } => self.read_chunked_body(input),
-            Stage::BodyToTheEnd if input.len() - head_end > MAX_BODY_BYTES => Err(ParseError::BodyTooLarge),
-            Stage::BodyToTheEnd if ended => Ok(Some(MessageBody::InPlace(head_end..input.len()))),
-            Stage::BodyToTheEnd => Ok(None),
+            Stage::BodyUntilClose if input.len() - head_end > MAX_BODY_BYTES => Err(ParseError::BodyTooLarge),
+            Stage::BodyUntilClose if at_eof => Ok(Some(MessageBody::InPlace(head_end..input.len()))),
+            Stage::BodyUntilClose => Ok(None),
         }
     }
 
-    /// Decodes a chunked body as it comes; `None` until it is complete.
+    /// Decodes the available part of a chunked body; `None` until it is complete.
     fn read_chunked_body(&mut self, input: &mut Vec<u8>) -> Result<Option<MessageBody>, ParseError> {
         let Stage::ChunkedBody { decoder, decoded } = &mut self.stage else { return Ok(None) };
         self.position += decoder.decode(&input[self.position..], decoded, usize::MAX)?;
@@ -184,14 +185,14 @@
             return Err(ParseError::BodyTooLarge);
         }
         if !decoder.is_done() {
-            self.drop_decoded_input(input);
+            self.discard_decoded_input(input);
             return Ok(None);
         }
         Ok(Some(MessageBody::Decoded(std::mem::take(decoded))))
     }
 
-    /// Removes the chunks that have been decoded from the input, so that they are not held twice. The head stays.
-    fn drop_decoded_input(&mut self, input: &mut Vec<u8>) {
+    /// Removes the decoded chunks from the input, so that their data is not held twice. The head stays.
+    fn discard_decoded_input(&mut self, input: &mut Vec<u8>) {
         let head_end = self.parser.layout.end;
         input.drain(head_end..self.position);
         self.position = head_end;
