--- a/crates/net/src/http/tests/message.rs
+++ b/crates/net/src/http/tests/message.rs
@@ -1,26 +1,26 @@
-//! Complete messages: `MessageReader`.
+//! Tests of complete messages with `MessageReader`.
 
 use super::{malformed_inputs, summary, valid_inputs, Summary, RESPONSE};
 use crate::http::{MessageKind, MessageReader, ParseError, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
-/// Reads all messages of a text that comes in two pieces.
+/// Reads all messages of an input that arrives in two parts.
 fn read(kind: MessageKind, text: &str, split: usize) -> Result<Vec<Summary>, ParseError> {
     let (mut reader, mut input, mut messages) = (MessageReader::default(), Vec::new(), Vec::new());
-    for (piece, ended) in [(&text[..split], false), (&text[split..], false), ("", true)] {
-        input.extend_from_slice(piece.as_bytes());
-        while let Some(message) = reader.next(kind, &mut input, ended)? {
+    for (part, at_eof) in [(&text[..split], false), (&text[split..], false), ("", true)] {
+        input.extend_from_slice(part.as_bytes());
+        while let Some(message) = reader.next(kind, &mut input, at_eof)? {
             messages.push((summary(&message), message.body().to_vec()));
             if input.is_empty() {
                 break;
             }
         }
     }
-    assert!(!reader.has_partial_message(&input), "something is left over");
+    assert!(!reader.has_partial_message(&input), "unread input remains");
     Ok(messages)
 }
 
 #[test]
-fn messages_do_not_depend_on_where_the_input_is_split() {
+fn messages_are_independent_of_input_splits() {
     for (kind, text, expected) in valid_inputs() {
         for split in 0..=text.len() {
             assert_eq!(read(kind, text, split).as_deref(), Ok(expected.as_slice()), "split at {split}");
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn malformed_input_is_rejected_wherever_it_is_split() {
+fn malformed_input_is_rejected_at_every_split() {
     for (kind, text) in malformed_inputs() {
         for split in 0..=text.len() {
             assert!(
@@ -71,13 +71,13 @@
 }
 
 #[test]
-fn a_chunked_response_is_decoded_as_it_comes() {
+fn chunked_response_is_decoded_incrementally() {
     let text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\na\nbc\r\n2\r\nd\n\r\n0\r\n\r\n";
     for split in 0..=text.len() {
         let (mut reader, mut input, mut decoded) = (MessageReader::default(), Vec::new(), Vec::new());
         let mut complete = None;
-        for piece in [&text[..split], &text[split..]] {
-            input.extend_from_slice(piece.as_bytes());
+        for part in [&text[..split], &text[split..]] {
+            input.extend_from_slice(part.as_bytes());
             complete = reader.read_chunked_response(&mut input, &mut decoded).unwrap();
         }
         assert_eq!(
--- a/crates/net/src/http/tests/mod.rs
+++ b/crates/net/src/http/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the readers, and the samples that they share.
+//! Tests of the HTTP parser, with shared sample inputs.
 
 mod body;
 mod head;
@@ -6,21 +6,25 @@
 
 use super::{Head, MessageKind};
 
-/// What was read of a message: its head in one line, and its body.
+/// The parsed form of a message: its head as one line, and its body.
 type Summary = (String, Vec<u8>);
 
 const RESPONSE: MessageKind = MessageKind::Response { to_head: false };
 
-/// A head's start line and fields in one line.
+/// Formats a head's start line and fields as one line.
 pub(super) fn summary(head: &Head) -> String {
-    let part = |n| String::from_utf8_lossy(head.start_line_part(n)).into_owned();
+    let start_line_part = |n| String::from_utf8_lossy(head.start_line_part(n)).into_owned();
     let fields = head
         .fields()
         .map(|(name, value)| format!("{}={}", String::from_utf8_lossy(name), String::from_utf8_lossy(value)));
-    [part(0), part(1), part(2)].into_iter().chain(fields).collect::<Vec<_>>().join("|")
+    [start_line_part(0), start_line_part(1), start_line_part(2)]
+        .into_iter()
+        .chain(fields)
+        .collect::<Vec<_>>()
+        .join("|")
 }
 
-/// Inputs, and the messages in them.
+/// Valid inputs with the messages that they contain.
 pub(super) fn valid_inputs() -> [(MessageKind, &'static str, Vec<Summary>); 2] {
     let requests = "\r\nGET /a/b?c HTTP/1.1\r\nHost: x\r\nX-A:\t 1 2 \r\nX-B:\r\n\r\n\
         POST /d HTTP/1.0\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\na\r\n\r\n\
@@ -44,7 +48,7 @@
     [(MessageKind::Request, requests, expected_requests), (RESPONSE, responses, expected_responses)]
 }
 
-/// Inputs that are not messages.
+/// Malformed inputs.
 pub(super) fn malformed_inputs() -> Vec<(MessageKind, String)> {
     let get = |rest: &str| (MessageKind::Request, format!("GET / HTTP/1.1\r\n{rest}\r\n\r\n"));
     let post = |framing: &str, body: &str| {
--- a/crates/net/tests/error_texts.rs
+++ b/crates/net/tests/error_texts.rs
@@ -1,4 +1,4 @@
-//! The `Debug` output of parse errors is part of an answer of the in-service gateway and stays as it is.
+//! The `Debug` output of parse errors is sent in responses of the in-service gateway and must not change.
 
 use kitepass_net::http::body::{Body, HeadReader};
 use kitepass_net::http::{MessageKind, MessageReader, MAX_BODY_BYTES, MAX_HEAD_BYTES};
@@ -6,7 +6,7 @@
 
 const RESPONSE: MessageKind = MessageKind::Response { to_head: false };
 
-fn error_text(kind: MessageKind, input: &str) -> String {
+fn error_debug_text(kind: MessageKind, input: &str) -> String {
     let error = MessageReader::default().next(kind, &mut input.as_bytes().to_vec(), false).unwrap_err();
     format!("{error:?}")
 }
@@ -43,38 +43,38 @@
     "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
     r#"Malformed("a chunk longer than it said")"#
 )]
-fn a_malformed_request_has_this_text(#[case] input: &str, #[case] expected: &str) {
-    assert_eq!(error_text(MessageKind::Request, input), expected);
+fn malformed_request_has_its_debug_text(#[case] input: &str, #[case] expected: &str) {
+    assert_eq!(error_debug_text(MessageKind::Request, input), expected);
 }
 
 #[test]
-fn a_message_beyond_a_limit_has_this_text() {
+fn oversized_message_has_its_debug_text() {
     let head = "a".repeat(MAX_HEAD_BYTES + 1);
-    assert_eq!(error_text(MessageKind::Request, &head), "HeadTooLarge");
+    assert_eq!(error_debug_text(MessageKind::Request, &head), "HeadTooLarge");
     let body = format!("POST / HTTP/1.1\r\nContent-Length: {}\r\n\r\n", MAX_BODY_BYTES + 1);
-    assert_eq!(error_text(MessageKind::Request, &body), "BodyTooLarge");
+    assert_eq!(error_debug_text(MessageKind::Request, &body), "BodyTooLarge");
 }
 
 #[test]
-fn a_malformed_response_has_this_text() {
-    let switching = "HTTP/1.1 101 Go\r\n\r\n";
-    let switching_text = r#"Malformed("a change of protocol that nobody asked for")"#;
-    assert_eq!(error_text(RESPONSE, switching), switching_text);
+fn malformed_response_has_its_debug_text() {
+    let switching_protocols = "HTTP/1.1 101 Go\r\n\r\n";
+    let switching_protocols_text = r#"Malformed("a change of protocol that nobody asked for")"#;
+    assert_eq!(error_debug_text(RESPONSE, switching_protocols), switching_protocols_text);
 
-    let interim = "HTTP/1.1 102 Processing\r\n\r\n".repeat(9);
-    let interim_text = r#"Malformed("no end of answers before the one")"#;
-    assert_eq!(error_text(RESPONSE, &interim), interim_text);
+    let interim_responses = "HTTP/1.1 102 Processing\r\n\r\n".repeat(9);
+    let too_many_interim_responses_text = r#"Malformed("no end of answers before the one")"#;
+    assert_eq!(error_debug_text(RESPONSE, &interim_responses), too_many_interim_responses_text);
 }
 
 #[test]
-fn a_stream_that_is_not_chunked_has_this_text() {
+fn response_that_is_not_chunked_has_its_debug_text() {
     let mut input = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n".to_vec();
     let error = MessageReader::default().read_chunked_response(&mut input, &mut Vec::new()).unwrap_err();
     assert_eq!(format!("{error:?}"), r#"Malformed("expected a chunked body")"#);
 }
 
 #[test]
-fn a_truncated_body_has_this_text() {
+fn truncated_body_has_its_debug_text() {
     let mut input = b"POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\n".to_vec();
     let head = HeadReader::default().next(MessageKind::Request, &mut input, MAX_HEAD_BYTES).unwrap();
     let (_, framing) = head.expect("the head is complete");
--- a/crates/net/tests/golden.rs
+++ b/crates/net/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What is parsed of HTTP/1.1 messages stays as it is: for each input the outcome of both readers, in plain text, beside
-//! the text in `golden/`.
+//! Golden-file tests of the HTTP parser: the outcome of both readers for each input, as text, must equal the files in
+//! `golden/`.
 
 use kitepass_net::http::body::{Body, Framing, Head, HeadReader};
 use kitepass_net::http::{MessageKind, MessageReader, ParseError, MAX_BODY_BYTES, MAX_HEAD_BYTES};
@@ -8,10 +8,10 @@
 
 const RESPONSE: MessageKind = MessageKind::Response { to_head: false };
 const RESPONSE_TO_HEAD: MessageKind = MessageKind::Response { to_head: true };
-/// Fields that are left out of what is forwarded, beside those of one connection.
-const LEFT_OUT: [&str; 1] = ["x-left-out"];
-/// Longer runs of one byte are written with their length.
-const LONGEST_RUN: usize = 40;
+/// Fields excluded from forwarding in addition to the hop-by-hop fields.
+const EXCLUDED_FIELDS: [&str; 1] = ["x-left-out"];
+/// Longer runs of the same byte are abbreviated to their length.
+const MAX_UNABBREVIATED_RUN: usize = 40;
 
 const REQUESTS: &[(&str, &str)] = &[
     ("no fields", "GET / HTTP/1.1\r\n\r\n"),
@@ -131,17 +131,17 @@
     ("neither", "HTTP/1.1 200 OK\r\n\r\n"),
 ];
 
-/// Inputs at and beyond each limit.
-fn limits() -> Vec<(MessageKind, String, String)> {
+/// Inputs at each limit and just above it.
+fn limit_inputs() -> Vec<(MessageKind, String, String)> {
     let get = |bytes: usize| {
-        let frame = "GET / HTTP/1.1\r\nA: \r\n\r\n".len();
-        format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "a".repeat(bytes - frame))
+        let framing_bytes = "GET / HTTP/1.1\r\nA: \r\n\r\n".len();
+        format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "a".repeat(bytes - framing_bytes))
     };
     let sized =
         |bytes: usize| format!("POST / HTTP/1.1\r\nContent-Length: {bytes}\r\n\r\n{}", "a".repeat(bytes));
     let chunked = |chunks: &str| format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}");
     let chunk = |bytes: usize| format!("{bytes:x}\r\n{}\r\n", "a".repeat(bytes));
-    let interim = |times: usize| {
+    let interim_responses = |times: usize| {
         format!("{}HTTP/1.1 204 Done\r\n\r\n", "HTTP/1.1 102 Processing\r\n\r\n".repeat(times))
     };
     let request = |name: &str, input: String| (MessageKind::Request, name.to_owned(), input);
@@ -159,8 +159,8 @@
         request("chunk length of 17 digits", chunked("10000000000000000\r\nab")),
         request("chunk line without an end", chunked(&"0".repeat(300))),
         request("long trailer without an end", chunked(&format!("0\r\nA: {}", "a".repeat(8 * 1024)))),
-        (RESPONSE, "most interim responses".into(), interim(8)),
-        (RESPONSE, "an interim response more".into(), interim(9)),
+        (RESPONSE, "most interim responses".into(), interim_responses(8)),
+        (RESPONSE, "an interim response more".into(), interim_responses(9)),
         (
             RESPONSE,
             "largest body to the end".into(),
@@ -174,11 +174,11 @@
     ]
 }
 
-/// Bytes as one line, with escapes; a long run of one byte as `{byte x length}`.
+/// Formats bytes as one escaped line; a long run of the same byte becomes `{byte x length}`.
 fn escaped(bytes: &[u8]) -> String {
     let mut text = String::new();
     for run in bytes.chunk_by(|a, b| a == b) {
-        if run.len() > LONGEST_RUN {
+        if run.len() > MAX_UNABBREVIATED_RUN {
             let _ = write!(text, "{{{} x {}}}", run[..1].escape_ascii(), run.len());
         } else {
             let _ = write!(text, "{}", run.escape_ascii());
@@ -187,7 +187,7 @@
     text
 }
 
-fn yes(flag: bool) -> &'static str {
+fn yes_or_no(flag: bool) -> &'static str {
     if flag {
         "yes"
     } else {
@@ -195,7 +195,7 @@
     }
 }
 
-/// What a head says, one line for each answer that it gives.
+/// Describes a head, one line for each accessor.
 fn describe_head(head: &Head, into: &mut String) {
     let start: Vec<String> = (0..3).map(|part| escaped(head.start_line_part(part))).collect();
     let _ =
@@ -204,19 +204,19 @@
         let _ = writeln!(into, "  field: {} = {}", escaped(name), escaped(value));
     }
     let mut forwarded = Vec::new();
-    head.append_forwarded_fields(&LEFT_OUT, &mut forwarded);
+    head.append_forwarded_fields(&EXCLUDED_FIELDS, &mut forwarded);
     let _ = writeln!(into, "  forwarded: {}", escaped(&forwarded));
     let keep_alive = head.keep_alive_secs().map_or("unknown".to_owned(), |seconds| format!("{seconds} s"));
     let _ = writeln!(
         into,
         "  stays open: {}, keep-alive: {keep_alive}, waits for 100: {}",
-        yes(head.is_persistent()),
-        yes(head.expects_continue())
+        yes_or_no(head.is_persistent()),
+        yes_or_no(head.expects_continue())
     );
 }
 
-fn describe_fault(fault: ParseError, into: &mut String) {
-    let _ = writeln!(into, "  error: {}", fault.status());
+fn describe_error(error: ParseError, into: &mut String) {
+    let _ = writeln!(into, "  error: {}", error.status());
 }
 
 fn describe_framing(framing: Framing) -> String {
@@ -228,21 +228,21 @@
     }
 }
 
-/// What the reader of complete messages makes of an input that comes in pieces.
-fn read_messages(kind: MessageKind, pieces: &[&[u8]]) -> String {
+/// Describes what `MessageReader` returns for an input that arrives in several parts.
+fn read_messages(kind: MessageKind, parts: &[&[u8]]) -> String {
     let (mut reader, mut input, mut outcome) = (MessageReader::default(), Vec::new(), String::new());
-    let ends = std::iter::repeat_n(false, pieces.len()).chain([true]);
-    for (piece, ended) in pieces.iter().chain([&b"".as_slice()]).zip(ends) {
-        input.extend_from_slice(piece);
+    let ends = std::iter::repeat_n(false, parts.len()).chain([true]);
+    for (part, at_eof) in parts.iter().chain([&b"".as_slice()]).zip(ends) {
+        input.extend_from_slice(part);
         loop {
-            match reader.next(kind, &mut input, ended) {
+            match reader.next(kind, &mut input, at_eof) {
                 Ok(None) => break,
                 Ok(Some(message)) => {
                     describe_head(&message, &mut outcome);
                     let _ = writeln!(outcome, "  body: {}", escaped(message.body()));
                 }
-                Err(fault) => {
-                    describe_fault(fault, &mut outcome);
+                Err(error) => {
+                    describe_error(error, &mut outcome);
                     return outcome;
                 }
             }
@@ -251,16 +251,16 @@
             }
         }
     }
-    let _ = writeln!(outcome, "  begun: {}", yes(reader.has_partial_message(&input)));
+    let _ = writeln!(outcome, "  begun: {}", yes_or_no(reader.has_partial_message(&input)));
     outcome
 }
 
-/// What the reader of heads, and that of bodies behind it, make of an input that comes in pieces.
-fn read_streams(kind: MessageKind, pieces: &[&[u8]]) -> String {
-    let (mut heads, mut input, mut outcome) = (HeadReader::default(), Vec::new(), String::new());
+/// Describes what `HeadReader` and `Body` return for an input that arrives in several parts.
+fn read_streams(kind: MessageKind, parts: &[&[u8]]) -> String {
+    let (mut head_reader, mut input, mut outcome) = (HeadReader::default(), Vec::new(), String::new());
     let mut body: Option<(Body, Vec<u8>)> = None;
-    for piece in pieces {
-        input.extend_from_slice(piece);
+    for part in parts {
+        input.extend_from_slice(part);
         loop {
             if let Some((reader, decoded)) = &mut body {
                 match reader.read(&mut input, decoded, usize::MAX) {
@@ -269,23 +269,23 @@
                         let _ = writeln!(outcome, "  body: {}", escaped(decoded));
                         body = None;
                     }
-                    Err(fault) => {
+                    Err(error) => {
                         let _ = writeln!(outcome, "  body so far: {}", escaped(decoded));
-                        describe_fault(fault, &mut outcome);
+                        describe_error(error, &mut outcome);
                         return outcome;
                     }
                 }
                 continue;
             }
-            match heads.next(kind, &mut input, MAX_HEAD_BYTES) {
+            match head_reader.next(kind, &mut input, MAX_HEAD_BYTES) {
                 Ok(None) => break,
                 Ok(Some((head, framing))) => {
                     describe_head(&head, &mut outcome);
                     let _ = writeln!(outcome, "  framing: {}", describe_framing(framing));
                     body = Some((Body::new(framing), Vec::new()));
                 }
-                Err(fault) => {
-                    describe_fault(fault, &mut outcome);
+                Err(error) => {
+                    describe_error(error, &mut outcome);
                     return outcome;
                 }
             }
@@ -294,42 +294,47 @@
     match body {
         Some((mut reader, decoded)) => {
             let _ = writeln!(outcome, "  body at the end: {}", escaped(&decoded));
-            if let Err(fault) = reader.finish_at_eof() {
-                describe_fault(fault, &mut outcome);
+            if let Err(error) = reader.finish_at_eof() {
+                describe_error(error, &mut outcome);
             }
         }
-        None => _ = writeln!(outcome, "  begun: {}", yes(heads.has_partial_head(&input))),
+        None => _ = writeln!(outcome, "  begun: {}", yes_or_no(head_reader.has_partial_head(&input))),
     }
     outcome
 }
 
-/// Both readers' outcomes of an input. Those of the input byte by byte follow where they are others.
+/// Describes the outcome of both readers for an input that arrives at once. If the outcome differs when the input
+/// arrives byte by byte, that outcome is added.
 fn describe(kind: MessageKind, name: &str, input: &[u8], into: &mut String) {
-    let side = match kind {
+    let kind_name = match kind {
         MessageKind::Request => "request",
         MessageKind::Response { to_head: false } => "response",
         MessageKind::Response { to_head: true } => "response to HEAD",
     };
-    let _ = writeln!(into, "{side}, {name}: {}", escaped(input));
-    let single: Vec<&[u8]> = input.chunks(1).collect();
-    for (what, read) in
+    let _ = writeln!(into, "{kind_name}, {name}: {}", escaped(input));
+    let single_bytes: Vec<&[u8]> = input.chunks(1).collect();
+    for (reader_name, read) in
         [(" message", read_messages as fn(MessageKind, &[&[u8]]) -> String), (" stream", read_streams)]
     {
-        let (at_once, by_byte) = (read(kind, &[input]), read(kind, &single));
-        let _ = write!(into, "{what}\n{at_once}");
+        let (at_once, by_byte) = (read(kind, &[input]), read(kind, &single_bytes));
+        let _ = write!(into, "{reader_name}\n{at_once}");
         if by_byte != at_once {
-            let _ = write!(into, "{what}, byte by byte\n{by_byte}");
+            let _ = write!(into, "{reader_name}, byte by byte\n{by_byte}");
         }
     }
 }
 
-/// Compares with the golden text. What was found is left in the build's folder, for `diff`.
+/// Compares a text with the golden file. The actual text is written to the build directory, for use with `diff`.
 fn compare(file: &str, found: &str, golden: &str) {
-    let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join(file);
-    std::fs::write(&left, found).expect("a file in the build's folder");
+    let output_path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(file);
+    std::fs::write(&output_path, found).expect("the build directory is writable");
     let line = found.lines().zip(golden.lines()).position(|(found, golden)| found != golden);
     let line = line.unwrap_or_else(|| found.lines().count().min(golden.lines().count())) + 1;
-    assert!(found == golden, "{file} differs from line {line} on; what was found is in {}", left.display());
+    assert!(
+        found == golden,
+        "{file} differs from line {line} on; the actual text is in {}",
+        output_path.display()
+    );
 }
 
 fn describe_all(kind: MessageKind, inputs: &[(&str, &str)]) -> String {
@@ -339,7 +344,7 @@
 }
 
 #[test]
-fn requests_are_parsed_as_ever() {
+fn parsed_requests_match_the_golden_file() {
     compare(
         "requests.txt",
         &describe_all(MessageKind::Request, REQUESTS),
@@ -348,24 +353,24 @@
 }
 
 #[test]
-fn responses_are_parsed_as_ever() {
+fn parsed_responses_match_the_golden_file() {
     let found = describe_all(RESPONSE, RESPONSES) + &describe_all(RESPONSE_TO_HEAD, RESPONSES_TO_HEAD);
     compare("responses.txt", &found, include_str!("golden/responses.txt"));
 }
 
 #[test]
-fn limits_are_as_ever() {
+fn inputs_at_the_limits_match_the_golden_file() {
     let mut found = String::new();
-    for (kind, name, input) in limits() {
+    for (kind, name, input) in limit_inputs() {
         describe(kind, &name, input.as_bytes(), &mut found);
     }
     compare("limits.txt", &found, include_str!("golden/limits.txt"));
 }
 
-/// A chunked response that is read as it comes: what each piece brings.
+/// The outcome after each part of a chunked response that is read incrementally.
 #[test]
-fn a_stream_of_chunks_is_parsed_as_ever() {
-    let pieces: [&[u8]; 6] = [
+fn streamed_chunks_match_the_golden_file() {
+    let parts: [&[u8]; 6] = [
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 ",
         b"200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r",
         b"\na\nbc\r\n2",
@@ -374,17 +379,16 @@
         b"\r\n",
     ];
     let (mut reader, mut input, mut found) = (MessageReader::default(), Vec::new(), String::new());
-    for piece in pieces {
-        input.extend_from_slice(piece);
+    for part in parts {
+        input.extend_from_slice(part);
         let mut decoded = Vec::new();
         let outcome = match reader.read_chunked_response(&mut input, &mut decoded) {
             Ok(None) => "no head yet".to_owned(),
-            Ok(Some(complete)) => format!("complete: {}", yes(complete)),
-            Err(fault) => format!("error: {}", fault.status()),
+            Ok(Some(complete)) => format!("complete: {}", yes_or_no(complete)),
+            Err(error) => format!("error: {}", error.status()),
         };
         let status = reader.chunked_response_status(&input);
-        let _ =
-            writeln!(found, "{}: {outcome}, status {status}, body: {}", escaped(piece), escaped(&decoded));
+        let _ = writeln!(found, "{}: {outcome}, status {status}, body: {}", escaped(part), escaped(&decoded));
     }
     for input in
         ["HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 2\r\n"]
@@ -397,17 +401,22 @@
     compare("chunk-stream.txt", &found, include_str!("golden/chunk-stream.txt"));
 }
 
-/// Whether a client is told to go on, by the bytes that have come.
+/// Whether `expects_continue` is true, depending on how much of the request has arrived.
 #[test]
-fn a_wait_for_100_is_noticed_as_ever() {
+fn expect_continue_matches_the_golden_file() {
     let input = b"PUT / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\nab";
     let mut found = String::new();
     for end in [10, input.len() - 3, input.len() - 2, input.len() - 1, input.len()] {
-        let (mut reader, mut come) = (MessageReader::default(), input[..end].to_vec());
+        let (mut reader, mut received) = (MessageReader::default(), input[..end].to_vec());
         let complete =
-            reader.next(MessageKind::Request, &mut come, false).is_ok_and(|message| message.is_some());
-        let waits = reader.expects_continue(&come);
-        let _ = writeln!(found, "{end} bytes: complete: {}, waits for 100: {}", yes(complete), yes(waits));
+            reader.next(MessageKind::Request, &mut received, false).is_ok_and(|message| message.is_some());
+        let expects_continue = reader.expects_continue(&received);
+        let _ = writeln!(
+            found,
+            "{end} bytes: complete: {}, waits for 100: {}",
+            yes_or_no(complete),
+            yes_or_no(expects_continue)
+        );
     }
     compare("wait-for-100.txt", &found, include_str!("golden/wait-for-100.txt"));
 }
