--- a/crates/net/src/http/tests/body.rs
+++ b/crates/net/src/http/tests/body.rs
@@ -15,9 +15,7 @@
         input.extend_from_slice(part.as_bytes());
         loop {
             let Some(body_reader) = &mut body else {
-                let Some((head, framing)) = reader.next(kind, &mut input, MAX_HEAD_BYTES)? else {
-                    break;
-                };
+                let Some((head, framing)) = reader.next(kind, &mut input, MAX_HEAD_BYTES)? else { break };
                 messages.push((summary(&head), Vec::new()));
                 body = Some(Body::new(framing));
                 continue;
