--- a/crates/storage/src/directory.rs
+++ b/crates/storage/src/directory.rs
@@ -1,31 +1,31 @@
-//! The few calls that the store makes on its directory. Tests put a simulated disk in its place that fails and loses
+//! The file system operations that the store needs. Tests implement them with a simulated disk that fails and loses
 //! power.
 
 use std::fs::File;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A directory on a disk. Names are those of files in it.
+/// A directory on a disk. Names refer to files in it.
 pub(crate) trait Directory {
     /// An open file.
     type File;
 
-    /// The path of the directory (for the name ""), or of a file in it; for errors.
+    /// The path of the directory (for the name ""), or of a file in it; for error messages.
     fn path(&self, name: &str) -> PathBuf;
     /// The names of all files, in any order.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// The content of a file; `None` where there is no such file.
+    /// The content of a file; `None` if it does not exist.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
-    /// Creates a file, or truncates it.
+    /// Creates a file, or truncates an existing one.
     fn create(&self, name: &str) -> io::Result<Self::File>;
     /// Appends to a file. A call that fails may have written some of the bytes.
     fn append(&self, file: &mut Self::File, bytes: &[u8]) -> io::Result<()>;
-    /// Makes what was written to a file durable. Once it has failed for a file, later results for that file mean
-    /// nothing.
+    /// Makes everything written to a file durable. Once this has failed for a file, later results for the file are
+    /// meaningless.
     fn sync(&self, file: &mut Self::File) -> io::Result<()>;
-    /// Truncates a file to a length, to free the space behind it. Nothing is written to the file afterwards.
+    /// Truncates a file to free the space after `length`. The file is not written to afterwards.
     fn truncate(&self, file: &mut Self::File, length: u64) -> io::Result<()>;
-    /// Renames a file; a file of the new name is replaced.
+    /// Renames a file, replacing an existing file of the new name.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
@@ -38,11 +38,12 @@
 pub(crate) struct FsDirectory(PathBuf);
 
 impl FsDirectory {
-    /// Opens the directory; creates it where there is none.
+    /// Opens the directory; creates it if it does not exist.
     pub(crate) fn open(path: &Path) -> io::Result<FsDirectory> {
         if !path.is_dir() {
             std::fs::create_dir_all(path)?;
-            // Invariant: the directory is durable before its files are; a loss of power would take all of them with it.
+            // Invariant: the directory is durable before its files are. Otherwise a power loss would remove it with all
+            // of them.
             let parent = path.parent().filter(|parent| !parent.as_os_str().is_empty());
             File::open(parent.unwrap_or(Path::new(".")))?.sync_all()?;
         }
--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -1,21 +1,21 @@
-//! Encoding and decoding of logs and snapshots. The crate's documentation describes the format.
+//! Encoding and decoding of logs and snapshots. The crate documentation describes the format.
 
 use crate::records::RecordMap;
 use crate::Record;
 
-/// What a log begins with.
+/// The magic bytes at the start of a log.
 pub(crate) const LOG_MAGIC: &[u8; 8] = b"KPRLOG01";
-/// What a snapshot begins with.
+/// The magic bytes at the start of a snapshot.
 const SNAPSHOT_MAGIC: &[u8; 8] = b"KPRSNAP1";
-/// Checksum, payload length and sequence number of a log entry. Bytes.
+/// The size of a log entry's header: checksum, payload length and sequence number.
 const ENTRY_HEADER_BYTES: usize = 16;
-/// Magic, first log and next sequence number of a snapshot. Bytes.
+/// The size of a snapshot's header: magic, first log and next sequence number.
 const SNAPSHOT_HEADER_BYTES: usize = 24;
-/// Key length and value length of a record. Bytes.
+/// The size of a record's header: key length and value length.
 const RECORD_HEADER_BYTES: usize = 8;
 const CHECKSUM_BYTES: usize = 4;
 
-/// The number of a log, which its file's name holds. 0 comes before all logs.
+/// The number of a log, which is part of its file name. 0 precedes all logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LogNumber(pub(crate) u64);
 
@@ -25,20 +25,20 @@
     }
 }
 
-/// The number of a log entry. Entries are numbered through all logs, without gaps.
+/// The sequence number of a log entry. Numbers are consecutive across all logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Sequence(pub(crate) u64);
+pub(crate) struct SequenceNumber(pub(crate) u64);
 
-impl Sequence {
-    pub(crate) fn next(self) -> Sequence {
-        Sequence(self.0 + 1)
+impl SequenceNumber {
+    pub(crate) fn next(self) -> SequenceNumber {
+        SequenceNumber(self.0 + 1)
     }
 }
 
 /// A decoded log entry.
 #[derive(Debug)]
 pub(crate) struct LogEntry {
-    pub(crate) sequence: Sequence,
+    pub(crate) sequence: SequenceNumber,
     pub(crate) records: Vec<Record>,
 }
 
@@ -46,30 +46,30 @@
 #[derive(Debug, Default)]
 pub(crate) struct Snapshot {
     pub(crate) records: RecordMap,
-    /// The first log that is not covered.
+    /// The first log that the snapshot does not cover.
     pub(crate) first_log: LogNumber,
-    /// The first sequence number that is not covered.
-    pub(crate) next_sequence: Sequence,
+    /// The first sequence number that the snapshot does not cover.
+    pub(crate) next_sequence: SequenceNumber,
 }
 
-/// How many bytes a record takes.
+/// The encoded size of a record in bytes.
 fn record_bytes(key: &[u8], value: &[u8]) -> usize {
     RECORD_HEADER_BYTES + key.len() + value.len()
 }
 
-/// How many bytes the records of an entry take.
+/// The encoded size of an entry's records in bytes.
 fn payload_bytes(records: &RecordMap) -> usize {
     records.iter().map(|(key, value)| record_bytes(key, value)).sum()
 }
 
-/// How many bytes the entry of these records takes; `None` where they are too many for one.
+/// The encoded size of the entry of these records in bytes; `None` if they do not fit into one entry.
 pub(crate) fn entry_bytes(records: &RecordMap) -> Option<u64> {
     let payload = u32::try_from(payload_bytes(records)).ok()?;
     Some(ENTRY_HEADER_BYTES as u64 + u64::from(payload))
 }
 
-/// Encodes an entry of records that [`entry_bytes`] has found to fit.
-pub(crate) fn encode_entry(log: LogNumber, sequence: Sequence, records: &RecordMap) -> Vec<u8> {
+/// Encodes an entry. The caller has checked with [`entry_bytes`] that the records fit.
+pub(crate) fn encode_entry(log: LogNumber, sequence: SequenceNumber, records: &RecordMap) -> Vec<u8> {
     let payload = payload_bytes(records);
     let mut entry = Vec::with_capacity(ENTRY_HEADER_BYTES + payload);
     entry.extend_from_slice(&[0; CHECKSUM_BYTES]);
@@ -83,16 +83,17 @@
     entry
 }
 
-/// Takes the next entry off a log's bytes. `None` at the end, and where the entry is incomplete or corrupt.
+/// Decodes the next entry and advances `bytes` past it. `None` at the end of the log, or if the entry is incomplete or
+/// corrupt.
 ///
-/// Invariant: a length is compared with the bytes that are there before anything of that length is allocated. A torn
-/// length would ask for gigabytes.
+/// Invariant: a length is checked against the available bytes before memory is allocated for it. A corrupt length could
+/// request gigabytes.
 pub(crate) fn take_entry(bytes: &mut &[u8], log: LogNumber) -> Option<LogEntry> {
     let mut rest = *bytes;
     let checksum = take_u32(&mut rest)?;
     let checked = rest;
     let payload_bytes = take_u32(&mut rest)? as usize;
-    let sequence = Sequence(take_u64(&mut rest)?);
+    let sequence = SequenceNumber(take_u64(&mut rest)?);
     let payload = take(&mut rest, payload_bytes)?;
     let checked = &checked[..ENTRY_HEADER_BYTES - CHECKSUM_BYTES + payload_bytes];
     if entry_checksum(log, checked) != checksum {
@@ -103,8 +104,8 @@
     Some(LogEntry { sequence, records })
 }
 
-/// CRC-32 over the log's number and the part of an entry that follows its checksum. With the number in it, an entry of
-/// another log (in a block of the disk that was used before) is not taken for one of this log.
+/// CRC-32 over the log's number and the part of an entry that follows its checksum. Because the number is included, an
+/// entry of another log (in a reused disk block) is not mistaken for an entry of this log.
 fn entry_checksum(log: LogNumber, rest: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&log.0.to_le_bytes());
@@ -112,11 +113,11 @@
     hasher.finalize()
 }
 
-/// Passes a snapshot's bytes to `write`, in chunks, so that the records are never in memory twice.
+/// Encodes a snapshot and passes it to `write` in chunks, so that the encoded records are never in memory as a whole.
 pub(crate) fn write_snapshot<E>(
     records: &RecordMap,
     first_log: LogNumber,
-    next_sequence: Sequence,
+    next_sequence: SequenceNumber,
     mut write: impl FnMut(&[u8]) -> Result<(), E>,
 ) -> Result<(), E> {
     const CHUNK_BYTES: usize = 64 << 10;
@@ -138,7 +139,7 @@
     write(&chunk)
 }
 
-/// Decodes a snapshot; `None` where the bytes are not a complete one.
+/// Decodes a snapshot; `None` if it is incomplete or corrupt.
 pub(crate) fn decode_snapshot(bytes: &[u8]) -> Option<Snapshot> {
     let (body, checksum) = bytes.split_at_checked(bytes.len().checked_sub(CHECKSUM_BYTES)?)?;
     if body.len() < SNAPSHOT_HEADER_BYTES || crc32fast::hash(body).to_le_bytes() != checksum {
@@ -146,7 +147,7 @@
     }
     let mut rest = body.strip_prefix(SNAPSHOT_MAGIC)?;
     let first_log = LogNumber(take_u64(&mut rest)?);
-    let next_sequence = Sequence(take_u64(&mut rest)?);
+    let next_sequence = SequenceNumber(take_u64(&mut rest)?);
     let records = decode_records(rest)?.into_iter().collect();
     Some(Snapshot { records, first_log, next_sequence })
 }
@@ -158,12 +159,12 @@
     out.extend_from_slice(value);
 }
 
-/// Whoever puts a record ensures that key and value each stay below 4 GiB.
+/// Callers ensure that keys and values are each shorter than 4 GiB.
 fn encode_length(length: usize) -> [u8; 4] {
-    u32::try_from(length).expect("below 4 GiB").to_le_bytes()
+    u32::try_from(length).expect("keys, values and payloads are shorter than 4 GiB").to_le_bytes()
 }
 
-/// Decodes records up to the end of the bytes; `None` where the last one is incomplete.
+/// Decodes records up to the end of the bytes; `None` if the last record is incomplete.
 fn decode_records(mut bytes: &[u8]) -> Option<Vec<Record>> {
     let mut records = Vec::new();
     while !bytes.is_empty() {
@@ -176,7 +177,7 @@
     Some(records)
 }
 
-/// Takes the first `count` bytes off; `None` where there are fewer.
+/// Splits off the first `count` bytes; `None` if there are fewer.
 fn take<'a>(bytes: &mut &'a [u8], count: usize) -> Option<&'a [u8]> {
     let (taken, rest) = bytes.split_at_checked(count)?;
     *bytes = rest;
--- a/crates/storage/src/in_memory.rs
+++ b/crates/storage/src/in_memory.rs
@@ -1,4 +1,4 @@
-//! A store in memory, for tests.
+//! An in-memory store for tests.
 
 use std::os::fd::{AsFd, BorrowedFd};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,12 +8,13 @@
 use crate::records::{apply_records, RecordMap};
 use crate::{Error, Record, RecordStore, ThreadSnafu};
 
-/// The records of an [`InMemoryStore`], which outlive it as files outlive a [`Store`](crate::Store). Clones share the
+/// The records of an [`InMemoryStore`]. They outlive it as files outlive a [`Store`](crate::Store). Clones share the
 /// same records.
 #[derive(Clone, Debug, Default)]
 pub struct InMemoryRecords(Arc<Mutex<RecordMap>>);
 
-/// A substitute for [`Store`](crate::Store) in tests: each write is complete at once, and its id waits for `done`.
+/// A test implementation of [`RecordStore`] without a disk: each write completes immediately, and its id is returned by
+/// the next [`RecordStore::take_completed`].
 #[derive(Debug)]
 pub struct InMemoryStore {
     records: InMemoryRecords,
@@ -26,11 +27,11 @@
 }
 
 impl InMemoryStore {
-    /// Opens a store of these records; returns it and the records in the order of keys, as
-    /// [`Store::open`](crate::Store::open) does.
+    /// Opens a store on these records. Returns it with the records in key order, as [`Store::open`](crate::Store::open)
+    /// does.
     ///
     /// # Errors
-    /// [`Error::Thread`] where no file descriptor can be had.
+    /// [`Error::Thread`] if no file descriptor is available.
     pub fn open(records: &InMemoryRecords) -> Result<(InMemoryStore, Vec<Record>), Error> {
         let event_fd =
             EventFd::new().map_err(|error| ThreadSnafu { path: "", cause: error.to_string() }.build())?;
--- a/crates/storage/src/record_log.rs
+++ b/crates/storage/src/record_log.rs
@@ -1,63 +1,63 @@
-//! The records and their files: appending and compaction. One thread owns a log; nothing here waits for anything but
-//! the disk.
+//! Writes records to the log and compacts it into snapshots. A log has a single owner thread and blocks only on disk
+//! I/O.
 
 use std::ops::RangeInclusive;
 
 use crate::directory::Directory;
-use crate::format::{self, LogNumber, Sequence};
+use crate::format::{self, LogNumber, SequenceNumber};
 use crate::records::{apply_records, RecordMap};
 use crate::recovery::{disk_error, log_name, log_numbers, recover, Recovered, SNAPSHOT};
 use crate::Error;
 
-/// The name under which a snapshot is written, before it replaces the old one.
+/// The file name of a snapshot that is being written, before it replaces the current one.
 const NEW_SNAPSHOT: &str = "snapshot.new";
 
-/// The records in memory are always the newest. The last call of [`RecordLog::persist`] tells whether they are all
-/// durable.
+/// The records in memory with the files that make them durable. The records in memory are always current; the result of
+/// the last [`RecordLog::persist`] tells whether all of them are durable.
 #[derive(Debug)]
 pub(crate) struct RecordLog<D: Directory> {
     directory: D,
     records: RecordMap,
-    /// The size at which the log is compacted. Bytes.
+    /// The size in bytes at which the log is compacted.
     max_log_bytes: u64,
     log: LogState<D::File>,
-    /// The number that a log was given last. Each log has a number of its own: none is ever written to twice.
+    /// The number of the most recently created log. Each log has a unique number, so none is written to twice.
     log_number: LogNumber,
-    /// The number of the next entry. Never used again, not even where writing the entry failed.
-    next_sequence: Sequence,
-    /// The logs that may hold what no durable snapshot covers: from the first that the last durable snapshot names, to
-    /// the newest that entries may have been written to. All others are superseded or empty.
+    /// The sequence number of the next entry. A number is never reused, even if writing its entry failed.
+    next_sequence: SequenceNumber,
+    /// The logs that may contain entries that no durable snapshot covers: from the first log named by the last durable
+    /// snapshot to the newest log that entries may have been written to. All other logs are obsolete or empty.
     needed_logs: RangeInclusive<LogNumber>,
 }
 
-/// The log that is appended to.
+/// The log that entries are appended to.
 #[derive(Debug)]
 enum LogState<F> {
-    /// All that was appended so far is durable.
+    /// Everything appended so far is durable.
     Open { file: F, bytes: u64 },
-    /// There is none: a write or a sync has failed, or the directory was only read yet.
+    /// There is no usable log: a write or a sync has failed, or the directory has only been read so far.
     ///
-    /// Invariant: a file for which a write or a sync has failed is never synced or appended to again. The system may
-    /// have dropped what it could not write, and a second sync would report success in spite of the hole. A snapshot in
-    /// a new file takes its place.
+    /// Invariant: a file for which a write or a sync has failed is never synced or appended to again. The operating
+    /// system may have dropped data that it could not write, and a second sync would succeed in spite of the missing
+    /// data. A snapshot in a new file replaces it.
     Unusable,
 }
 
-/// How [`RecordLog::persist`] has made records durable.
+/// How [`RecordLog::persist`] made the records durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Persisted {
-    /// By an entry in the log; or there was nothing to write.
+    /// With an entry in the log, or there was nothing to write.
     Appended,
-    /// By a new snapshot.
+    /// With a new snapshot.
     Compacted,
 }
 
 impl<D: Directory> RecordLog<D> {
-    /// Reads what the directory holds, and writes nothing. Until the first [`RecordLog::persist`] has succeeded nothing
-    /// of it is known to be durable: a process that was killed may have written and not synced it, or failed to sync it.
+    /// Reads the directory and writes nothing. Until the first [`RecordLog::persist`] has succeeded the records may not
+    /// be durable: a killed process may have written data without syncing it, or its sync may have failed.
     ///
     /// # Errors
-    /// [`Error::Disk`] where a file cannot be read, [`Error::Corrupt`] where the files contradict each other.
+    /// [`Error::Disk`] if a file cannot be read, [`Error::Corrupt`] if the files contradict each other.
     pub(crate) fn open(directory: D, max_log_bytes: u64) -> Result<RecordLog<D>, Error> {
         let Recovered { state, newest_log, needed_logs } = recover(&directory)?;
         Ok(RecordLog {
@@ -75,11 +75,11 @@
         &self.records
     }
 
-    /// Applies a batch to the records and makes all of them durable: by an entry in the log where the log is usable and
-    /// has room, else by a snapshot. The batch is durable completely or not at all.
+    /// Applies a batch to the records and makes all records durable: with a log entry if the log is usable and has
+    /// room, otherwise with a snapshot. The batch becomes durable completely or not at all.
     ///
     /// # Errors
-    /// [`Error::Disk`]. The batch stays applied in memory, and the next call that succeeds covers it too.
+    /// [`Error::Disk`]. The batch stays applied in memory, and the next successful call makes it durable as well.
     pub(crate) fn persist(&mut self, batch: RecordMap) -> Result<Persisted, Error> {
         let is_usable = matches!(self.log, LogState::Open { .. });
         if is_usable && batch.is_empty() {
@@ -99,7 +99,7 @@
         persisted
     }
 
-    /// Whether the entry of a batch can be appended to the log.
+    /// Whether the log has room for the entry of a batch.
     fn has_room_for(&self, batch: &RecordMap) -> bool {
         let LogState::Open { bytes, .. } = &self.log else { return false };
         let free_bytes = self.max_log_bytes.saturating_sub(*bytes);
@@ -117,21 +117,21 @@
         Ok(())
     }
 
-    /// Replaces the snapshot and its logs by a snapshot of all records, and begins a new log.
+    /// Replaces the snapshot and its logs with a snapshot of all records, and starts a new log.
     fn compact(&mut self) -> Result<(), Error> {
-        // What an earlier removal has left, because it failed, would take the space that the new files need.
+        // Files that an earlier attempt failed to remove would take up space that the new files need.
         self.remove_obsolete_files();
         self.log_number = self.log_number.next();
         let file = self.create_log()?;
         self.write_snapshot()?;
-        // The snapshot is durable now, and the log that it names is the only one needed.
+        // The snapshot is durable now, and the only log still needed is the one that it names.
         self.log = LogState::Open { file, bytes: format::LOG_MAGIC.len() as u64 };
         self.needed_logs = self.log_number..=self.log_number;
         self.remove_obsolete_files();
         Ok(())
     }
 
-    /// Creates the log of the present number, without entries.
+    /// Creates the log with the current number, without entries.
     fn create_log(&self) -> Result<D::File, Error> {
         let (directory, name) = (&self.directory, log_name(self.log_number));
         let mut file = directory.create(&name).map_err(disk_error(directory, &name))?;
@@ -140,9 +140,10 @@
         Ok(file)
     }
 
-    /// Replaces the snapshot by one of all records. Only the rename makes it visible, and it is synced by then: no
-    /// reader finds an incomplete one. The sync of the directory also covers the new log's name, for file systems that
-    /// need it. Where that sync fails the next attempt renames again, so that there is something new for the next sync.
+    /// Replaces the snapshot with one of all records. The snapshot becomes visible only with the rename, after it has
+    /// been synced, so readers never find an incomplete one. Syncing the directory also makes the new log's name
+    /// durable, on file systems that require it. If that sync fails, the next attempt renames again, so that the next
+    /// sync has a change to write.
     fn write_snapshot(&self) -> Result<(), Error> {
         let directory = &self.directory;
         let mut file = directory.create(NEW_SNAPSHOT).map_err(disk_error(directory, NEW_SNAPSHOT))?;
@@ -154,20 +155,20 @@
         directory.sync_directory().map_err(disk_error(directory, ""))
     }
 
-    /// After a call that failed: the log is not written to any more, and what was not synced gives its space back.
+    /// Stops using the log after a failed call, and frees the space of everything that was not synced.
     fn abandon_log(&mut self) {
         if let LogState::Open { file, bytes } = &mut self.log {
-            // Where this fails too, recovery finds a torn tail, or an entry that was not acknowledged.
+            // If this fails too, recovery finds a torn tail or an entry that was not acknowledged.
             let _ = self.directory.truncate(file, *bytes);
         }
-        // Invariant: the file is closed before it is removed. A removed file that is open keeps its space.
+        // Invariant: the file is closed before it is removed. A removed file that is still open keeps its space.
         self.log = LogState::Unusable;
         self.remove_obsolete_files();
     }
 
-    /// Removes the logs that are superseded, and what an attempt that failed has left. What cannot be removed, or comes
-    /// back with a loss of power, does no harm, and is removed by the next call: recovery skips logs by their number,
-    /// and one that no snapshot names holds no entry.
+    /// Removes obsolete logs and the remains of failed attempts. A file that cannot be removed, or that reappears after
+    /// a power loss, does no harm and is removed by the next call: recovery skips logs by their number, and a log that
+    /// no snapshot names has no entries.
     fn remove_obsolete_files(&self) {
         let Ok(names) = self.directory.list() else { return };
         let logs = log_numbers(&names).into_iter();
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -4,10 +4,10 @@
 
 use crate::Record;
 
-/// Records by key. In a batch that is still to be written an empty value deletes its key.
+/// Records by key. In a batch that has not been written, an empty value deletes the key.
 pub(crate) type RecordMap = BTreeMap<Vec<u8>, Vec<u8>>;
 
-/// Applies a batch: a later value of a key replaces an earlier one, an empty value deletes the key.
+/// Applies a batch: a later value of a key replaces an earlier one, and an empty value deletes the key.
 pub(crate) fn apply_records(records: &mut RecordMap, batch: impl IntoIterator<Item = Record>) {
     for (key, value) in batch {
         if value.is_empty() {
--- a/crates/storage/src/write_queue.rs
+++ b/crates/storage/src/write_queue.rs
@@ -1,4 +1,4 @@
-//! What the event loop and the store's thread share: the writes that are pending, and those that are complete.
+//! The pending and completed writes, shared between the event loop and the store's thread.
 
 use std::collections::VecDeque;
 use std::os::fd::{AsFd, BorrowedFd};
@@ -11,16 +11,17 @@
 use crate::records::RecordMap;
 use crate::{Error, Record, ThreadSnafu};
 
-/// How many writes may be pending. Beyond it the oldest ids are dropped and never complete; their records are written
-/// like all others.
+/// The maximum number of pending writes. Beyond it the oldest ids are dropped and never complete; their records are
+/// still written.
 ///
-/// Invariant: the ids in memory are bounded. On a disk that hangs or fails they would pile up without end.
+/// Invariant: the number of ids in memory is bounded. Otherwise they would accumulate without limit while the disk
+/// hangs or fails.
 pub const MAX_PENDING_WRITES: usize = 1 << 16;
 
-/// A write that takes so long is logged.
+/// Writes that take at least this long are logged.
 const SLOW_WRITE: Duration = Duration::from_secs(1);
 
-/// How long to wait before a failed write is retried. Each wait is twice the one before.
+/// The delay before a failed write is retried. It doubles with each attempt, up to `max`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetryBackoff {
     pub(crate) initial: Duration,
@@ -29,39 +30,39 @@
 
 #[derive(Debug)]
 pub(crate) struct WriteQueue {
-    /// The store's directory; for errors.
+    /// The store's directory, for error messages.
     path: PathBuf,
     backoff: RetryBackoff,
     inner: Mutex<Inner>,
-    /// Notifies the thread of a new write, and of the end.
-    changed: Condvar,
-    /// Readable when `Inner::completed` or the state has something new.
+    /// Notifies the thread of a new write, and that the store is closing.
+    state_changed: Condvar,
+    /// Readable when `Inner::completed` has new ids or the store has stopped.
     event_fd: EventFd,
 }
 
 #[derive(Debug)]
 struct Inner {
     state: State,
-    /// The newest value of each key that was put since the thread last took them. So it never grows beyond one value for
-    /// each key, however long the disk takes.
+    /// The latest value of each key written since the thread last took a batch. It never holds more than one value per
+    /// key, however long the disk takes.
     pending_records: RecordMap,
-    /// The ids of the writes that are not complete, oldest first.
+    /// The ids of incomplete writes, oldest first.
     pending_writes: VecDeque<u64>,
-    /// How many of them, from the front, the thread's present attempt covers.
+    /// How many of them, from the front, are covered by the thread's current attempt.
     in_flight: usize,
-    /// How many ids were dropped since the last success.
+    /// How many ids have been dropped since the last successful attempt.
     dropped: u64,
-    /// The ids of complete writes that the event loop has not taken yet.
+    /// The ids of completed writes that the event loop has not taken yet.
     completed: Vec<u64>,
 }
 
 #[derive(Debug)]
 enum State {
-    /// What is put is written at once.
+    /// Writes are processed immediately.
     Healthy,
-    /// The last attempt has failed. Its records are in the log's memory, and the next attempt covers them.
-    Failing { since: Instant, attempts: u32, wait: Duration, retry_at: Instant },
-    /// The store is being dropped; what is pending is still written.
+    /// The last attempt failed. Its records are kept in the record log's memory, and the next attempt covers them.
+    Failing { since: Instant, attempts: u32, retry_delay: Duration, retry_at: Instant },
+    /// The store is being dropped. Pending writes are still processed.
     Closing,
     /// Nothing is written any more.
     Stopped(Error),
@@ -69,7 +70,7 @@
 
 impl WriteQueue {
     /// # Errors
-    /// [`Error::Thread`] where no file descriptor can be had.
+    /// [`Error::Thread`] if no file descriptor is available.
     pub(crate) fn new(path: PathBuf, backoff: RetryBackoff) -> Result<WriteQueue, Error> {
         let event_fd =
             EventFd::new().map_err(|error| ThreadSnafu { path: &path, cause: error.to_string() }.build())?;
@@ -81,15 +82,15 @@
             dropped: 0,
             completed: Vec::new(),
         };
-        Ok(WriteQueue { path, backoff, inner: Mutex::new(inner), changed: Condvar::new(), event_fd })
+        Ok(WriteQueue { path, backoff, inner: Mutex::new(inner), state_changed: Condvar::new(), event_fd })
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // Poisoning can be ignored here: the thread reports its own panic by `stop_after_panic`.
+        // Poisoning can be ignored: `stop_after_panic` reports a panic of the thread.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a write. Nothing happens once the store has stopped.
+    /// Adds a write. Does nothing once the store has stopped.
     pub(crate) fn push(&self, write_id: u64, records: Vec<Record>) {
         let mut inner = self.lock();
         if matches!(inner.state, State::Stopped(_)) {
@@ -102,13 +103,13 @@
             inner.dropped += 1;
         }
         inner.pending_writes.push_back(write_id);
-        self.changed.notify_one();
+        self.state_changed.notify_one();
     }
 
-    /// The ids of the writes that completed since the last call.
+    /// Returns the ids of the writes that completed since the last call.
     ///
     /// # Errors
-    /// What stopped the store, once all completed writes were returned.
+    /// The error that stopped the store, once all completed writes have been returned.
     pub(crate) fn take_completed(&self) -> Result<Vec<u64>, Error> {
         let mut inner = self.lock();
         self.event_fd.reset();
@@ -116,7 +117,7 @@
             if inner.completed.is_empty() {
                 return Err(error.clone());
             }
-            // The error is still to be returned.
+            // The error has not been returned yet.
             self.event_fd.notify();
         }
         Ok(std::mem::take(&mut inner.completed))
@@ -126,8 +127,8 @@
         self.event_fd.as_fd()
     }
 
-    /// For the thread: waits for writes, or for the next retry, and takes all that is pending. `None` once there is
-    /// nothing more to do.
+    /// Called by the thread: waits for writes or for the next retry, and takes everything that is pending. `None` when
+    /// the thread should end.
     pub(crate) fn next_batch(&self) -> Option<RecordMap> {
         let mut inner = self.lock();
         loop {
@@ -135,11 +136,11 @@
                 State::Stopped(_) => return None,
                 State::Closing if inner.pending_writes.is_empty() => return None,
                 State::Healthy if inner.pending_writes.is_empty() => {
-                    self.changed.wait(inner).unwrap_or_else(PoisonError::into_inner)
+                    self.state_changed.wait(inner).unwrap_or_else(PoisonError::into_inner)
                 }
                 State::Failing { retry_at, .. } if Instant::now() < retry_at => {
                     let wait = retry_at.saturating_duration_since(Instant::now());
-                    self.changed.wait_timeout(inner, wait).unwrap_or_else(PoisonError::into_inner).0
+                    self.state_changed.wait_timeout(inner, wait).unwrap_or_else(PoisonError::into_inner).0
                 }
                 State::Healthy | State::Failing { .. } | State::Closing => break,
             }
@@ -148,9 +149,9 @@
         Some(std::mem::take(&mut inner.pending_records))
     }
 
-    /// For the thread: an attempt that began at `start` has succeeded, and the writes that it covers are complete.
-    /// `keys` is how many records there are; for the log.
-    pub(crate) fn succeeded(&self, start: Instant, keys: usize) {
+    /// Called by the thread when an attempt that began at `start` has succeeded; the writes that it covers are
+    /// complete. `keys` is the number of records, for log messages.
+    pub(crate) fn on_success(&self, start: Instant, keys: usize) {
         let mut inner = self.lock();
         let completed = std::mem::take(&mut inner.in_flight);
         let dropped = std::mem::take(&mut inner.dropped);
@@ -171,9 +172,9 @@
         }
     }
 
-    /// For the thread: an attempt has failed. Its writes stay pending, and there will be a retry, except where the store
-    /// is being dropped.
-    pub(crate) fn failed(&self, error: Error, keys: usize) {
+    /// Called by the thread when an attempt has failed. Its writes stay pending and are retried, unless the store is
+    /// being dropped.
+    pub(crate) fn on_failure(&self, error: Error, keys: usize) {
         let mut inner = self.lock();
         inner.in_flight = 0;
         let now = Instant::now();
@@ -183,34 +184,34 @@
             State::Healthy => {
                 let writes = inner.pending_writes.len();
                 log::warn!("event=store_write_failed keys={keys} writes={writes} cause=\"{error}\"");
-                let wait = self.backoff.initial;
-                State::Failing { since: now, attempts: 1, wait, retry_at: now + wait }
+                let retry_delay = self.backoff.initial;
+                State::Failing { since: now, attempts: 1, retry_delay, retry_at: now + retry_delay }
             }
-            State::Failing { since, attempts, wait, .. } => {
+            State::Failing { since, attempts, retry_delay, .. } => {
                 let attempts = attempts + 1;
                 log::debug!("event=store_retry_failed attempts={attempts} cause=\"{error}\"");
-                let wait = self.backoff.max.min(wait * 2);
-                State::Failing { since, attempts, wait, retry_at: now + wait }
+                let retry_delay = self.backoff.max.min(retry_delay * 2);
+                State::Failing { since, attempts, retry_delay, retry_at: now + retry_delay }
             }
         };
     }
 
-    /// The store is being dropped: the thread ends once it has written what is pending.
+    /// Closes the queue when the store is dropped. The thread ends once it has written what is pending.
     pub(crate) fn close(&self) {
         let mut inner = self.lock();
         if !matches!(inner.state, State::Stopped(_)) {
             inner.state = State::Closing;
         }
-        self.changed.notify_one();
+        self.state_changed.notify_one();
     }
 
-    /// For the thread: it has panicked.
+    /// Called by the thread when it has panicked.
     pub(crate) fn stop_after_panic(&self) {
-        let error = ThreadSnafu { path: &self.path, cause: "the store's thread panicked" }.build();
+        let error = ThreadSnafu { path: &self.path, cause: "the storage thread panicked" }.build();
         self.stop(self.lock(), error);
     }
 
-    /// The first error stays; what is pending is given up.
+    /// Stops the store with its first error and discards everything that is pending.
     fn stop(&self, mut inner: MutexGuard<'_, Inner>, error: Error) {
         if matches!(inner.state, State::Stopped(_)) {
             return;
@@ -220,6 +221,6 @@
         inner.pending_records = RecordMap::new();
         inner.pending_writes = VecDeque::new();
         self.event_fd.notify();
-        self.changed.notify_one();
+        self.state_changed.notify_one();
     }
 }
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,29 +1,29 @@
-//! Points in time and durations, as the load balancer's decisions use them.
+//! Points in time and durations for the load balancer's decisions.
 //!
-//! [`Timestamp`] and [`Duration`] are both signed 64-bit counts of microseconds, and two types so that they cannot be
-//! mixed up: their difference or sum has a meaning only as the operators here define it. They differ from those of
-//! `std::time` on purpose:
+//! [`Timestamp`] and [`Duration`] are signed 64-bit counts of microseconds. They are separate types so that they cannot
+//! be confused: only the sums and differences defined here are meaningful. They differ from the types of `std::time`:
 //!
-//! * A decision is given the time as a value and never reads a clock, so that it can be tested and simulated. A
-//!   [`Timestamp`] counts from an origin that the host chooses, and is comparable only with those of the same clock.
-//! * A duration can be negative: "until the deadline" of a request that is late.
-//! * Operators saturate at the greatest and the smallest value (some 292,000 years) instead of panicking: a duration that
-//!   was read off a setting or off the wire cannot crash a process.
+//! * Decisions get the time as a parameter and never read a clock, so that they can be tested and simulated. A
+//!   [`Timestamp`] counts from an origin that the host chooses, and can be compared only with timestamps of the same
+//!   clock.
+//! * A duration can be negative, for example the time until the deadline of a request that is late.
+//! * Operators saturate at the largest and smallest values (about 292,000 years) instead of panicking, so that a
+//!   duration from a setting or a message cannot crash a process.
 
 use std::ops::{Add, Div, Mul, Sub};
 
 const MICROS_PER_SEC: i64 = 1_000_000;
 
-/// A point in time on the host's clock. Microseconds since the clock's origin.
+/// A point in time: microseconds since the origin of the host's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp(i64);
 
-/// The time between two points. Microseconds; negative where the second point is the earlier one.
+/// The time between two points in microseconds; negative if the second point is earlier.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Duration(i64);
 
 impl Timestamp {
-    /// The point this many microseconds after the clock's origin.
+    /// The timestamp this many microseconds after the clock's origin.
     pub const fn from_micros(micros: i64) -> Self {
         Timestamp(micros)
     }
@@ -33,8 +33,8 @@
         self.0
     }
 
-    /// Where the point lies in a sequence of equal periods, the first of which begins at the clock's origin: the number
-    /// of its period, and how much of that has passed. A period below a microsecond counts as one.
+    /// Locates the timestamp in a sequence of equal periods, the first of which starts at the clock's origin. Returns
+    /// the number of the period and the time since its start. A period below one microsecond counts as one microsecond.
     pub fn period_and_offset(self, period: Duration) -> (i64, Duration) {
         let period_micros = period.0.max(1);
         (self.0.div_euclid(period_micros), Duration(self.0.rem_euclid(period_micros)))
@@ -42,7 +42,7 @@
 }
 
 impl Duration {
-    /// No time at all.
+    /// A duration of zero.
     pub const ZERO: Duration = Duration(0);
 
     /// A duration of this many microseconds.
@@ -50,23 +50,23 @@
         Duration(micros)
     }
 
-    /// A duration of this many seconds. Unlike the operators this does not saturate: it is for constants and for
-    /// settings that are checked before.
+    /// A duration of this many seconds. Unlike the operators this does not saturate: it is meant for constants and
+    /// validated settings.
     pub const fn from_secs(secs: i64) -> Self {
         Duration(secs * MICROS_PER_SEC)
     }
 
-    /// The whole duration in microseconds.
+    /// The duration in microseconds.
     pub const fn as_micros(self) -> i64 {
         self.0
     }
 
-    /// The whole duration in seconds, with fractions.
+    /// The duration in seconds, with a fractional part.
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / MICROS_PER_SEC as f64
     }
 
-    /// This duration as a multiple of another; `f64::MAX` if the other is zero.
+    /// The ratio of this duration to another; `f64::MAX` if the other is zero.
     pub fn ratio_to(self, other: Duration) -> f64 {
         if other.0 == 0 {
             return f64::MAX;
@@ -74,7 +74,7 @@
         self.0 as f64 / other.0 as f64
     }
 
-    /// This duration multiplied by a factor, rounded towards zero. Saturates; zero if the factor is not a number.
+    /// Multiplies the duration by a factor and rounds towards zero. Saturates; zero if the factor is NaN.
     pub fn mul_f64(self, factor: f64) -> Duration {
         Duration((self.0 as f64 * factor) as i64)
     }
@@ -128,7 +128,7 @@
     }
 }
 
-/// A divisor below 1 counts as 1. Rounds towards zero.
+/// Rounds towards zero. A divisor below 1 counts as 1.
 impl Div<i64> for Duration {
     type Output = Duration;
 
--- a/crates/time/tests/arithmetic.rs
+++ b/crates/time/tests/arithmetic.rs
@@ -1,4 +1,4 @@
-//! The operators and conversions at their bounds.
+//! Tests of the operators and conversions, including the limits of their range.
 
 use kitepass_time::{Duration, Timestamp};
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn multiples_and_fractions() {
+fn multiplication_division_and_ratios() {
     assert_eq!((micros(7) * 3, micros(7) / 2, micros(-7) / 2), (micros(21), micros(3), micros(-3)));
     assert_eq!((micros(7) / 0, micros(7) / -2), (micros(7), micros(7)));
     assert_eq!((micros(10).mul_f64(0.19), micros(-10).mul_f64(0.19)), (micros(1), micros(-1)));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn seconds() {
+fn conversions_from_and_to_seconds_and_micros() {
     assert_eq!(Duration::from_secs(-3), micros(-3_000_000));
     assert_eq!(micros(2_500_000).as_secs(), 2.5);
     assert_eq!((Timestamp::from_micros(7).as_micros(), micros(-7).as_micros()), (7, -7));
