--- a/crates/storage/src/tests/contract.rs
+++ b/crates/storage/src/tests/contract.rs
@@ -1,26 +1,26 @@
-//! What both stores promise, and what a store finds in damaged directories.
+//! Tests of the contract of both stores, and of opening damaged directories.
 
 use rstest::rstest;
 
-use super::{is_readable, record, wait_for, NO_BACKOFF};
+use super::{is_readable, record, wait_for_writes, NO_BACKOFF};
 use crate::directory::FsDirectory;
 use crate::{Error, InMemoryRecords, InMemoryStore, Record, RecordStore, Store};
 
-/// Where a store's records outlive it.
-enum Medium {
+/// The backing storage of a store, which outlives it.
+enum BackingStorage {
     Directory(tempfile::TempDir),
     Memory(InMemoryRecords),
 }
 
-impl Medium {
+impl BackingStorage {
     fn open(&self) -> (Box<dyn RecordStore>, Vec<Record>) {
         match self {
-            // A log so short that it is compacted now and then.
-            Medium::Directory(directory) => {
+            // The log is so short that it is compacted occasionally.
+            BackingStorage::Directory(directory) => {
                 let (store, records) = Store::open(directory.path(), 200).unwrap();
                 (Box::new(store), records)
             }
-            Medium::Memory(records) => {
+            BackingStorage::Memory(records) => {
                 let (store, records) = InMemoryStore::open(records).unwrap();
                 (Box::new(store), records)
             }
@@ -29,37 +29,37 @@
 }
 
 #[rstest]
-#[case::on_disk(Medium::Directory(tempfile::tempdir().unwrap()))]
-#[case::in_memory(Medium::Memory(InMemoryRecords::default()))]
-fn acknowledged_records_are_stored(#[case] medium: Medium) {
-    let (store, records) = medium.open();
+#[case::on_disk(BackingStorage::Directory(tempfile::tempdir().unwrap()))]
+#[case::in_memory(BackingStorage::Memory(InMemoryRecords::default()))]
+fn acknowledged_records_survive_reopening(#[case] backing_storage: BackingStorage) {
+    let (store, records) = backing_storage.open();
     assert_eq!((records, is_readable(&*store, false)), (vec![], false));
     for write_id in 0..100 {
         let records = [record("last", &write_id.to_string()), record(&format!("k{write_id:02}"), "v")];
         store.put(write_id, records.into());
     }
-    assert_eq!(wait_for(&*store, 100).unwrap(), (0..100).collect::<Vec<_>>());
+    assert_eq!(wait_for_writes(&*store, 100).unwrap(), (0..100).collect::<Vec<_>>());
     assert!(!is_readable(&*store, false) && store.take_completed().unwrap().is_empty());
     drop(store);
 
-    let (store, records) = medium.open();
+    let (store, records) = backing_storage.open();
     let mut expected: Vec<Record> = (0..100).map(|n| record(&format!("k{n:02}"), "v")).collect();
     expected.push(record("last", "99"));
     assert_eq!(records, expected);
-    // The last of two values in one write counts; and a write of nothing completes too.
+    // The last of two values of a key in one write counts, and an empty write completes too.
     store.put(7, vec![record("last", "x"), record("last", "y")]);
     store.put(8, vec![]);
-    // An empty value deletes a key, durably; a value after it sets it again.
+    // An empty value deletes a key durably; a later value sets it again.
     store.put(9, vec![record("k00", ""), record("k01", ""), record("k01", "again")]);
-    assert_eq!(wait_for(&*store, 3).unwrap(), [7, 8, 9]);
+    assert_eq!(wait_for_writes(&*store, 3).unwrap(), [7, 8, 9]);
     drop(store);
-    let (_, records) = medium.open();
+    let (_, records) = backing_storage.open();
     assert_eq!((records.len(), &records[0]), (100, &record("k01", "again")));
     assert_eq!(records.last(), Some(&record("last", "y")));
 }
 
 #[test]
-fn corrupt_and_missing_snapshots_are_rejected() {
+fn corrupt_or_missing_snapshot_is_rejected() {
     let directory = tempfile::tempdir().unwrap();
     let (store, _) = Store::open(directory.path(), 1 << 20).unwrap();
     store.put(1, vec![record("a", "b")]);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_directory_that_cannot_be_written_opens_and_is_written_later() {
+fn unwritable_directory_opens_and_is_written_later() {
     let directory = tempfile::tempdir().unwrap();
     let (store, _) = Store::open(directory.path(), 1 << 20).unwrap();
     store.put(1, vec![record("a", "b")]);
@@ -88,7 +88,7 @@
     store.put(2, vec![record("c", "d")]);
     assert_eq!((store.take_completed(), is_readable(&store, false)), (Ok(vec![]), false));
     std::fs::remove_dir(&obstacle).unwrap();
-    assert_eq!(wait_for(&store, 1).unwrap(), [2]);
+    assert_eq!(wait_for_writes(&store, 1).unwrap(), [2]);
     drop(store);
     assert_eq!(Store::open(directory.path(), 0).unwrap().1, [record("a", "b"), record("c", "d")]);
 }
--- a/crates/storage/src/tests/power_loss.rs
+++ b/crates/storage/src/tests/power_loss.rs
@@ -1,4 +1,4 @@
-//! A log on a disk that loses power, over and over.
+//! Tests of a log on a disk that repeatedly loses power.
 
 use std::sync::Arc;
 
@@ -10,12 +10,12 @@
 use crate::records::RecordMap;
 use crate::Error;
 
-/// One log on one disk, and what recovery may find there.
+/// A log on a simulated disk, with the states that recovery may find.
 struct PowerLossTest {
     seed: u64,
     max_log_bytes: u64,
     disk: Arc<SimulatedDisk>,
-    /// The records after each batch, from the last one that is known to be durable.
+    /// The records after each batch, starting with the last batch that is known to be durable.
     possible_states: Vec<RecordMap>,
 }
 
@@ -25,7 +25,7 @@
         PowerLossTest { seed, max_log_bytes, disk: SimulatedDisk::new(seed), possible_states }
     }
 
-    /// How many calls are left until power is lost, and what is wrong with the disk until then.
+    /// Chooses after how many calls power is lost, and the disk's fault until then.
     fn choose_fault(&self) {
         let mut state = self.disk.lock();
         state.calls_left = state.rng.rand_range(1..60);
@@ -54,7 +54,7 @@
         let found = self.possible_states.iter().position(|records| records == record_log.records());
         let found =
             found.unwrap_or_else(|| panic!("seed={seed} round={round} found={:?}", record_log.records()));
-        // Those before it may come back until this one is known to be durable.
+        // Earlier states remain possible until this one is known to be durable.
         self.possible_states.truncate(found + 1);
         for batch_number in 0.. {
             let batch = self.next_batch(round, batch_number);
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The first batch is empty: it makes durable what was found.
+    /// Creates the next batch. The first batch is empty: persisting it makes the recovered records durable.
     fn next_batch(&mut self, round: u64, batch_number: u64) -> RecordMap {
         if batch_number == 0 {
             return RecordMap::new();
@@ -84,7 +84,7 @@
         batch
     }
 
-    /// Power is lost; or the process was killed alone, and what it wrote is there and still not synced.
+    /// Either loses power, or kills only the process, which leaves unsynced data on the disk.
     fn end_round(&self) {
         let mut state = self.disk.lock();
         state.fault = Fault::default();
@@ -101,11 +101,11 @@
     }
 }
 
-/// Writes batches until power is lost or the process is killed, many times over on one disk that fails now and then,
-/// openings included. What is found then must be the records after some whole batch, no earlier than the last one
-/// acknowledged; and a disk that does not fail must store what it is given.
+/// Repeatedly writes batches until power is lost or the process is killed, on a disk that also fails occasionally, even
+/// while the log is being opened. The recovered records must be the state after a complete batch, no earlier than the
+/// last acknowledged one, and writes to a disk without a fault must succeed.
 #[rstest]
-fn power_loss_takes_nothing_acknowledged(#[values(0, 60, 1000)] max_log_bytes: u64) {
+fn acknowledged_batches_survive_power_loss(#[values(0, 60, 1000)] max_log_bytes: u64) {
     for seed in 0..500 {
         let mut test = PowerLossTest::new(seed, max_log_bytes);
         for round in 0..12 {
--- a/crates/storage/src/tests/simulated_disk.rs
+++ b/crates/storage/src/tests/simulated_disk.rs
@@ -1,5 +1,5 @@
-//! A disk that keeps, when power is lost, what was synced, and any part of the rest; and that can be made to fail, to be
-//! full, to hang and to panic.
+//! A simulated disk. A power loss preserves synced data and an arbitrary part of the rest. The disk can also be made to
+//! fail, to be full, to hang and to panic.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -34,14 +34,14 @@
     }
 }
 
-/// What is wrong with the disk during the next calls.
+/// A fault of the disk during the next calls.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Fault {
-    /// How many calls it lasts.
+    /// How many calls the fault lasts.
     pub(super) calls: u64,
-    /// Each [`Call`] fails whose bit is set.
+    /// A bit mask of the [`Call`]s that fail.
     pub(super) failing_calls: u64,
-    /// How many bytes the disk can hold.
+    /// The disk's capacity in bytes.
     pub(super) capacity: Option<usize>,
     pub(super) hangs: bool,
     pub(super) panics: bool,
@@ -52,16 +52,16 @@
     pub(super) fault: Fault,
     pub(super) failed_calls: u64,
     pub(super) hanging_calls: u64,
-    /// The most bytes that all files have taken.
+    /// The maximum number of bytes used by all files so far.
     pub(super) max_used_bytes: usize,
-    /// Calls until power is lost; each one from then on fails.
+    /// The number of calls until power is lost. Every call from then on fails.
     pub(super) calls_left: u64,
     files: Vec<SimulatedFile>,
-    /// By name: the index in `files`.
+    /// The index in `files` of each file name.
     names: BTreeMap<String, FileId>,
-    /// The names that would be there after a loss of power.
+    /// The file names that survive a power loss.
     durable_names: BTreeMap<String, FileId>,
-    /// Since the last sync of the directory.
+    /// The name changes since the last sync of the directory.
     unsynced_changes: Vec<NameChange>,
 }
 
@@ -78,11 +78,11 @@
 #[derive(Default)]
 struct SimulatedFile {
     content: Vec<u8>,
-    /// How much was synced; `None` where the file never was.
+    /// How many bytes were synced; `None` if the file was never synced.
     synced_bytes: Option<usize>,
-    /// Where each write since then starts.
+    /// The start of each write since the last sync.
     unsynced_writes: Vec<usize>,
-    /// A sync has failed; later ones succeed and do nothing.
+    /// A sync has failed; later syncs succeed without any effect.
     has_failed_sync: bool,
 }
 
@@ -122,7 +122,7 @@
         io::ErrorKind::StorageFull.into()
     }
 
-    /// Counts a call, and lets it fail, hang or panic as the fault says.
+    /// Counts a call and lets it fail, hang or panic according to the current fault.
     fn call(&self, call: Call) -> io::Result<MutexGuard<'_, DiskState>> {
         let mut state = self.lock();
         if state.fault.hangs {
@@ -130,7 +130,7 @@
             self.changed.notify_all();
             state = self.changed.wait_while(state, |state| state.fault.hangs).unwrap();
         }
-        assert!(!state.fault.panics, "as the test wants it");
+        assert!(!state.fault.panics, "panic requested by the test");
         state.calls_left = state.calls_left.saturating_sub(1);
         if state.calls_left == 0 {
             return Err(io::Error::other("no power"));
@@ -148,17 +148,17 @@
 }
 
 impl DiskState {
-    /// True one time in `of`.
-    pub(super) fn one_in(&mut self, of: u64) -> bool {
-        self.rng.rand_range(0..of) == 0
+    /// Returns true with a probability of 1 in `n`.
+    pub(super) fn one_in(&mut self, n: u64) -> bool {
+        self.rng.rand_range(0..n) == 0
     }
 
     fn used_bytes(&self) -> usize {
         self.names.values().map(|&file| self.files[file].content.len()).sum()
     }
 
-    /// Makes each rename and removal durable, or only some, and forgets the others.
-    fn settle_name_changes(&mut self, is_durable: impl Fn(&mut Self) -> bool) {
+    /// Makes those pending renames and removals durable for which `is_durable` returns true, and discards the others.
+    fn apply_name_changes(&mut self, is_durable: impl Fn(&mut Self) -> bool) {
         for NameChange { old_name, file, new_name } in std::mem::take(&mut self.unsynced_changes) {
             if self.durable_names.get(&old_name) == Some(&file) && is_durable(self) {
                 self.durable_names.remove(&old_name);
@@ -168,34 +168,34 @@
     }
 
     pub(super) fn lose_power(&mut self) {
-        let loses_all = self.one_in(3);
+        let loses_all_unsynced = self.one_in(3);
         for (name, &file) in &self.names.clone() {
-            if self.files[file].synced_bytes.is_none() && !loses_all && self.one_in(2) {
+            if self.files[file].synced_bytes.is_none() && !loses_all_unsynced && self.one_in(2) {
                 self.durable_names.insert(name.clone(), file);
             }
         }
-        self.settle_name_changes(|state| !loses_all && state.one_in(2));
+        self.apply_name_changes(|state| !loses_all_unsynced && state.one_in(2));
         for id in 0..self.files.len() {
             let file = std::mem::take(&mut self.files[id]);
-            let content = self.content_after_power_loss(&file, loses_all);
+            let content = self.content_after_power_loss(&file, loses_all_unsynced);
             self.files[id] =
                 SimulatedFile { synced_bytes: Some(content.len()), content, ..SimulatedFile::default() };
         }
         self.names = self.durable_names.clone();
     }
 
-    /// What was synced, and any part of the writes since then.
-    fn content_after_power_loss(&mut self, file: &SimulatedFile, loses_all: bool) -> Vec<u8> {
+    /// The synced content with an arbitrary part of the later writes.
+    fn content_after_power_loss(&mut self, file: &SimulatedFile, loses_all_unsynced: bool) -> Vec<u8> {
         let mut content = file.content[..file.synced_bytes.unwrap_or(0)].to_vec();
         let ends = file.unsynced_writes.iter().skip(1).copied().chain([file.content.len()]);
         for (&start, end) in file.unsynced_writes.iter().zip(ends) {
-            if loses_all || self.one_in(3) {
+            if loses_all_unsynced || self.one_in(3) {
                 continue;
             }
             content.resize(content.len().max(end), 0);
             content[start..end].copy_from_slice(&file.content[start..end]);
             if self.one_in(2) {
-                // Torn: the end is missing, or some bytes in it are.
+                // A torn write: its end is missing or was replaced by zeros.
                 let torn_at = start + self.rng.rand_range(0..(end - start) as u64 + 1) as usize;
                 if end == content.len() && self.one_in(2) {
                     content.truncate(torn_at);
@@ -226,7 +226,7 @@
 
     fn create(&self, name: &str) -> io::Result<FileId> {
         let mut state = self.call(Call::Create)?;
-        // A file of that name is truncated: the new one stands for it, and the old one is what may be left.
+        // An existing file of this name is kept as a separate file, because a power loss may bring it back.
         let file = state.files.len();
         state.files.push(SimulatedFile::default());
         state.names.insert(name.into(), file);
@@ -234,7 +234,7 @@
     }
 
     fn append(&self, file: &mut FileId, bytes: &[u8]) -> io::Result<()> {
-        // Power may be lost after the write as well as before it: a call that fails has written.
+        // Power may be lost before or after the write takes effect, so a failing call still writes.
         let mut error = self.call(Call::Append).err();
         let mut state = self.lock();
         let free_bytes =
@@ -290,9 +290,9 @@
     fn sync_directory(&self) -> io::Result<()> {
         let error = self.call(Call::SyncDirectory).err();
         let mut state = self.lock();
-        // What a failed sync has dropped, later ones do not make durable.
+        // Later syncs do not make changes durable that a failed sync has dropped.
         let has_succeeded = error.is_none();
-        state.settle_name_changes(|state| has_succeeded || state.one_in(2));
+        state.apply_name_changes(|state| has_succeeded || state.one_in(2));
         error.map_or(Ok(()), Err)
     }
 }
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -1,6 +1,6 @@
-//! The store's files, byte by byte: a folder that an earlier version has written is read by a later one, and what a
-//! later one writes is what the earlier one would have. The files in `golden/` are never regenerated: a new format
-//! gets files of its own beside them.
+//! Golden-file tests of the storage format. Files written by earlier versions must stay readable, and the store must
+//! write exactly the same bytes as earlier versions. The files in `golden/` are never regenerated: a new format gets
+//! additional files.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -11,45 +11,45 @@
 use rustix::event::{poll, PollFd, PollFlags};
 use tempfile::TempDir;
 
-/// What a new folder gets first: a snapshot without records, and a log without entries, which is the magic alone.
+/// The files of a new store: a snapshot without records, and a log that contains only its magic bytes.
 const EMPTY_SNAPSHOT: &[u8] = include_bytes!("golden/empty-snapshot.bin");
 const LOG_MAGIC: &[u8] = b"KPRLOG01";
-/// The first log once all of [`BATCHES`] are stored.
+/// The first log after all of [`BATCHES`] were written.
 const LOG: &[u8] = include_bytes!("golden/log.bin");
-/// What the next opening makes of the two: a snapshot of all records. Its log is the second one.
+/// The snapshot of all records that reopening the store creates from them. The second log follows it.
 const SNAPSHOT: &[u8] = include_bytes!("golden/snapshot.bin");
-/// The second log once [`LATER_BATCHES`] are stored.
+/// The second log after [`LATER_BATCHES`] were written.
 const SECOND_LOG: &[u8] = include_bytes!("golden/second-log.bin");
-/// The records after the first log, and those after the second one.
+/// The expected records after the first and after the second log.
 const RECORDS: &str = include_str!("golden/records.expected.txt");
 const LATER_RECORDS: &str = include_str!("golden/later-records.expected.txt");
 
-/// Where each entry of [`LOG`] ends, the magic first.
+/// The end of the magic bytes and of each entry in [`LOG`].
 const ENTRY_ENDS: [usize; 6] = [8, 83, 136, 165, 211, 245];
 
-/// More than any log here takes.
-const LOG_LIMIT: u64 = 1 << 16;
+/// Larger than any log in these tests.
+const MAX_LOG_BYTES: u64 = 1 << 16;
 
-/// A put: its records, where an empty value deletes.
+/// The records of one write; an empty value deletes its key.
 type Batch<'a> = &'a [(&'a [u8], &'a [u8])];
 
-/// Each batch makes one entry of the log.
+/// Each batch becomes one log entry.
 const BATCHES: &[Batch] = &[
-    // New records, handed over out of order.
+    // New records, not in key order.
     &[(b"beta", b"first beta"), (b"alpha", b"first alpha"), (b"\x00\xff", b"\x01\x00\xfe")],
-    // One is overwritten, another is given twice: the later value counts.
+    // Overwrites one key, and sets another key twice: the later value counts.
     &[(b"beta", b"second beta"), (b"gamma", b"lost"), (b"gamma", b"g")],
-    // One is deleted.
+    // Deletes a key.
     &[(b"alpha", b"")],
-    // The empty key is a key; a deletion of what was never put is logged too.
+    // The empty key is valid. Deleting an unknown key is logged too.
     &[(b"", b"no name"), (b"unknown", b"")],
-    // A deleted one comes back.
+    // Sets a deleted key again.
     &[(b"alpha", b"again")],
 ];
 
 const LATER_BATCHES: &[Batch] = &[
     &[(b"beta", b""), (b"delta", b"first delta")],
-    // A batch without records makes no entry.
+    // An empty batch creates no entry.
     &[],
     &[(b"gamma", b"third gamma")],
 ];
@@ -58,95 +58,97 @@
     batch.iter().map(|(key, value)| (key.to_vec(), value.to_vec())).collect()
 }
 
-/// Puts the batches, each once the one before is on disk, so that each gets its own entry.
-fn put_one_by_one(store: &Store, batches: &[Batch]) {
+/// Writes each batch after the previous one is durable, so that each gets its own entry.
+fn put_sequentially(store: &Store, batches: &[Batch]) {
     for (write_id, batch) in batches.iter().enumerate() {
         store.put(write_id as u64, records(batch));
-        wait_for(store, write_id as u64);
+        wait_for_write(store, write_id as u64);
     }
 }
 
-fn wait_for(store: &Store, write_id: u64) {
+fn wait_for_write(store: &Store, write_id: u64) {
     loop {
-        poll(&mut [PollFd::from_borrowed_fd(store.event_fd(), PollFlags::IN)], None).expect("poll works");
-        let done = store.take_completed().expect("the store works");
+        poll(&mut [PollFd::from_borrowed_fd(store.event_fd(), PollFlags::IN)], None)
+            .expect("polling succeeds");
+        let done = store.take_completed().expect("the store has not stopped");
         if done.contains(&write_id) {
             return;
         }
     }
 }
 
-fn open(folder: &Path) -> (Store, Vec<Record>) {
-    Store::open(folder, LOG_LIMIT).expect("the folder can be opened")
+fn open(directory: &Path) -> (Store, Vec<Record>) {
+    Store::open(directory, MAX_LOG_BYTES).expect("the directory can be opened")
 }
 
-/// All files of a folder, by name.
-fn files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
-    let entries = fs::read_dir(folder).expect("the folder can be read");
+/// The contents of all files in a directory, by name.
+fn files(directory: &Path) -> BTreeMap<String, Vec<u8>> {
+    let entries = fs::read_dir(directory).expect("the directory can be read");
     let file = |entry: fs::DirEntry| {
-        let name = entry.file_name().into_string().expect("names are text");
+        let name = entry.file_name().into_string().expect("file names are UTF-8");
         (name, fs::read(entry.path()).expect("the file can be read"))
     };
-    entries.map(|entry| file(entry.expect("the folder can be read"))).collect()
+    entries.map(|entry| file(entry.expect("the directory can be read"))).collect()
 }
 
-fn folder_of(files: &[(&str, &[u8])]) -> TempDir {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+fn directory_with(files: &[(&str, &[u8])]) -> TempDir {
+    let directory = tempfile::tempdir().expect("a temporary directory");
     for (name, bytes) in files {
-        fs::write(folder.path().join(name), bytes).expect("the folder can be written");
+        fs::write(directory.path().join(name), bytes).expect("the directory can be written");
     }
-    folder
+    directory
 }
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A line a record: key and value in hex.
-fn listing(records: &[Record]) -> String {
+/// Formats each record as a line with key and value in hex.
+fn format_records(records: &[Record]) -> String {
     records.iter().map(|(key, value)| format!("\"{}\" {}\n", hex(key), hex(value))).collect()
 }
 
-fn assert_files(folder: &Path, expected: &[(&str, &[u8])]) {
-    let shown = |(name, bytes): (&str, &[u8])| (name.to_owned(), hex(bytes));
-    let found: Vec<(String, String)> = files(folder).iter().map(|(n, bytes)| shown((n, bytes))).collect();
-    let expected: Vec<(String, String)> = expected.iter().copied().map(shown).collect();
+fn assert_files(directory: &Path, expected: &[(&str, &[u8])]) {
+    let to_hex = |(name, bytes): (&str, &[u8])| (name.to_owned(), hex(bytes));
+    let found: Vec<(String, String)> = files(directory).iter().map(|(n, bytes)| to_hex((n, bytes))).collect();
+    let expected: Vec<(String, String)> = expected.iter().copied().map(to_hex).collect();
     assert_eq!(found, expected);
 }
 
 #[test]
-fn a_sequence_of_puts_makes_exactly_these_files() {
-    let folder = folder_of(&[]);
-    let (store, found) = open(folder.path());
+fn written_files_match_the_golden_files() {
+    let directory = directory_with(&[]);
+    let (store, found) = open(directory.path());
     assert_eq!(found, []);
-    assert_files(folder.path(), &[("log-1", LOG_MAGIC), ("snapshot", EMPTY_SNAPSHOT)]);
-    put_one_by_one(&store, BATCHES);
+    assert_files(directory.path(), &[("log-1", LOG_MAGIC), ("snapshot", EMPTY_SNAPSHOT)]);
+    put_sequentially(&store, BATCHES);
     drop(store);
-    assert_files(folder.path(), &[("log-1", LOG), ("snapshot", EMPTY_SNAPSHOT)]);
+    assert_files(directory.path(), &[("log-1", LOG), ("snapshot", EMPTY_SNAPSHOT)]);
 
-    let (store, found) = open(folder.path());
-    assert_eq!(listing(&found), RECORDS);
-    assert_files(folder.path(), &[("log-2", LOG_MAGIC), ("snapshot", SNAPSHOT)]);
-    put_one_by_one(&store, LATER_BATCHES);
+    let (store, found) = open(directory.path());
+    assert_eq!(format_records(&found), RECORDS);
+    assert_files(directory.path(), &[("log-2", LOG_MAGIC), ("snapshot", SNAPSHOT)]);
+    put_sequentially(&store, LATER_BATCHES);
     drop(store);
-    assert_files(folder.path(), &[("log-2", SECOND_LOG), ("snapshot", SNAPSHOT)]);
+    assert_files(directory.path(), &[("log-2", SECOND_LOG), ("snapshot", SNAPSHOT)]);
 }
 
-/// A batch that the log has no room for goes into a snapshot, and an empty log follows.
+/// A batch that does not fit into the log is written to a snapshot, followed by an empty log.
 #[test]
-fn a_full_log_is_replaced_by_exactly_this_snapshot() {
-    let folder = folder_of(&[]);
-    let all_but_the_last = ENTRY_ENDS[BATCHES.len() - 1];
-    let (store, _) = Store::open(folder.path(), all_but_the_last as u64).expect("the folder can be opened");
-    put_one_by_one(&store, &BATCHES[..BATCHES.len() - 1]);
-    assert_files(folder.path(), &[("log-1", &LOG[..all_but_the_last]), ("snapshot", EMPTY_SNAPSHOT)]);
-    put_one_by_one(&store, &BATCHES[BATCHES.len() - 1..]);
+fn compaction_of_a_full_log_writes_the_golden_snapshot() {
+    let directory = directory_with(&[]);
+    let without_last_entry = ENTRY_ENDS[BATCHES.len() - 1];
+    let (store, _) =
+        Store::open(directory.path(), without_last_entry as u64).expect("the directory can be opened");
+    put_sequentially(&store, &BATCHES[..BATCHES.len() - 1]);
+    assert_files(directory.path(), &[("log-1", &LOG[..without_last_entry]), ("snapshot", EMPTY_SNAPSHOT)]);
+    put_sequentially(&store, &BATCHES[BATCHES.len() - 1..]);
     drop(store);
-    // The last batch has no entry: the next sequence number is one lower than in the golden snapshot.
+    // The last batch has no entry, so the next sequence number is one lower than in the golden snapshot.
     let mut snapshot = SNAPSHOT[..SNAPSHOT.len() - 4].to_vec();
     snapshot[16] -= 1;
     snapshot.extend_from_slice(&crc32fast::hash(&snapshot).to_le_bytes());
-    assert_files(folder.path(), &[("log-2", LOG_MAGIC), ("snapshot", &snapshot)]);
+    assert_files(directory.path(), &[("log-2", LOG_MAGIC), ("snapshot", &snapshot)]);
 }
 
 #[rstest]
@@ -165,16 +167,16 @@
     &[("log-1", LOG), ("snapshot", EMPTY_SNAPSHOT), ("snapshot.new", &SNAPSHOT[..9])],
     RECORDS
 )]
-fn a_folder_of_these_files_holds_these_records(#[case] files: &[(&str, &[u8])], #[case] expected: &str) {
-    let folder = folder_of(files);
-    let (store, found) = open(folder.path());
-    assert_eq!(listing(&found), expected);
+fn golden_files_are_read_as_expected(#[case] files: &[(&str, &[u8])], #[case] expected: &str) {
+    let directory = directory_with(files);
+    let (store, found) = open(directory.path());
+    assert_eq!(format_records(&found), expected);
     drop(store);
-    // What was read is now in a new snapshot.
-    assert_eq!(listing(&open(folder.path()).1), expected);
+    // Opening has compacted the records into a new snapshot.
+    assert_eq!(format_records(&open(directory.path()).1), expected);
 }
 
-/// The records after so many of [`BATCHES`].
+/// The records after the first `count` of [`BATCHES`].
 fn records_after(count: usize) -> Vec<Record> {
     let mut map = BTreeMap::new();
     for (key, value) in BATCHES[..count].iter().flat_map(|batch| records(batch)) {
@@ -183,56 +185,56 @@
     map.into_iter().filter(|(_, value)| !value.is_empty()).collect()
 }
 
-fn opened_with_log(log: &[u8]) -> Vec<Record> {
-    let folder = folder_of(&[("log-1", log), ("snapshot", EMPTY_SNAPSHOT)]);
-    open(folder.path()).1
+fn records_of_log(log: &[u8]) -> Vec<Record> {
+    let directory = directory_with(&[("log-1", log), ("snapshot", EMPTY_SNAPSHOT)]);
+    open(directory.path()).1
 }
 
 #[test]
-fn a_log_cut_off_anywhere_yields_its_complete_entries() {
-    assert_eq!(*ENTRY_ENDS.last().expect("the magic at least"), LOG.len());
+fn truncated_log_yields_its_complete_entries() {
+    assert_eq!(*ENTRY_ENDS.last().expect("ENTRY_ENDS is not empty"), LOG.len());
     for length in 0..=LOG.len() {
         let complete = ENTRY_ENDS.iter().filter(|end| **end <= length).count().saturating_sub(1);
-        assert_eq!(opened_with_log(&LOG[..length]), records_after(complete), "cut off at {length}");
+        assert_eq!(records_of_log(&LOG[..length]), records_after(complete), "cut off at {length}");
     }
 }
 
 #[test]
-fn a_changed_byte_ends_the_log_before_its_entry() {
+fn corrupt_byte_ends_the_log_before_its_entry() {
     for position in 0..LOG.len() {
         let mut log = LOG.to_vec();
         log[position] ^= 0x40;
         let complete = ENTRY_ENDS.iter().filter(|end| **end <= position).count().saturating_sub(1);
-        assert_eq!(opened_with_log(&log), records_after(complete), "changed at {position}");
+        assert_eq!(records_of_log(&log), records_after(complete), "changed at {position}");
     }
 }
 
-/// Blocks that the file system has allocated and not written.
+/// The file system may have allocated blocks that were never written.
 #[test]
-fn zeros_behind_the_log_are_no_entry() {
+fn zeros_after_the_log_are_ignored() {
     let log = [LOG, &[0; 64]].concat();
-    assert_eq!(listing(&opened_with_log(&log)), RECORDS);
+    assert_eq!(format_records(&records_of_log(&log)), RECORDS);
 }
 
-/// The error is of a file that does not hold what was written, and names the file.
+/// Asserts that the error reports this file as corrupt.
 fn assert_corrupt(error: Error, file: &Path) {
     assert!(matches!(&error, Error::Corrupt { path, .. } if path == file), "{error}");
 }
 
 #[test]
-fn a_snapshot_with_a_changed_byte_is_rejected() {
+fn snapshot_with_a_corrupt_byte_is_rejected() {
     for position in 0..SNAPSHOT.len() {
         let mut snapshot = SNAPSHOT.to_vec();
         snapshot[position] ^= 0x40;
-        let folder = folder_of(&[("snapshot", &snapshot)]);
-        let error = Store::open(folder.path(), LOG_LIMIT).expect_err("the snapshot is corrupt");
-        assert_corrupt(error, &folder.path().join("snapshot"));
+        let directory = directory_with(&[("snapshot", &snapshot)]);
+        let error = Store::open(directory.path(), MAX_LOG_BYTES).expect_err("the snapshot is corrupt");
+        assert_corrupt(error, &directory.path().join("snapshot"));
     }
 }
 
 #[test]
-fn entries_without_a_snapshot_are_rejected() {
-    let folder = folder_of(&[("log-1", LOG)]);
-    let error = Store::open(folder.path(), LOG_LIMIT).expect_err("the snapshot is missing");
-    assert_corrupt(error, &folder.path().join("log-1"));
+fn log_entries_without_a_snapshot_are_rejected() {
+    let directory = directory_with(&[("log-1", LOG)]);
+    let error = Store::open(directory.path(), MAX_LOG_BYTES).expect_err("the snapshot is missing");
+    assert_corrupt(error, &directory.path().join("log-1"));
 }
