--- a/crates/net/src/http/message.rs
+++ b/crates/net/src/http/message.rs
@@ -74,15 +74,15 @@
         !input.is_empty() || !self.is_in_head()
     }
 
-    /// Whether a request's head is complete, none of its body has been received, and the client waits for `100
-    /// Continue` before it sends the body. Unlike [`Head::expects_continue`] this ignores the HTTP version.
+    /// Whether a request's head is complete, none of its body has been received, and the client waits for
+    /// `100 Continue` before it sends the body. Unlike [`Head::expects_continue`] this ignores the HTTP version.
     pub fn expects_continue(&self, input: &[u8]) -> bool {
         let has_only_head = !self.is_in_head() && input.len() == self.position;
         has_only_head && self.parser.layout.has_expect_continue(input)
     }
 
-    /// Removes the next message from the front of `input` once it is complete. `at_eof` says that no more
-    /// input follows.
+    /// Removes the next message from the front of `input` once it is complete. `at_eof` says that no more input
+    /// follows.
     ///
     /// # Errors
     ///
--- a/crates/net/src/timer_wheel.rs
+++ b/crates/net/src/timer_wheel.rs
@@ -8,7 +8,7 @@
 
 /// The length of a tick in microseconds.
 const TICK_MICROS: i64 = 1_000;
-/// The number of slots, one tick each. Timers further ahead than this share a slot with timers that are due earlier.
+/// The number of slots, one tick each. Timers due later than that can share a slot with earlier ones.
 const SLOT_COUNT: usize = 4096;
 
 slotmap::new_key_type! {
@@ -81,8 +81,8 @@
         }
     }
 
-    /// The latest time for the next call of [`TimerWheel::take_due`]; `None` without timers. The result may be too
-    /// early if a slot holds only timers that are due in a later rotation of the wheel.
+    /// The time by which [`TimerWheel::take_due`] must be called next; `None` without timers. It is earlier than necessary
+    /// if a slot holds only timers that are due in a later rotation of the wheel.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         let end = self.next_tick + SLOT_COUNT as i64;
         let tick = self.next_occupied(self.next_tick, end)?;
--- a/crates/storage/src/record_log.rs
+++ b/crates/storage/src/record_log.rs
@@ -12,8 +12,8 @@
 /// The file name of a snapshot that is being written, before it replaces the current one.
 const NEW_SNAPSHOT: &str = "snapshot.new";
 
-/// The records in memory with the files that make them durable. The records in memory are always current; the result of
-/// the last [`RecordLog::persist`] tells whether all of them are durable.
+/// The records in memory, and the files that make them durable. The records in memory are always current; the result
+/// of the last [`RecordLog::persist`] tells whether all of them are durable.
 #[derive(Debug)]
 pub(crate) struct RecordLog<D: Directory> {
     directory: D,
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -76,8 +76,8 @@
     }
 
     /// As [`RecordStore::put`]. While the disk is slow or fails, the latest value of each key is kept in memory, with
-    /// at most [`MAX_PENDING_WRITES`](crate::MAX_PENDING_WRITES) write ids. Keys and values must each be shorter than 4
-    /// GiB. Does nothing once the store has stopped.
+    /// at most [`MAX_PENDING_WRITES`](crate::MAX_PENDING_WRITES) write ids. Keys and values must each be shorter than
+    /// 4 GiB. Does nothing once the store has stopped.
     pub fn put(&self, write_id: u64, records: Vec<Record>) {
         self.queue.push(write_id, records);
     }
--- a/crates/storage/src/tests/disk_failures.rs
+++ b/crates/storage/src/tests/disk_failures.rs
@@ -44,7 +44,7 @@
     let (store, records) = Store::start(disk.clone(), MAX_LOG_BYTES, NO_BACKOFF).unwrap();
     assert_eq!(records, [record("last", "0")]);
     disk.set_fault(fault);
-    // The values are long_value, so that the log must be compacted and every kind of failure occurs.
+    // The values are long, so that they do not all fit into the log and every kind of failure occurs.
     let long_value = "value".repeat(10);
     for write_id in 1..=50 {
         let records =
--- a/crates/storage/src/write_queue.rs
+++ b/crates/storage/src/write_queue.rs
@@ -19,7 +19,7 @@
 pub const MAX_PENDING_WRITES: usize = 1 << 16;
 
 /// Writes that take at least this long are logged.
-const SLOW_WRITE: Duration = Duration::from_secs(1);
+const SLOW_WRITE_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// The delay before a failed write is retried. It doubles with each attempt, up to `max`.
 #[derive(Clone, Copy, Debug)]
@@ -161,7 +161,7 @@
                 "event=store_recovered keys={keys} writes={completed} dropped={dropped} attempts={attempts} ms={ms}"
             );
             inner.state = State::Healthy;
-        } else if dropped > 0 || start.elapsed() >= SLOW_WRITE {
+        } else if dropped > 0 || start.elapsed() >= SLOW_WRITE_THRESHOLD {
             let ms = start.elapsed().as_millis();
             log::warn!("event=store_slow keys={keys} writes={completed} dropped={dropped} ms={ms}");
         }
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -209,7 +209,7 @@
     }
 }
 
-/// The file system may have allocated blocks that were never written.
+/// Blocks that the file system has allocated but not written read as zeros.
 #[test]
 fn zeros_after_the_log_are_ignored() {
     let log = [LOG, &[0; 64]].concat();
