--- a/crates/control-plane/tests/golden_commands.rs
+++ b/crates/control-plane/tests/golden_commands.rs
@@ -1,5 +1,5 @@
-//! What the operators' API answers over HTTP and what the subcommands print, byte by byte as it was when the golden
-//! files were made. Log lines are not part of it.
+//! Compares the HTTP responses of the operator API and the output of the subcommands byte by byte with golden files. Log lines
+//! are not compared.
 
 mod support;
 
@@ -12,41 +12,42 @@
 use std::path::Path;
 use std::time::Instant;
 use support::cluster::{request, Cluster, Connection, TIMEOUT};
-use support::command::{command, http_response, mock_server, outcome, TempFile, PROGRAM};
+use support::command::{command, exit_code_and_output, http_response, mock_server, TempFile, PROGRAM};
 use support::golden::{mask_after, GoldenFiles};
 
 const GOLDEN: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/commands");
-/// The files that the subcommands take; they run in this folder.
+/// The input files of the subcommands, which run in this directory.
 const INPUTS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/inputs");
-/// Nobody listens there.
-const NOBODY: &str = "127.0.0.1:1";
+/// An address on which no process listens.
+const CLOSED_ADDRESS: &str = "127.0.0.1:1";
 const MIB: usize = 1024 * 1024;
 
 fn input(name: &str) -> String {
-    std::fs::read_to_string(Path::new(INPUTS).join(name)).expect("an input")
+    std::fs::read_to_string(Path::new(INPUTS).join(name)).expect("read the input file")
 }
 
-/// The golden files of what subcommands print.
-fn printed() -> GoldenFiles {
-    let program = Path::new(PROGRAM).file_name().and_then(|name| name.to_str()).expect("a name");
+/// The golden files of the subcommands' output.
+fn subcommand_golden_files() -> GoldenFiles {
+    let program =
+        Path::new(PROGRAM).file_name().and_then(|name| name.to_str()).expect("the name of the program file");
     GoldenFiles::new(GOLDEN)
         .replace(format!("{program} {}", env!("CARGO_PKG_VERSION")), "{PROGRAM} {VERSION}")
         .replace(format!("{program} "), "{PROGRAM} ")
         .replace(format!("{program}: "), "{PROGRAM}: ")
 }
 
-/// The exit code and all that the program prints with these arguments.
+/// Runs the program; returns its exit code and its output as one text.
 fn run(args: &[&str]) -> String {
-    let output = command(args).current_dir(INPUTS).output().expect("the program starts");
-    transcript(&outcome(&output))
+    let output = command(args).current_dir(INPUTS).output().expect("start the program");
+    transcript(&exit_code_and_output(&output))
 }
 
 fn transcript((code, out, error): &(i32, String, String)) -> String {
     format!("exit code {code}\n--- standard output\n{out}--- standard error\n{error}")
 }
 
-/// The golden files of what a cluster answers.
-fn answered(cluster: &Cluster) -> GoldenFiles {
+/// The golden files of a cluster's responses.
+fn cluster_golden_files(cluster: &Cluster) -> GoldenFiles {
     let [first, second, third] = cluster.addresses;
     GoldenFiles::new(GOLDEN)
         .replace(format!("{first}:"), "{IP_0}:")
@@ -56,41 +57,41 @@
         .replace(format!("\"{third}\""), "\"{IP_2}\"")
 }
 
-/// An answer as it came.
-fn raw(connection: &mut Connection, text: impl AsRef<str>) -> String {
+/// Sends a request and returns the response, header and body, unchanged.
+fn exchange(connection: &mut Connection, text: impl AsRef<str>) -> String {
     let (head, body) = connection.send(text.as_ref()).receive_raw();
     head + &body
 }
 
 fn call(cluster: &Cluster, method: &str, path: &str, body: &str) -> String {
-    raw(&mut cluster.connect(), request(method, path, body))
+    exchange(&mut cluster.connect(), request(method, path, body))
 }
 
-/// Makes a call until the answer is as expected.
+/// Repeats a call until the response is as expected.
 fn until(what: impl Display, mut call: impl FnMut() -> String, expected: impl Fn(&str) -> bool) -> String {
     let since = Instant::now();
     loop {
-        let answer = call();
-        if expected(&answer) {
-            return answer;
+        let response = call();
+        if expected(&response) {
+            return response;
         }
-        assert!(since.elapsed() < TIMEOUT, "{what}: {answer}");
+        assert!(since.elapsed() < TIMEOUT, "{what}: {response}");
         std::thread::yield_now();
     }
 }
 
-/// Ages, whether the process that was asked is the coordinator, how long its turns took, and with them the length differ
-/// from run to run.
-fn masked_members(answer: &str) -> String {
-    let answer = mask_after(answer, "\"long-turns\":", &[','], "{COUNT}");
-    let answer = mask_after(&answer, "\"longest-turn-ms\":", &[','], "{MS}");
-    let answer = mask_after(&answer, "\"contact-age-ms\":", &[',', '}'], "{AGE_MS}");
-    let answer = mask_after(&answer, "\"steward\":", &['}'], "{TRUE_OR_FALSE}");
-    mask_after(&answer, "Content-Length: ", &['\r'], "{LENGTH}")
+/// Masks what differs from run to run: contact ages, whether this process is the coordinator, the durations of its event loop
+/// turns, and with them the length.
+fn mask_members(response: &str) -> String {
+    let response = mask_after(response, "\"long-turns\":", &[','], "{COUNT}");
+    let response = mask_after(&response, "\"longest-turn-ms\":", &[','], "{MS}");
+    let response = mask_after(&response, "\"contact-age-ms\":", &[',', '}'], "{AGE_MS}");
+    let response = mask_after(&response, "\"steward\":", &['}'], "{TRUE_OR_FALSE}");
+    mask_after(&response, "Content-Length: ", &['\r'], "{LENGTH}")
 }
 
-/// Whether all three processes are replicas by now, and the one that was asked is in contact with each.
-fn is_joined(members: &str) -> bool {
+/// Whether all three processes are replicas, and the one that answered is in contact with each of them.
+fn has_all_replicas(members: &str) -> bool {
     members.matches("\"heard\":true").count() == 3 && members.matches("\"contact\":true").count() == 4
 }
 
@@ -113,9 +114,9 @@
 #[case::missing_zone("usage-missing-zone.txt", &["evacuate", "start"])]
 #[case::unexpected_argument("usage-unexpected-argument.txt", &["check", "a", "b"])]
 #[case::no_address("usage-no-address.txt", &["members"])]
-#[case::bad_address("usage-bad-address.txt", &["members", "--at", "here"])]
-#[case::bad_verb("usage-evacuate-bad-verb.txt", &["evacuate", "stop", "z", "--at", NOBODY])]
-#[case::bad_zone("usage-evacuate-bad-zone.txt", &["evacuate", "start", "a b", "--at", NOBODY])]
+#[case::invalid_address("usage-bad-address.txt", &["members", "--at", "here"])]
+#[case::invalid_verb("usage-evacuate-bad-verb.txt", &["evacuate", "stop", "z", "--at", CLOSED_ADDRESS])]
+#[case::invalid_zone("usage-evacuate-bad-zone.txt", &["evacuate", "start", "a b", "--at", CLOSED_ADDRESS])]
 #[case::no_settings("serve-no-settings.txt", &["serve"])]
 #[case::no_settings_without_a_command("serve-no-settings.txt", &[])]
 #[case::check_no_file("check-no-file.txt", &["check", "nonexistent.json"])]
@@ -124,39 +125,41 @@
 #[case::check_against("check-against.txt", &["check", "change.json", "--against", "configuration.json"])]
 #[case::check_not_json("check-not-json.txt", &["check", "not-json.json"])]
 #[case::check_extra_field("check-extra-field.txt", &["check", "extra-field.json"])]
-#[case::check_bad_version("check-bad-version.txt", &["check", "bad-version.json"])]
+#[case::check_invalid_version("check-bad-version.txt", &["check", "bad-version.json"])]
 #[case::check_list("check-list.txt", &["check", "empty-list.json"])]
-#[case::get_nobody("get-nobody.txt", &["get", "--at", NOBODY])]
-#[case::apply_nobody("apply-nobody.txt", &["apply", "configuration.json", "--at", "127.0.0.1:1,127.0.0.2:1"])]
-#[case::apply_no_file("apply-no-file.txt", &["apply", "nonexistent.json", "--at", NOBODY])]
-#[case::apply_not_json("apply-not-json.txt", &["apply", "not-json.json", "--at", NOBODY])]
-#[case::diff_not_valid("diff-not-valid.txt", &["diff", "bad-version.json", "--at", NOBODY])]
-fn what_a_subcommand_prints_that_reaches_nobody(#[case] name: &str, #[case] args: &[&str]) {
-    printed().assert_matches(name, &run(args));
+#[case::get_unreachable("get-nobody.txt", &["get", "--at", CLOSED_ADDRESS])]
+#[case::apply_unreachable("apply-nobody.txt", &["apply", "configuration.json", "--at", "127.0.0.1:1,127.0.0.2:1"])]
+#[case::apply_no_file("apply-no-file.txt", &["apply", "nonexistent.json", "--at", CLOSED_ADDRESS])]
+#[case::apply_not_json("apply-not-json.txt", &["apply", "not-json.json", "--at", CLOSED_ADDRESS])]
+#[case::diff_not_valid("diff-not-valid.txt", &["diff", "bad-version.json", "--at", CLOSED_ADDRESS])]
+fn output_of_subcommands_without_a_reachable_process(#[case] name: &str, #[case] args: &[&str]) {
+    subcommand_golden_files().assert_matches(name, &run(args));
 }
 
 #[test]
-fn what_a_subcommand_prints_whose_variable_names_no_address() {
-    let output = command(&["members"]).env("KITEPASS_AT", "here").output().expect("the program starts");
-    printed().assert_matches("usage-bad-variable.txt", &transcript(&outcome(&output)));
+fn output_with_an_invalid_address_variable() {
+    let output = command(&["members"]).env("KITEPASS_AT", "here").output().expect("start the program");
+    subcommand_golden_files()
+        .assert_matches("usage-bad-variable.txt", &transcript(&exit_code_and_output(&output)));
 }
 
 #[rstest]
 #[case::absent("serve-settings-absent.txt", "nonexistent.toml")]
 #[case::not_toml("serve-settings-not-toml.txt", "not-json.json")]
-fn what_a_control_process_prints_that_cannot_start(#[case] name: &str, #[case] settings: &str) {
+fn output_of_a_control_process_that_cannot_start(#[case] name: &str, #[case] settings: &str) {
     let mut command = command(&["serve", "--settings", settings]);
     let output = command.current_dir(INPUTS).env("KITEPASS_LOG", "error").output();
-    printed().assert_matches(name, &transcript(&outcome(&output.expect("the program starts"))));
+    subcommand_golden_files()
+        .assert_matches(name, &transcript(&exit_code_and_output(&output.expect("start the program"))));
 }
 
 const TEXT: &str = "Content-Type: text/plain\r\n";
 
 #[rstest]
 #[case::get("get.txt", &["get"], http_response("200 OK", "", &input("diff.json")))]
-#[case::get_garbled("get-garbled.txt", &["get"], http_response("200 OK", "", "{\"a\""))]
+#[case::get_invalid_json("get-garbled.txt", &["get"], http_response("200 OK", "", "{\"a\""))]
 #[case::get_not_http("get-not-http.txt", &["get"], "HELLO\r\n\r\n".to_owned())]
-#[case::get_cut_short("get-cut-short.txt", &["get"], "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_owned())]
+#[case::get_truncated("get-cut-short.txt", &["get"], "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_owned())]
 #[case::apply("apply.txt", &["apply", "configuration.json"], http_response("200 OK", "", "{}"))]
 #[case::apply_400("apply-400.txt", &["apply", "configuration.json"],
     http_response("400 Refused", TEXT, "itineraries \"a\": line: none\u{7}"))]
@@ -172,61 +175,57 @@
 #[case::members("members.txt", &["members"], http_response("200 OK", "", &input("members.json")))]
 #[case::members_json("members-json.txt", &["members", "--json"], http_response("200 OK", "", &input("members.json")))]
 #[case::members_isolated("members-isolated.txt", &["members"], http_response("200 OK", "", &input("members-isolated.json")))]
-#[case::members_blank("members-blank.txt", &["members"], http_response("200 OK", "", &input("members-blank.json")))]
-#[case::members_blank_json("members-blank-json.txt", &["members", "--json"],
+#[case::members_without_configuration("members-blank.txt", &["members"], http_response("200 OK", "", &input("members-blank.json")))]
+#[case::members_without_configuration_json("members-blank-json.txt", &["members", "--json"],
     http_response("200 OK", "", &input("members-blank.json")))]
-#[case::members_garbled("members-garbled.txt", &["members"], http_response("200 OK", "", "[1"))]
-fn what_a_subcommand_prints_that_has_this_answer(
-    #[case] name: &str,
-    #[case] args: &[&str],
-    #[case] answer: String,
-) {
-    let (address, thread) = mock_server(vec![answer]);
+#[case::members_invalid_json("members-garbled.txt", &["members"], http_response("200 OK", "", "[1"))]
+fn output_of_subcommands_for_a_response(#[case] name: &str, #[case] args: &[&str], #[case] response: String) {
+    let (address, thread) = mock_server(vec![response]);
     let address = address.to_string();
-    let printed = printed().replace(&address, "{DESK}");
-    printed.assert_matches(name, &run(&[args, &["--at", &address]].concat()));
-    thread.join().expect("asked once");
+    let golden = subcommand_golden_files().replace(&address, "{DESK}");
+    golden.assert_matches(name, &run(&[args, &["--at", &address]].concat()));
+    thread.join().expect("the mock server got one request");
 }
 
 #[test]
-fn what_a_subcommand_prints_that_is_redirected_in_a_circle() {
+fn output_of_a_subcommand_in_a_redirect_loop() {
     let redirect = http_response("307 Temporary Redirect", "Location: /v1/members\r\n", "");
     let (address, thread) = mock_server(vec![redirect.clone(), redirect.clone(), redirect]);
     let address = address.to_string();
-    printed()
+    subcommand_golden_files()
         .replace(&address, "{DESK}")
         .assert_matches("members-circle.txt", &run(&["members", "--at", &address]));
-    thread.join().expect("asked thrice");
+    thread.join().expect("the mock server got three requests");
 }
 
 #[test]
-fn what_a_diff_prints() {
+fn output_of_diff() {
     let call: Json = serde_json::from_str(&input("configuration.json")).expect("JSON");
     let (address, thread) = mock_server(vec![http_response("200 OK", "", &call["deliver"].to_string())]);
     let address = address.to_string();
-    printed()
+    subcommand_golden_files()
         .replace(&address, "{DESK}")
         .assert_matches("diff.txt", &run(&["diff", "diff.json", "--at", &address]));
-    thread.join().expect("asked once");
+    thread.join().expect("the mock server got one request");
 }
 
 #[test]
-fn what_get_writes_to_a_file() {
+fn file_written_by_get() {
     let (address, thread) = mock_server(vec![http_response("200 OK", "", &input("diff.json"))]);
     let file = TempFile::new("golden-out.json", "");
-    let printed = run(&["get", "--at", &address.to_string(), "--out", file.path()]);
-    assert_eq!(printed, transcript(&(0, String::new(), String::new())));
+    let output = run(&["get", "--at", &address.to_string(), "--out", file.path()]);
+    assert_eq!(output, transcript(&(0, String::new(), String::new())));
     let written = std::fs::read_to_string(&file.0).expect("written");
     GoldenFiles::new(GOLDEN).assert_matches("get-out.json", &written);
-    thread.join().expect("asked once");
+    thread.join().expect("the mock server got one request");
 }
 
-/// An operator's day: each step is compared with a file of its own.
+/// A sequence of subcommands; the output of each is compared with its own golden file.
 #[test]
-fn what_subcommands_print_at_a_cluster() {
+fn output_of_subcommands_with_a_cluster() {
     let cluster = Cluster::start();
     let address = cluster.operator_api.to_string();
-    let printed = printed().replace(&address, "{DESK}");
+    let golden = subcommand_golden_files().replace(&address, "{DESK}");
     let steps: [(&str, &[&str]); 13] = [
         ("cluster-01-get-empty.txt", &["get"]),
         ("cluster-02-apply.txt", &["apply", "configuration.json"]),
@@ -243,15 +242,15 @@
         ("cluster-13-evacuate-unknown-zone.txt", &["evacuate", "start", "nowhere"]),
     ];
     for (name, args) in steps {
-        printed.assert_matches(name, &run(&[args, &["--at", &address]].concat()));
+        golden.assert_matches(name, &run(&[args, &["--at", &address]].concat()));
     }
 }
 
-/// The same calls without the program.
+/// The same calls as plain HTTP requests.
 #[test]
-fn what_a_cluster_answers() {
+fn responses_of_a_cluster() {
     let cluster = Cluster::start();
-    let golden = answered(&cluster);
+    let golden = cluster_golden_files(&cluster);
     let (configuration, change) = (input("configuration.json"), input("change.json"));
     let steps = [
         ("http-01-get-empty.txt", "GET", "Timetable.Get", ""),
@@ -277,17 +276,17 @@
         ("http-21-members-wrong-method.txt", "DELETE", "members", ""),
         ("http-22-lookup-no-gateway.txt", "GET", "route-lookup?province=p&district=d0", ""),
     ];
-    // All over one connection, which stays open.
+    // All requests use one connection, which stays open.
     let mut connection = cluster.connect();
     for (name, method, path, body) in steps {
-        golden.assert_matches(name, &raw(&mut connection, request(method, path, body)));
+        golden.assert_matches(name, &exchange(&mut connection, request(method, path, body)));
     }
 }
 
 #[test]
-fn what_a_cluster_answers_to_requests_with_special_heads() {
+fn responses_of_a_cluster_to_special_headers() {
     let cluster = Cluster::start();
-    let golden = answered(&cluster);
+    let golden = cluster_golden_files(&cluster);
     let get = "GET /v1/nothing HTTP/1.1\r\nHost: desk\r\n";
     let long = format!("{get}X-Long: {}\r\n\r\n", "a".repeat(16 * 1024));
     let patch = "POST /v1/Timetable.Patch HTTP/1.1\r\nHost: desk\r\n";
@@ -300,15 +299,15 @@
     ];
     for (name, text) in steps {
         let mut connection = cluster.connect();
-        golden.assert_matches(name, &raw(&mut connection, text));
-        assert!(connection.ends(), "{name}");
+        golden.assert_matches(name, &exchange(&mut connection, text));
+        assert!(connection.is_closed_by_peer(), "{name}");
     }
     let mut connection = cluster.connect();
     let expects = format!("{patch}Expect: 100-continue\r\nContent-Length: 2\r\n\r\n");
-    golden.assert_matches("http-head-expect-continue.txt", &raw(&mut connection, expects));
-    golden.assert_matches("http-head-after-continue.txt", &raw(&mut connection, "{}"));
+    golden.assert_matches("http-head-expect-continue.txt", &exchange(&mut connection, expects));
+    golden.assert_matches("http-head-after-continue.txt", &exchange(&mut connection, "{}"));
     let chunked = format!("{patch}Transfer-Encoding: chunked\r\n\r\n2\r\n{{}}\r\n0\r\n\r\n");
-    golden.assert_matches("http-head-chunked.txt", &raw(&mut connection, chunked));
+    golden.assert_matches("http-head-chunked.txt", &exchange(&mut connection, chunked));
 }
 
 /// A gateway's session with the first process of a cluster.
@@ -331,47 +330,47 @@
             is_serving: true,
             ..Hello::default()
         };
-        let mut connection = Connection::to(cluster.peer_listener);
+        let mut connection = Connection::open(cluster.peer_listener);
         connection.send_message(Message::Hello(hello.clone())).expect("written");
         GatewaySession { connection, address: cluster.peer_listener, hello, ready }
     }
 
-    /// Where this test was suspended for so long that the session was given up, it reconnects.
+    /// Sends a heartbeat, or reconnects if the test was suspended so long that the session was closed.
     fn heartbeat(&mut self) {
         let heartbeat = Message::Heartbeat(Heartbeat { is_ready: self.ready, ..Heartbeat::default() });
         if self.connection.send_message(heartbeat).is_err() {
-            self.connection = Connection::to(self.address);
+            self.connection = Connection::open(self.address);
             let _ = self.connection.send_message(Message::Hello(self.hello.clone()));
-            // the next heartbeat tells
+            // if this fails, the next heartbeat reconnects
         }
     }
 }
 
 #[test]
-fn what_a_cluster_answers_about_its_members_and_to_look_ups() {
+fn responses_of_a_cluster_about_members_and_to_look_ups() {
     let cluster = Cluster::start();
-    let golden = answered(&cluster);
+    let golden = cluster_golden_files(&cluster);
     let mut gateways = [
         GatewaySession::open(&cluster, "g-1", "10.0.0.1:80", "d0", true),
         GatewaySession::open(&cluster, "g-2", "10.0.0.2:80", "d1", true),
         GatewaySession::open(&cluster, "g-3", "10.0.0.3:80", "d2", false),
         GatewaySession::open(&cluster, "g-4", "10.0.0.4:80", "d0", true),
     ];
-    let is_complete = |answer: &str| {
-        is_joined(answer)
-            && answer.matches("\"ready\":true").count() == 3
-            && answer.matches("\"ready\":false").count() == 1
+    let is_complete = |response: &str| {
+        has_all_replicas(response)
+            && response.matches("\"ready\":true").count() == 3
+            && response.matches("\"ready\":false").count() == 1
     };
     let mut members = || {
         gateways.iter_mut().for_each(GatewaySession::heartbeat);
         call(&cluster, "GET", "members", "")
     };
-    golden.assert_matches("http-members.txt", &masked_members(&until("members", &mut members, is_complete)));
+    golden.assert_matches("http-members.txt", &mask_members(&until("members", &mut members, is_complete)));
     let evacuate = call(&cluster, "POST", "Evacuate.Start/d2", "");
     assert!(evacuate.contains(" 200 "), "{evacuate}");
     let evacuated =
-        until("members", &mut members, |answer| is_complete(answer) && answer.contains("[\"d2\"]"));
-    golden.assert_matches("http-members-evacuated-zone.txt", &masked_members(&evacuated));
+        until("members", &mut members, |response| is_complete(response) && response.contains("[\"d2\"]"));
+    golden.assert_matches("http-members-evacuated-zone.txt", &mask_members(&evacuated));
 
     let lookups = [
         ("http-lookup-two-in-the-zone.txt", "GET", "route-lookup?name=h&province=p&district=d0", 2),
@@ -383,17 +382,17 @@
     for (name, method, path, addresses) in lookups {
         let lookup = || {
             gateways.iter_mut().for_each(GatewaySession::heartbeat);
-            raw(&mut Connection::to(cluster.directory_api), request(method, path, ""))
+            exchange(&mut Connection::open(cluster.directory_api), request(method, path, ""))
         };
-        let is_complete = |answer: &str| answer.matches(":80\"").count() == addresses;
+        let is_complete = |response: &str| response.matches(":80\"").count() == addresses;
         golden.assert_matches(name, &until(name, lookup, is_complete));
     }
 }
 
 #[test]
-fn what_a_process_answers_that_knows_no_configuration() {
+fn responses_of_a_process_without_a_configuration() {
     let cluster = Cluster::start_alone();
-    let golden = answered(&cluster);
+    let golden = cluster_golden_files(&cluster);
     let steps = [
         ("http-blank-get.txt", "GET", "Timetable.Get", String::new()),
         ("http-blank-apply.txt", "POST", "Timetable.Patch", input("configuration.json")),
@@ -403,14 +402,14 @@
         ("http-blank-lookup.txt", "GET", "route-lookup?province=p&district=d0", String::new()),
     ];
     for (name, method, path, body) in steps {
-        let answer = call(&cluster, method, path, &body);
+        let response = call(&cluster, method, path, &body);
         match path {
-            "members" => golden.assert_matches(name, &masked_members(&answer)),
-            _ => golden.assert_matches(name, &answer),
+            "members" => golden.assert_matches(name, &mask_members(&response)),
+            _ => golden.assert_matches(name, &response),
         }
     }
     let address = cluster.operator_api.to_string();
-    let printed = printed().replace(&address, "{DESK}");
+    let golden = subcommand_golden_files().replace(&address, "{DESK}");
     for (name, args) in [
         ("blank-get.txt", ["get"].as_slice()),
         ("blank-members.txt", &["members"]),
@@ -418,16 +417,16 @@
     ] {
         let output = run(&[args, &["--at", &address]].concat());
         let output = mask_after(&output, "\"long-turns\": ", &[','], "{COUNT}");
-        printed.assert_matches(name, &mask_after(&output, "\"longest-turn-ms\": ", &[','], "{MS}"));
+        golden.assert_matches(name, &mask_after(&output, "\"longest-turn-ms\": ", &[','], "{MS}"));
     }
 }
 
-/// Another one that says it is in contact is where callers are sent.
+/// Clients are redirected to a peer that reports to be in contact.
 #[test]
-fn what_a_process_answers_that_knows_who_is_in_contact() {
+fn responses_of_a_process_that_redirects_to_a_peer() {
     let cluster = Cluster::start_alone();
-    let golden = answered(&cluster);
-    let mut peer = Connection::to(cluster.peer_listener);
+    let golden = cluster_golden_files(&cluster);
+    let mut peer = Connection::open(cluster.peer_listener);
     let hello = Hello {
         node_id: "s1".into(),
         address: cluster.addresses[1].to_string(),
@@ -445,9 +444,9 @@
         let redirected = || {
             let heartbeat = Heartbeat { is_serving: true, is_complete: true, ..Heartbeat::default() };
             peer.send_message(Message::Heartbeat(heartbeat)).expect("written");
-            raw(&mut cluster.connect(), &text)
+            exchange(&mut cluster.connect(), &text)
         };
-        golden.assert_matches(name, &until(name, redirected, |answer| answer.contains(" 307 ")));
+        golden.assert_matches(name, &until(name, redirected, |response| response.contains(" 307 ")));
     };
     redirected("http-redirect-get.txt", request("GET", "Timetable.Get?a=b", ""));
     redirected("http-redirect-apply.txt", request("POST", "Timetable.Patch", "{}"));
@@ -455,24 +454,24 @@
 }
 
 #[test]
-fn what_a_process_answers_that_has_lost_its_majority() {
+fn responses_of_a_process_without_a_majority() {
     let cluster = Cluster::start();
-    let golden = answered(&cluster);
+    let golden = cluster_golden_files(&cluster);
     let members = || call(&cluster, "GET", "members", "");
-    until("members", members, is_joined);
+    until("members", members, has_all_replicas);
     for child in &cluster.children[1..] {
-        kill_process(Pid::from_child(child), Signal::STOP).expect("it runs");
+        kill_process(Pid::from_child(child), Signal::STOP).expect("send the signal");
     }
-    let unavailable = |answer: &str| answer.contains("out of contact");
+    let is_unavailable = |response: &str| response.contains("out of contact");
     let get = || call(&cluster, "GET", "Timetable.Get", "");
-    golden.assert_matches("http-isolated-get.txt", &until("get", get, unavailable));
+    golden.assert_matches("http-isolated-get.txt", &until("get", get, is_unavailable));
     let evacuate = || call(&cluster, "POST", "Evacuate.Start/nowhere", "");
-    golden.assert_matches("http-isolated-evacuate.txt", &until("evacuate", evacuate, unavailable));
+    golden.assert_matches("http-isolated-evacuate.txt", &until("evacuate", evacuate, is_unavailable));
     let lookup = || call(&cluster, "GET", "route-lookup?province=p&district=d0", "");
-    let isolated = |answer: &str| answer.contains("contact");
-    golden.assert_matches("http-isolated-lookup.txt", &until("look-up", lookup, isolated));
-    let unheard = |answer: &str| {
-        answer.matches("\"heard\":false").count() == 2 && answer.matches("\"contact\":true").count() == 1
+    let is_isolated = |response: &str| response.contains("contact");
+    golden.assert_matches("http-isolated-lookup.txt", &until("look-up", lookup, is_isolated));
+    let is_unheard = |response: &str| {
+        response.matches("\"heard\":false").count() == 2 && response.matches("\"contact\":true").count() == 1
     };
-    golden.assert_matches("http-isolated-members.txt", &masked_members(&until("members", members, unheard)));
+    golden.assert_matches("http-isolated-members.txt", &mask_members(&until("members", members, is_unheard)));
 }
--- a/crates/control-plane/tests/operator_api.rs
+++ b/crates/control-plane/tests/operator_api.rs
@@ -1,5 +1,5 @@
-//! A cluster of control processes on this machine: clients of the operators' API that pipeline requests, disconnect
-//! before the response or expect `100 Continue`; and a gateway that reconnects.
+//! The operator API of a cluster on loopback addresses, with clients that pipeline requests, disconnect before the response,
+//! or expect `100 Continue`; and the sessions of a gateway that reconnects.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use std::time::Instant;
 use support::cluster::{request, Cluster, Connection, TIMEOUT};
 
-/// A change of one service.
+/// The body of a change request for one service.
 fn change(name: &str, version: u64) -> String {
     format!(
         r#"{{"deliver":{{"carrier-lines":{{"headings":["name","checkpoint","berth-cap","edition"],
@@ -41,7 +41,7 @@
         expected.push((200, "{}".into()));
     }
     let mut connection = cluster.connect();
-    // The last bytes of a request come with the first of the next, or by themselves.
+    // The chunks are not aligned with the requests: one may hold the end of a request and the start of the next.
     for chunk in requests.as_bytes().chunks(1_237) {
         connection.stream.write_all(chunk).expect("written");
     }
@@ -55,8 +55,8 @@
     assert!(connection.input.is_empty());
 }
 
-/// Clients close or reset their connections with a request in flight; the next client gets its own response, once. The
-/// change takes effect as a whole or not at all.
+/// Clients close or reset their connections while a request is in flight. That request takes effect as a whole or not at all, and
+/// the next client gets only its own response, once.
 #[test]
 fn a_response_to_a_disconnected_client_reaches_nobody_else() {
     let cluster = Cluster::start();
@@ -75,7 +75,7 @@
         assert!(status == 200 && standing.contains(&format!("\"{name}\"")), "{standing}");
         assert!(other.input.is_empty());
     }
-    // Sent again, to be told for certain.
+    // The last change is sent again, which must succeed whether or not it took effect before.
     assert_eq!(cluster.connect().call("POST", "Timetable.Patch", &change("gone", 40)).0, 200);
 }
 
@@ -87,12 +87,12 @@
     connection.stream.shutdown(Shutdown::Write).expect("ended");
     assert_eq!(connection.receive(), (200, "{}".into()));
     assert!(connection.receive().1.contains("\"r1\""));
-    assert!(connection.ends());
-    // A request that is incomplete by then is not executed.
+    assert!(connection.is_closed_by_peer());
+    // A request that is incomplete when the client stops sending is not executed.
     let mut connection = cluster.connect();
     connection.send(&patch("a", 2)[..60]);
     connection.stream.shutdown(Shutdown::Write).expect("ended");
-    assert!(connection.ends());
+    assert!(connection.is_closed_by_peer());
     assert!(cluster.connect().call("GET", "Timetable.Get", "").1.contains("\"r1\""));
 }
 
@@ -111,17 +111,18 @@
         assert_eq!(connection.receive().0, 100);
         assert_eq!(connection.send(&body).receive(), (200, "{}".into()));
     }
-    // Behind a request in flight: its `100 Continue` comes after the other's response.
+    // The request is pipelined behind another one: `100 Continue` follows the response to that one.
     connection.send(&(patch("a", 2) + &head(body.len())));
     assert_eq!((connection.receive().0, connection.receive().0), (200, 100));
     assert_eq!(connection.send(&body).receive().0, 200);
-    // One that is too long is rejected instead.
+    // A body that is too long is rejected instead.
     connection.send(&head(17 << 20));
     assert_eq!(connection.receive().0, 413);
-    assert!(connection.ends());
+    assert!(connection.is_closed_by_peer());
 }
 
-/// A gateway's connection is lost, and it reconnects before that is noticed: its request is answered on the new one.
+/// A gateway loses its connection and reconnects before the control process notices. The response to its usage report is sent
+/// on the new connection.
 #[test]
 fn usage_totals_go_to_the_newest_connection_of_the_incarnation() {
     let cluster = Cluster::start();
@@ -131,21 +132,21 @@
         client_address: "127.0.0.1:1".into(),
         ..Hello::default()
     };
-    let mut connections = [Connection::to(cluster.peer_listener), Connection::to(cluster.peer_listener)];
+    let mut connections = [Connection::open(cluster.peer_listener), Connection::open(cluster.peer_listener)];
     let mut decoders = [MessageDecoder::default(), MessageDecoder::default()];
-    let mut next = |connection: &mut Connection, n: usize| loop {
-        let mut at = 0;
-        let message = decoders[n].next(&connection.input, &mut at).expect("a message");
-        connection.input.drain(..at);
+    let mut next_message = |connection: &mut Connection, n: usize| loop {
+        let mut consumed = 0;
+        let message = decoders[n].next(&connection.input, &mut consumed).expect("a valid message");
+        connection.input.drain(..consumed);
         if let Some(message) = message {
             return message;
         }
-        assert!(connection.fill(), "it ended");
+        assert!(connection.read_more(), "the connection was closed");
     };
     for (n, connection) in connections.iter_mut().enumerate() {
         connection.send_message(Message::Hello(hello.clone())).expect("written");
-        // It is a session by then.
-        while !matches!(next(connection, n), Message::MembershipUpdate(_)) {}
+        // The first membership update shows that the session is open.
+        while !matches!(next_message(connection, n), Message::MembershipUpdate(_)) {}
     }
     let [old, new] = &mut connections;
     let report = |request_id| {
@@ -158,14 +159,14 @@
     };
     let since = Instant::now();
     let mut request_id = 0;
-    // A process that is not the coordinator does not answer.
+    // Only the coordinator responds, so the report is repeated until this process is the coordinator.
     let totals: UsageTotals = 'totals: loop {
-        assert!(since.elapsed() < TIMEOUT, "no answer");
+        assert!(since.elapsed() < TIMEOUT, "no usage totals");
         request_id += 1;
         new.send_message(report(request_id)).expect("written");
         old.send_message(Message::Heartbeat(Heartbeat::default())).expect("written");
         loop {
-            match next(new, 1) {
+            match next_message(new, 1) {
                 Message::UsageTotals(totals) => break 'totals totals,
                 Message::Heartbeat(_) => break,
                 _ => {}
@@ -176,9 +177,9 @@
         totals.request_id <= request_id && totals.incarnation == 7 && totals.node_id == "g",
         "{totals:?}"
     );
-    while !matches!(next(old, 0), Message::Heartbeat(_)) {}
+    while !matches!(next_message(old, 0), Message::Heartbeat(_)) {}
     loop {
-        match next(old, 0) {
+        match next_message(old, 0) {
             Message::Heartbeat(_) => break,
             Message::UsageTotals(totals) => panic!("on the old connection: {totals:?}"),
             _ => {}
--- a/crates/control-plane/tests/support/cluster.rs
+++ b/crates/control-plane/tests/support/cluster.rs
@@ -1,4 +1,4 @@
-//! Control processes on loopback addresses of their own, and connections to them.
+//! Clusters of control processes, each on its own loopback address, and connections to them.
 
 use super::command::PROGRAM;
 use kitepass_coordination::protocol::framing::encode_message;
@@ -11,24 +11,24 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-/// What takes longer has failed.
+/// Time after which a wait in these tests has failed.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
-/// Processes of a cluster; each has an address to itself.
+/// Number of processes in a cluster.
 const PROCESS_COUNT: u8 = 3;
 const PEER_PORT: u16 = 7100;
 const OPERATOR_API_PORT: u16 = 7101;
 const DIRECTORY_API_PORT: u16 = 7102;
 
-/// Up to three control processes. The tests talk to the first.
+/// Up to three control processes. The tests send their requests to the first one.
 pub(crate) struct Cluster {
     pub(crate) children: Vec<Child>,
     dir: PathBuf,
     pub(crate) addresses: [Ipv4Addr; PROCESS_COUNT as usize],
-    /// Where the first one listens for operators.
+    /// Address of the first process's operator API.
     pub(crate) operator_api: SocketAddr,
-    /// Where the first one listens for clients' look-ups.
+    /// Address of the first process's directory API, which answers look-ups of clients.
     pub(crate) directory_api: SocketAddr,
-    /// Where the first one listens for control processes and gateways.
+    /// Address on which the first process accepts other control processes and gateways.
     pub(crate) peer_listener: SocketAddr,
 }
 
@@ -46,8 +46,8 @@
     fn new() -> Cluster {
         static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
         let [.., high, low] = std::process::id().to_be_bytes();
-        let first = NEXT_HOST.fetch_add(PROCESS_COUNT, Ordering::Relaxed);
-        let addresses = [0, 1, 2].map(|n| Ipv4Addr::new(127, high | 32, low, first + n));
+        let first_host = NEXT_HOST.fetch_add(PROCESS_COUNT, Ordering::Relaxed);
+        let addresses = [0, 1, 2].map(|n| Ipv4Addr::new(127, high | 32, low, first_host + n));
         let listener = |port| SocketAddr::new(addresses[0].into(), port);
         Cluster {
             children: Vec::new(),
@@ -59,31 +59,31 @@
         }
     }
 
-    /// Starts all three, and waits until the first has caught up.
+    /// Starts all three processes, and waits until the first one has caught up.
     pub(crate) fn start() -> Cluster {
         let mut cluster = Cluster::new();
         let addresses = cluster.addresses;
         (0..addresses.len()).for_each(|n| cluster.spawn(n, &addresses));
-        let since = Instant::now();
+        let started_at = Instant::now();
         while TcpStream::connect(cluster.operator_api).is_err()
             || cluster.connect().call("GET", "Timetable.Get", "").0 != 200
         {
-            assert!(since.elapsed() < TIMEOUT, "no control plane is formed");
+            assert!(started_at.elapsed() < TIMEOUT, "the control plane does not form in time");
             std::thread::yield_now();
         }
         cluster
     }
 
-    /// Starts the first alone: it knows of no configuration, and finds nobody who does.
+    /// Starts only the first process. It has no configuration and finds no peer that has one.
     pub(crate) fn start_alone() -> Cluster {
         let mut cluster = Cluster::new();
         let others = [cluster.addresses[1], cluster.addresses[2]];
         cluster.spawn(0, &others);
-        let since = Instant::now();
-        // Its listeners are opened one after the other: it listens once all of them do.
+        let started_at = Instant::now();
+        // The listeners are opened one after another, so all of them are checked.
         for address in [cluster.operator_api, cluster.directory_api, cluster.peer_listener] {
             while TcpStream::connect(address).is_err() {
-                assert!(since.elapsed() < TIMEOUT, "it does not listen");
+                assert!(started_at.elapsed() < TIMEOUT, "the process does not listen in time");
                 std::thread::yield_now();
             }
         }
@@ -93,7 +93,7 @@
     fn spawn(&mut self, n: usize, bootstrap: &[Ipv4Addr]) {
         let address = self.addresses[n];
         let data_dir = self.dir.join(format!("s{n}"));
-        std::fs::create_dir_all(&data_dir).expect("a directory");
+        std::fs::create_dir_all(&data_dir).expect("create the data directory");
         let file = self.dir.join(format!("s{n}.toml"));
         let bootstrap: Vec<String> =
             bootstrap.iter().map(|address| format!("\"{address}:{OPERATOR_API_PORT}\"")).collect();
@@ -104,30 +104,30 @@
              [counters]\ncontrol-desk = \"{address}:{OPERATOR_API_PORT}\"\ndirectory-desk = \"{address}:{DIRECTORY_API_PORT}\"\n",
             bootstrap.join(", ")
         );
-        std::fs::write(&file, text).expect("a file");
+        std::fs::write(&file, text).expect("write the settings file");
         let mut command = Command::new(PROGRAM);
         let command = command.arg("serve").arg("--settings").arg(&file).stderr(Stdio::null());
-        self.children.push(command.spawn().expect("the program starts"));
+        self.children.push(command.spawn().expect("start the program"));
     }
 
-    /// A connection to the first one's operators' API.
+    /// Opens a connection to the first process's operator API.
     pub(crate) fn connect(&self) -> Connection {
-        Connection::to(self.operator_api)
+        Connection::open(self.operator_api)
     }
 }
 
-/// A connection to a control process.
+/// A client connection to a control process.
 pub(crate) struct Connection {
     pub(crate) stream: TcpStream,
-    /// What has come on it and is not used yet.
+    /// Bytes that were received and not consumed yet.
     pub(crate) input: Vec<u8>,
 }
 
 impl Connection {
-    /// Connects to this address.
-    pub(crate) fn to(address: SocketAddr) -> Connection {
-        let stream = TcpStream::connect(address).expect("a connection");
-        stream.set_read_timeout(Some(TIMEOUT)).expect("an option");
+    /// Opens a connection to this address.
+    pub(crate) fn open(address: SocketAddr) -> Connection {
+        let stream = TcpStream::connect(address).expect("connect to the process");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("set the socket option");
         Connection { stream, input: Vec::new() }
     }
 
@@ -136,66 +136,67 @@
         self
     }
 
-    /// Sends a message as other processes of the system do.
+    /// Sends a message in the protocol between processes of the system.
     pub(crate) fn send_message(&mut self, message: Message) -> std::io::Result<()> {
         let mut bytes = Vec::new();
         encode_message(message, &mut bytes);
         self.stream.write_all(&bytes)
     }
 
-    /// Waits for more input; false once the connection has ended.
-    pub(crate) fn fill(&mut self) -> bool {
-        let mut piece = [0; 16 * 1024];
-        match self.stream.read(&mut piece) {
+    /// Waits for more input; returns false once the connection is closed.
+    pub(crate) fn read_more(&mut self) -> bool {
+        let mut buffer = [0; 16 * 1024];
+        match self.stream.read(&mut buffer) {
             Ok(length) => {
-                self.input.extend_from_slice(&piece[..length]);
+                self.input.extend_from_slice(&buffer[..length]);
                 length > 0
             }
             Err(error) if error.kind() == ErrorKind::Interrupted => true,
             Err(error) if error.kind() == ErrorKind::ConnectionReset => false,
-            Err(error) => panic!("nothing came: {error}"),
+            Err(error) => panic!("no input: {error}"),
         }
     }
 
-    /// The next response as it came: its head, and its body.
+    /// Receives a response; returns its header section and its body unchanged.
     pub(crate) fn receive_raw(&mut self) -> (String, String) {
         loop {
             let text = String::from_utf8_lossy(&self.input).into_owned();
             if let Some((head, rest)) = text.split_once("\r\n\r\n") {
                 let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: "));
-                let length: usize = length.map_or(0, |length| length.parse().expect("a length"));
+                let length: usize =
+                    length.map_or(0, |length| length.parse().expect("a numeric Content-Length"));
                 if rest.len() >= length {
                     self.input.drain(..head.len() + 4 + length);
                     return (format!("{head}\r\n\r\n"), rest[..length].to_owned());
                 }
             }
-            assert!(self.fill(), "it ended after {text:?}");
+            assert!(self.read_more(), "the connection was closed after {text:?}");
         }
     }
 
-    /// The next response's status and body.
+    /// Receives a response; returns its status and body.
     pub(crate) fn receive(&mut self) -> (u16, String) {
         let (head, body) = self.receive_raw();
-        (head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status"), body)
+        (head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a numeric status code"), body)
     }
 
-    /// Sends a request, and receives its status and body.
+    /// Sends a request; returns the status and body of the response.
     pub(crate) fn call(&mut self, method: &str, path: &str, body: &str) -> (u16, String) {
         self.send(&request(method, path, body)).receive()
     }
 
-    /// Whether the other side ends the connection, sending nothing more.
-    pub(crate) fn ends(&mut self) -> bool {
-        !self.fill() && self.input.is_empty()
+    /// Waits for input; returns whether the process closes the connection without sending anything more.
+    pub(crate) fn is_closed_by_peer(&mut self) -> bool {
+        !self.read_more() && self.input.is_empty()
     }
 
-    /// Breaks the connection off, with a reset.
+    /// Closes the connection with a reset.
     pub(crate) fn reset(self) {
-        sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO)).expect("an option");
+        sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO)).expect("set the socket option");
     }
 }
 
-/// A request to the operators' or directory API, below `/v1/`.
+/// A request to a path below `/v1/` of the operator or directory API.
 pub(crate) fn request(method: &str, path: &str, body: &str) -> String {
     format!("{method} /v1/{path} HTTP/1.1\r\nHost: desk\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/crates/control-plane/tests/support/golden.rs
+++ b/crates/control-plane/tests/support/golden.rs
@@ -1,9 +1,9 @@
-//! Golden files: what a program printed or answered when they were made, compared byte by byte. They are the project's
-//! promise on upgrades: a file changes only with a documented change of behaviour.
+//! Comparison with golden files, which hold the expected output and responses of a program byte by byte. They guarantee
+//! compatibility across upgrades: a golden file changes only together with a documented change of behaviour.
 
 use std::path::PathBuf;
 
-/// A directory of golden files, and the placeholders for what differs from run to run.
+/// A directory of golden files, and placeholders for text that differs from run to run.
 pub(crate) struct GoldenFiles {
     dir: PathBuf,
     placeholders: Vec<(String, &'static str)>,
@@ -14,13 +14,13 @@
         GoldenFiles { dir: dir.into(), placeholders: Vec::new() }
     }
 
-    /// From now on a placeholder stands for this text. Those that were added first are replaced first.
+    /// Adds a placeholder that replaces this text before the comparison. Replacements happen in the order of addition.
     pub(crate) fn replace(mut self, text: impl ToString, placeholder: &'static str) -> GoldenFiles {
         self.placeholders.push((text.to_string(), placeholder));
         self
     }
 
-    /// Compares a text with the golden file of this name.
+    /// Panics unless the text, with placeholders, equals the golden file of this name.
     #[track_caller]
     pub(crate) fn assert_matches(&self, name: &str, text: &str) {
         let path = self.dir.join(name);
@@ -29,7 +29,7 @@
             actual = actual.replace(text, placeholder);
         }
         let golden = std::fs::read_to_string(&path).unwrap_or_else(|error| {
-            panic!("{}: {error}; the text is\n{actual}", path.display());
+            panic!("{}: {error}; the actual text is\n{actual}", path.display());
         });
         assert!(
             golden == actual,
@@ -39,8 +39,7 @@
     }
 }
 
-/// A text in which a placeholder stands for whatever follows each occurrence of a prefix, up to one of these end
-/// characters.
+/// Replaces the text after each occurrence of a prefix, up to one of these end characters, by a placeholder.
 pub(crate) fn mask_after(text: &str, prefix: &str, ends: &[char], placeholder: &str) -> String {
     let mut parts = text.split(prefix);
     let mut masked = parts.next().unwrap_or_default().to_owned();
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of the program share.
-#![allow(dead_code)] // each test file uses its part
+//! Helpers for the tests that run the program.
+#![allow(dead_code)] // each test file uses only some of these items
 
 pub(crate) mod cluster;
 pub(crate) mod command;
