--- a/crates/control-plane/tests/catch_up.rs
+++ b/crates/control-plane/tests/catch_up.rs
@@ -1,6 +1,6 @@
-//! Catch-up of control processes and gateways in a simulated cluster of six processes: after 1,000 changes and while more
-//! are made, two processes at once, with empty disks, with kills during the catch-up, and for many gateways at once. Also:
-//! stale copies of an item must not restore it after its tombstone was purged.
+//! Catch-up of control processes and gateways in a simulated cluster of six processes: after 1,000 changes and while
+//! more are made, two processes at once, with empty disks, with kills during the catch-up, and for many gateways at
+//! once. Also: stale copies of an item must not restore it after its tombstone was purged.
 
 mod cluster;
 
@@ -20,7 +20,8 @@
     format!(r#"{{"checkpoint":"/c{version}{}"}}"#, "c".repeat(2_000))
 }
 
-/// Eight clients that each send one change after another to random processes. Records the acknowledged version of each name.
+/// Eight clients that each send one change after another to random processes. Records the acknowledged version of each
+/// name.
 struct Clients {
     pending: Vec<(u64, String, u64)>,
     last_version: u64,
@@ -67,13 +68,14 @@
     ))
 }
 
-/// Checks that a process that is serving or holds the lease has every acknowledged change; returns whether it is serving.
+/// Checks that a process that is serving or holds the lease has every acknowledged change; returns whether it is
+/// serving.
 fn assert_current_if_serving(cluster: &Cluster, n: usize, committed: &BTreeMap<String, u64>) -> bool {
     let Some((item_store, replica_state, holds_lease)) = inspect(cluster, n) else { return false };
     let version = |name: &str| item_store.get(Kind::Service, name).map_or(0, |item| item.version);
-    let all = committed.iter().all(|(name, expected)| version(name) >= *expected);
+    let has_all = committed.iter().all(|(name, expected)| version(name) >= *expected);
     assert!(
-        all || replica_state != ReplicaState::Serving && !holds_lease,
+        has_all || replica_state != ReplicaState::Serving && !holds_lease,
         "s{n} is {replica_state:?} without every acknowledged change"
     );
     replica_state == ReplicaState::Serving
@@ -81,12 +83,12 @@
 
 #[test]
 fn two_catch_up_after_a_thousand_changes_while_changes_go_on() {
-    for (seed, wiped, kills) in [(1, false, 0), (2, true, 0), (3, false, 3), (4, true, 3)] {
+    for (seed, wipes_disks, kills) in [(1, false, 0), (2, true, 0), (3, false, 3), (4, true, 3)] {
         let mut cluster = Cluster::new(seed);
         cluster.run(4_000);
         let (mut clients, restarted) = (Clients::new(), [1, 4]);
         for n in restarted {
-            cluster.kill(n, true, wiped, 1_000_000);
+            cluster.kill(n, true, wipes_disks, 1_000_000);
         }
         cluster.run(3_000);
         while clients.acknowledged_count < 1_000 {
@@ -117,7 +119,7 @@
                 cluster.now - since
             );
         }
-        println!("seed {seed}: wiped {wiped}, kills {kills}: {} ms", cluster.now - since);
+        println!("seed {seed}: wiped {wipes_disks}, kills {kills}: {} ms", cluster.now - since);
         // Equal digests show that no incomplete chunk was taken for a complete one.
         cluster.run(8_000);
         assert_eq!(cluster.serving_count(), 6, "seed {seed}");
@@ -154,7 +156,7 @@
     }
     let caught_up_count =
         cluster.gateways.iter().filter(|gateway| gateway.session.item_store.len() > 1_000).count();
-    assert_eq!(caught_up_count, 60, "not all are caught up at {}", cluster.now);
+    assert_eq!(caught_up_count, 60, "not all gateways are caught up at {} ms", cluster.now);
     // 60 gateways lack 2 MB each. Each of the six processes may have 8 MiB and one chunk in flight.
     println!(
         "60 gateways: at most {max_in_flight} bytes in flight; all caught up {} ms before the deadline",
@@ -172,17 +174,18 @@
 
 #[test]
 fn nothing_old_brings_back_a_purged_item() {
-    const TOMBSTONE_AGE_MS: i64 = 12_000;
+    const TOMBSTONE_RETENTION_MS: i64 = 12_000;
     for seed in 0..4 {
         let mut cluster = Cluster::new(seed);
         cluster.add_gateways(12);
         cluster.run(8_000);
-        cluster.set_tombstone_retention(TOMBSTONE_AGE_MS);
+        cluster.set_tombstone_retention(TOMBSTONE_RETENTION_MS);
         patch_x(&mut cluster, 0, 5, Some(SERVICE));
         let is_set = |item_store: &ItemStore| item_store.get(Kind::Service, "x").is_some_and(Item::is_set);
         assert!(cluster.gateways.iter().all(|gateway| is_set(&gateway.session.item_store)), "seed {seed}");
-        // Three kinds of stale copies keep the item: the disks of two processes that restart as new replicas with empty disks, a
-        // gateway that is partitioned from all processes, and a process that is partitioned but remains a member.
+        // Three kinds of stale copies keep the item: the disks of two processes that restart as new replicas with empty
+        // disks, a gateway that is partitioned from all processes, and a process that is partitioned but remains a
+        // member.
         let mut old_disks = Vec::new();
         for n in [3, 4] {
             old_disks.push((n, cluster.nodes[n].disk.clone()));
@@ -196,12 +199,12 @@
         cluster.run(3_000);
         patch_x(&mut cluster, 1, 6, None);
         // While one replica has not learned of the deletion, all others keep the tombstone.
-        cluster.run(TOMBSTONE_AGE_MS + 8_000);
+        cluster.run(TOMBSTONE_RETENTION_MS + 8_000);
         let has_x = |item_store: &ItemStore| item_store.get(Kind::Service, "x").is_some();
         assert!((0..6).all(|n| has_x(inspect(&cluster, n).unwrap().0)), "seed {seed}: purged too early");
         assert!(is_set(inspect(&cluster, 5).unwrap().0), "seed {seed}: s5 is partitioned");
         cluster.partitions.clear();
-        cluster.run(TOMBSTONE_AGE_MS - 2_000);
+        cluster.run(TOMBSTONE_RETENTION_MS - 2_000);
         assert!((0..6).all(|n| has_x(inspect(&cluster, n).unwrap().0)), "seed {seed}: purged too early");
         assert!(!is_set(inspect(&cluster, 5).unwrap().0), "seed {seed}: s5 has not learned of the deletion");
         cluster.run(8_000);
@@ -244,19 +247,20 @@
     }
 }
 
-/// A replica that has learned of a deletion but not synced it may lose it in a power loss, so the others keep the tombstone.
+/// A replica that has learned of a deletion but not synced it may lose it in a power loss, so the others keep the
+/// tombstone.
 #[test]
 fn a_tombstone_is_kept_until_every_replica_has_it_on_disk() {
-    const TOMBSTONE_AGE_MS: i64 = 8_000;
+    const TOMBSTONE_RETENTION_MS: i64 = 8_000;
     for seed in 20..24 {
         let mut cluster = Cluster::new(seed);
         cluster.run(5_000);
-        cluster.set_tombstone_retention(TOMBSTONE_AGE_MS);
+        cluster.set_tombstone_retention(TOMBSTONE_RETENTION_MS);
         cluster.patch(0, "x", 5, Some(SERVICE));
         cluster.run(3_000);
         cluster.disk_delay[4] = 300_000;
         let request_id = cluster.patch(1, "x", 6, None);
-        cluster.run(TOMBSTONE_AGE_MS + 10_000);
+        cluster.run(TOMBSTONE_RETENTION_MS + 10_000);
         assert_eq!(cluster.responses[&request_id].1, Response::Done, "seed {seed}");
         cluster.disk_delay[4] = 0;
         cluster.kill(4, true, false, 200);
@@ -274,8 +278,8 @@
     }
 }
 
-/// A change of 12 MiB over connections of 1 MiB/s is acknowledged; no process loses quorum contact, and no second process
-/// proposes the change.
+/// A change of 12 MiB over connections of 1 MiB/s is acknowledged; no process loses quorum contact, and no second
+/// process proposes the change.
 #[test]
 fn a_large_change_over_slow_connections_costs_no_contact() {
     let mut cluster = Cluster::new(9);
@@ -356,8 +360,8 @@
     let item = |kind, name: &str| Item { kind, name: name.into(), version: 9, value: Some("{}".into()) };
     let items = [item(Kind::Service, "old"), item(Kind::Backend, "b"), item(Kind::ReplicaSet, "next")];
     // The gateway also holds these items, and one more backend that it has to be asked for.
-    let known = items.iter().cloned().chain([item(Kind::Backend, "c")]);
-    known.for_each(|item| _ = cluster.gateways[2].session.item_store.merge(item));
+    let gateway_items = items.iter().cloned().chain([item(Kind::Backend, "c")]);
+    gateway_items.for_each(|item| _ = cluster.gateways[2].session.item_store.merge(item));
     let message = Message::Items(Items::complete(items.iter().map(ItemMessage::from).collect()));
     let now = timestamp(cluster.now);
     cluster.state_machine_mut(connection.node).session_message(now, connection.id, message);
--- a/crates/control-plane/tests/cluster/gateways.rs
+++ b/crates/control-plane/tests/cluster/gateways.rs
@@ -6,7 +6,8 @@
 use kitepass_time::Duration;
 use std::collections::BTreeMap;
 
-/// A gateway: its control session, its connection to a control process, and the candidate connection that may replace it.
+/// A gateway: its control session, its connection to a control process, and the candidate connection that may replace
+/// it.
 pub(crate) struct Gateway {
     pub(crate) session: ControlSession,
     client_address: String,
@@ -122,7 +123,8 @@
         self.gateways[gateway].session.candidate_lost(reason);
     }
 
-    /// Ticks each gateway ten times a second, and sends and delivers the messages between gateways and control processes.
+    /// Ticks each gateway ten times a second, and sends and delivers the messages between gateways and control
+    /// processes.
     pub(super) fn step_sessions(&mut self) {
         for gateway in 0..self.gateways.len() {
             if self.now % 100 == gateway as i64 % 10 * 10 {
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -1,6 +1,6 @@
-//! A deterministic simulation of six control processes and of gateways' real control sessions, with a network and disks in
-//! memory. From a seed it delays and loses messages, partitions the network, and kills or freezes processes; a power loss
-//! discards writes that were not synced.
+//! A deterministic simulation of six control processes and of gateways' real control sessions, with a network and disks
+//! in memory. From a seed it delays and loses messages, partitions the network, and kills or freezes processes; a power
+//! loss discards writes that were not synced.
 //!
 //! Times are milliseconds since the start of the simulation. Processes are identified by their numbers, 0 to 5.
 #![allow(dead_code)] // each test file uses only some of these items
@@ -93,11 +93,12 @@
     pub(crate) frozen_until: [i64; 6],
     /// Additional time that each sync takes, by process.
     pub(crate) disk_delay: [i64; 6],
-    /// Bandwidth of a connection between control processes in bytes per millisecond, if it is limited; connections to process 0
-    /// have four times as much. Heartbeats and lease messages bypass queued messages, as they do in the server.
+    /// Bandwidth of a connection between control processes in bytes per millisecond, if it is limited; connections to
+    /// process 0 have four times as much. Heartbeats and lease messages bypass queued messages, as they do in the
+    /// server.
     pub(crate) link_rate: Option<i64>,
-    /// The age at which tombstones are purged, if it differs from the default.
-    pub(crate) tombstone_age: Option<i64>,
+    /// How long tombstones are kept before they are purged, if not for the default time.
+    pub(crate) tombstone_retention: Option<i64>,
     /// Number of connections that gateways have opened so far; the newest one's number is its ID.
     pub(crate) connection_count: u64,
 }
@@ -157,7 +158,7 @@
             frozen_until: [0; 6],
             disk_delay: [0; 6],
             link_rate: None,
-            tombstone_age: None,
+            tombstone_retention: None,
             connection_count: 0,
         };
         (0..6).for_each(|n| cluster.start(n, true));
@@ -190,19 +191,19 @@
             tolerance: QUOTA_TOLERANCE,
         };
         let mut state_machine = StateMachine::new(timestamp(self.now), start);
-        if let Some(age) = self.tombstone_age {
-            state_machine.set_tombstone_retention(Duration::from_micros(age * 1000));
+        if let Some(retention) = self.tombstone_retention {
+            state_machine.set_tombstone_retention(Duration::from_micros(retention * 1000));
         }
         node.state_machine = Some(state_machine);
     }
 
-    /// Sets the age at which tombstones are purged; gateways may then stay unsynced for half of that time.
-    pub(crate) fn set_tombstone_retention(&mut self, age: i64) {
-        self.tombstone_age = Some(age);
-        let duration = Duration::from_micros(age * 1000);
+    /// Sets how long tombstones are kept; gateways may stay unsynced for half of that time.
+    pub(crate) fn set_tombstone_retention(&mut self, retention: i64) {
+        self.tombstone_retention = Some(retention);
+        let duration = Duration::from_micros(retention * 1000);
         let state_machines = self.nodes.iter_mut().filter_map(|node| node.state_machine.as_mut());
         state_machines.for_each(|state_machine| state_machine.set_tombstone_retention(duration));
-        self.set_gateways_max_unsynced(Duration::from_micros(age * 500));
+        self.set_gateways_max_unsynced(Duration::from_micros(retention * 500));
     }
 
     /// Kills a process and restarts it after `restarts_after` milliseconds. A power loss may discard unsynced writes.
@@ -253,7 +254,8 @@
         assert!(holders <= 1, "{holders} processes hold the lease at {now} ms");
     }
 
-    /// Sends a hello for each pair of processes that is not connected and not partitioned.
+    /// Delivers the hello of each process to every other process that does not know its incarnation, except across
+    /// partitions.
     fn reconnect(&mut self) {
         for from in 0..6 {
             for to in 0..6 {
@@ -286,7 +288,8 @@
             return;
         }
         let node_id = sender.replica.node_id.clone();
-        // A connection belongs to one incarnation: after the hello of a new one, messages of the previous one are dropped.
+        // A connection belongs to one incarnation: after the hello of a new one, messages of the previous one are
+        // dropped.
         let receiver = self.nodes[delivery.to].state_machine.as_mut();
         if let Some(receiver) = receiver.filter(|to| to.knows_incarnation(&node_id, delivery.incarnation)) {
             self.newest_delivered.insert((delivery.from, delivery.to), delivery.sent_at);
--- a/crates/control-plane/tests/gateways.rs
+++ b/crates/control-plane/tests/gateways.rs
@@ -1,6 +1,6 @@
-//! Gateways' control sessions with a simulated cluster of six processes. Acknowledged changes reach every gateway in time,
-//! even if the process that acknowledged one loses power at once. No gateway reverts to an older version, and no process
-//! lists a gateway that is gone.
+//! Gateways' control sessions with a simulated cluster of six processes. Acknowledged changes reach every gateway in
+//! time, even if the process that acknowledged one loses power at once. No gateway reverts to an older version, and no
+//! process lists a gateway that is gone.
 
 mod cluster;
 
@@ -27,10 +27,10 @@
         let mut undelivered: Vec<(i64, u64)> = Vec::new();
         let mut held_versions: BTreeMap<usize, u64> = BTreeMap::new();
         let until = cluster.now + 40_000;
-        let mut next = cluster.now;
+        let mut next_change_at = cluster.now;
         while cluster.now < until {
-            if cluster.now >= next {
-                next = cluster.now + 300 + cluster.rng.rand_range(0..900) as i64;
+            if cluster.now >= next_change_at {
+                next_change_at = cluster.now + 300 + cluster.rng.rand_range(0..900) as i64;
                 last_version += 1 + cluster.rng.rand_range(0..4);
                 let n = cluster.rng.rand_range(0..6) as usize;
                 pending.push((cluster.patch(n, "l", last_version, Some(SERVICE)), last_version));
@@ -95,17 +95,20 @@
         let mut cluster = Cluster::new(seed);
         cluster.add_gateways(12);
         cluster.run(8_000);
-        let ready = |cluster: &Cluster, n: usize| {
+        let ready_count = |cluster: &Cluster, n: usize| {
             let members = cluster.state_machine(n).members();
             members.iter().filter(|member| member.is_ready).count()
         };
-        assert!((0..6).all(|n| ready(&cluster, n) == 12), "seed {seed}");
+        assert!((0..6).all(|n| ready_count(&cluster, n) == 12), "seed {seed}");
         // Longer than every timeout, so that its gateways move to other processes.
         cluster.frozen_until[seed as usize] = cluster.now + 6_000;
         cluster.run(5_000);
-        assert!((0..6).filter(|n| *n != seed as usize).all(|n| ready(&cluster, n) == 12), "seed {seed}");
+        assert!(
+            (0..6).filter(|n| *n != seed as usize).all(|n| ready_count(&cluster, n) == 12),
+            "seed {seed}"
+        );
         cluster.run(6_000);
-        assert!((0..6).all(|n| ready(&cluster, n) == 12), "seed {seed}: after the process resumed");
+        assert!((0..6).all(|n| ready_count(&cluster, n) == 12), "seed {seed}: after the process resumed");
         // A gateway disappears for good: no process lists it any more, though quotas still count it for a while.
         cluster.gateways.remove(5);
         cluster.run(6_000);
@@ -128,7 +131,8 @@
     Item { kind: Kind::Route, name: name.into(), version: 1, value: Some(value.into_bytes().into()) }
 }
 
-/// A look-up returns gateways of the client's region; if it has none, of the route's home regions; otherwise of all regions.
+/// A look-up returns gateways of the client's region; if it has none, of the route's home regions; otherwise of all
+/// regions.
 #[test]
 fn the_directory_names_the_clients_region_then_home_regions_then_all() {
     let mut cluster = Cluster::new(3);
--- a/crates/control-plane/tests/golden_commands.rs
+++ b/crates/control-plane/tests/golden_commands.rs
@@ -1,5 +1,5 @@
-//! Compares the HTTP responses of the operator API and the output of the subcommands byte by byte with golden files. Log lines
-//! are not compared.
+//! Compares the HTTP responses of the operator API and the output of the subcommands byte by byte with golden files.
+//! Log lines are not compared.
 
 mod support;
 
@@ -15,22 +15,22 @@
 use support::command::{command, exit_code_and_output, http_response, mock_server, TempFile, PROGRAM};
 use support::golden::{mask_after, GoldenFiles};
 
-const GOLDEN: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/commands");
+const GOLDEN_DIR: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/commands");
 /// The input files of the subcommands, which run in this directory.
-const INPUTS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/inputs");
+const INPUT_DIR: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/inputs");
 /// An address on which no process listens.
 const CLOSED_ADDRESS: &str = "127.0.0.1:1";
 const MIB: usize = 1024 * 1024;
 
 fn input(name: &str) -> String {
-    std::fs::read_to_string(Path::new(INPUTS).join(name)).expect("read the input file")
+    std::fs::read_to_string(Path::new(INPUT_DIR).join(name)).expect("read the input file")
 }
 
 /// The golden files of the subcommands' output.
 fn subcommand_golden_files() -> GoldenFiles {
     let program =
         Path::new(PROGRAM).file_name().and_then(|name| name.to_str()).expect("the name of the program file");
-    GoldenFiles::new(GOLDEN)
+    GoldenFiles::new(GOLDEN_DIR)
         .replace(format!("{program} {}", env!("CARGO_PKG_VERSION")), "{PROGRAM} {VERSION}")
         .replace(format!("{program} "), "{PROGRAM} ")
         .replace(format!("{program}: "), "{PROGRAM}: ")
@@ -38,7 +38,7 @@
 
 /// Runs the program; returns its exit code and its output as one text.
 fn run(args: &[&str]) -> String {
-    let output = command(args).current_dir(INPUTS).output().expect("start the program");
+    let output = command(args).current_dir(INPUT_DIR).output().expect("start the program");
     transcript(&exit_code_and_output(&output))
 }
 
@@ -49,7 +49,7 @@
 /// The golden files of a cluster's responses.
 fn cluster_golden_files(cluster: &Cluster) -> GoldenFiles {
     let [first, second, third] = cluster.addresses;
-    GoldenFiles::new(GOLDEN)
+    GoldenFiles::new(GOLDEN_DIR)
         .replace(format!("{first}:"), "{IP_0}:")
         .replace(format!("{second}:"), "{IP_1}:")
         .replace(format!("\"{first}\""), "\"{IP_0}\"")
@@ -68,20 +68,24 @@
 }
 
 /// Repeats a call until the response is as expected.
-fn until(what: impl Display, mut call: impl FnMut() -> String, expected: impl Fn(&str) -> bool) -> String {
+fn wait_for(
+    label: impl Display,
+    mut call: impl FnMut() -> String,
+    expected: impl Fn(&str) -> bool,
+) -> String {
     let since = Instant::now();
     loop {
         let response = call();
         if expected(&response) {
             return response;
         }
-        assert!(since.elapsed() < TIMEOUT, "{what}: {response}");
+        assert!(since.elapsed() < TIMEOUT, "{label}: {response}");
         std::thread::yield_now();
     }
 }
 
-/// Masks what differs from run to run: contact ages, whether this process is the coordinator, the durations of its event loop
-/// turns, and with them the length.
+/// Masks what differs from run to run: contact ages, whether this process is the coordinator, the durations of its
+/// event loop turns, and with them the length.
 fn mask_members(response: &str) -> String {
     let response = mask_after(response, "\"long-turns\":", &[','], "{COUNT}");
     let response = mask_after(&response, "\"longest-turn-ms\":", &[','], "{MS}");
@@ -148,12 +152,12 @@
 #[case::not_toml("serve-settings-not-toml.txt", "not-json.json")]
 fn output_of_a_control_process_that_cannot_start(#[case] name: &str, #[case] settings: &str) {
     let mut command = command(&["serve", "--settings", settings]);
-    let output = command.current_dir(INPUTS).env("KITEPASS_LOG", "error").output();
+    let output = command.current_dir(INPUT_DIR).env("KITEPASS_LOG", "error").output();
     subcommand_golden_files()
         .assert_matches(name, &transcript(&exit_code_and_output(&output.expect("start the program"))));
 }
 
-const TEXT: &str = "Content-Type: text/plain\r\n";
+const TEXT_HEADER: &str = "Content-Type: text/plain\r\n";
 
 #[rstest]
 #[case::get("get.txt", &["get"], http_response("200 OK", "", &input("diff.json")))]
@@ -162,20 +166,23 @@
 #[case::get_truncated("get-cut-short.txt", &["get"], "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_owned())]
 #[case::apply("apply.txt", &["apply", "configuration.json"], http_response("200 OK", "", "{}"))]
 #[case::apply_400("apply-400.txt", &["apply", "configuration.json"],
-    http_response("400 Refused", TEXT, "itineraries \"a\": line: none\u{7}"))]
-#[case::apply_409("apply-409.txt", &["apply", "configuration.json"], http_response("409 Refused", TEXT, "taken"))]
-#[case::apply_413("apply-413.txt", &["apply", "configuration.json"], http_response("413 Content Too Large", TEXT, "too long"))]
+    http_response("400 Refused", TEXT_HEADER, "itineraries \"a\": line: none\u{7}"))]
+#[case::apply_409("apply-409.txt", &["apply", "configuration.json"], http_response("409 Refused", TEXT_HEADER, "taken"))]
+#[case::apply_413("apply-413.txt", &["apply", "configuration.json"],
+    http_response("413 Content Too Large", TEXT_HEADER, "too long"))]
 #[case::apply_503("apply-503.txt", &["apply", "configuration.json"],
     http_response("503 Service Unavailable", "Retry-After: 1\r\n", "not caught up"))]
 #[case::apply_redirect("apply-redirect-elsewhere.txt", &["apply", "configuration.json"],
     http_response("307 Temporary Redirect", "Location: https://elsewhere/\r\n", ""))]
 #[case::evacuate_start("evacuate-start.txt", &["evacuate", "start", "z-1"], http_response("200 OK", "", "{}"))]
 #[case::evacuate_end("evacuate-end.txt", &["evacuate", "end", "z-1"], http_response("200 OK", "", "{}"))]
-#[case::evacuate_404("evacuate-404.txt", &["evacuate", "end", "z-1"], http_response("404 Refused", TEXT, "no such zone"))]
+#[case::evacuate_404("evacuate-404.txt", &["evacuate", "end", "z-1"],
+    http_response("404 Refused", TEXT_HEADER, "no such zone"))]
 #[case::members("members.txt", &["members"], http_response("200 OK", "", &input("members.json")))]
 #[case::members_json("members-json.txt", &["members", "--json"], http_response("200 OK", "", &input("members.json")))]
 #[case::members_isolated("members-isolated.txt", &["members"], http_response("200 OK", "", &input("members-isolated.json")))]
-#[case::members_without_configuration("members-blank.txt", &["members"], http_response("200 OK", "", &input("members-blank.json")))]
+#[case::members_without_configuration("members-blank.txt", &["members"],
+    http_response("200 OK", "", &input("members-blank.json")))]
 #[case::members_without_configuration_json("members-blank-json.txt", &["members", "--json"],
     http_response("200 OK", "", &input("members-blank.json")))]
 #[case::members_invalid_json("members-garbled.txt", &["members"], http_response("200 OK", "", "[1"))]
@@ -216,7 +223,7 @@
     let output = run(&["get", "--at", &address.to_string(), "--out", file.path()]);
     assert_eq!(output, transcript(&(0, String::new(), String::new())));
     let written = std::fs::read_to_string(&file.0).expect("written");
-    GoldenFiles::new(GOLDEN).assert_matches("get-out.json", &written);
+    GoldenFiles::new(GOLDEN_DIR).assert_matches("get-out.json", &written);
     thread.join().expect("the mock server got one request");
 }
 
@@ -365,11 +372,11 @@
         gateways.iter_mut().for_each(GatewaySession::heartbeat);
         call(&cluster, "GET", "members", "")
     };
-    golden.assert_matches("http-members.txt", &mask_members(&until("members", &mut members, is_complete)));
+    golden.assert_matches("http-members.txt", &mask_members(&wait_for("members", &mut members, is_complete)));
     let evacuate = call(&cluster, "POST", "Evacuate.Start/d2", "");
     assert!(evacuate.contains(" 200 "), "{evacuate}");
     let evacuated =
-        until("members", &mut members, |response| is_complete(response) && response.contains("[\"d2\"]"));
+        wait_for("members", &mut members, |response| is_complete(response) && response.contains("[\"d2\"]"));
     golden.assert_matches("http-members-evacuated-zone.txt", &mask_members(&evacuated));
 
     let lookups = [
@@ -385,7 +392,7 @@
             exchange(&mut Connection::open(cluster.directory_api), request(method, path, ""))
         };
         let is_complete = |response: &str| response.matches(":80\"").count() == addresses;
-        golden.assert_matches(name, &until(name, lookup, is_complete));
+        golden.assert_matches(name, &wait_for(name, lookup, is_complete));
     }
 }
 
@@ -446,7 +453,7 @@
             peer.send_message(Message::Heartbeat(heartbeat)).expect("written");
             exchange(&mut cluster.connect(), &text)
         };
-        golden.assert_matches(name, &until(name, redirected, |response| response.contains(" 307 ")));
+        golden.assert_matches(name, &wait_for(name, redirected, |response| response.contains(" 307 ")));
     };
     redirected("http-redirect-get.txt", request("GET", "Timetable.Get?a=b", ""));
     redirected("http-redirect-apply.txt", request("POST", "Timetable.Patch", "{}"));
@@ -458,20 +465,23 @@
     let cluster = Cluster::start();
     let golden = cluster_golden_files(&cluster);
     let members = || call(&cluster, "GET", "members", "");
-    until("members", members, has_all_replicas);
+    wait_for("members", members, has_all_replicas);
     for child in &cluster.children[1..] {
         kill_process(Pid::from_child(child), Signal::STOP).expect("send the signal");
     }
     let is_unavailable = |response: &str| response.contains("out of contact");
     let get = || call(&cluster, "GET", "Timetable.Get", "");
-    golden.assert_matches("http-isolated-get.txt", &until("get", get, is_unavailable));
+    golden.assert_matches("http-isolated-get.txt", &wait_for("get", get, is_unavailable));
     let evacuate = || call(&cluster, "POST", "Evacuate.Start/nowhere", "");
-    golden.assert_matches("http-isolated-evacuate.txt", &until("evacuate", evacuate, is_unavailable));
+    golden.assert_matches("http-isolated-evacuate.txt", &wait_for("evacuate", evacuate, is_unavailable));
     let lookup = || call(&cluster, "GET", "route-lookup?province=p&district=d0", "");
     let is_isolated = |response: &str| response.contains("contact");
-    golden.assert_matches("http-isolated-lookup.txt", &until("look-up", lookup, is_isolated));
+    golden.assert_matches("http-isolated-lookup.txt", &wait_for("look-up", lookup, is_isolated));
     let is_unheard = |response: &str| {
         response.matches("\"heard\":false").count() == 2 && response.matches("\"contact\":true").count() == 1
     };
-    golden.assert_matches("http-isolated-members.txt", &mask_members(&until("members", members, is_unheard)));
+    golden.assert_matches(
+        "http-isolated-members.txt",
+        &mask_members(&wait_for("members", members, is_unheard)),
+    );
 }
--- a/crates/control-plane/tests/golden_store.rs
+++ b/crates/control-plane/tests/golden_store.rs
@@ -1,10 +1,10 @@
-//! Compatibility of a control process's stored records, byte by byte: a new version restores a data directory of an older
-//! version, and writes the same records as the older one. The files in `golden/` are never regenerated: a new record format
-//! gets additional lines, and the old records must still be restored.
+//! Compatibility of a control process's stored records, byte by byte: a new version restores a data directory of an
+//! older version, and writes the same records as the older one. The files in `golden/` are never regenerated: a new
+//! record format gets additional lines, and the old records must still be restored.
 //!
-//! `golden/records.txt` has one record per line: its name, its key and its value in hex. Names with the prefix `item.` are
-//! encoded items; those with `first-run.` and `second-run.` are all records that one process of a cluster of three persists in
-//! the respective run.
+//! `golden/records.txt` has one record per line: its name, its key and its value in hex. Names with the prefix `item.`
+//! are encoded items; those with `first-run.` and `second-run.` are all records that one process of a cluster of three
+//! persists in the respective run.
 
 use kitepass_config::{decode_record, encode_record, Item, ItemStore, Kind, MAX_OLDER_VERSIONS};
 use kitepass_control_plane::request::{Request, Response};
@@ -22,10 +22,11 @@
 type Record = (Vec<u8>, Vec<u8>);
 
 const RECORDS: &str = include_str!("golden/records.txt");
-/// The expected description of a process that was restored from the records.
+/// The expected output of [`describe_state`] for a process that was restored from the records.
 const RESTORED: &str = include_str!("golden/restored.expected.txt");
 
-/// The incarnations of the three processes in the first run. In a new data directory the incarnation becomes the replica ID.
+/// The incarnations of the three processes in the first run. In a new data directory the incarnation becomes the
+/// replica ID.
 const INCARNATIONS: [u64; 3] = [0x0123_4567_89ab_cdef, 0x1111_2222_3333_4444, 0xfedc_ba98_7654_3210];
 /// Added to the incarnations for the second run.
 const SECOND_RUN_OFFSET: u64 = 0x0100;
@@ -295,8 +296,8 @@
     assert_records(&cluster.persisted, golden_records("first-run."));
 }
 
-/// The records of a process some time after the first run: its replica ID, the mark that it has caught up, and items of every
-/// kind.
+/// The records of a process some time after the first run: its replica ID, the mark that it has caught up, and items of
+/// every kind.
 fn records_at_restart(number: usize) -> Vec<Record> {
     let mut records: Vec<Record> =
         golden_records("item.").into_values().filter(|(_, value)| !value.is_empty()).collect();
@@ -502,7 +503,8 @@
     assert_eq!(persisted, [format_record(&golden_record("second-run.live-gateways"))]);
 }
 
-/// Without the record that it has caught up, a replica counts as new; without the record of its lease vote, it grants no lease.
+/// Without the record that it has caught up, a replica counts as new; without the record of its lease vote, it grants
+/// no lease.
 #[test]
 fn a_process_without_a_record_starts_as_new_or_grants_no_lease() {
     let start_without = |keys: &[&str]| {
@@ -540,7 +542,8 @@
     }
 }
 
-/// With a damaged consensus record the process starts as a new replica: its acceptance may have been decisive for a commit.
+/// With a damaged consensus record the process starts as a new replica: its acceptance may have been decisive for a
+/// commit.
 #[test]
 fn a_truncated_consensus_record_makes_the_process_a_new_replica() {
     for name in ["promise-floor", "accepted-proposal", "denied-proposal"] {
--- a/crates/control-plane/tests/incarnations.rs
+++ b/crates/control-plane/tests/incarnations.rs
@@ -9,8 +9,8 @@
 
 const SERVICE: &str = r#"{"checkpoint":"/c"}"#;
 
-/// Disks are so slow that responses to a process arrive only after it has restarted. When a change is acknowledged, it must be
-/// on the disks of a write quorum.
+/// Disks are so slow that responses to a process arrive only after it has restarted. When a change is acknowledged, it
+/// must be on the disks of a write quorum.
 #[test]
 fn no_acceptance_for_an_earlier_incarnation_counts() {
     let mut acknowledged = 0;
--- a/crates/control-plane/tests/large_changes.rs
+++ b/crates/control-plane/tests/large_changes.rs
@@ -72,8 +72,8 @@
     Chunked(&'a [u8]),
 }
 
-/// Sends a request; returns the status and the body of the response. Write errors are ignored, as the server may respond and
-/// close the connection before it has read the whole request.
+/// Sends a request; returns the status and the body of the response. Write errors are ignored, as the server may
+/// respond and close the connection before it has read the whole request.
 fn call(address: SocketAddr, method: &str, path: &str, body: Body) -> (u16, String) {
     let mut stream = TcpStream::connect(address).expect("connect to the process");
     stream.set_read_timeout(Some(TIMEOUT)).expect("set the socket option");
--- a/crates/control-plane/tests/membership.rs
+++ b/crates/control-plane/tests/membership.rs
@@ -1,6 +1,7 @@
-//! Changes of the replica set in a simulated cluster of six processes, with requests throughout: disk losses in succession,
-//! members that shut down and are replaced, coordinators that are partitioned during a change, and a removed replica that
-//! returns. Acknowledged changes are read back, and all processes agree on the content of each replica set version.
+//! Changes of the replica set in a simulated cluster of six processes, with requests throughout: disk losses in
+//! succession, members that shut down and are replaced, coordinators that are partitioned during a change, and a
+//! removed replica that returns. Acknowledged changes are read back, and all processes agree on the content of each
+//! replica set version.
 
 mod cluster;
 
@@ -14,8 +15,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const SERVICE: &str = r#"{"checkpoint":"/c"}"#;
-/// Maximum time from the start of a shutdown until the process exits, and until its replica is removed. A round trip takes up
-/// to 240 ms here, and a removal takes six of them.
+/// Maximum time from the start of a shutdown until the process exits, and until its replica is removed. A round trip
+/// takes up to 240 ms here, and a removal takes six of them.
 const MAX_SHUTDOWN_MS: i64 = 2_000;
 const MAX_REMOVAL_MS: i64 = 4_000;
 /// Maximum time from the last loss or restart until the replica set consists of the running replicas.
@@ -61,7 +62,8 @@
         let now = timestamp(self.cluster.now);
         for (n, node) in self.cluster.nodes.iter().enumerate() {
             let Some(state_machine) = &node.state_machine else { continue };
-            // A new lease holder must not act as coordinator before it has read from a majority, which takes a round trip.
+            // A new lease holder must not act as coordinator before it has read from a majority, which takes a round
+            // trip.
             if let Some(term) = state_machine.lease_term(now).filter(|term| self.won_terms.insert((n, *term)))
             {
                 assert_eq!(
@@ -131,7 +133,8 @@
         names.collect()
     }
 
-    /// Runs until the replica set consists of the six running replicas and all of them serve; returns how long that takes.
+    /// Runs until the replica set consists of the six running replicas and all of them serve; returns how long that
+    /// takes.
     fn wait_for_repair(&mut self, context: &str) -> i64 {
         self.wait_for_repair_with(context, true)
     }
@@ -174,7 +177,8 @@
         }
     }
 
-    /// Shuts a process down as SIGTERM does, and stops it. Returns the times until it exits and until its replica is removed.
+    /// Shuts a process down as SIGTERM does, and stops it. Returns the times until it exits and until its replica is
+    /// removed.
     fn shut_down_and_stop(&mut self, n: usize) -> (i64, i64) {
         let since = self.cluster.now;
         let name = Replica::from(&self.state_machine(n).expect("the process is running").hello()).name();
@@ -210,16 +214,20 @@
             if self.cluster.responses.get(request_id).is_some_and(|(_, response)| *response == Response::Done)
             {
                 acknowledged += 1;
-                let known = item_store.get(Kind::Service, name).map_or(0, |item| item.version);
-                assert!(known >= *version, "{context}: {name} r{version} was acknowledged, r{known} is read");
+                let held_version = item_store.get(Kind::Service, name).map_or(0, |item| item.version);
+                assert!(
+                    held_version >= *version,
+                    "{context}: {name} r{version} was acknowledged, r{held_version} is read"
+                );
             }
         }
         acknowledged
     }
 }
 
-/// The disk of one process or the disks of a region are lost, in some cases while all other processes lose power. The processes
-/// return as new replicas. Right after the repair another region's disks are lost while all others lose power.
+/// The disk of one process or the disks of a region are lost, in some cases while all other processes lose power. The
+/// processes return as new replicas. Right after the repair another region's disks are lost while all others lose
+/// power.
 #[test]
 fn after_a_lost_disk_is_replaced_the_next_loss_is_tolerated() {
     let (mut max_repair, mut acknowledged) = (0, 0);
@@ -283,8 +291,8 @@
     assert!(acknowledged > 200, "{acknowledged}");
 }
 
-/// The coordinator gets a SIGTERM while requests are pending. Its acknowledged changes are kept, it exits in time even if no
-/// other process responds, and another one becomes coordinator.
+/// The coordinator gets a SIGTERM while requests are pending. Its acknowledged changes are kept, it exits in time even
+/// if no other process responds, and another one becomes coordinator.
 #[test]
 fn a_coordinator_that_shuts_down_with_requests_pending_loses_nothing() {
     let (mut max_takeover, mut max_exit, mut max_removal, mut answered) = ([0; 2], 0, 0, 0);
@@ -326,8 +334,8 @@
     );
 }
 
-/// A coordinator is partitioned, in one direction or both, while it changes the replica set, and another one takes over. Both
-/// start from the same replica set, and only one successor of that set may result.
+/// A coordinator is partitioned, in one direction or both, while it changes the replica set, and another one takes
+/// over. Both start from the same replica set, and only one successor of that set may result.
 #[test]
 fn a_coordinator_cut_off_during_a_change_brings_in_no_second_replica_set() {
     let (mut interrupted_changes, mut changes) = (0, 0);
@@ -337,8 +345,8 @@
         let lost_node = (coordinator + 1 + seed as usize % 5) % 6;
         scenario.cluster.kill(lost_node, true, true, 300);
         let base = scenario.replica_set().version;
-        // Waits until the wiped node has caught up, so that the coordinator proposes the next replica set, and for a random
-        // time after that.
+        // Waits until the wiped node has caught up, so that the coordinator proposes the next replica set, and for a
+        // random time after that.
         let until = scenario.cluster.now + 8_000;
         let has_caught_up = |scenario: &Scenario| {
             scenario.state_machine(lost_node).is_some_and(|state_machine| state_machine.hello().is_complete)
@@ -348,8 +356,9 @@
         }
         let delay = scenario.cluster.rng.rand_range(0..250) as i64 * 10;
         scenario.run(delay, true);
-        let known = scenario.replica_sets.keys().any(|(name, version)| *name == INCOMING && *version > base);
-        interrupted_changes += usize::from(known && scenario.replica_set().version == base);
+        let is_incoming_known =
+            scenario.replica_sets.keys().any(|(name, version)| *name == INCOMING && *version > base);
+        interrupted_changes += usize::from(is_incoming_known && scenario.replica_set().version == base);
         let partition_end = scenario.cluster.now + 7_000;
         for other in (0..6).filter(|other| *other != coordinator) {
             match seed % 3 {
@@ -378,8 +387,8 @@
     assert!(interrupted_changes > 2 && changes >= 24, "{interrupted_changes} {changes}");
 }
 
-/// A removed replica returns with its old disk after changes, deletions, and a proposal that it alone had accepted. It restores
-/// no outdated item, and becomes a member again.
+/// A removed replica returns with its old disk after changes, deletions, and a proposal that it alone had accepted. It
+/// restores no outdated item, and becomes a member again.
 #[test]
 fn a_removed_replica_with_its_old_disk_brings_nothing_old_back() {
     for seed in seeds(6) {
@@ -432,8 +441,8 @@
     }
 }
 
-/// A replica that lacks items of the proposer reads them before it accepts a proposal that puts a replica set in force; one
-/// that has them all accepts at once. Each such accept request has the digests of the proposer's items.
+/// A replica that lacks items of the proposer reads them before it accepts a proposal that puts a replica set in force;
+/// one that has them all accepts at once. Each such accept request has the digests of the proposer's items.
 #[test]
 fn a_replica_set_is_accepted_only_with_all_that_its_proposer_holds() {
     let mut scenario = Scenario::new(3);
@@ -488,9 +497,10 @@
     assert!(accept_request_count > 0);
 }
 
-/// A disk is lost; when the next replica set is committed and no replica has accepted it as the current one yet, a region's
-/// disks are lost and all other processes are killed. Three of the six members of the old set remain: too few to elect a
-/// coordinator, but a read quorum. The change is completed, as no proposal is pending that only the old set could have chosen.
+/// A disk is lost; when the next replica set is committed and no replica has accepted it as the current one yet, a
+/// region's disks are lost and all other processes are killed. Three of the six members of the old set remain: too few
+/// to elect a coordinator, but a read quorum. The change is completed, as no proposal is pending that only the old set
+/// could have chosen.
 #[test]
 fn a_change_is_finished_where_half_of_the_earlier_set_is_left() {
     let mut max_repair = 0;
@@ -501,7 +511,7 @@
         let lost_node = seed as usize % 6;
         let region = (lost_node / 2 * 2 + 2) % 6;
         scenario.cluster.kill(lost_node, true, true, 300);
-        let knows = |scenario: &Scenario, n: usize| {
+        let holds_incoming = |scenario: &Scenario, n: usize| {
             scenario.state_machine(n).is_some_and(|state_machine| {
                 ReplicaSet::load(state_machine.item_store(), INCOMING)
                     .is_some_and(|replica_set| replica_set.version == 2)
@@ -509,7 +519,7 @@
         };
         let keeps_disk = |n: &usize| ![region, region + 1].contains(n);
         let until = scenario.cluster.now + MAX_REPAIR_MS;
-        while !(0..6).filter(keeps_disk).all(|n| knows(&scenario, n)) {
+        while !(0..6).filter(keeps_disk).all(|n| holds_incoming(&scenario, n)) {
             scenario.run(10, false);
             assert!(scenario.cluster.now < until, "seed {seed}: no change of the replica set");
         }
--- a/crates/control-plane/tests/operator_api.rs
+++ b/crates/control-plane/tests/operator_api.rs
@@ -1,5 +1,5 @@
-//! The operator API of a cluster on loopback addresses, with clients that pipeline requests, disconnect before the response,
-//! or expect `100 Continue`; and the sessions of a gateway that reconnects.
+//! The operator API of a cluster on loopback addresses, with clients that pipeline requests, disconnect before the
+//! response, or expect `100 Continue`; and the sessions of a gateway that reconnects.
 
 mod support;
 
@@ -55,8 +55,8 @@
     assert!(connection.input.is_empty());
 }
 
-/// Clients close or reset their connections while a request is in flight. That request takes effect as a whole or not at all, and
-/// the next client gets only its own response, once.
+/// Clients close or reset their connections while a request is in flight. That request takes effect as a whole or not
+/// at all, and the next client gets only its own response, once.
 #[test]
 fn a_response_to_a_disconnected_client_reaches_nobody_else() {
     let cluster = Cluster::start();
@@ -121,8 +121,8 @@
     assert!(connection.is_closed_by_peer());
 }
 
-/// A gateway loses its connection and reconnects before the control process notices. The response to its usage report is sent
-/// on the new connection.
+/// A gateway loses its connection and reconnects before the control process notices. The response to its usage report
+/// is sent on the new connection.
 #[test]
 fn usage_totals_go_to_the_newest_connection_of_the_incarnation() {
     let cluster = Cluster::start();
--- a/crates/control-plane/tests/quorum_contact.rs
+++ b/crates/control-plane/tests/quorum_contact.rs
@@ -1,6 +1,6 @@
-//! Quorum contact in a simulated cluster of six processes. A process that no majority has heard recently must not serve its
-//! state as current: it redirects clients at once, and serves again only with every acknowledged change. Gateways move to
-//! processes that are in contact. All bounds are in milliseconds and hold for every seed.
+//! Quorum contact in a simulated cluster of six processes. A process that no majority has heard recently must not serve
+//! its state as current: it redirects clients at once, and serves again only with every acknowledged change. Gateways
+//! move to processes that are in contact. All bounds are in milliseconds and hold for every seed.
 
 mod cluster;
 
@@ -24,16 +24,16 @@
 const MAX_LATENCY_MS: i64 = 120;
 /// Maximum time from the start of a partition until a process stops answering look-ups.
 const MAX_LOOK_UP_MS: i64 = 4_000;
-/// Maximum time from the end of a partition until all processes serve again: they reconnect, are heard, and read what they
-/// missed.
+/// Maximum time from the end of a partition until all processes serve again: they reconnect, are heard, and read what
+/// they missed.
 const MAX_RECOVERY_MS: i64 = 1_500;
 /// Maximum time since the target of a redirect was last heard.
 const MAX_REDIRECT_TARGET_AGE_MS: i64 = 1_500;
 /// Maximum response time of a process in the majority, and the same if another proposal has to be resolved first.
 const MAX_RESPONSE_MS: i64 = 1_000;
 const MAX_BLOCKED_RESPONSE_MS: i64 = 2_500;
-/// Maximum time from the start of a partition until every gateway that can reach a process in contact has left the others, and
-/// for how long it may be connected to each of the others when it tries them later.
+/// Maximum time from the start of a partition until every gateway that can reach a process in contact has left the
+/// others, and for how long it may be connected to each of the others when it tries them later.
 const MAX_MOVE_MS: i64 = 4_100;
 const MAX_PROBE_MS: i64 = 250;
 
@@ -58,7 +58,8 @@
     heard_count + 1 >= 4
 }
 
-/// Checks, by the messages that were delivered, that each process that considers itself in contact was heard by a majority.
+/// Checks, by the messages that were delivered, that each process that considers itself in contact was heard by a
+/// majority.
 fn assert_contact_is_accurate(cluster: &Cluster) {
     for (n, node) in cluster.nodes.iter().enumerate() {
         let Some(state_machine) = node
@@ -80,7 +81,7 @@
 /// A request: its receiver, when it was sent and answered, and the version that it sets, or 0 for a read.
 struct SentRequest {
     n: usize,
-    since: i64,
+    sent_at: i64,
     answered_at: Option<i64>,
     version: u64,
 }
@@ -100,7 +101,7 @@
             0 => cluster.request(n, Request::Get),
             version => cluster.patch(n, "l", version, Some(SERVICE)),
         };
-        self.sent.insert(request_id, SentRequest { n, since: cluster.now, answered_at: None, version });
+        self.sent.insert(request_id, SentRequest { n, sent_at: cluster.now, answered_at: None, version });
     }
 
     /// Steps the cluster; returns the new responses as (process, response time, response).
@@ -140,32 +141,40 @@
                         )
                     }
                 }
-                new_responses.push((sent.n, cluster.now - sent.since, response.clone()));
+                new_responses.push((sent.n, cluster.now - sent.sent_at, response.clone()));
             }
         }
         new_responses
     }
 
     /// The newest version whose acknowledgement had arrived by this time.
-    fn acknowledged(&self, cluster: &Cluster, by: i64) -> u64 {
+    fn acknowledged(&self, cluster: &Cluster, answered_by: i64) -> u64 {
         let is_done = |request_id: &u64| {
             cluster.responses.get(request_id).is_some_and(|(_, response)| *response == Response::Done)
         };
-        let by = |sent: &SentRequest| sent.answered_at.is_some_and(|answered_at| answered_at <= by);
-        let is_done = self.sent.iter().filter(|(request_id, sent)| is_done(request_id) && by(sent));
-        is_done.map(|(_, sent)| sent.version).max().unwrap_or(0)
+        let is_answered =
+            |sent: &SentRequest| sent.answered_at.is_some_and(|answered_at| answered_at <= answered_by);
+        let acknowledged =
+            self.sent.iter().filter(|(request_id, sent)| is_done(request_id) && is_answered(sent));
+        acknowledged.map(|(_, sent)| sent.version).max().unwrap_or(0)
     }
 }
 
 /// Checks that every process and every gateway holds at least this version.
-fn assert_all_know(cluster: &Cluster, acknowledged: u64, seed: u64) {
+fn assert_all_hold(cluster: &Cluster, acknowledged: u64, seed: u64) {
     for (n, node) in cluster.nodes.iter().enumerate() {
-        let known = node.version("l");
-        assert!(known >= acknowledged, "seed {seed}: s{n} has r{known}, r{acknowledged} was acknowledged");
+        let held_version = node.version("l");
+        assert!(
+            held_version >= acknowledged,
+            "seed {seed}: s{n} has r{held_version}, r{acknowledged} was acknowledged"
+        );
     }
     for (n, gateway) in cluster.gateways.iter().enumerate() {
-        let known = gateway.session.item_store.get(Kind::Service, "l").map_or(0, |item| item.version);
-        assert!(known >= acknowledged, "seed {seed}: g{n} has r{known}, r{acknowledged} was acknowledged");
+        let held_version = gateway.session.item_store.get(Kind::Service, "l").map_or(0, |item| item.version);
+        assert!(
+            held_version >= acknowledged,
+            "seed {seed}: g{n} has r{held_version}, r{acknowledged} was acknowledged"
+        );
     }
 }
 
@@ -249,7 +258,7 @@
         mut max_probe,
         mut max_majority_wait,
     ) = (0, 0, 0, 0, 0);
-    // Requests wait until conflicting proposals of a partly partitioned process are resolved.
+    // In a partial partition, requests may wait until conflicting proposals of the partitioned process are resolved.
     let response_limit =
         if direction == Direction::Partial { MAX_BLOCKED_RESPONSE_MS } else { MAX_RESPONSE_MS };
     for seed in seeds() {
@@ -382,15 +391,15 @@
         let acknowledged = log.acknowledged(&cluster, until - 2 * MAX_LATENCY_MS);
         acknowledged_total += acknowledged;
         for n in &isolated_side {
-            let known = cluster.state_machine(*n).item_store().get(Kind::Service, "l");
-            let known = known.map_or(0, |item| item.version);
+            let held_version = cluster.state_machine(*n).item_store().get(Kind::Service, "l");
+            let held_version = held_version.map_or(0, |item| item.version);
             assert!(
-                known >= acknowledged,
-                "seed {seed}: s{n} serves again with r{known}, r{acknowledged} was acknowledged"
+                held_version >= acknowledged,
+                "seed {seed}: s{n} serves again with r{held_version}, r{acknowledged} was acknowledged"
             );
         }
         (0..500).for_each(|_| _ = log.step(&mut cluster));
-        assert_all_know(&cluster, log.acknowledged(&cluster, cluster.now), seed);
+        assert_all_hold(&cluster, log.acknowledged(&cluster, cluster.now), seed);
     }
     println!(
         "{target:?} {direction:?}, maximum times in ms: isolation {max_isolation}, look-ups {max_look_up}, \
@@ -407,8 +416,8 @@
     });
 }
 
-/// Partitions shorter and longer than the contact timeout come and go, and connections are reset. No process is ever wrong
-/// about its contact, no acknowledged change is lost, and no request waits longer than its bound.
+/// Partitions shorter and longer than the contact timeout come and go, and connections are reset. No process is ever
+/// wrong about its contact, no acknowledged change is lost, and no request waits longer than its bound.
 #[test]
 fn partitions_that_come_and_go() {
     let (mut acknowledged_count, mut rejected_count, mut isolation_count, mut max_recovery) = (0, 0, 0, 0);
@@ -418,10 +427,10 @@
         cluster.run(7_000);
         let mut log = RequestLog::default();
         let until = cluster.now + 40_000;
-        let mut next = 0;
+        let mut next_fault_at = 0;
         let mut was_serving = [true; 6];
         while cluster.now < until {
-            if cluster.now >= next {
+            if cluster.now >= next_fault_at {
                 // At most two processes at once, so that a majority remains.
                 let (a, b) = (cluster.rng.rand_range(0..6) as usize, cluster.rng.rand_range(0..6) as usize);
                 let direction = [Direction::Inbound, Direction::Outbound, Direction::Both]
@@ -433,7 +442,7 @@
                     let n = cluster.rng.rand_range(0..6) as usize;
                     cluster.in_flight.retain(|it| it.from != n && it.to != n);
                 }
-                next = cluster.now + duration + cluster.rng.rand_range(50..2_500) as i64;
+                next_fault_at = cluster.now + duration + cluster.rng.rand_range(50..2_500) as i64;
             }
             if cluster.now % 150 == 0 {
                 let n = cluster.rng.rand_range(0..6) as usize;
@@ -457,14 +466,14 @@
         }
         let acknowledged = log.acknowledged(&cluster, until - 2 * MAX_LATENCY_MS);
         for (n, node) in cluster.nodes.iter().enumerate().filter(|(n, _)| !was_serving[*n]) {
-            let known = node.version("l");
+            let held_version = node.version("l");
             assert!(
-                known >= acknowledged,
-                "seed {seed}: s{n} serves again with r{known}, r{acknowledged} was acknowledged"
+                held_version >= acknowledged,
+                "seed {seed}: s{n} serves again with r{held_version}, r{acknowledged} was acknowledged"
             );
         }
         (0..500).for_each(|_| _ = log.step(&mut cluster));
-        assert_all_know(&cluster, log.acknowledged(&cluster, cluster.now), seed);
+        assert_all_hold(&cluster, log.acknowledged(&cluster, cluster.now), seed);
     }
     println!(
         "repeated partitions: {isolation_count} isolations, {acknowledged_count} acknowledged, {rejected_count} rejected, \
@@ -476,8 +485,8 @@
     );
 }
 
-/// A process that resumes after a freeze is out of contact at once, whatever messages its sockets hold and whatever phase its
-/// pending requests had reached.
+/// A process that resumes after a freeze is out of contact at once, whatever messages its sockets hold and whatever
+/// phase its pending requests had reached.
 #[test]
 fn a_process_that_was_frozen_answers_nothing_from_before() {
     for seed in 0..seeds().end * 4 {
@@ -500,7 +509,8 @@
         (0..399).for_each(|_| _ = log.step(&mut cluster));
         assert_eq!(cluster.responses[&request_id].1, Response::Done, "seed {seed}");
         if seed % 2 == 0 {
-            // Its sockets hold only messages that would complete its requests, none that reveals how much time has passed.
+            // Its sockets hold only messages that would complete its requests, none that reveals how much time has
+            // passed.
             cluster.in_flight.retain(|it| {
                 it.to != n
                     || matches!(
@@ -528,17 +538,19 @@
             if state_machine.has_quorum(timestamp(cluster.now))
                 && state_machine.replica_state() == ReplicaState::Serving
             {
-                let known = state_machine.item_store().get(Kind::Service, "l").map(|item| item.version);
+                let held_version =
+                    state_machine.item_store().get(Kind::Service, "l").map(|item| item.version);
                 assert!(
-                    known >= Some(version),
-                    "seed {seed}: in contact without an acknowledged change: {known:?}"
+                    held_version >= Some(version),
+                    "seed {seed}: in contact without an acknowledged change: {held_version:?}"
                 );
             }
         }
     }
 }
 
-/// Reads from before contact was lost, or from processes that were partitioned too, must not count for a new read quorum.
+/// Reads from before contact was lost, or from processes that were partitioned too, must not count for a new read
+/// quorum.
 #[test]
 fn a_rejoining_process_reads_everybody_anew() {
     let mut steps_in_contact = 0;
@@ -557,8 +569,8 @@
         let request_id = cluster.patch(3, "l", 7, Some(SERVICE));
         cluster.run(1_500);
         assert_eq!(cluster.responses[&request_id].1, Response::Done, "seed {seed}");
-        // It reconnects to process 1, which missed the change as well, and to two of the four, from which only heartbeats and
-        // the like arrive at first: it is in contact, but has not read the acknowledged change.
+        // It reconnects to process 1, which missed the change as well, and to two of the four, from which only
+        // heartbeats and the like arrive at first: it is in contact, but has not read the acknowledged change.
         [1, 2, 3].into_iter().for_each(|m| _ = cluster.partitions.remove(&(0, m)));
         let reconnected_at = cluster.now;
         while replica_state(&cluster, 0) != Some(ReplicaState::Serving) {
@@ -583,14 +595,14 @@
                 "seed {seed}: the process does not serve again"
             );
         }
-        let known = cluster.state_machine(0).item_store().get(Kind::Service, "l").map(|i| i.version);
-        assert_eq!(known, Some(7), "seed {seed}: serving without the acknowledged change");
+        let held_version = cluster.state_machine(0).item_store().get(Kind::Service, "l").map(|i| i.version);
+        assert_eq!(held_version, Some(7), "seed {seed}: serving without the acknowledged change");
     }
     assert!(steps_in_contact > 0, "the process was never in contact before it had read the change");
 }
 
-/// An isolated process closes and refuses sessions of gateways that have never caught up, as it can't give them a current
-/// configuration. Gateways that have caught up may stay.
+/// An isolated process closes and refuses sessions of gateways that have never caught up, as it can't give them a
+/// current configuration. Gateways that have caught up may stay.
 #[test]
 fn a_gateway_that_never_caught_up_has_no_session_with_an_isolated_process() {
     let mut cluster = Cluster::new(3);
@@ -697,8 +709,8 @@
                 "seed {seed}: {lookups} answer look-ups"
             );
         }
-        // A gateway tries each control process once, and again after 10 s, 20 s and so on. The new gateway is not counted: it is
-        // refused everywhere and keeps trying.
+        // A gateway tries each control process once, and again after 10 s, 20 s and so on. The new gateway is not
+        // counted: it is refused everywhere and keeps trying.
         let sessions = (cluster.connection_count - before - new_gateway_sessions) / 12;
         max_sessions = max_sessions.max(sessions);
         assert!(sessions <= 6 * 2, "seed {seed}: {sessions} sessions for each gateway");
--- a/crates/control-plane/tests/replication.rs
+++ b/crates/control-plane/tests/replication.rs
@@ -1,6 +1,6 @@
-//! Durability of acknowledged changes in a simulated cluster of six processes, under message loss and delay, partitions,
-//! kills, power losses and tolerated disk losses. Every process that answers a read returns all acknowledged changes, and no
-//! two processes hold the coordinator's lease at once.
+//! Durability of acknowledged changes in a simulated cluster of six processes, under message loss and delay,
+//! partitions, kills, power losses and tolerated disk losses. Every process that answers a read returns all
+//! acknowledged changes, and no two processes hold the coordinator's lease at once.
 
 mod cluster;
 
@@ -36,8 +36,8 @@
         .is_some()));
 }
 
-/// The highest version wins, whatever the order of arrival: an older change is sent after a newer one, and a deletion stands
-/// against an older change that follows it.
+/// The highest version wins, whatever the order of arrival: an older change is sent after a newer one, and a deletion
+/// stands against an older change that follows it.
 #[test]
 fn versions_alone_decide() {
     let mut cluster = Cluster::new(2);
@@ -123,8 +123,8 @@
         for (request_id, (name, version)) in &versions {
             if cluster.responses.get(request_id).is_some_and(|(_, response)| *response == Response::Done) {
                 acknowledged_count += 1;
-                let known = newest_acknowledged.entry(name).or_default();
-                *known = (*known).max(*version);
+                let newest = newest_acknowledged.entry(name).or_default();
+                *newest = (*newest).max(*version);
             }
         }
         let reader = (seed % 6) as usize;
@@ -143,8 +143,11 @@
         );
         let item_store = cluster.state_machine(reader).item_store();
         for (name, version) in newest_acknowledged {
-            let known = item_store.get(Kind::Service, name).map_or(0, |item| item.version);
-            assert!(known >= version, "seed {seed}: {name} r{version} was acknowledged, r{known} is read");
+            let held_version = item_store.get(Kind::Service, name).map_or(0, |item| item.version);
+            assert!(
+                held_version >= version,
+                "seed {seed}: {name} r{version} was acknowledged, r{held_version} is read"
+            );
             read_count += 1;
         }
     }
@@ -158,8 +161,8 @@
     cluster.run(4_000);
     (0..4).for_each(|n| cluster.kill(n, true, true, 300));
     cluster.run(3_000);
-    // Four of six disks are lost. The two remaining replicas are no read quorum, and the wiped ones don't count for one.
-    // These two hear only two of the six members.
+    // Four of six disks are lost. The two remaining replicas are no read quorum, and the wiped ones don't count for
+    // one. These two hear only two of the six members.
     assert_eq!(cluster.serving_count(), 0);
     for n in 4..6 {
         assert_eq!(cluster.state_machine(n).replica_state(), ReplicaState::Isolated);
@@ -173,7 +176,8 @@
         .is_some_and(|state_machine| !state_machine.hello().is_complete));
 }
 
-/// A partitioned process reports that it is isolated, and holds every change acknowledged meanwhile before it serves again.
+/// A partitioned process reports that it is isolated, and holds every change acknowledged meanwhile before it serves
+/// again.
 #[test]
 fn an_isolated_process_catches_up_before_it_serves() {
     let mut cluster = Cluster::new(4);
--- a/crates/control-plane/tests/starting.rs
+++ b/crates/control-plane/tests/starting.rs
@@ -1,5 +1,5 @@
-//! Signals that arrive before the process has read its settings. The settings file is a named pipe, so that the process blocks
-//! while it reads.
+//! Signals that arrive before the process has read its settings. The settings file is a named pipe, so that the process
+//! blocks while it reads.
 
 use rstest::rstest;
 use rustix::process::{kill_process, Pid, Signal};
--- a/crates/control-plane/tests/support/command.rs
+++ b/crates/control-plane/tests/support/command.rs
@@ -47,8 +47,8 @@
     }
 }
 
-/// Starts a mock server that sends these responses, one per connection. Its thread returns the requests that it received, each
-/// as the request line followed by the body.
+/// Starts a mock server that sends these responses, one per connection. Its thread returns the requests that it
+/// received, each as the request line followed by the body.
 pub(crate) fn mock_server(responses: Vec<String>) -> (SocketAddr, JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback address");
     let address = listener.local_addr().expect("the local address");
--- a/crates/control-plane/tests/version_conflicts.rs
+++ b/crates/control-plane/tests/version_conflicts.rs
@@ -1,5 +1,6 @@
-//! Conflicting changes: if two changes set the same version of an item to different contents, at most one is acknowledged,
-//! and the other is permanently rejected as a whole. An acknowledged change that is sent again is acknowledged again.
+//! Conflicting changes: if two changes set the same version of an item to different contents, at most one is
+//! acknowledged, and the other is permanently rejected as a whole. An acknowledged change that is sent again is
+//! acknowledged again.
 
 mod cluster;
 
@@ -27,7 +28,8 @@
         let mut cluster = Cluster::new(seed);
         cluster.run(4_000);
         let (a, b) = ((seed % 6) as usize, ((seed + 1 + seed / 6 % 5) % 6) as usize);
-        // Each change also has an item of its own, which must be committed or rejected together with the conflicting one.
+        // Each change also has an item of its own, which must be committed or rejected together with the conflicting
+        // one.
         let (first_items, second_items) = (
             vec![service_item("l", 7, ONE), service_item("a", 7, ONE)],
             vec![service_item("l", 7, TWO), service_item("b", 7, TWO)],
@@ -39,18 +41,22 @@
             .map(|request_id| cluster.responses.get(&request_id).map(|(_, response)| response.clone()));
         let done: Vec<bool> = replies.iter().map(|response| *response == Some(Response::Done)).collect();
         assert!(done != [true, true], "seed {seed}: both are acknowledged");
-        // Both changes are sent again to other processes until each has a final response, and again after a newer version.
+        // Both changes are sent again to other processes until each has a final response, and again after a newer
+        // version.
         let mut last = replies.clone();
         for round in 0..6 {
-            for (which, items) in [&first_items, &second_items].into_iter().enumerate() {
+            for (index, items) in [&first_items, &second_items].into_iter().enumerate() {
                 let request_id = cluster.request((round + 2) % 6, Request::Patch(items.clone()));
                 cluster.run(2_800);
                 let response = cluster.responses[&request_id].1.clone();
                 inconclusive += u32::from(matches!(response, Response::Unavailable(_)));
                 if !matches!(response, Response::Unavailable(_)) {
-                    let was = last[which].replace(response.clone());
-                    let was = was.filter(|was| !matches!(was, Response::Unavailable(_)));
-                    assert!(was.is_none_or(|was| was == response), "seed {seed}: the final response changed");
+                    let previous = last[index].replace(response.clone());
+                    let previous = previous.filter(|previous| !matches!(previous, Response::Unavailable(_)));
+                    assert!(
+                        previous.is_none_or(|previous| previous == response),
+                        "seed {seed}: the final response changed"
+                    );
                 }
             }
             if round == 2 {
@@ -80,8 +86,8 @@
     println!("{acknowledged} acknowledged, {rejected} rejected, {inconclusive} inconclusive attempts");
 }
 
-/// A change whose proposer loses power right after the acknowledgement still takes effect, and is acknowledged again if it is
-/// sent to another process.
+/// A change whose proposer loses power right after the acknowledgement still takes effect, and is acknowledged again if
+/// it is sent to another process.
 #[test]
 fn an_accepted_proposal_is_resolved_when_its_proposer_dies() {
     for seed in 0..12 {
@@ -103,16 +109,16 @@
             |gateway: &cluster::Gateway| gateway.session.item_store.get(Kind::Service, "l").is_some();
         let missing = cluster.gateways.iter().filter(|gateway| !has_service(gateway)).count();
         assert_eq!(missing, 0, "seed {seed}: not in force on every gateway after 4 s");
-        let again = cluster.patch((n + 1) % 6, "l", 7, Some(ONE));
-        let other = cluster.patch((n + 2) % 6, "l", 7, Some(TWO));
+        let same_change = cluster.patch((n + 1) % 6, "l", 7, Some(ONE));
+        let conflicting_change = cluster.patch((n + 2) % 6, "l", 7, Some(TWO));
         cluster.run(1_500);
-        assert_eq!(cluster.responses[&again].1, Response::Done, "seed {seed}");
-        assert!(matches!(cluster.responses[&other].1, Response::Conflict(_)), "seed {seed}");
+        assert_eq!(cluster.responses[&same_change].1, Response::Done, "seed {seed}");
+        assert!(matches!(cluster.responses[&conflicting_change].1, Response::Conflict(_)), "seed {seed}");
     }
 }
 
-/// A change that is rejected as invalid takes effect nowhere, even if a replica has accepted it in an earlier attempt. It may
-/// be sent again and committed once it is valid.
+/// A change that is rejected as invalid takes effect nowhere, even if a replica has accepted it in an earlier attempt.
+/// It may be sent again and committed once it is valid.
 #[test]
 fn a_rejected_change_stays_rejected_until_it_is_sent_again() {
     let body = r#"{"deliver":{"itineraries":{"headings":["name","depot","lane-prefix","mail-kind","deadline-ms","target-ms",
@@ -155,10 +161,10 @@
         let deletion = cluster.patch(cluster.any_serving(), "l", 4, None);
         cluster.run(1_500);
         assert_eq!(cluster.responses[&deletion].1, Response::Done, "seed {seed}");
-        let again = cluster.request(cluster.any_serving(), Request::Patch(change.clone()));
+        let second_attempt = cluster.request(cluster.any_serving(), Request::Patch(change.clone()));
         cluster.run(1_500);
-        let Response::Invalid(_) = &cluster.responses[&again].1 else {
-            panic!("seed {seed}: {:?}", cluster.responses[&again].1)
+        let Response::Invalid(_) = &cluster.responses[&second_attempt].1 else {
+            panic!("seed {seed}: {:?}", cluster.responses[&second_attempt].1)
         };
         rejected += 1;
         cluster.run(12_000);
@@ -170,9 +176,13 @@
         let restored = cluster.patch(1, "l", 6, Some(TWO));
         cluster.run(1_500);
         assert_eq!(cluster.responses[&restored].1, Response::Done);
-        let resent = cluster.request(4, Request::Patch(change.clone()));
+        let third_attempt = cluster.request(4, Request::Patch(change.clone()));
         cluster.run(1_500);
-        assert_eq!(cluster.responses[&resent].1, Response::Done, "seed {seed}: the change is valid again");
+        assert_eq!(
+            cluster.responses[&third_attempt].1,
+            Response::Done,
+            "seed {seed}: the change is valid again"
+        );
     }
     assert!(rejected > 5, "only {rejected} rejections in {with_few_holders} cases");
     println!(
