--- a/crates/soak/src/checker/configuration.rs
+++ b/crates/soak/src/checker/configuration.rs
@@ -9,16 +9,16 @@
 use std::collections::BTreeMap;
 
 /// An acknowledged change is in force on gateways in contact after so long; the system promises 4 s.
-const IN_FORCE_WITHIN: Micros = 8_000_000;
+const MAX_PROPAGATION_DELAY: Micros = 8_000_000;
 /// A gateway is in contact where nothing has become of it or of a control process for so long.
-const CONTACT_AFTER: Micros = 15_000_000;
+const CONTACT_SETTLE_TIME: Micros = 15_000_000;
 
 pub(super) fn check(records: &[Record], incarnations: &Incarnations) -> Vec<Finding> {
-    let changes: Vec<&ChangeRecord> = records.iter().filter_map(|record| change(&record.event)).collect();
+    let changes: Vec<&ChangeRecord> = records.iter().filter_map(|record| as_change(&record.event)).collect();
     let mut findings = check_observed_versions(records, &changes, incarnations);
     findings.extend(check_reads(records, &changes));
     for record in records {
-        if let Some(ChangeRecord { item, version, refused: Some(status), .. }) = change(&record.event) {
+        if let Some(ChangeRecord { item, version, refused: Some(status), .. }) = as_change(&record.event) {
             let detail = format!("item={item} version={version} status={status}");
             findings.push(Finding::new(Rule::ChangeRefused, record.at, "operator", detail));
         }
@@ -26,7 +26,7 @@
     findings
 }
 
-fn change(event: &Event) -> Option<&ChangeRecord> {
+fn as_change(event: &Event) -> Option<&ChangeRecord> {
     match event {
         Event::Change(change) => Some(change),
         _ => None,
@@ -46,15 +46,17 @@
     incarnations: &Incarnations,
 ) -> Vec<Finding> {
     let observations: Vec<Observation> =
-        records.iter().filter_map(|record| observation(record, changes)).collect();
-    let mut findings: Vec<Finding> =
-        observations.iter().filter_map(|seen| stale(seen, changes, incarnations)).collect();
-    findings.extend(went_back(&observations, incarnations));
+        records.iter().filter_map(|record| observed_version(record, changes)).collect();
+    let mut findings: Vec<Finding> = observations
+        .iter()
+        .filter_map(|observation| find_stale(observation, changes, incarnations))
+        .collect();
+    findings.extend(find_regressions(&observations, incarnations));
     findings
 }
 
 /// The newest version that a response may be of: several lead to the same service.
-fn observation<'a>(record: &'a Record, changes: &[&ChangeRecord]) -> Option<Observation<'a>> {
+fn observed_version<'a>(record: &'a Record, changes: &[&ChangeRecord]) -> Option<Observation<'a>> {
     let Event::Request(request) = &record.event else { return None };
     let RequestOutcome::Response { status: 200, service: Some(service), .. } = &request.outcome else {
         return None;
@@ -68,26 +70,30 @@
     Some(Observation { request, ended_at: record.at, version })
 }
 
-fn stale(seen: &Observation, changes: &[&ChangeRecord], incarnations: &Incarnations) -> Option<Finding> {
-    let sent_at = seen.request.sent_at;
+fn find_stale(
+    observation: &Observation,
+    changes: &[&ChangeRecord],
+    incarnations: &Incarnations,
+) -> Option<Finding> {
+    let sent_at = observation.request.sent_at;
     let is_newer_in_force = |change: &&&ChangeRecord| {
-        let acknowledged_at = change.acknowledged_at.filter(|at| at + IN_FORCE_WITHIN < sent_at);
-        change.item == VERSION_ROUTE && change.version > seen.version && acknowledged_at.is_some()
+        let acknowledged_at = change.acknowledged_at.filter(|at| at + MAX_PROPAGATION_DELAY < sent_at);
+        change.item == VERSION_ROUTE && change.version > observation.version && acknowledged_at.is_some()
     };
     let newer = changes.iter().find(is_newer_in_force)?;
-    let node = &seen.request.node;
-    if !incarnations.is_undisturbed(node, sent_at.saturating_sub(CONTACT_AFTER), seen.ended_at) {
+    let node = &observation.request.node;
+    if !incarnations.had_no_events(node, sent_at.saturating_sub(CONTACT_SETTLE_TIME), observation.ended_at) {
         return None;
     }
-    let detail = format!("version={} acknowledged={}", seen.version, newer.version);
-    Some(Finding::new(Rule::Stale, seen.ended_at, node, detail).of_request(&seen.request.id))
+    let detail = format!("version={} acknowledged={}", observation.version, newer.version);
+    Some(Finding::new(Rule::Stale, observation.ended_at, node, detail).with_request(&observation.request.id))
 }
 
 /// The newest version that was seen of one incarnation of a gateway, by when.
 #[derive(Default)]
-struct Progress(Vec<(Micros, u64)>);
+struct ObservedVersions(Vec<(Micros, u64)>);
 
-impl Progress {
+impl ObservedVersions {
     fn newest_before(&self, at: Micros) -> u64 {
         let count = self.0.partition_point(|(ended_at, _)| *ended_at <= at);
         count.checked_sub(1).map_or(0, |last| self.0[last].1)
@@ -99,20 +105,20 @@
     }
 }
 
-fn went_back(observations: &[Observation], incarnations: &Incarnations) -> Vec<Finding> {
-    let mut progress: BTreeMap<(&str, usize), Progress> = BTreeMap::new();
+fn find_regressions(observations: &[Observation], incarnations: &Incarnations) -> Vec<Finding> {
+    let mut observed: BTreeMap<(&str, usize), ObservedVersions> = BTreeMap::new();
     let mut findings = Vec::new();
-    for seen in observations {
-        let request = seen.request;
+    for observation in observations {
+        let request = observation.request;
         let Some((incarnation, _)) = incarnations.at(&request.node, request.connected_at) else { continue };
-        let progress = progress.entry((&request.node, incarnation)).or_default();
-        let newest = progress.newest_before(request.sent_at);
-        if seen.version < newest {
-            let detail = format!("version={} seen-before={newest}", seen.version);
-            let finding = Finding::new(Rule::WentBack, seen.ended_at, &request.node, detail);
-            findings.push(finding.of_request(&request.id));
+        let observed = observed.entry((&request.node, incarnation)).or_default();
+        let newest = observed.newest_before(request.sent_at);
+        if observation.version < newest {
+            let detail = format!("version={} seen-before={newest}", observation.version);
+            let finding = Finding::new(Rule::WentBack, observation.ended_at, &request.node, detail);
+            findings.push(finding.with_request(&request.id));
         }
-        progress.add(seen.ended_at, seen.version);
+        observed.add(observation.ended_at, observation.version);
     }
     findings
 }
@@ -129,10 +135,10 @@
     let Some(versions) = &read.versions else {
         return vec![Finding::new(Rule::NotRecovered, at, &read.node, "no configuration".to_owned())];
     };
-    let grace = if read.is_final { 0 } else { IN_FORCE_WITHIN };
+    let allowed_delay = if read.is_final { 0 } else { MAX_PROPAGATION_DELAY };
     let mut acknowledged: BTreeMap<&str, u64> = BTreeMap::new();
     for change in changes.iter().filter(|change| change.version > 0) {
-        if change.acknowledged_at.is_some_and(|at| at + grace <= read.sent_at) {
+        if change.acknowledged_at.is_some_and(|at| at + allowed_delay <= read.sent_at) {
             let newest = acknowledged.entry(&change.item).or_default();
             *newest = change.version.max(*newest);
         }
--- a/crates/soak/src/checker/incarnations.rs
+++ b/crates/soak/src/checker/incarnations.rs
@@ -9,7 +9,7 @@
     pub(super) started_at: Micros,
     pub(super) signals: Vec<(Micros, SignalKind)>,
     /// A signal came before it had set its handlers.
-    was_signalled_too_early: bool,
+    was_signalled_before_handlers: bool,
     /// When it ended, and its exit code.
     pub(super) exit: Option<(Micros, Option<i32>)>,
 }
@@ -22,17 +22,17 @@
 
     /// When it was first told to end.
     pub(super) fn terminate_sent_at(&self) -> Option<Micros> {
-        let mut told = self.signals.iter().filter(|(_, signal)| *signal == SignalKind::Terminate);
-        told.next().map(|(at, _)| *at)
+        let mut terminations = self.signals.iter().filter(|(_, signal)| *signal == SignalKind::Terminate);
+        terminations.next().map(|(at, _)| *at)
     }
 
     /// Whether a signal ended it that came before it had set its handlers. One that ends with an exit code was not ended by that.
     pub(super) fn was_ended_by_early_signal(&self) -> bool {
-        self.was_signalled_too_early && matches!(self.exit, Some((_, None)))
+        self.was_signalled_before_handlers && matches!(self.exit, Some((_, None)))
     }
 
     /// Whether it ended though nobody told it to.
-    pub(super) fn ended_by_itself(&self) -> bool {
+    pub(super) fn exited_unexpectedly(&self) -> bool {
         if self.was_ended_by_early_signal() {
             return false;
         }
@@ -43,10 +43,10 @@
     }
 
     /// Whether something other than an orderly end disturbed it, until then.
-    pub(super) fn is_disturbed(&self, until: Micros) -> bool {
+    pub(super) fn is_disrupted(&self, until: Micros) -> bool {
         self.had_signal(SignalKind::Kill, until)
             || self.had_signal(SignalKind::Freeze, until)
-            || self.ended_by_itself()
+            || self.exited_unexpectedly()
     }
 }
 
@@ -55,27 +55,27 @@
 pub(super) struct Incarnations {
     by_node: BTreeMap<String, Vec<Incarnation>>,
     /// When anything became of a control process.
-    core_events: Vec<Micros>,
+    control_plane_events: Vec<Micros>,
 }
 
 impl Incarnations {
-    pub(super) fn of(records: &[Record]) -> Incarnations {
+    pub(super) fn from_records(records: &[Record]) -> Incarnations {
         let mut incarnations = Incarnations::default();
         for record in records {
             let Event::Process { node, change } = &record.event else { continue };
             if !node.starts_with("gateway") {
-                incarnations.core_events.push(record.at);
+                incarnations.control_plane_events.push(record.at);
             }
-            let of_node = incarnations.by_node.entry(node.clone()).or_default();
-            match (change, of_node.last_mut()) {
+            let node_incarnations = incarnations.by_node.entry(node.clone()).or_default();
+            match (change, node_incarnations.last_mut()) {
                 (ProcessChange::Started { .. }, _) => {
-                    of_node.push(Incarnation { started_at: record.at, ..Incarnation::default() });
+                    node_incarnations.push(Incarnation { started_at: record.at, ..Incarnation::default() });
                 }
                 (ProcessChange::Signalled(kind), Some(incarnation)) => {
                     incarnation.signals.push((record.at, *kind))
                 }
                 (ProcessChange::SignalledTooEarly(_), Some(incarnation)) => {
-                    incarnation.was_signalled_too_early = true
+                    incarnation.was_signalled_before_handlers = true
                 }
                 (ProcessChange::Exited(code), Some(incarnation)) => {
                     incarnation.exit = Some((record.at, *code))
@@ -104,19 +104,17 @@
     }
 
     /// Whether nothing became of this process or of a control process between these times.
-    pub(super) fn is_undisturbed(&self, node: &str, from: Micros, to: Micros) -> bool {
+    pub(super) fn had_no_events(&self, node: &str, from: Micros, to: Micros) -> bool {
         let is_within = |at: Micros| (from..=to).contains(&at);
-        let is_incarnation_undisturbed = |incarnation: &Incarnation| {
+        let is_incarnation_quiet = |incarnation: &Incarnation| {
             !is_within(incarnation.started_at)
                 && !incarnation.signals.iter().any(|(at, _)| is_within(*at))
                 && !incarnation.exit.is_some_and(|(at, _)| is_within(at))
         };
-        let first_core_event = self.core_events.partition_point(|at| *at < from);
-        let is_core_undisturbed = self.core_events.get(first_core_event).is_none_or(|at| *at > to);
-        is_core_undisturbed
-            && self
-                .by_node
-                .get(node)
-                .is_none_or(|incarnations| incarnations.iter().all(is_incarnation_undisturbed))
+        let first_control_plane_event = self.control_plane_events.partition_point(|at| *at < from);
+        let is_control_plane_quiet =
+            self.control_plane_events.get(first_control_plane_event).is_none_or(|at| *at > to);
+        is_control_plane_quiet
+            && self.by_node.get(node).is_none_or(|incarnations| incarnations.iter().all(is_incarnation_quiet))
     }
 }
--- a/crates/soak/src/checker/mod.rs
+++ b/crates/soak/src/checker/mod.rs
@@ -79,14 +79,14 @@
         Finding { rule, at, node: node.to_owned(), request: None, detail }
     }
 
-    fn of_request(self, id: &str) -> Finding {
+    fn with_request(self, id: &str) -> Finding {
         Finding { request: Some(id.to_owned()), ..self }
     }
 }
 
 /// All findings of a history, in the order of their times.
 pub fn check(records: &[Record]) -> Vec<Finding> {
-    let incarnations = Incarnations::of(records);
+    let incarnations = Incarnations::from_records(records);
     let mut findings = requests::check(records, &incarnations);
     findings.extend(configuration::check(records, &incarnations));
     findings.extend(quota::check(records));
--- a/crates/soak/src/checker/processes.rs
+++ b/crates/soak/src/checker/processes.rs
@@ -3,10 +3,10 @@
 use super::incarnations::{Incarnation, Incarnations};
 use super::{Finding, Rule};
 use crate::history::{Event, Micros, Record};
-use crate::topology::GRACE_S;
+use crate::topology::SHUTDOWN_GRACE_S;
 
 /// A process ends within its grace and this, which a busy machine may need.
-const LATE_AFTER: Micros = (GRACE_S + 12) * 1_000_000;
+const MAX_EXIT_DELAY: Micros = (SHUTDOWN_GRACE_S + 12) * 1_000_000;
 
 pub(super) fn check(records: &[Record], incarnations: &Incarnations) -> Vec<Finding> {
     let end = records.last().map_or(0, |record| record.at);
@@ -24,15 +24,15 @@
 
 fn check_incarnation(node: &str, incarnation: &Incarnation, end: Micros) -> Option<Finding> {
     let (ended_at, code) = incarnation.exit.unwrap_or((end, None));
-    if incarnation.ended_by_itself() {
+    if incarnation.exited_unexpectedly() {
         return Some(Finding::new(Rule::EndedByItself, ended_at, node, format!("code={code:?}")));
     }
-    let told_at = incarnation.terminate_sent_at()?;
-    if incarnation.is_disturbed(ended_at) {
+    let terminate_sent_at = incarnation.terminate_sent_at()?;
+    if incarnation.is_disrupted(ended_at) {
         return None;
     }
-    if ended_at > told_at + LATE_AFTER {
-        let seconds = (ended_at - told_at) / 1_000_000;
+    if ended_at > terminate_sent_at + MAX_EXIT_DELAY {
+        let seconds = (ended_at - terminate_sent_at) / 1_000_000;
         return Some(Finding::new(Rule::LateEnd, ended_at, node, format!("seconds={seconds}")));
     }
     let is_clean = code == Some(0) || incarnation.was_ended_by_early_signal() || incarnation.exit.is_none();
--- a/crates/soak/src/checker/quota.rs
+++ b/crates/soak/src/checker/quota.rs
@@ -8,14 +8,15 @@
 /// Runs are counted over windows of this length.
 const WINDOW: Micros = 10_000_000;
 /// Runs of a window that are allowed: what the limit allows, a quarter more, and a margin for the crowding of a busy machine.
-const EXCESS: f64 = 1.25;
-const MARGIN: f64 = 40.0;
+const EXCESS_FACTOR: f64 = 1.25;
+const MARGIN_RUNS: f64 = 40.0;
 
 pub(super) fn check(records: &[Record]) -> Option<Finding> {
     let mut runs: Vec<Micros> = records.iter().filter_map(limited_run).collect();
     runs.sort_unstable();
     let window_s = WINDOW as f64 / 1e6;
-    let allowed = (f64::from(LIMITED_RATE) * window_s + f64::from(LIMITED_BURST)) * EXCESS + MARGIN;
+    let allowed =
+        (f64::from(LIMITED_RATE) * window_s + f64::from(LIMITED_BURST)) * EXCESS_FACTOR + MARGIN_RUNS;
     let mut first = 0;
     for (last, at) in runs.iter().enumerate() {
         while runs[first] + WINDOW < *at {
--- a/crates/soak/src/checker/requests.rs
+++ b/crates/soak/src/checker/requests.rs
@@ -40,34 +40,34 @@
 ) -> Vec<Finding> {
     let mut findings = Vec::new();
     let mut add = |rule, detail: String| {
-        findings.push(Finding::new(rule, at, &request.node, detail).of_request(&request.id));
+        findings.push(Finding::new(rule, at, &request.node, detail).with_request(&request.id));
     };
     let has_run = !runs.is_empty();
-    let is_once = request.route == RouteKind::Once;
-    if is_once && runs.len() > 1 {
+    let is_at_most_once = request.route == RouteKind::Once;
+    if is_at_most_once && runs.len() > 1 {
         add(Rule::Doubled, format!("runs={}", runs.len()));
     }
-    let is_disturbed = || {
+    let is_disrupted = || {
         incarnations
             .at(&request.node, request.connected_at)
-            .is_none_or(|(_, incarnation)| incarnation.is_disturbed(at))
+            .is_none_or(|(_, incarnation)| incarnation.is_disrupted(at))
     };
     match &request.outcome {
         RequestOutcome::Response { status, is_gateways_own: true, .. } => {
             if (300..500).contains(status) && !RETRY_STATUSES.contains(status) {
                 add(Rule::Denied, format!("status={status}"));
             }
-            if RETRY_STATUSES.contains(status) && is_once && has_run {
+            if RETRY_STATUSES.contains(status) && is_at_most_once && has_run {
                 add(Rule::Refused, format!("status={status}"));
             }
         }
         RequestOutcome::Broken => {
             let was_answered = runs.iter().any(|run| run.is_answered);
-            if request.complete_at.is_some() && was_answered && !is_disturbed() {
+            if request.complete_at.is_some() && was_answered && !is_disrupted() {
                 add(Rule::Lost, "a backend answered".to_owned());
             }
         }
-        RequestOutcome::TimedOut if request.complete_at.is_some() && !is_disturbed() => {
+        RequestOutcome::TimedOut if request.complete_at.is_some() && !is_disrupted() => {
             add(Rule::Unanswered, "no response".to_owned());
         }
         RequestOutcome::Malformed => add(Rule::Mixed, "no response in the protocol".to_owned()),
@@ -81,15 +81,15 @@
 
 fn check_run(at: Micros, run: &RunRecord, request: Option<&RequestRecord>) -> Option<Finding> {
     let finding =
-        |rule, detail: &str| Finding::new(rule, at, &run.backend, detail.to_owned()).of_request(&run.id);
+        |rule, detail: &str| Finding::new(rule, at, &run.backend, detail.to_owned()).with_request(&run.id);
     let Some(request) = request else { return Some(finding(Rule::Unasked, "no client sent it")) };
     if run.is_garbled && request.complete_at.is_some() {
         return Some(finding(Rule::Unasked, "its body is another"));
     }
-    let is_right = match request.route {
+    let is_expected_service = match request.route {
         RouteKind::Safe | RouteKind::Limited => run.service == "books",
         RouteKind::Once => run.service == "loans",
         RouteKind::Version => run.service.starts_with("version-"),
     };
-    (!is_right).then(|| finding(Rule::WrongService, &run.service))
+    (!is_expected_service).then(|| finding(Rule::WrongService, &run.service))
 }
--- a/crates/soak/src/checker/resources.rs
+++ b/crates/soak/src/checker/resources.rs
@@ -9,7 +9,7 @@
 const MAX_THREADS: u64 = 4;
 const MAX_DISK_BYTES: u64 = 96 << 20;
 /// Bytes of log in a second, on average over the soak.
-const MAX_LOG_RATE: u64 = 16 * 1024;
+const MAX_LOG_BYTES_PER_S: u64 = 16 * 1024;
 /// Growth is judged of incarnations with at least so many samples.
 const MIN_SAMPLES: usize = 40;
 /// The least of an incarnation's last quarter may be so much of the most of its second quarter, in percent, and this much more.
@@ -37,11 +37,11 @@
     }
     by_incarnation
         .values()
-        .filter_map(|samples| check_bounds(samples).or_else(|| check_growth(samples)))
+        .filter_map(|samples| check_limits(samples).or_else(|| check_growth(samples)))
         .collect()
 }
 
-fn check_bounds(samples: &Samples) -> Option<Finding> {
+fn check_limits(samples: &Samples) -> Option<Finding> {
     samples.iter().find_map(|(at, sample)| {
         let seconds = (at / 1_000_000).max(60);
         let bounds = [
@@ -49,7 +49,7 @@
             ("descriptors", sample.descriptors, MAX_DESCRIPTORS),
             ("threads", sample.threads, MAX_THREADS),
             ("disk-bytes", sample.disk_bytes, MAX_DISK_BYTES),
-            ("log-bytes-per-s", sample.log_bytes / seconds, MAX_LOG_RATE),
+            ("log-bytes-per-s", sample.log_bytes / seconds, MAX_LOG_BYTES_PER_S),
         ];
         let (name, value, bound) = bounds.into_iter().find(|(_, value, bound)| value > bound)?;
         Some(Finding::new(Rule::Resources, *at, &sample.node, format!("{name}={value} bound={bound}")))
@@ -62,7 +62,7 @@
     }
     let quarter = samples.len() / 4;
     let (at, sample) = samples[samples.len() - 1];
-    let grown = |name: &str, value: fn(&ResourceSample) -> u64, slack: u64| {
+    let find_growth = |name: &str, value: fn(&ResourceSample) -> u64, slack: u64| {
         let early = samples[quarter..2 * quarter].iter().map(|(_, sample)| value(sample)).max()?;
         let late = samples[3 * quarter..].iter().map(|(_, sample)| value(sample)).min()?;
         let is_grown = late > early * MAX_GROWTH_PERCENT / 100 + slack;
@@ -70,6 +70,6 @@
             Finding::new(Rule::Resources, at, &sample.node, format!("{name} grew from={early} to={late}"))
         })
     };
-    grown("memory-kib", |sample| sample.memory_kib, MEMORY_SLACK_KIB)
-        .or_else(|| grown("descriptors", |sample| sample.descriptors, DESCRIPTOR_SLACK))
+    find_growth("memory-kib", |sample| sample.memory_kib, MEMORY_SLACK_KIB)
+        .or_else(|| find_growth("descriptors", |sample| sample.descriptors, DESCRIPTOR_SLACK))
 }
--- a/crates/soak/src/checker/tests.rs
+++ b/crates/soak/src/checker/tests.rs
@@ -90,7 +90,7 @@
     record(second, Event::Read(ReadRecord { node, sent_at: second * SECOND, versions, is_final }))
 }
 
-fn seen(second: u64, id: &str, service: &str) -> [Record; 2] {
+fn observed(second: u64, id: &str, service: &str) -> [Record; 2] {
     [run(second, id, service), request(second, id, RouteKind::Version, response(200, Some(service)))]
 }
 
@@ -101,9 +101,9 @@
         .extend([run(20, "t1", "books"), request(20, "t1", RouteKind::Safe, response(200, Some("books")))]);
     records
         .extend([run(21, "t2", "loans"), request(21, "t2", RouteKind::Once, response(200, Some("loans")))]);
-    records.extend(seen(30, "t3", "version-1"));
+    records.extend(observed(30, "t3", "version-1"));
     records.push(change(31, 2, "version-2"));
-    records.extend(seen(60, "t4", "version-2"));
+    records.extend(observed(60, "t4", "version-2"));
     records.push(read(61, 2, false));
     records.push(request(62, "t5", RouteKind::Once, response(503, None)));
     records.push(request(63, "t6", RouteKind::Safe, RequestOutcome::Broken));
@@ -114,7 +114,7 @@
 }
 
 /// The rules that a history breaks, each once.
-fn broken(mut records: Vec<Record>) -> Vec<Rule> {
+fn violated_rules(mut records: Vec<Record>) -> Vec<Rule> {
     records.sort_by_key(|record| record.at);
     let mut rules: Vec<Rule> = check(&records).into_iter().map(|finding| finding.rule).collect();
     rules.sort_unstable();
@@ -176,7 +176,7 @@
 #[case::wrong_service(with([run(20, "t1", "loans")]), Rule::WrongService)]
 #[case::lost(with([run(63, "t6", "books")]), Rule::Lost)]
 #[case::unanswered(with_outcome("t6", RequestOutcome::TimedOut), Rule::Unanswered)]
-#[case::stale(with(seen(61, "t7", "version-1")), Rule::Stale)]
+#[case::stale(with(observed(61, "t7", "version-1")), Rule::Stale)]
 #[case::old_read(with([read(62, 1, false)]), Rule::OldRead)]
 #[case::lost_change(with([read(70, 1, true)]), Rule::ChangeLost)]
 #[case::ended(without_end([exited(72, Some(1))]), Rule::EndedByItself)]
@@ -185,7 +185,7 @@
 #[case::memory(with([sample(70, 1 << 20, 10)]), Rule::Resources)]
 #[case::descriptors(with([sample(70, 10, 5_000)]), Rule::Resources)]
 fn each_rule_is_found_broken(#[case] records: Vec<Record>, #[case] rule: Rule) {
-    let rules = broken(records);
+    let rules = violated_rules(records);
     assert!(rules.contains(&rule), "{rules:?}");
 }
 
@@ -193,10 +193,10 @@
 #[test]
 fn a_signal_before_the_handlers_are_set_may_end_a_process() {
     let early = process(72, "gateway-1", ProcessChange::SignalledTooEarly(SignalKind::Reload));
-    assert_eq!(broken(without_end([early.clone(), exited(72, None)])), []);
-    assert_eq!(broken(without_end([early, exited(72, Some(1))])), [Rule::EndedByItself]);
+    assert_eq!(violated_rules(without_end([early.clone(), exited(72, None)])), []);
+    assert_eq!(violated_rules(without_end([early, exited(72, Some(1))])), [Rule::EndedByItself]);
     let caught = signalled(72, SignalKind::Reload);
-    assert_eq!(broken(without_end([caught, exited(72, None)])), [Rule::EndedByItself]);
+    assert_eq!(violated_rules(without_end([caught, exited(72, None)])), [Rule::EndedByItself]);
 }
 
 #[test]
@@ -207,7 +207,7 @@
         is_intact: false,
         service: Some("books".to_owned()),
     };
-    assert_eq!(broken(with_outcome("t1", outcome)), [Rule::Mixed]);
+    assert_eq!(violated_rules(with_outcome("t1", outcome)), [Rule::Mixed]);
 }
 
 #[test]
@@ -216,15 +216,15 @@
     if let Event::Run(run) = &mut garbled.event {
         run.is_garbled = true;
     }
-    assert!(broken(with([garbled])).contains(&Rule::Unasked));
+    assert!(violated_rules(with([garbled])).contains(&Rule::Unasked));
 }
 
 #[test]
 fn a_gateway_that_goes_back_is_found_in_the_same_life_only() {
     // Too soon after the change for it to be stale.
     let back = |more: Vec<Record>| {
-        let again = [seen(33, "t7", "version-2"), seen(35, "t8", "version-1")].into_iter().flatten();
-        broken(with(again.chain(more)))
+        let again = [observed(33, "t7", "version-2"), observed(35, "t8", "version-1")].into_iter().flatten();
+        violated_rules(with(again.chain(more)))
     };
     assert_eq!(back(Vec::new()), [Rule::WentBack]);
     let restart = vec![signalled(34, SignalKind::Kill), exited(34, None), started(34, "gateway-1")];
@@ -233,10 +233,10 @@
 
 #[test]
 fn a_stale_gateway_is_excused_while_it_or_a_control_process_is_disturbed() {
-    let old = || seen(61, "t7", "version-1").into_iter();
+    let old = || observed(61, "t7", "version-1").into_iter();
     let core = process(55, "control-1", ProcessChange::Signalled(SignalKind::Freeze));
-    assert!(!broken(with(old().chain([core]))).contains(&Rule::Stale));
-    assert!(!broken(with(old().chain([signalled(55, SignalKind::Freeze)]))).contains(&Rule::Stale));
+    assert!(!violated_rules(with(old().chain([core]))).contains(&Rule::Stale));
+    assert!(!violated_rules(with(old().chain([signalled(55, SignalKind::Freeze)]))).contains(&Rule::Stale));
 }
 
 #[rstest]
@@ -244,7 +244,7 @@
 #[case::frozen(SignalKind::Freeze)]
 fn what_a_killed_or_frozen_gateway_breaks_off_is_not_lost(#[case] kind: SignalKind) {
     let records = with([run(63, "t6", "books"), signalled(62, kind)]);
-    assert!(!broken(records).contains(&Rule::Lost));
+    assert!(!violated_rules(records).contains(&Rule::Lost));
 }
 
 /// A process may accept a connection before its start is recorded.
@@ -256,9 +256,9 @@
         request.connected_at = 9 * SECOND - 20;
     }
     let lost = || with(restart.clone().into_iter().chain([run(20, "t8", "books"), early.clone()]));
-    assert_eq!(broken(lost()), [Rule::Lost]);
+    assert_eq!(violated_rules(lost()), [Rule::Lost]);
     let killed = lost().into_iter().chain([signalled(19, SignalKind::Kill)]).collect();
-    assert_eq!(broken(killed), []);
+    assert_eq!(violated_rules(killed), []);
 }
 
 #[test]
@@ -267,12 +267,12 @@
     if let Event::Change(change) = &mut refused.event {
         (change.acknowledged_at, change.refused) = (None, Some(409));
     }
-    assert_eq!(broken(with([refused])), [Rule::ChangeRefused]);
+    assert_eq!(violated_rules(with([refused])), [Rule::ChangeRefused]);
     let not_ready = record(71, Event::FinalReadiness { node: "gateway-1".to_owned(), is_ready: false });
-    assert_eq!(broken(with([not_ready])), [Rule::NotRecovered]);
+    assert_eq!(violated_rules(with([not_ready])), [Rule::NotRecovered]);
     let (node, versions) = ("control-1".to_owned(), None);
     let unread = record(70, Event::Read(ReadRecord { node, sent_at: 0, versions, is_final: true }));
-    assert_eq!(broken(with([unread])), [Rule::NotRecovered]);
+    assert_eq!(violated_rules(with([unread])), [Rule::NotRecovered]);
 }
 
 #[rstest]
@@ -287,7 +287,7 @@
         }
         [limited, request(50, &id, RouteKind::Limited, response(200, Some("books")))]
     });
-    assert_eq!(broken(with(limited)).contains(&Rule::QuotaExceeded), is_found);
+    assert_eq!(violated_rules(with(limited)).contains(&Rule::QuotaExceeded), is_found);
 }
 
 #[rstest]
@@ -300,5 +300,5 @@
     #[case] is_found: bool,
 ) {
     let samples = (2..70).map(|second| sample(second, memory(second), descriptors(second)));
-    assert_eq!(broken(with(samples)).contains(&Rule::Resources), is_found);
+    assert_eq!(violated_rules(with(samples)).contains(&Rule::Resources), is_found);
 }
--- a/crates/soak/src/cli.rs
+++ b/crates/soak/src/cli.rs
@@ -26,9 +26,9 @@
 Exit codes: 0 nothing was found, 1 findings, 2 a wrong command line, 3 the soak itself failed.
 ";
 
-const FOUND: u8 = 1;
-const USAGE: u8 = 2;
-const FAILED: u8 = 3;
+const EXIT_FINDINGS: u8 = 1;
+const EXIT_USAGE: u8 = 2;
+const EXIT_FAILURE: u8 = 3;
 const DEFAULT_PROGRAMS: &str = "target/release";
 
 /// What the command line asks for.
@@ -69,7 +69,7 @@
     fn options(&self) -> Options {
         Options {
             seed: self.seed,
-            length: Duration::from_secs_f64(self.minutes * 60.0),
+            duration: Duration::from_secs_f64(self.minutes * 60.0),
             processes: self.processes,
             programs: self.programs.clone(),
             folder: self.folder.clone().unwrap_or_else(|| run::default_folder(self.seed)),
@@ -79,7 +79,7 @@
 
 fn parse(arguments: impl Iterator<Item = OsString>) -> Result<Command, lexopt::Error> {
     let mut parser = lexopt::Parser::from_args(arguments);
-    let (mut parsed, mut words) = (Arguments::default(), Vec::new());
+    let (mut parsed, mut positionals) = (Arguments::default(), Vec::new());
     while let Some(argument) = parser.next()? {
         match argument {
             Long("help") | Short('h') => return Ok(Command::Help),
@@ -90,12 +90,12 @@
             Long("folder") => parsed.folder = Some(parser.value()?.into()),
             Long("json") => parsed.is_json = true,
             Long("keep") => parsed.keeps_folder = true,
-            Value(word) => words.push(word.string()?),
+            Value(positional) => positionals.push(positional.string()?),
             other => return Err(other.unexpected()),
         }
     }
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    match words[..] {
+    let positionals: Vec<&str> = positionals.iter().map(String::as_str).collect();
+    match positionals[..] {
         ["run"] => Ok(Command::Run(parsed)),
         ["plan"] => Ok(Command::Plan(parsed)),
         ["check", file] => Ok(Command::Check(file.into(), parsed)),
@@ -121,14 +121,14 @@
         Ok(command) => command,
         Err(error) => {
             eprintln!("kitepass-soak: {error}");
-            return ExitCode::from(USAGE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     match execute(command) {
         Ok(code) => code,
         Err(error) => {
             eprintln!("kitepass-soak: {error}");
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
@@ -175,6 +175,6 @@
     if report.findings.is_empty() {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(FOUND)
+        ExitCode::from(EXIT_FINDINGS)
     }
 }
--- a/crates/soak/src/error.rs
+++ b/crates/soak/src/error.rs
@@ -18,7 +18,7 @@
     },
     /// The soak's folder holds something: data of an earlier soak would pass for the system's.
     #[snafu(display("{}: is not empty; name another --folder", folder.display()))]
-    FolderInUse {
+    FolderNotEmpty {
         /// The folder.
         folder: PathBuf,
     },
@@ -39,10 +39,10 @@
         source: std::io::Error,
     },
     /// The system did not come up.
-    #[snafu(display("{what} not within {seconds} s; the logs are in {}", folder.display()))]
-    NotUp {
+    #[snafu(display("{condition} not within {seconds} s; the logs are in {}", folder.display()))]
+    WaitTimeout {
         /// What did not happen.
-        what: &'static str,
+        condition: &'static str,
         /// How long was waited.
         seconds: u64,
         /// The soak's folder.
@@ -50,7 +50,7 @@
     },
     /// A process of the system ended while it came up.
     #[snafu(display("a process ended by itself while the system came up; the logs are in {}", folder.display()))]
-    EndedAtStart {
+    ExitedDuringStartup {
         /// The soak's folder.
         folder: PathBuf,
     },
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -207,7 +207,7 @@
 
 /// Records events, in memory and in a file, from any thread.
 pub struct Recorder {
-    began: Instant,
+    started_at: Instant,
     state: Mutex<RecorderState>,
 }
 
@@ -226,12 +226,12 @@
     pub fn create(path: &Path) -> Result<Recorder, Error> {
         let file = BufWriter::new(File::create(path).context(FileSnafu { path })?);
         let state = RecorderState { records: Vec::new(), file, failure: None };
-        Ok(Recorder { began: Instant::now(), state: Mutex::new(state) })
+        Ok(Recorder { started_at: Instant::now(), state: Mutex::new(state) })
     }
 
     /// Microseconds since it began.
     pub fn now(&self) -> Micros {
-        self.began.elapsed().as_micros() as Micros
+        self.started_at.elapsed().as_micros() as Micros
     }
 
     /// Records an event that happens now.
--- a/crates/soak/src/http_stream.rs
+++ b/crates/soak/src/http_stream.rs
@@ -12,7 +12,7 @@
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 /// The kind of message that a client reads; none asks with `HEAD`.
-pub const RESPONSE: MessageKind = MessageKind::Response { to_head: false };
+pub const RESPONSE_KIND: MessageKind = MessageKind::Response { to_head: false };
 
 /// Why no message was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 /// A connection, and what was read ahead of it.
 pub struct HttpStream {
     stream: TcpStream,
-    input: Vec<u8>,
+    buffered: Vec<u8>,
     head_reader: HeadReader,
 }
 
@@ -36,7 +36,7 @@
     /// Over a stream that is established.
     pub fn new(stream: TcpStream) -> HttpStream {
         let _ = stream.set_nodelay(true); // without it everything is only slower
-        HttpStream { stream, input: Vec::new(), head_reader: HeadReader::default() }
+        HttpStream { stream, buffered: Vec::new(), head_reader: HeadReader::default() }
     }
 
     /// Connects to an address.
@@ -69,7 +69,7 @@
     ) -> Result<(Head, Vec<u8>), ReadError> {
         let _ = self.stream.set_read_timeout(Some(timeout)); // fails only for a time-out of zero
         let (head, framing) = loop {
-            match self.head_reader.next(kind, &mut self.input, MAX_HEAD_BYTES) {
+            match self.head_reader.next(kind, &mut self.buffered, MAX_HEAD_BYTES) {
                 Ok(Some(read)) => break read,
                 Ok(None) => self.read_more()?,
                 Err(_) => return Err(ReadError::Malformed),
@@ -77,7 +77,7 @@
         };
         let (mut body_reader, mut body) = (Body::new(framing), Vec::new());
         loop {
-            match body_reader.read(&mut self.input, &mut body, MAX_BODY_BYTES) {
+            match body_reader.read(&mut self.buffered, &mut body, MAX_BODY_BYTES) {
                 Ok(true) => return Ok((head, body)),
                 Ok(false) => {}
                 Err(_) => return Err(ReadError::Malformed),
@@ -95,7 +95,7 @@
             match self.stream.read(&mut buffer) {
                 Ok(0) => return Err(ReadError::Closed),
                 Ok(length) => {
-                    self.input.extend_from_slice(&buffer[..length]);
+                    self.buffered.extend_from_slice(&buffer[..length]);
                     return Ok(());
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -6,9 +6,9 @@
 /// Everything is left alone at the beginning for so long, in milliseconds after the system is up.
 const WARM_UP_MS: u64 = 3_000;
 /// A disk is lost no sooner than this after another, in milliseconds: what was on it must have been copied.
-const MIN_BETWEEN_LOST_DISKS_MS: u64 = 40_000;
+const MIN_DISK_LOSS_INTERVAL_MS: u64 = 40_000;
 /// Between two steps there are so many milliseconds on average.
-const MEAN_GAP_MS: u64 = 1_200;
+const MEAN_STEP_INTERVAL_MS: u64 = 1_200;
 
 /// Something that is done to processes, backends or the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -65,150 +65,151 @@
 
 struct Planner<'a> {
     rng: Rand64,
-    controls: Vec<usize>,
+    control_planes: Vec<usize>,
     gateways: Vec<usize>,
     topology: &'a Topology,
-    backends: usize,
-    last_lost_disk_ms: Option<u64>,
+    backend_count: usize,
+    last_disk_loss_ms: Option<u64>,
     steps: Vec<Step>,
 }
 
 impl Plan {
     /// Draws the steps of `length_ms` milliseconds.
-    pub fn draw(seed: u64, topology: &Topology, backends: usize, length_ms: u64) -> Plan {
+    pub fn generate(seed: u64, topology: &Topology, backend_count: usize, duration_ms: u64) -> Plan {
         let mut planner = Planner {
             rng: Rand64::new(u128::from(seed)),
-            controls: topology.of_role(Role::ControlPlane),
-            gateways: topology.of_role(Role::DataPlane),
+            control_planes: topology.indexes_with_role(Role::ControlPlane),
+            gateways: topology.indexes_with_role(Role::DataPlane),
             topology,
-            backends,
-            last_lost_disk_ms: None,
+            backend_count,
+            last_disk_loss_ms: None,
             steps: Vec::new(),
         };
         let mut at_ms = WARM_UP_MS;
-        while at_ms < length_ms {
-            planner.draw_step(at_ms, length_ms);
-            at_ms += 1 + planner.below(2 * MEAN_GAP_MS);
+        while at_ms < duration_ms {
+            planner.add_random_fault(at_ms, duration_ms);
+            at_ms += 1 + planner.random_below(2 * MEAN_STEP_INTERVAL_MS);
         }
         let mut steps = planner.steps;
-        steps.retain(|step| step.at_ms < length_ms);
+        steps.retain(|step| step.at_ms < duration_ms);
         steps.sort_by_key(|step| step.at_ms);
         Plan { steps }
     }
 }
 
 impl Planner<'_> {
-    fn below(&mut self, bound: u64) -> u64 {
+    fn random_below(&mut self, bound: u64) -> u64 {
         self.rng.rand_range(0..bound)
     }
 
-    fn pick(&mut self, from: &[usize]) -> usize {
-        from[self.below(from.len() as u64) as usize]
+    fn choose(&mut self, from: &[usize]) -> usize {
+        from[self.random_below(from.len() as u64) as usize]
     }
 
-    fn any_node(&mut self) -> usize {
-        self.below(self.topology.nodes.len() as u64) as usize
+    fn random_node(&mut self) -> usize {
+        self.random_below(self.topology.nodes.len() as u64) as usize
     }
 
-    fn add(&mut self, at_ms: u64, action: Action) {
+    fn add_step(&mut self, at_ms: u64, action: Action) {
         self.steps.push(Step { at_ms, action });
     }
 
-    fn draw_step(&mut self, at_ms: u64, length_ms: u64) {
-        match self.below(24) {
-            0 | 1 => self.freeze(at_ms),
-            2 => self.roll(at_ms, Role::DataPlane, 400),
-            3 => self.roll(at_ms, Role::ControlPlane, 2_500),
-            4 => self.kill_many(at_ms),
-            5 => self.lose_disk(at_ms),
-            6 => self.series(at_ms),
+    fn add_random_fault(&mut self, at_ms: u64, duration_ms: u64) {
+        match self.random_below(24) {
+            0 | 1 => self.add_freeze(at_ms),
+            2 => self.add_rolling_restart(at_ms, Role::DataPlane, 400),
+            3 => self.add_rolling_restart(at_ms, Role::ControlPlane, 2_500),
+            4 => self.add_simultaneous_kill(at_ms),
+            5 => self.add_disk_loss(at_ms),
+            6 => self.add_signal_burst(at_ms),
             7 => {
-                let node = self.any_node();
-                self.add(at_ms, Action::Reload(node));
+                let node = self.random_node();
+                self.add_step(at_ms, Action::Reload(node));
             }
             8 | 9 => {
-                let node = self.any_node();
-                self.add(at_ms, Action::Kill(node));
+                let node = self.random_node();
+                self.add_step(at_ms, Action::Kill(node));
             }
             10 | 11 => {
-                let node = self.any_node();
-                self.add(at_ms, Action::Terminate(node));
+                let node = self.random_node();
+                self.add_step(at_ms, Action::Terminate(node));
             }
-            12..=15 => self.disturb_backend(at_ms, length_ms),
-            16 => self.add(at_ms, Action::ChangeManyRoutes),
-            17 => self.add(at_ms, Action::ChangeVersionTwice),
+            12..=15 => self.add_backend_fault(at_ms, duration_ms),
+            16 => self.add_step(at_ms, Action::ChangeManyRoutes),
+            17 => self.add_step(at_ms, Action::ChangeVersionTwice),
             18 => {
-                let (zone, length) = (self.below(3) as usize, 1_000 + self.below(6_000));
-                self.add(at_ms, Action::Evacuate(zone, length));
+                let (zone, fault_ms) = (self.random_below(3) as usize, 1_000 + self.random_below(6_000));
+                self.add_step(at_ms, Action::Evacuate(zone, fault_ms));
             }
-            _ => self.add(at_ms, Action::ChangeVersion),
+            _ => self.add_step(at_ms, Action::ChangeVersion),
         }
     }
 
-    fn freeze(&mut self, at_ms: u64) {
-        let (node, length) = (self.any_node(), 200 + self.below(3_500));
-        self.add(at_ms, Action::Freeze(node));
-        self.add(at_ms + length, Action::Continue(node));
+    fn add_freeze(&mut self, at_ms: u64) {
+        let (node, fault_ms) = (self.random_node(), 200 + self.random_below(3_500));
+        self.add_step(at_ms, Action::Freeze(node));
+        self.add_step(at_ms + fault_ms, Action::Continue(node));
     }
 
     /// One after the other is told to end, without waiting for the one before.
-    fn roll(&mut self, at_ms: u64, role: Role, min_gap_ms: u64) {
-        let nodes = if role == Role::ControlPlane { self.controls.clone() } else { self.gateways.clone() };
-        let gap = min_gap_ms + self.below(1_500);
+    fn add_rolling_restart(&mut self, at_ms: u64, role: Role, min_interval_ms: u64) {
+        let nodes =
+            if role == Role::ControlPlane { self.control_planes.clone() } else { self.gateways.clone() };
+        let interval_ms = min_interval_ms + self.random_below(1_500);
         for (position, node) in nodes.into_iter().enumerate() {
-            self.add(at_ms + position as u64 * gap, Action::Terminate(node));
+            self.add_step(at_ms + position as u64 * interval_ms, Action::Terminate(node));
         }
     }
 
-    fn kill_many(&mut self, at_ms: u64) {
-        let nodes = match self.below(3) {
+    fn add_simultaneous_kill(&mut self, at_ms: u64) {
+        let nodes = match self.random_below(3) {
             0 => self.gateways.clone(),
-            1 => self.controls.clone(),
+            1 => self.control_planes.clone(),
             _ => (0..self.topology.nodes.len()).collect(),
         };
-        if self.below(2) == 0 {
-            return self.add(at_ms, Action::KillAllAfterChange(nodes));
+        if self.random_below(2) == 0 {
+            return self.add_step(at_ms, Action::KillAllAfterChange(nodes));
         }
-        self.add(at_ms, Action::KillAll(nodes.clone()));
-        if self.below(3) == 0 {
-            let again = at_ms + 300 + self.below(1_500);
-            self.add(again, Action::KillAll(nodes)); // while they start
+        self.add_step(at_ms, Action::KillAll(nodes.clone()));
+        if self.random_below(3) == 0 {
+            let second_kill_ms = at_ms + 300 + self.random_below(1_500);
+            self.add_step(second_kill_ms, Action::KillAll(nodes)); // while they start
         }
     }
 
-    fn lose_disk(&mut self, at_ms: u64) {
-        let is_too_soon = self.last_lost_disk_ms.is_some_and(|last| at_ms < last + MIN_BETWEEN_LOST_DISKS_MS);
-        let node = self.pick(&self.controls.clone());
+    fn add_disk_loss(&mut self, at_ms: u64) {
+        let is_too_soon = self.last_disk_loss_ms.is_some_and(|last| at_ms < last + MIN_DISK_LOSS_INTERVAL_MS);
+        let node = self.choose(&self.control_planes.clone());
         if is_too_soon {
-            return self.add(at_ms, Action::Kill(node));
+            return self.add_step(at_ms, Action::Kill(node));
         }
-        self.last_lost_disk_ms = Some(at_ms);
-        self.add(at_ms, Action::LoseDisk(node));
+        self.last_disk_loss_ms = Some(at_ms);
+        self.add_step(at_ms, Action::LoseDisk(node));
     }
 
     /// Several signals to one process, each soon after the one before: it may still start, or be ending.
-    fn series(&mut self, at_ms: u64) {
-        let (node, mut at_ms) = (self.any_node(), at_ms);
-        for _ in 0..3 + self.below(3) {
-            let action = match self.below(5) {
+    fn add_signal_burst(&mut self, at_ms: u64) {
+        let (node, mut at_ms) = (self.random_node(), at_ms);
+        for _ in 0..3 + self.random_below(3) {
+            let action = match self.random_below(5) {
                 0 => Action::Kill(node),
                 1 | 2 => Action::Terminate(node),
                 _ => Action::Reload(node),
             };
-            self.add(at_ms, action);
-            at_ms += self.below(700);
+            self.add_step(at_ms, action);
+            at_ms += self.random_below(700);
         }
     }
 
-    fn disturb_backend(&mut self, at_ms: u64, length_ms: u64) {
-        let backend = self.below(self.backends as u64) as usize;
-        let length = (500 + self.below(5_000)).min(length_ms.saturating_sub(at_ms).max(1));
-        let action = match self.below(4) {
-            0 => Action::CrashBackend(backend, length),
-            1 => Action::SlowBackend(backend, length),
-            2 => Action::FailBackend(backend, length),
-            _ => Action::CloseIdleBackend(backend, length),
+    fn add_backend_fault(&mut self, at_ms: u64, duration_ms: u64) {
+        let backend = self.random_below(self.backend_count as u64) as usize;
+        let fault_ms = (500 + self.random_below(5_000)).min(duration_ms.saturating_sub(at_ms).max(1));
+        let action = match self.random_below(4) {
+            0 => Action::CrashBackend(backend, fault_ms),
+            1 => Action::SlowBackend(backend, fault_ms),
+            2 => Action::FailBackend(backend, fault_ms),
+            _ => Action::CloseIdleBackend(backend, fault_ms),
         };
-        self.add(at_ms, action);
+        self.add_step(at_ms, action);
     }
 }
--- a/crates/soak/src/processes.rs
+++ b/crates/soak/src/processes.rs
@@ -19,9 +19,9 @@
 struct Process {
     state: State,
     /// It was started before: its next start is no first one.
-    has_run: bool,
+    was_started_before: bool,
     /// It was told to end in this incarnation, or killed.
-    is_end_expected: bool,
+    is_exit_expected: bool,
     settings_revision: u32,
 }
 
@@ -31,7 +31,7 @@
     programs: PathBuf,
     recorder: Arc<Recorder>,
     all: Vec<Process>,
-    unexpected_ends: usize,
+    unexpected_exits: usize,
 }
 
 impl Processes {
@@ -39,12 +39,12 @@
     pub fn new(topology: Topology, programs: PathBuf, recorder: Arc<Recorder>) -> Processes {
         let process = |_| Process {
             state: State::Exited,
-            has_run: false,
-            is_end_expected: false,
+            was_started_before: false,
+            is_exit_expected: false,
             settings_revision: 0,
         };
         let all = (0..topology.nodes.len()).map(process).collect();
-        Processes { topology, programs, recorder, all, unexpected_ends: 0 }
+        Processes { topology, programs, recorder, all, unexpected_exits: 0 }
     }
 
     /// The processes' names and addresses.
@@ -53,8 +53,8 @@
     }
 
     /// How many have ended though nobody told them to.
-    pub fn unexpected_ends(&self) -> usize {
-        self.unexpected_ends
+    pub fn unexpected_exits(&self) -> usize {
+        self.unexpected_exits
     }
 
     /// Whether it runs, or is frozen.
@@ -84,7 +84,8 @@
             std::fs::create_dir_all(&directory).context(FileSnafu { path: &directory })?;
         }
         let process = &self.all[index];
-        let settings = self.topology.write_settings(index, !process.has_run, process.settings_revision)?;
+        let settings =
+            self.topology.write_settings(index, !process.was_started_before, process.settings_revision)?;
         let log_path = self.topology.log_path(index);
         let log = OpenOptions::new().create(true).append(true).open(&log_path);
         let log = log.context(FileSnafu { path: &log_path })?;
@@ -102,8 +103,8 @@
         let settings_revision = self.all[index].settings_revision;
         self.all[index] = Process {
             state: State::Running(child),
-            has_run: true,
-            is_end_expected: false,
+            was_started_before: true,
+            is_exit_expected: false,
             settings_revision,
         };
         Ok(())
@@ -127,11 +128,12 @@
             SignalKind::Freeze => Signal::STOP,
             SignalKind::Continue => Signal::CONT,
         };
-        let is_early = is_uncaught(pid.as_raw_nonzero().get(), signal);
-        let is_deadly = matches!(kind, SignalKind::Terminate | SignalKind::Kill);
-        self.all[index].is_end_expected |= is_deadly || is_early;
+        let is_before_handlers = is_uncaught(pid.as_raw_nonzero().get(), signal);
+        let requests_exit = matches!(kind, SignalKind::Terminate | SignalKind::Kill);
+        self.all[index].is_exit_expected |= requests_exit || is_before_handlers;
         // Recorded first: what follows from a signal is never recorded before it.
-        let sent = if is_early { ProcessChange::SignalledTooEarly } else { ProcessChange::Signalled };
+        let sent =
+            if is_before_handlers { ProcessChange::SignalledTooEarly } else { ProcessChange::Signalled };
         self.record(index, sent(kind));
         let _ = kill_process(pid, signal); // it may have ended by itself, which is recorded when it is reaped
         Ok(())
@@ -142,7 +144,7 @@
         for index in 0..self.all.len() {
             let State::Running(child) = &mut self.all[index].state else { continue };
             let Ok(Some(status)) = child.try_wait() else { continue };
-            self.unexpected_ends += usize::from(!self.all[index].is_end_expected);
+            self.unexpected_exits += usize::from(!self.all[index].is_exit_expected);
             self.all[index].state = State::Exited;
             self.record(index, ProcessChange::Exited(status.code()));
         }
--- a/crates/soak/src/resources.rs
+++ b/crates/soak/src/resources.rs
@@ -28,18 +28,18 @@
         threads: status_field("Threads:")?,
         processor_ms: ticks * TICK_MS,
         log_bytes: fs::metadata(topology.log_path(index)).map_or(0, |log| log.len()),
-        disk_bytes: topology.data_directory(index).map_or(0, |directory| folder_bytes(&directory)),
+        disk_bytes: topology.data_directory(index).map_or(0, |directory| directory_bytes(&directory)),
     })
 }
 
-fn folder_bytes(folder: &Path) -> u64 {
+fn directory_bytes(folder: &Path) -> u64 {
     let files = fs::read_dir(folder).into_iter().flatten().flatten();
     files.filter_map(|file| file.metadata().ok()).map(|metadata| metadata.len()).sum()
 }
 
 /// Half of the machine's memory in KiB: what a soak may take at most.
 pub fn memory_limit_kib() -> Option<u64> {
-    let information = fs::read_to_string("/proc/meminfo").ok()?;
-    let line = information.lines().find_map(|line| line.strip_prefix("MemTotal:"))?;
+    let meminfo = fs::read_to_string("/proc/meminfo").ok()?;
+    let line = meminfo.lines().find_map(|line| line.strip_prefix("MemTotal:"))?;
     Some(line.split_whitespace().next()?.parse::<u64>().ok()? / 2)
 }
--- a/crates/soak/src/run/mod.rs
+++ b/crates/soak/src/run/mod.rs
@@ -4,19 +4,19 @@
 mod recovery;
 
 use crate::checker;
-use crate::error::{EndedAtStartSnafu, Error, FileSnafu, NotUpSnafu, SignalsSnafu};
+use crate::error::{Error, ExitedDuringStartupSnafu, FileSnafu, SignalsSnafu, WaitTimeoutSnafu};
 use crate::history::{Event, Recorder};
-use crate::http_stream::{HttpStream, RESPONSE};
+use crate::http_stream::{HttpStream, RESPONSE_KIND};
 use crate::plan::{Plan, Step};
 use crate::processes::Processes;
 use crate::report::Report;
 use crate::resources;
 use crate::stand_ins::backends::Backends;
-use crate::stand_ins::clients::{self, Purpose, Target};
-use crate::stand_ins::operator::{self, Desk, Operator};
+use crate::stand_ins::clients::{self, Target, Workload};
+use crate::stand_ins::operator::{self, ControlEndpoint, Operator};
 use crate::stand_ins::{platform, StopFlag};
 use crate::topology::{Role, Topology};
-use faults::BackendRepair;
+use faults::Repair;
 use kitepass_node::process::Signals;
 use snafu::ResultExt;
 use std::collections::VecDeque;
@@ -34,15 +34,15 @@
 const RESTART_DELAY_MS: u64 = 100;
 const RESTART_SPREAD_MS: u64 = 600;
 /// The system comes up, and recovers at the end, within this.
-const COMES_UP: Duration = Duration::from_secs(90);
+const READY_TIMEOUT: Duration = Duration::from_secs(90);
 /// Clients go on for so long once everything has recovered.
-const CALM_TIME: Duration = Duration::from_secs(8);
+const FINAL_TRAFFIC_DURATION: Duration = Duration::from_secs(8);
 /// The operator's threads at a time.
-const MAX_OPERATOR_CALLS: usize = 8;
+const MAX_CONCURRENT_OPERATOR_CALLS: usize = 8;
 /// Clients of each gateway for requests of all kinds.
-const MIXED_CLIENTS: usize = 2;
+const MIXED_CLIENTS_PER_GATEWAY: usize = 2;
 const BEYOND_QUOTA_CLIENTS: usize = 3;
-const CHECK_TIMEOUT: Duration = Duration::from_millis(800);
+const READINESS_TIMEOUT: Duration = Duration::from_millis(800);
 /// The file of the history in the soak's folder.
 pub const HISTORY_FILE: &str = "history.jsonl";
 
@@ -52,7 +52,7 @@
     /// The seed of its plan and its clients.
     pub seed: u64,
     /// How long faults go on.
-    pub length: Duration,
+    pub duration: Duration,
     /// Processes of the system.
     pub processes: usize,
     /// The folder of both programs.
@@ -75,7 +75,7 @@
 /// The plan of a soak.
 pub fn plan(options: &Options) -> Plan {
     let topology = Topology::new(options.processes, options.folder.clone());
-    Plan::draw(options.seed, &topology, placements().len(), options.length.as_millis() as u64)
+    Plan::generate(options.seed, &topology, placements().len(), options.duration.as_millis() as u64)
 }
 
 /// A soak under way.
@@ -94,13 +94,13 @@
     loses_disk: Vec<bool>,
     /// How many data directories were lost so far.
     disks_lost: usize,
-    repairs: Vec<(Instant, BackendRepair)>,
+    repairs: Vec<(Instant, Repair)>,
     /// What is killed once more changes than this many are acknowledged.
-    kills_after_change: Option<(u64, Vec<usize>)>,
+    pending_kill: Option<(u64, Vec<usize>)>,
     history_path: PathBuf,
     last_sample: Instant,
-    last_read: Instant,
-    reads: usize,
+    last_configuration_read: Instant,
+    configuration_reads: usize,
 }
 
 /// Plays a soak and judges it.
@@ -113,14 +113,14 @@
     signals.install_handlers().context(SignalsSnafu)?;
     let topology = Topology::new(options.processes, options.folder.clone());
     topology.check_addresses()?;
-    topology.make_folders()?;
+    topology.create_folders()?;
     let plan = plan(options);
     let steps = plan.steps.len();
     let mut soak = Soak::open(options, topology, signals)?;
-    soak.come_up()?;
+    soak.start_system()?;
     soak.start_clients(options.seed);
-    let may_go_on = soak.play(plan.steps, options.length)?;
-    if may_go_on {
+    let is_system_intact = soak.execute_steps(plan.steps, options.duration)?;
+    if is_system_intact {
         soak.recover()?;
     }
     let records = soak.end()?;
@@ -136,12 +136,12 @@
         let backends = Backends::start(topology.stand_in_ip(), placements(), recorder.clone(), stop.clone())?;
         let backends = Arc::new(backends);
         platform::serve(topology.platform_address(), backends.clone(), stop.clone())?;
-        let desk = |index: usize| {
+        let endpoint = |index: usize| {
             let node = &topology.nodes[index];
-            Desk { node: node.name.clone(), address: node.operator_address() }
+            ControlEndpoint { node: node.name.clone(), address: node.operator_address() }
         };
-        let desks = topology.of_role(Role::ControlPlane).into_iter().map(desk).collect();
-        let operator = Operator::new(desks, options.seed, recorder.clone(), stop.clone());
+        let endpoints = topology.indexes_with_role(Role::ControlPlane).into_iter().map(endpoint).collect();
+        let operator = Operator::new(endpoints, options.seed, recorder.clone(), stop.clone());
         let count = topology.nodes.len();
         let now = Instant::now();
         Ok(Soak {
@@ -157,11 +157,11 @@
             loses_disk: vec![false; count],
             disks_lost: 0,
             repairs: Vec::new(),
-            kills_after_change: None,
+            pending_kill: None,
             history_path,
             last_sample: now,
-            last_read: now,
-            reads: 0,
+            last_configuration_read: now,
+            configuration_reads: 0,
         })
     }
 
@@ -169,38 +169,38 @@
         self.processes.topology().nodes.len()
     }
 
-    fn come_up(&mut self) -> Result<(), Error> {
+    fn start_system(&mut self) -> Result<(), Error> {
         (0..self.nodes()).try_for_each(|index| self.processes.start(index, false))?;
         log::info!("event=started processes={}", self.nodes());
         let operator = self.operator.clone();
-        let configuration = std::thread::spawn(move || operator.bring_configuration());
+        let configuration = std::thread::spawn(move || operator.send_initial_configuration());
         self.wait_until("the first configuration is acknowledged", |soak| {
-            configuration.is_finished() || soak.has_unexpected_end()
+            configuration.is_finished() || soak.has_unexpected_exit()
         })?;
         self.wait_until("all gateways are ready", |soak| {
-            soak.are_gateways_ready() || soak.has_unexpected_end()
+            soak.are_gateways_ready() || soak.has_unexpected_exit()
         })?;
         let folder = self.processes.topology().folder.clone();
-        snafu::ensure!(!self.has_unexpected_end(), EndedAtStartSnafu { folder });
+        snafu::ensure!(!self.has_unexpected_exit(), ExitedDuringStartupSnafu { folder });
         Ok(())
     }
 
     /// Goes on with what is due until it is so.
-    fn wait_until(&mut self, what: &'static str, is_so: impl Fn(&Soak) -> bool) -> Result<(), Error> {
+    fn wait_until(&mut self, condition: &'static str, is_met: impl Fn(&Soak) -> bool) -> Result<(), Error> {
         let began = Instant::now();
-        while !is_so(self) {
-            if began.elapsed() > COMES_UP {
+        while !is_met(self) {
+            if began.elapsed() > READY_TIMEOUT {
                 let folder = self.processes.topology().folder.clone();
-                return NotUpSnafu { what, seconds: COMES_UP.as_secs(), folder }.fail();
+                return WaitTimeoutSnafu { condition, seconds: READY_TIMEOUT.as_secs(), folder }.fail();
             }
-            self.turn()?;
+            self.tick()?;
         }
         Ok(())
     }
 
     fn are_gateways_ready(&self) -> bool {
         let topology = self.processes.topology();
-        let gateways = topology.of_role(Role::DataPlane);
+        let gateways = topology.indexes_with_role(Role::DataPlane);
         gateways.into_iter().all(|index| is_ready(topology.nodes[index].readiness_address()))
     }
 
@@ -210,30 +210,32 @@
             let node = &topology.nodes[index];
             Target { node: node.name.clone(), address: node.client_address() }
         };
-        let targets: Vec<Target> = topology.of_role(Role::DataPlane).into_iter().map(target).collect();
-        let mixed = std::iter::repeat_n(Purpose::Mixed, MIXED_CLIENTS * targets.len());
-        let version = std::iter::repeat_n(Purpose::Version, targets.len());
-        let limited = std::iter::repeat_n(Purpose::BeyondQuota, BEYOND_QUOTA_CLIENTS);
-        let eager = std::iter::repeat_n(Purpose::Eager, targets.len());
-        let purposes = mixed.chain(version).chain(eager).chain(limited).enumerate();
+        let targets: Vec<Target> =
+            topology.indexes_with_role(Role::DataPlane).into_iter().map(target).collect();
+        let mixed_clients = std::iter::repeat_n(Workload::Mixed, MIXED_CLIENTS_PER_GATEWAY * targets.len());
+        let version_clients = std::iter::repeat_n(Workload::Version, targets.len());
+        let beyond_quota = std::iter::repeat_n(Workload::BeyondQuota, BEYOND_QUOTA_CLIENTS);
+        let eager_clients = std::iter::repeat_n(Workload::Eager, targets.len());
+        let workloads =
+            mixed_clients.chain(version_clients).chain(eager_clients).chain(beyond_quota).enumerate();
         let (recorder, stop) = (&self.recorder, &self.stop);
-        let start = |(number, purpose)| {
-            clients::start(number, purpose, targets.clone(), seed, recorder.clone(), stop.clone())
+        let start = |(number, workload)| {
+            clients::start(number, workload, targets.clone(), seed, recorder.clone(), stop.clone())
         };
-        self.clients = purposes.map(start).collect();
+        self.clients = workloads.map(start).collect();
     }
 
     /// Does the steps at their times; false if a process has ended by itself, which ends the soak.
-    fn play(&mut self, steps: Vec<Step>, length: Duration) -> Result<bool, Error> {
+    fn execute_steps(&mut self, steps: Vec<Step>, duration: Duration) -> Result<bool, Error> {
         let began = Instant::now();
         let mut steps = VecDeque::from(steps);
-        while began.elapsed() < length {
+        while began.elapsed() < duration {
             let elapsed_ms = began.elapsed().as_millis() as u64;
             while let Some(step) = steps.pop_front_if(|step| step.at_ms <= elapsed_ms) {
-                self.act(step.action)?;
+                self.apply_action(step.action)?;
             }
-            self.turn()?;
-            if self.has_unexpected_end() {
+            self.tick()?;
+            if self.has_unexpected_exit() {
                 return Ok(false);
             }
         }
@@ -241,31 +243,31 @@
     }
 
     /// Whether a process has ended though nobody told it to.
-    fn has_unexpected_end(&self) -> bool {
-        self.processes.unexpected_ends() > 0
+    fn has_unexpected_exit(&self) -> bool {
+        self.processes.unexpected_exits() > 0
     }
 
     /// What is to be done all the time.
-    fn turn(&mut self) -> Result<(), Error> {
+    fn tick(&mut self) -> Result<(), Error> {
         if self.signals.is_shutdown_requested() {
             return Err(Error::Interrupted);
         }
         std::thread::sleep(LOOP_INTERVAL);
         self.processes.reap();
-        self.kill_after_change()?;
+        self.kill_after_acknowledged_change()?;
         self.restart_ended()?;
-        self.repair_backends()?;
+        self.run_due_repairs()?;
         if self.last_sample.elapsed() >= SAMPLE_INTERVAL {
             self.last_sample = Instant::now();
             self.sample();
             self.recorder.flush(&self.history_path)?;
         }
-        if self.last_read.elapsed() >= READ_INTERVAL && !self.clients.is_empty() {
-            self.last_read = Instant::now();
-            self.reads += 1;
-            let desks = self.operator.desks();
-            let desk = desks[self.reads % desks.len()].clone();
-            self.call_operator(move |operator| _ = operator.read(&desk, false));
+        if self.last_configuration_read.elapsed() >= READ_INTERVAL && !self.clients.is_empty() {
+            self.last_configuration_read = Instant::now();
+            self.configuration_reads += 1;
+            let endpoints = self.operator.endpoints();
+            let endpoint = endpoints[self.configuration_reads % endpoints.len()].clone();
+            self.spawn_operator_call(move |operator| _ = operator.read(&endpoint, false));
         }
         Ok(())
     }
@@ -296,8 +298,8 @@
     }
 
     /// Runs a call of the operator beside everything else, unless too many are under way.
-    fn call_operator(&self, call: impl FnOnce(&Operator) + Send + 'static) {
-        if self.operator_calls.load(Ordering::Relaxed) >= MAX_OPERATOR_CALLS {
+    fn spawn_operator_call(&self, call: impl FnOnce(&Operator) + Send + 'static) {
+        if self.operator_calls.load(Ordering::Relaxed) >= MAX_CONCURRENT_OPERATOR_CALLS {
             return;
         }
         self.operator_calls.fetch_add(1, Ordering::Relaxed);
@@ -312,9 +314,9 @@
 /// Whether a gateway says that it is ready.
 fn is_ready(address: SocketAddr) -> bool {
     let ask = || {
-        let mut stream = HttpStream::connect(address, CHECK_TIMEOUT).ok()?;
+        let mut stream = HttpStream::connect(address, READINESS_TIMEOUT).ok()?;
         stream.send(b"GET /v1/ready HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n").ok()?;
-        let (head, _) = stream.read_message(RESPONSE, CHECK_TIMEOUT).ok()?;
+        let (head, _) = stream.read_message(RESPONSE_KIND, READINESS_TIMEOUT).ok()?;
         Some(head.status())
     };
     ask() == Some(200)
--- a/crates/soak/src/run/recovery.rs
+++ b/crates/soak/src/run/recovery.rs
@@ -1,12 +1,12 @@
 //! The end of a soak: faults end, everything recovers and is asked for the last time, the processes end.
 
-use super::faults::BackendRepair;
-use super::{is_ready, Soak, CALM_TIME, COMES_UP, LOOP_INTERVAL};
+use super::faults::Repair;
+use super::{is_ready, Soak, FINAL_TRAFFIC_DURATION, LOOP_INTERVAL, READY_TIMEOUT};
 use crate::error::Error;
 use crate::history::{Event, Record, SignalKind};
 use crate::processes::Processes;
-use crate::stand_ins::operator::Desk;
-use crate::topology::{Role, GRACE_S, ZONES};
+use crate::stand_ins::operator::ControlEndpoint;
+use crate::topology::{Role, SHUTDOWN_GRACE_S, ZONES};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
@@ -15,21 +15,22 @@
     pub(super) fn recover(&mut self) -> Result<(), Error> {
         self.recorder.record(Event::Calm);
         (0..self.nodes()).try_for_each(|index| self.processes.signal(index, SignalKind::Continue))?;
-        (0..ZONES.len()).for_each(|zone| self.repair_after(0, BackendRepair::EndEvacuation(zone)));
+        (0..ZONES.len()).for_each(|zone| self.schedule_repair(0, Repair::EndEvacuation(zone)));
         // Whoever does not recover is found by what is asked below.
         match self.wait_until("all gateways are ready again", Soak::are_gateways_ready) {
-            Ok(()) | Err(Error::NotUp { .. }) => {}
+            Ok(()) | Err(Error::WaitTimeout { .. }) => {}
             Err(error) => return Err(error),
         }
         let (began, calls) = (Instant::now(), self.operator_calls.clone());
-        while began.elapsed() < CALM_TIME || (calls.load(Ordering::Relaxed) > 0 && began.elapsed() < COMES_UP)
+        while began.elapsed() < FINAL_TRAFFIC_DURATION
+            || (calls.load(Ordering::Relaxed) > 0 && began.elapsed() < READY_TIMEOUT)
         {
-            self.turn()?;
+            self.tick()?;
         }
-        for desk in self.operator.desks().to_vec() {
-            self.read_finally(&desk)?;
+        for endpoint in self.operator.endpoints().to_vec() {
+            self.read_final_configuration(&endpoint)?;
         }
-        for index in self.processes.topology().of_role(Role::DataPlane) {
+        for index in self.processes.topology().indexes_with_role(Role::DataPlane) {
             let node = &self.processes.topology().nodes[index];
             let (node, is_ready) = (node.name.clone(), is_ready(node.readiness_address()));
             self.recorder.record(Event::FinalReadiness { node, is_ready });
@@ -37,13 +38,13 @@
         Ok(())
     }
 
-    fn read_finally(&mut self, desk: &Desk) -> Result<(), Error> {
+    fn read_final_configuration(&mut self, endpoint: &ControlEndpoint) -> Result<(), Error> {
         let began = Instant::now();
         // A read that fails is recorded only as the last one.
-        while !self.operator.read(desk, false) && began.elapsed() < COMES_UP / 3 {
-            self.turn()?;
+        while !self.operator.read(endpoint, false) && began.elapsed() < READY_TIMEOUT / 3 {
+            self.tick()?;
         }
-        self.operator.read(desk, true);
+        self.operator.read(endpoint, true);
         Ok(())
     }
 
@@ -56,7 +57,7 @@
         let is_any_running = |processes: &Processes| {
             (0..processes.topology().nodes.len()).any(|index| processes.is_running(index))
         };
-        while is_any_running(&self.processes) && began.elapsed() < Duration::from_secs(GRACE_S * 4) {
+        while is_any_running(&self.processes) && began.elapsed() < Duration::from_secs(SHUTDOWN_GRACE_S * 4) {
             std::thread::sleep(LOOP_INTERVAL);
             self.processes.reap();
         }
--- a/crates/soak/src/stand_ins/backends.rs
+++ b/crates/soak/src/stand_ins/backends.rs
@@ -1,6 +1,6 @@
 //! Backends: a listener each, a thread a connection. A backend that crashes comes back under another id and address.
 
-use super::{postmark, response_body, StopFlag};
+use super::{response_body, response_marker, StopFlag};
 use crate::error::{Error, ListenSnafu};
 use crate::history::{Event, Recorder, RunRecord};
 use crate::http_stream::{HttpStream, ReadError};
@@ -12,28 +12,28 @@
 use std::time::{Duration, Instant};
 
 /// Requests that a backend works on at a time.
-pub const SLOTS: usize = 16;
+pub const MAX_CONCURRENT_REQUESTS: usize = 16;
 /// How often a listener looks for connections, and whether it is to end.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// A connection on which nothing comes for so long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 /// The same, while the backend closes idle connections early.
-const SHORT_IDLE_TIMEOUT: Duration = Duration::from_millis(150);
+const FAULTY_IDLE_TIMEOUT: Duration = Duration::from_millis(150);
 /// A request takes so long.
-const WORK: Duration = Duration::from_millis(8);
+const SERVICE_TIME: Duration = Duration::from_millis(8);
 /// The same, while the backend is slow.
-const SLOW_WORK: Duration = Duration::from_millis(400);
+const SLOW_SERVICE_TIME: Duration = Duration::from_millis(400);
 /// Pieces of a streamed response, and the pause between them.
-const STREAM_PIECES: usize = 8;
-const STREAM_PAUSE: Duration = Duration::from_millis(60);
+const STREAM_CHUNKS: usize = 8;
+const STREAM_CHUNK_DELAY: Duration = Duration::from_millis(60);
 /// A crashed backend stays on the platform's list for so long.
-const LIST_LAG: Duration = Duration::from_secs(2);
+const DELISTING_DELAY: Duration = Duration::from_secs(2);
 /// One in so many requests fails, while the backend fails some.
-const FAILING_ONE_IN: u64 = 3;
+const FAIL_EVERY_NTH_REQUEST: u64 = 3;
 
 /// How a backend behaves.
 #[derive(Debug, Default)]
-struct Behaviour {
+struct Faults {
     is_slow: AtomicBool,
     is_failing: AtomicBool,
     closes_idle: AtomicBool,
@@ -43,19 +43,19 @@
 struct Incarnation {
     id: String,
     address: SocketAddr,
-    is_over: AtomicBool,
+    has_ended: AtomicBool,
     connections: Mutex<Vec<TcpStream>>,
 }
 
 struct Backend {
     service: String,
     zone: usize,
-    behaviour: Behaviour,
+    faults: Faults,
     incarnation: Mutex<Option<Arc<Incarnation>>>,
     /// The incarnation that ended last, and when.
-    former: Mutex<Option<(Arc<Incarnation>, Instant)>>,
+    previous: Mutex<Option<(Arc<Incarnation>, Instant)>>,
     requests: AtomicU64,
-    busy_slots: AtomicUsize,
+    active_requests: AtomicUsize,
 }
 
 /// A backend as the platform lists it.
@@ -96,16 +96,16 @@
             Arc::new(Backend {
                 service,
                 zone,
-                behaviour: Behaviour::default(),
+                faults: Faults::default(),
                 incarnation: Mutex::new(None),
-                former: Mutex::new(None),
+                previous: Mutex::new(None),
                 requests: AtomicU64::new(0),
-                busy_slots: AtomicUsize::new(0),
+                active_requests: AtomicUsize::new(0),
             })
         };
         let all = placements.into_iter().map(backend).collect();
         let backends = Backends { all, ip, next_incarnation: AtomicU64::new(1), recorder, stop };
-        (0..backends.all.len()).try_for_each(|index| backends.begin_incarnation(index))?;
+        (0..backends.all.len()).try_for_each(|index| backends.start_incarnation(index))?;
         Ok(backends)
     }
 
@@ -128,21 +128,21 @@
     /// # Panics
     ///
     /// If another thread has panicked in here.
-    pub fn begin_incarnation(&self, index: usize) -> Result<(), Error> {
+    pub fn start_incarnation(&self, index: usize) -> Result<(), Error> {
         let backend = &self.all[index];
         let mut current = backend.incarnation.lock().expect("no thread panics in here");
         if current.is_some() {
             return Ok(());
         }
-        let wanted = SocketAddr::new(self.ip, 0);
-        let listener = TcpListener::bind(wanted).context(ListenSnafu { address: wanted })?;
-        listener.set_nonblocking(true).context(ListenSnafu { address: wanted })?;
-        let address = listener.local_addr().context(ListenSnafu { address: wanted })?;
+        let requested = SocketAddr::new(self.ip, 0);
+        let listener = TcpListener::bind(requested).context(ListenSnafu { address: requested })?;
+        listener.set_nonblocking(true).context(ListenSnafu { address: requested })?;
+        let address = listener.local_addr().context(ListenSnafu { address: requested })?;
         let number = self.next_incarnation.fetch_add(1, Ordering::Relaxed);
         let incarnation = Arc::new(Incarnation {
             id: format!("b{index}-{number}"),
             address,
-            is_over: AtomicBool::new(false),
+            has_ended: AtomicBool::new(false),
             connections: Mutex::new(Vec::new()),
         });
         *current = Some(incarnation.clone());
@@ -161,26 +161,26 @@
         let Some(incarnation) = backend.incarnation.lock().expect("no thread panics in here").take() else {
             return;
         };
-        incarnation.is_over.store(true, Ordering::Relaxed);
+        incarnation.has_ended.store(true, Ordering::Relaxed);
         for connection in incarnation.connections.lock().expect("no thread panics in here").drain(..) {
             let _ = connection.shutdown(Shutdown::Both); // the other side may have closed it
         }
-        *backend.former.lock().expect("no thread panics in here") = Some((incarnation, Instant::now()));
+        *backend.previous.lock().expect("no thread panics in here") = Some((incarnation, Instant::now()));
     }
 
     /// Makes a backend slow, or no longer.
     pub fn set_slow(&self, index: usize, is_slow: bool) {
-        self.all[index].behaviour.is_slow.store(is_slow, Ordering::Relaxed);
+        self.all[index].faults.is_slow.store(is_slow, Ordering::Relaxed);
     }
 
     /// Makes a backend fail some requests, or no longer.
     pub fn set_failing(&self, index: usize, is_failing: bool) {
-        self.all[index].behaviour.is_failing.store(is_failing, Ordering::Relaxed);
+        self.all[index].faults.is_failing.store(is_failing, Ordering::Relaxed);
     }
 
     /// Makes a backend close idle connections early, or no longer.
     pub fn set_closes_idle(&self, index: usize, closes_idle: bool) {
-        self.all[index].behaviour.closes_idle.store(closes_idle, Ordering::Relaxed);
+        self.all[index].faults.closes_idle.store(closes_idle, Ordering::Relaxed);
     }
 
     /// The backends as the platform lists them, which learns late that one has crashed.
@@ -191,17 +191,17 @@
     pub fn listed(&self) -> Vec<ListedBackend> {
         let mut listed = Vec::new();
         for backend in &self.all {
-            let listed_as = |incarnation: &Incarnation| ListedBackend {
+            let listing = |incarnation: &Incarnation| ListedBackend {
                 id: incarnation.id.clone(),
                 service: backend.service.clone(),
                 address: incarnation.address,
                 zone: backend.zone,
             };
             let incarnation = backend.incarnation.lock().expect("no thread panics in here");
-            listed.extend(incarnation.as_deref().map(listed_as));
-            let former = backend.former.lock().expect("no thread panics in here");
-            let lately = former.as_ref().filter(|(_, ended_at)| ended_at.elapsed() < LIST_LAG);
-            listed.extend(lately.map(|(incarnation, _)| listed_as(incarnation)));
+            listed.extend(incarnation.as_deref().map(listing));
+            let previous = backend.previous.lock().expect("no thread panics in here");
+            let still_listed = previous.as_ref().filter(|(_, ended_at)| ended_at.elapsed() < DELISTING_DELAY);
+            listed.extend(still_listed.map(|(incarnation, _)| listing(incarnation)));
         }
         listed
     }
@@ -214,7 +214,7 @@
     recorder: &Arc<Recorder>,
     stop: &StopFlag,
 ) {
-    while !incarnation.is_over.load(Ordering::Relaxed) && !stop.is_stopped() {
+    while !incarnation.has_ended.load(Ordering::Relaxed) && !stop.is_stopped() {
         let Ok((stream, _)) = listener.accept() else {
             std::thread::sleep(POLL_INTERVAL);
             continue;
@@ -243,67 +243,67 @@
 impl BackendConnection {
     fn serve(&mut self) {
         loop {
-            let closes_idle = self.backend.behaviour.closes_idle.load(Ordering::Relaxed);
-            let timeout = if closes_idle { SHORT_IDLE_TIMEOUT } else { IDLE_TIMEOUT };
+            let closes_idle = self.backend.faults.closes_idle.load(Ordering::Relaxed);
+            let timeout = if closes_idle { FAULTY_IDLE_TIMEOUT } else { IDLE_TIMEOUT };
             let (head, body) = match self.stream.read_message(MessageKind::Request, timeout) {
                 Ok(message) => message,
                 Err(ReadError::Closed | ReadError::TimedOut | ReadError::Malformed) => return,
             };
-            if !self.answer(&head, &body) {
+            if !self.handle_request(&head, &body) {
                 return;
             }
         }
     }
 
     /// Answers a request; true if the connection stays.
-    fn answer(&mut self, head: &Head, body: &[u8]) -> bool {
+    fn handle_request(&mut self, head: &Head, body: &[u8]) -> bool {
         let field = |name| head.field(name).map(|value| String::from_utf8_lossy(value).into_owned());
         let path = String::from_utf8_lossy(head.start_line_part(1)).into_owned();
         if path == "/checkpoint" {
             let id = format!("X-Delivered-By: {}\r\n", self.incarnation.id);
             return self.respond("200 OK", &id, b"");
         }
-        let Some(id) = field("x-try-id") else { return self.turn_away("400 Bad Request", "") };
+        let Some(id) = field("x-try-id") else { return self.reject("400 Bad Request", "") };
         let echo = format!("X-Try-Id: {id}\r\n");
-        if field("x-deliver-to").is_some_and(|wanted| wanted != self.incarnation.id) {
-            return self.turn_away("421 Misdirected Request", &echo);
+        if field("x-deliver-to").is_some_and(|requested| requested != self.incarnation.id) {
+            return self.reject("421 Misdirected Request", &echo);
         }
-        if self.backend.busy_slots.fetch_add(1, Ordering::Relaxed) >= SLOTS {
-            self.backend.busy_slots.fetch_sub(1, Ordering::Relaxed);
-            return self.turn_away("503 Service Unavailable", &echo);
+        if self.backend.active_requests.fetch_add(1, Ordering::Relaxed) >= MAX_CONCURRENT_REQUESTS {
+            self.backend.active_requests.fetch_sub(1, Ordering::Relaxed);
+            return self.reject("503 Service Unavailable", &echo);
         }
         let began_at = self.recorder.now();
-        let call = RequestPath::parse(&path);
-        let is_answered = self.run(&id, &echo, &call);
-        self.backend.busy_slots.fetch_sub(1, Ordering::Relaxed);
+        let request_path = RequestPath::parse(&path);
+        let is_answered = self.run(&id, &echo, &request_path);
+        self.backend.active_requests.fetch_sub(1, Ordering::Relaxed);
         self.recorder.record(Event::Run(RunRecord {
             id,
             backend: self.incarnation.id.clone(),
             service: self.backend.service.clone(),
             tenant: field("x-sender"),
             began_at,
-            is_garbled: body.len() != call.request_bytes || body.iter().any(|byte| *byte != b'u'),
+            is_garbled: body.len() != request_path.request_bytes || body.iter().any(|byte| *byte != b'u'),
             is_answered,
         }));
         is_answered
     }
 
     /// Works on a request and writes its response; whether all of it was written.
-    fn run(&mut self, id: &str, echo: &str, call: &RequestPath) -> bool {
-        let behaviour = &self.backend.behaviour;
-        let is_slow = behaviour.is_slow.load(Ordering::Relaxed);
-        let is_failing = behaviour.is_failing.load(Ordering::Relaxed);
-        std::thread::sleep(if is_slow { SLOW_WORK } else { WORK });
-        if self.incarnation.is_over.load(Ordering::Relaxed) {
+    fn run(&mut self, id: &str, echo: &str, request_path: &RequestPath) -> bool {
+        let faults = &self.backend.faults;
+        let is_slow = faults.is_slow.load(Ordering::Relaxed);
+        let is_failing = faults.is_failing.load(Ordering::Relaxed);
+        std::thread::sleep(if is_slow { SLOW_SERVICE_TIME } else { SERVICE_TIME });
+        if self.incarnation.has_ended.load(Ordering::Relaxed) {
             return false;
         }
         let number = self.backend.requests.fetch_add(1, Ordering::Relaxed);
-        let fields = format!("{echo}X-Postmark: {}\r\n", postmark(id));
-        if is_failing && number.is_multiple_of(FAILING_ONE_IN) {
+        let fields = format!("{echo}X-Postmark: {}\r\n", response_marker(id));
+        if is_failing && number.is_multiple_of(FAIL_EVERY_NTH_REQUEST) {
             return self.respond("500 Internal Server Error", &fields, b"");
         }
-        let body = response_body(&self.backend.service, id, call.response_bytes);
-        if call.is_streamed {
+        let body = response_body(&self.backend.service, id, request_path.response_bytes);
+        if request_path.is_streamed {
             self.stream_response(&fields, &body)
         } else {
             self.respond("200 OK", &fields, &body)
@@ -317,7 +317,7 @@
         self.stream.send(&bytes).is_ok()
     }
 
-    fn turn_away(&mut self, status: &str, fields: &str) -> bool {
+    fn reject(&mut self, status: &str, fields: &str) -> bool {
         self.respond(status, &format!("{fields}X-Not-Delivered: 1\r\n"), b"")
     }
 
@@ -326,10 +326,10 @@
         if self.stream.send(head.as_bytes()).is_err() {
             return false;
         }
-        for piece in body.chunks(body.len().div_ceil(STREAM_PIECES)) {
-            std::thread::sleep(STREAM_PAUSE);
+        for piece in body.chunks(body.len().div_ceil(STREAM_CHUNKS)) {
+            std::thread::sleep(STREAM_CHUNK_DELAY);
             let chunk = [format!("{:x}\r\n", piece.len()).as_bytes(), piece, b"\r\n"].concat();
-            if self.incarnation.is_over.load(Ordering::Relaxed) || self.stream.send(&chunk).is_err() {
+            if self.incarnation.has_ended.load(Ordering::Relaxed) || self.stream.send(&chunk).is_err() {
                 return false;
             }
         }
--- a/crates/soak/src/stand_ins/clients.rs
+++ b/crates/soak/src/stand_ins/clients.rs
@@ -1,9 +1,9 @@
 //! Clients: each keeps one connection and uses it until the gateway closes it, whatever happens to the gateway meanwhile; then it
 //! goes to another gateway.
 
-use super::{postmark, response_body, StopFlag};
+use super::{response_body, response_marker, StopFlag};
 use crate::history::{Event, Micros, Recorder, RequestOutcome, RequestRecord, RouteKind};
-use crate::http_stream::{HttpStream, ReadError, RESPONSE};
+use crate::http_stream::{HttpStream, ReadError, RESPONSE_KIND};
 use kitepass_net::http::Head;
 use oorandom::Rand64;
 use std::net::SocketAddr;
@@ -14,28 +14,28 @@
 /// The host of all routes that clients use.
 pub const HOST: &str = "soak.example";
 /// The key of the tenant without a quota.
-pub const KEY: &str = "key-of-town";
+pub const UNLIMITED_KEY: &str = "key-of-town";
 /// The key of the tenant with a quota.
 pub const LIMITED_KEY: &str = "key-of-school";
 /// The tenant with a quota, as backends are told of it.
 pub const LIMITED_TENANT: &str = "school";
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a client waits, as it tells the gateway.
-const TIME_LEFT_MS: u64 = 8_000;
+const CLIENT_DEADLINE_MS: u64 = 8_000;
 /// A response that is silent for so long does not come any more.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(12);
 /// Bytes of a large body, which is sent in so many pieces.
 const UPLOAD_BYTES: usize = 300_000;
-const UPLOAD_PIECES: usize = 4;
+const UPLOAD_WRITES: usize = 4;
 const STREAM_BYTES: usize = 40_000;
 /// After a gateway that cannot be reached.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(60);
+const RECONNECT_DELAY: Duration = Duration::from_millis(60);
 /// The same, for eager clients.
-const EAGER_RECONNECT_PAUSE: Duration = Duration::from_millis(2);
+const EAGER_RECONNECT_DELAY: Duration = Duration::from_millis(2);
 
 /// Eager clients come again at once so many times, and then after so many milliseconds.
-const MAX_EAGER_REQUESTS: u32 = 500;
-const EAGER_RETRY_MS: u64 = 3;
+const MAX_IMMEDIATE_RETRIES: u32 = 500;
+const EAGER_RETRY_DELAY_MS: u64 = 3;
 
 /// A gateway that clients may go to.
 #[derive(Clone, Debug)]
@@ -48,7 +48,7 @@
 
 /// What a client is there for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Purpose {
+pub enum Workload {
     /// Requests of all kinds.
     Mixed,
     /// Requests of the tenant with a quota, well above it.
@@ -62,17 +62,17 @@
 
 /// How a request is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Manner {
-    Whole,
+enum SendMode {
+    SingleWrite,
     /// The head in two parts, with a pause between them.
-    HalfHead,
+    SplitHead,
     /// The body in several pieces, with pauses between them.
-    Pieces,
+    SplitBody,
 }
 
 struct RequestPlan {
     route: RouteKind,
-    manner: Manner,
+    send_mode: SendMode,
     request_bytes: usize,
     response_bytes: usize,
     is_streamed: bool,
@@ -80,12 +80,12 @@
 
 struct Client {
     number: usize,
-    purpose: Purpose,
+    workload: Workload,
     targets: Vec<Target>,
     rng: Rand64,
-    sent: u64,
+    sent_requests: u64,
     /// So many requests in a row were rejected by a gateway that may take them later.
-    rejections: u32,
+    consecutive_rejections: u32,
     recorder: Arc<Recorder>,
     stop: StopFlag,
 }
@@ -93,34 +93,45 @@
 /// Starts a client; it ends with its present request once it is stopped.
 pub fn start(
     number: usize,
-    purpose: Purpose,
+    workload: Workload,
     targets: Vec<Target>,
     seed: u64,
     recorder: Arc<Recorder>,
     stop: StopFlag,
 ) -> JoinHandle<()> {
     let rng = Rand64::new(u128::from(seed) << 32 | number as u128);
-    let mut client = Client { number, purpose, targets, rng, sent: 0, rejections: 0, recorder, stop };
+    let mut client = Client {
+        number,
+        workload,
+        targets,
+        rng,
+        sent_requests: 0,
+        consecutive_rejections: 0,
+        recorder,
+        stop,
+    };
     std::thread::spawn(move || client.run())
 }
 
 impl Client {
     fn run(&mut self) {
         while !self.stop.is_stopped() {
-            let index = match self.purpose {
-                Purpose::Version | Purpose::Eager => self.number % self.targets.len(),
-                Purpose::Mixed | Purpose::BeyondQuota => self.below(self.targets.len() as u64) as usize,
+            let index = match self.workload {
+                Workload::Version | Workload::Eager => self.number % self.targets.len(),
+                Workload::Mixed | Workload::BeyondQuota => {
+                    self.random_below(self.targets.len() as u64) as usize
+                }
             };
             let target = self.targets[index].clone();
             match HttpStream::connect(target.address, CONNECT_TIMEOUT) {
                 Ok(mut stream) => self.use_connection(&target, &mut stream),
-                Err(_) if self.purpose == Purpose::Eager => std::thread::sleep(EAGER_RECONNECT_PAUSE),
-                Err(_) => std::thread::sleep(RECONNECT_PAUSE),
+                Err(_) if self.workload == Workload::Eager => std::thread::sleep(EAGER_RECONNECT_DELAY),
+                Err(_) => std::thread::sleep(RECONNECT_DELAY),
             }
         }
     }
 
-    fn below(&mut self, bound: u64) -> u64 {
+    fn random_below(&mut self, bound: u64) -> u64 {
         self.rng.rand_range(0..bound)
     }
 
@@ -128,7 +139,7 @@
     fn use_connection(&mut self, target: &Target, stream: &mut HttpStream) {
         let connected_at = self.recorder.now();
         while !self.stop.is_stopped() {
-            self.pause();
+            self.wait_before_request();
             let plan = self.plan_request();
             if !self.request(target, stream, connected_at, &plan) {
                 return;
@@ -136,39 +147,43 @@
         }
     }
 
-    fn pause(&mut self) {
-        let millis = match (self.purpose, self.below(12)) {
-            (Purpose::Eager, _) if (1..MAX_EAGER_REQUESTS).contains(&self.rejections) => return,
-            (Purpose::Eager, _) if self.rejections > 0 => EAGER_RETRY_MS,
-            (Purpose::BeyondQuota, _) => self.below(30),
-            (Purpose::Mixed, 0) => 500 + self.below(2_500),
-            _ => self.below(120),
+    fn wait_before_request(&mut self) {
+        let millis = match (self.workload, self.random_below(12)) {
+            (Workload::Eager, _) if (1..MAX_IMMEDIATE_RETRIES).contains(&self.consecutive_rejections) => {
+                return
+            }
+            (Workload::Eager, _) if self.consecutive_rejections > 0 => EAGER_RETRY_DELAY_MS,
+            (Workload::BeyondQuota, _) => self.random_below(30),
+            (Workload::Mixed, 0) => 500 + self.random_below(2_500),
+            _ => self.random_below(120),
         };
         std::thread::sleep(Duration::from_millis(millis));
     }
 
     fn plan_request(&mut self) -> RequestPlan {
-        let whole = |route| RequestPlan {
+        let base = |route| RequestPlan {
             route,
-            manner: Manner::Whole,
+            send_mode: SendMode::SingleWrite,
             request_bytes: 0,
             response_bytes: 500,
             is_streamed: false,
         };
-        match self.purpose {
-            Purpose::BeyondQuota => return whole(RouteKind::Limited),
-            Purpose::Version => return whole(RouteKind::Version),
-            Purpose::Eager => return whole(RouteKind::Safe),
-            Purpose::Mixed => {}
+        match self.workload {
+            Workload::BeyondQuota => return base(RouteKind::Limited),
+            Workload::Version => return base(RouteKind::Version),
+            Workload::Eager => return base(RouteKind::Safe),
+            Workload::Mixed => {}
         }
-        match self.below(10) {
-            0 => RequestPlan { manner: Manner::HalfHead, ..whole(RouteKind::Safe) },
-            1 => {
-                RequestPlan { manner: Manner::Pieces, request_bytes: UPLOAD_BYTES, ..whole(RouteKind::Once) }
-            }
-            2 => RequestPlan { response_bytes: STREAM_BYTES, is_streamed: true, ..whole(RouteKind::Safe) },
-            3..=5 => RequestPlan { request_bytes: 300, ..whole(RouteKind::Once) },
-            _ => whole(RouteKind::Safe),
+        match self.random_below(10) {
+            0 => RequestPlan { send_mode: SendMode::SplitHead, ..base(RouteKind::Safe) },
+            1 => RequestPlan {
+                send_mode: SendMode::SplitBody,
+                request_bytes: UPLOAD_BYTES,
+                ..base(RouteKind::Once)
+            },
+            2 => RequestPlan { response_bytes: STREAM_BYTES, is_streamed: true, ..base(RouteKind::Safe) },
+            3..=5 => RequestPlan { request_bytes: 300, ..base(RouteKind::Once) },
+            _ => base(RouteKind::Safe),
         }
     }
 
@@ -180,44 +195,44 @@
         connected_at: Micros,
         plan: &RequestPlan,
     ) -> bool {
-        self.sent += 1;
-        let id = format!("c{}-{}", self.number, self.sent);
+        self.sent_requests += 1;
+        let id = format!("c{}-{}", self.number, self.sent_requests);
         let head = head(&id, plan);
         let sent_at = self.recorder.now();
         let complete_at = self.send(stream, head.as_bytes(), plan).ok().map(|()| self.recorder.now());
         // A response may have come before the request was complete.
-        let read = stream.read_message(RESPONSE, RESPONSE_TIMEOUT);
-        let persists = complete_at.is_some() && read.as_ref().is_ok_and(|(head, _)| head.is_persistent());
+        let read = stream.read_message(RESPONSE_KIND, RESPONSE_TIMEOUT);
+        let is_reusable = complete_at.is_some() && read.as_ref().is_ok_and(|(head, _)| head.is_persistent());
         let outcome = match read {
-            Ok((head, body)) => judge_response(&id, plan, &head, &body),
+            Ok((head, body)) => classify_response(&id, plan, &head, &body),
             Err(ReadError::Closed) => RequestOutcome::Broken,
             Err(ReadError::Malformed) => RequestOutcome::Malformed,
             Err(ReadError::TimedOut) => RequestOutcome::TimedOut,
         };
         let is_rejected =
             matches!(outcome, RequestOutcome::Response { status: 503, is_gateways_own: true, .. });
-        self.rejections = if is_rejected { self.rejections + 1 } else { 0 };
+        self.consecutive_rejections = if is_rejected { self.consecutive_rejections + 1 } else { 0 };
         let node = target.node.clone();
         let record =
             RequestRecord { id, node, route: plan.route, connected_at, sent_at, complete_at, outcome };
         self.recorder.record(Event::Request(record));
-        persists
+        is_reusable
     }
 
     fn send(&mut self, stream: &mut HttpStream, head: &[u8], plan: &RequestPlan) -> std::io::Result<()> {
         let body = vec![b'u'; plan.request_bytes];
-        match plan.manner {
-            Manner::Whole => stream.send(&[head, &body].concat()),
-            Manner::HalfHead => {
+        match plan.send_mode {
+            SendMode::SingleWrite => stream.send(&[head, &body].concat()),
+            SendMode::SplitHead => {
                 let middle = head.len() / 2;
                 stream.send(&head[..middle])?;
-                std::thread::sleep(Duration::from_millis(100 + self.below(600)));
+                std::thread::sleep(Duration::from_millis(100 + self.random_below(600)));
                 stream.send(&[&head[middle..], &body].concat())
             }
-            Manner::Pieces => {
+            SendMode::SplitBody => {
                 stream.send(head)?;
-                for piece in body.chunks(body.len().div_ceil(UPLOAD_PIECES)) {
-                    std::thread::sleep(Duration::from_millis(self.below(150)));
+                for piece in body.chunks(body.len().div_ceil(UPLOAD_WRITES)) {
+                    std::thread::sleep(Duration::from_millis(self.random_below(150)));
                     stream.send(piece)?;
                 }
                 Ok(())
@@ -228,9 +243,9 @@
 
 fn head(id: &str, plan: &RequestPlan) -> String {
     let (method, prefix, key) = match plan.route {
-        RouteKind::Safe => ("GET", "safe", KEY),
-        RouteKind::Once => ("POST", "once", KEY),
-        RouteKind::Version => ("GET", "version", KEY),
+        RouteKind::Safe => ("GET", "safe", UNLIMITED_KEY),
+        RouteKind::Once => ("POST", "once", UNLIMITED_KEY),
+        RouteKind::Version => ("GET", "version", UNLIMITED_KEY),
         RouteKind::Limited => ("GET", "safe", LIMITED_KEY),
     };
     let streamed = if plan.is_streamed { "/streamed" } else { "" };
@@ -240,14 +255,14 @@
     };
     format!(
         "{method} /{prefix}/{}/{}{streamed} HTTP/1.1\r\nHost: {HOST}\r\nX-Try-Id: {id}\r\n\
-         X-Time-Left-Ms: {TIME_LEFT_MS}\r\nAuthorization: Bearer {key}\r\n{length}\r\n",
+         X-Time-Left-Ms: {CLIENT_DEADLINE_MS}\r\nAuthorization: Bearer {key}\r\n{length}\r\n",
         plan.request_bytes, plan.response_bytes
     )
 }
 
-fn judge_response(id: &str, plan: &RequestPlan, head: &Head, body: &[u8]) -> RequestOutcome {
+fn classify_response(id: &str, plan: &RequestPlan, head: &Head, body: &[u8]) -> RequestOutcome {
     let status = head.status();
-    let Some(mark) = head.field("x-postmark") else {
+    let Some(marker) = head.field("x-postmark") else {
         // A success that no backend has marked is not the gateway's to give.
         let is_intact = !(200..300).contains(&status);
         return RequestOutcome::Response { status, is_gateways_own: true, is_intact, service: None };
@@ -255,7 +270,13 @@
     let end = body.iter().position(|byte| *byte == b':');
     let service = end.map(|end| String::from_utf8_lossy(&body[..end]).into_owned());
     let expected = service.as_deref().map(|service| response_body(service, id, plan.response_bytes));
-    let is_whole = status != 200 || expected.as_deref() == Some(body);
-    let is_ours = mark == postmark(id).as_bytes() && head.field("x-try-id") == Some(id.as_bytes());
-    RequestOutcome::Response { status, is_gateways_own: false, is_intact: is_whole && is_ours, service }
+    let is_body_intact = status != 200 || expected.as_deref() == Some(body);
+    let is_matching_id =
+        marker == response_marker(id).as_bytes() && head.field("x-try-id") == Some(id.as_bytes());
+    RequestOutcome::Response {
+        status,
+        is_gateways_own: false,
+        is_intact: is_body_intact && is_matching_id,
+        service,
+    }
 }
--- a/crates/soak/src/stand_ins/mod.rs
+++ b/crates/soak/src/stand_ins/mod.rs
@@ -32,6 +32,6 @@
 }
 
 /// The mark that a backend puts on its response to a request.
-pub fn postmark(id: &str) -> String {
+pub fn response_marker(id: &str) -> String {
     format!("mark.{id}")
 }
--- a/crates/soak/src/stand_ins/operator.rs
+++ b/crates/soak/src/stand_ins/operator.rs
@@ -1,10 +1,10 @@
 //! The operator: sends changes to any control process, follows redirects, and sends a change without a clear answer again,
 //! unchanged.
 
-use super::clients::{HOST, KEY, LIMITED_KEY, LIMITED_TENANT};
+use super::clients::{HOST, LIMITED_KEY, LIMITED_TENANT, UNLIMITED_KEY};
 use super::StopFlag;
 use crate::history::{ChangeRecord, Event, ReadRecord, Recorder};
-use crate::http_stream::{HttpStream, RESPONSE};
+use crate::http_stream::{HttpStream, RESPONSE_KIND};
 use crate::topology::ZONES;
 use oorandom::Rand64;
 use serde_json::{json, Value};
@@ -23,20 +23,20 @@
 /// The name of the route whose versions clients can tell.
 pub const VERSION_ROUTE: &str = "version";
 /// Routes of a large change.
-const MANY_ROUTES: usize = 400;
+const LARGE_CHANGE_ROUTES: usize = 400;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// A call without an answer in this time goes to another control process.
-const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_REDIRECTS: usize = 2;
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// A change is given up after so long.
-const GIVE_UP_AFTER: Duration = Duration::from_secs(60);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(60);
 /// One in so many answers is lost: the operator hangs up before it comes.
-const LOST_ANSWER_ONE_IN: u64 = 8;
+const REQUESTS_PER_DROPPED_RESPONSE: u64 = 8;
 
 /// A control process that operators call.
 #[derive(Clone, Debug)]
-pub struct Desk {
+pub struct ControlEndpoint {
     /// Its node id.
     pub node: String,
     /// Where it takes calls.
@@ -45,7 +45,7 @@
 
 /// The operator. Several threads may use it at once.
 pub struct Operator {
-    desks: Vec<Desk>,
+    endpoints: Vec<ControlEndpoint>,
     next_version: AtomicU64,
     rng: Mutex<Rand64>,
     acknowledged: AtomicU64,
@@ -54,14 +54,14 @@
 }
 
 /// A call and what it would change.
-struct Call {
+struct ChangeRequest {
     path: String,
     body: String,
     change: ChangeRecord,
 }
 
 /// What a control process answered.
-struct Answer {
+struct Response {
     status: u16,
     location: Option<SocketAddr>,
     body: Vec<u8>,
@@ -80,10 +80,15 @@
 
 impl Operator {
     /// An operator who calls these control processes.
-    pub fn new(desks: Vec<Desk>, seed: u64, recorder: Arc<Recorder>, stop: StopFlag) -> Operator {
+    pub fn new(
+        endpoints: Vec<ControlEndpoint>,
+        seed: u64,
+        recorder: Arc<Recorder>,
+        stop: StopFlag,
+    ) -> Operator {
         let rng = Mutex::new(Rand64::new(u128::from(seed) ^ 0x0b5e));
         Operator {
-            desks,
+            endpoints,
             next_version: AtomicU64::new(2),
             rng,
             acknowledged: AtomicU64::new(0),
@@ -92,12 +97,12 @@
         }
     }
 
-    fn below(&self, bound: u64) -> u64 {
+    fn random_below(&self, bound: u64) -> u64 {
         self.rng.lock().expect("no thread panics in here").rand_range(0..bound)
     }
 
     /// Brings the first configuration; whether it was acknowledged.
-    pub fn bring_configuration(&self) -> bool {
+    pub fn send_initial_configuration(&self) -> bool {
         let route = |name: &str, safety: &str, service: &str| {
             json!([name, HOST, format!("/{name}/"), safety, 8000, 1000, service, 2, "r1"])
         };
@@ -110,7 +115,7 @@
             },
             "customers": {
                 "headings": ["name", "permits", "rate-per-s", "surge", "edition"],
-                "entries": [["town", [KEY], 0, 0, "r1"],
+                "entries": [["town", [UNLIMITED_KEY], 0, 0, "r1"],
                     [LIMITED_TENANT, [LIMITED_KEY], LIMITED_RATE, LIMITED_BURST, "r1"]],
             },
             "carrier-lines": {
@@ -119,10 +124,10 @@
             },
             "weight-limits": {"envelope-bytes": 16384, "body-bytes": 1_048_576, "envelope-ms": 5000, "idle-ms": 15000, "edition": "r1"},
         }});
-        self.apply(self.call(body, VERSION_ROUTE, 1, Some(version_service(1))))
+        self.apply(self.request(body, VERSION_ROUTE, 1, Some(version_service(1))))
     }
 
-    fn call(&self, body: Value, item: &str, version: u64, service: Option<String>) -> Call {
+    fn request(&self, body: Value, item: &str, version: u64, service: Option<String>) -> ChangeRequest {
         let change = ChangeRecord {
             item: item.to_owned(),
             version,
@@ -131,7 +136,7 @@
             acknowledged_at: None,
             refused: None,
         };
-        Call { path: "/v1/Timetable.Patch".to_owned(), body: body.to_string(), change }
+        ChangeRequest { path: "/v1/Timetable.Patch".to_owned(), body: body.to_string(), change }
     }
 
     /// Leads the version route to the next service.
@@ -142,7 +147,7 @@
             "headings": ["name", "depot", "lane-prefix", "mail-kind", "deadline-ms", "target-ms", "line", "tries", "edition"],
             "entries": [[VERSION_ROUTE, HOST, "/version/", "safe", 8000, 1000, service, 2, format!("r{version}")]],
         }}});
-        self.apply(self.call(body, VERSION_ROUTE, version, Some(service)));
+        self.apply(self.request(body, VERSION_ROUTE, version, Some(service)));
     }
 
     /// Sets some hundred routes that nobody uses.
@@ -156,68 +161,69 @@
         };
         let body = json!({"deliver": {"itineraries": {
             "headings": ["name", "depot", "lane-prefix", "mail-kind", "deadline-ms", "target-ms", "line", "tries", "edition"],
-            "entries": (0..MANY_ROUTES).map(route).collect::<Vec<Value>>(),
+            "entries": (0..LARGE_CHANGE_ROUTES).map(route).collect::<Vec<Value>>(),
         }}});
-        self.apply(self.call(body, "many-0", version, None));
+        self.apply(self.request(body, "many-0", version, None));
     }
 
     /// Has a zone evacuated, or taken back.
-    pub fn evacuate(&self, zone: usize, is_on: bool) {
-        let (zone, step) = (ZONES[zone], if is_on { "Start" } else { "End" });
-        let mut call = self.call(Value::Null, zone, 0, None);
-        call.path = format!("/v1/Evacuate.{step}/{zone}");
-        call.body = String::new();
-        self.apply(call);
+    pub fn evacuate(&self, zone: usize, is_start: bool) {
+        let (zone, step) = (ZONES[zone], if is_start { "Start" } else { "End" });
+        let mut request = self.request(Value::Null, zone, 0, None);
+        request.path = format!("/v1/Evacuate.{step}/{zone}");
+        request.body = String::new();
+        self.apply(request);
     }
 
     /// Sends a change until it is acknowledged or refused; whether it was acknowledged.
-    fn apply(&self, mut call: Call) -> bool {
+    fn apply(&self, mut request: ChangeRequest) -> bool {
         let began = Instant::now();
-        while !self.stop.is_stopped() && began.elapsed() < GIVE_UP_AFTER {
-            let hangs_up = self.below(LOST_ANSWER_ONE_IN) == 0;
-            match self.send(&call, hangs_up) {
-                Some(answer) if answer.status == 200 => {
-                    call.change.acknowledged_at = Some(self.recorder.now());
+        while !self.stop.is_stopped() && began.elapsed() < CHANGE_TIMEOUT {
+            let drops_response = self.random_below(REQUESTS_PER_DROPPED_RESPONSE) == 0;
+            match self.send_following_redirects(&request, drops_response) {
+                Some(response) if response.status == 200 => {
+                    request.change.acknowledged_at = Some(self.recorder.now());
                     self.acknowledged.fetch_add(1, Ordering::Relaxed);
                     break;
                 }
-                Some(answer)
-                    if (400..500).contains(&answer.status) && ![408, 429].contains(&answer.status) =>
+                Some(response)
+                    if (400..500).contains(&response.status) && ![408, 429].contains(&response.status) =>
                 {
-                    call.change.refused = Some(answer.status);
+                    request.change.refused = Some(response.status);
                     break;
                 }
-                _ => std::thread::sleep(RETRY_PAUSE),
+                _ => std::thread::sleep(RETRY_DELAY),
             }
         }
-        let is_acknowledged = call.change.acknowledged_at.is_some();
-        self.recorder.record(Event::Change(call.change));
+        let is_acknowledged = request.change.acknowledged_at.is_some();
+        self.recorder.record(Event::Change(request.change));
         is_acknowledged
     }
 
     /// Sends a call to a control process that is drawn, and to those that it names.
-    fn send(&self, call: &Call, hangs_up: bool) -> Option<Answer> {
-        let mut address = self.desks[self.below(self.desks.len() as u64) as usize].address;
+    fn send_following_redirects(&self, request: &ChangeRequest, drops_response: bool) -> Option<Response> {
+        let mut address = self.endpoints[self.random_below(self.endpoints.len() as u64) as usize].address;
         for _ in 0..=MAX_REDIRECTS {
-            let answer = exchange(address, "POST", &call.path, &call.body, hangs_up)?;
-            match answer.location {
-                Some(location) if answer.status == 307 => address = location,
-                _ => return Some(answer),
+            let response = send_request(address, "POST", &request.path, &request.body, drops_response)?;
+            match response.location {
+                Some(location) if response.status == 307 => address = location,
+                _ => return Some(response),
             }
         }
         None
     }
 
     /// Reads the configuration from a control process, and records what it gave.
-    pub fn read(&self, desk: &Desk, is_final: bool) -> bool {
+    pub fn read(&self, endpoint: &ControlEndpoint, is_final: bool) -> bool {
         let sent_at = self.recorder.now();
-        let answer = exchange(desk.address, "GET", "/v1/Timetable.Get", "", false);
-        let versions =
-            answer.filter(|answer| answer.status == 200).and_then(|answer| route_versions(&answer.body));
+        let response = send_request(endpoint.address, "GET", "/v1/Timetable.Get", "", false);
+        let versions = response
+            .filter(|response| response.status == 200)
+            .and_then(|response| route_versions(&response.body));
         let is_read = versions.is_some();
         if is_read || is_final {
             self.recorder.record(Event::Read(ReadRecord {
-                node: desk.node.clone(),
+                node: endpoint.node.clone(),
                 sent_at,
                 versions,
                 is_final,
@@ -232,28 +238,34 @@
     }
 
     /// The control processes that it calls.
-    pub fn desks(&self) -> &[Desk] {
-        &self.desks
+    pub fn endpoints(&self) -> &[ControlEndpoint] {
+        &self.endpoints
     }
 }
 
 /// One call over a connection of its own.
-fn exchange(address: SocketAddr, method: &str, path: &str, body: &str, hangs_up: bool) -> Option<Answer> {
+fn send_request(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &str,
+    drops_response: bool,
+) -> Option<Response> {
     let mut stream = HttpStream::connect(address, CONNECT_TIMEOUT).ok()?;
     let head = format!(
         "{method} {path} HTTP/1.1\r\nHost: {address}\r\nContent-Type: application/json\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
         body.len()
     );
     stream.send([head.as_bytes(), body.as_bytes()].concat().as_slice()).ok()?;
-    if hangs_up {
+    if drops_response {
         return None;
     }
-    let (head, body) = stream.read_message(RESPONSE, CALL_TIMEOUT).ok()?;
+    let (head, body) = stream.read_message(RESPONSE_KIND, RESPONSE_TIMEOUT).ok()?;
     let location = head.field("location").and_then(|location| {
         let location = std::str::from_utf8(location).ok()?.strip_prefix("http://")?;
         location.split('/').next()?.parse().ok()
     });
-    Some(Answer { status: head.status(), location, body })
+    Some(Response { status: head.status(), location, body })
 }
 
 /// The versions of the routes in a configuration.
--- a/crates/soak/src/stand_ins/platform.rs
+++ b/crates/soak/src/stand_ins/platform.rs
@@ -57,7 +57,7 @@
         let zone = ZONES[backend.zone];
         by_zone.entry(zone).or_default().push(json!({
             "call-sign": backend.id, "line": backend.service, "address": backend.address.to_string(),
-            "district": zone, "edition": "v1", "berths": super::backends::SLOTS, "standing": "open",
+            "district": zone, "edition": "v1", "berths": super::backends::MAX_CONCURRENT_REQUESTS, "standing": "open",
             "cold-left-ms": 0,
         }));
     }
--- a/crates/soak/src/topology.rs
+++ b/crates/soak/src/topology.rs
@@ -1,13 +1,13 @@
 //! The processes of a soak: how many, where they listen, and their settings files.
 
-use crate::error::{Error, FileSnafu, FolderInUseSnafu};
+use crate::error::{Error, FileSnafu, FolderNotEmptySnafu};
 use snafu::{ensure, ResultExt};
 use std::fmt::Write;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
 
 /// How long a process may take to end after SIGTERM, in seconds, as its settings tell it.
-pub const GRACE_S: u64 = 6;
+pub const SHUTDOWN_GRACE_S: u64 = 6;
 /// Zones, each in a region of its own.
 pub const ZONES: [&str; 3] = ["north-1", "south-1", "east-1"];
 const REGIONS: [&str; 3] = ["north", "south", "east"];
@@ -24,7 +24,7 @@
 /// The fewest: three of each program.
 pub const MIN_PROCESSES: usize = 6;
 /// From so many processes on there are five control processes, and not three.
-const PROCESSES_FOR_FIVE: usize = 16;
+const MIN_PROCESSES_FOR_FIVE_CONTROL_PLANES: usize = 16;
 
 /// The program that a process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,7 +89,7 @@
     pub fn new(processes: usize, folder: PathBuf) -> Topology {
         let [.., high, low] = std::process::id().to_be_bytes();
         let network = [127, 64 | (high & 63), low];
-        let control_planes = if processes < PROCESSES_FOR_FIVE { 3 } else { 5 };
+        let control_planes = if processes < MIN_PROCESSES_FOR_FIVE_CONTROL_PLANES { 3 } else { 5 };
         let node = |index: usize| {
             let (role, name) = if index < control_planes {
                 (Role::ControlPlane, format!("control-{}", index + 1))
@@ -104,7 +104,7 @@
     }
 
     /// The indexes of the processes of a program.
-    pub fn of_role(&self, role: Role) -> Vec<usize> {
+    pub fn indexes_with_role(&self, role: Role) -> Vec<usize> {
         (0..self.nodes.len()).filter(|index| self.nodes[*index].role == role).collect()
     }
 
@@ -142,20 +142,20 @@
         revision: u32,
     ) -> Result<PathBuf, Error> {
         let path = self.folder.join(format!("{}.toml", self.nodes[index].name));
-        let next = path.with_extension("next");
-        std::fs::write(&next, self.settings(index, is_first_start, revision))
-            .context(FileSnafu { path: &next })?;
-        std::fs::rename(&next, &path).context(FileSnafu { path: &path })?;
+        let temporary = path.with_extension("next");
+        std::fs::write(&temporary, self.settings(index, is_first_start, revision))
+            .context(FileSnafu { path: &temporary })?;
+        std::fs::rename(&temporary, &path).context(FileSnafu { path: &path })?;
         Ok(path)
     }
 
     fn settings(&self, index: usize, is_first_start: bool, revision: u32) -> String {
         let node = &self.nodes[index];
-        let controls = self.of_role(Role::ControlPlane);
-        let bootstrap: Vec<String> = controls
+        let control_planes = self.indexes_with_role(Role::ControlPlane);
+        let bootstrap: Vec<String> = control_planes
             .iter()
             .take(3)
-            .map(|control| self.nodes[*control].operator_address().to_string())
+            .map(|control_plane| self.nodes[*control_plane].operator_address().to_string())
             .collect();
         let mut text = format!(
             "station = {:?}\nip = \"{}\"\ndistrict = {:?}\nprovince = {:?}\nsidings = {PEER_PORTS:?}\nfirst-stops = {bootstrap:?}\n",
@@ -178,7 +178,7 @@
         }
         let _ = write!(
             text,
-            "[schedule-bounds]\ncourtesy-s = {GRACE_S}\nretry-margin = {}\n[carrier-api]\naddress = \"{}\"\nrate-per-s = 100.0\ndelay-ms = 500\n",
+            "[schedule-bounds]\ncourtesy-s = {SHUTDOWN_GRACE_S}\nretry-margin = {}\n[carrier-api]\naddress = \"{}\"\nrate-per-s = 100.0\ndelay-ms = 500\n",
             60 + revision % 2,
             self.platform_address()
         );
@@ -191,8 +191,8 @@
     ///
     /// One is in use.
     pub fn check_addresses(&self) -> Result<(), Error> {
-        let of_nodes = self.nodes.iter().flat_map(Node::listen_addresses);
-        for address in of_nodes.chain([self.platform_address()]) {
+        let node_addresses = self.nodes.iter().flat_map(Node::listen_addresses);
+        for address in node_addresses.chain([self.platform_address()]) {
             std::net::TcpListener::bind(address).context(crate::error::ListenSnafu { address })?;
         }
         Ok(())
@@ -203,15 +203,15 @@
     /// # Errors
     ///
     /// They cannot be made, or the folder holds something.
-    pub fn make_folders(&self) -> Result<(), Error> {
-        make_folder(&self.folder)?;
+    pub fn create_folders(&self) -> Result<(), Error> {
+        create_folder(&self.folder)?;
         let mut entries = std::fs::read_dir(&self.folder).context(FileSnafu { path: &self.folder })?;
-        ensure!(entries.next().is_none(), FolderInUseSnafu { folder: &self.folder });
+        ensure!(entries.next().is_none(), FolderNotEmptySnafu { folder: &self.folder });
         let directories = (0..self.nodes.len()).filter_map(|index| self.data_directory(index));
-        directories.into_iter().try_for_each(|directory| make_folder(&directory))
+        directories.into_iter().try_for_each(|directory| create_folder(&directory))
     }
 }
 
-fn make_folder(path: &Path) -> Result<(), Error> {
+fn create_folder(path: &Path) -> Result<(), Error> {
     std::fs::create_dir_all(path).context(FileSnafu { path })
 }
