--- a/crates/soak/src/checker/configuration.rs
+++ b/crates/soak/src/checker/configuration.rs
@@ -1,4 +1,4 @@
-//! Rules about the configuration: what was acknowledged is in force, stays so, and can be read.
+//! Rules about the configuration: an acknowledged change comes into force, stays in force, and can be read.
 
 use super::incarnations::Incarnations;
 use super::{Finding, Rule};
@@ -8,9 +8,11 @@
 use crate::stand_ins::operator::VERSION_ROUTE;
 use std::collections::BTreeMap;
 
-/// An acknowledged change is in force on gateways in contact after so long; the system promises 4 s.
+/// Time within which an acknowledged change must be in force on gateways in contact with the control plane. The system
+/// promises 4 s; the rest is a margin for a busy machine.
 const MAX_PROPAGATION_DELAY: Micros = 8_000_000;
-/// A gateway is in contact where nothing has become of it or of a control process for so long.
+/// A gateway counts as in contact with the control plane if neither it nor a control-plane process was started, signalled
+/// or ended for this long.
 const CONTACT_SETTLE_TIME: Micros = 15_000_000;
 
 pub(super) fn check(records: &[Record], incarnations: &Incarnations) -> Vec<Finding> {
@@ -33,7 +35,7 @@
     }
 }
 
-/// What a client saw of the version route.
+/// A response on the version route, which shows the version in force.
 struct Observation<'a> {
     request: &'a RequestRecord,
     ended_at: Micros,
@@ -55,7 +57,7 @@
     findings
 }
 
-/// The newest version that a response may be of: several lead to the same service.
+/// The newest version that the response's service can stand for; several versions forward to the same service.
 fn observed_version<'a>(record: &'a Record, changes: &[&ChangeRecord]) -> Option<Observation<'a>> {
     let Event::Request(request) = &record.event else { return None };
     let RequestOutcome::Response { status: 200, service: Some(service), .. } = &request.outcome else {
@@ -89,7 +91,7 @@
     Some(Finding::new(Rule::Stale, observation.ended_at, node, detail).with_request(&observation.request.id))
 }
 
-/// The newest version that was seen of one incarnation of a gateway, by when.
+/// The versions observed on one incarnation of a gateway: when each response ended, and the newest version seen by then.
 #[derive(Default)]
 struct ObservedVersions(Vec<(Micros, u64)>);
 
--- a/crates/soak/src/checker/incarnations.rs
+++ b/crates/soak/src/checker/incarnations.rs
@@ -1,37 +1,37 @@
-//! The incarnations of the processes: when each began, what signals came, how it ended.
+//! The incarnations of the processes: when each started, which signals it was sent, and how it ended.
 
 use crate::history::{Event, Micros, ProcessChange, Record, SignalKind};
 use std::collections::BTreeMap;
 
-/// A process from its start to its end.
+/// A process from a start to the next exit.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Incarnation {
     pub(super) started_at: Micros,
     pub(super) signals: Vec<(Micros, SignalKind)>,
-    /// A signal came before it had set its handlers.
+    /// It was sent a signal before it had installed its handlers.
     was_signalled_before_handlers: bool,
-    /// When it ended, and its exit code.
+    /// When it ended, and its exit code; no code if a signal ended it.
     pub(super) exit: Option<(Micros, Option<i32>)>,
 }
 
 impl Incarnation {
-    /// Whether a signal of this kind came, until then.
+    /// Whether it had been sent a signal of this kind by `until`.
     pub(super) fn had_signal(&self, kind: SignalKind, until: Micros) -> bool {
         self.signals.iter().any(|(at, signal)| *signal == kind && *at <= until)
     }
 
-    /// When it was first told to end.
+    /// When it was first sent SIGTERM.
     pub(super) fn terminate_sent_at(&self) -> Option<Micros> {
         let mut terminations = self.signals.iter().filter(|(_, signal)| *signal == SignalKind::Terminate);
         terminations.next().map(|(at, _)| *at)
     }
 
-    /// Whether a signal ended it that came before it had set its handlers. One that ends with an exit code was not ended by that.
+    /// Whether a signal ended it that was sent before it had installed its handlers. An exit code rules that out.
     pub(super) fn was_ended_by_early_signal(&self) -> bool {
         self.was_signalled_before_handlers && matches!(self.exit, Some((_, None)))
     }
 
-    /// Whether it ended though nobody told it to.
+    /// Whether it ended without having been sent a signal that ends it.
     pub(super) fn exited_unexpectedly(&self) -> bool {
         if self.was_ended_by_early_signal() {
             return false;
@@ -42,7 +42,7 @@
         })
     }
 
-    /// Whether something other than an orderly end disturbed it, until then.
+    /// Whether it had been killed or frozen by `until`, or exited unexpectedly. An orderly exit is no disruption.
     pub(super) fn is_disrupted(&self, until: Micros) -> bool {
         self.had_signal(SignalKind::Kill, until)
             || self.had_signal(SignalKind::Freeze, until)
@@ -50,11 +50,11 @@
     }
 }
 
-/// All incarnations by node id.
+/// The incarnations of all processes.
 #[derive(Debug, Default)]
 pub(super) struct Incarnations {
     by_node: BTreeMap<String, Vec<Incarnation>>,
-    /// When anything became of a control process.
+    /// When a control-plane process was started, signalled or ended, in order of time.
     control_plane_events: Vec<Micros>,
 }
 
@@ -92,9 +92,10 @@
         })
     }
 
-    /// The incarnation that a connection was accepted by, and its number: the first that had not ended.
+    /// The incarnation that accepted a connection, and its number: the first that had not ended by `connected_at`.
     ///
-    /// Invariant: not by its start. A process may accept before its start is recorded; its end is recorded before the next start.
+    /// The start times are of no use here: a process may accept a connection before its start is recorded. Its end, however,
+    /// is always recorded before the next start.
     pub(super) fn at(&self, node: &str, connected_at: Micros) -> Option<(usize, &Incarnation)> {
         let incarnations = self.by_node.get(node)?;
         let had_ended =
@@ -103,7 +104,7 @@
         Some((number, incarnations.get(number)?))
     }
 
-    /// Whether nothing became of this process or of a control process between these times.
+    /// Whether neither this process nor a control-plane process was started, signalled or ended between these times.
     pub(super) fn had_no_events(&self, node: &str, from: Micros, to: Micros) -> bool {
         let is_within = |at: Micros| (from..=to).contains(&at);
         let is_incarnation_quiet = |incarnation: &Incarnation| {
--- a/crates/soak/src/checker/mod.rs
+++ b/crates/soak/src/checker/mod.rs
@@ -1,6 +1,7 @@
-//! Judges a history: what clients, backends, the operator and the machine saw, and nothing that the programs say of themselves.
+//! Checks a history against the rules. It relies on what clients, backends, the operator and the machine observed, never on
+//! what the programs report about themselves.
 //!
-//! Bounds in time are wide, so that a busy machine breaks none; what is judged first is order and number.
+//! Time limits are wide enough to hold on a busy machine; most rules are about order and counts.
 
 mod configuration;
 mod incarnations;
@@ -15,60 +16,61 @@
 use incarnations::Incarnations;
 use serde::Serialize;
 
-/// What a finding breaks.
+/// The rule that a finding violates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// A request that all configurations allow was rejected as wrong.
+    /// A gateway rejected a request that every configuration allows, with a status that does not invite a retry.
     Denied,
-    /// A response was of another request, not whole, or nobody's.
+    /// A response was malformed, incomplete, of another request, or a success that no backend generated.
     Mixed,
     /// A non-idempotent request ran more than once.
     Doubled,
-    /// A request was rejected with the promise that it has not run, and has run.
+    /// A non-idempotent request ran although a gateway rejected it with a status that says it did not.
     Refused,
-    /// A request ran that no client sent, or with another body.
+    /// A request ran that no client sent, or ran with another body than was sent.
     Unasked,
-    /// A request ran at a service that its route never led to.
+    /// A request ran at a service that its route never forwarded to.
     WrongService,
-    /// A backend answered, the gateway was not killed, and the client got nothing.
+    /// A client got no response although a backend had responded and the gateway was neither killed nor frozen.
     Lost,
-    /// A gateway that ran said nothing until long after the deadline.
+    /// A gateway that was neither killed nor frozen sent nothing until long after the request's deadline.
     Unanswered,
-    /// A gateway in contact went by an old configuration for too long after a newer one was acknowledged.
+    /// A gateway in contact with the control plane applied an old configuration for too long after a newer one was
+    /// acknowledged.
     Stale,
-    /// A gateway went back to an older configuration in the same incarnation.
+    /// A gateway reverted to an older configuration within one incarnation.
     WentBack,
-    /// An acknowledged change is gone.
+    /// An acknowledged change was missing at the end.
     ChangeLost,
-    /// A read gave an older configuration than was acknowledged long before.
+    /// A read returned an older configuration than one acknowledged long before.
     OldRead,
-    /// A valid change was refused.
+    /// A valid change was rejected.
     ChangeRefused,
-    /// A tenant's requests ran above its quota.
+    /// More requests of a tenant ran than its quota allows.
     QuotaExceeded,
-    /// A process ended by itself.
+    /// A process exited without having been sent a signal that ends it.
     EndedByItself,
-    /// A process that was told to end did so with an error.
+    /// A process exited with an error after SIGTERM.
     UncleanEnd,
-    /// A process that was told to end took too long.
+    /// A process took too long to exit after SIGTERM.
     LateEnd,
-    /// A gateway was not ready again at the end, or a control process gave no configuration.
+    /// At the end, a gateway was not ready or a control-plane process returned no configuration.
     NotRecovered,
-    /// A process takes more and more, or too much.
+    /// A process's resource usage exceeded a limit or kept growing.
     Resources,
 }
 
-/// Something that the system did and should not have.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// What it breaks.
+    /// The violated rule.
     pub rule: Rule,
-    /// When.
+    /// When it was recorded.
     pub at: Micros,
-    /// The process concerned.
+    /// The process concerned; for some rules the backend id, the tenant or `operator`.
     pub node: String,
-    /// The request concerned, if any.
+    /// The id of the request concerned, if any.
     pub request: Option<String>,
     /// What happened.
     pub detail: String,
@@ -84,7 +86,7 @@
     }
 }
 
-/// All findings of a history, in the order of their times.
+/// Returns all findings of a history in order of time.
 pub fn check(records: &[Record]) -> Vec<Finding> {
     let incarnations = Incarnations::from_records(records);
     let mut findings = requests::check(records, &incarnations);
--- a/crates/soak/src/checker/processes.rs
+++ b/crates/soak/src/checker/processes.rs
@@ -1,11 +1,11 @@
-//! Rules about processes: how they end, and whether all is well again at the end.
+//! Rules about processes: how they exit, and whether the gateways are ready at the end.
 
 use super::incarnations::{Incarnation, Incarnations};
 use super::{Finding, Rule};
 use crate::history::{Event, Micros, Record};
 use crate::topology::SHUTDOWN_GRACE_S;
 
-/// A process ends within its grace and this, which a busy machine may need.
+/// Time within which a process must exit after SIGTERM: the grace period of its settings, and 12 s for a busy machine.
 const MAX_EXIT_DELAY: Micros = (SHUTDOWN_GRACE_S + 12) * 1_000_000;
 
 pub(super) fn check(records: &[Record], incarnations: &Incarnations) -> Vec<Finding> {
--- a/crates/soak/src/checker/quota.rs
+++ b/crates/soak/src/checker/quota.rs
@@ -1,14 +1,15 @@
-//! The quota over all gateways together.
+//! The rule about the quota, which holds for all gateways together.
 
 use super::{Finding, Rule};
 use crate::history::{Event, Micros, Record};
 use crate::stand_ins::clients::LIMITED_TENANT;
 use crate::stand_ins::operator::{LIMITED_BURST, LIMITED_RATE};
 
-/// Runs are counted over windows of this length.
+/// Length of the sliding window in which runs are counted.
 const WINDOW: Micros = 10_000_000;
-/// Runs of a window that are allowed: what the limit allows, a quarter more, and a margin for the crowding of a busy machine.
+/// A window may contain this multiple of the runs that the quota allows.
 const EXCESS_FACTOR: f64 = 1.25;
+/// Runs allowed on top of that, since a busy machine may delay runs so that they bunch up.
 const MARGIN_RUNS: f64 = 40.0;
 
 pub(super) fn check(records: &[Record]) -> Option<Finding> {
--- a/crates/soak/src/checker/requests.rs
+++ b/crates/soak/src/checker/requests.rs
@@ -1,11 +1,12 @@
-//! Rules about single requests: what their clients got, and where they ran.
+//! Rules about single requests: which response the client got, and where the request ran.
 
 use super::incarnations::Incarnations;
 use super::{Finding, Rule};
 use crate::history::{Event, Micros, Record, RequestOutcome, RequestRecord, RouteKind, RunRecord};
 use std::collections::HashMap;
 
-/// Statuses of a gateway's own that say nothing of the request: it may come again.
+/// Statuses of a gateway's own responses that mean the request did not run and may be retried. They do not say that the
+/// request is invalid.
 const RETRY_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 pub(super) fn check(records: &[Record], incarnations: &Incarnations) -> Vec<Finding> {
@@ -64,13 +65,13 @@
         RequestOutcome::Broken => {
             let was_answered = runs.iter().any(|run| run.is_answered);
             if request.complete_at.is_some() && was_answered && !is_disrupted() {
-                add(Rule::Lost, "a backend answered".to_owned());
+                add(Rule::Lost, "a backend had responded".to_owned());
             }
         }
         RequestOutcome::TimedOut if request.complete_at.is_some() && !is_disrupted() => {
             add(Rule::Unanswered, "no response".to_owned());
         }
-        RequestOutcome::Malformed => add(Rule::Mixed, "no response in the protocol".to_owned()),
+        RequestOutcome::Malformed => add(Rule::Mixed, "not a valid HTTP response".to_owned()),
         RequestOutcome::TimedOut | RequestOutcome::Response { .. } => {}
     }
     if let RequestOutcome::Response { status, is_intact: false, service, .. } = &request.outcome {
@@ -82,9 +83,9 @@
 fn check_run(at: Micros, run: &RunRecord, request: Option<&RequestRecord>) -> Option<Finding> {
     let finding =
         |rule, detail: &str| Finding::new(rule, at, &run.backend, detail.to_owned()).with_request(&run.id);
-    let Some(request) = request else { return Some(finding(Rule::Unasked, "no client sent it")) };
+    let Some(request) = request else { return Some(finding(Rule::Unasked, "no client sent this request")) };
     if run.is_garbled && request.complete_at.is_some() {
-        return Some(finding(Rule::Unasked, "its body is another"));
+        return Some(finding(Rule::Unasked, "the request body differs from what was sent"));
     }
     let is_expected_service = match request.route {
         RouteKind::Safe | RouteKind::Limited => run.service == "books",
--- a/crates/soak/src/checker/resources.rs
+++ b/crates/soak/src/checker/resources.rs
@@ -1,4 +1,4 @@
-//! Rules about what processes take of the machine: it levels off.
+//! Rules about the resource usage of processes: it stays within limits and does not keep growing.
 
 use super::{Finding, Rule};
 use crate::history::{Event, Micros, ProcessChange, Record, ResourceSample};
@@ -8,11 +8,12 @@
 const MAX_DESCRIPTORS: u64 = 1_500;
 const MAX_THREADS: u64 = 4;
 const MAX_DISK_BYTES: u64 = 96 << 20;
-/// Bytes of log in a second, on average over the soak.
+/// Average over the time since the start of the soak test, which is taken as at least a minute.
 const MAX_LOG_BYTES_PER_S: u64 = 16 * 1024;
-/// Growth is judged of incarnations with at least so many samples.
+/// Growth is checked for incarnations with at least this many samples.
 const MIN_SAMPLES: usize = 40;
-/// The least of an incarnation's last quarter may be so much of the most of its second quarter, in percent, and this much more.
+/// The lowest sample in the last quarter of an incarnation may be at most this percentage of the highest in its second
+/// quarter, plus the slack of the resource.
 const MAX_GROWTH_PERCENT: u64 = 150;
 const MEMORY_SLACK_KIB: u64 = 12 * 1024;
 const DESCRIPTOR_SLACK: u64 = 60;
--- a/crates/soak/src/checker/tests.rs
+++ b/crates/soak/src/checker/tests.rs
@@ -1,4 +1,5 @@
-//! A history that keeps all rules, and for each rule the change that breaks it. A rule that is taken out fails its case.
+//! Checks a history that satisfies all rules, and for each rule a modified history that violates it, so that removing a rule
+//! makes its case fail.
 
 use super::*;
 use crate::history::{
@@ -94,7 +95,7 @@
     [run(second, id, service), request(second, id, RouteKind::Version, response(200, Some(service)))]
 }
 
-/// One of each, and all is well.
+/// A history with events of all kinds that satisfies all rules.
 fn clean_history() -> Vec<Record> {
     let mut records = vec![started(0, "control-1"), started(0, "gateway-1"), change(1, 1, "version-1")];
     records
@@ -113,7 +114,7 @@
     records
 }
 
-/// The rules that a history breaks, each once.
+/// The rules that a history violates, each listed once.
 fn violated_rules(mut records: Vec<Record>) -> Vec<Rule> {
     records.sort_by_key(|record| record.at);
     let mut rules: Vec<Rule> = check(&records).into_iter().map(|finding| finding.rule).collect();
@@ -122,7 +123,7 @@
     rules
 }
 
-/// The records, with what a request of this id ended with replaced.
+/// The clean history, with another outcome for the request with this id.
 fn with_outcome(id: &str, outcome: RequestOutcome) -> Vec<Record> {
     let mut records = clean_history();
     for record in &mut records {
@@ -135,11 +136,11 @@
     records
 }
 
-fn with(more: impl IntoIterator<Item = Record>) -> Vec<Record> {
+fn with_records(more: impl IntoIterator<Item = Record>) -> Vec<Record> {
     clean_history().into_iter().chain(more).collect()
 }
 
-fn without_end(more: impl IntoIterator<Item = Record>) -> Vec<Record> {
+fn with_final_exit(more: impl IntoIterator<Item = Record>) -> Vec<Record> {
     let mut records = clean_history();
     records.truncate(records.len() - 2);
     records.extend(more);
@@ -170,37 +171,38 @@
 #[case::denied(with_outcome("t1", response(404, None)), Rule::Denied)]
 #[case::redirected(with_outcome("t1", response(302, None)), Rule::Denied)]
 #[case::malformed(with_outcome("t1", RequestOutcome::Malformed), Rule::Mixed)]
-#[case::doubled(with([run(22, "t2", "loans")]), Rule::Doubled)]
-#[case::refused(with([run(62, "t5", "loans")]), Rule::Refused)]
-#[case::nobodys(with([run(62, "t9", "loans")]), Rule::Unasked)]
-#[case::wrong_service(with([run(20, "t1", "loans")]), Rule::WrongService)]
-#[case::lost(with([run(63, "t6", "books")]), Rule::Lost)]
+#[case::doubled(with_records([run(22, "t2", "loans")]), Rule::Doubled)]
+#[case::refused(with_records([run(62, "t5", "loans")]), Rule::Refused)]
+#[case::unsent(with_records([run(62, "t9", "loans")]), Rule::Unasked)]
+#[case::wrong_service(with_records([run(20, "t1", "loans")]), Rule::WrongService)]
+#[case::lost(with_records([run(63, "t6", "books")]), Rule::Lost)]
 #[case::unanswered(with_outcome("t6", RequestOutcome::TimedOut), Rule::Unanswered)]
-#[case::stale(with(observed(61, "t7", "version-1")), Rule::Stale)]
-#[case::old_read(with([read(62, 1, false)]), Rule::OldRead)]
-#[case::lost_change(with([read(70, 1, true)]), Rule::ChangeLost)]
-#[case::ended(without_end([exited(72, Some(1))]), Rule::EndedByItself)]
-#[case::unclean(without_end([signalled(72, SignalKind::Terminate), exited(73, Some(1))]), Rule::UncleanEnd)]
-#[case::late(without_end([signalled(72, SignalKind::Terminate), exited(99, Some(0))]), Rule::LateEnd)]
-#[case::memory(with([sample(70, 1 << 20, 10)]), Rule::Resources)]
-#[case::descriptors(with([sample(70, 10, 5_000)]), Rule::Resources)]
-fn each_rule_is_found_broken(#[case] records: Vec<Record>, #[case] rule: Rule) {
+#[case::stale(with_records(observed(61, "t7", "version-1")), Rule::Stale)]
+#[case::old_read(with_records([read(62, 1, false)]), Rule::OldRead)]
+#[case::lost_change(with_records([read(70, 1, true)]), Rule::ChangeLost)]
+#[case::exited_unexpectedly(with_final_exit([exited(72, Some(1))]), Rule::EndedByItself)]
+#[case::unclean_exit(with_final_exit([signalled(72, SignalKind::Terminate), exited(73, Some(1))]), Rule::UncleanEnd)]
+#[case::late_exit(with_final_exit([signalled(72, SignalKind::Terminate), exited(99, Some(0))]), Rule::LateEnd)]
+#[case::memory(with_records([sample(70, 1 << 20, 10)]), Rule::Resources)]
+#[case::descriptors(with_records([sample(70, 10, 5_000)]), Rule::Resources)]
+fn each_rule_reports_its_violation(#[case] records: Vec<Record>, #[case] rule: Rule) {
     let rules = violated_rules(records);
     assert!(rules.contains(&rule), "{rules:?}");
 }
 
-/// No process can catch a signal before its first instruction.
+/// A signal can reach a process before it has installed its handlers; the signal then ends it, which is no fault of the
+/// program.
 #[test]
-fn a_signal_before_the_handlers_are_set_may_end_a_process() {
+fn a_signal_before_the_handlers_are_installed_may_end_a_process() {
     let early = process(72, "gateway-1", ProcessChange::SignalledTooEarly(SignalKind::Reload));
-    assert_eq!(violated_rules(without_end([early.clone(), exited(72, None)])), []);
-    assert_eq!(violated_rules(without_end([early, exited(72, Some(1))])), [Rule::EndedByItself]);
+    assert_eq!(violated_rules(with_final_exit([early.clone(), exited(72, None)])), []);
+    assert_eq!(violated_rules(with_final_exit([early, exited(72, Some(1))])), [Rule::EndedByItself]);
     let caught = signalled(72, SignalKind::Reload);
-    assert_eq!(violated_rules(without_end([caught, exited(72, None)])), [Rule::EndedByItself]);
+    assert_eq!(violated_rules(with_final_exit([caught, exited(72, None)])), [Rule::EndedByItself]);
 }
 
 #[test]
-fn a_mixed_response_is_found() {
+fn a_response_that_is_not_intact_is_reported() {
     let outcome = RequestOutcome::Response {
         status: 200,
         is_gateways_own: false,
@@ -211,74 +213,79 @@
 }
 
 #[test]
-fn a_garbled_body_is_found() {
+fn a_corrupted_request_body_is_reported() {
     let mut garbled = run(21, "t2", "loans");
     if let Event::Run(run) = &mut garbled.event {
         run.is_garbled = true;
     }
-    assert!(violated_rules(with([garbled])).contains(&Rule::Unasked));
+    assert!(violated_rules(with_records([garbled])).contains(&Rule::Unasked));
 }
 
 #[test]
-fn a_gateway_that_goes_back_is_found_in_the_same_life_only() {
-    // Too soon after the change for it to be stale.
-    let back = |more: Vec<Record>| {
-        let again = [observed(33, "t7", "version-2"), observed(35, "t8", "version-1")].into_iter().flatten();
-        violated_rules(with(again.chain(more)))
+fn a_version_regression_is_reported_only_within_one_incarnation() {
+    // Too soon after the change for the old version to count as stale.
+    let rules_after_regression = |more: Vec<Record>| {
+        let observations =
+            [observed(33, "t7", "version-2"), observed(35, "t8", "version-1")].into_iter().flatten();
+        violated_rules(with_records(observations.chain(more)))
     };
-    assert_eq!(back(Vec::new()), [Rule::WentBack]);
+    assert_eq!(rules_after_regression(Vec::new()), [Rule::WentBack]);
     let restart = vec![signalled(34, SignalKind::Kill), exited(34, None), started(34, "gateway-1")];
-    assert_eq!(back(restart), []);
+    assert_eq!(rules_after_regression(restart), []);
 }
 
 #[test]
-fn a_stale_gateway_is_excused_while_it_or_a_control_process_is_disturbed() {
-    let old = || observed(61, "t7", "version-1").into_iter();
-    let core = process(55, "control-1", ProcessChange::Signalled(SignalKind::Freeze));
-    assert!(!violated_rules(with(old().chain([core]))).contains(&Rule::Stale));
-    assert!(!violated_rules(with(old().chain([signalled(55, SignalKind::Freeze)]))).contains(&Rule::Stale));
+fn a_stale_gateway_is_not_reported_soon_after_a_process_event() {
+    let stale_response = || observed(61, "t7", "version-1").into_iter();
+    let control_plane_event = process(55, "control-1", ProcessChange::Signalled(SignalKind::Freeze));
+    assert!(
+        !violated_rules(with_records(stale_response().chain([control_plane_event]))).contains(&Rule::Stale)
+    );
+    assert!(!violated_rules(with_records(stale_response().chain([signalled(55, SignalKind::Freeze)])))
+        .contains(&Rule::Stale));
 }
 
 #[rstest]
 #[case::killed(SignalKind::Kill)]
 #[case::frozen(SignalKind::Freeze)]
-fn what_a_killed_or_frozen_gateway_breaks_off_is_not_lost(#[case] kind: SignalKind) {
-    let records = with([run(63, "t6", "books"), signalled(62, kind)]);
+fn a_response_cut_off_by_killing_or_freezing_the_gateway_is_not_lost(#[case] kind: SignalKind) {
+    let records = with_records([run(63, "t6", "books"), signalled(62, kind)]);
     assert!(!violated_rules(records).contains(&Rule::Lost));
 }
 
-/// A process may accept a connection before its start is recorded.
+/// A process may accept a connection before its start is recorded, so the start time must not decide which incarnation a
+/// connection belongs to.
 #[test]
-fn a_connection_belongs_to_the_incarnation_that_had_not_ended() {
+fn a_connection_belongs_to_the_first_incarnation_that_had_not_ended() {
     let restart = [signalled(5, SignalKind::Kill), exited(6, None), started(9, "gateway-1")];
     let mut early = request(20, "t8", RouteKind::Safe, RequestOutcome::Broken);
     if let Event::Request(request) = &mut early.event {
         request.connected_at = 9 * SECOND - 20;
     }
-    let lost = || with(restart.clone().into_iter().chain([run(20, "t8", "books"), early.clone()]));
+    let lost = || with_records(restart.clone().into_iter().chain([run(20, "t8", "books"), early.clone()]));
     assert_eq!(violated_rules(lost()), [Rule::Lost]);
     let killed = lost().into_iter().chain([signalled(19, SignalKind::Kill)]).collect();
     assert_eq!(violated_rules(killed), []);
 }
 
 #[test]
-fn a_refused_change_and_a_process_that_does_not_recover_are_found() {
+fn a_rejected_change_and_a_process_that_does_not_recover_are_reported() {
     let mut refused = change(40, 3, "version-3");
     if let Event::Change(change) = &mut refused.event {
         (change.acknowledged_at, change.refused) = (None, Some(409));
     }
-    assert_eq!(violated_rules(with([refused])), [Rule::ChangeRefused]);
+    assert_eq!(violated_rules(with_records([refused])), [Rule::ChangeRefused]);
     let not_ready = record(71, Event::FinalReadiness { node: "gateway-1".to_owned(), is_ready: false });
-    assert_eq!(violated_rules(with([not_ready])), [Rule::NotRecovered]);
+    assert_eq!(violated_rules(with_records([not_ready])), [Rule::NotRecovered]);
     let (node, versions) = ("control-1".to_owned(), None);
     let unread = record(70, Event::Read(ReadRecord { node, sent_at: 0, versions, is_final: true }));
-    assert_eq!(violated_rules(with([unread])), [Rule::NotRecovered]);
+    assert_eq!(violated_rules(with_records([unread])), [Rule::NotRecovered]);
 }
 
 #[rstest]
 #[case::within(250, false)]
 #[case::beyond(400, true)]
-fn runs_beyond_the_quota_are_found(#[case] runs: usize, #[case] is_found: bool) {
+fn runs_beyond_the_quota_are_reported(#[case] runs: usize, #[case] is_reported: bool) {
     let limited = (0..runs).flat_map(|number| {
         let id = format!("q{number}");
         let mut limited = run(50, &id, "books");
@@ -287,18 +294,18 @@
         }
         [limited, request(50, &id, RouteKind::Limited, response(200, Some("books")))]
     });
-    assert_eq!(violated_rules(with(limited)).contains(&Rule::QuotaExceeded), is_found);
+    assert_eq!(violated_rules(with_records(limited)).contains(&Rule::QuotaExceeded), is_reported);
 }
 
 #[rstest]
 #[case::level(|_| 20_000, |_| 40, false)]
 #[case::memory(|second| 20_000 + second * second * 40, |_| 40, true)]
 #[case::descriptors(|_| 20_000, |second| 20 + second * second / 4, true)]
-fn growth_without_end_is_found(
+fn unbounded_growth_is_reported(
     #[case] memory: fn(u64) -> u64,
     #[case] descriptors: fn(u64) -> u64,
-    #[case] is_found: bool,
+    #[case] is_reported: bool,
 ) {
     let samples = (2..70).map(|second| sample(second, memory(second), descriptors(second)));
-    assert_eq!(violated_rules(with(samples)).contains(&Rule::Resources), is_found);
+    assert_eq!(violated_rules(with_records(samples)).contains(&Rule::Resources), is_reported);
 }
--- a/crates/soak/src/cli.rs
+++ b/crates/soak/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parses and executes the command line.
 
 use crate::history::read_history;
 use crate::report::Report;
@@ -12,18 +12,20 @@
 use std::time::Duration;
 
 const HELP: &str = "\
-kitepass-soak: runs both programs for long, under faults by seed, and checks what clients and backends saw
+kitepass-soak: runs the control plane and the data plane under seeded faults and checks what clients and backends saw
 
   kitepass-soak run [--seed N] [--minutes M] [--processes P] [--programs DIR] [--folder DIR] [--json] [--keep]
-  kitepass-soak plan [--seed N] [--minutes M] [--processes P]     prints what run would do
-  kitepass-soak check FILE [--json]                               checks the history of a run again
-
---minutes: how long faults go on (1); starting and recovering come on top. --processes: of the system (6 to 240; 6).
---programs: the folder of kitepass-control-plane and kitepass-data-plane (target/release). --folder: for settings,
-logs, data and the history; without it one that is removed if nothing was found, unless --keep is given.
+  kitepass-soak plan [--seed N] [--minutes M] [--processes P]     prints the steps that run would execute
+  kitepass-soak check FILE [--json]                               checks the history of an earlier run again
+
+--minutes: duration of fault injection, without startup and recovery (default 1).
+--processes: processes of the system under test, 6 to 240 (default 6).
+--programs: folder with kitepass-control-plane and kitepass-data-plane (default target/release).
+--folder: folder for settings, logs, data and the history; must be empty. Without it a temporary folder is used,
+which is removed if there are no findings, unless --keep is given.
 KITEPASS_LOG=info logs each step.
 
-Exit codes: 0 nothing was found, 1 findings, 2 a wrong command line, 3 the soak itself failed.
+Exit codes: 0 no findings, 1 findings, 2 invalid command line, 3 the soak test itself failed.
 ";
 
 const EXIT_FINDINGS: u8 = 1;
@@ -31,7 +33,7 @@
 const EXIT_FAILURE: u8 = 3;
 const DEFAULT_PROGRAMS: &str = "target/release";
 
-/// What the command line asks for.
+/// The parsed command line.
 #[derive(Debug)]
 enum Command {
     Run(Arguments),
@@ -99,14 +101,14 @@
         ["run"] => Ok(Command::Run(parsed)),
         ["plan"] => Ok(Command::Plan(parsed)),
         ["check", file] => Ok(Command::Check(file.into(), parsed)),
-        _ => Err("run, plan or check FILE is needed; --help tells more".into()),
+        _ => Err("expected run, plan or check FILE; see --help".into()),
     }
 }
 
 fn parse_minutes(text: &str) -> Result<f64, String> {
     let minutes: f64 = text.parse().map_err(|_| "not a number".to_owned())?;
     let is_valid = (0.0..=24.0 * 60.0).contains(&minutes);
-    is_valid.then_some(minutes).ok_or_else(|| "not between 0 and a day".to_owned())
+    is_valid.then_some(minutes).ok_or_else(|| "not between 0 and 1440 (one day)".to_owned())
 }
 
 fn parse_processes(text: &str) -> Result<usize, String> {
@@ -115,7 +117,7 @@
     is_valid.then_some(processes).ok_or_else(|| format!("not between {MIN_PROCESSES} and {MAX_PROCESSES}"))
 }
 
-/// Runs the program.
+/// Runs the program with these arguments, without the program's name.
 pub fn main(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     let command = match parse(arguments) {
         Ok(command) => command,
@@ -168,7 +170,7 @@
 fn print_report(report: &Report, is_json: bool) -> ExitCode {
     report.finding_lines().iter().for_each(|line| eprintln!("{line}"));
     if is_json {
-        println!("{}", serde_json::to_string(report).expect("a report has no maps with odd keys"));
+        println!("{}", serde_json::to_string(report).expect("all map keys of a report are strings"));
     } else {
         print!("{}", report.table());
     }
--- a/crates/soak/src/error.rs
+++ b/crates/soak/src/error.rs
@@ -1,76 +1,76 @@
-//! Why a soak cannot begin or go on. What it finds about the system is no error but a finding.
+//! Errors of the soak test itself. Faults of the system under test are findings, not errors.
 
 use snafu::Snafu;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a soak ends before its time.
+/// Why a soak test cannot start or continue.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
-    /// A file or folder of the soak's own cannot be used; a full disk is one reason.
+    /// A file or folder of the soak test cannot be read or written, for example because the disk is full.
     #[snafu(display("{}: {source}", path.display()))]
     File {
         /// The file.
         path: PathBuf,
-        /// The system's error.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The soak's folder holds something: data of an earlier soak would pass for the system's.
-    #[snafu(display("{}: is not empty; name another --folder", folder.display()))]
+    /// The folder is not empty: the system under test would take over the data of an earlier soak test.
+    #[snafu(display("{} is not empty; choose another --folder", folder.display()))]
     FolderNotEmpty {
         /// The folder.
         folder: PathBuf,
     },
-    /// An address that the soak needs is in use.
+    /// An address that the soak test needs cannot be bound, usually because it is in use.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// A program is not there or cannot be started.
-    #[snafu(display("cannot start {}: {source}; build it, or name its folder with --programs", program.display()))]
+    /// A program is missing or cannot be started.
+    #[snafu(display("cannot start {}: {source}; build it, or set its folder with --programs", program.display()))]
     Start {
         /// The program.
         program: PathBuf,
-        /// The system's error.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The system did not come up.
-    #[snafu(display("{condition} not within {seconds} s; the logs are in {}", folder.display()))]
+    /// A condition on the system under test was not met in time, at startup or during recovery.
+    #[snafu(display("timed out after {seconds} s waiting until {condition}; the logs are in {}", folder.display()))]
     WaitTimeout {
-        /// What did not happen.
+        /// The condition, as a clause that completes "waiting until".
         condition: &'static str,
-        /// How long was waited.
+        /// The time limit in seconds.
         seconds: u64,
-        /// The soak's folder.
+        /// The soak test's folder.
         folder: PathBuf,
     },
-    /// A process of the system ended while it came up.
-    #[snafu(display("a process ended by itself while the system came up; the logs are in {}", folder.display()))]
+    /// A process of the system under test exited during startup.
+    #[snafu(display("a process exited unexpectedly during startup; the logs are in {}", folder.display()))]
     ExitedDuringStartup {
-        /// The soak's folder.
+        /// The soak test's folder.
         folder: PathBuf,
     },
-    /// Signal handlers cannot be set.
-    #[snafu(display("signals: {source}"))]
+    /// The signal handlers cannot be installed.
+    #[snafu(display("cannot install the signal handlers: {source}"))]
     Signals {
-        /// The system's error.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// A history file has a line that is none of its records.
+    /// A line of a history file is not a valid record.
     #[snafu(display("{}, line {line}: {source}", path.display()))]
     History {
         /// The file.
         path: PathBuf,
-        /// The line, from 1.
+        /// The line number, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// The parse error.
         source: serde_json::Error,
     },
-    /// SIGINT or SIGTERM has come.
+    /// The soak test received SIGINT or SIGTERM.
     #[snafu(display("interrupted"))]
     Interrupted,
 }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,4 +1,4 @@
-//! All that a soak did and saw, in the order in which it was recorded. One JSON object a line.
+//! The history of a soak test: everything it did and observed, in recording order, stored as one JSON object per line.
 
 use crate::error::{Error, FileSnafu, HistorySnafu};
 use serde::{Deserialize, Serialize};
@@ -9,17 +9,17 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// Microseconds since the soak began.
+/// Microseconds since the start of the history.
 pub type Micros = u64;
 
-/// A signal to a process.
+/// A signal sent to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SignalKind {
-    /// SIGTERM: it is to finish what it has begun, and to end.
+    /// SIGTERM: the process is to finish its current work and exit.
     Terminate,
     /// SIGKILL.
     Kill,
-    /// SIGHUP: its settings have changed.
+    /// SIGHUP: the process is to reload its settings.
     Reload,
     /// SIGSTOP.
     Freeze,
@@ -27,63 +27,64 @@
     Continue,
 }
 
-/// What became of a process.
+/// A change in the state of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProcessChange {
-    /// It was started. `is_disk_lost`: with an empty data directory in place of the one before.
+    /// It was started.
     Started {
-        /// Its data directory is empty, and was not.
+        /// Its former data directory was replaced by an empty one.
         is_disk_lost: bool,
     },
     /// It was sent a signal.
     Signalled(SignalKind),
-    /// It was sent a signal before it had set its handlers: the signal itself ends it.
+    /// It was sent a signal before it had installed its handlers, so that the signal's default action ends it.
     SignalledTooEarly(SignalKind),
-    /// It has ended: with this exit code, or by a signal.
+    /// It exited, with this code; none if a signal ended it.
     Exited(Option<i32>),
 }
 
-/// The route that a request takes. All configurations have all of them.
+/// The route of a request. Every configuration contains all of these routes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
     /// Idempotent requests.
     Safe,
-    /// Requests that may run once at most.
+    /// Non-idempotent requests, which may run at most once.
     Once,
-    /// Which service answers tells which version of the route is in force.
+    /// Requests whose responding service shows which version of the route is in force.
     Version,
-    /// Of a tenant with a quota.
+    /// Requests of the tenant that has a quota.
     Limited,
 }
 
-/// How a request ended, as its client saw it.
+/// How a request ended, as seen by its client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestOutcome {
-    /// There was a complete response.
+    /// A complete response arrived.
     Response {
-        /// Its status.
+        /// The status code.
         status: u16,
-        /// It bears no backend's mark: the gateway itself has made it.
+        /// The response lacks the marker that backends add, so the gateway generated it.
         is_gateways_own: bool,
-        /// It belongs to this request and its body is complete and unchanged. For a gateway's own response always true.
+        /// It belongs to this request, and its body is complete and unchanged. A response that a gateway generated
+        /// is intact unless its status is a success.
         is_intact: bool,
-        /// The service whose backend made it.
+        /// The service of the backend that generated it.
         service: Option<String>,
     },
-    /// The connection ended without a complete response.
+    /// The connection was closed before a complete response arrived.
     Broken,
-    /// What came is no response.
+    /// The bytes received are not an HTTP response.
     Malformed,
-    /// Nothing came in the client's time.
+    /// Nothing arrived within the client's timeout.
     TimedOut,
 }
 
-/// A request of a client.
+/// A request sent by a client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestRecord {
-    /// Its id, which no other has.
+    /// Its unique id.
     pub id: String,
-    /// The gateway.
+    /// The node id of the gateway.
     pub node: String,
     /// Its route.
     pub route: RouteKind,
@@ -91,13 +92,13 @@
     pub connected_at: Micros,
     /// When its first byte was sent.
     pub sent_at: Micros,
-    /// When its last byte was sent, if it was.
+    /// When its last byte was sent; none if sending failed.
     pub complete_at: Option<Micros>,
     /// How it ended.
     pub outcome: RequestOutcome,
 }
 
-/// A run of a request at a backend.
+/// One execution of a request by a backend.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRecord {
     /// The request's id.
@@ -106,88 +107,88 @@
     pub backend: String,
     /// Its service.
     pub service: String,
-    /// The tenant that the gateway named.
+    /// The tenant named by the gateway.
     pub tenant: Option<String>,
     /// When it began.
     pub began_at: Micros,
-    /// The request's body was not what the client sent.
+    /// The request body differs from what the client was to send.
     pub is_garbled: bool,
-    /// The whole response was written; otherwise the backend or the connection broke.
+    /// The whole response was written; false if the backend crashed or the connection failed.
     pub is_answered: bool,
 }
 
-/// A change of the configuration, or an evacuation.
+/// A configuration change, or the start or end of an evacuation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRecord {
-    /// The name of the route that it sets, or of the zone.
+    /// The name of the route that it sets, or of the evacuated zone.
     pub item: String,
     /// The item's version; 0 for an evacuation.
     pub version: u64,
-    /// The service that the route leads to, if clients can tell.
+    /// The service that the route forwards to, if clients can observe it.
     pub service: Option<String>,
-    /// When it was sent first.
+    /// When it was first sent.
     pub sent_at: Micros,
     /// When it was acknowledged, if it was.
     pub acknowledged_at: Option<Micros>,
-    /// The status that refused it, if one did.
+    /// The status code that rejected it, if it was rejected.
     pub refused: Option<u16>,
 }
 
 /// A read of the whole configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadRecord {
-    /// The control process that was asked.
+    /// The node id of the control-plane process that was queried.
     pub node: String,
-    /// When it was asked.
+    /// When the request was sent.
     pub sent_at: Micros,
-    /// The versions of the routes by name; none if it gave no configuration.
+    /// Route versions by route name; none if no configuration was returned.
     pub versions: Option<std::collections::BTreeMap<String, u64>>,
-    /// It is the last of the soak, for which it waited long enough.
+    /// The last read of the soak test, made after time to recover: it must see all acknowledged changes.
     pub is_final: bool,
 }
 
-/// What a process takes of the machine.
+/// The resource usage of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResourceSample {
-    /// The process' node id.
+    /// The process's node id.
     pub node: String,
     /// Resident memory in KiB.
     pub memory_kib: u64,
-    /// Open descriptors.
+    /// Open file descriptors.
     pub descriptors: u64,
-    /// Threads.
+    /// Number of threads.
     pub threads: u64,
-    /// Processor time since its start, in milliseconds.
+    /// CPU time since its start, in milliseconds.
     pub processor_ms: u64,
-    /// Bytes of its log, of all of its incarnations.
+    /// Size in bytes of its log, which all of its incarnations append to.
     pub log_bytes: u64,
-    /// Bytes in its data directory.
+    /// Size in bytes of the files in its data directory.
     pub disk_bytes: u64,
 }
 
-/// What is recorded.
+/// An event of a history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
-    /// Something became of a process.
+    /// A process changed state.
     Process {
         /// Its node id.
         node: String,
-        /// What.
+        /// The change.
         change: ProcessChange,
     },
-    /// A request has ended.
+    /// A client's request ended.
     Request(RequestRecord),
-    /// A backend's run has ended.
+    /// A backend finished or aborted a run.
     Run(RunRecord),
-    /// A change has been acknowledged, refused, or given up.
+    /// A configuration change was acknowledged, rejected or abandoned.
     Change(ChangeRecord),
     /// The configuration was read.
     Read(ReadRecord),
-    /// A process' resources.
+    /// The resource usage of a process was sampled.
     Sample(ResourceSample),
-    /// Faults have ended: what stands from here on is to recover.
+    /// Fault injection ended; from here on the system is to recover.
     Calm,
-    /// The last check of a gateway: whether it was ready, after all had time to recover.
+    /// The last readiness check of a gateway, made after time to recover.
     FinalReadiness {
         /// Its node id.
         node: String,
@@ -196,16 +197,16 @@
     },
 }
 
-/// An event, and when it was recorded.
+/// An event with the time at which it was recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// When.
+    /// When it was recorded.
     pub at: Micros,
-    /// What.
+    /// The event.
     pub event: Event,
 }
 
-/// Records events, in memory and in a file, from any thread.
+/// Records events in memory and in a file; may be used from any thread.
 pub struct Recorder {
     started_at: Instant,
     state: Mutex<RecorderState>,
@@ -218,68 +219,68 @@
 }
 
 impl Recorder {
-    /// A history that begins now, in a new file.
+    /// Starts a history now, in a new file.
     ///
     /// # Errors
     ///
-    /// The file cannot be made.
+    /// The file cannot be created.
     pub fn create(path: &Path) -> Result<Recorder, Error> {
         let file = BufWriter::new(File::create(path).context(FileSnafu { path })?);
         let state = RecorderState { records: Vec::new(), file, failure: None };
         Ok(Recorder { started_at: Instant::now(), state: Mutex::new(state) })
     }
 
-    /// Microseconds since it began.
+    /// Microseconds since the history was started.
     pub fn now(&self) -> Micros {
         self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// Records an event that happens now.
+    /// Records an event with the current time.
     ///
     /// # Panics
     ///
-    /// If another thread has panicked in here.
+    /// If another thread panicked while holding the lock.
     pub fn record(&self, event: Event) {
-        let mut state = self.state.lock().expect("no thread panics in here");
+        let mut state = self.state.lock().expect("no thread panics while holding the lock");
         let record = Record { at: self.now(), event };
-        let line = serde_json::to_string(&record).expect("records have no maps with odd keys");
+        let line = serde_json::to_string(&record).expect("all map keys of a record are strings");
         if let Err(error) = writeln!(state.file, "{line}") {
             state.failure.get_or_insert(error);
         }
         state.records.push(record);
     }
 
-    /// Writes what is buffered.
+    /// Writes buffered records to the file.
     ///
     /// # Errors
     ///
-    /// The file could not be written, now or before.
+    /// The file could not be written, now or since the last call.
     ///
     /// # Panics
     ///
-    /// If another thread has panicked in here.
+    /// If another thread panicked while holding the lock.
     pub fn flush(&self, path: &Path) -> Result<(), Error> {
-        let mut state = self.state.lock().expect("no thread panics in here");
+        let mut state = self.state.lock().expect("no thread panics while holding the lock");
         let flushed = state.file.flush();
         let failure = state.failure.take();
         failure.map_or(flushed, Err).context(FileSnafu { path })
     }
 
-    /// All records so far.
+    /// Returns all records so far.
     ///
     /// # Panics
     ///
-    /// If another thread has panicked in here.
+    /// If another thread panicked while holding the lock.
     pub fn records(&self) -> Vec<Record> {
-        self.state.lock().expect("no thread panics in here").records.clone()
+        self.state.lock().expect("no thread panics while holding the lock").records.clone()
     }
 }
 
-/// Reads a history back.
+/// Reads a history from its file.
 ///
 /// # Errors
 ///
-/// The file cannot be read, or has a line that is no record.
+/// The file cannot be read, or a line of it is not a valid record.
 pub fn read_history(path: &Path) -> Result<Vec<Record>, Error> {
     let file = BufReader::new(File::open(path).context(FileSnafu { path })?);
     let mut records = Vec::new();
--- a/crates/soak/src/http_stream.rs
+++ b/crates/soak/src/http_stream.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages over a blocking stream, for the stand-ins.
+//! Reads and writes HTTP/1.1 messages on a blocking TCP stream, for the stand-ins.
 
 use kitepass_net::http::body::Body;
 use kitepass_net::http::{Head, HeadReader, MessageKind};
@@ -6,26 +6,26 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The longest head that a stand-in reads, in bytes.
+/// Longest message head that is accepted, in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// The longest body that a stand-in reads, in bytes.
+/// Longest message body that is accepted, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// The kind of message that a client reads; none asks with `HEAD`.
+/// The kind of message that clients read. No client sends `HEAD` requests.
 pub const RESPONSE_KIND: MessageKind = MessageKind::Response { to_head: false };
 
 /// Why no message was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadError {
-    /// The connection ended.
+    /// The connection was closed or failed.
     Closed,
-    /// Nothing came in time.
+    /// Nothing arrived within the timeout.
     TimedOut,
-    /// What came is no message.
+    /// The bytes received are not an HTTP message, or one that exceeds a limit.
     Malformed,
 }
 
-/// A connection, and what was read ahead of it.
+/// A connection with the bytes that were received but not consumed yet.
 pub struct HttpStream {
     stream: TcpStream,
     buffered: Vec<u8>,
@@ -33,9 +33,9 @@
 }
 
 impl HttpStream {
-    /// Over a stream that is established.
+    /// Wraps an established connection.
     pub fn new(stream: TcpStream) -> HttpStream {
-        let _ = stream.set_nodelay(true); // without it everything is only slower
+        let _ = stream.set_nodelay(true); // a failure only adds latency
         HttpStream { stream, buffered: Vec::new(), head_reader: HeadReader::default() }
     }
 
@@ -43,31 +43,31 @@
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// Any I/O error.
     pub fn connect(address: SocketAddr, timeout: Duration) -> std::io::Result<HttpStream> {
         TcpStream::connect_timeout(&address, timeout).map(HttpStream::new)
     }
 
-    /// Sends bytes.
+    /// Sends all of the bytes.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// Any I/O error.
     pub fn send(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.stream.write_all(bytes)
     }
 
-    /// The next message and its body, if both come within `timeout` of silence.
+    /// Reads the next message with its body. `timeout` limits each wait for further bytes, not the whole message.
     ///
     /// # Errors
     ///
-    /// The connection has ended, is silent, or what comes is no message.
+    /// See [`ReadError`].
     pub fn read_message(
         &mut self,
         kind: MessageKind,
         timeout: Duration,
     ) -> Result<(Head, Vec<u8>), ReadError> {
-        let _ = self.stream.set_read_timeout(Some(timeout)); // fails only for a time-out of zero
+        let _ = self.stream.set_read_timeout(Some(timeout)); // fails only for a timeout of zero
         let (head, framing) = loop {
             match self.head_reader.next(kind, &mut self.buffered, MAX_HEAD_BYTES) {
                 Ok(Some(read)) => break read,
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,14 +1,15 @@
-//! A soak: the control plane and the data plane as processes on loopback, for minutes or hours, under signals, restarts, backend
-//! faults and configuration changes that a seed draws. Clients, backends, the platform's list and the operator are stand-ins by
-//! the published protocol.
+//! A soak test: runs the control plane and the data plane as processes on loopback for minutes or hours, under signals,
+//! restarts, backend faults and configuration changes drawn from a seed. Clients, backends, the platform API and the
+//! operator are stand-ins that speak the published protocols.
 //!
-//! - [`plan`]: what is done and when, by seed.
-//! - [`topology`]: the processes, their addresses and settings files.
-//! - [`processes`]: starts, signals and reaps them; none survives the soak.
-//! - [`stand_ins`]: backends, the platform's list, clients, the operator.
-//! - [`history`]: all that was done and seen, as it is written to disk.
-//! - [`checker`]: judges a history, and nothing else.
-//! - [`run`]: plays a plan. [`report`]: the findings and figures.
+//! - [`plan`]: the steps and their times, generated from the seed.
+//! - [`topology`]: the processes, their addresses and their settings files.
+//! - [`processes`]: starts, signals and reaps the processes; none outlives the soak test.
+//! - [`stand_ins`]: the backends, the platform API, the clients and the operator.
+//! - [`history`]: the record of everything done and observed, as stored on disk.
+//! - [`checker`]: checks a history against the rules; it has no other input.
+//! - [`run`]: executes a plan.
+//! - [`report`]: the findings and statistics.
 
 pub mod checker;
 pub mod cli;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `kitepass-soak`: see `--help`.
+//! The `kitepass-soak` program; see `--help`.
 
 use std::process::ExitCode;
 
@@ -7,7 +7,7 @@
     kitepass_soak::cli::main(std::env::args_os().skip(1))
 }
 
-/// Warnings, if the environment says nothing else.
+/// The log level from the environment; warnings if it sets none.
 fn log_level() -> log::LevelFilter {
     let is_set = std::env::var_os(kitepass_node::LOG_VARIABLE).is_some();
     if is_set {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,65 +1,65 @@
-//! What is done to the system, and when: drawn from a seed before anything is started.
+//! The steps of a soak test and their times, generated from a seed before anything is started.
 
 use crate::topology::{Role, Topology};
 use oorandom::Rand64;
 
-/// Everything is left alone at the beginning for so long, in milliseconds after the system is up.
+/// No step is taken in the first milliseconds after the system is ready.
 const WARM_UP_MS: u64 = 3_000;
-/// A disk is lost no sooner than this after another, in milliseconds: what was on it must have been copied.
+/// Minimum interval between two disk losses, so that the first disk's data has been copied to its replacement.
 const MIN_DISK_LOSS_INTERVAL_MS: u64 = 40_000;
-/// Between two steps there are so many milliseconds on average.
+/// Mean interval between two drawn faults or changes; one of them may take several steps.
 const MEAN_STEP_INTERVAL_MS: u64 = 1_200;
 
-/// Something that is done to processes, backends or the configuration.
+/// An action on processes, backends or the configuration. Processes and backends are given by index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// SIGTERM; it is started again once it has ended.
+    /// Sends SIGTERM; the process is restarted once it has exited.
     Terminate(usize),
-    /// SIGKILL; it is started again.
+    /// Sends SIGKILL; the process is restarted.
     Kill(usize),
-    /// SIGKILL of a control process, which is started again with an empty data directory.
+    /// Sends SIGKILL to a control-plane process, which is restarted with an empty data directory.
     LoseDisk(usize),
-    /// SIGHUP, with changed settings.
+    /// Changes the settings file and sends SIGHUP.
     Reload(usize),
-    /// SIGSTOP.
+    /// Sends SIGSTOP.
     Freeze(usize),
-    /// SIGCONT.
+    /// Sends SIGCONT.
     Continue(usize),
-    /// SIGKILL of all these at once.
+    /// Sends SIGKILL to all of these processes at once.
     KillAll(Vec<usize>),
-    /// A change is sent, and once it is acknowledged these are killed at once.
+    /// Sends a change and kills all of these processes as soon as it is acknowledged.
     KillAllAfterChange(Vec<usize>),
-    /// A backend ends, and comes back with another id and address after so many milliseconds.
+    /// Crashes a backend, which restarts with another id and address after this many milliseconds.
     CrashBackend(usize, u64),
-    /// A backend takes longer for everything, for so many milliseconds.
+    /// Slows down a backend's responses for this many milliseconds.
     SlowBackend(usize, u64),
-    /// A backend answers a third of its requests with 500, for so many milliseconds.
+    /// Makes a backend respond to every third request with status 500, for this many milliseconds.
     FailBackend(usize, u64),
-    /// A backend closes its idle connections, for so many milliseconds.
+    /// Makes a backend close idle connections early, for this many milliseconds.
     CloseIdleBackend(usize, u64),
-    /// The version route leads to the next service.
+    /// Changes the version route to forward to the next service.
     ChangeVersion,
-    /// The same, sent to two control processes at once.
+    /// Sends two such changes concurrently.
     ChangeVersionTwice,
-    /// A change of some hundred routes.
+    /// Sends one change that sets several hundred routes.
     ChangeManyRoutes,
-    /// The backends of a zone are evacuated, and taken back after so many milliseconds.
+    /// Evacuates a zone, given by index, and ends the evacuation after this many milliseconds.
     Evacuate(usize, u64),
 }
 
 /// An action and its time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// Milliseconds after the system is up.
+    /// Milliseconds after the system is ready.
     pub at_ms: u64,
-    /// What is done.
+    /// The action.
     pub action: Action,
 }
 
-/// What a soak plays.
+/// The steps of a soak test.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// In the order of their times.
+    /// The steps in order of time.
     pub steps: Vec<Step>,
 }
 
@@ -74,7 +74,7 @@
 }
 
 impl Plan {
-    /// Draws the steps of `length_ms` milliseconds.
+    /// Generates the steps of a soak test of `duration_ms` milliseconds.
     pub fn generate(seed: u64, topology: &Topology, backend_count: usize, duration_ms: u64) -> Plan {
         let mut planner = Planner {
             rng: Rand64::new(u128::from(seed)),
@@ -87,7 +87,7 @@
         };
         let mut at_ms = WARM_UP_MS;
         while at_ms < duration_ms {
-            planner.add_random_fault(at_ms, duration_ms);
+            planner.add_random_action(at_ms, duration_ms);
             at_ms += 1 + planner.random_below(2 * MEAN_STEP_INTERVAL_MS);
         }
         let mut steps = planner.steps;
@@ -114,7 +114,7 @@
         self.steps.push(Step { at_ms, action });
     }
 
-    fn add_random_fault(&mut self, at_ms: u64, duration_ms: u64) {
+    fn add_random_action(&mut self, at_ms: u64, duration_ms: u64) {
         match self.random_below(24) {
             0 | 1 => self.add_freeze(at_ms),
             2 => self.add_rolling_restart(at_ms, Role::DataPlane, 400),
@@ -151,7 +151,7 @@
         self.add_step(at_ms + fault_ms, Action::Continue(node));
     }
 
-    /// One after the other is told to end, without waiting for the one before.
+    /// Sends SIGTERM to one process of this role after the other, without waiting for the previous one to restart.
     fn add_rolling_restart(&mut self, at_ms: u64, role: Role, min_interval_ms: u64) {
         let nodes =
             if role == Role::ControlPlane { self.control_planes.clone() } else { self.gateways.clone() };
@@ -173,7 +173,7 @@
         self.add_step(at_ms, Action::KillAll(nodes.clone()));
         if self.random_below(3) == 0 {
             let second_kill_ms = at_ms + 300 + self.random_below(1_500);
-            self.add_step(second_kill_ms, Action::KillAll(nodes)); // while they start
+            self.add_step(second_kill_ms, Action::KillAll(nodes)); // while they are starting
         }
     }
 
@@ -187,7 +187,7 @@
         self.add_step(at_ms, Action::LoseDisk(node));
     }
 
-    /// Several signals to one process, each soon after the one before: it may still start, or be ending.
+    /// Sends several signals in quick succession to one process, which may still be starting or already exiting.
     fn add_signal_burst(&mut self, at_ms: u64) {
         let (node, mut at_ms) = (self.random_node(), at_ms);
         for _ in 0..3 + self.random_below(3) {
--- a/crates/soak/src/processes.rs
+++ b/crates/soak/src/processes.rs
@@ -1,4 +1,4 @@
-//! Starts, signals and reaps the processes of the system. All of them are killed where this is dropped.
+//! Starts, signals and reaps the processes of the system under test.
 
 use crate::error::{Error, FileSnafu, StartSnafu};
 use crate::history::{Event, ProcessChange, Recorder, SignalKind};
@@ -10,7 +10,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::Arc;
 
-/// What a process does. [`Processes`] alone changes it.
+/// The state of a process, changed only by [`Processes`].
 enum State {
     Running(Child),
     Exited,
@@ -18,14 +18,14 @@
 
 struct Process {
     state: State,
-    /// It was started before: its next start is no first one.
+    /// It was started at least once, so that its next start is a restart.
     was_started_before: bool,
-    /// It was told to end in this incarnation, or killed.
+    /// A signal that ends it was sent to the current incarnation.
     is_exit_expected: bool,
     settings_revision: u32,
 }
 
-/// The processes of a soak.
+/// The processes of the system under test. Dropping this kills all that are still running.
 pub struct Processes {
     topology: Topology,
     programs: PathBuf,
@@ -35,7 +35,7 @@
 }
 
 impl Processes {
-    /// None of them runs yet. `programs` is the folder of both programs.
+    /// Prepares the processes without starting any. `programs` is the folder that contains both programs.
     pub fn new(topology: Topology, programs: PathBuf, recorder: Arc<Recorder>) -> Processes {
         let process = |_| Process {
             state: State::Exited,
@@ -47,22 +47,22 @@
         Processes { topology, programs, recorder, all, unexpected_exits: 0 }
     }
 
-    /// The processes' names and addresses.
+    /// The names and addresses of the processes.
     pub fn topology(&self) -> &Topology {
         &self.topology
     }
 
-    /// How many have ended though nobody told them to.
+    /// How many times a process exited without having been sent a signal that ends it.
     pub fn unexpected_exits(&self) -> usize {
         self.unexpected_exits
     }
 
-    /// Whether it runs, or is frozen.
+    /// Whether the process exists, running or frozen.
     pub fn is_running(&self, index: usize) -> bool {
         matches!(self.all[index].state, State::Running(_))
     }
 
-    /// The process id, if it runs.
+    /// The process id, if the process exists.
     pub fn pid(&self, index: usize) -> Option<u32> {
         match &self.all[index].state {
             State::Running(child) => Some(child.id()),
@@ -70,11 +70,11 @@
         }
     }
 
-    /// Starts a process that does not run. With `loses_disk` it comes back with an empty data directory.
+    /// Starts a process unless it is running. `loses_disk` replaces its data directory with an empty one.
     ///
     /// # Errors
     ///
-    /// Its files cannot be written, or its program not started.
+    /// Its files cannot be written, or its program cannot be started.
     pub fn start(&mut self, index: usize, loses_disk: bool) -> Result<(), Error> {
         if self.is_running(index) {
             return Ok(());
@@ -95,7 +95,7 @@
         });
         let mut command = Command::new(&program);
         command.arg("--settings").arg(settings).env("KITEPASS_LOG", "info");
-        // A group of its own: Ctrl-C at a terminal is for the soak, which then ends all of them.
+        // A process group of its own, so that Ctrl-C at a terminal reaches only the soak test, which ends the processes.
         std::os::unix::process::CommandExt::process_group(&mut command, 0);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         let child = command.spawn().context(StartSnafu { program })?;
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    /// Sends a signal, if it runs. A reload comes with other settings.
+    /// Sends a signal to a process if it exists. For a reload, its settings file is changed first.
     ///
     /// # Errors
     ///
@@ -131,15 +131,15 @@
         let is_before_handlers = is_uncaught(pid.as_raw_nonzero().get(), signal);
         let requests_exit = matches!(kind, SignalKind::Terminate | SignalKind::Kill);
         self.all[index].is_exit_expected |= requests_exit || is_before_handlers;
-        // Recorded first: what follows from a signal is never recorded before it.
+        // Recorded before the signal is sent, so that no effect of the signal is recorded ahead of it.
         let sent =
             if is_before_handlers { ProcessChange::SignalledTooEarly } else { ProcessChange::Signalled };
         self.record(index, sent(kind));
-        let _ = kill_process(pid, signal); // it may have ended by itself, which is recorded when it is reaped
+        let _ = kill_process(pid, signal); // fails if it has exited, which is recorded when it is reaped
         Ok(())
     }
 
-    /// Records the end of those that have ended since the last call.
+    /// Reaps the processes that have exited since the last call and records their exit.
     pub fn reap(&mut self) {
         for index in 0..self.all.len() {
             let State::Running(child) = &mut self.all[index].state else { continue };
@@ -155,7 +155,7 @@
     }
 }
 
-/// Whether this signal ends a process that could catch it, and has not set its handlers yet.
+/// Whether this is a signal that the programs handle, but for which this process has not installed a handler yet.
 fn is_uncaught(pid: i32, signal: Signal) -> bool {
     if signal != Signal::TERM && signal != Signal::HUP {
         return false;
@@ -173,7 +173,7 @@
             State::Exited => None,
         });
         for child in running {
-            let _ = child.kill(); // it may have ended
+            let _ = child.kill(); // fails if it has exited
             let _ = child.wait();
         }
     }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! What a soak has come to: findings a line each, and a table or JSON of figures.
+//! The result of a soak test: one line per finding, and statistics as a table or as JSON.
 
 use crate::checker::Finding;
 use crate::history::{Event, ProcessChange, Record, RequestOutcome};
@@ -6,39 +6,39 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// The figures of a soak, and its findings.
+/// The statistics and findings of a soak test.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    /// The seed of its plan.
+    /// The seed of the plan.
     pub seed: u64,
-    /// Processes of the system.
+    /// Number of processes in the system under test.
     pub processes: usize,
-    /// Seconds that it took.
+    /// Duration in seconds.
     pub seconds: u64,
-    /// Steps of its plan.
+    /// Number of steps in the plan.
     pub steps: usize,
-    /// Requests by how they ended.
+    /// Number of requests by outcome.
     pub requests: BTreeMap<String, u64>,
-    /// Runs at backends.
+    /// Number of runs at backends.
     pub runs: u64,
-    /// Starts of processes.
+    /// Number of process starts.
     pub starts: u64,
-    /// Changes that were acknowledged.
+    /// Number of configuration changes that were acknowledged.
     pub changes_acknowledged: u64,
-    /// Changes that were given up.
+    /// Number of configuration changes that were rejected or abandoned.
     pub changes_given_up: u64,
-    /// The slowest of 99 in 100 responses with status 200, in milliseconds. Reported, not judged.
+    /// The 99th percentile of the latency of responses with status 200, in milliseconds. No rule checks it.
     pub p99_ms: u64,
-    /// The most memory that one process had, in KiB.
+    /// The highest resident memory of a single process, in KiB.
     pub peak_memory_kib: u64,
-    /// The most descriptors that one process had.
+    /// The highest number of open file descriptors of a single process.
     pub peak_descriptors: u64,
-    /// What broke a rule.
+    /// The violations of rules.
     pub findings: Vec<Finding>,
 }
 
 impl Report {
-    /// The report of a history that was judged.
+    /// Summarizes a history and its findings.
     pub fn new(
         seed: u64,
         processes: usize,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// A line of `key=value` a finding.
+    /// Formats each finding as one line of `key=value` pairs.
     pub fn finding_lines(&self) -> Vec<String> {
         let line = |finding: &Finding| {
             let request = finding.request.as_deref().unwrap_or("none");
@@ -104,7 +104,7 @@
         self.findings.iter().map(line).collect()
     }
 
-    /// A table for people.
+    /// Formats the statistics as a table for reading.
     pub fn table(&self) -> String {
         let mut text = format!(
             "seed {}: {} processes, {} s, {} steps, {} starts, {} runs, {} changes acknowledged, {} given up\n",
@@ -122,7 +122,7 @@
         }
         let _ = writeln!(
             text,
-            "  p99 {} ms, most memory of a process {} KiB, most descriptors {}\n  findings: {}",
+            "  p99 {} ms, peak memory of a process {} KiB, peak descriptors {}\n  findings: {}",
             self.p99_ms,
             self.peak_memory_kib,
             self.peak_descriptors,
--- a/crates/soak/src/resources.rs
+++ b/crates/soak/src/resources.rs
@@ -1,16 +1,17 @@
-//! What a process takes of the machine, read from `/proc`.
+//! Reads the resource usage of processes from `/proc`.
 
 use crate::history::ResourceSample;
 use crate::topology::Topology;
 use std::fs;
 use std::path::Path;
 
-/// Milliseconds of a tick in which `/proc` counts processor time (`sysconf(_SC_CLK_TCK)` is 100 on Linux).
+/// Length of the clock tick in which `/proc` counts CPU time (`sysconf(_SC_CLK_TCK)` is 100 on Linux).
 const TICK_MS: u64 = 10;
-/// Fields of `/proc/PID/stat` behind the command's closing parenthesis: user and system time, in ticks.
+/// Index in `/proc/PID/stat`, counted after the command's closing parenthesis, of the user time in ticks;
+/// the system time follows it.
 const USER_TIME_FIELD: usize = 11;
 
-/// The resources of a process that runs.
+/// Samples the resource usage of a running process; none if it has exited.
 pub fn sample(topology: &Topology, index: usize, pid: u32) -> Option<ResourceSample> {
     let folder = format!("/proc/{pid}");
     let status = fs::read_to_string(format!("{folder}/status")).ok()?;
@@ -37,7 +38,7 @@
     files.filter_map(|file| file.metadata().ok()).map(|metadata| metadata.len()).sum()
 }
 
-/// Half of the machine's memory in KiB: what a soak may take at most.
+/// The upper limit for the memory of a soak test, in KiB: half of the machine's memory.
 pub fn memory_limit_kib() -> Option<u64> {
     let meminfo = fs::read_to_string("/proc/meminfo").ok()?;
     let line = meminfo.lines().find_map(|line| line.strip_prefix("MemTotal:"))?;
--- a/crates/soak/src/run/faults.rs
+++ b/crates/soak/src/run/faults.rs
@@ -1,4 +1,4 @@
-//! Does the steps of a plan, and ends what they began.
+//! Takes the steps of a plan, and ends the faults that are limited in time.
 
 use super::Soak;
 use crate::error::Error;
@@ -8,7 +8,7 @@
 use crate::topology::Role;
 use std::time::{Duration, Instant};
 
-/// What ends a fault of a backend.
+/// The end of a fault or an evacuation that is limited in time. Backends and zones are given by index.
 pub(super) enum Repair {
     Restart(usize),
     ClearSlow(usize),
@@ -64,7 +64,8 @@
         Ok(())
     }
 
-    /// A disk is lost only while all others hold everything; otherwise its process is killed alone.
+    /// Kills a control-plane process, and discards its data directory if all control-plane processes are running and every
+    /// disk, including each replacement, has reported itself complete. Otherwise the only complete copy could be lost.
     fn lose_disk(&mut self, index: usize) -> Result<(), Error> {
         let controls = self.processes.topology().indexes_with_role(Role::ControlPlane);
         let all_run = controls.iter().all(|control| self.processes.is_running(*control));
@@ -76,7 +77,7 @@
         self.processes.signal(index, SignalKind::Kill)
     }
 
-    /// How often a control process has told that its disk has become complete.
+    /// How often a control-plane process has logged that its disk is complete.
     fn disk_complete_events(&self, index: usize) -> usize {
         let log = std::fs::read_to_string(self.processes.topology().log_path(index)).unwrap_or_default();
         log.matches("event=disk-complete").count()
--- a/crates/soak/src/run/mod.rs
+++ b/crates/soak/src/run/mod.rs
@@ -1,4 +1,5 @@
-//! Plays a plan: starts the system and the stand-ins, does what is due, lets everything recover, and judges the history.
+//! Executes a plan: starts the system and the stand-ins, takes each step when it is due, lets the system recover, and
+//! checks the history.
 
 mod faults;
 mod recovery;
@@ -30,38 +31,38 @@
 const LOOP_INTERVAL: Duration = Duration::from_millis(5);
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(2);
 const READ_INTERVAL: Duration = Duration::from_secs(3);
-/// A process that has ended is started again after this and up to [`RESTART_SPREAD_MS`] more.
+/// A process that has exited is restarted after this delay plus up to [`RESTART_SPREAD_MS`], depending on its index.
 const RESTART_DELAY_MS: u64 = 100;
 const RESTART_SPREAD_MS: u64 = 600;
-/// The system comes up, and recovers at the end, within this.
+/// Time limit for startup, and for recovery at the end.
 const READY_TIMEOUT: Duration = Duration::from_secs(90);
-/// Clients go on for so long once everything has recovered.
+/// Clients keep sending requests for this long once all gateways are ready again.
 const FINAL_TRAFFIC_DURATION: Duration = Duration::from_secs(8);
-/// The operator's threads at a time.
+/// Maximum number of concurrent operator calls, each in a thread of its own.
 const MAX_CONCURRENT_OPERATOR_CALLS: usize = 8;
-/// Clients of each gateway for requests of all kinds.
+/// Clients per gateway that send requests of all kinds.
 const MIXED_CLIENTS_PER_GATEWAY: usize = 2;
 const BEYOND_QUOTA_CLIENTS: usize = 3;
 const READINESS_TIMEOUT: Duration = Duration::from_millis(800);
-/// The file of the history in the soak's folder.
+/// Name of the history file in the soak test's folder.
 pub const HISTORY_FILE: &str = "history.jsonl";
 
-/// What a soak is to be.
+/// The options of a soak test.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The seed of its plan and its clients.
+    /// The seed of the plan, the clients and the operator.
     pub seed: u64,
-    /// How long faults go on.
+    /// Duration of fault injection.
     pub duration: Duration,
-    /// Processes of the system.
+    /// Number of processes in the system under test.
     pub processes: usize,
-    /// The folder of both programs.
+    /// The folder that contains both programs.
     pub programs: PathBuf,
-    /// Where its files are.
+    /// The folder for settings, logs, data directories and the history.
     pub folder: PathBuf,
 }
 
-/// The backends of a soak: their services and zones.
+/// The service and the zone index of each backend.
 pub fn placements() -> Vec<(String, usize)> {
     let mut placements = Vec::new();
     for (number, service) in operator::services().into_iter().enumerate() {
@@ -72,13 +73,13 @@
     placements
 }
 
-/// The plan of a soak.
+/// Generates the plan for these options.
 pub fn plan(options: &Options) -> Plan {
     let topology = Topology::new(options.processes, options.folder.clone());
     Plan::generate(options.seed, &topology, placements().len(), options.duration.as_millis() as u64)
 }
 
-/// A soak under way.
+/// A running soak test.
 struct Soak {
     processes: Processes,
     backends: Arc<Backends>,
@@ -88,14 +89,14 @@
     signals: Signals,
     stop: StopFlag,
     clients: Vec<JoinHandle<()>>,
-    /// When each process that has ended is to be started again.
+    /// By process: when it is to be restarted; none if it is running, or if no time has been set since it exited.
     restarts: Vec<Option<Instant>>,
-    /// Whether its next start is with an empty data directory.
+    /// By process: whether its next start is with an empty data directory.
     loses_disk: Vec<bool>,
-    /// How many data directories were lost so far.
+    /// Number of data directories that were discarded so far.
     disks_lost: usize,
     repairs: Vec<(Instant, Repair)>,
-    /// What is killed once more changes than this many are acknowledged.
+    /// The processes to kill as soon as the number of acknowledged changes exceeds this number.
     pending_kill: Option<(u64, Vec<usize>)>,
     history_path: PathBuf,
     last_sample: Instant,
@@ -103,11 +104,12 @@
     configuration_reads: usize,
 }
 
-/// Plays a soak and judges it.
+/// Runs a soak test and checks its history.
 ///
 /// # Errors
 ///
-/// The soak itself cannot begin or go on: no address, no program, a full disk, or it is interrupted.
+/// The soak test cannot start or continue: an address is in use, a program is missing, the disk is full, the system does
+/// not start, or the soak test is interrupted.
 pub fn run(options: &Options) -> Result<Report, Error> {
     let signals = Signals::default();
     signals.install_handlers().context(SignalsSnafu)?;
@@ -174,7 +176,7 @@
         log::info!("event=started processes={}", self.nodes());
         let operator = self.operator.clone();
         let configuration = std::thread::spawn(move || operator.send_initial_configuration());
-        self.wait_until("the first configuration is acknowledged", |soak| {
+        self.wait_until("the initial configuration is acknowledged", |soak| {
             configuration.is_finished() || soak.has_unexpected_exit()
         })?;
         self.wait_until("all gateways are ready", |soak| {
@@ -185,7 +187,7 @@
         Ok(())
     }
 
-    /// Goes on with what is due until it is so.
+    /// Runs the main loop until `is_met` holds; `condition` describes it in the error.
     fn wait_until(&mut self, condition: &'static str, is_met: impl Fn(&Soak) -> bool) -> Result<(), Error> {
         let began = Instant::now();
         while !is_met(self) {
@@ -225,7 +227,7 @@
         self.clients = workloads.map(start).collect();
     }
 
-    /// Does the steps at their times; false if a process has ended by itself, which ends the soak.
+    /// Takes the steps at their times. Returns false if a process exited unexpectedly, which ends the soak test early.
     fn execute_steps(&mut self, steps: Vec<Step>, duration: Duration) -> Result<bool, Error> {
         let began = Instant::now();
         let mut steps = VecDeque::from(steps);
@@ -242,12 +244,12 @@
         Ok(true)
     }
 
-    /// Whether a process has ended though nobody told it to.
+    /// Whether a process exited without having been sent a signal that ends it.
     fn has_unexpected_exit(&self) -> bool {
         self.processes.unexpected_exits() > 0
     }
 
-    /// What is to be done all the time.
+    /// One iteration of the main loop.
     fn tick(&mut self) -> Result<(), Error> {
         if self.signals.is_shutdown_requested() {
             return Err(Error::Interrupted);
@@ -297,7 +299,7 @@
         }
     }
 
-    /// Runs a call of the operator beside everything else, unless too many are under way.
+    /// Runs an operator call in a thread of its own; skips it if too many are running.
     fn spawn_operator_call(&self, call: impl FnOnce(&Operator) + Send + 'static) {
         if self.operator_calls.load(Ordering::Relaxed) >= MAX_CONCURRENT_OPERATOR_CALLS {
             return;
@@ -311,7 +313,7 @@
     }
 }
 
-/// Whether a gateway says that it is ready.
+/// Whether the gateway's readiness check responds with status 200.
 fn is_ready(address: SocketAddr) -> bool {
     let ask = || {
         let mut stream = HttpStream::connect(address, READINESS_TIMEOUT).ok()?;
@@ -322,16 +324,16 @@
     ask() == Some(200)
 }
 
-/// The folder that a soak uses if none is named.
+/// The folder to use if none is given.
 pub fn default_folder(seed: u64) -> PathBuf {
     std::env::temp_dir().join(format!("kitepass-soak-{seed}-{}", std::process::id()))
 }
 
-/// Removes the files of a soak that found nothing.
+/// Removes the soak test's folder.
 ///
 /// # Errors
 ///
-/// They cannot be removed.
+/// It cannot be removed.
 pub fn remove_folder(folder: &Path) -> Result<(), Error> {
     std::fs::remove_dir_all(folder).context(FileSnafu { path: folder })
 }
--- a/crates/soak/src/run/recovery.rs
+++ b/crates/soak/src/run/recovery.rs
@@ -1,4 +1,4 @@
-//! The end of a soak: faults end, everything recovers and is asked for the last time, the processes end.
+//! The end of a soak test: faults are ended, the system recovers and is checked a last time, and the processes are stopped.
 
 use super::faults::Repair;
 use super::{is_ready, Soak, FINAL_TRAFFIC_DURATION, LOOP_INTERVAL, READY_TIMEOUT};
@@ -11,12 +11,12 @@
 use std::time::{Duration, Instant};
 
 impl Soak {
-    /// Ends all faults, waits until everything is well, and asks everybody for the last time.
+    /// Ends all faults, gives the system time to recover, and records each process's final state.
     pub(super) fn recover(&mut self) -> Result<(), Error> {
         self.recorder.record(Event::Calm);
         (0..self.nodes()).try_for_each(|index| self.processes.signal(index, SignalKind::Continue))?;
         (0..ZONES.len()).for_each(|zone| self.schedule_repair(0, Repair::EndEvacuation(zone)));
-        // Whoever does not recover is found by what is asked below.
+        // A timeout is no error here: a process that has not recovered shows up in the checks below.
         match self.wait_until("all gateways are ready again", Soak::are_gateways_ready) {
             Ok(()) | Err(Error::WaitTimeout { .. }) => {}
             Err(error) => return Err(error),
@@ -40,7 +40,7 @@
 
     fn read_final_configuration(&mut self, endpoint: &ControlEndpoint) -> Result<(), Error> {
         let began = Instant::now();
-        // A read that fails is recorded only as the last one.
+        // A failed read is recorded only if it is the final one.
         while !self.operator.read(endpoint, false) && began.elapsed() < READY_TIMEOUT / 3 {
             self.tick()?;
         }
@@ -48,7 +48,7 @@
         Ok(())
     }
 
-    /// Ends clients, then processes in order, and gives the history.
+    /// Stops the clients, then the processes with SIGTERM, and returns the history.
     pub(super) fn end(mut self) -> Result<Vec<Record>, Error> {
         self.stop.stop();
         self.clients.drain(..).for_each(|client| _ = client.join());
--- a/crates/soak/src/stand_ins/backends.rs
+++ b/crates/soak/src/stand_ins/backends.rs
@@ -1,4 +1,5 @@
-//! Backends: a listener each, a thread a connection. A backend that crashes comes back under another id and address.
+//! Backends, each with a listener of its own and one thread per connection. A backend that crashed restarts with another id
+//! and address.
 
 use super::{response_body, response_marker, StopFlag};
 use crate::error::{Error, ListenSnafu};
@@ -11,27 +12,28 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Requests that a backend works on at a time.
+/// Number of requests that a backend processes concurrently; it rejects others.
 pub const MAX_CONCURRENT_REQUESTS: usize = 16;
-/// How often a listener looks for connections, and whether it is to end.
+/// How often a listener polls for new connections and for its end.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// A connection on which nothing comes for so long is closed.
+/// A connection on which nothing arrives for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 /// The same, while the backend closes idle connections early.
 const FAULTY_IDLE_TIMEOUT: Duration = Duration::from_millis(150);
-/// A request takes so long.
+/// Processing time of a request.
 const SERVICE_TIME: Duration = Duration::from_millis(8);
-/// The same, while the backend is slow.
+/// Processing time of a request while the backend is slow.
 const SLOW_SERVICE_TIME: Duration = Duration::from_millis(400);
-/// Pieces of a streamed response, and the pause between them.
+/// Number of chunks of a streamed response.
 const STREAM_CHUNKS: usize = 8;
+/// Delay before each chunk of a streamed response.
 const STREAM_CHUNK_DELAY: Duration = Duration::from_millis(60);
-/// A crashed backend stays on the platform's list for so long.
+/// A crashed backend stays on the platform's list for this long.
 const DELISTING_DELAY: Duration = Duration::from_secs(2);
-/// One in so many requests fails, while the backend fails some.
+/// Every n-th request gets status 500 while the backend is failing.
 const FAIL_EVERY_NTH_REQUEST: u64 = 3;
 
-/// How a backend behaves.
+/// The faults that a backend currently has.
 #[derive(Debug, Default)]
 struct Faults {
     is_slow: AtomicBool,
@@ -39,7 +41,7 @@
     closes_idle: AtomicBool,
 }
 
-/// One incarnation of a backend: from its start to its crash.
+/// A backend from a start to the next crash.
 struct Incarnation {
     id: String,
     address: SocketAddr,
@@ -52,22 +54,22 @@
     zone: usize,
     faults: Faults,
     incarnation: Mutex<Option<Arc<Incarnation>>>,
-    /// The incarnation that ended last, and when.
+    /// The last incarnation that crashed, and when.
     previous: Mutex<Option<(Arc<Incarnation>, Instant)>>,
     requests: AtomicU64,
     active_requests: AtomicUsize,
 }
 
-/// A backend as the platform lists it.
+/// A backend as listed by the platform API.
 #[derive(Clone, Debug)]
 pub struct ListedBackend {
-    /// Its id, another one in each incarnation.
+    /// Its id, which differs for each incarnation.
     pub id: String,
     /// Its service.
     pub service: String,
-    /// Where it listens.
+    /// Its listen address.
     pub address: SocketAddr,
-    /// Its zone, by index.
+    /// Its zone, as an index.
     pub zone: usize,
 }
 
@@ -81,11 +83,11 @@
 }
 
 impl Backends {
-    /// Starts a backend of each of these services in each zone.
+    /// Starts one backend for each placement, a service and a zone index.
     ///
     /// # Errors
     ///
-    /// No address to listen on.
+    /// A listener cannot be opened.
     pub fn start(
         ip: IpAddr,
         placements: Vec<(String, usize)>,
@@ -109,28 +111,28 @@
         Ok(backends)
     }
 
-    /// How many there are.
+    /// The number of backends.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no backends.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// Starts a backend that does not run, under a new id and address.
+    /// Starts a backend with a new id and address, unless it is running.
     ///
     /// # Errors
     ///
-    /// No address to listen on.
+    /// A listener cannot be opened.
     ///
     /// # Panics
     ///
-    /// If another thread has panicked in here.
+    /// If another thread panicked while holding the lock.
     pub fn start_incarnation(&self, index: usize) -> Result<(), Error> {
         let backend = &self.all[index];
-        let mut current = backend.incarnation.lock().expect("no thread panics in here");
+        let mut current = backend.incarnation.lock().expect("no thread panics while holding the lock");
         if current.is_some() {
             return Ok(());
         }
@@ -151,43 +153,48 @@
         Ok(())
     }
 
-    /// Ends a backend with all its connections, whatever it works on.
+    /// Stops a backend at once and closes its connections, also during requests.
     ///
     /// # Panics
     ///
-    /// If another thread has panicked in here.
+    /// If another thread panicked while holding the lock.
     pub fn crash(&self, index: usize) {
         let backend = &self.all[index];
-        let Some(incarnation) = backend.incarnation.lock().expect("no thread panics in here").take() else {
+        let Some(incarnation) =
+            backend.incarnation.lock().expect("no thread panics while holding the lock").take()
+        else {
             return;
         };
         incarnation.has_ended.store(true, Ordering::Relaxed);
-        for connection in incarnation.connections.lock().expect("no thread panics in here").drain(..) {
-            let _ = connection.shutdown(Shutdown::Both); // the other side may have closed it
+        for connection in
+            incarnation.connections.lock().expect("no thread panics while holding the lock").drain(..)
+        {
+            let _ = connection.shutdown(Shutdown::Both); // fails if the peer has closed it
         }
-        *backend.previous.lock().expect("no thread panics in here") = Some((incarnation, Instant::now()));
+        *backend.previous.lock().expect("no thread panics while holding the lock") =
+            Some((incarnation, Instant::now()));
     }
 
-    /// Makes a backend slow, or no longer.
+    /// Sets whether a backend is slow.
     pub fn set_slow(&self, index: usize, is_slow: bool) {
         self.all[index].faults.is_slow.store(is_slow, Ordering::Relaxed);
     }
 
-    /// Makes a backend fail some requests, or no longer.
+    /// Sets whether a backend fails some requests.
     pub fn set_failing(&self, index: usize, is_failing: bool) {
         self.all[index].faults.is_failing.store(is_failing, Ordering::Relaxed);
     }
 
-    /// Makes a backend close idle connections early, or no longer.
+    /// Sets whether a backend closes idle connections early.
     pub fn set_closes_idle(&self, index: usize, closes_idle: bool) {
         self.all[index].faults.closes_idle.store(closes_idle, Ordering::Relaxed);
     }
 
-    /// The backends as the platform lists them, which learns late that one has crashed.
+    /// The backends on the platform's list, which still contains a crashed one for a while.
     ///
     /// # Panics
     ///
-    /// If another thread has panicked in here.
+    /// If another thread panicked while holding the lock.
     pub fn listed(&self) -> Vec<ListedBackend> {
         let mut listed = Vec::new();
         for backend in &self.all {
@@ -197,9 +204,9 @@
                 address: incarnation.address,
                 zone: backend.zone,
             };
-            let incarnation = backend.incarnation.lock().expect("no thread panics in here");
+            let incarnation = backend.incarnation.lock().expect("no thread panics while holding the lock");
             listed.extend(incarnation.as_deref().map(listing));
-            let previous = backend.previous.lock().expect("no thread panics in here");
+            let previous = backend.previous.lock().expect("no thread panics while holding the lock");
             let still_listed = previous.as_ref().filter(|(_, ended_at)| ended_at.elapsed() < DELISTING_DELAY);
             listed.extend(still_listed.map(|(incarnation, _)| listing(incarnation)));
         }
@@ -220,7 +227,8 @@
             continue;
         };
         let _ = stream.set_nonblocking(false);
-        let mut connections = incarnation.connections.lock().expect("no thread panics in here");
+        let mut connections =
+            incarnation.connections.lock().expect("no thread panics while holding the lock");
         connections.retain(|connection| connection.peer_addr().is_ok());
         connections.extend(stream.try_clone());
         let (backend, incarnation, recorder) = (backend.clone(), incarnation.clone(), recorder.clone());
@@ -255,7 +263,7 @@
         }
     }
 
-    /// Answers a request; true if the connection stays.
+    /// Responds to a request; returns whether the connection can be used further.
     fn handle_request(&mut self, head: &Head, body: &[u8]) -> bool {
         let field = |name| head.field(name).map(|value| String::from_utf8_lossy(value).into_owned());
         let path = String::from_utf8_lossy(head.start_line_part(1)).into_owned();
@@ -288,7 +296,7 @@
         is_answered
     }
 
-    /// Works on a request and writes its response; whether all of it was written.
+    /// Processes a request and writes its response; returns whether all of it was written.
     fn run(&mut self, id: &str, echo: &str, request_path: &RequestPath) -> bool {
         let faults = &self.backend.faults;
         let is_slow = faults.is_slow.load(Ordering::Relaxed);
@@ -337,7 +345,8 @@
     }
 }
 
-/// What a request's path asks of a backend: `/PREFIX/REQUEST-BYTES/RESPONSE-BYTES`, with `/streamed` behind it if so.
+/// The parameters in a request's path, `/PREFIX/REQUEST-BYTES/RESPONSE-BYTES`, followed by `/streamed` to request a
+/// chunked response.
 struct RequestPath {
     request_bytes: usize,
     response_bytes: usize,
--- a/crates/soak/src/stand_ins/clients.rs
+++ b/crates/soak/src/stand_ins/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: each keeps one connection and uses it until the gateway closes it, whatever happens to the gateway meanwhile; then it
-//! goes to another gateway.
+//! Clients. Each keeps one connection and uses it until it is closed, whatever happens to the gateway in the meantime, and
+//! then connects to a gateway again.
 
 use super::{response_body, response_marker, StopFlag};
 use crate::history::{Event, Micros, Recorder, RequestOutcome, RequestRecord, RouteKind};
@@ -11,62 +11,64 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// The host of all routes that clients use.
+/// The host of all routes.
 pub const HOST: &str = "soak.example";
-/// The key of the tenant without a quota.
+/// The API key of the tenant without a quota.
 pub const UNLIMITED_KEY: &str = "key-of-town";
-/// The key of the tenant with a quota.
+/// The API key of the tenant with a quota.
 pub const LIMITED_KEY: &str = "key-of-school";
-/// The tenant with a quota, as backends are told of it.
+/// The name of the tenant with a quota, as passed to backends.
 pub const LIMITED_TENANT: &str = "school";
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a client waits, as it tells the gateway.
+/// The time limit that a client sends in the `X-Time-Left-Ms` field.
 const CLIENT_DEADLINE_MS: u64 = 8_000;
-/// A response that is silent for so long does not come any more.
+/// A request whose response makes no progress for this long counts as timed out.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(12);
-/// Bytes of a large body, which is sent in so many pieces.
+/// Length of a large request body.
 const UPLOAD_BYTES: usize = 300_000;
+/// Number of writes in which a large request body is sent.
 const UPLOAD_WRITES: usize = 4;
 const STREAM_BYTES: usize = 40_000;
-/// After a gateway that cannot be reached.
+/// Delay before the next connection attempt after one that failed.
 const RECONNECT_DELAY: Duration = Duration::from_millis(60);
 /// The same, for eager clients.
 const EAGER_RECONNECT_DELAY: Duration = Duration::from_millis(2);
 
-/// Eager clients come again at once so many times, and then after so many milliseconds.
+/// An eager client retries without delay until this many requests in a row were rejected.
 const MAX_IMMEDIATE_RETRIES: u32 = 500;
+/// Delay of an eager client's retries from then on.
 const EAGER_RETRY_DELAY_MS: u64 = 3;
 
-/// A gateway that clients may go to.
+/// A gateway that clients can connect to.
 #[derive(Clone, Debug)]
 pub struct Target {
     /// Its node id.
     pub node: String,
-    /// Where it takes requests.
+    /// Its listen address for requests.
     pub address: SocketAddr,
 }
 
-/// What a client is there for.
+/// The kind of requests that a client sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Workload {
-    /// Requests of all kinds.
+    /// Requests of all kinds, each connection to a random gateway.
     Mixed,
-    /// Requests of the tenant with a quota, well above it.
+    /// Requests of the tenant with a quota, at a rate well above it.
     BeyondQuota,
     /// Requests that show which version of a route is in force, always to the same gateway.
     Version,
-    /// Requests to the same gateway that come again at once where the gateway is not there or not ready, so that some wait in its
-    /// sockets whenever it becomes ready.
+    /// Requests to the same gateway, retried at once while it is unreachable or not ready, so that some are already queued
+    /// in its sockets when it becomes ready.
     Eager,
 }
 
-/// How a request is sent.
+/// How a request is split into writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SendMode {
     SingleWrite,
-    /// The head in two parts, with a pause between them.
+    /// The head in two writes with a delay between them, the body with the second.
     SplitHead,
-    /// The body in several pieces, with pauses between them.
+    /// The head first, then the body in several writes with delays between them.
     SplitBody,
 }
 
@@ -84,13 +86,13 @@
     targets: Vec<Target>,
     rng: Rand64,
     sent_requests: u64,
-    /// So many requests in a row were rejected by a gateway that may take them later.
+    /// Number of consecutive requests that a gateway rejected with status 503.
     consecutive_rejections: u32,
     recorder: Arc<Recorder>,
     stop: StopFlag,
 }
 
-/// Starts a client; it ends with its present request once it is stopped.
+/// Starts a client thread, which ends after its current request once `stop` is set.
 pub fn start(
     number: usize,
     workload: Workload,
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Sends a request and reads its response; true if the connection may be used again.
+    /// Sends a request and reads its response; returns whether the connection can be used again.
     fn request(
         &mut self,
         target: &Target,
@@ -200,7 +202,7 @@
         let head = head(&id, plan);
         let sent_at = self.recorder.now();
         let complete_at = self.send(stream, head.as_bytes(), plan).ok().map(|()| self.recorder.now());
-        // A response may have come before the request was complete.
+        // Reads also after a failed write: the gateway may have responded before the request was complete.
         let read = stream.read_message(RESPONSE_KIND, RESPONSE_TIMEOUT);
         let is_reusable = complete_at.is_some() && read.as_ref().is_ok_and(|(head, _)| head.is_persistent());
         let outcome = match read {
@@ -263,7 +265,7 @@
 fn classify_response(id: &str, plan: &RequestPlan, head: &Head, body: &[u8]) -> RequestOutcome {
     let status = head.status();
     let Some(marker) = head.field("x-postmark") else {
-        // A success that no backend has marked is not the gateway's to give.
+        // A gateway never generates a success itself, so one without a backend's marker is not intact.
         let is_intact = !(200..300).contains(&status);
         return RequestOutcome::Response { status, is_gateways_own: true, is_intact, service: None };
     };
--- a/crates/soak/src/stand_ins/operator.rs
+++ b/crates/soak/src/stand_ins/operator.rs
@@ -1,5 +1,5 @@
-//! The operator: sends changes to any control process, follows redirects, and sends a change without a clear answer again,
-//! unchanged.
+//! The operator. It sends changes to any control-plane process, follows redirects, and retries a change unmodified until it
+//! is acknowledged or rejected.
 
 use super::clients::{HOST, LIMITED_KEY, LIMITED_TENANT, UNLIMITED_KEY};
 use super::StopFlag;
@@ -14,36 +14,36 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Services that the version route leads to, one after the other.
+/// Number of services that the version route forwards to in turn.
 pub const VERSION_SERVICES: u64 = 8;
-/// Requests that the limited tenant may send a second, and at once beyond that.
+/// Quota of the limited tenant, in requests per second.
 pub const LIMITED_RATE: u32 = 20;
-/// See [`LIMITED_RATE`].
+/// Burst that the limited tenant may send in addition, in requests.
 pub const LIMITED_BURST: u32 = 20;
-/// The name of the route whose versions clients can tell.
+/// The name of the route whose version clients can observe.
 pub const VERSION_ROUTE: &str = "version";
-/// Routes of a large change.
+/// Number of routes in a large change.
 const LARGE_CHANGE_ROUTES: usize = 400;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A call without an answer in this time goes to another control process.
+/// Time limit for a response; without one, the change is sent again, to a control-plane process chosen at random.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_REDIRECTS: usize = 2;
 const RETRY_DELAY: Duration = Duration::from_millis(150);
-/// A change is given up after so long.
+/// A change is abandoned after this time.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(60);
-/// One in so many answers is lost: the operator hangs up before it comes.
+/// One in this many requests loses its response: the operator closes the connection before it arrives.
 const REQUESTS_PER_DROPPED_RESPONSE: u64 = 8;
 
-/// A control process that operators call.
+/// The operator API of a control-plane process.
 #[derive(Clone, Debug)]
 pub struct ControlEndpoint {
     /// Its node id.
     pub node: String,
-    /// Where it takes calls.
+    /// Its listen address for operators.
     pub address: SocketAddr,
 }
 
-/// The operator. Several threads may use it at once.
+/// The operator. May be used by several threads at once.
 pub struct Operator {
     endpoints: Vec<ControlEndpoint>,
     next_version: AtomicU64,
@@ -53,33 +53,33 @@
     stop: StopFlag,
 }
 
-/// A call and what it would change.
+/// A request, and the record of the change that it makes.
 struct ChangeRequest {
     path: String,
     body: String,
     change: ChangeRecord,
 }
 
-/// What a control process answered.
+/// The response of a control-plane process.
 struct Response {
     status: u16,
     location: Option<SocketAddr>,
     body: Vec<u8>,
 }
 
-/// The service that the version route of a version leads to.
+/// The service that this version of the version route forwards to.
 fn version_service(version: u64) -> String {
     format!("version-{}", version % VERSION_SERVICES)
 }
 
-/// The names of all services that routes lead to.
+/// The names of all services that routes forward to.
 pub fn services() -> Vec<String> {
     let versions = (0..VERSION_SERVICES).map(version_service);
     ["books".to_owned(), "loans".to_owned()].into_iter().chain(versions).collect()
 }
 
 impl Operator {
-    /// An operator who calls these control processes.
+    /// Creates an operator that uses these control-plane processes.
     pub fn new(
         endpoints: Vec<ControlEndpoint>,
         seed: u64,
@@ -98,10 +98,10 @@
     }
 
     fn random_below(&self, bound: u64) -> u64 {
-        self.rng.lock().expect("no thread panics in here").rand_range(0..bound)
+        self.rng.lock().expect("no thread panics while holding the lock").rand_range(0..bound)
     }
 
-    /// Brings the first configuration; whether it was acknowledged.
+    /// Sends the initial configuration; returns whether it was acknowledged.
     pub fn send_initial_configuration(&self) -> bool {
         let route = |name: &str, safety: &str, service: &str| {
             json!([name, HOST, format!("/{name}/"), safety, 8000, 1000, service, 2, "r1"])
@@ -139,7 +139,7 @@
         ChangeRequest { path: "/v1/Timetable.Patch".to_owned(), body: body.to_string(), change }
     }
 
-    /// Leads the version route to the next service.
+    /// Changes the version route to forward to the next service.
     pub fn change_version(&self) {
         let version = self.next_version.fetch_add(1, Ordering::Relaxed);
         let service = version_service(version);
@@ -150,7 +150,7 @@
         self.apply(self.request(body, VERSION_ROUTE, version, Some(service)));
     }
 
-    /// Sets some hundred routes that nobody uses.
+    /// Sets several hundred routes that no client uses, in one change.
     pub fn change_many_routes(&self) {
         let version = self.next_version.fetch_add(1, Ordering::Relaxed);
         let edition = format!("r{version}");
@@ -166,7 +166,7 @@
         self.apply(self.request(body, "many-0", version, None));
     }
 
-    /// Has a zone evacuated, or taken back.
+    /// Starts or ends the evacuation of a zone, given by index.
     pub fn evacuate(&self, zone: usize, is_start: bool) {
         let (zone, step) = (ZONES[zone], if is_start { "Start" } else { "End" });
         let mut request = self.request(Value::Null, zone, 0, None);
@@ -175,7 +175,7 @@
         self.apply(request);
     }
 
-    /// Sends a change until it is acknowledged or refused; whether it was acknowledged.
+    /// Sends a change until it is acknowledged, rejected or abandoned, and records it; returns whether it was acknowledged.
     fn apply(&self, mut request: ChangeRequest) -> bool {
         let began = Instant::now();
         while !self.stop.is_stopped() && began.elapsed() < CHANGE_TIMEOUT {
@@ -200,7 +200,7 @@
         is_acknowledged
     }
 
-    /// Sends a call to a control process that is drawn, and to those that it names.
+    /// Sends a request to a control-plane process chosen at random, and follows its redirects.
     fn send_following_redirects(&self, request: &ChangeRequest, drops_response: bool) -> Option<Response> {
         let mut address = self.endpoints[self.random_below(self.endpoints.len() as u64) as usize].address;
         for _ in 0..=MAX_REDIRECTS {
@@ -213,7 +213,8 @@
         None
     }
 
-    /// Reads the configuration from a control process, and records what it gave.
+    /// Reads the configuration from a control-plane process; returns whether that succeeded. Records the result, a failure
+    /// only if the read is final.
     pub fn read(&self, endpoint: &ControlEndpoint, is_final: bool) -> bool {
         let sent_at = self.recorder.now();
         let response = send_request(endpoint.address, "GET", "/v1/Timetable.Get", "", false);
@@ -232,18 +233,18 @@
         is_read
     }
 
-    /// How many changes were acknowledged.
+    /// The number of acknowledged changes.
     pub fn acknowledged(&self) -> u64 {
         self.acknowledged.load(Ordering::Relaxed)
     }
 
-    /// The control processes that it calls.
+    /// The control-plane processes that the operator uses.
     pub fn endpoints(&self) -> &[ControlEndpoint] {
         &self.endpoints
     }
 }
 
-/// One call over a connection of its own.
+/// Sends one request over a new connection. With `drops_response` the connection is closed without reading the response.
 fn send_request(
     address: SocketAddr,
     method: &str,
@@ -268,12 +269,12 @@
     Some(Response { status: head.status(), location, body })
 }
 
-/// The versions of the routes in a configuration.
+/// The route versions in a configuration, by route name.
 fn route_versions(body: &[u8]) -> Option<BTreeMap<String, u64>> {
     let value: Value = serde_json::from_slice(body).ok()?;
-    // The lists may stand under `deliver`, as in a change, or by themselves.
-    let lists = value.get("deliver").unwrap_or(&value);
-    let table = lists.get("itineraries")?;
+    // The tables are either members of `deliver`, as in a change, or at the top level.
+    let tables = value.get("deliver").unwrap_or(&value);
+    let table = tables.get("itineraries")?;
     let headings = table.get("headings")?.as_array()?;
     let column = |wanted: &str| headings.iter().position(|heading| heading == wanted);
     let (name, edition) = (column("name")?, column("edition")?);
--- a/crates/soak/src/stand_ins/platform.rs
+++ b/crates/soak/src/stand_ins/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of backends: `GET /backends`, on one page.
+//! The platform API: `GET /backends` lists all backends on one page. The path of a request is not checked.
 
 use super::backends::Backends;
 use super::StopFlag;
@@ -16,11 +16,11 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Serves the list until it is stopped.
+/// Serves the list in background threads until `stop` is set.
 ///
 /// # Errors
 ///
-/// The address cannot be listened on.
+/// The address cannot be bound.
 pub fn serve(address: SocketAddr, backends: Arc<Backends>, stop: StopFlag) -> Result<(), Error> {
     let listener = TcpListener::bind(address).context(ListenSnafu { address })?;
     listener.set_nonblocking(true).context(ListenSnafu { address })?;
--- a/crates/soak/src/topology.rs
+++ b/crates/soak/src/topology.rs
@@ -1,4 +1,4 @@
-//! The processes of a soak: how many, where they listen, and their settings files.
+//! The processes of the system under test: their number, addresses and settings files.
 
 use crate::error::{Error, FileSnafu, FolderNotEmptySnafu};
 use snafu::{ensure, ResultExt};
@@ -6,9 +6,9 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
 
-/// How long a process may take to end after SIGTERM, in seconds, as its settings tell it.
+/// Time that a process may take to exit after SIGTERM, in seconds, as configured in its settings.
 pub const SHUTDOWN_GRACE_S: u64 = 6;
-/// Zones, each in a region of its own.
+/// The zones, each in a region of its own.
 pub const ZONES: [&str; 3] = ["north-1", "south-1", "east-1"];
 const REGIONS: [&str; 3] = ["north", "south", "east"];
 const OPERATOR_PORT: u16 = 8688;
@@ -17,13 +17,13 @@
 const READINESS_PORT: u16 = 8680;
 const PEER_PORTS: [u16; 2] = [7740, 7755];
 const PLATFORM_PORT: u16 = 8682;
-/// The last byte of the address of all stand-ins; processes have lower ones.
+/// Last octet of the stand-ins' address; the processes use lower ones.
 const STAND_IN_HOST: u8 = 250;
-/// The most processes that fit the addresses of a soak.
+/// Maximum number of processes; more would not fit the addresses of a soak test.
 pub const MAX_PROCESSES: usize = 240;
-/// The fewest: three of each program.
+/// Minimum number of processes: three of each program.
 pub const MIN_PROCESSES: usize = 6;
-/// From so many processes on there are five control processes, and not three.
+/// From this number of processes on, five of them run the control plane instead of three.
 const MIN_PROCESSES_FOR_FIVE_CONTROL_PLANES: usize = 16;
 
 /// The program that a process runs.
@@ -40,25 +40,25 @@
 pub struct Node {
     /// Its node id.
     pub name: String,
-    /// Its program.
+    /// The program that it runs.
     pub role: Role,
-    /// Its zone, by its index in [`ZONES`].
+    /// Its zone, as an index into [`ZONES`].
     pub zone: usize,
     ip: IpAddr,
 }
 
 impl Node {
-    /// Where clients' requests go.
+    /// The listen address for client requests.
     pub fn client_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, CLIENT_PORT)
     }
 
-    /// Where its readiness is checked.
+    /// The listen address for readiness checks.
     pub fn readiness_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, READINESS_PORT)
     }
 
-    /// Where operators call.
+    /// The listen address for operators.
     pub fn operator_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, OPERATOR_PORT)
     }
@@ -74,18 +74,19 @@
     }
 }
 
-/// All processes of a soak, and its folder.
+/// The processes of the system under test, and the soak test's folder.
 #[derive(Clone, Debug)]
 pub struct Topology {
     /// The processes, those of the control plane first.
     pub nodes: Vec<Node>,
-    /// Where settings, logs, data directories and the history are.
+    /// The folder for settings, logs, data directories and the history.
     pub folder: PathBuf,
     network: [u8; 3],
 }
 
 impl Topology {
-    /// So many processes, on addresses of this process' own, so that several soaks run beside each other.
+    /// Lays out this number of processes, on addresses derived from this process's id, so that several soak tests can run
+    /// at the same time.
     pub fn new(processes: usize, folder: PathBuf) -> Topology {
         let [.., high, low] = std::process::id().to_be_bytes();
         let network = [127, 64 | (high & 63), low];
@@ -103,34 +104,34 @@
         Topology { nodes: (0..processes).map(node).collect(), folder, network }
     }
 
-    /// The indexes of the processes of a program.
+    /// The indexes of the processes with this role.
     pub fn indexes_with_role(&self, role: Role) -> Vec<usize> {
         (0..self.nodes.len()).filter(|index| self.nodes[*index].role == role).collect()
     }
 
-    /// The address of the stand-ins.
+    /// The IP address of all stand-ins.
     pub fn stand_in_ip(&self) -> IpAddr {
         let [first, second, third] = self.network;
         Ipv4Addr::new(first, second, third, STAND_IN_HOST).into()
     }
 
-    /// Where the platform's list is.
+    /// The listen address of the platform API.
     pub fn platform_address(&self) -> SocketAddr {
         SocketAddr::new(self.stand_in_ip(), PLATFORM_PORT)
     }
 
-    /// A process' data directory, if its program has one.
+    /// The data directory of a process, if its program has one.
     pub fn data_directory(&self, index: usize) -> Option<PathBuf> {
         let node = &self.nodes[index];
         (node.role == Role::ControlPlane).then(|| self.folder.join(&node.name))
     }
 
-    /// A process' log.
+    /// The log file of a process.
     pub fn log_path(&self, index: usize) -> PathBuf {
         self.folder.join(format!("{}.log", self.nodes[index].name))
     }
 
-    /// Writes a process' settings file, as a whole. `revision` changes a value that is taken up without a restart.
+    /// Replaces the settings file of a process atomically. `revision` varies a setting that is applied without a restart.
     ///
     /// # Errors
     ///
@@ -185,11 +186,11 @@
         text
     }
 
-    /// Whether every address is free.
+    /// Checks that no address is in use.
     ///
     /// # Errors
     ///
-    /// One is in use.
+    /// An address cannot be bound.
     pub fn check_addresses(&self) -> Result<(), Error> {
         let node_addresses = self.nodes.iter().flat_map(Node::listen_addresses);
         for address in node_addresses.chain([self.platform_address()]) {
@@ -198,11 +199,11 @@
         Ok(())
     }
 
-    /// Makes the folder and the data directories.
+    /// Creates the folder and the data directories.
     ///
     /// # Errors
     ///
-    /// They cannot be made, or the folder holds something.
+    /// They cannot be created, or the folder is not empty.
     pub fn create_folders(&self) -> Result<(), Error> {
         create_folder(&self.folder)?;
         let mut entries = std::fs::read_dir(&self.folder).context(FileSnafu { path: &self.folder })?;
--- a/crates/soak/tests/command.rs
+++ b/crates/soak/tests/command.rs
@@ -1,4 +1,5 @@
-//! The program as a process: wrong command lines, and a soak that cannot begin or go on, which leaves no process behind.
+//! Runs the program as a process: with invalid command lines, and in soak tests that cannot start or continue, which must leave
+//! no process behind.
 
 use rstest::rstest;
 use std::io::{BufRead, BufReader};
@@ -14,7 +15,7 @@
     std::env::temp_dir().join(format!("soak-test-{name}-{}", std::process::id()))
 }
 
-/// A folder of programs that are none of the system's: both do what this shell script says.
+/// A folder with substitutes for both programs that run this shell script.
 fn programs(folder: &Path, script: &str) -> PathBuf {
     use std::os::unix::fs::PermissionsExt;
     let programs = folder.with_extension("programs");
@@ -32,7 +33,7 @@
 #[case::too_few_processes(&["run", "--processes", "2"], "not between 6 and 240")]
 #[case::no_number(&["plan", "--seed", "x"], "invalid")]
 #[case::unknown(&["run", "--colour"], "--colour")]
-fn a_wrong_command_line_is_named(#[case] arguments: &[&str], #[case] text: &str) {
+fn an_invalid_command_line_is_reported(#[case] arguments: &[&str], #[case] text: &str) {
     let output = soak(arguments);
     let error = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2), "{error}");
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn a_program_that_is_not_there_and_a_folder_that_cannot_be_made_are_named() {
+fn a_missing_program_and_an_unusable_folder_are_reported() {
     let folder = folder("absent");
     let path = folder.to_string_lossy().into_owned();
     let output = soak(&["run", "--programs", "/nowhere", "--folder", &path]);
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn a_history_that_is_none_is_named_with_its_line() {
+fn an_invalid_history_line_is_reported_with_its_number() {
     let path = folder("history.jsonl");
     std::fs::write(&path, "{\"at\":1,\"event\":\"Calm\"}\nnothing\n").expect("a file");
     let output = soak(&["check", &path.to_string_lossy()]);
@@ -71,14 +72,14 @@
 }
 
 #[test]
-fn a_process_that_ends_by_itself_ends_the_soak() {
+fn an_unexpected_process_exit_ends_the_soak() {
     let folder = folder("ended");
     let programs = programs(&folder, "exit 3");
     let arguments = ["run", "--programs", &programs.to_string_lossy(), "--folder", &folder.to_string_lossy()];
     let output = soak(&arguments);
     let error = String::from_utf8_lossy(&output.stderr);
-    assert!(output.status.code() == Some(3) && error.contains("ended by itself"), "{error}");
-    // What it has left there is not taken for the data of another system.
+    assert!(output.status.code() == Some(3) && error.contains("exited unexpectedly"), "{error}");
+    // The files it left behind must not be taken over by the next soak test.
     let again = soak(&arguments);
     let error = String::from_utf8_lossy(&again.stderr);
     assert!(again.status.code() == Some(3) && error.contains("is not empty"), "{error}");
@@ -86,7 +87,8 @@
     std::fs::remove_dir_all(programs).expect("a folder");
 }
 
-/// Programs that never listen: the soak waits for them until it is interrupted.
+/// The programs never open a listener, so the soak test waits for them until it is interrupted. Processes that it does not
+/// end would keep running.
 #[test]
 fn an_interrupted_soak_leaves_no_process_behind() {
     let folder = folder("interrupted");
@@ -97,7 +99,7 @@
     command.arg("run").arg("--programs").arg(&programs).arg("--folder").arg(&folder);
     let mut child = command.env("KITEPASS_LOG", "info").stderr(Stdio::piped()).spawn().expect("it starts");
     let mut log = BufReader::new(child.stderr.take().expect("piped")).lines().map_while(Result::ok);
-    assert!(log.any(|line| line.contains("event=started")), "it logs that all processes are started");
+    assert!(log.any(|line| line.contains("event=started")), "the start of all processes is logged");
     let pid = rustix::process::Pid::from_child(&child);
     rustix::process::kill_process(pid, rustix::process::Signal::INT).expect("it runs");
     assert!(log.any(|line| line.contains("interrupted")));
--- a/crates/soak/tests/limits.rs
+++ b/crates/soak/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What ends a soak before its time: an address in use, a full disk.
+//! Conditions that prevent or end a soak test: an address in use, a full disk.
 
 use kitepass_soak::error::Error;
 use kitepass_soak::history::{Event, Recorder};
@@ -7,7 +7,7 @@
 use std::path::Path;
 
 #[test]
-fn an_address_in_use_is_named() {
+fn an_address_in_use_is_reported() {
     let topology = Topology::new(MIN_PROCESSES, std::env::temp_dir().join("soak-test-addresses"));
     assert!(topology.check_addresses().is_ok());
     let address = topology.nodes[0].operator_address();
@@ -19,8 +19,8 @@
 #[test]
 fn a_full_disk_is_an_error() {
     let path = Path::new("/dev/full");
-    let recorder = Recorder::create(path).expect("it takes no bytes, but opens");
+    let recorder = Recorder::create(path).expect("the device opens, but accepts no bytes");
     recorder.record(Event::Calm);
     assert!(matches!(recorder.flush(path), Err(Error::File { .. })));
-    assert!(recorder.flush(path).is_err(), "what could not be written is still to be written");
+    assert!(recorder.flush(path).is_err(), "the records are still buffered");
 }
