--- a/crates/control-plane/src/state_machine/handlers/contact.rs
+++ b/crates/control-plane/src/state_machine/handlers/contact.rs
@@ -19,7 +19,7 @@
     /// Evaluates the contact after a message that proves part of it.
     ///
     /// Invariant: this does not detect a loss, because unread messages may contain further proof.
-    pub(in crate::state_machine) fn evaluate_contact_proof(&mut self, now: Timestamp) {
+    pub(in crate::state_machine) fn check_reconnected(&mut self, now: Timestamp) {
         let replica_sets = self.contact_replica_sets();
         self.quorum.check_reconnected(now, &replica_sets);
     }
--- a/crates/control-plane/src/state_machine/handlers/peers.rs
+++ b/crates/control-plane/src/state_machine/handlers/peers.rs
@@ -91,7 +91,7 @@
             }
             _ => return,
         }
-        self.evaluate_contact_proof(now);
+        self.check_reconnected(now);
     }
 
     fn dispatch(&mut self, now: Timestamp, sender: &Sender, message: Message) {
