--- a/examples/system/system.py
+++ b/examples/system/system.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""A small kitepass system on loopback: three control processes, two gateways, and around them a stand-in for the
-platform's list and four toy backends. See README.md beside this file."""
+"""Runs a small kitepass system on loopback: three control plane nodes, two gateways, and stand-ins for the platform's
+endpoint list and four backends. See README.md in this folder."""
 
 import argparse
 import http.client
@@ -21,39 +21,47 @@
 HERE = pathlib.Path(__file__).resolve().parent
 ROOT = HERE.parent.parent
 
-# District and province of each; a write is safe only once its copies lie in more than one of both.
-DISTRICTS = {"north-1": "north", "south-1": "south", "east-1": "east"}
-CONTROL_PLANES = {"control-1": ("127.0.1.1", "north-1"), "control-2": ("127.0.1.2", "south-1"), "control-3": ("127.0.1.3", "east-1")}
-DATA_PLANES = {"data-1": ("127.0.2.1", "north-1"), "data-2": ("127.0.2.2", "south-1")}
-PLATFORM = ("127.0.3.1", 8682)
+# The region of each zone. A write is committed only once it is on disk in more than one zone and more than one region.
+REGION_BY_ZONE = {"north-1": "north", "south-1": "south", "east-1": "east"}
+# The address and the zone of each node.
+CONTROL_PLANE_NODES = {
+    "control-1": ("127.0.1.1", "north-1"),
+    "control-2": ("127.0.1.2", "south-1"),
+    "control-3": ("127.0.1.3", "east-1"),
+}
+DATA_PLANE_NODES = {"data-1": ("127.0.2.1", "north-1"), "data-2": ("127.0.2.2", "south-1")}
+PLATFORM_ADDRESS = ("127.0.3.1", 8682)
+# The service and the zone of each backend, by address.
 BACKENDS = {
     "127.0.4.1": ("books", "north-1"),
     "127.0.4.2": ("books", "south-1"),
     "127.0.4.3": ("loans", "north-1"),
     "127.0.4.4": ("loans", "south-1"),
 }
-DESK, DIRECTORY, FRONT, READINESS, SIDINGS, BACKEND = 8688, 8684, 8686, 8680, (7740, 7755), 8080
-DESKS = ",".join(f"{ip}:{DESK}" for ip, _ in CONTROL_PLANES.values())
+# PEER_PORTS is a range: the first and the last port, inclusive.
+OPERATOR_PORT, DIRECTORY_PORT, CLIENT_PORT, READINESS_PORT, PEER_PORTS, BACKEND_PORT = (
+    8688, 8684, 8686, 8680, (7740, 7755), 8080)
+OPERATOR_ADDRESSES = ",".join(f"{ip}:{OPERATOR_PORT}" for ip, _ in CONTROL_PLANE_NODES.values())
 
-# All processes have to come up, found the core and catch up in this time.
-COMES_UP_S = 30
+# Limit for each wait. At startup, all processes have to start, create the replica set and synchronize within it.
+WAIT_TIMEOUT_S = 30
 
 
-class Trouble(Exception):
-    """What ends the script with 1 and one line."""
+class FatalError(Exception):
+    """Ends the script with exit code 1 and a one-line message."""
 
 
-# What stands around the system.
+# Stand-ins for the platform and the backends.
 
 
-class Handler(http.server.BaseHTTPRequestHandler):
+class HttpHandler(http.server.BaseHTTPRequestHandler):
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
 
-    def reply(self, status, body, fields=()):
+    def respond(self, status, body, headers=()):
         body = body.encode()
         self.send_response(status)
-        for name, value in fields:
+        for name, value in headers:
             self.send_header(name, value)
         self.send_header("Content-Length", str(len(body)))
         self.end_headers()
@@ -63,23 +71,23 @@
         pass
 
 
-class Platform(Handler):
+class PlatformHandler(HttpHandler):
     def do_GET(self):
         url = urllib.parse.urlsplit(self.path)
         if url.path != "/backends":
-            return self.reply(404, "")
-        districts = {}
-        for (ip, (line, district)), call_sign in zip(BACKENDS.items(), Backend.call_signs.values()):
-            districts.setdefault(district, []).append(
-                {"call-sign": call_sign, "line": line, "address": f"{ip}:{BACKEND}", "district": district,
+            return self.respond(404, "")
+        endpoints_by_zone = {}
+        for (ip, (service, zone)), backend_id in zip(BACKENDS.items(), BackendHandler.backend_ids.values()):
+            endpoints_by_zone.setdefault(zone, []).append(
+                {"call-sign": backend_id, "line": service, "address": f"{ip}:{BACKEND_PORT}", "district": zone,
                  "edition": "v1", "berths": 4, "standing": "open", "cold-left-ms": 0})
-        body = json.dumps({"backends": districts, "next-token": None})
-        self.reply(200, body, [("Content-Type", "application/json")])
+        body = json.dumps({"backends": endpoints_by_zone, "next-token": None})
+        self.respond(200, body, [("Content-Type", "application/json")])
 
 
-class Backend(Handler):
-    # A new life, a new name.
-    call_signs = {ip: f"i-{secrets.token_hex(4)}" for ip in BACKENDS}
+class BackendHandler(HttpHandler):
+    # A backend gets a new ID each time it starts.
+    backend_ids = {ip: f"i-{secrets.token_hex(4)}" for ip in BACKENDS}
 
     def read_body(self):
         if self.headers.get("Transfer-Encoding", "").lower() != "chunked":
@@ -95,156 +103,168 @@
     def do_GET(self):
         body = self.read_body()
         ip = self.server.server_address[0]
-        call_sign, (line, district) = self.call_signs[ip], BACKENDS[ip]
+        backend_id, (service, zone) = self.backend_ids[ip], BACKENDS[ip]
         if self.path == "/checkpoint":
-            return self.reply(200, "", [("X-Delivered-By", call_sign)])
-        try_id = self.headers.get("X-Try-Id")
-        if not try_id:
-            return self.reply(400, "no X-Try-Id\n", [("X-Not-Delivered", "1")])
-        echo = ("X-Try-Id", try_id)
-        if self.headers.get("X-Deliver-To", call_sign) != call_sign:
-            return self.reply(421, f"this is {call_sign}\n", [echo, ("X-Not-Delivered", "1")])
+            return self.respond(200, "", [("X-Delivered-By", backend_id)])
+        request_id = self.headers.get("X-Try-Id")
+        if not request_id:
+            return self.respond(400, "no X-Try-Id\n", [("X-Not-Delivered", "1")])
+        request_id_header = ("X-Try-Id", request_id)
+        if self.headers.get("X-Deliver-To", backend_id) != backend_id:
+            return self.respond(421, f"this is {backend_id}\n", [request_id_header, ("X-Not-Delivered", "1")])
         time.sleep(0.02)
-        said = f"{line} at {call_sign} in {district}: {self.command} {self.path}, {len(body)} bytes, "
-        said += f"sender {self.headers.get('X-Sender', 'none')}\n"
-        self.reply(200, said, [echo, ("X-Postmark", secrets.token_hex(8))])
+        text = f"{service} at {backend_id} in {zone}: {self.command} {self.path}, {len(body)} bytes, "
+        text += f"sender {self.headers.get('X-Sender', 'none')}\n"
+        self.respond(200, text, [request_id_header, ("X-Postmark", secrets.token_hex(8))])
 
     do_POST = do_PUT = do_DELETE = do_PATCH = do_GET
 
 
-def stand(handler, address):
+def start_server(handler, address):
     server = http.server.ThreadingHTTPServer(address, handler)
     server.daemon_threads = True
-    server.handle_error = lambda *_: None  # connections that a gateway closes
+    server.handle_error = lambda *_: None  # ignores errors on connections that a gateway has closed
     threading.Thread(target=server.serve_forever, daemon=True).start()
 
 
-# The system itself.
+# The processes of the system.
 
 
-def settings(folder, name, ip, district):
-    """A machine's settings file, and its folder on disk if it has one."""
-    control = name in CONTROL_PLANES
+def write_settings(folder, node_id, ip, zone):
+    """Writes a node's settings file and returns its path. Creates the data directory of a control plane node."""
+    is_control_plane = node_id in CONTROL_PLANE_NODES
     fields = {
-        "station": name,
+        "station": node_id,
         "ip": ip,
-        "district": district,
-        "province": DISTRICTS[district],
-        "sidings": list(SIDINGS),
-        "first-stops": DESKS.split(","),
+        "district": zone,
+        "province": REGION_BY_ZONE[zone],
+        "sidings": list(PEER_PORTS),
+        "first-stops": OPERATOR_ADDRESSES.split(","),
     }
-    if control:
-        archive = folder / name
-        archive.mkdir(exist_ok=True)
-        # Only the very first start founds a core. Danger: said again over a folder that was lost, a second core
-        # would be founded beside the first.
-        fields["maiden-run"] = not any((folder / other).exists() and any((folder / other).iterdir()) for other in CONTROL_PLANES)
-        fields["archive-dir"] = str(archive)
-        counters = {"control-desk": f"{ip}:{DESK}", "directory-desk": f"{ip}:{DIRECTORY}"}
+    if is_control_plane:
+        data_dir = folder / node_id
+        data_dir.mkdir(exist_ok=True)
+        # It is the first start only if no control plane node has data on disk. Danger: if a node that has lost its data
+        # were started with `maiden-run = true`, a second replica set would be created beside the existing one.
+        fields["maiden-run"] = not any(
+            (folder / other).exists() and any((folder / other).iterdir()) for other in CONTROL_PLANE_NODES)
+        fields["archive-dir"] = str(data_dir)
+        listeners = {"control-desk": f"{ip}:{OPERATOR_PORT}", "directory-desk": f"{ip}:{DIRECTORY_PORT}"}
     else:
-        counters = {"front-counter": f"{ip}:{FRONT}", "readiness": f"{ip}:{READINESS}"}
+        listeners = {"front-counter": f"{ip}:{CLIENT_PORT}", "readiness": f"{ip}:{READINESS_PORT}"}
     lines = [f"{key} = {json.dumps(value)}" for key, value in fields.items()]
     tables = {
-        "districts": DISTRICTS,
-        "counters": counters,
-        "carrier-api": {"address": "%s:%d" % PLATFORM, "rate-per-s": 50.0, "delay-ms": 800},
+        "districts": REGION_BY_ZONE,
+        "counters": listeners,
+        "carrier-api": {"address": "%s:%d" % PLATFORM_ADDRESS, "rate-per-s": 50.0, "delay-ms": 800},
     }
     for table, values in tables.items():
         lines += [f"[{table}]"] + [f"{key} = {json.dumps(value)}" for key, value in values.items()]
-    path = folder / f"{name}.toml"
+    path = folder / f"{node_id}.toml"
     path.write_text("\n".join(lines) + "\n")
     return path
 
 
 class System:
-    def __init__(self, folder, programs):
-        self.folder, self.programs, self.processes, self.started = folder, programs, {}, {}
+    def __init__(self, folder, program_dir):
+        self.folder, self.program_dir, self.processes, self.start_times = folder, program_dir, {}, {}
 
     def start(self):
         for program in ("kitepass-control-plane", "kitepass-data-plane"):
-            if not os.access(self.programs / program, os.X_OK):
-                raise Trouble(f"no program {self.programs / program}: run `make system`, or name its folder with --programs")
-        free([(ip, port) for ip, _ in CONTROL_PLANES.values() for port in (DESK, DIRECTORY, SIDINGS[0])]
-             + [(ip, port) for ip, _ in DATA_PLANES.values() for port in (FRONT, READINESS)]
-             + [PLATFORM] + [(ip, BACKEND) for ip in BACKENDS])
+            if not os.access(self.program_dir / program, os.X_OK):
+                raise FatalError(f"{self.program_dir / program} is missing or not executable: "
+                                 "run `make system`, or set its folder with --programs")
+        check_addresses_are_free(
+            [(ip, port) for ip, _ in CONTROL_PLANE_NODES.values()
+             for port in (OPERATOR_PORT, DIRECTORY_PORT, PEER_PORTS[0])]
+            + [(ip, port) for ip, _ in DATA_PLANE_NODES.values() for port in (CLIENT_PORT, READINESS_PORT)]
+            + [PLATFORM_ADDRESS] + [(ip, BACKEND_PORT) for ip in BACKENDS])
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
         except OSError as error:
-            raise Trouble(f"{self.folder}: {error.strerror}")
-        machines = {**CONTROL_PLANES, **DATA_PLANES}
-        files = {name: settings(self.folder, name, *at) for name, at in machines.items()}
-        stand(Platform, PLATFORM)
+            raise FatalError(f"{self.folder}: {error.strerror}")
+        nodes = {**CONTROL_PLANE_NODES, **DATA_PLANE_NODES}
+        settings_files = {
+            node_id: write_settings(self.folder, node_id, *ip_and_zone) for node_id, ip_and_zone in nodes.items()}
+        start_server(PlatformHandler, PLATFORM_ADDRESS)
         for ip in BACKENDS:
-            stand(Backend, (ip, BACKEND))
-        for name in machines:
-            self.run(name, files[name])
-
-    def run(self, name, file):
-        program = "kitepass-control-plane" if name in CONTROL_PLANES else "kitepass-data-plane"
-        with open(self.folder / f"{name}.log", "ab") as log:
-            # Sessions of their own: Ctrl-C is for this script, which then ends them in order.
-            self.processes[name] = subprocess.Popen(
-                [self.programs / program, "--settings", file],
+            start_server(BackendHandler, (ip, BACKEND_PORT))
+        for node_id in nodes:
+            self.start_process(node_id, settings_files[node_id])
+
+    def start_process(self, node_id, settings_file):
+        program = "kitepass-control-plane" if node_id in CONTROL_PLANE_NODES else "kitepass-data-plane"
+        with open(self.folder / f"{node_id}.log", "ab") as log:
+            # Each process gets its own session, so that Ctrl-C signals only this script, which stops them in order.
+            self.processes[node_id] = subprocess.Popen(
+                [self.program_dir / program, "--settings", settings_file],
                 stdin=subprocess.DEVNULL, stdout=log, stderr=log, start_new_session=True)
-            self.started[name] = time.monotonic()
-
-    def operator_command(self, *words, desk=DESKS):
-        """An operator's command: its exit code, and what it printed."""
-        done = subprocess.run([self.programs / "kitepass-control-plane", *words, "--at", desk], capture_output=True, text=True)
-        return done.returncode, (done.stdout + done.stderr).strip()
-
-    def watch(self, again=False):
-        """Danger: a process that ended unseen leaves a system that only looks whole. With `again` it is started
-        again, as a platform would; one that ended at once would only do so again."""
-        for name, process in self.processes.items():
+            self.start_times[node_id] = time.monotonic()
+
+    def run_operator_command(self, *arguments, addresses=OPERATOR_ADDRESSES):
+        """Runs an operator command; returns its exit code and its output."""
+        result = subprocess.run(
+            [self.program_dir / "kitepass-control-plane", *arguments, "--at", addresses],
+            capture_output=True, text=True)
+        return result.returncode, (result.stdout + result.stderr).strip()
+
+    def check_processes(self, restart=False):
+        """Fails if a process has exited, because the system could otherwise look complete without it. With `restart`,
+        the process is restarted instead, as a platform would do, unless it exited right after its start: it would
+        probably exit again."""
+        for node_id, process in self.processes.items():
             if process.poll() is not None:
-                if again and time.monotonic() - self.started[name] > 2:
-                    print(f"{name} ended with {process.returncode}, and is started again", flush=True)
-                    self.run(name, settings(self.folder, name, *{**CONTROL_PLANES, **DATA_PLANES}[name]))
+                if restart and time.monotonic() - self.start_times[node_id] > 2:
+                    print(f"{node_id} exited with code {process.returncode}; restarting it", flush=True)
+                    self.start_process(node_id, write_settings(
+                        self.folder, node_id, *{**CONTROL_PLANE_NODES, **DATA_PLANE_NODES}[node_id]))
                     continue
-                log = (self.folder / f"{name}.log").read_text(errors="replace").strip().splitlines()
-                last = f", its last line: {log[-1]}" if log else ""
-                raise Trouble(f"{name} ended with {process.returncode}{last}")
-
-    def until(self, what, check):
-        """Asks until it is so: only the system itself can say when it has come up."""
-        since = time.monotonic()
-        while not check():
-            self.watch()
-            if time.monotonic() - since > COMES_UP_S:
-                raise Trouble(f"{what}: not within {COMES_UP_S} s; see the logs in {self.folder}")
+                log = (self.folder / f"{node_id}.log").read_text(errors="replace").strip().splitlines()
+                last_line = f"; last line of its log: {log[-1]}" if log else ""
+                raise FatalError(f"{node_id} exited with code {process.returncode}{last_line}")
+
+    def wait_until(self, condition, is_met):
+        """Polls until the condition is met: only the system itself can tell when it has reached a state."""
+        started_at = time.monotonic()
+        while not is_met():
+            self.check_processes()
+            if time.monotonic() - started_at > WAIT_TIMEOUT_S:
+                raise FatalError(f"{condition}: not reached within {WAIT_TIMEOUT_S} s; see the logs in {self.folder}")
             time.sleep(0.1)
-        print(f"{what}: after {time.monotonic() - since:.1f} s", flush=True)
+        print(f"{condition}: after {time.monotonic() - started_at:.1f} s", flush=True)
 
-    def come_up(self, configuration):
-        said = []
+    def wait_until_ready(self, configuration):
+        apply_output = []
 
-        def taken():
-            code, text = self.operator_command("apply", near(configuration))
-            said[:] = [text]
+        def configuration_is_applied():
+            code, text = self.run_operator_command("apply", display_path(configuration))
+            apply_output[:] = [text]
             if code in (1, 2):
-                raise Trouble(text)
+                raise FatalError(text)
             return code == 0
 
-        def ready():
-            code, text = self.operator_command("members", "--json")
+        def gateways_are_ready():
+            code, text = self.run_operator_command("members", "--json")
             gateways = json.loads(text)["gateways"] if code == 0 else []
-            return {g["station"] for g in gateways if g["ready"]} == set(DATA_PLANES)
+            return {gateway["station"] for gateway in gateways if gateway["ready"]} == set(DATA_PLANE_NODES)
 
-        def held():
-            told = [self.operator_command("members", "--json", desk=desk) for desk in DESKS.split(",")]
-            return any(code == 0 and any(json.loads(text)["duty"].values()) for code, text in told)
+        def lease_is_held():
+            results = [self.run_operator_command("members", "--json", addresses=address)
+                       for address in OPERATOR_ADDRESSES.split(",")]
+            return any(code == 0 and any(json.loads(text)["duty"].values()) for code, text in results)
 
-        self.until("the core is founded and has taken the configuration", taken)
-        print(f"kitepass-control-plane apply said: {said[0]}")
-        # A core that was there before waits until any lease of then has ended.
-        self.until("one of the core reads the platform's list", held)
-        self.until("both gateways are ready", ready)
+        self.wait_until("replica set created and configuration applied", configuration_is_applied)
+        print(f"output of kitepass-control-plane apply: {apply_output[0]}")
+        # The lease holder reads the platform's endpoint list. A replica set from an earlier run grants the lease only
+        # after all leases from that run have expired.
+        self.wait_until("a control plane node holds the coordinator lease", lease_is_held)
+        self.wait_until("both gateways are ready", gateways_are_ready)
 
     def stop(self):
-        """Gateways first, as they hand in their last counts; a process that will not end is killed."""
-        for names in (DATA_PLANES, CONTROL_PLANES):
-            processes = [self.processes[name] for name in names if name in self.processes]
+        """Stops the gateways first, because they send their last usage counts to the control plane. A process that does
+        not exit in time is killed."""
+        for nodes in (DATA_PLANE_NODES, CONTROL_PLANE_NODES):
+            processes = [self.processes[node_id] for node_id in nodes if node_id in self.processes]
             for process in processes:
                 if process.poll() is None:
                     process.terminate()
@@ -256,153 +276,165 @@
                     process.wait()
 
 
-def near(path):
-    """A path as short as it can be told."""
+def display_path(path):
+    """The relative or the absolute path, whichever is shorter."""
     return min(os.path.relpath(path), str(path), key=len)
 
 
-def free(addresses):
+def check_addresses_are_free(addresses):
     for address in addresses:
         with socket.socket() as probe:
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
                 probe.bind(address)
             except OSError as error:
-                raise Trouble("%s:%d cannot be had (%s): does another system run here?" % (*address, error.strerror))
+                raise FatalError("cannot bind %s:%d (%s): is another instance of this example running?"
+                                 % (*address, error.strerror))
 
 
-# A handful of requests.
+# The checks of --check.
 
 
-def ask(address, method, path, key=None, host="library.example", body=None):
+def send_request(address, method, path, key=None, host="library.example", body=None):
     connection = http.client.HTTPConnection(*address, timeout=5)
-    fields = {"Host": host, "X-Try-Id": secrets.token_hex(8), "X-Time-Left-Ms": "3000"}
+    headers = {"Host": host, "X-Try-Id": secrets.token_hex(8), "X-Time-Left-Ms": "3000"}
     if key:
-        fields["Authorization"] = f"Bearer {key}"
+        headers["Authorization"] = f"Bearer {key}"
     try:
-        connection.request(method, path, body=body, headers=fields)
-        answer = connection.getresponse()
-        text = answer.read().decode(errors="replace").strip()
-        echoed = answer.headers.get("X-Try-Id") == fields["X-Try-Id"] and "X-Postmark" in answer.headers
-        return answer.status, text, echoed
+        connection.request(method, path, body=body, headers=headers)
+        response = connection.getresponse()
+        text = response.read().decode(errors="replace").strip()
+        is_from_backend = response.headers.get("X-Try-Id") == headers["X-Try-Id"] and "X-Postmark" in response.headers
+        return response.status, text, is_from_backend
     finally:
         connection.close()
 
 
-def check(system):
-    one, two = ((ip, FRONT) for ip, _ in DATA_PLANES.values())
-    bad = []
+def run_checks(system):
+    gateway_1, gateway_2 = ((ip, CLIENT_PORT) for ip, _ in DATA_PLANE_NODES.values())
+    failures = []
 
-    def note(what, good, came):
-        print(f"{'ok ' if good else 'BAD'} {what}: {came}", flush=True)
-        if not good:
-            bad.append(what)
+    def report(what, passed, result):
+        print(f"{'ok ' if passed else 'BAD'} {what}: {result}", flush=True)
+        if not passed:
+            failures.append(what)
 
-    def request(what, wanted, *words, **more):
+    def check_request(what, expected_status, *arguments, **options):
         try:
-            status, text, echoed = ask(*words, **more)
+            status, text, is_from_backend = send_request(*arguments, **options)
         except (OSError, http.client.HTTPException) as error:
-            return note(what, False, repr(error))
-        note(what, status == wanted and (echoed or status != 200), f"{status} {text}")
-
-    request("a read", 200, one, "GET", "/books/7", "key-of-town")
-    request("a once-only request, at the other gateway", 200, two, "POST", "/loans/7", "key-of-town", body=b"until=friday")
-    request("a body in chunks", 200, one, "POST", "/loans/8", "key-of-town", body=iter([b"until=", b"monday"]))
-    request("a route without keys", 200, two, "GET", "/hours/today")
-    request("no key", 401, one, "GET", "/books/7")
-    request("a key that is not known", 401, two, "GET", "/books/7", "key-of-nobody")
-    request("no such route", 404, one, "GET", "/games/7", "key-of-town")
-    request("no such host", 404, two, "GET", "/books/7", "key-of-town", host="cellar.example")
-
-    burst = [ask((one, two)[n % 2], "GET", f"/books/{n}", "key-of-school")[0] for n in range(60)]
-    served, refused = burst.count(200), burst.count(429)
-    note("60 requests at once of a customer with 5 a second", served >= 5 and refused >= 20 and served + refused == 60,
-         f"{served} served, {refused} refused with 429")
-
-    directory = (CONTROL_PLANES["control-2"][0], DIRECTORY)
-    status, text, _ = ask(directory, "GET", "/v1/route-lookup?name=library.example&province=north&district=north-1")
+            return report(what, False, repr(error))
+        report(what, status == expected_status and (is_from_backend or status != 200), f"{status} {text}")
+
+    check_request("safe request", 200, gateway_1, "GET", "/books/7", "key-of-town")
+    check_request("unsafe request through the other gateway", 200, gateway_2, "POST", "/loans/7", "key-of-town",
+                  body=b"until=friday")
+    check_request("request with a chunked body", 200, gateway_1, "POST", "/loans/8", "key-of-town",
+                  body=iter([b"until=", b"monday"]))
+    check_request("route that needs no API key", 200, gateway_2, "GET", "/hours/today")
+    check_request("missing API key", 401, gateway_1, "GET", "/books/7")
+    check_request("unknown API key", 401, gateway_2, "GET", "/books/7", "key-of-nobody")
+    check_request("unknown path", 404, gateway_1, "GET", "/games/7", "key-of-town")
+    check_request("unknown host", 404, gateway_2, "GET", "/books/7", "key-of-town", host="cellar.example")
+
+    burst = [send_request((gateway_1, gateway_2)[n % 2], "GET", f"/books/{n}", "key-of-school")[0] for n in range(60)]
+    served, rejected = burst.count(200), burst.count(429)
+    report("60 requests in quick succession from a tenant limited to 5 per second",
+           served >= 5 and rejected >= 20 and served + rejected == 60,
+           f"{served} served, {rejected} rejected with 429")
+
+    directory = (CONTROL_PLANE_NODES["control-2"][0], DIRECTORY_PORT)
+    status, text, _ = send_request(
+        directory, "GET", "/v1/route-lookup?name=library.example&province=north&district=north-1")
     addresses = json.loads(text).get("addresses", []) if status == 200 else []
-    note("where a client is to go", f"{one[0]}:{FRONT}" in addresses, f"{status} {text}")
-
-    code, text = system.operator_command("diff", near(HERE / "change.json"))
-    note("kitepass-control-plane diff", code == 0 and "newer" in text, f"{code}\n{text}")
-    code, text = system.operator_command("apply", near(HERE / "change.json"))
-    note("kitepass-control-plane apply", code == 0, f"{code} {text}")
-    system.until("the change is in force", lambda: ask(one, "GET", "/films/1", "key-of-town")[0] == 200
-                 and ask(two, "GET", "/books/1", "old-key-of-school")[0] == 401)
-    code, text = system.operator_command("apply", near(HERE / "configuration.json"))
-    note("kitepass-control-plane apply of what is older", code == 0 and ask(one, "GET", "/hours/now")[0] == 404, f"{code}, and nothing changed")
-    code, text = system.operator_command("evacuate", "start", "north-1")
-    note("kitepass-control-plane evacuate start", code == 0, f"{code} {text}")
-    system.until("nothing more goes to the zone", lambda: all(
-        "south-1" in ask(one, "GET", f"/books/{n}", "key-of-town")[1] for n in range(6)))
-    code, text = system.operator_command("evacuate", "end", "north-1")
-    note("kitepass-control-plane evacuate end", code == 0, f"{code} {text}")
-    code, text = system.operator_command("members")
-    note("kitepass-control-plane members", code == 0, f"{code}\n{text}")
-    print(f"{len(bad)} bad: {', '.join(bad)}" if bad else "all is well")
-    return not bad
-
-
-def usage(system):
-    command = near(system.programs / "kitepass-control-plane")
-    front, other = (f"{ip}:{FRONT}" for ip, _ in DATA_PLANES.values())
-    directory = f"{CONTROL_PLANES['control-1'][0]}:{DIRECTORY}"
+    report("gateway lookup by a client", f"{gateway_1[0]}:{CLIENT_PORT}" in addresses, f"{status} {text}")
+
+    code, text = system.run_operator_command("diff", display_path(HERE / "change.json"))
+    report("kitepass-control-plane diff", code == 0 and "newer" in text, f"{code}\n{text}")
+    code, text = system.run_operator_command("apply", display_path(HERE / "change.json"))
+    report("kitepass-control-plane apply", code == 0, f"{code} {text}")
+    system.wait_until("both gateways use the changed configuration", lambda: (
+        send_request(gateway_1, "GET", "/films/1", "key-of-town")[0] == 200
+        and send_request(gateway_2, "GET", "/books/1", "old-key-of-school")[0] == 401))
+    code, text = system.run_operator_command("apply", display_path(HERE / "configuration.json"))
+    report("kitepass-control-plane apply of older versions has no effect",
+           code == 0 and send_request(gateway_1, "GET", "/hours/now")[0] == 404, f"{code}")
+    code, text = system.run_operator_command("evacuate", "start", "north-1")
+    report("kitepass-control-plane evacuate start", code == 0, f"{code} {text}")
+    system.wait_until("no requests are sent to the evacuated zone", lambda: all(
+        "south-1" in send_request(gateway_1, "GET", f"/books/{n}", "key-of-town")[1] for n in range(6)))
+    code, text = system.run_operator_command("evacuate", "end", "north-1")
+    report("kitepass-control-plane evacuate end", code == 0, f"{code} {text}")
+    code, text = system.run_operator_command("members")
+    report("kitepass-control-plane members", code == 0, f"{code}\n{text}")
+    print(f"{len(failures)} failed: {', '.join(failures)}" if failures else "all checks passed")
+    return not failures
+
+
+def print_usage(system):
+    command = display_path(system.program_dir / "kitepass-control-plane")
+    gateway_1, gateway_2 = (f"{ip}:{CLIENT_PORT}" for ip, _ in DATA_PLANE_NODES.values())
+    directory = f"{CONTROL_PLANE_NODES['control-1'][0]}:{DIRECTORY_PORT}"
     print(f"""
-a small system is up; logs, settings and archives are in {system.folder}
+The system is running. Its settings, logs and data directories are in {system.folder}
 
-  curl -i http://{front}/books/7 -H 'Host: library.example' -H 'Authorization: Bearer key-of-town' -H 'X-Try-Id: 1'
-  curl -i http://{other}/loans/7 -H 'Host: library.example' -H 'Authorization: Bearer key-of-town' -H 'X-Try-Id: 2' -d until=friday
-  curl -i http://{front}/hours/today -H 'Host: library.example' -H 'X-Try-Id: 3'
+  curl -i http://{gateway_1}/books/7 -H 'Host: library.example' -H 'Authorization: Bearer key-of-town' -H 'X-Try-Id: 1'
+  curl -i http://{gateway_2}/loans/7 -H 'Host: library.example' -H 'Authorization: Bearer key-of-town' -H 'X-Try-Id: 2' -d until=friday
+  curl -i http://{gateway_1}/hours/today -H 'Host: library.example' -H 'X-Try-Id: 3'
   curl 'http://{directory}/v1/route-lookup?name=library.example&province=north&district=north-1'
 
-  export KITEPASS_AT={DESKS}
+  export KITEPASS_AT={OPERATOR_ADDRESSES}
   {command} members
   {command} get
-  {command} diff {near(HERE / 'change.json')}
-  {command} apply {near(HERE / 'change.json')}
+  {command} diff {display_path(HERE / 'change.json')}
+  {command} apply {display_path(HERE / 'change.json')}
 
-A process that is killed (its settings file is in its command line) is started again. Ctrl-C ends the system.""", flush=True)
+A killed process is restarted. To find a process, look for its settings file in its command line.
+Press Ctrl-C to stop the system.""", flush=True)
 
 
-def wait(system, with_stdin):
-    if with_stdin:
+def run_until_stopped(system, end_with_stdin):
+    if end_with_stdin:
         threading.Thread(target=lambda: (sys.stdin.read(), os.kill(os.getpid(), signal.SIGINT)), daemon=True).start()
     while True:
-        system.watch(again=True)
+        system.check_processes(restart=True)
         time.sleep(0.5)
 
 
 def main():
-    parser = argparse.ArgumentParser(description="A small kitepass system on loopback.")
-    parser.add_argument("--check", action="store_true", help="play a handful of requests, print what came, end with 0 or 1")
-    parser.add_argument("--programs", type=pathlib.Path, default=ROOT / "target/system", help="the folder with kitepass-control-plane and kitepass-data-plane")
-    parser.add_argument("--folder", type=pathlib.Path, help="where settings, archives and logs go; default a new one under /tmp. "
-                        "Given again, the system goes on with what it kept there")
+    parser = argparse.ArgumentParser(description="Runs a small kitepass system on loopback.")
+    parser.add_argument("--check", action="store_true",
+                        help="send some requests and operator commands, print the results, "
+                        "and exit with 0 if all checks passed, else with 1")
+    parser.add_argument("--programs", type=pathlib.Path, default=ROOT / "target/system",
+                        help="the folder with kitepass-control-plane and kitepass-data-plane")
+    parser.add_argument("--folder", type=pathlib.Path,
+                        help="the folder for settings, data directories and logs; by default a new one under /tmp. "
+                        "If it holds the data of an earlier run, the system continues from it")
     parser.add_argument("--configuration", type=pathlib.Path, default=HERE / "configuration.json",
-                        help="what is applied first")
-    parser.add_argument("--end-with-stdin", action="store_true", help="end when standard input closes")
+                        help="the configuration to apply at startup")
+    parser.add_argument("--end-with-stdin", action="store_true", help="stop when standard input is closed")
     args = parser.parse_args()
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
     signal.signal(signal.SIGINT, lambda *_: sys.exit(130))
     folder = args.folder or pathlib.Path(tempfile.mkdtemp(prefix="kitepass-system-"))
     system = System(folder.resolve(), args.programs.resolve())
     try:
-        if args.check and any((folder / name).exists() for name in CONTROL_PLANES):
-            raise Trouble(f"--check begins with an empty system, and {folder} holds one")
+        if args.check and any((folder / node_id).exists() for node_id in CONTROL_PLANE_NODES):
+            raise FatalError(f"--check needs a new system, but {folder} holds the data of an earlier run")
         system.start()
-        system.come_up(args.configuration)
+        system.wait_until_ready(args.configuration)
         if args.check:
-            return 0 if check(system) else 1
-        usage(system)
-        wait(system, args.end_with_stdin)
-    except Trouble as trouble:
-        print(f"system: {trouble}", file=sys.stderr)
+            return 0 if run_checks(system) else 1
+        print_usage(system)
+        run_until_stopped(system, args.end_with_stdin)
+    except FatalError as error:
+        print(f"system: {error}", file=sys.stderr)
         return 1
-    except SystemExit as asked:
-        # Ended as it was asked to: no failure, unless a check was cut short.
-        print("\nends")
-        return asked.code if args.check else 0
+    except SystemExit as exit_request:
+        # Stopped by a signal: a success, unless it interrupted the checks.
+        print("\nstopping")
+        return exit_request.code if args.check else 0
     finally:
         signal.signal(signal.SIGINT, signal.SIG_IGN)
         signal.signal(signal.SIGTERM, signal.SIG_IGN)
