--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,5 +1,6 @@
 #!/usr/bin/env python3
-"""Two backends, discovery and the counter on loopback, to try a kitepass gateway with. See README.md here."""
+"""Runs two backends, discovery and the counter service on loopback, for trying out a kitepass gateway. See README.md in
+this folder."""
 
 import http.server
 import json
@@ -8,14 +9,14 @@
 import time
 import urllib.parse
 
-BACKENDS = {"b1": ("127.0.0.1", 9101), "b2": ("127.0.0.1", 9102)}
+BACKEND_ADDRESSES = {"b1": ("127.0.0.1", 9101), "b2": ("127.0.0.1", 9102)}
 
 
-class Handler(http.server.BaseHTTPRequestHandler):
+class HttpHandler(http.server.BaseHTTPRequestHandler):
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
 
-    def reply(self, body, status=200):
+    def respond(self, body, status=200):
         body = body.encode()
         self.send_response(status)
         self.send_header("Content-Length", str(len(body)))
@@ -26,19 +27,21 @@
         pass
 
 
-class Backend(Handler):
+class BackendHandler(HttpHandler):
     def do_GET(self):
-        sent = self.rfile.read(int(self.headers.get("Content-Length", 0)))
-        id = self.server.id
-        print(f"{id}: {self.command} {self.path} {self.headers.get('X-Trace-Id')} {sent.decode(errors='replace')}")
+        request_body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
+        backend_id = self.server.backend_id
+        print(f"{backend_id}: {self.command} {self.path} {self.headers.get('X-Trace-Id')} "
+              f"{request_body.decode(errors='replace')}")
         time.sleep(0.02)
-        self.reply(f"{id} has done it\n")
+        self.respond(f"processed by {backend_id}\n")
 
     do_POST = do_GET
 
 
-class Counter(Handler):
+class CounterHandler(HttpHandler):
     lock = threading.Lock()
+    # The total and the expiry time of each counter, by name.
     totals = {}
 
     def do_POST(self):
@@ -46,78 +49,81 @@
         query = dict(urllib.parse.parse_qsl(url.query))
         now, name = time.monotonic(), url.path.removeprefix("/counters/")
         with self.lock:
-            total, ends = self.totals.get(name, (0.0, 0.0))
-            if ends <= now:
-                total, ends = 0.0, now + min(float(query["expire_ms"]), 60_000) / 1000
+            total, expires_at = self.totals.get(name, (0.0, 0.0))
+            if expires_at <= now:
+                total, expires_at = 0.0, now + min(float(query["expire_ms"]), 60_000) / 1000
             total += float(query["by"])
-            self.totals[name] = total, ends
-        self.reply(f"{total:.7g}")
+            self.totals[name] = total, expires_at
+        self.respond(f"{total:.7g}")
 
 
-class Discovery(Handler):
+class DiscoveryHandler(HttpHandler):
     changed = threading.Condition()
-    changes = [dict.fromkeys(BACKENDS, "ready")]  # one a generation
+    # The new lifecycle of each backend that a change affects. The length of the list is the current generation.
+    changes = [dict.fromkeys(BACKEND_ADDRESSES, "ready")]
 
-    def entries(self, change):
+    def instances(self, change):
         return [
-            {"instanceId": id, "hostPort": "%s:%d" % BACKENDS[id], "zone": "a", "machineType": "toy", "cell": 0,
-             "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0}
-            for id, lifecycle in change.items()
+            {"instanceId": backend_id, "hostPort": "%s:%d" % BACKEND_ADDRESSES[backend_id], "zone": "a",
+             "machineType": "toy", "cell": 0, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0}
+            for backend_id, lifecycle in change.items()
         ]
 
     def do_GET(self):
         query = dict(urllib.parse.parse_qsl(urllib.parse.urlsplit(self.path).query))
-        whole = {}
+        lifecycles = {}
         for change in self.changes:
-            whole.update(change)
-        said = len(self.changes)
-        first = {"generation": said, "reset": True, "instances": self.entries(whole)}
+            lifecycles.update(change)
+        generation = len(self.changes)
+        full_list = {"generation": generation, "reset": True, "instances": self.instances(lifecycles)}
         if "stream" not in query:
-            return self.reply(json.dumps(first))
+            return self.respond(json.dumps(full_list))
         self.send_response(200)
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
-        self.say(json.dumps(first))
+        self.send_chunk(json.dumps(full_list))
         while True:
             with self.changed:
-                self.changed.wait_for(lambda: len(self.changes) > said, timeout=2)
-                news = self.changes[said:]
-            for change in news:
-                said += 1
-                self.say(json.dumps({"generation": said, "reset": False, "instances": self.entries(change)}))
-            if not news:
-                self.say("")
-
-    def say(self, line):
+                self.changed.wait_for(lambda: len(self.changes) > generation, timeout=2)
+                new_changes = self.changes[generation:]
+            for change in new_changes:
+                generation += 1
+                self.send_chunk(json.dumps(
+                    {"generation": generation, "reset": False, "instances": self.instances(change)}))
+            if not new_changes:
+                self.send_chunk("")
+
+    def send_chunk(self, line):
         line = line.encode() + b"\n"
         self.wfile.write(b"%x\r\n%s\r\n" % (len(line), line))
 
 
-def serve(handler, address, id=None):
+def start_server(handler, address, backend_id=None):
     server = http.server.ThreadingHTTPServer(address, handler)
-    server.id = id
-    server.handle_error = lambda *_: None  # connections that a gateway closes
+    server.backend_id = backend_id
+    server.handle_error = lambda *_: None  # ignores errors on connections that a gateway has closed
     threading.Thread(target=server.serve_forever, daemon=True).start()
 
 
 def main():
-    for id, address in BACKENDS.items():
-        serve(Backend, address, id)
-    serve(Counter, ("127.0.0.1", 6400))
-    serve(Discovery, ("127.0.0.1", 8500))
-    print("serving; 'drain b1' and 'ready b1' change the list, Ctrl-C ends", flush=True)
-    lifecycles = {"drain": "draining", "ready": "ready"}
+    for backend_id, address in BACKEND_ADDRESSES.items():
+        start_server(BackendHandler, address, backend_id)
+    start_server(CounterHandler, ("127.0.0.1", 6400))
+    start_server(DiscoveryHandler, ("127.0.0.1", 8500))
+    print("running; enter 'drain b1' or 'ready b1' to change a backend's lifecycle, press Ctrl-C to stop", flush=True)
+    lifecycle_by_command = {"drain": "draining", "ready": "ready"}
     for line in sys.stdin:
-        word, _, id = line.strip().partition(" ")
-        if word in lifecycles and id in BACKENDS:
-            with Discovery.changed:
-                Discovery.changes.append({id: lifecycles[word]})
-                Discovery.changed.notify_all()
+        command, _, backend_id = line.strip().partition(" ")
+        if command in lifecycle_by_command and backend_id in BACKEND_ADDRESSES:
+            with DiscoveryHandler.changed:
+                DiscoveryHandler.changes.append({backend_id: lifecycle_by_command[command]})
+                DiscoveryHandler.changed.notify_all()
         else:
-            print("expected: drain|ready, and one of " + ", ".join(BACKENDS))
+            print("expected drain or ready, followed by one of: " + ", ".join(BACKEND_ADDRESSES))
     if sys.stdin.isatty():
-        return print("Ctrl-D: ends")
-    print("standard input is closed: the list stays as it is; serving on, Ctrl-C or SIGTERM ends", flush=True)
+        return print("Ctrl-D: stopping")
+    print("standard input is closed; the list of backends no longer changes. Press Ctrl-C or send SIGTERM to stop",
+          flush=True)
     threading.Event().wait()
 
 
@@ -125,4 +131,4 @@
     try:
         main()
     except KeyboardInterrupt:
-        print("interrupted: ends")
+        print("interrupted: stopping")
