--- a/Makefile
+++ b/Makefile
@@ -13,25 +13,25 @@
 doc:
 	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
 
-# One gateway by the example's configuration, or another: make run CONFIG=path
+# Runs one gateway with the example configuration, or with another one: make run CONFIG=path
 CONFIG ?= examples/gateway.json
 run: build
 	BALANCER_CONFIG=$(CONFIG) RUST_LOG=info target/release/kitepass
 
-# What the example's gateway needs around it
+# Runs backends, discovery and the counter service for the gateway of `make run`
 toy:
 	python3 examples/toy.py
 
-# The system's two programs, as deploy/system.toml has them built
-SYSTEM = cargo build --profile system --locked -p kitepass-data-plane -p kitepass-control-plane
+# Builds the control plane and data plane programs as in deploy/system.toml
+BUILD_SYSTEM = cargo build --profile system --locked -p kitepass-data-plane -p kitepass-control-plane
 PROGRAMS = $${CARGO_TARGET_DIR:-target}/system
 
-# A small system on loopback until Ctrl-C; its options: make system ARGS="--folder /tmp/kitepass"
+# Runs a small system on loopback until Ctrl-C. ARGS sets its options: make system ARGS="--folder /tmp/kitepass"
 system:
-	$(SYSTEM)
+	$(BUILD_SYSTEM)
 	@python3 examples/system/system.py --programs $(PROGRAMS) $(ARGS)
 
-# The same, with a handful of requests through it; ends with 0 if all is well
+# Sends requests and operator commands to such a system; exits with 0 if all checks passed
 check-system:
-	$(SYSTEM)
+	$(BUILD_SYSTEM)
 	@python3 examples/system/system.py --programs $(PROGRAMS) --check $(ARGS)
