--- a/examples/system/system.py
+++ b/examples/system/system.py
@@ -233,7 +233,7 @@
             time.sleep(0.1)
         print(f"{condition}: after {time.monotonic() - started_at:.1f} s", flush=True)
 
-    def wait_until_ready(self, configuration):
+    def apply_and_wait_until_ready(self, configuration):
         apply_output = []
 
         def configuration_is_applied():
@@ -423,7 +423,7 @@
         if args.check and any((folder / node_id).exists() for node_id in CONTROL_PLANE_NODES):
             raise FatalError(f"--check needs a new system, but {folder} holds the data of an earlier run")
         system.start()
-        system.wait_until_ready(args.configuration)
+        system.apply_and_wait_until_ready(args.configuration)
         if args.check:
             return 0 if run_checks(system) else 1
         print_usage(system)
