--- a/crates/simulation/examples/change_latency.rs
+++ b/crates/simulation/examples/change_latency.rs
@@ -2,7 +2,7 @@
 //! zones. `cargo run --release -p kitepass-simulation --example change_latency`
 
 use kitepass_config::Kind;
-use kitepass_simulation::history::{AnswerStatus, AttemptId};
+use kitepass_simulation::history::{AttemptId, ResponseStatus};
 use kitepass_simulation::operator::PlannedWrite;
 use kitepass_simulation::scenario::{Layout, Scenario, MILLISECOND, SECOND};
 use kitepass_simulation::simulation::Simulation;
@@ -12,11 +12,11 @@
 /// Services that the changes write in turn.
 const SERVICES: usize = 40;
 /// The system is founded within this time.
-const FOUNDING_PERIOD: i64 = 8 * SECOND;
+const BOOTSTRAP_PERIOD: i64 = 8 * SECOND;
 /// For so long the traffic without changes is measured.
 const IDLE_PERIOD: i64 = 8 * SECOND;
 /// The changes of one measurement are given up after this time.
-const TIMEOUT: i64 = 200 * SECOND;
+const MEASUREMENT_TIMEOUT: i64 = 200 * SECOND;
 
 /// What was sent until a time.
 struct Traffic {
@@ -41,7 +41,7 @@
 }
 
 /// A change that was sent and is not confirmed yet.
-struct OpenChange {
+struct PendingChange {
     attempt: AttemptId,
     sent_at: i64,
 }
@@ -49,18 +49,18 @@
 /// Sends changes, so many at once, and returns how long each took in microseconds, in order.
 fn measure_latencies(simulation: &mut Simulation, operators: usize) -> Vec<i64> {
     let start = simulation.now;
-    let (mut open, mut latencies, mut sent) = (Vec::new(), Vec::new(), 0);
-    while latencies.len() < CHANGES && simulation.now - start < TIMEOUT {
-        while open.len() < operators && sent < CHANGES {
+    let (mut pending, mut latencies, mut sent) = (Vec::new(), Vec::new(), 0);
+    while latencies.len() < CHANGES && simulation.now - start < MEASUREMENT_TIMEOUT {
+        while pending.len() < operators && sent < CHANGES {
             sent += 1;
             let name = format!("l{}", sent % SERVICES);
             let write = PlannedWrite::set(Kind::Service, name, 100 + sent as u64);
             let attempt = simulation.request_change(simulation.node_of(sent % 6), &[write]);
-            open.push(OpenChange { attempt, sent_at: simulation.now });
+            pending.push(PendingChange { attempt, sent_at: simulation.now });
         }
         simulation.run_for(MILLISECOND / 10);
-        open.retain(|change: &OpenChange| {
-            let is_confirmed = simulation.status_of(change.attempt) == Some(AnswerStatus::Confirmed);
+        pending.retain(|change: &PendingChange| {
+            let is_confirmed = simulation.status_of(change.attempt) == Some(ResponseStatus::Confirmed);
             if is_confirmed {
                 latencies.push(simulation.now - change.sent_at);
             }
@@ -85,17 +85,17 @@
         ..Layout::six_replicas()
     };
     let mut simulation = Simulation::new(&Scenario::without_operators(SEED, layout, Vec::new()));
-    simulation.run_until(FOUNDING_PERIOD);
+    simulation.run_until(BOOTSTRAP_PERIOD);
     // What goes between replicas without any change is not a change's cost.
-    let founded = Traffic::of(&simulation);
+    let after_bootstrap = Traffic::of(&simulation);
     simulation.run_for(IDLE_PERIOD);
-    let rested = Traffic::of(&simulation);
-    let idle = rested.since(&founded);
+    let after_idle = Traffic::of(&simulation);
+    let idle = after_idle.since(&after_bootstrap);
     let latencies = measure_latencies(&mut simulation, operators);
-    let busy = Traffic::of(&simulation).since(&rested);
-    let cost = |busy_count: u64, idle_count: u64| {
-        let background = idle_count as f64 / idle.at as f64 * busy.at as f64;
-        (busy_count as f64 - background) / latencies.len() as f64
+    let under_load = Traffic::of(&simulation).since(&after_idle);
+    let cost = |load_count: u64, idle_count: u64| {
+        let background = idle_count as f64 / idle.at as f64 * under_load.at as f64;
+        (load_count as f64 - background) / latencies.len() as f64
     };
     println!(
         "{:8.1} | {operators:9} | {:6.1} | {:6.1} | {:6.1} | {:9} | {:15.1} | {:14.0}",
@@ -104,8 +104,8 @@
         percentile(&latencies, 0.99),
         percentile(&latencies, 1.0),
         latencies.len(),
-        cost(busy.messages, idle.messages),
-        cost(busy.bytes, idle.bytes)
+        cost(under_load.messages, idle.messages),
+        cost(under_load.bytes, idle.bytes)
     );
 }
 
--- a/crates/simulation/src/checker/mod.rs
+++ b/crates/simulation/src/checker/mod.rs
@@ -3,7 +3,9 @@
 
 mod violation;
 
-use crate::history::{AnswerStatus, AttemptId, ChangeId, Content, HistoryEvent, ItemName, ItemState, Write};
+use crate::history::{
+    AttemptId, ChangeId, Content, HistoryEvent, ItemName, ItemState, ResponseStatus, Write,
+};
 use std::collections::{BTreeMap, BTreeSet};
 pub use violation::{Invariant, Violation};
 
@@ -24,7 +26,7 @@
 struct Attempt {
     change: ChangeId,
     started: i64,
-    status: Option<AnswerStatus>,
+    status: Option<ResponseStatus>,
 }
 
 /// The content of a version, and where it was seen first.
@@ -41,10 +43,10 @@
 }
 
 /// A read that is under way.
-struct OpenRead<'a> {
+struct PendingRead<'a> {
     started: i64,
     /// The version of each item that it must show at least.
-    floors: BTreeMap<&'a ItemName, u64>,
+    min_versions: BTreeMap<&'a ItemName, u64>,
 }
 
 /// A replica set as it was seen first.
@@ -66,7 +68,7 @@
 
 impl Evacuation<'_> {
     /// From when on a later confirmed request overrules it: never, unless it was confirmed itself.
-    fn effective_until(&self) -> i64 {
+    fn overridable_from(&self) -> i64 {
         if self.is_confirmed {
             self.answered.unwrap_or(i64::MAX)
         } else {
@@ -85,15 +87,15 @@
     deletions: BTreeMap<&'a ItemName, u64>,
     attempts: BTreeMap<AttemptId, Attempt>,
     attempts_by_change: BTreeMap<ChangeId, Vec<AttemptId>>,
-    answers: BTreeMap<ChangeId, BTreeSet<AnswerStatus>>,
+    statuses: BTreeMap<ChangeId, BTreeSet<ResponseStatus>>,
     /// When a change was confirmed first.
     confirmed: BTreeMap<ChangeId, i64>,
     /// Changes that were rejected for good.
     rejected: BTreeSet<ChangeId>,
     contents: BTreeMap<(&'a ItemName, u64), FirstContent>,
     /// The highest version of each item that was confirmed, shown or applied.
-    floors: BTreeMap<&'a ItemName, u64>,
-    reads: BTreeMap<AttemptId, OpenRead<'a>>,
+    min_versions: BTreeMap<&'a ItemName, u64>,
+    reads: BTreeMap<AttemptId, PendingRead<'a>>,
     /// Writes that were shown or applied.
     visible: BTreeMap<Write, FirstSeen>,
     /// The version of each item that a gateway acts on.
@@ -117,10 +119,10 @@
             HistoryEvent::ChangeAnswered { at, attempt, change, node, status } => {
                 self.change_answered(*at, *attempt, *change, *node, *status);
             }
-            HistoryEvent::AnswerReceived { attempt } => self.answer_received(*attempt),
+            HistoryEvent::ResponseReceived { attempt } => self.response_received(*attempt),
             HistoryEvent::ReadStarted { at, read, .. } => {
-                let open_read = OpenRead { started: *at, floors: self.floors.clone() };
-                self.reads.insert(*read, open_read);
+                let pending_read = PendingRead { started: *at, min_versions: self.min_versions.clone() };
+                self.reads.insert(*read, pending_read);
             }
             HistoryEvent::ReadCompleted { at, read, items } => self.read_completed(*at, *read, items),
             HistoryEvent::WriteApplied { at, gateway, write } => self.write_applied(*at, *gateway, write),
@@ -184,23 +186,23 @@
         attempt: AttemptId,
         change: ChangeId,
         node: usize,
-        status: AnswerStatus,
+        status: ResponseStatus,
     ) {
-        self.answers.entry(change).or_default().insert(status);
+        self.statuses.entry(change).or_default().insert(status);
         let started = self.attempts.get_mut(&attempt).map_or(at, |attempt| {
             attempt.status = Some(status);
             attempt.started
         });
         match status {
-            AnswerStatus::Confirmed => {
+            ResponseStatus::Confirmed => {
                 self.confirmed.entry(change).or_insert(at);
                 for write in self.changes.get(&change).copied().unwrap_or_default() {
                     self.check_content(at, write, format!("change {change} confirmed at s{node}"));
-                    self.raise_floor(&write.item, write.version);
+                    self.raise_min_version(&write.item, write.version);
                 }
             }
-            AnswerStatus::Conflict => _ = self.rejected.insert(change),
-            AnswerStatus::Invalid => {
+            ResponseStatus::Conflict => _ = self.rejected.insert(change),
+            ResponseStatus::Invalid => {
                 if let Some(since) = self.confirmed.get(&change).filter(|since| **since < started) {
                     let since = *since as f64 / 1e6;
                     let description =
@@ -208,19 +210,19 @@
                     self.report(Invariant::RejectedStaysOut, at, description);
                 }
             }
-            AnswerStatus::Unknown => {}
+            ResponseStatus::Unknown => {}
         }
     }
 
     /// An operator that got a 400 takes it as final, if no other attempt of the change can still be confirmed.
-    fn answer_received(&mut self, attempt: AttemptId) {
-        let Some(Attempt { change, status: Some(AnswerStatus::Invalid), .. }) = self.attempts.get(&attempt)
+    fn response_received(&mut self, attempt: AttemptId) {
+        let Some(Attempt { change, status: Some(ResponseStatus::Invalid), .. }) = self.attempts.get(&attempt)
         else {
             return;
         };
         let attempts = self.attempts_by_change.get(change).into_iter().flatten();
         let mut attempts = attempts.filter_map(|attempt| self.attempts.get(attempt));
-        if attempts.all(|attempt| attempt.status == Some(AnswerStatus::Invalid)) {
+        if attempts.all(|attempt| attempt.status == Some(ResponseStatus::Invalid)) {
             self.rejected.insert(*change);
         }
     }
@@ -238,9 +240,9 @@
         }
     }
 
-    fn raise_floor(&mut self, item: &'a ItemName, version: u64) {
-        let floor = self.floors.entry(item).or_default();
-        *floor = (*floor).max(version);
+    fn raise_min_version(&mut self, item: &'a ItemName, version: u64) {
+        let min_version = self.min_versions.entry(item).or_default();
+        *min_version = (*min_version).max(version);
     }
 
     /// A write is shown by a read, or applied at a gateway.
@@ -253,7 +255,7 @@
         let first_seen = || FirstSeen { at, source: source.to_owned() };
         self.visible.entry(write.clone()).or_insert_with(first_seen);
         self.check_content(at, sent, source.to_owned());
-        self.raise_floor(&sent.item, sent.version);
+        self.raise_min_version(&sent.item, sent.version);
     }
 
     /// True if a read may show no such item where it should show this version: a deletion by at least that version was
@@ -271,14 +273,14 @@
     }
 
     fn read_completed(&mut self, at: i64, read: AttemptId, items: &'a BTreeMap<ItemName, ItemState>) {
-        let Some(OpenRead { started, floors }) = self.reads.remove(&read) else { return };
-        for (item, floor) in floors {
+        let Some(PendingRead { started, min_versions }) = self.reads.remove(&read) else { return };
+        for (item, min_version) in min_versions {
             let shown = items.get(item);
-            if self.lacks_version(shown, item, floor) {
+            if self.lacks_version(shown, item, min_version) {
                 let shown = shown.map_or("nothing".to_owned(), |state| format!("r{}", state.version));
                 let started = started as f64 / 1e6;
                 let description = format!(
-                    "{item}: r{floor} stood before read {read} began at {started:.6}, it shows {shown}"
+                    "{item}: r{min_version} stood before read {read} began at {started:.6}, it shows {shown}"
                 );
                 self.report(Invariant::NoLostWrite, at, description);
             }
@@ -336,13 +338,13 @@
     fn evacuation_observed(&mut self, at: i64, node: usize, zone: &str, is_evacuated: bool) {
         let requests: Vec<Evacuation> =
             self.evacuations.values().filter(|request| request.zone == zone).copied().collect();
-        let is_overruled = |until: i64| {
+        let is_overridden = |overridable_from: i64| {
             let mut opposite = requests.iter().filter(|request| request.is_evacuated != is_evacuated);
-            opposite.any(|request| request.is_confirmed && request.started > until)
+            opposite.any(|request| request.is_confirmed && request.started > overridable_from)
         };
         let initial = (!is_evacuated).then_some(-1);
         let requested = requests.iter().filter(|request| request.is_evacuated == is_evacuated);
-        if requested.map(Evacuation::effective_until).chain(initial).all(is_overruled) {
+        if requested.map(Evacuation::overridable_from).chain(initial).all(is_overridden) {
             let description = format!("zone {zone} is evacuated={is_evacuated} at s{node}");
             self.report(Invariant::EvacuationsPersist, at, description);
         }
@@ -353,7 +355,7 @@
         let rejected = std::mem::take(&mut self.rejected);
         for change in &rejected {
             if let Some(confirmed) = self.confirmed.get(change).copied() {
-                let description = format!("change {change}: {:?}", self.answers.get(change));
+                let description = format!("change {change}: {:?}", self.statuses.get(change));
                 self.report(Invariant::RejectedStaysOut, confirmed, description);
             }
         }
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -3,7 +3,7 @@
 //! It covers primitive values only: numbers, the names and zones that go over the wire, and the explicit numbers below
 //! in place of enum variants. Renaming a type, a field, a variant or a message text therefore leaves it as it is.
 
-use crate::history::{AnswerStatus, Content, HistoryEvent, ItemName, Write};
+use crate::history::{Content, HistoryEvent, ItemName, ResponseStatus, Write};
 
 /// 64-bit FNV-1a, as it is published: the hash must not change with a dependency.
 #[derive(Clone, Copy, Debug)]
@@ -44,20 +44,20 @@
     }
 
     /// The number of an event's kind, its time, and more numbers.
-    fn timed(&mut self, kind: u64, at: i64, numbers: &[u64]) {
+    fn timed_event(&mut self, kind: u64, at: i64, numbers: &[u64]) {
         self.unsigned(kind);
         self.signed(at);
         self.numbers(numbers);
     }
 
-    fn flag(&mut self, flag: bool) {
-        self.unsigned(u64::from(flag));
+    fn boolean(&mut self, boolean: bool) {
+        self.unsigned(u64::from(boolean));
     }
 
     /// The length goes first, so that two texts in a row cannot be split in two ways.
-    fn text(&mut self, text: &str) {
-        self.unsigned(text.len() as u64);
-        self.bytes(text.as_bytes());
+    fn string(&mut self, string: &str) {
+        self.unsigned(string.len() as u64);
+        self.bytes(string.as_bytes());
     }
 }
 
@@ -96,45 +96,45 @@
         }
         HistoryEvent::ChangeSent { attempt, change } => hash.numbers(&[2, attempt.0, change.0]),
         HistoryEvent::AttemptUndelivered { attempt } => hash.numbers(&[3, attempt.0]),
-        HistoryEvent::ChangeStarted { at, attempt } => hash.timed(4, *at, &[attempt.0]),
+        HistoryEvent::ChangeStarted { at, attempt } => hash.timed_event(4, *at, &[attempt.0]),
         HistoryEvent::ChangeAnswered { at, attempt, change, node, status } => {
-            hash.timed(5, *at, &[attempt.0, change.0, *node as u64, status_number(*status)]);
+            hash.timed_event(5, *at, &[attempt.0, change.0, *node as u64, status_number(*status)]);
         }
-        HistoryEvent::AnswerReceived { attempt } => hash.numbers(&[6, attempt.0]),
-        HistoryEvent::ReadStarted { at, read, node } => hash.timed(7, *at, &[read.0, *node as u64]),
+        HistoryEvent::ResponseReceived { attempt } => hash.numbers(&[6, attempt.0]),
+        HistoryEvent::ReadStarted { at, read, node } => hash.timed_event(7, *at, &[read.0, *node as u64]),
         HistoryEvent::ReadCompleted { at, read, items } => {
-            hash.timed(8, *at, &[read.0, items.len() as u64]);
+            hash.timed_event(8, *at, &[read.0, items.len() as u64]);
             items.iter().for_each(|(item, state)| add_version(hash, item, state.version, state.content));
         }
         HistoryEvent::WriteApplied { at, gateway, write } => {
-            hash.timed(9, *at, &[*gateway as u64]);
+            hash.timed_event(9, *at, &[*gateway as u64]);
             add_write(hash, write);
         }
         HistoryEvent::GatewayRestarted { gateway } => hash.numbers(&[10, *gateway as u64]),
         HistoryEvent::ReplicaSetObserved { at, node, name, version, digest } => {
-            hash.timed(11, *at, &[*node as u64]);
-            hash.text(name);
+            hash.timed_event(11, *at, &[*node as u64]);
+            hash.string(name);
             hash.numbers(&[*version, *digest]);
         }
         HistoryEvent::LeaseHeld { at, nodes } => {
-            hash.timed(12, *at, &[nodes.len() as u64]);
+            hash.timed_event(12, *at, &[nodes.len() as u64]);
             nodes.iter().for_each(|node| hash.unsigned(*node as u64));
         }
         HistoryEvent::EvacuationStarted { at, request, zone, is_evacuated } => {
-            hash.timed(13, *at, &[request.0]);
-            hash.text(zone);
-            hash.flag(*is_evacuated);
+            hash.timed_event(13, *at, &[request.0]);
+            hash.string(zone);
+            hash.boolean(*is_evacuated);
         }
         HistoryEvent::EvacuationAnswered { at, request, is_confirmed } => {
-            hash.timed(14, *at, &[request.0, u64::from(*is_confirmed)]);
+            hash.timed_event(14, *at, &[request.0, u64::from(*is_confirmed)]);
         }
         HistoryEvent::EvacuationObserved { at, node, zone, is_evacuated } => {
-            hash.timed(15, *at, &[*node as u64]);
-            hash.text(zone);
-            hash.flag(*is_evacuated);
+            hash.timed_event(15, *at, &[*node as u64]);
+            hash.string(zone);
+            hash.boolean(*is_evacuated);
         }
         // Its text is for people and names states of the program.
-        HistoryEvent::DeadlineMissed { at, description: _ } => hash.timed(16, *at, &[]),
+        HistoryEvent::DeadlineMissed { at, description: _ } => hash.timed_event(16, *at, &[]),
     }
 }
 
@@ -144,7 +144,7 @@
 
 fn add_version(hash: &mut Fnv1a, item: &ItemName, version: u64, content: Content) {
     hash.unsigned(u64::from(item.kind as u8));
-    hash.text(&item.name);
+    hash.string(&item.name);
     hash.unsigned(version);
     match content {
         Content::Deleted => hash.unsigned(0),
@@ -153,11 +153,11 @@
 }
 
 /// Never renumber.
-fn status_number(status: AnswerStatus) -> u64 {
+fn status_number(status: ResponseStatus) -> u64 {
     match status {
-        AnswerStatus::Confirmed => 1,
-        AnswerStatus::Invalid => 2,
-        AnswerStatus::Conflict => 3,
-        AnswerStatus::Unknown => 4,
+        ResponseStatus::Confirmed => 1,
+        ResponseStatus::Invalid => 2,
+        ResponseStatus::Conflict => 3,
+        ResponseStatus::Unknown => 4,
     }
 }
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -64,11 +64,11 @@
 pub struct Disk {
     synced: BTreeMap<Vec<u8>, Vec<u8>>,
     /// Written by a process that was killed, and not synced yet.
-    written: Vec<Records>,
+    page_cache: Vec<Records>,
     /// What the sync that is under way makes durable.
     syncing: Vec<PendingWrite>,
     /// What waits in the process for the next sync.
-    waiting: Vec<PendingWrite>,
+    queued: Vec<PendingWrite>,
     /// What is wrong with the disk.
     pub faults: DiskFaults,
     /// Microseconds that a sync takes.
@@ -94,9 +94,9 @@
     pub fn new(sync_duration: Range<i64>, loses_writes_independently: bool) -> Disk {
         Disk {
             synced: BTreeMap::new(),
-            written: Vec::new(),
+            page_cache: Vec::new(),
             syncing: Vec::new(),
-            waiting: Vec::new(),
+            queued: Vec::new(),
             faults: DiskFaults::default(),
             sync_duration,
             loses_writes_independently,
@@ -107,7 +107,7 @@
     pub fn write(&mut self, now: i64, request_id: u64, records: Records, rng: &mut Rng) -> Option<i64> {
         let write = PendingWrite { request_id, records };
         if !self.syncing.is_empty() {
-            self.waiting.push(write);
+            self.queued.push(write);
             return None;
         }
         self.syncing.push(write);
@@ -126,7 +126,7 @@
         if blocked_until > now {
             return SyncResult::Blocked { retry_at: blocked_until + rng.in_range(0..MAX_RECHECK_DELAY) };
         }
-        for records in self.written.drain(..) {
+        for records in self.page_cache.drain(..) {
             apply(&mut self.synced, records);
         }
         let mut request_ids = Vec::new();
@@ -134,27 +134,27 @@
             apply(&mut self.synced, write.records);
             request_ids.push(write.request_id);
         }
-        self.syncing = std::mem::take(&mut self.waiting);
+        self.syncing = std::mem::take(&mut self.queued);
         let next_sync_at = (!self.syncing.is_empty()).then(|| self.sync_end(now, rng));
         SyncResult::Synced { request_ids, next_sync_at }
     }
 
     /// The process has ended, or the machine has lost power.
     pub fn crash(&mut self, now: i64, is_power_loss: bool, rng: &mut Rng) {
-        self.waiting.clear();
+        self.queued.clear();
         let is_refusing = self.faults.refuses_until > now;
         let survival_percentage = SURVIVAL_PERCENTAGES[rng.below(SURVIVAL_PERCENTAGES.len())];
-        let mut unsynced: Vec<Records> = self.written.drain(..).collect();
+        let mut unsynced: Vec<Records> = self.page_cache.drain(..).collect();
         unsynced.extend(std::mem::take(&mut self.syncing).into_iter().map(|write| write.records));
         if !is_power_loss {
             // The operating system has what was written, however the process ended; the last write may be missing.
             let complete = if is_refusing { 0 } else { unsynced.len() - rng.below(2).min(unsynced.len()) };
             unsynced.truncate(complete);
-            self.written = unsynced;
+            self.page_cache = unsynced;
             return;
         }
         for records in unsynced {
-            if !is_refusing && rng.percent(survival_percentage) {
+            if !is_refusing && rng.chance(survival_percentage) {
                 apply(&mut self.synced, records);
             } else if !self.loses_writes_independently {
                 break;
@@ -165,11 +165,11 @@
     /// Reads all records as a process starts. That syncs all of them, unless the disk is blocked.
     pub fn open(&mut self, now: i64) -> Records {
         let mut records = self.synced.clone();
-        for written in &self.written {
-            apply(&mut records, written.clone());
+        for unsynced in &self.page_cache {
+            apply(&mut records, unsynced.clone());
         }
         if self.faults.blocked_until() <= now {
-            self.written.clear();
+            self.page_cache.clear();
             self.synced.clone_from(&records);
         }
         records.into_iter().collect()
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -81,7 +81,7 @@
 
 /// What an operator's answer means for its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum AnswerStatus {
+pub enum ResponseStatus {
     /// 200: it is done.
     Confirmed,
     /// 400: it is not valid.
@@ -132,10 +132,10 @@
         /// Whose process answered.
         node: usize,
         /// What it answered.
-        status: AnswerStatus,
+        status: ResponseStatus,
     },
     /// The answer to a change reached the operator, who was waiting for it.
-    AnswerReceived {
+    ResponseReceived {
         /// The attempt that was answered.
         attempt: AttemptId,
     },
--- a/crates/simulation/src/items.rs
+++ b/crates/simulation/src/items.rs
@@ -17,8 +17,8 @@
 pub const SERVICE_COUNT: usize = 5;
 
 /// The name of a service.
-pub fn service_name(number: usize) -> String {
-    format!("l{number}")
+pub fn service_name(index: usize) -> String {
+    format!("l{index}")
 }
 
 /// Items as they travel.
@@ -38,14 +38,14 @@
         version: write.version,
         value: match write.content {
             Content::Deleted => None,
-            Content::SetBy(change) => Some(to_text(&write.item, change).into()),
+            Content::SetBy(change) => Some(to_json(&write.item, change).into()),
         },
     }
 }
 
 /// The text of an item that carries the number of its change. Keys are sorted, as reading a change leaves them. A route
 /// leads to the service that its name ends with; tenants whose names end alike share a key.
-fn to_text(item: &ItemName, change: ChangeId) -> String {
+fn to_json(item: &ItemName, change: ChangeId) -> String {
     let suffix = item.name.rsplit('-').next().unwrap_or_default();
     match item.kind {
         Kind::Route => {
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -48,11 +48,11 @@
     #[snafu(display("{source}\n{HELP}"))]
     Arguments { source: lexopt::Error },
     #[snafu(display("there is no plan of this name: {name}\n{HELP}"))]
-    NoSuchPlan { name: String },
+    UnknownPlan { name: String },
     #[snafu(display("{HELP}"))]
-    HelpWanted,
+    HelpRequested,
     #[snafu(display("{HELP}"))]
-    NoSubcommand,
+    MissingSubcommand,
 }
 
 /// What to do.
@@ -80,23 +80,23 @@
     first_seed: u64,
     jobs: Option<usize>,
     seed: u64,
-    is_without_rivals: bool,
-    has_logs: bool,
-    has_digests: bool,
+    has_unique_versions: bool,
+    prints_logs: bool,
+    prints_digests: bool,
 }
 
 impl Options {
     /// Prints what processes log from now on, if that is wanted.
     fn start_logging(&self) {
-        if self.has_logs && log::set_logger(&ProcessLogger).is_ok() {
+        if self.prints_logs && log::set_logger(&ProcessLogger).is_ok() {
             log::set_max_level(log::LevelFilter::Debug);
         }
     }
 
     fn scenario(&self, seed: u64) -> Scenario {
         let scenario = self.plan.scenario(seed);
-        if self.is_without_rivals {
-            scenario.without_rivals()
+        if self.has_unique_versions {
+            scenario.with_unique_versions()
         } else {
             scenario
         }
@@ -115,7 +115,7 @@
 
 fn parse_plan(parser: &mut lexopt::Parser) -> Result<Plan, Error> {
     let name = parser.value().context(ArgumentsSnafu)?.to_string_lossy().into_owned();
-    Plan::from_name(&name).context(NoSuchPlanSnafu { name })
+    Plan::from_name(&name).context(UnknownPlanSnafu { name })
 }
 
 fn parse_arguments() -> Result<(Subcommand, Options), Error> {
@@ -127,9 +127,9 @@
         first_seed: 0,
         jobs: None,
         seed: 0,
-        is_without_rivals: false,
-        has_logs: false,
-        has_digests: false,
+        has_unique_versions: false,
+        prints_logs: false,
+        prints_digests: false,
     };
     while let Some(argument) = parser.next().context(ArgumentsSnafu)? {
         match argument {
@@ -139,14 +139,14 @@
             Long("jobs") => options.jobs = Some(parse_number(&mut parser)? as usize),
             Long("seed") => options.seed = parse_number(&mut parser)?,
             Long("plan") => options.plan = parse_plan(&mut parser)?,
-            Long("logs") => options.has_logs = true,
-            Long("digests") => options.has_digests = true,
-            Long("no-rivals") => options.is_without_rivals = true,
-            Short('h') | Long("help") => return HelpWantedSnafu.fail(),
+            Long("logs") => options.prints_logs = true,
+            Long("digests") => options.prints_digests = true,
+            Long("no-rivals") => options.has_unique_versions = true,
+            Short('h') | Long("help") => return HelpRequestedSnafu.fail(),
             other => return Err(other.unexpected()).context(ArgumentsSnafu),
         }
     }
-    let subcommand = subcommand.as_deref().and_then(Subcommand::from_name).context(NoSubcommandSnafu)?;
+    let subcommand = subcommand.as_deref().and_then(Subcommand::from_name).context(MissingSubcommandSnafu)?;
     Ok((subcommand, options))
 }
 
@@ -172,9 +172,9 @@
     }
 
     fn print(&self, options: &Options) {
-        let Options { seeds, first_seed, plan, has_digests, .. } = options;
+        let Options { seeds, first_seed, plan, prints_digests, .. } = options;
         let plan = plan.name();
-        if *has_digests {
+        if *prints_digests {
             for (seed, digest) in &self.digests {
                 println!("plan={plan} seed={seed} digest={digest:016x}");
             }
@@ -233,7 +233,7 @@
         println!("t={:.6} {}", scheduled.at as f64 / 1e6, scheduled.fault);
     }
     options.start_logging();
-    let result = run_scenario(&shortened, options.has_logs);
+    let result = run_scenario(&shortened, options.prints_logs);
     options.print_violations(options.seed, &result);
     result.violations.is_empty()
 }
@@ -247,12 +247,12 @@
         }
     };
     record_panics();
-    let has_succeeded = match subcommand {
+    let is_success = match subcommand {
         Subcommand::Run => run_seeds(&options),
         Subcommand::Replay => replay(&options),
         Subcommand::Shorten => shorten(&options),
     };
-    if has_succeeded {
+    if is_success {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -214,7 +214,7 @@
         if let Some(channel) = self.channels.get_mut(&id).filter(|channel| !channel.is_closed) {
             channel.is_closed = true;
             channel.blocked.clear();
-            if rng.percent(50) {
+            if rng.chance(50) {
                 channel.lost_after = rng.in_range(now..channel.last_delivery.max(now) + 1);
             }
         }
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// An operator that gets no answer for so long tries another process. Microseconds.
-pub const ANSWER_TIMEOUT: i64 = 1_000_000;
+pub const RESPONSE_TIMEOUT: i64 = 1_000_000;
 /// Attempts of one operation, at most.
 const MAX_ATTEMPTS: u32 = 30;
 /// Versions of an item that operators remember.
@@ -17,7 +17,7 @@
 /// Zones that operators evacuate: the first ones.
 const EVACUATED_ZONES: usize = 2;
 /// A change has an identical rival so often, and else one that writes its first item. Percent.
-const IDENTICAL_RIVAL_PERCENT: u64 = 70;
+const IDENTICAL_RACE_PERCENT: u64 = 70;
 
 /// What an operator wants done.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -71,7 +71,7 @@
     /// Attempts that failed so far.
     pub failed_attempts: u32,
     /// The attempt whose answer it waits for.
-    pub awaited: Option<AttemptId>,
+    pub awaited_attempt: Option<AttemptId>,
 }
 
 impl Operator {
@@ -113,7 +113,7 @@
     /// Those that an operator knows to be confirmed.
     confirmed: Vec<ChangeId>,
     /// Changes that are to race with one that was just made up.
-    rivals: VecDeque<ChangeId>,
+    racing_changes: VecDeque<ChangeId>,
     newest_version: u64,
     /// Versions of each item that were used lately, in order.
     recent_versions: BTreeMap<ItemName, Vec<u64>>,
@@ -126,8 +126,8 @@
     }
 
     /// How many changes wait for an operator that races with them.
-    pub fn rival_count(&self) -> usize {
-        self.rivals.len()
+    pub fn racing_change_count(&self) -> usize {
+        self.racing_changes.len()
     }
 
     /// The changes from the given count on, with their writes.
@@ -190,36 +190,36 @@
         zones: &[String],
         rng: &mut Rng,
     ) -> (Operation, OperationKind) {
-        if let Some(rival) = self.rivals.pop_front() {
-            return (Operation::Change(rival), OperationKind::Race);
+        if let Some(racing_change) = self.racing_changes.pop_front() {
+            return (Operation::Change(racing_change), OperationKind::Race);
         }
-        if rng.percent(workload.read_percent) {
+        if rng.chance(workload.read_percent) {
             return (Operation::Read, OperationKind::Read);
         }
-        if rng.percent(workload.evacuation_percent) {
+        if rng.chance(workload.evacuation_percent) {
             let zone = zones[rng.below(zones.len().min(EVACUATED_ZONES))].clone();
-            let is_evacuated = rng.percent(50);
+            let is_evacuated = rng.chance(50);
             return (Operation::Evacuation { zone, is_evacuated }, OperationKind::Evacuation);
         }
-        if rng.percent(workload.resend_percent) {
+        if rng.chance(workload.resend_percent) {
             if let Some(change) = rng.choose(&self.confirmed) {
                 return (Operation::Change(*change), OperationKind::Resend);
             }
         }
         let writes = self.plan_writes(workload, rng);
         let change = self.add_change(&writes);
-        if rng.percent(workload.race_percent) {
-            self.add_rivals(&writes, rng);
+        if rng.chance(workload.race_percent) {
+            self.add_racing_changes(&writes, rng);
         }
         (Operation::Change(change), OperationKind::Change)
     }
 
     /// Makes one or two changes up that write the same versions as another one.
-    fn add_rivals(&mut self, writes: &[PlannedWrite], rng: &mut Rng) {
+    fn add_racing_changes(&mut self, writes: &[PlannedWrite], rng: &mut Rng) {
         for _ in 0..1 + rng.below(2) {
-            let rival = if rng.percent(IDENTICAL_RIVAL_PERCENT) { writes } else { &writes[..1] };
-            let rival = self.add_change(rival);
-            self.rivals.push_back(rival);
+            let racing_change = if rng.chance(IDENTICAL_RACE_PERCENT) { writes } else { &writes[..1] };
+            let racing_change = self.add_change(racing_change);
+            self.racing_changes.push_back(racing_change);
         }
     }
 
@@ -230,7 +230,7 @@
         let route = format!("r{}-{service}", rng.below(2));
         let tenant = format!("t{}-k{number}", rng.below(2));
         let mut version = self.newest_version + rng.in_range(1..4) as u64;
-        if rng.percent(workload.stale_version_percent) {
+        if rng.chance(workload.stale_version_percent) {
             let versions = self.recent_versions.get(&ItemName::new(Kind::Service, service.as_str()));
             let recent = versions.and_then(|versions| rng.choose(versions)).copied();
             version = recent.unwrap_or(version).saturating_sub(rng.below(2) as u64).max(1);
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -1,7 +1,7 @@
 //! A control process: one incarnation of a node's state machine. The one place that touches the state machine's
 //! interface.
 
-use crate::history::{AnswerStatus, AttemptId, ItemName, ItemState};
+use crate::history::{AttemptId, ItemName, ItemState, ResponseStatus};
 use crate::items::{items_from_body, to_message};
 use crate::network::SessionId;
 use bytes::Bytes;
@@ -69,7 +69,7 @@
 
 /// A process' answer, as an operator sees it.
 #[derive(Clone, Debug)]
-pub enum OperatorAnswer {
+pub enum OperatorResponse {
     /// 200 to a change or an evacuation.
     Done,
     /// 200 to a read, with all items.
@@ -84,27 +84,29 @@
     Unavailable,
 }
 
-impl OperatorAnswer {
+impl OperatorResponse {
     /// What it means for the request.
-    pub fn status(&self) -> AnswerStatus {
+    pub fn status(&self) -> ResponseStatus {
         match self {
-            OperatorAnswer::Done | OperatorAnswer::Items(_) => AnswerStatus::Confirmed,
-            OperatorAnswer::Invalid(_) => AnswerStatus::Invalid,
-            OperatorAnswer::Conflict(_) => AnswerStatus::Conflict,
-            OperatorAnswer::Redirect(_) | OperatorAnswer::Unavailable => AnswerStatus::Unknown,
+            OperatorResponse::Done | OperatorResponse::Items(_) => ResponseStatus::Confirmed,
+            OperatorResponse::Invalid(_) => ResponseStatus::Invalid,
+            OperatorResponse::Conflict(_) => ResponseStatus::Conflict,
+            OperatorResponse::Redirect(_) | OperatorResponse::Unavailable => ResponseStatus::Unknown,
         }
     }
 }
 
-impl From<Response> for OperatorAnswer {
-    fn from(response: Response) -> OperatorAnswer {
+impl From<Response> for OperatorResponse {
+    fn from(response: Response) -> OperatorResponse {
         match response {
-            Response::Done => OperatorAnswer::Done,
-            Response::Configuration(snapshot) => OperatorAnswer::Items(items_from_body(&snapshot.to_json())),
-            Response::Invalid(reason) => OperatorAnswer::Invalid(reason),
-            Response::Conflict(reason) => OperatorAnswer::Conflict(reason),
-            Response::Redirect(address) => OperatorAnswer::Redirect(address),
-            Response::Unavailable(_) => OperatorAnswer::Unavailable,
+            Response::Done => OperatorResponse::Done,
+            Response::Configuration(snapshot) => {
+                OperatorResponse::Items(items_from_body(&snapshot.to_json()))
+            }
+            Response::Invalid(reason) => OperatorResponse::Invalid(reason),
+            Response::Conflict(reason) => OperatorResponse::Conflict(reason),
+            Response::Redirect(address) => OperatorResponse::Redirect(address),
+            Response::Unavailable(_) => OperatorResponse::Unavailable,
         }
     }
 }
@@ -116,7 +118,7 @@
     /// Send to the gateway of this session.
     SendToSession(SessionId, Message),
     /// Answer an operator's request.
-    Answer(AttemptId, OperatorAnswer),
+    Respond(AttemptId, OperatorResponse),
     /// Persist records, and notify the process by this number.
     Persist(u64, Records),
     /// Close this session.
@@ -296,7 +298,7 @@
                     actions.extend(item_messages(&update).into_iter().map(send));
                 }
                 Action::Respond(request_id, response) => {
-                    actions.push(ProcessAction::Answer(AttemptId(request_id), response.into()));
+                    actions.push(ProcessAction::Respond(AttemptId(request_id), response.into()));
                 }
                 Action::Persist(request_id, records) => {
                     actions.push(ProcessAction::Persist(request_id, records));
--- a/crates/simulation/src/rng.rs
+++ b/crates/simulation/src/rng.rs
@@ -16,7 +16,7 @@
 
 impl RandomStream {
     /// Part of the generator's seed: never renumber.
-    fn number(self) -> u128 {
+    fn id(self) -> u128 {
         match self {
             RandomStream::Scenario => 1,
             RandomStream::Environment => 2,
@@ -31,7 +31,7 @@
 impl Rng {
     /// The generator of one stream of a run.
     pub fn new(seed: u64, stream: RandomStream) -> Rng {
-        Rng(oorandom::Rand64::new(stream.number() << 64 | u128::from(seed)))
+        Rng(oorandom::Rand64::new(stream.id() << 64 | u128::from(seed)))
     }
 
     /// Any 64-bit number.
@@ -50,8 +50,8 @@
     }
 
     /// True with the given probability in percent.
-    pub fn percent(&mut self, probability: u64) -> bool {
-        self.0.rand_range(0..100) < probability
+    pub fn chance(&mut self, percent: u64) -> bool {
+        self.0.rand_range(0..100) < percent
     }
 
     /// One of the options; none if there are none. Draws in either case.
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -3,7 +3,7 @@
 use crate::checker::{check_history, Invariant, Violation};
 use crate::coverage::Coverage;
 use crate::digest::digest;
-use crate::history::AnswerStatus;
+use crate::history::ResponseStatus;
 use crate::scenario::{Scenario, MILLISECOND, SECOND};
 use crate::simulation::Simulation;
 use std::cell::RefCell;
@@ -57,7 +57,7 @@
 fn run_to_end(scenario: &Scenario, is_verbose: bool) -> RunResult {
     let mut simulation = Simulation::new(scenario);
     simulation.is_verbose = is_verbose;
-    simulation.run_until(scenario.until);
+    simulation.run_until(scenario.active_until);
     simulation.heal();
     let converged_after = await_convergence(&mut simulation);
     check_reads(&mut simulation);
@@ -95,7 +95,7 @@
 fn check_reads(simulation: &mut Simulation) {
     let reads = simulation.read_all_nodes();
     simulation.run_for(READ_TIMEOUT);
-    let is_unanswered = |read: &&_| simulation.status_of(**read) != Some(AnswerStatus::Confirmed);
+    let is_unanswered = |read: &&_| simulation.status_of(**read) != Some(ResponseStatus::Confirmed);
     let unanswered = reads.iter().filter(is_unanswered).count();
     if unanswered > 0 {
         let description =
--- a/crates/simulation/src/scenario/layout.rs
+++ b/crates/simulation/src/scenario/layout.rs
@@ -82,8 +82,8 @@
         let regions = rng.in_range(1..4) as usize;
         let zones = rng.in_range(regions.max(2) as i64..replicas.min(6) as i64 + 1) as usize;
         // Each region has a zone and each zone a replica; the others are drawn.
-        let zone_regions = spread(zones, regions, rng);
-        let mut replica_zones = spread(replicas, zones, rng);
+        let zone_regions = distribute(zones, regions, rng);
+        let mut replica_zones = distribute(replicas, zones, rng);
         replica_zones.sort();
         let mut initial_replicas: Vec<usize> = (0..replicas).collect();
         while initial_replicas.len() > MAX_INITIAL_REPLICAS {
@@ -150,6 +150,6 @@
 }
 
 /// Draws a container for each thing, so that no container is empty.
-fn spread(things: usize, containers: usize, rng: &mut Rng) -> Vec<usize> {
-    (0..things).map(|thing| if thing < containers { thing } else { rng.below(containers) }).collect()
+fn distribute(count: usize, groups: usize, rng: &mut Rng) -> Vec<usize> {
+    (0..count).map(|index| if index < groups { index } else { rng.below(groups) }).collect()
 }
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -16,7 +16,7 @@
 /// A second in microseconds.
 pub const SECOND: i64 = 1_000_000;
 /// No fault comes and no operator asks for anything before this time: the system has been founded by then.
-pub const FOUNDING_PERIOD: i64 = 5 * SECOND;
+pub const BOOTSTRAP_PERIOD: i64 = 5 * SECOND;
 
 /// All that determines a run.
 #[derive(Clone, Debug)]
@@ -30,19 +30,19 @@
     /// The faults, in the order of their times.
     pub faults: Vec<ScheduledFault>,
     /// When faults end, and operators begin nothing new. Microseconds.
-    pub until: i64,
+    pub active_until: i64,
 }
 
 impl Scenario {
     /// A scenario without operators, for tests that make changes themselves. It has no end.
     pub fn without_operators(seed: u64, layout: Layout, faults: Vec<ScheduledFault>) -> Scenario {
         let workload = Workload { operator_count: 0, ..Workload::light() };
-        Scenario { seed, layout, workload, faults, until: i64::MAX / 4 }
+        Scenario { seed, layout, workload, faults, active_until: i64::MAX / 4 }
     }
 
     /// The same scenario, but no two changes write one version of an item.
-    pub fn without_rivals(mut self) -> Scenario {
-        self.workload = self.workload.without_rivals();
+    pub fn with_unique_versions(mut self) -> Scenario {
+        self.workload = self.workload.with_unique_versions();
         self
     }
 }
--- a/crates/simulation/src/scenario/plan.rs
+++ b/crates/simulation/src/scenario/plan.rs
@@ -2,7 +2,7 @@
 
 use super::{
     FailureDomain, Fault, Layout, PartitionDirection, PartitionShape, Scenario, ScheduledFault, Workload,
-    FOUNDING_PERIOD, MILLISECOND, SECOND,
+    BOOTSTRAP_PERIOD, MILLISECOND, SECOND,
 };
 use crate::rng::{RandomStream, Rng};
 use std::ops::Range;
@@ -35,7 +35,7 @@
 enum FaultKind {
     Crash,
     PowerLoss,
-    AllDown,
+    FullOutage,
     DiskLoss,
     Pause,
     Partition,
@@ -59,7 +59,7 @@
     const ALL: [FaultKind; 20] = [
         FaultKind::Crash,
         FaultKind::PowerLoss,
-        FaultKind::AllDown,
+        FaultKind::FullOutage,
         FaultKind::DiskLoss,
         FaultKind::Pause,
         FaultKind::Partition,
@@ -150,11 +150,11 @@
         match self {
             Plan::Calm => Workload::light(),
             Plan::Races => Workload::heavy(),
-            Plan::Halves => Workload { race_percent: 12, answer_loss_percent: 4, ..Workload::light() },
+            Plan::Halves => Workload { race_percent: 12, response_loss_percent: 4, ..Workload::light() },
             Plan::Away => {
                 Workload { operator_count: 8, max_pause: 150_000, race_percent: 5, ..Workload::light() }
             }
-            _ => Workload { race_percent: 6, answer_loss_percent: 4, ..Workload::light() },
+            _ => Workload { race_percent: 6, response_loss_percent: 4, ..Workload::light() },
         }
     }
 
@@ -171,21 +171,21 @@
     pub fn scenario(self, seed: u64) -> Scenario {
         let rng = &mut Rng::new(seed, RandomStream::Scenario);
         let layout = if seed.is_multiple_of(2) { Layout::draw_six_replicas(rng) } else { Layout::draw(rng) };
-        let until = FOUNDING_PERIOD + self.duration();
-        let faults = self.draw_faults(&layout, until, rng);
-        Scenario { seed, layout, workload: self.workload(), faults, until }
+        let active_until = BOOTSTRAP_PERIOD + self.duration();
+        let faults = self.draw_faults(&layout, active_until, rng);
+        Scenario { seed, layout, workload: self.workload(), faults, active_until }
     }
 
-    fn draw_faults(self, layout: &Layout, until: i64, rng: &mut Rng) -> Vec<ScheduledFault> {
+    fn draw_faults(self, layout: &Layout, active_until: i64, rng: &mut Rng) -> Vec<ScheduledFault> {
         let weights = self.weights();
         let interval = self.fault_interval();
         let mut faults = Vec::new();
-        let mut at = FOUNDING_PERIOD + rng.in_range(0..SECOND);
-        while at < until && weights.iter().any(|weight| *weight > 0) {
+        let mut at = BOOTSTRAP_PERIOD + rng.in_range(0..SECOND);
+        while at < active_until && weights.iter().any(|weight| *weight > 0) {
             faults.push(ScheduledFault { at, fault: draw_fault(self, layout, &weights, rng) });
             at += rng.in_range(interval.clone());
             // At times faults come close together, or in another order.
-            if rng.percent(15) {
+            if rng.chance(15) {
                 at -= rng.in_range(0..interval.start);
             }
         }
@@ -226,7 +226,7 @@
             2 => PartitionDirection::Outgoing,
             _ => PartitionDirection::Incoming,
         };
-        let keeps_connections = rng.percent(40);
+        let keeps_connections = rng.chance(40);
         FaultDetails { replica, other, restart_after, duration, direction, keeps_connections }
     }
 
@@ -249,7 +249,7 @@
 /// Draws a part of the replicas: this one alone, if no other is drawn.
 fn draw_replicas(replicas: usize, fallback: usize, rng: &mut Rng) -> Vec<usize> {
     let percent = rng.in_range(15..70) as u64;
-    let mut drawn: Vec<usize> = (0..replicas).filter(|_| rng.percent(percent)).collect();
+    let mut drawn: Vec<usize> = (0..replicas).filter(|_| rng.chance(percent)).collect();
     if drawn.is_empty() {
         drawn.push(fallback);
     }
@@ -273,7 +273,7 @@
             let replicas = draw_replicas(replicas, replica, rng);
             Fault::Crash { replicas, is_power_loss: true, restart_after }
         }
-        FaultKind::AllDown => draw_all_down(replicas, restart_after.min(3 * SECOND), rng),
+        FaultKind::FullOutage => draw_full_outage(replicas, restart_after.min(3 * SECOND), rng),
         FaultKind::DiskLoss => draw_disk_loss(replica, restart_after.min(4 * SECOND), rng),
         FaultKind::Pause => Fault::Pause { replica, duration: duration.min(8 * SECOND) },
         FaultKind::Partition => draw_partition(replicas, &details, rng),
@@ -299,15 +299,15 @@
         FaultKind::DiskRefusal => Fault::DiskRefusal { replica, duration: duration.min(8 * SECOND) },
         FaultKind::GracefulShutdown => Fault::GracefulShutdown { replica, restart_after },
         FaultKind::Replacement => {
-            let is_graceful = rng.percent(50);
+            let is_graceful = rng.chance(50);
             Fault::Replacement { replica, is_graceful, restart_after: restart_after.min(3 * SECOND) }
         }
         FaultKind::CrashAtConfirmation => {
-            Fault::CrashAtConfirmation { is_power_loss: rng.percent(60), restart_after }
+            Fault::CrashAtConfirmation { is_power_loss: rng.chance(60), restart_after }
         }
         FaultKind::CrashAfterEvents => {
             let events = rng.below(60) as u32;
-            let (is_power_loss, restart_after) = (rng.percent(60), restart_after.min(4 * SECOND));
+            let (is_power_loss, restart_after) = (rng.chance(60), restart_after.min(4 * SECOND));
             Fault::CrashAfterEvents { replica, events, is_power_loss, restart_after }
         }
         FaultKind::GatewayRestart => Fault::GatewayRestart { gateway: rng.below(layout.gateway_count) },
@@ -319,8 +319,8 @@
     }
 }
 
-fn draw_all_down(replicas: usize, restart_after: i64, rng: &mut Rng) -> Fault {
-    if rng.percent(50) {
+fn draw_full_outage(replicas: usize, restart_after: i64, rng: &mut Rng) -> Fault {
+    if rng.chance(50) {
         Fault::PowerOutage { restart_after }
     } else {
         Fault::Crash { replicas: (0..replicas).collect(), is_power_loss: false, restart_after }
@@ -333,7 +333,7 @@
         1 => FailureDomain::Zone,
         _ => FailureDomain::Region,
     };
-    Fault::DiskLoss { replica, domain, with_power_outage: rng.percent(40), restart_after }
+    Fault::DiskLoss { replica, domain, with_power_outage: rng.chance(40), restart_after }
 }
 
 fn draw_partition(replicas: usize, details: &FaultDetails, rng: &mut Rng) -> Fault {
@@ -342,6 +342,6 @@
         1 => vec![details.replica, details.other],
         _ => draw_replicas(replicas, details.replica, rng),
     };
-    let with_gateways = rng.percent(50);
+    let with_gateways = rng.chance(50);
     Fault::Partition { side, shape: details.partition_shape(with_gateways) }
 }
--- a/crates/simulation/src/scenario/workload.rs
+++ b/crates/simulation/src/scenario/workload.rs
@@ -18,12 +18,12 @@
     /// Operations that read. Percent.
     pub read_percent: u64,
     /// Answers that are lost on their way. Percent.
-    pub answer_loss_percent: u64,
+    pub response_loss_percent: u64,
 }
 
 impl Workload {
     /// The same workload, but each version is used once, and is above all earlier ones.
-    pub fn without_rivals(self) -> Workload {
+    pub fn with_unique_versions(self) -> Workload {
         Workload { race_percent: 0, stale_version_percent: 0, ..self }
     }
 
@@ -37,7 +37,7 @@
             stale_version_percent: 3,
             evacuation_percent: 5,
             read_percent: 15,
-            answer_loss_percent: 0,
+            response_loss_percent: 0,
         }
     }
 
@@ -51,7 +51,7 @@
             stale_version_percent: 10,
             evacuation_percent: 8,
             read_percent: 15,
-            answer_loss_percent: 10,
+            response_loss_percent: 10,
         }
     }
 }
--- a/crates/simulation/src/simulation/connections.rs
+++ b/crates/simulation/src/simulation/connections.rs
@@ -12,7 +12,7 @@
 /// Time between two attempts to connect to a node.
 const RECONNECT_INTERVAL: i64 = 400 * MILLISECOND;
 /// An end that cannot reach the other one through a partition tries again after so long.
-const HANG_UP_RETRY_INTERVAL: i64 = 200 * MILLISECOND;
+const CLOSE_RETRY_INTERVAL: i64 = 200 * MILLISECOND;
 /// The latency within a zone is at most this.
 const MAX_DELAY_WITHIN_ZONE: i64 = 150;
 /// So often a message takes much longer. Percent.
@@ -36,7 +36,7 @@
             self.layout.link_delay
         };
         let spike =
-            if self.rng.percent(DELAY_SPIKE_PERCENT) { self.rng.in_range(0..MAX_DELAY_SPIKE) } else { 0 };
+            if self.rng.chance(DELAY_SPIKE_PERCENT) { self.rng.in_range(0..MAX_DELAY_SPIKE) } else { 0 };
         let jitter = self.rng.in_range(0..self.layout.link_jitter + 1);
         base + jitter + spike + self.network.extra_latency(self.now, from, to)
     }
@@ -54,8 +54,8 @@
     }
 
     /// A process opens connections to the control processes that it knows of.
-    pub(super) fn connect_to_peers(&mut self, number: usize) {
-        let node = &self.nodes[number];
+    pub(super) fn connect_to_peers(&mut self, node_index: usize) {
+        let node = &self.nodes[node_index];
         let Some(process) = &node.process else { return };
         let mut addresses: BTreeSet<String> = process.known_addresses();
         addresses.extend(node.bootstrap_addresses.iter().cloned());
@@ -65,29 +65,29 @@
         let others: Vec<usize> =
             addresses.iter().filter_map(|address| self.node_by_address(address)).collect();
         for other in others {
-            self.connect_to_peer(number, other);
+            self.connect_to_peer(node_index, other);
         }
     }
 
     /// A process opens a connection to another one, unless it has one or tried lately.
-    fn connect_to_peer(&mut self, number: usize, other: usize) {
-        let node = &mut self.nodes[number];
+    fn connect_to_peer(&mut self, node_index: usize, other: usize) {
+        let node = &mut self.nodes[node_index];
         let last_attempt = node.connect_attempts.get(&other);
         let is_too_early = last_attempt.is_some_and(|at| self.now - at < RECONNECT_INTERVAL);
-        if other == number || node.peer_channels.contains_key(&other) || is_too_early {
+        if other == node_index || node.peer_channels.contains_key(&other) || is_too_early {
             return;
         }
         node.connect_attempts.insert(other, self.now);
-        let (from, to) = (Host::Node(number), Host::Node(other));
+        let (from, to) = (Host::Node(node_index), Host::Node(other));
         if self.network.is_unreachable(self.now, from, to) || self.nodes[other].process.is_none() {
             return;
         }
-        let Some(process) = &self.nodes[number].process else { return };
+        let Some(process) = &self.nodes[node_index].process else { return };
         let hello = process.hello();
         let id = ChannelId(self.network.next_id());
         let mut channel =
-            Channel::new(self.now, self.node_end(number), self.node_end(other), ChannelKind::Peer);
-        self.nodes[number].peer_channels.insert(other, id);
+            Channel::new(self.now, self.node_end(node_index), self.node_end(other), ChannelKind::Peer);
+        self.nodes[node_index].peer_channels.insert(other, id);
         self.log(format_args!("event=connect node={from} to={to} channel={}", id.0));
         // A round trip for the connection, then the message.
         channel.last_delivery = self.now + self.delay(to, from) + self.delay(from, to);
@@ -162,7 +162,7 @@
     }
 
     pub(super) fn session_lost_at_node(&mut self, node: usize, incarnation: u64, session: SessionId) {
-        let now = self.steady_time(node);
+        let now = self.monotonic_time(node);
         if let Some(process) = self.process_of(node, incarnation) {
             process.session_closed(now, session, "closed");
         }
@@ -178,8 +178,8 @@
     }
 
     /// A process closes peers' connections on which nothing has come for long.
-    pub(super) fn close_idle_connections(&mut self, number: usize) {
-        let receiver = self.node_end(number);
+    pub(super) fn close_idle_connections(&mut self, node_index: usize) {
+        let receiver = self.node_end(node_index);
         let now = self.now;
         let ids = self.network.channels_where(|channel| {
             let is_open_peer = channel.kind == ChannelKind::Peer && !channel.is_closed;
@@ -187,25 +187,25 @@
             is_open_peer && is_received && now - channel.last_received > IDLE_TIMEOUT
         });
         for id in ids {
-            self.hang_up(id);
+            self.close_by_receiver(id);
         }
     }
 
     /// The receiver closes a connection.
-    pub(super) fn hang_up(&mut self, id: ChannelId) {
+    pub(super) fn close_by_receiver(&mut self, id: ChannelId) {
         let Some(channel) = self.network.channels.get_mut(&id) else { return };
         channel.is_closed = true;
         channel.lost_after = self.now;
         channel.blocked.clear();
-        self.schedule(self.now, Event::HungUp { channel: id });
+        self.schedule(self.now, Event::ClosedByReceiver { channel: id });
     }
 
     /// The sender learns that its connection is closed, once a message can reach it.
-    pub(super) fn hung_up(&mut self, id: ChannelId) {
+    pub(super) fn closed_by_receiver(&mut self, id: ChannelId) {
         let Some(channel) = self.network.channels.get(&id) else { return };
         let (from, to, incarnation) = (channel.from.host, channel.to.host, channel.from.incarnation);
         if self.network.partition_of(self.now, to, from).is_some() {
-            return self.schedule(self.now + HANG_UP_RETRY_INTERVAL, Event::HungUp { channel: id });
+            return self.schedule(self.now + CLOSE_RETRY_INTERVAL, Event::ClosedByReceiver { channel: id });
         }
         let at = self.now + self.delay(to, from);
         if let Host::Node(node) = from {
--- a/crates/simulation/src/simulation/convergence.rs
+++ b/crates/simulation/src/simulation/convergence.rs
@@ -1,7 +1,7 @@
 //! The end of a run: all faults end, and the system has to converge.
 
 use super::events::Event;
-use super::faults::AnswerLoss;
+use super::faults::ResponseLoss;
 use super::processes::SHUTDOWN_TIMEOUT;
 use super::Simulation;
 use crate::history::HistoryEvent;
@@ -14,9 +14,9 @@
         self.log(format_args!("event=healed"));
         self.network.heal();
         self.crash_at_confirmation = None;
-        self.answer_loss = AnswerLoss::default();
-        for number in 0..self.nodes.len() {
-            self.heal_node(number);
+        self.response_loss = ResponseLoss::default();
+        for node_index in 0..self.nodes.len() {
+            self.heal_node(node_index);
         }
         for id in self.network.channels_where(|channel| !channel.blocked.is_empty()) {
             self.schedule(self.now, Event::ReleaseBlocked { channel: id });
@@ -24,25 +24,25 @@
     }
 
     /// Ends a node's faults, and resumes or starts its process.
-    fn heal_node(&mut self, number: usize) {
-        let node = &mut self.nodes[number];
+    fn heal_node(&mut self, node_index: usize) {
+        let node = &mut self.nodes[node_index];
         node.disk.faults.clear();
         node.scheduled_crash = None;
         if node.is_paused(self.now) {
             node.paused_until = self.now;
-            self.schedule(self.now, Event::Resume { node: number });
+            self.schedule(self.now, Event::Resume { node: node_index });
         }
         // One that is shutting down is started again as soon as it has ended, whatever the fault drew.
-        if self.nodes[number].shutdown_requested_at.is_some() {
+        if self.nodes[node_index].shutdown_requested_at.is_some() {
             let ended_by = self.now + SHUTDOWN_TIMEOUT;
-            let node = &mut self.nodes[number];
+            let node = &mut self.nodes[node_index];
             node.restart_at = node.restart_at.min(ended_by);
-            self.schedule(ended_by, Event::StartProcess { node: number });
+            self.schedule(ended_by, Event::StartProcess { node: node_index });
         }
-        let node = &mut self.nodes[number];
-        if node.process.is_none() && self.replicas.contains(&number) {
+        let node = &mut self.nodes[node_index];
+        if node.process.is_none() && self.replicas.contains(&node_index) {
             node.restart_at = self.now;
-            self.schedule(self.now, Event::StartProcess { node: number });
+            self.schedule(self.now, Event::StartProcess { node: node_index });
         }
     }
 
@@ -93,12 +93,12 @@
     /// All gateways hold the same items as the replicas.
     fn gateway_problem(&self) -> Option<String> {
         let digest = self.first_process()?.item_store().digest();
-        self.gateways.iter().enumerate().find_map(|(number, gateway)| {
+        self.gateways.iter().enumerate().find_map(|(gateway_index, gateway)| {
             if !gateway.is_caught_up() {
-                return Some(format!("g{number} has not caught up"));
+                return Some(format!("g{gateway_index} has not caught up"));
             }
             let differs = gateway.item_store().digest() != digest;
-            differs.then(|| format!("g{number} holds other items than s{}", self.replicas[0]))
+            differs.then(|| format!("g{gateway_index} holds other items than s{}", self.replicas[0]))
         })
     }
 
--- a/crates/simulation/src/simulation/delivery.rs
+++ b/crates/simulation/src/simulation/delivery.rs
@@ -115,7 +115,7 @@
         if !self.is_running(node, channel.to.incarnation) {
             return self.coverage.count("message-to-dead-process");
         }
-        let now = self.steady_time(node);
+        let now = self.monotonic_time(node);
         let Some(process) = &mut self.nodes[node].process else { return };
         match message {
             Message::Hello(hello) if !has_introduced => {
@@ -134,7 +134,7 @@
         if !self.is_running(node, channel.to.incarnation) {
             return self.coverage.count("message-to-dead-process");
         }
-        self.count_message_from_dead(from);
+        self.count_message_from_ended_process(from);
         match (sender, message) {
             (None, Message::Hello(hello)) => self.peer_hello(id, node, hello),
             (None, _) => {}
@@ -142,7 +142,7 @@
         }
     }
 
-    fn count_message_from_dead(&mut self, from: ChannelEnd) {
+    fn count_message_from_ended_process(&mut self, from: ChannelEnd) {
         let Host::Node(sender) = from.host else { return };
         if !self.is_running(sender, from.incarnation) {
             self.coverage.count("message-from-dead-process");
@@ -161,7 +161,7 @@
 
     fn peer_hello(&mut self, id: ChannelId, node: usize, hello: Hello) {
         self.set_sender(id, PeerIdentity::from(&hello));
-        let now = self.steady_time(node);
+        let now = self.monotonic_time(node);
         let node = &mut self.nodes[node];
         node.peer_addresses.insert(hello.node_id.clone(), hello.address.clone());
         node.learned_addresses.insert(hello.address.clone(), self.now);
@@ -171,13 +171,13 @@
     }
 
     fn peer_message(&mut self, id: ChannelId, node: usize, sender: PeerIdentity, message: Message) {
-        let now = self.steady_time(node);
+        let now = self.monotonic_time(node);
         let node = &mut self.nodes[node];
         let Some(process) = &mut node.process else { return };
         if !process.knows_incarnation(&sender.node_id, sender.incarnation) {
             // A peer that was given up has to introduce itself again.
             self.coverage.count("message-from-given-up-peer");
-            return self.hang_up(id);
+            return self.close_by_receiver(id);
         }
         for address in process.peer_message(now, &sender.node_id, message) {
             node.learned_addresses.entry(address).or_insert(self.now);
--- a/crates/simulation/src/simulation/endpoints.rs
+++ b/crates/simulation/src/simulation/endpoints.rs
@@ -18,11 +18,11 @@
 /// The list at the start.
 pub(super) fn initial_endpoints(layout: &Layout) -> Vec<Endpoint> {
     let zones = layout.zone_names();
-    let endpoint = |number: usize| Endpoint {
-        backend_id: format!("b{number}"),
-        service: service_name(number % SERVICE_COUNT),
-        address: format!("10.2.0.{number}:80"),
-        zone: zones[number % zones.len()].clone(),
+    let endpoint = |index: usize| Endpoint {
+        backend_id: format!("b{index}"),
+        service: service_name(index % SERVICE_COUNT),
+        address: format!("10.2.0.{index}:80"),
+        zone: zones[index % zones.len()].clone(),
         slots: 4,
         is_draining: false,
         warm_up_ms: 0,
@@ -33,19 +33,19 @@
 impl Simulation {
     /// Lease holders read the list, which changes at times.
     pub(super) fn list_endpoints(&mut self) {
-        if self.now < self.until && self.rng.percent(DRAIN_PERCENT) {
-            let number = self.rng.below(self.endpoints.len());
-            self.endpoints[number].is_draining ^= true;
+        if self.now < self.active_until && self.rng.chance(DRAIN_PERCENT) {
+            let endpoint_index = self.rng.below(self.endpoints.len());
+            self.endpoints[endpoint_index].is_draining ^= true;
         }
-        for number in 0..self.nodes.len() {
-            self.list_endpoints_at(number);
+        for node_index in 0..self.nodes.len() {
+            self.list_endpoints_at(node_index);
         }
         self.schedule(self.now + LISTING_CHECK_INTERVAL, Event::ListEndpoints);
     }
 
-    fn list_endpoints_at(&mut self, number: usize) {
-        let now = self.steady_time(number);
-        let node = &mut self.nodes[number];
+    fn list_endpoints_at(&mut self, node_index: usize) {
+        let now = self.monotonic_time(node_index);
+        let node = &mut self.nodes[node_index];
         let is_due = self.now - node.last_listing >= LISTING_INTERVAL && !node.is_paused(self.now);
         let Some(process) = node.process.as_mut().filter(|process| is_due && process.is_lease_holder(now))
         else {
@@ -53,6 +53,6 @@
         };
         node.last_listing = self.now;
         process.endpoints_listed(now, self.endpoints.clone());
-        self.after_event(number);
+        self.after_event(node_index);
     }
 }
--- a/crates/simulation/src/simulation/events.rs
+++ b/crates/simulation/src/simulation/events.rs
@@ -2,7 +2,7 @@
 
 use crate::history::AttemptId;
 use crate::network::{ChannelId, SessionId};
-use crate::process::OperatorAnswer;
+use crate::process::OperatorResponse;
 use kitepass_coordination::protocol::Message;
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
     /// A process notices that a connection of its own is gone.
     PeerConnectionLost { node: usize, incarnation: u64, channel: ChannelId },
     /// The receiver has closed a peer's connection.
-    HungUp { channel: ChannelId },
+    ClosedByReceiver { channel: ChannelId },
     /// A control process notices that a session is over.
     SessionLostAtNode { node: usize, incarnation: u64, session: SessionId },
     /// A gateway notices that its session is over.
@@ -33,13 +33,13 @@
     /// A fault of the scenario is injected.
     InjectFault { index: usize },
     /// An operator begins an operation, or tries one again.
-    OperatorTurn { operator: usize },
+    RunOperator { operator: usize },
     /// An operator's request arrives.
     RequestDue { attempt: AttemptId },
     /// An answer reaches its operator.
-    AnswerDue { attempt: AttemptId, answer: OperatorAnswer },
+    ResponseDue { attempt: AttemptId, response: OperatorResponse },
     /// An operator waits no longer for an answer.
-    AnswerTimeout { attempt: AttemptId },
+    ResponseTimeout { attempt: AttemptId },
     /// Lease holders read the platform's list.
     ListEndpoints,
     /// The network forgets what is over.
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -10,9 +10,9 @@
 /// A machine counts as lost for so long once it is back.
 const STABLE_PERIOD: i64 = 4 * SECOND;
 /// Machines that crash together come back within this time of each other.
-const RESTART_SPREAD: i64 = 100 * MILLISECOND;
+const MAX_RESTART_JITTER: i64 = 100 * MILLISECOND;
 /// A machine that was replaced does not come back within a run.
-const NEVER: i64 = 3_600 * SECOND;
+const NEVER_RESTARTS: i64 = 3_600 * SECOND;
 
 /// How a process ends.
 #[derive(Clone, Copy, Debug)]
@@ -31,7 +31,7 @@
 
 /// Answers to operators that are lost.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct AnswerLoss {
+pub(super) struct ResponseLoss {
     pub(super) percent: u64,
     pub(super) until: i64,
 }
@@ -60,7 +60,7 @@
                 let replicas = self.layout.replicas_in(domain, replica);
                 let is_survivable = self.must_survive_loss_of(&replicas);
                 if is_survivable {
-                    self.mark_lost_disks();
+                    self.record_disk_loss();
                     self.lose_disks(&replicas, with_power_outage, restart_after);
                 }
                 return is_survivable;
@@ -90,7 +90,7 @@
             Fault::Replacement { replica, is_graceful, restart_after } => {
                 let is_survivable = self.must_survive_loss_of(&[replica]);
                 if is_survivable {
-                    self.mark_lost_disks();
+                    self.record_disk_loss();
                     self.replace(replica, is_graceful, restart_after);
                 }
                 return is_survivable;
@@ -108,7 +108,7 @@
                 self.congest_gateway(gateway, extra_latency, duration);
             }
             Fault::AnswerLoss { percent, duration } => {
-                self.answer_loss = AnswerLoss { percent, until: self.now + duration };
+                self.response_loss = ResponseLoss { percent, until: self.now + duration };
             }
         }
         true
@@ -156,7 +156,7 @@
     }
 
     /// Disks are lost: while the replicas are split, none of them is replaced.
-    fn mark_lost_disks(&mut self) {
+    fn record_disk_loss(&mut self) {
         if self.split_until > self.now {
             self.coverage.count("loss-while-split");
             self.mark_unstable(self.split_until - self.now);
@@ -164,14 +164,14 @@
     }
 
     /// Draws when a machine that crashes together with others comes back.
-    fn draw_restart(&mut self, crash: Crash) -> Crash {
-        let restart_after = crash.restart_after + self.rng.in_range(0..RESTART_SPREAD);
+    fn with_restart_jitter(&mut self, crash: Crash) -> Crash {
+        let restart_after = crash.restart_after + self.rng.in_range(0..MAX_RESTART_JITTER);
         Crash { restart_after, ..crash }
     }
 
     fn crash_replicas(&mut self, replicas: &[usize], crash: Crash) {
         for replica in replicas {
-            let crash = self.draw_restart(crash);
+            let crash = self.with_restart_jitter(crash);
             self.crash(self.replicas[*replica], crash);
         }
     }
@@ -181,7 +181,7 @@
         for replica in 0..self.layout.replica_count() {
             let (node, is_lost) = (self.replicas[replica], replicas.contains(&replica));
             if is_lost || with_power_outage {
-                let crash = self.draw_restart(Crash { is_power_loss: true, restart_after });
+                let crash = self.with_restart_jitter(Crash { is_power_loss: true, restart_after });
                 self.crash(node, crash);
             }
             if is_lost {
@@ -203,9 +203,9 @@
     }
 
     /// Asks a process to shut down. False if it cannot be asked, or was asked before.
-    fn shut_down(&mut self, number: usize, restart_after: i64) -> bool {
-        let now = self.steady_time(number);
-        let node = &mut self.nodes[number];
+    fn shut_down(&mut self, node_index: usize, restart_after: i64) -> bool {
+        let now = self.monotonic_time(node_index);
+        let node = &mut self.nodes[node_index];
         if node.shutdown_requested_at.is_some() || node.is_paused(self.now) {
             return false;
         }
@@ -217,7 +217,7 @@
         if !node.is_replaced {
             self.mark_unstable(down_for);
         }
-        self.after_event(number);
+        self.after_event(node_index);
         true
     }
 
@@ -228,8 +228,8 @@
         self.replicas[replica] = new;
         self.record_replicas();
         self.nodes[old].is_replaced = true;
-        if !(is_graceful && self.shut_down(old, NEVER)) {
-            self.crash(old, Crash { is_power_loss: true, restart_after: NEVER });
+        if !(is_graceful && self.shut_down(old, NEVER_RESTARTS)) {
+            self.crash(old, Crash { is_power_loss: true, restart_after: NEVER_RESTARTS });
         }
         self.log(format_args!("event=machine-replaced replica={replica} old=s{old} new=s{new}"));
         self.schedule(self.now + restart_after, Event::StartProcess { node: new });
--- a/crates/simulation/src/simulation/gateways.rs
+++ b/crates/simulation/src/simulation/gateways.rs
@@ -17,11 +17,11 @@
         Timestamp::from_micros(self.now + CLOCK_OFFSET)
     }
 
-    pub(super) fn gateway_tick(&mut self, number: usize) {
+    pub(super) fn gateway_tick(&mut self, gateway_index: usize) {
         let now = self.gateway_time();
         let random = self.rng.next_u64();
-        let result = self.gateways[number].tick(now, random);
-        let gateway = &mut self.gateways[number];
+        let result = self.gateways[gateway_index].tick(now, random);
+        let gateway = &mut self.gateways[gateway_index];
         let session = if result.should_close_session { gateway.session.take() } else { None };
         let candidate = if result.should_close_candidate { gateway.candidate.take() } else { None };
         for closed in session.into_iter().chain(candidate) {
@@ -29,24 +29,24 @@
         }
         let node = result.connect_to.and_then(|address| self.node_by_address(&address));
         if let Some(node) = node {
-            self.connect_gateway(number, node);
+            self.connect_gateway(gateway_index, node);
         }
-        self.send_from_gateway(number);
-        self.schedule(self.now + TICK_INTERVAL, Event::GatewayTick { gateway: number });
+        self.send_from_gateway(gateway_index);
+        self.schedule(self.now + TICK_INTERVAL, Event::GatewayTick { gateway: gateway_index });
     }
 
     /// A gateway opens a session. Behind a partition nothing answers: the control session gives up by itself.
-    fn connect_gateway(&mut self, number: usize, node: usize) {
+    fn connect_gateway(&mut self, gateway_index: usize, node: usize) {
         if self.nodes[node].process.is_none() {
-            self.gateways[number].candidate_lost("refused");
-        } else if !self.network.is_unreachable(self.now, Host::Gateway(number), Host::Node(node)) {
-            self.gateways[number].candidate = Some(self.open_session(number, node));
+            self.gateways[gateway_index].candidate_lost("refused");
+        } else if !self.network.is_unreachable(self.now, Host::Gateway(gateway_index), Host::Node(node)) {
+            self.gateways[gateway_index].candidate = Some(self.open_session(gateway_index, node));
         }
     }
 
     /// Sends what a gateway wants sent; without a session it is lost.
-    fn send_from_gateway(&mut self, number: usize) {
-        let gateway = &mut self.gateways[number];
+    fn send_from_gateway(&mut self, gateway_index: usize) {
+        let gateway = &mut self.gateways[gateway_index];
         let on_session = (gateway.session, gateway.take_messages());
         let on_candidate = (gateway.candidate, gateway.take_candidate_messages());
         for (session, messages) in [on_session, on_candidate] {
@@ -57,30 +57,30 @@
         }
     }
 
-    pub(super) fn gateway_message(&mut self, number: usize, session: SessionId, message: Message) {
-        if self.gateways[number].candidate == Some(session) {
-            return self.candidate_message(number, session, &message);
+    pub(super) fn gateway_message(&mut self, gateway_index: usize, session: SessionId, message: Message) {
+        if self.gateways[gateway_index].candidate == Some(session) {
+            return self.candidate_message(gateway_index, session, &message);
         }
-        if self.gateways[number].session != Some(session) {
+        if self.gateways[gateway_index].session != Some(session) {
             return;
         }
         let now = self.gateway_time();
-        let result = self.gateways[number].receive(now, message);
+        let result = self.gateways[gateway_index].receive(now, message);
         for write in result.applied {
-            self.history.push(HistoryEvent::WriteApplied { at: self.now, gateway: number, write });
+            self.history.push(HistoryEvent::WriteApplied { at: self.now, gateway: gateway_index, write });
         }
         if result.should_close_session {
-            self.gateways[number].session_lost("not-current");
+            self.gateways[gateway_index].session_lost("not-current");
             self.close_session(session, false);
         }
-        self.send_from_gateway(number);
+        self.send_from_gateway(gateway_index);
     }
 
     /// The first message on a session that a gateway is opening, which becomes its session or is closed.
-    fn candidate_message(&mut self, number: usize, session: SessionId, message: &Message) {
+    fn candidate_message(&mut self, gateway_index: usize, session: SessionId, message: &Message) {
         let Message::Hello(hello) = message else { return };
         let now = self.gateway_time();
-        let gateway = &mut self.gateways[number];
+        let gateway = &mut self.gateways[gateway_index];
         gateway.candidate = None;
         let closed = match gateway.receive_hello(now, hello) {
             CandidateOutcome::Promoted => gateway.session.replace(session),
--- a/crates/simulation/src/simulation/machines.rs
+++ b/crates/simulation/src/simulation/machines.rs
@@ -17,14 +17,14 @@
 const MAX_CLOCK_DRIFT: i64 = 200;
 
 /// A machine's steady clock.
-struct SteadyClock {
+struct MonotonicClock {
     /// Its time at the start of the simulation.
     offset: i64,
     /// How much too fast it runs, in parts per million.
     drift: i64,
 }
 
-impl SteadyClock {
+impl MonotonicClock {
     fn now(&self, now: i64) -> Timestamp {
         Timestamp::from_micros(self.offset + now + now / 1_000 * self.drift / 1_000)
     }
@@ -48,8 +48,8 @@
     pub(super) disk: Disk,
     pub(super) paused_until: i64,
     /// What waits for a paused process.
-    pub(super) inbox: Vec<Event>,
-    clock: SteadyClock,
+    pub(super) queued_events: Vec<Event>,
+    clock: MonotonicClock,
     /// The process' own connections, by the other node.
     pub(super) peer_channels: BTreeMap<usize, ChannelId>,
     /// Addresses that its settings file names.
@@ -107,7 +107,7 @@
             zone: zone_name(zone),
             region: self.layout.region_name(zone),
         };
-        let clock = SteadyClock {
+        let clock = MonotonicClock {
             offset: self.rng.in_range(CLOCK_OFFSETS),
             drift: self.rng.in_range(-MAX_CLOCK_DRIFT..MAX_CLOCK_DRIFT + 1),
         };
@@ -118,7 +118,7 @@
             incarnation: 0,
             disk: Disk::new(self.layout.sync_duration.clone(), self.layout.loses_writes_independently),
             paused_until: 0,
-            inbox: Vec::new(),
+            queued_events: Vec::new(),
             clock,
             peer_channels: BTreeMap::new(),
             bootstrap_addresses: Vec::new(),
@@ -136,20 +136,20 @@
     }
 
     /// A node's steady time. Whoever asks for it is about to run its process: log lines are its own from then on.
-    pub(super) fn steady_time(&self, node: usize) -> Timestamp {
+    pub(super) fn monotonic_time(&self, node: usize) -> Timestamp {
         logging::set_running(self.now, node);
         self.nodes[node].clock.now(self.now)
     }
 
     pub(super) fn is_lease_holder(&self, node: usize) -> bool {
         let process = self.nodes[node].process.as_ref();
-        process.is_some_and(|process| process.is_lease_holder(self.steady_time(node)))
+        process.is_some_and(|process| process.is_lease_holder(self.monotonic_time(node)))
     }
 
     /// Whether a node's process acts as coordinator.
     pub(super) fn is_active_coordinator(&self, node: usize) -> bool {
         let process = self.nodes[node].process.as_ref();
-        process.is_some_and(|process| process.is_active_coordinator(self.steady_time(node)))
+        process.is_some_and(|process| process.is_active_coordinator(self.monotonic_time(node)))
     }
 
     /// A node's process, if it is still this incarnation.
--- a/crates/simulation/src/simulation/mod.rs
+++ b/crates/simulation/src/simulation/mod.rs
@@ -23,15 +23,15 @@
 use crate::coverage::Coverage;
 use crate::digest::Traffic;
 use crate::gateway::Gateway;
-use crate::history::{AnswerStatus, AttemptId, HistoryEvent};
+use crate::history::{AttemptId, HistoryEvent, ResponseStatus};
 use crate::network::{Host, Network};
 use crate::operator::{ChangeRegistry, Operator};
 use crate::rng::{RandomStream, Rng};
 use crate::scenario::{
-    zone_name, Layout, Scenario, ScheduledFault, Workload, FOUNDING_PERIOD, MILLISECOND, SECOND,
+    zone_name, Layout, Scenario, ScheduledFault, Workload, BOOTSTRAP_PERIOD, MILLISECOND, SECOND,
 };
 use events::{Event, EventQueue};
-use faults::{AnswerLoss, Crash};
+use faults::{Crash, ResponseLoss};
 use kitepass_control_plane::endpoints::Endpoint;
 use kitepass_coordination::protocol::Hello;
 pub use logging::ProcessLogger;
@@ -42,9 +42,9 @@
 /// Time between two ticks of a process.
 const TICK_INTERVAL: i64 = 100 * MILLISECOND;
 /// The operators' list of control processes lags by this time.
-const LIST_DELAY: i64 = 3 * SECOND;
+const ADDRESS_LIST_LAG: i64 = 3 * SECOND;
 /// Processes start within this time.
-const START_SPREAD: i64 = 300 * MILLISECOND;
+const MAX_START_DELAY: i64 = 300 * MILLISECOND;
 /// Time between two removals of what the network needs no more.
 const REMOVE_EXPIRED_INTERVAL: i64 = 5 * SECOND;
 
@@ -56,7 +56,7 @@
     workload: Workload,
     scheduled_faults: Vec<ScheduledFault>,
     /// When operators begin nothing new.
-    until: i64,
+    active_until: i64,
     events: EventQueue,
     /// All machines of control processes, also those that were replaced.
     nodes: Vec<Node>,
@@ -71,8 +71,8 @@
     /// Requests that are under way.
     attempts: BTreeMap<AttemptId, Attempt>,
     /// How each request was answered.
-    answers: BTreeMap<AttemptId, AnswerStatus>,
-    answer_loss: AnswerLoss,
+    responses: BTreeMap<AttemptId, ResponseStatus>,
+    response_loss: ResponseLoss,
     /// What the process that confirms a change next suffers.
     crash_at_confirmation: Option<Crash>,
     /// When the last fault of a node, or between two, is over.
@@ -105,7 +105,7 @@
             now: 0,
             workload: scenario.workload,
             scheduled_faults: scenario.faults.clone(),
-            until: scenario.until,
+            active_until: scenario.active_until,
             events: EventQueue::default(),
             nodes: Vec::new(),
             replicas: Vec::new(),
@@ -115,8 +115,8 @@
             operators: (0..scenario.workload.operator_count).map(|_| Operator::default()).collect(),
             registry: ChangeRegistry::default(),
             attempts: BTreeMap::new(),
-            answers: BTreeMap::new(),
-            answer_loss: AnswerLoss::default(),
+            responses: BTreeMap::new(),
+            response_loss: ResponseLoss::default(),
             crash_at_confirmation: None,
             unstable_until: 0,
             split_until: 0,
@@ -139,7 +139,7 @@
         for replica in 0..self.layout.replica_count() {
             let node = self.add_node(replica);
             self.replicas.push(node);
-            let at = self.rng.in_range(0..START_SPREAD);
+            let at = self.rng.in_range(0..MAX_START_DELAY);
             self.schedule(at, Event::StartProcess { node });
         }
         self.record_replicas();
@@ -154,7 +154,7 @@
                 ..Hello::default()
             };
             self.gateways.push(Gateway::new(hello, self.bootstrap_addresses(), self.regions_by_zone()));
-            let at = self.rng.in_range(0..START_SPREAD);
+            let at = self.rng.in_range(0..MAX_START_DELAY);
             self.schedule(at, Event::GatewayTick { gateway });
         }
     }
@@ -164,8 +164,8 @@
             self.schedule(self.scheduled_faults[index].at, Event::InjectFault { index });
         }
         for operator in 0..self.operators.len() {
-            let at = FOUNDING_PERIOD - SECOND + self.operator_rng.in_range(0..SECOND);
-            self.schedule(at, Event::OperatorTurn { operator });
+            let at = BOOTSTRAP_PERIOD - SECOND + self.operator_rng.in_range(0..SECOND);
+            self.schedule(at, Event::RunOperator { operator });
         }
         self.schedule(SECOND, Event::ListEndpoints);
         self.schedule(SECOND, Event::RemoveExpired);
@@ -177,9 +177,9 @@
     }
 
     /// The addresses that a settings file names when it is written now: those of three machines, or fewer, as the operators'
-    /// list has them, which lags by [`LIST_DELAY`].
+    /// list has them, which lags by [`ADDRESS_LIST_LAG`].
     fn bootstrap_addresses(&self) -> Vec<String> {
-        let listed_at = self.now - LIST_DELAY;
+        let listed_at = self.now - ADDRESS_LIST_LAG;
         let listed = self.replica_history.iter().rev().find(|(since, _)| *since <= listed_at);
         let nodes =
             listed.or_else(|| self.replica_history.first()).map_or(&self.replicas, |(_, nodes)| nodes);
@@ -236,7 +236,7 @@
         let node = self.target_node(&event);
         // A paused process notices nothing; what comes waits in its sockets.
         if let Some(node) = node.filter(|node| self.nodes[*node].is_paused(self.now)) {
-            return self.nodes[node].inbox.push(event);
+            return self.nodes[node].queued_events.push(event);
         }
         match event {
             Event::Tick { node, incarnation } => self.tick(node, incarnation),
@@ -248,7 +248,7 @@
             Event::PeerConnectionLost { node, incarnation, channel } => {
                 self.peer_connection_lost(node, incarnation, channel);
             }
-            Event::HungUp { channel } => self.hung_up(channel),
+            Event::ClosedByReceiver { channel } => self.closed_by_receiver(channel),
             Event::SessionLostAtNode { node, incarnation, session } => {
                 self.session_lost_at_node(node, incarnation, session);
             }
@@ -260,10 +260,10 @@
                 let fault = self.scheduled_faults[index].fault.clone();
                 self.inject(&fault);
             }
-            Event::OperatorTurn { operator } => self.operator_turn(operator),
+            Event::RunOperator { operator } => self.run_operator(operator),
             Event::RequestDue { attempt } => self.request_due(attempt),
-            Event::AnswerDue { attempt, answer } => self.answer_due(attempt, answer),
-            Event::AnswerTimeout { attempt } => self.answer_timeout(attempt),
+            Event::ResponseDue { attempt, response } => self.response_due(attempt, response),
+            Event::ResponseTimeout { attempt } => self.response_timeout(attempt),
             Event::ListEndpoints => self.list_endpoints(),
             Event::RemoveExpired => {
                 self.network.remove_expired(self.now);
--- a/crates/simulation/src/simulation/operators.rs
+++ b/crates/simulation/src/simulation/operators.rs
@@ -2,18 +2,18 @@
 
 use super::events::Event;
 use super::Simulation;
-use crate::history::{AnswerStatus, AttemptId, HistoryEvent};
-use crate::operator::{Operation, Operator, PlannedWrite, ANSWER_TIMEOUT};
-use crate::process::OperatorAnswer;
+use crate::history::{AttemptId, HistoryEvent, ResponseStatus};
+use crate::operator::{Operation, Operator, PlannedWrite, RESPONSE_TIMEOUT};
+use crate::process::OperatorResponse;
 use crate::scenario::MILLISECOND;
 use std::ops::Range;
 
 /// Bounds of the time that a request or an answer takes.
 const REQUEST_DELAYS: Range<i64> = 200..3 * MILLISECOND;
 /// Operators that race start within this time of each other.
-const RACE_SPREAD: i64 = 2 * MILLISECOND;
+const MAX_RACE_START_DELAY: i64 = 2 * MILLISECOND;
 /// Operators that are asked to race with each rival.
-const OPERATORS_PER_RIVAL: usize = 4;
+const OPERATORS_PER_RACING_CHANGE: usize = 4;
 /// The backoff after the first failed attempt; it grows by as much with each further one.
 const BACKOFF: i64 = 50 * MILLISECOND;
 /// The backoff grows no more after so many attempts.
@@ -30,33 +30,35 @@
 
 impl Simulation {
     /// An operator begins an operation, or tries one again.
-    pub(super) fn operator_turn(&mut self, number: usize) {
-        let operator = &self.operators[number];
+    pub(super) fn run_operator(&mut self, operator_index: usize) {
+        let operator = &self.operators[operator_index];
         if operator.operation.is_none() {
-            if self.now >= self.until {
+            if self.now >= self.active_until {
                 return;
             }
-            self.begin_operation(number);
-        } else if operator.awaited.is_some() {
+            self.begin_operation(operator_index);
+        } else if operator.awaited_attempt.is_some() {
             return;
         }
         let node = self.replicas[self.operator_rng.below(self.replicas.len())];
-        self.send_request(number, node);
+        self.send_request(operator_index, node);
     }
 
-    fn begin_operation(&mut self, number: usize) {
+    fn begin_operation(&mut self, operator_index: usize) {
         let zones = self.layout.zone_names();
         let known_changes = self.registry.change_count();
         let (operation, kind) = self.registry.next_operation(&self.workload, &zones, &mut self.operator_rng);
         self.record_new_changes(known_changes);
         self.coverage.count(&format!("operation-{}", kind.name()));
-        self.operators[number] = Operator { operation: Some(operation), failed_attempts: 0, awaited: None };
+        self.operators[operator_index] =
+            Operator { operation: Some(operation), failed_attempts: 0, awaited_attempt: None };
         // Rivals are sent at about the same time.
-        let racing = self.operators.len().min(self.registry.rival_count() * OPERATORS_PER_RIVAL);
+        let racing =
+            self.operators.len().min(self.registry.racing_change_count() * OPERATORS_PER_RACING_CHANGE);
         for operator in 0..racing {
             if self.operators[operator].operation.is_none() {
-                let at = self.now + self.operator_rng.in_range(0..RACE_SPREAD);
-                self.schedule(at, Event::OperatorTurn { operator });
+                let at = self.now + self.operator_rng.in_range(0..MAX_RACE_START_DELAY);
+                self.schedule(at, Event::RunOperator { operator });
             }
         }
     }
@@ -69,17 +71,17 @@
     }
 
     /// An operator sends its operation to a node.
-    fn send_request(&mut self, number: usize, node: usize) {
-        let operator = &self.operators[number];
+    fn send_request(&mut self, operator_index: usize, node: usize) {
+        let operator = &self.operators[operator_index];
         let Some(operation) = operator.operation.clone() else { return };
         if operator.failed_attempts > 0 {
             self.coverage.count("request-retried");
         }
-        let attempt = self.add_attempt(Some(number), operation, node);
-        self.operators[number].awaited = Some(attempt);
+        let attempt = self.add_attempt(Some(operator_index), operation, node);
+        self.operators[operator_index].awaited_attempt = Some(attempt);
         let at = self.now + self.operator_rng.in_range(REQUEST_DELAYS);
         self.schedule(at, Event::RequestDue { attempt });
-        self.schedule(self.now + ANSWER_TIMEOUT, Event::AnswerTimeout { attempt });
+        self.schedule(self.now + RESPONSE_TIMEOUT, Event::ResponseTimeout { attempt });
     }
 
     fn add_attempt(&mut self, operator: Option<usize>, operation: Operation, node: usize) -> AttemptId {
@@ -114,8 +116,8 @@
     }
 
     /// How a process answered a request, if it has.
-    pub fn status_of(&self, attempt: AttemptId) -> Option<AnswerStatus> {
-        self.answers.get(&attempt).copied()
+    pub fn status_of(&self, attempt: AttemptId) -> Option<ResponseStatus> {
+        self.responses.get(&attempt).copied()
     }
 
     /// Reads all items at each process that runs.
@@ -133,7 +135,7 @@
     pub(super) fn request_due(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get(&id) else { return };
         let (operator, node, operation) = (attempt.operator, attempt.node, attempt.operation.clone());
-        let now = self.steady_time(node);
+        let now = self.monotonic_time(node);
         if self.nodes[node].process.is_none() {
             // The connection is refused: the operator tries another node at once.
             self.attempts.remove(&id);
@@ -160,18 +162,18 @@
 
     /// The operator of an attempt, if it still waits for that one's answer.
     fn waiting_operator(&self, operator: Option<usize>, attempt: AttemptId) -> Option<usize> {
-        operator.filter(|operator| self.operators[*operator].awaited == Some(attempt))
+        operator.filter(|operator| self.operators[*operator].awaited_attempt == Some(attempt))
     }
 
     /// A process has answered, whether or not that reaches the operator.
-    pub(super) fn process_answered(&mut self, node: usize, id: AttemptId, answer: OperatorAnswer) {
+    pub(super) fn process_responded(&mut self, node: usize, id: AttemptId, response: OperatorResponse) {
         let Some(attempt) = self.attempts.get(&id) else { return };
         let at = self.now;
-        let status = answer.status();
+        let status = response.status();
         let has_operator = attempt.operator.is_some();
         let operation = attempt.operation.clone();
         let latency_ms = (at - attempt.sent_at) as u64 / 1_000;
-        if self.answers.insert(id, status).is_some() {
+        if self.responses.insert(id, status).is_some() {
             let description = format!("attempt {id} was answered twice");
             self.history.push(HistoryEvent::DeadlineMissed { at, description });
         }
@@ -180,15 +182,15 @@
         ));
         self.coverage.count(&format!("answer-{status:?}").to_lowercase());
         self.coverage.record_maximum(&format!("ms-to-{status:?}").to_lowercase(), latency_ms);
-        self.record_answer(id, node, &operation, &answer);
+        self.record_response(id, node, &operation, &response);
         let is_confirmed_change =
-            matches!(operation, Operation::Change(_)) && status == AnswerStatus::Confirmed;
+            matches!(operation, Operation::Change(_)) && status == ResponseStatus::Confirmed;
         let crash = if is_confirmed_change { self.crash_at_confirmation.take() } else { None };
-        if self.draw_answer_loss() && has_operator {
+        if self.draw_response_loss() && has_operator {
             self.coverage.count("answer-lost");
         } else {
             let due = at + self.operator_rng.in_range(REQUEST_DELAYS);
-            self.schedule(due, Event::AnswerDue { attempt: id, answer });
+            self.schedule(due, Event::ResponseDue { attempt: id, response });
         }
         if let Some(crash) = crash {
             self.coverage.count("crashed-at-confirmation");
@@ -196,22 +198,22 @@
         }
     }
 
-    fn record_answer(
+    fn record_response(
         &mut self,
         attempt: AttemptId,
         node: usize,
         operation: &Operation,
-        answer: &OperatorAnswer,
+        response: &OperatorResponse,
     ) {
-        let (at, status) = (self.now, answer.status());
-        match (operation, answer) {
-            (Operation::Read, OperatorAnswer::Items(items)) => {
+        let (at, status) = (self.now, response.status());
+        match (operation, response) {
+            (Operation::Read, OperatorResponse::Items(items)) => {
                 let items = items.clone();
                 self.history.push(HistoryEvent::ReadCompleted { at, read: attempt, items });
             }
             (Operation::Read, _) => {}
             (Operation::Evacuation { .. }, _) => {
-                let is_confirmed = status == AnswerStatus::Confirmed;
+                let is_confirmed = status == ResponseStatus::Confirmed;
                 self.history.push(HistoryEvent::EvacuationAnswered { at, request: attempt, is_confirmed });
             }
             (Operation::Change(change), _) => {
@@ -222,25 +224,25 @@
     }
 
     /// Draws whether an answer is lost: by a fault, or as the workload has it.
-    fn draw_answer_loss(&mut self) -> bool {
-        let is_faulty = self.answer_loss.until > self.now;
-        if is_faulty && self.operator_rng.percent(self.answer_loss.percent) {
+    fn draw_response_loss(&mut self) -> bool {
+        let is_faulty = self.response_loss.until > self.now;
+        if is_faulty && self.operator_rng.chance(self.response_loss.percent) {
             return true;
         }
-        self.operator_rng.percent(self.workload.answer_loss_percent)
+        self.operator_rng.chance(self.workload.response_loss_percent)
     }
 
     /// An answer reaches its operator, if that still waits for it.
-    pub(super) fn answer_due(&mut self, id: AttemptId, answer: OperatorAnswer) {
+    pub(super) fn response_due(&mut self, id: AttemptId, response: OperatorResponse) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         let Some(operator) = self.waiting_operator(attempt.operator, id) else { return };
         if let Operation::Change(_) = attempt.operation {
-            self.history.push(HistoryEvent::AnswerReceived { attempt: id });
+            self.history.push(HistoryEvent::ResponseReceived { attempt: id });
         }
-        match (answer, attempt.operation) {
-            (OperatorAnswer::Redirect(address), _) => return self.retry(operator, Some(address)),
-            (OperatorAnswer::Unavailable, _) => return self.retry(operator, None),
-            (OperatorAnswer::Done, Operation::Change(change)) => self.registry.add_confirmed(change),
+        match (response, attempt.operation) {
+            (OperatorResponse::Redirect(address), _) => return self.retry(operator, Some(address)),
+            (OperatorResponse::Unavailable, _) => return self.retry(operator, None),
+            (OperatorResponse::Done, Operation::Change(change)) => self.registry.add_confirmed(change),
             _ => {}
         }
         self.end_operation(operator);
@@ -250,10 +252,10 @@
     fn end_operation(&mut self, operator: usize) {
         self.operators[operator] = Operator::default();
         let at = self.now + self.operator_rng.in_range(0..self.workload.max_pause);
-        self.schedule(at, Event::OperatorTurn { operator });
+        self.schedule(at, Event::RunOperator { operator });
     }
 
-    pub(super) fn answer_timeout(&mut self, id: AttemptId) {
+    pub(super) fn response_timeout(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get(&id) else { return };
         if let Some(operator) = self.waiting_operator(attempt.operator, id) {
             self.coverage.count("answer-timeout");
@@ -263,7 +265,7 @@
 
     /// An attempt has failed. The operator tries the node that it was redirected to, or another one after a backoff.
     fn retry(&mut self, operator: usize, redirect: Option<String>) {
-        self.operators[operator].awaited = None;
+        self.operators[operator].awaited_attempt = None;
         if !self.operators[operator].attempt_failed() {
             self.coverage.count("operation-given-up");
             return self.end_operation(operator);
@@ -275,6 +277,6 @@
         let attempts = self.operators[operator].failed_attempts.min(MAX_BACKOFF_ATTEMPTS);
         let backoff = BACKOFF * i64::from(attempts);
         let at = self.now + self.operator_rng.in_range(backoff / 2..backoff + 1);
-        self.schedule(at, Event::OperatorTurn { operator });
+        self.schedule(at, Event::RunOperator { operator });
     }
 }
--- a/crates/simulation/src/simulation/processes.rs
+++ b/crates/simulation/src/simulation/processes.rs
@@ -19,17 +19,17 @@
 const INCARNATION_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl Simulation {
-    pub(super) fn start_process(&mut self, number: usize) {
-        let now = self.steady_time(number);
-        let node = &mut self.nodes[number];
+    pub(super) fn start_process(&mut self, node_index: usize) {
+        let now = self.monotonic_time(node_index);
+        let node = &mut self.nodes[node_index];
         if node.process.is_some() || node.is_replaced || self.now < node.restart_at {
             return;
         }
         self.last_incarnation += 1;
         let incarnation = self.last_incarnation;
-        let is_original = number < self.layout.replica_count();
+        let is_original = node_index < self.layout.replica_count();
         let bootstrap_addresses = self.bootstrap_addresses();
-        let node = &mut self.nodes[number];
+        let node = &mut self.nodes[node_index];
         let start = ProcessStart {
             location: node.location.clone(),
             incarnation: incarnation.wrapping_mul(INCARNATION_MULTIPLIER),
@@ -44,33 +44,33 @@
         node.shutdown_requested_at = None;
         node.paused_until = 0;
         self.coverage.count("process-started");
-        self.log(format_args!("event=process-started node=s{number} incarnation={incarnation}"));
+        self.log(format_args!("event=process-started node=s{node_index} incarnation={incarnation}"));
         let at = self.now + self.rng.in_range(0..TICK_INTERVAL);
-        self.schedule(at, Event::Tick { node: number, incarnation });
-        self.perform_actions(number);
+        self.schedule(at, Event::Tick { node: node_index, incarnation });
+        self.perform_actions(node_index);
     }
 
-    pub(super) fn tick(&mut self, number: usize, incarnation: u64) {
-        let now = self.steady_time(number);
-        let Some(process) = self.process_of(number, incarnation) else { return };
+    pub(super) fn tick(&mut self, node_index: usize, incarnation: u64) {
+        let now = self.monotonic_time(node_index);
+        let Some(process) = self.process_of(node_index, incarnation) else { return };
         process.tick(now);
-        self.connect_to_peers(number);
-        self.close_idle_connections(number);
-        let node = &self.nodes[number];
+        self.connect_to_peers(node_index);
+        self.close_idle_connections(node_index);
+        let node = &self.nodes[node_index];
         if let Some(requested_at) = node.shutdown_requested_at {
             let is_shut_down = node.process.as_ref().is_some_and(Process::is_shut_down);
             if is_shut_down || self.now - requested_at > SHUTDOWN_TIMEOUT {
                 let crash = Crash { is_power_loss: false, restart_after: node.restart_at - self.now };
-                return self.crash(number, crash);
+                return self.crash(node_index, crash);
             }
         }
-        self.schedule(self.now + TICK_INTERVAL, Event::Tick { node: number, incarnation });
+        self.schedule(self.now + TICK_INTERVAL, Event::Tick { node: node_index, incarnation });
     }
 
     /// Events that waited for a paused process come now.
     pub(super) fn resume(&mut self, node: usize) {
         if !self.nodes[node].is_paused(self.now) {
-            for event in std::mem::take(&mut self.nodes[node].inbox) {
+            for event in std::mem::take(&mut self.nodes[node].queued_events) {
                 self.schedule(self.now, event);
             }
         }
@@ -143,7 +143,7 @@
             ProcessAction::SendToSession(session, message) => self.send_to_gateway(session, message),
             ProcessAction::CloseSession(session) => self.close_session(session, false),
             ProcessAction::Persist(request_id, records) => self.persist(node, request_id, records),
-            ProcessAction::Answer(attempt, answer) => self.process_answered(node, attempt, answer),
+            ProcessAction::Respond(attempt, response) => self.process_responded(node, attempt, response),
         }
     }
 
@@ -159,7 +159,7 @@
     }
 
     pub(super) fn complete_sync(&mut self, node: usize, incarnation: u64) {
-        let now = self.steady_time(node);
+        let now = self.monotonic_time(node);
         if !self.is_running(node, incarnation) {
             return;
         }
@@ -181,36 +181,36 @@
     }
 
     /// A process ends, or its machine loses power. The next process starts after a time.
-    pub(super) fn crash(&mut self, number: usize, crash: Crash) {
-        if self.nodes[number].process.is_none() {
+    pub(super) fn crash(&mut self, node_index: usize, crash: Crash) {
+        if self.nodes[node_index].process.is_none() {
             return;
         }
-        self.perform_actions(number);
+        self.perform_actions(node_index);
         let Crash { is_power_loss, restart_after } = crash;
         self.log(format_args!(
-            "event=process-ended node=s{number} power-loss={is_power_loss} restart-after={:.3}",
+            "event=process-ended node=s{node_index} power-loss={is_power_loss} restart-after={:.3}",
             restart_after as f64 / 1e6
         ));
         self.coverage.count(if is_power_loss { "power-lost" } else { "process-ended" });
         // A machine that was replaced is counted as its successor is.
-        if !self.nodes[number].is_replaced {
+        if !self.nodes[node_index].is_replaced {
             self.mark_unstable(restart_after);
         }
-        let node = &mut self.nodes[number];
+        let node = &mut self.nodes[node_index];
         node.process = None;
         node.disk.crash(self.now, is_power_loss, &mut self.rng);
-        node.inbox.clear();
+        node.queued_events.clear();
         node.restart_at = self.now + restart_after;
         node.shutdown_requested_at = None;
         node.scheduled_crash = None;
         for id in self.network.channels_where(|_| true) {
-            self.end_channel_of_crashed(id, number, crash);
+            self.close_channel_of_crashed(id, node_index, crash);
         }
-        self.schedule(self.now + restart_after, Event::StartProcess { node: number });
+        self.schedule(self.now + restart_after, Event::StartProcess { node: node_index });
     }
 
     /// What a crash does to one channel.
-    fn end_channel_of_crashed(&mut self, id: ChannelId, node: usize, crash: Crash) {
+    fn close_channel_of_crashed(&mut self, id: ChannelId, node: usize, crash: Crash) {
         let channel = &self.network.channels[&id];
         let Channel { from, to, kind, last_delivery, is_closed, .. } = *channel;
         if is_closed {
--- a/crates/simulation/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -3,7 +3,7 @@
 use kitepass_config::Kind;
 use kitepass_simulation::checker::{check_history, Invariant};
 use kitepass_simulation::history::{
-    AnswerStatus, AttemptId, ChangeId, Content, HistoryEvent, ItemName, ItemState, Write,
+    AttemptId, ChangeId, Content, HistoryEvent, ItemName, ItemState, ResponseStatus, Write,
 };
 use rstest::rstest;
 
@@ -33,7 +33,7 @@
     [sent(attempt, change), started(attempt, attempt as i64 * 10)]
 }
 
-fn answered(attempt: u64, change: u64, status: AnswerStatus) -> HistoryEvent {
+fn answered(attempt: u64, change: u64, status: ResponseStatus) -> HistoryEvent {
     let at = attempt as i64 * 10 + 5;
     HistoryEvent::ChangeAnswered {
         at,
@@ -45,7 +45,7 @@
 }
 
 fn received(attempt: u64) -> HistoryEvent {
-    HistoryEvent::AnswerReceived { attempt: AttemptId(attempt) }
+    HistoryEvent::ResponseReceived { attempt: AttemptId(attempt) }
 }
 
 /// A read with what it shows: items' names, their versions and the changes that wrote them.
@@ -77,9 +77,9 @@
     let mut history =
         vec![created(1, &[("a", 3), ("b", 3)]), created(2, &[("a", 3)]), created(3, &[("a", 2)])];
     history.extend(sent_and_started(1, 1));
-    history.push(answered(1, 1, AnswerStatus::Confirmed));
+    history.push(answered(1, 1, ResponseStatus::Confirmed));
     history.extend(sent_and_started(2, 2));
-    history.push(answered(2, 2, AnswerStatus::Conflict));
+    history.push(answered(2, 2, ResponseStatus::Conflict));
     history.push(received(2));
     history.extend(read(100, &[("a", 3, 1), ("b", 3, 1)]));
     history.push(applied(0, write("a", 3, 1)));
@@ -99,7 +99,7 @@
 
 #[rstest]
 #[case::an_older_version_is_read(read(200, &[("a", 2, 3), ("b", 3, 1)]).into(), Invariant::NoLostWrite)]
-#[case::nothing_is_read(read(200, &[("b", 3, 1)]).into(), Invariant::NoLostWrite)]
+#[case::a_read_omits_an_item(read(200, &[("b", 3, 1)]).into(), Invariant::NoLostWrite)]
 #[case::a_read_is_behind_a_gateway(
     [vec![created(4, &[("c", 1)]), applied(1, write("c", 1, 4))], read(200, &[("a", 3, 1), ("b", 3, 1)]).into()].concat(),
     Invariant::NoLostWrite
@@ -109,7 +109,7 @@
     Invariant::NoLostWrite
 )]
 #[case::another_content_is_confirmed(
-    [vec![created(4, &[("a", 3)])], sent_and_started(4, 4).into(), vec![answered(4, 4, AnswerStatus::Confirmed)]].concat(),
+    [vec![created(4, &[("a", 3)])], sent_and_started(4, 4).into(), vec![answered(4, 4, ResponseStatus::Confirmed)]].concat(),
     Invariant::OneContentPerVersion
 )]
 #[case::another_content_is_applied(
@@ -118,32 +118,32 @@
 )]
 #[case::a_rejected_change_is_applied(vec![applied(0, write("a", 3, 2))], Invariant::RejectedStaysOut)]
 #[case::a_confirmed_change_is_rejected(
-    [sent_and_started(5, 1).to_vec(), vec![answered(5, 1, AnswerStatus::Invalid)]].concat(),
+    [sent_and_started(5, 1).to_vec(), vec![answered(5, 1, ResponseStatus::Invalid)]].concat(),
     Invariant::RejectedStaysOut
 )]
 #[case::a_rejected_change_is_confirmed(
-    [sent_and_started(5, 2).to_vec(), vec![answered(5, 2, AnswerStatus::Confirmed)]].concat(),
+    [sent_and_started(5, 2).to_vec(), vec![answered(5, 2, ResponseStatus::Confirmed)]].concat(),
     Invariant::RejectedStaysOut
 )]
 #[case::an_invalid_change_is_applied(
     [vec![created(4, &[("c", 1)])], sent_and_started(5, 4).into(), vec![
-        answered(5, 4, AnswerStatus::Invalid), received(5), applied(0, write("c", 1, 4)),
+        answered(5, 4, ResponseStatus::Invalid), received(5), applied(0, write("c", 1, 4)),
     ]].concat(),
     Invariant::RejectedStaysOut
 )]
-#[case::what_nobody_sent_is_applied(vec![applied(0, write("a", 9, 1))], Invariant::KnownOrigin)]
-#[case::half_a_change_is_read(
+#[case::a_write_that_was_never_sent_is_applied(vec![applied(0, write("a", 9, 1))], Invariant::KnownOrigin)]
+#[case::a_read_shows_part_of_a_change(
     [vec![created(4, &[("c", 4), ("d", 4)])], read(200, &[("a", 3, 1), ("b", 3, 1), ("c", 4, 4)]).into()].concat(),
     Invariant::Atomicity
 )]
-#[case::a_gateway_goes_back(vec![applied(0, write("a", 2, 3))], Invariant::MonotonicGateways)]
+#[case::a_gateway_returns_to_an_older_version(vec![applied(0, write("a", 2, 3))], Invariant::MonotonicGateways)]
 #[case::two_lease_holders(
     vec![HistoryEvent::LeaseHeld { at: 0, nodes: vec![1, 2] }],
     Invariant::SingleLeaseHolder
 )]
 #[case::two_replica_sets_of_a_version(vec![replica_set(2, 8)], Invariant::OneReplicaSetPerVersion)]
 #[case::an_evacuation_is_undone(vec![evacuation_observed(9, "z", false)], Invariant::EvacuationsPersist)]
-#[case::a_zone_is_evacuated_by_nobody(
+#[case::a_zone_is_evacuated_without_a_request(
     vec![evacuation_observed(9, "y", true)],
     Invariant::EvacuationsPersist
 )]
@@ -161,13 +161,13 @@
 /// An open attempt of a change that was answered by 400 may still be confirmed, and a gateway that restarts has
 /// nothing.
 #[test]
-fn what_the_invariants_allow_passes() {
+fn histories_within_the_invariants_pass() {
     let mut history = correct_history();
     history.push(created(4, &[("c", 1)]));
     history.push(sent(4, 4));
     history.extend(sent_and_started(5, 4));
-    history.extend([answered(5, 4, AnswerStatus::Invalid), received(5)]);
-    history.extend([started(4, 90), answered(4, 4, AnswerStatus::Confirmed)]);
+    history.extend([answered(5, 4, ResponseStatus::Invalid), received(5)]);
+    history.extend([started(4, 90), answered(4, 4, ResponseStatus::Confirmed)]);
     history.extend([HistoryEvent::GatewayRestarted { gateway: 0 }, applied(0, write("a", 3, 1))]);
     // A deletion explains why nothing is read.
     let deletion = Write { item: service("b"), version: 5, content: Content::Deleted };
--- a/crates/simulation/tests/requirements.rs
+++ b/crates/simulation/tests/requirements.rs
@@ -3,7 +3,7 @@
 use kitepass_config::Kind;
 use kitepass_simulation::checker::{check_history, Violation};
 use kitepass_simulation::gateway::Gateway;
-use kitepass_simulation::history::{AnswerStatus, AttemptId};
+use kitepass_simulation::history::{AttemptId, ResponseStatus};
 use kitepass_simulation::operator::{Operation, PlannedWrite};
 use kitepass_simulation::run::run_scenario;
 use kitepass_simulation::scenario::{Fault, Layout, Plan, Scenario, MILLISECOND, SECOND};
@@ -11,16 +11,16 @@
 use rstest::rstest;
 
 /// Fault-free time in which the system is founded.
-const FOUNDING: i64 = 5 * SECOND;
+const BOOTSTRAP_PERIOD: i64 = 5 * SECOND;
 
 fn simulate(seed: u64, layout: Layout) -> Simulation {
     let mut simulation = Simulation::new(&Scenario::without_operators(seed, layout, Vec::new()));
-    simulation.run_until(FOUNDING);
+    simulation.run_until(BOOTSTRAP_PERIOD);
     simulation
 }
 
 fn is_confirmed(simulation: &Simulation, attempt: AttemptId) -> bool {
-    simulation.status_of(attempt) == Some(AnswerStatus::Confirmed)
+    simulation.status_of(attempt) == Some(ResponseStatus::Confirmed)
 }
 
 /// The violations of a history or a run, with the seed, for people.
@@ -32,7 +32,7 @@
 /// confirmed, and the other is rejected for good.
 #[test]
 fn at_most_one_of_two_contents_of_a_version_is_confirmed() {
-    let mut both = 0;
+    let mut both_confirmed = 0;
     for seed in 0..20 {
         let mut simulation = simulate(seed, Layout::six_replicas());
         let write = [PlannedWrite::set(Kind::Service, "l", 7)];
@@ -42,14 +42,17 @@
         let second = simulation.request_change(second_node, &write);
         simulation.run_for(3 * SECOND);
         let statuses = [simulation.status_of(first), simulation.status_of(second)];
-        both += usize::from(statuses == [Some(AnswerStatus::Confirmed); 2]);
+        both_confirmed += usize::from(statuses == [Some(ResponseStatus::Confirmed); 2]);
         simulation.read_all_nodes();
         simulation.run_for(SECOND);
         let violations = check_history(&simulation.history);
-        assert!(violations.is_empty() || both > 0, "seed {seed}: {violations:?}");
-        assert!(both > 0 || statuses.contains(&Some(AnswerStatus::Conflict)), "seed {seed}: {statuses:?}");
+        assert!(violations.is_empty() || both_confirmed > 0, "seed {seed}: {violations:?}");
+        assert!(
+            both_confirmed > 0 || statuses.contains(&Some(ResponseStatus::Conflict)),
+            "seed {seed}: {statuses:?}"
+        );
     }
-    assert_eq!(both, 0, "both were confirmed in {both} of 20 seeds");
+    assert_eq!(both_confirmed, 0, "both were confirmed in {both_confirmed} of 20 seeds");
 }
 
 /// Sends 150 changes to the first replica, each with a version of its own, or fewer: until one of all is confirmed.
@@ -68,7 +71,7 @@
 /// A process is killed and restarts while the others' disks take 3.5 s for a sync: what they persist for its earlier
 /// incarnation does not count as replicas of what it writes now. Then power is lost everywhere, and its disk with it.
 #[test]
-fn replicas_for_an_earlier_incarnation_do_not_count_for_the_next_one() {
+fn acknowledgements_for_an_earlier_incarnation_do_not_count_for_the_next() {
     let (mut confirmed, mut violations) = (0, Vec::new());
     for seed in 0..10 {
         // Without gateways: they would give back what they were sent.
@@ -103,10 +106,10 @@
 
 /// What a gateway acts on never goes away: every later read shows it.
 #[test]
-fn what_a_gateway_acts_on_is_shown_by_every_later_read() {
+fn every_later_read_shows_what_a_gateway_applied() {
     let mut violations = Vec::new();
     for seed in [1, 7, 9, 10] {
-        let result = run_scenario(&Plan::Away.scenario(seed).without_rivals(), false);
+        let result = run_scenario(&Plan::Away.scenario(seed).with_unique_versions(), false);
         violations.extend(describe(seed, result.violations));
     }
     assert!(violations.is_empty(), "{violations:#?}");
@@ -121,7 +124,7 @@
 #[case(Plan::Away)]
 #[case(Plan::Disks)]
 #[case(Plan::All)]
-fn with_rivals_no_invariant_is_violated(#[case] plan: Plan) {
+fn no_invariant_is_violated_with_version_races(#[case] plan: Plan) {
     let mut violations = Vec::new();
     for seed in 0..2 {
         let result = run_scenario(&plan.scenario(seed), false);
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -5,8 +5,8 @@
 use kitepass_simulation::scenario::{Plan, Scenario};
 use rstest::rstest;
 
-fn without_rivals(plan: Plan, seed: u64) -> Scenario {
-    plan.scenario(seed).without_rivals()
+fn scenario_with_unique_versions(plan: Plan, seed: u64) -> Scenario {
+    plan.scenario(seed).with_unique_versions()
 }
 
 /// No two callers use one version of an item.
@@ -18,15 +18,15 @@
 #[case(Plan::Congestion)]
 #[case(Plan::Halves)]
 #[case(Plan::All)]
-fn without_rivals_no_invariant_is_violated(#[case] plan: Plan) {
+fn no_invariant_is_violated_with_unique_versions(#[case] plan: Plan) {
     for seed in 0..3 {
-        let result = run_scenario(&without_rivals(plan, seed), false);
+        let result = run_scenario(&scenario_with_unique_versions(plan, seed), false);
         assert_eq!(result.violations, [], "seed {seed}");
     }
 }
 
 #[test]
-fn a_seed_is_the_same_run_each_time() {
+fn a_seed_always_gives_the_same_run() {
     let [one, two] = [0, 1].map(|_| run_scenario(&Plan::All.scenario(3), false));
     assert_eq!((one.coverage, one.violations), (two.coverage, two.violations));
 }
@@ -34,7 +34,7 @@
 /// A plan in which nothing happens would pass all other tests: in a few seeds each kind of fault comes up, and what it
 /// leads to.
 #[test]
-fn plans_cover_what_they_are_for() {
+fn plans_inject_each_fault_and_cause_its_effects() {
     let expected = [
         "fault-crash",
         "fault-power-loss",
