--- a/crates/simulation/examples/change_latency.rs
+++ b/crates/simulation/examples/change_latency.rs
@@ -1,5 +1,6 @@
-//! How long a change takes to be confirmed, and what it costs: with one operator and with eight, by the latency between
-//! zones. `cargo run --release -p kitepass-simulation --example change_latency`
+//! Measures how long a change takes to be confirmed and how much traffic it causes, with one and with eight
+//! operators and for several latencies between zones. `cargo run --release -p kitepass-simulation --example
+//! change_latency`
 
 use kitepass_config::Kind;
 use kitepass_simulation::history::{AttemptId, ResponseStatus};
@@ -9,16 +10,16 @@
 
 const CHANGES: usize = 400;
 const SEED: u64 = 7;
-/// Services that the changes write in turn.
+/// Number of services that the changes write in turn.
 const SERVICES: usize = 40;
-/// The system is founded within this time.
+/// Time in which the system bootstraps.
 const BOOTSTRAP_PERIOD: i64 = 8 * SECOND;
-/// For so long the traffic without changes is measured.
+/// Time for which the traffic without changes is measured.
 const IDLE_PERIOD: i64 = 8 * SECOND;
-/// The changes of one measurement are given up after this time.
+/// Time after which the changes of a measurement are given up.
 const MEASUREMENT_TIMEOUT: i64 = 200 * SECOND;
 
-/// What was sent until a time.
+/// The cumulative traffic at a time, or the traffic of a period.
 struct Traffic {
     at: i64,
     messages: u64,
@@ -40,13 +41,13 @@
     }
 }
 
-/// A change that was sent and is not confirmed yet.
+/// A change that was sent and not confirmed yet.
 struct PendingChange {
     attempt: AttemptId,
     sent_at: i64,
 }
 
-/// Sends changes, so many at once, and returns how long each took in microseconds, in order.
+/// Sends changes with the given number in flight. Returns their latencies in microseconds, sorted.
 fn measure_latencies(simulation: &mut Simulation, operators: usize) -> Vec<i64> {
     let start = simulation.now;
     let (mut pending, mut latencies, mut sent) = (Vec::new(), Vec::new(), 0);
@@ -86,7 +87,7 @@
     };
     let mut simulation = Simulation::new(&Scenario::without_operators(SEED, layout, Vec::new()));
     simulation.run_until(BOOTSTRAP_PERIOD);
-    // What goes between replicas without any change is not a change's cost.
+    // The background traffic between replicas is not part of a change's cost.
     let after_bootstrap = Traffic::of(&simulation);
     simulation.run_for(IDLE_PERIOD);
     let after_idle = Traffic::of(&simulation);
--- a/crates/simulation/src/checker/mod.rs
+++ b/crates/simulation/src/checker/mod.rs
@@ -1,5 +1,5 @@
-//! Checks a recorded history against the invariants that the control plane owes to operators and gateways. Without
-//! input or output, and without any knowledge of how the simulation or the state machine works.
+//! Checks a recorded history against the invariants that the control plane guarantees to operators and
+//! gateways. It performs no I/O and knows nothing of the simulation or the state machine.
 
 mod violation;
 
@@ -9,10 +9,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 pub use violation::{Invariant, Violation};
 
-/// Violations of one invariant that are reported at most.
+/// Maximum number of reported violations of each invariant.
 const MAX_VIOLATIONS_PER_INVARIANT: usize = 5;
 
-/// All violations of a history, in its order.
+/// All violations of a history, in order.
 pub fn check_history(history: &[HistoryEvent]) -> Vec<Violation> {
     let mut checker = Checker::default();
     for event in history {
@@ -22,41 +22,41 @@
     checker.violations
 }
 
-/// One sending of a change.
+/// One attempt to send a change.
 struct Attempt {
     change: ChangeId,
     started: i64,
     status: Option<ResponseStatus>,
 }
 
-/// The content of a version, and where it was seen first.
+/// The content that a version was first seen with, and where.
 struct FirstContent {
     content: Content,
     source: String,
 }
 
-/// When and where a write was shown or applied first.
+/// When and where a write was first shown or applied.
 struct FirstSeen {
     at: i64,
-    /// A read or a gateway.
+    /// The read or gateway.
     source: String,
 }
 
-/// A read that is under way.
+/// A read that was not completed yet.
 struct PendingRead<'a> {
     started: i64,
-    /// The version of each item that it must show at least.
+    /// The lowest version of each item that the read may show.
     min_versions: BTreeMap<&'a ItemName, u64>,
 }
 
-/// A replica set as it was seen first.
+/// The first observation of a version of a replica set.
 #[derive(Clone, Copy)]
 struct FirstReplicaSet {
     digest: u64,
     node: usize,
 }
 
-/// A request to evacuate a zone, or to end that.
+/// A request to start or end the evacuation of a zone.
 #[derive(Clone, Copy)]
 struct Evacuation<'a> {
     zone: &'a str,
@@ -67,7 +67,8 @@
 }
 
 impl Evacuation<'_> {
-    /// From when on a later confirmed request overrules it: never, unless it was confirmed itself.
+    /// Time after which a later confirmed request overrides this one: never, unless this one was confirmed.
+    /// An unconfirmed request may still take effect at any time.
     fn overridable_from(&self) -> i64 {
         if self.is_confirmed {
             self.answered.unwrap_or(i64::MAX)
@@ -77,28 +78,28 @@
     }
 }
 
-/// What the checker has learned from the events so far.
+/// The state derived from the events so far.
 #[derive(Default)]
 struct Checker<'a> {
     changes: BTreeMap<ChangeId, &'a [Write]>,
-    /// The changes that make a write.
+    /// The changes that contain each write.
     changes_by_write: BTreeMap<&'a Write, Vec<ChangeId>>,
-    /// The highest version by which an operator deleted an item.
+    /// The highest version at which an operator deleted each item.
     deletions: BTreeMap<&'a ItemName, u64>,
     attempts: BTreeMap<AttemptId, Attempt>,
     attempts_by_change: BTreeMap<ChangeId, Vec<AttemptId>>,
     statuses: BTreeMap<ChangeId, BTreeSet<ResponseStatus>>,
-    /// When a change was confirmed first.
+    /// Time of each change's first confirmation.
     confirmed: BTreeMap<ChangeId, i64>,
-    /// Changes that were rejected for good.
+    /// Changes that were rejected permanently.
     rejected: BTreeSet<ChangeId>,
     contents: BTreeMap<(&'a ItemName, u64), FirstContent>,
     /// The highest version of each item that was confirmed, shown or applied.
     min_versions: BTreeMap<&'a ItemName, u64>,
     reads: BTreeMap<AttemptId, PendingRead<'a>>,
-    /// Writes that were shown or applied.
+    /// Writes that were shown by a read or applied by a gateway.
     visible: BTreeMap<Write, FirstSeen>,
-    /// The version of each item that a gateway acts on.
+    /// The versions of the items that each gateway has applied.
     gateways: BTreeMap<usize, BTreeMap<&'a ItemName, u64>>,
     replica_sets: BTreeMap<(&'static str, u64), FirstReplicaSet>,
     evacuations: BTreeMap<AttemptId, Evacuation<'a>>,
@@ -206,7 +207,7 @@
                 if let Some(since) = self.confirmed.get(&change).filter(|since| **since < started) {
                     let since = *since as f64 / 1e6;
                     let description =
-                        format!("change {change} was confirmed at {since:.6}, and is rejected at s{node}");
+                        format!("change {change} was confirmed at {since:.6} and later rejected by s{node}");
                     self.report(Invariant::RejectedStaysOut, at, description);
                 }
             }
@@ -214,7 +215,7 @@
         }
     }
 
-    /// An operator that got a 400 takes it as final, if no other attempt of the change can still be confirmed.
+    /// A 400 that reaches the operator is final if no other attempt of the change can still be confirmed.
     fn response_received(&mut self, attempt: AttemptId) {
         let Some(Attempt { change, status: Some(ResponseStatus::Invalid), .. }) = self.attempts.get(&attempt)
         else {
@@ -227,13 +228,13 @@
         }
     }
 
-    /// A version has the content that it was seen with first.
+    /// Checks that a version has the content that it was first seen with.
     fn check_content(&mut self, at: i64, write: &'a Write, source: String) {
         let first = FirstContent { content: write.content, source: source.clone() };
         let known = self.contents.entry((&write.item, write.version)).or_insert(first);
         if known.content != write.content {
             let description = format!(
-                "{} r{}: {:?} by {}, {:?} by {source}",
+                "{} r{}: {:?} from {}, but {:?} from {source}",
                 write.item, write.version, known.content, known.source, write.content
             );
             self.report(Invariant::OneContentPerVersion, at, description);
@@ -245,10 +246,11 @@
         *min_version = (*min_version).max(version);
     }
 
-    /// A write is shown by a read, or applied at a gateway.
+    /// A write was shown by a read or applied by a gateway.
     fn write_visible(&mut self, at: i64, write: &Write, source: &str) {
         let Some((sent, _)) = self.changes_by_write.get_key_value(write) else {
-            let description = format!("{} r{} {:?} at {source}", write.item, write.version, write.content);
+            let description =
+                format!("{} r{} {:?} at {source} was never sent", write.item, write.version, write.content);
             return self.report(Invariant::KnownOrigin, at, description);
         };
         let sent = *sent;
@@ -258,13 +260,13 @@
         self.raise_min_version(&sent.item, sent.version);
     }
 
-    /// True if a read may show no such item where it should show this version: a deletion by at least that version was
-    /// sent.
+    /// True if a read may omit an item of which it should show at least this version, because a deletion with
+    /// the same or a higher version was sent.
     fn may_be_deleted(&self, item: &ItemName, version: u64) -> bool {
         self.deletions.get(item).is_some_and(|deletion| *deletion >= version)
     }
 
-    /// True if a read that shows this much of an item lacks a version of it.
+    /// True if the read result for an item is older than this version.
     fn lacks_version(&self, shown: Option<&ItemState>, item: &ItemName, version: u64) -> bool {
         match shown {
             Some(state) if state.version > 0 => state.version < version,
@@ -280,7 +282,7 @@
                 let shown = shown.map_or("nothing".to_owned(), |state| format!("r{}", state.version));
                 let started = started as f64 / 1e6;
                 let description = format!(
-                    "{item}: r{min_version} stood before read {read} began at {started:.6}, it shows {shown}"
+                    "{item}: r{min_version} was visible before read {read} started at {started:.6}, which shows {shown}"
                 );
                 self.report(Invariant::NoLostWrite, at, description);
             }
@@ -298,7 +300,7 @@
         }
     }
 
-    /// A read that shows one write of a change shows all of them, or later ones.
+    /// A read that shows one write of a change must show all its writes, or later ones.
     fn check_atomicity(
         &mut self,
         at: i64,
@@ -308,8 +310,10 @@
     ) {
         for write in self.changes.get(&change).copied().unwrap_or_default() {
             if self.lacks_version(items.get(&write.item), &write.item, write.version) {
-                let description =
-                    format!("read {read} shows change {change} without {} r{}", write.item, write.version);
+                let description = format!(
+                    "read {read} shows change {change} but not its write of {} r{}",
+                    write.item, write.version
+                );
                 self.report(Invariant::Atomicity, at, description);
             }
         }
@@ -319,7 +323,8 @@
         let versions = self.gateways.entry(gateway).or_default();
         let before = versions.insert(&write.item, write.version).unwrap_or(0);
         if write.version < before {
-            let description = format!("g{gateway}: {} from r{before} to r{}", write.item, write.version);
+            let description =
+                format!("g{gateway}: {} went back from r{before} to r{}", write.item, write.version);
             self.report(Invariant::MonotonicGateways, at, description);
         }
         self.write_visible(at, write, &format!("g{gateway}"));
@@ -328,13 +333,16 @@
     fn replica_set_observed(&mut self, at: i64, name: &'static str, version: u64, observed: FirstReplicaSet) {
         let first = *self.replica_sets.entry((name, version)).or_insert(observed);
         if first.digest != observed.digest {
-            let description = format!("{name} version {version} at s{} and s{}", first.node, observed.node);
+            let description = format!(
+                "replica set {name} version {version} differs between s{} and s{}",
+                first.node, observed.node
+            );
             self.report(Invariant::OneReplicaSetPerVersion, at, description);
         }
     }
 
-    /// What a zone is at the end must be what a request said that no later confirmed one overruled. At first, no zone
-    /// is evacuated.
+    /// The final state of a zone must be one that a request asked for and that no later confirmed request
+    /// overrides. Initially, no zone is evacuated.
     fn evacuation_observed(&mut self, at: i64, node: usize, zone: &str, is_evacuated: bool) {
         let requests: Vec<Evacuation> =
             self.evacuations.values().filter(|request| request.zone == zone).copied().collect();
@@ -345,17 +353,22 @@
         let initial = (!is_evacuated).then_some(-1);
         let requested = requests.iter().filter(|request| request.is_evacuated == is_evacuated);
         if requested.map(Evacuation::overridable_from).chain(initial).all(is_overridden) {
-            let description = format!("zone {zone} is evacuated={is_evacuated} at s{node}");
+            let description = format!(
+                "zone {zone} has evacuated={is_evacuated} at s{node}, against the confirmed requests"
+            );
             self.report(Invariant::EvacuationsPersist, at, description);
         }
     }
 
-    /// At the end of the history, when all rejections are known.
+    /// Runs at the end of the history, when all rejections are known.
     fn check_rejected_changes(&mut self) {
         let rejected = std::mem::take(&mut self.rejected);
         for change in &rejected {
             if let Some(confirmed) = self.confirmed.get(change).copied() {
-                let description = format!("change {change}: {:?}", self.statuses.get(change));
+                let description = format!(
+                    "change {change} received contradictory responses: {:?}",
+                    self.statuses.get(change)
+                );
                 self.report(Invariant::RejectedStaysOut, confirmed, description);
             }
         }
@@ -363,7 +376,7 @@
             let changes = &self.changes_by_write[&write];
             if changes.iter().all(|change| rejected.contains(change)) {
                 let description = format!(
-                    "{} r{} of changes {changes:?} at {}",
+                    "{} r{} of rejected changes {changes:?} at {}",
                     write.item, write.version, first_seen.source
                 );
                 self.report(Invariant::RejectedStaysOut, first_seen.at, description);
--- a/crates/simulation/src/checker/violation.rs
+++ b/crates/simulation/src/checker/violation.rs
@@ -1,46 +1,47 @@
-//! The invariants, and what a violation of one says.
+//! The invariants and their violations.
 
 use std::fmt::{self, Display};
 
-/// What must hold in each history.
+/// A property that must hold in every history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
     /// A read shows every write that was confirmed, shown or applied before the read started, or a later one.
     NoLostWrite,
     /// A version of an item has one content.
     OneContentPerVersion,
-    /// A change that was rejected for good is never confirmed, shown or applied, and one that was confirmed is never
+    /// A permanently rejected change is never confirmed, shown or applied, and a confirmed change is never
     /// rejected later.
     ///
-    /// A 409 is final whether or not an operator gets it. A 400 is final once an operator has got it and no other
-    /// attempt of the change is open: one whose answer is lost is sent again, and the state may be another by then.
+    /// A 409 is final whether or not the operator receives it. A 400 is final once an operator has received
+    /// it and no other attempt of the change is pending: a change whose response was lost is sent again, and
+    /// the state may have changed by then.
     RejectedStaysOut,
-    /// What is shown or applied was sent by an operator.
+    /// Every write that is shown or applied was sent by an operator.
     KnownOrigin,
     /// A read shows all writes of a change or none.
     Atomicity,
-    /// A gateway never goes back to an older version of an item.
+    /// A gateway never replaces an item by an older version.
     MonotonicGateways,
-    /// At most one process holds the coordinator's lease.
+    /// At most one process holds the coordinator lease.
     SingleLeaseHolder,
     /// A version of a replica set has one content.
     OneReplicaSetPerVersion,
     /// No process panics.
     NoPanic,
-    /// A confirmed evacuation, or its end, is not undone.
+    /// A confirmed start or end of an evacuation is not undone.
     EvacuationsPersist,
-    /// Bounds in time are met.
+    /// All deadlines are met.
     Deadlines,
 }
 
-/// An invariant that does not hold.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which one.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// When that showed, in microseconds of the simulation.
+    /// Time at which the violation was detected, in microseconds of simulated time.
     pub at: i64,
-    /// What was seen, for people.
+    /// Human-readable description of the violation.
     pub description: String,
 }
 
--- a/crates/simulation/src/coverage.rs
+++ b/crates/simulation/src/coverage.rs
@@ -1,9 +1,9 @@
-//! How often each thing came up in a run, so that one that never did shows.
+//! Counts how often faults and events occurred, which shows those that a set of runs never exercised.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
 
-/// Marks the names of maxima among the counters.
+/// Prefix of the names of maxima, which share the map with the counters.
 const MAXIMUM_PREFIX: &str = "max:";
 
 /// Counters and maxima by name.
@@ -11,7 +11,7 @@
 pub struct Coverage(BTreeMap<String, u64>);
 
 impl Coverage {
-    /// Adds one to a counter.
+    /// Increments a counter.
     pub fn count(&mut self, name: &str) {
         self.add(name, 1);
     }
@@ -24,18 +24,18 @@
         }
     }
 
-    /// Keeps the greatest value that was seen under a name.
+    /// Records a value, of which the maximum is kept.
     pub fn record_maximum(&mut self, name: &str, value: u64) {
         let known = self.0.entry(format!("{MAXIMUM_PREFIX}{name}")).or_default();
         *known = (*known).max(value);
     }
 
-    /// A counter's value; 0 if it was never counted.
+    /// Value of a counter; 0 if it was never incremented.
     pub fn get(&self, name: &str) -> u64 {
         self.0.get(name).copied().unwrap_or_default()
     }
 
-    /// Takes another run in: counters are added up, of maxima the greater one stays.
+    /// Merges the coverage of another run: counters are summed, and the greater of two maxima is kept.
     pub fn merge(&mut self, other: &Coverage) {
         for (name, value) in &other.0 {
             match name.strip_prefix(MAXIMUM_PREFIX) {
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -1,11 +1,13 @@
-//! A 64-bit digest of a run, for comparing runs of the same seed across changes of the code.
+//! A 64-bit digest of a run, to compare runs of the same seed across versions of the code.
 //!
-//! It covers primitive values only: numbers, the names and zones that go over the wire, and the explicit numbers below
-//! in place of enum variants. Renaming a type, a field, a variant or a message text therefore leaves it as it is.
+//! It covers primitive values only: numbers, names of items and zones as sent over the network, and fixed
+//! numbers in place of enum variants. Renaming a type, a field or a variant, or rewording a message,
+//! therefore does not change it.
 
 use crate::history::{Content, HistoryEvent, ItemName, ResponseStatus, Write};
 
-/// 64-bit FNV-1a, as it is published: the hash must not change with a dependency.
+/// 64-bit FNV-1a according to its specification. Implemented here so that updating a dependency cannot change
+/// the hash.
 #[derive(Clone, Copy, Debug)]
 pub struct Fnv1a(u64);
 
@@ -26,7 +28,7 @@
         }
     }
 
-    /// The hash of all that was added.
+    /// The hash of all added bytes.
     pub fn value(self) -> u64 {
         self.0
     }
@@ -43,7 +45,7 @@
         numbers.iter().for_each(|number| self.unsigned(*number));
     }
 
-    /// The number of an event's kind, its time, and more numbers.
+    /// Adds the number of an event's kind, its time, and further numbers.
     fn timed_event(&mut self, kind: u64, at: i64, numbers: &[u64]) {
         self.unsigned(kind);
         self.signed(at);
@@ -54,27 +56,27 @@
         self.unsigned(u64::from(boolean));
     }
 
-    /// The length goes first, so that two texts in a row cannot be split in two ways.
+    /// Adds the length first, so that two consecutive strings cannot be split in two ways.
     fn string(&mut self, string: &str) {
         self.unsigned(string.len() as u64);
         self.bytes(string.as_bytes());
     }
 }
 
-/// What a run put on its connections and disks.
+/// Amount of data sent over connections and written to disks in a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Messages that were sent.
+    /// Number of messages sent.
     pub messages: u64,
-    /// Their bytes, as encoded for the wire.
+    /// Their encoded size in bytes.
     pub message_bytes: u64,
-    /// Records that were to be persisted.
+    /// Number of records passed to disks.
     pub records: u64,
-    /// Bytes of their keys and values.
+    /// Size of their keys and values in bytes.
     pub record_bytes: u64,
 }
 
-/// The digest of a history in its order, and of the traffic.
+/// The digest of a history, in order, and of the traffic.
 pub fn digest(history: &[HistoryEvent], traffic: &Traffic) -> u64 {
     let mut hash = Fnv1a::default();
     hash.unsigned(history.len() as u64);
@@ -87,7 +89,7 @@
     hash.value()
 }
 
-/// Each kind of event has a number of its own: never renumber.
+/// Each kind of event has a fixed number, which must never change.
 fn add_event(hash: &mut Fnv1a, event: &HistoryEvent) {
     match event {
         HistoryEvent::ChangeCreated { change, writes } => {
@@ -133,7 +135,7 @@
             hash.string(zone);
             hash.boolean(*is_evacuated);
         }
-        // Its text is for people and names states of the program.
+        // The description is left out: it is for humans and contains names from the code.
         HistoryEvent::DeadlineMissed { at, description: _ } => hash.timed_event(16, *at, &[]),
     }
 }
@@ -152,7 +154,7 @@
     }
 }
 
-/// Never renumber.
+/// The numbers must never change.
 fn status_number(status: ResponseStatus) -> u64 {
     match status {
         ResponseStatus::Confirmed => 1,
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -1,33 +1,33 @@
-//! A machine's disk, as `kitepass_storage` presents it to its process: writes are synced in order, those that wait are
-//! synced together. Of what was not synced, a prefix may survive a crash or a loss of power: a log is truncated before
-//! its first entry that is missing or torn.
+//! A machine's disk, with the behaviour of `kitepass_storage`: writes are synced in order, and writes that
+//! are waiting are synced together. After a crash or power loss a prefix of the unsynced writes may survive,
+//! because a log is truncated before its first missing or torn entry.
 
 use crate::process::Records;
 use crate::rng::Rng;
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// A sync that a fault blocked ends within this time after the fault, in microseconds.
+/// Maximum time from the end of a blocking fault to the end of the blocked sync, in microseconds.
 const MAX_RECHECK_DELAY: i64 = 50_000;
 
-/// The shares of unsynced writes, in percent, of which one is drawn to survive a loss of power.
+/// Percentages of unsynced writes that survive a power loss; one is drawn for each power loss.
 const SURVIVAL_PERCENTAGES: [u64; 4] = [0, 50, 90, 100];
 
-/// What is wrong with a disk at the moment. Times are microseconds.
+/// The current faults of a disk. Times are in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiskFaults {
-    /// How much longer each sync takes until `slow_until`.
+    /// Additional duration of each sync until `slow_until`.
     pub extra_latency: i64,
-    /// When syncs take their normal time again.
+    /// End of the slow phase.
     pub slow_until: i64,
-    /// No sync ends before then.
+    /// No sync completes before this time.
     pub hangs_until: i64,
-    /// As `hangs_until`, and nothing that is written before then survives a loss of power or a crash.
+    /// Like `hangs_until`, and data written before this time does not survive a crash or power loss.
     pub refuses_until: i64,
 }
 
 impl DiskFaults {
-    /// When syncs can end again.
+    /// Time from which syncs can complete again.
     fn blocked_until(&self) -> i64 {
         self.hangs_until.max(self.refuses_until)
     }
@@ -38,47 +38,47 @@
     }
 }
 
-/// Records that a process asked to persist, under the number that it is to be notified by.
+/// Records that a process asked to persist, with the id that it is notified with.
 struct PendingWrite {
     request_id: u64,
     records: Records,
 }
 
-/// How a sync went when its time had come.
+/// Result of a sync that was due.
 pub enum SyncResult {
-    /// The disk is blocked: look again at this time.
+    /// The disk is blocked and the sync has to be retried.
     Blocked {
-        /// Microseconds of the simulation.
+        /// Time of the retry, in microseconds of simulated time.
         retry_at: i64,
     },
     /// The sync is complete.
     Synced {
-        /// The writes that are durable now.
+        /// Ids of the writes that are now durable.
         request_ids: Vec<u64>,
-        /// When the next sync ends, if writes were waiting for one.
+        /// End of the next sync, if more writes were waiting.
         next_sync_at: Option<i64>,
     },
 }
 
-/// The content of a machine's disk, and the writes on their way to it.
+/// The content of a machine's disk and its pending writes.
 pub struct Disk {
     synced: BTreeMap<Vec<u8>, Vec<u8>>,
-    /// Written by a process that was killed, and not synced yet.
+    /// Unsynced writes of a killed process, which the operating system still holds.
     page_cache: Vec<Records>,
-    /// What the sync that is under way makes durable.
+    /// Writes covered by the sync in progress.
     syncing: Vec<PendingWrite>,
-    /// What waits in the process for the next sync.
+    /// Writes that wait in the process for the next sync.
     queued: Vec<PendingWrite>,
-    /// What is wrong with the disk.
+    /// Current faults of the disk.
     pub faults: DiskFaults,
-    /// Microseconds that a sync takes.
+    /// Range of a sync's duration, in microseconds.
     sync_duration: Range<i64>,
-    /// Each unsynced write survives a loss of power independently of those before it. A log excludes this; a test may
-    /// ask for it.
+    /// Whether each unsynced write survives a power loss independently of the writes before it. A log rules
+    /// this out, but a test can enable it.
     loses_writes_independently: bool,
 }
 
-/// Applies records to a store: an empty value removes its key.
+/// Applies records to a store. An empty value removes its key.
 fn apply(store: &mut BTreeMap<Vec<u8>, Vec<u8>>, records: Records) {
     for (key, value) in records {
         if value.is_empty() {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Takes records to persist. If a sync starts with them, returns when it ends.
+    /// Accepts records to persist. If this starts a sync, returns the time at which it ends.
     pub fn write(&mut self, now: i64, request_id: u64, records: Records, rng: &mut Rng) -> Option<i64> {
         let write = PendingWrite { request_id, records };
         if !self.syncing.is_empty() {
@@ -114,13 +114,13 @@
         Some(self.sync_end(now, rng))
     }
 
-    /// When a sync that starts now ends.
+    /// The time at which a sync that starts now ends.
     fn sync_end(&self, now: i64, rng: &mut Rng) -> i64 {
         let extra = if self.faults.slow_until > now { self.faults.extra_latency } else { 0 };
         now + rng.in_range(self.sync_duration.clone()) + extra
     }
 
-    /// Ends the sync that is due now, unless the disk is blocked.
+    /// Completes the sync that is due now, unless the disk is blocked.
     pub fn complete_sync(&mut self, now: i64, rng: &mut Rng) -> SyncResult {
         let blocked_until = self.faults.blocked_until();
         if blocked_until > now {
@@ -139,7 +139,7 @@
         SyncResult::Synced { request_ids, next_sync_at }
     }
 
-    /// The process has ended, or the machine has lost power.
+    /// Handles the end of the process or a power loss of the machine.
     pub fn crash(&mut self, now: i64, is_power_loss: bool, rng: &mut Rng) {
         self.queued.clear();
         let is_refusing = self.faults.refuses_until > now;
@@ -147,7 +147,7 @@
         let mut unsynced: Vec<Records> = self.page_cache.drain(..).collect();
         unsynced.extend(std::mem::take(&mut self.syncing).into_iter().map(|write| write.records));
         if !is_power_loss {
-            // The operating system has what was written, however the process ended; the last write may be missing.
+            // Written data stays in the page cache when a process is killed, except possibly the last write.
             let complete = if is_refusing { 0 } else { unsynced.len() - rng.below(2).min(unsynced.len()) };
             unsynced.truncate(complete);
             self.page_cache = unsynced;
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Reads all records as a process starts. That syncs all of them, unless the disk is blocked.
+    /// Reads all records when a process starts, and syncs them unless the disk is blocked.
     pub fn open(&mut self, now: i64) -> Records {
         let mut records = self.synced.clone();
         for unsynced in &self.page_cache {
@@ -175,7 +175,7 @@
         records.into_iter().collect()
     }
 
-    /// Loses all content; faults stay.
+    /// Erases the content; faults remain.
     pub fn wipe(&mut self) {
         let empty = Disk::new(self.sync_duration.clone(), self.loses_writes_independently);
         *self = Disk { faults: self.faults, ..empty };
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway's part in the control plane: its real control session, and the items that it acts on.
+//! A simulated gateway: a production control session and the items that the gateway has applied.
 
 use crate::history::Write;
 use crate::items::{to_message, write_from_item};
@@ -9,51 +9,52 @@
 use kitepass_time::Timestamp;
 use std::collections::BTreeMap;
 
-/// A gateway's machine with its process.
+/// A gateway machine with its process.
 pub struct Gateway {
     hello: Hello,
     control_session: ControlSession,
-    /// What has come of changes that are not whole yet.
+    /// Writes of changes that were not received completely yet.
     pending_writes: Vec<Write>,
-    /// The session that it has.
+    /// The current session.
     pub session: Option<SessionId>,
-    /// The session that it is opening.
+    /// The session that is being opened to replace the current one.
     pub candidate: Option<SessionId>,
 }
 
-/// What a gateway wants done after a tick.
+/// Actions that a gateway requests after a tick.
 #[derive(Default)]
 pub struct TickResult {
-    /// The session that it had is over.
+    /// Whether to close the current session.
     pub should_close_session: bool,
-    /// The session that it was opening is given up.
+    /// Whether to close the session that is being opened.
     pub should_close_candidate: bool,
-    /// A session is to be opened to this address.
+    /// The address to open a session to.
     pub connect_to: Option<String>,
 }
 
-/// What a message to a gateway led to.
+/// Result of a message to a gateway.
 pub struct MessageResult {
-    /// What it acts on from now on.
+    /// Writes that the gateway applied.
     pub applied: Vec<Write>,
-    /// The session is to be closed.
+    /// Whether to close the session.
     pub should_close_session: bool,
 }
 
 impl Gateway {
-    /// A gateway without a session, that knows the addresses of some control processes, and the regions by zone.
+    /// A gateway without a session, configured with the addresses of some control processes and the region of
+    /// each zone.
     pub fn new(hello: Hello, addresses: Vec<String>, regions: BTreeMap<String, String>) -> Gateway {
         let control_session = ControlSession::new(hello.clone(), addresses, regions);
         Gateway { hello, control_session, pending_writes: Vec::new(), session: None, candidate: None }
     }
 
-    /// Its process restarts, with nothing.
+    /// Restarts the process, which loses its state.
     pub fn restart(&mut self, incarnation: u64, addresses: Vec<String>, regions: BTreeMap<String, String>) {
         self.hello.incarnation = incarnation;
         *self = Gateway::new(self.hello.clone(), addresses, regions);
     }
 
-    /// Time has passed. The random number chooses among equal control processes.
+    /// Handles the passing of time. `random` selects among equally suitable control processes.
     pub fn tick(&mut self, now: Timestamp, random: u64) -> TickResult {
         let outcome = self.control_session.tick(now);
         if outcome.should_close_session {
@@ -68,29 +69,30 @@
         TickResult { should_close_session, should_close_candidate, connect_to }
     }
 
-    /// The session that it was opening is over, or could not be opened.
+    /// Handles the loss of the session that was being opened, or the failure to open it.
     pub fn candidate_lost(&mut self, reason: &str) {
         self.candidate = None;
         self.control_session.candidate_lost(reason);
     }
 
-    /// What it sends on the session that it is opening.
+    /// Takes the messages to send on the session that is being opened.
     pub fn take_candidate_messages(&mut self) -> Vec<Message> {
         std::mem::take(&mut self.control_session.candidate_outgoing)
     }
 
-    /// A control process said hello on the session that it is opening, which becomes the session it has.
+    /// Handles a control process's hello on the session that is being opened. If it is accepted, that session
+    /// becomes the current one.
     pub fn receive_hello(&mut self, now: Timestamp, hello: &Hello) -> CandidateOutcome {
         self.control_session.candidate_hello(now, hello)
     }
 
-    /// Its session is over.
+    /// Handles the loss of the current session.
     pub fn session_lost(&mut self, reason: &str) {
         self.session = None;
         self.control_session.connection_lost(reason);
     }
 
-    /// What it sends on its session.
+    /// Takes the messages to send on the current session.
     pub fn take_messages(&mut self) -> Vec<Message> {
         let mut messages = std::mem::take(&mut self.control_session.outgoing);
         let items = std::mem::take(&mut self.control_session.outgoing_items);
@@ -100,7 +102,7 @@
         messages
     }
 
-    /// A message arrived on its session.
+    /// Handles a message on the current session.
     pub fn receive(&mut self, now: Timestamp, message: Message) -> MessageResult {
         let mut updates = SessionUpdates::default();
         self.control_session.receive(now, message, &mut updates);
@@ -110,12 +112,12 @@
         MessageResult { applied, should_close_session: updates.should_close }
     }
 
-    /// It holds what the control plane holds.
+    /// Whether the gateway has received the control plane's whole state.
     pub fn is_caught_up(&self) -> bool {
         self.control_session.is_caught_up()
     }
 
-    /// The items that it acts on.
+    /// The items that the gateway has received.
     pub fn item_store(&self) -> &ItemStore {
         &self.control_session.item_store
     }
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -1,14 +1,14 @@
-//! The recorded history of a run: what operators, gateways and observers of the processes saw, in the order of time.
-//! [`crate::checker`] checks it without any knowledge of how the simulation or the state machine works.
+//! The recorded history of a run: what operators, gateways and observers of the processes saw, ordered by
+//! time. [`crate::checker`] checks it without knowledge of the simulation or the state machine.
 //!
-//! Contents are told apart by the change that wrote them, whose number each written item carries. All deletions are
-//! alike. Times are microseconds of the simulation.
+//! Contents are identified by the id of the change that wrote them, which each written item contains.
+//! Deletions are not told apart. Times are in microseconds of simulated time.
 
 use kitepass_config::Kind;
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
 
-/// A change to the configuration that an operator made up; it may be sent many times.
+/// A change that an operator generated. It may be sent several times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ChangeId(pub u64);
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// One sending of an operator's request to a process.
+/// One request of an operator to one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId(pub u64);
 
@@ -28,12 +28,12 @@
     }
 }
 
-/// Which item of the configuration.
+/// An item of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ItemName {
-    /// Its kind.
+    /// Kind of the item.
     pub kind: Kind,
-    /// Its name among those of its kind.
+    /// Name of the item, unique within its kind.
     pub name: String,
 }
 
@@ -50,183 +50,183 @@
     }
 }
 
-/// What an item says.
+/// The content of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Content {
-    /// It is deleted.
+    /// The item is deleted.
     Deleted,
-    /// What this change wrote.
+    /// The content that this change wrote.
     SetBy(ChangeId),
 }
 
-/// What a change does to one item.
+/// The effect of a change on one item.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Write {
     /// The item.
     pub item: ItemName,
-    /// The version that it gets.
+    /// The item's version after the write.
     pub version: u64,
-    /// What it says from then on.
+    /// The item's content after the write.
     pub content: Content,
 }
 
-/// An item as a read shows it.
+/// An item as shown by a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ItemState {
-    /// Its version.
+    /// Version of the item.
     pub version: u64,
-    /// What it says.
+    /// Content of the item.
     pub content: Content,
 }
 
-/// What an operator's answer means for its request.
+/// What a response means for the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ResponseStatus {
-    /// 200: it is done.
+    /// 200: the request has taken effect.
     Confirmed,
-    /// 400: it is not valid.
+    /// 400: the request is invalid.
     Invalid,
-    /// 409: a version that it writes has another content.
+    /// 409: the change writes an existing version with different content.
     Conflict,
-    /// 503, 307 or no answer: it may be done or not.
+    /// 503, 307 or no response: the request may or may not have taken effect.
     Unknown,
 }
 
-/// One event of a history.
+/// An event of a history.
 #[derive(Clone, Debug)]
 pub enum HistoryEvent {
-    /// An operator made a change up.
+    /// An operator generated a change.
     ChangeCreated {
-        /// Its number.
+        /// Id of the change.
         change: ChangeId,
-        /// What it does.
+        /// Its writes.
         writes: Vec<Write>,
     },
     /// A change was sent to a process.
     ChangeSent {
-        /// This sending of it.
+        /// Id of this attempt.
         attempt: AttemptId,
         /// The change.
         change: ChangeId,
     },
-    /// No process was there to take an attempt.
+    /// An attempt was refused because no process was running.
     AttemptUndelivered {
         /// The attempt.
         attempt: AttemptId,
     },
     /// A process began to handle a change.
     ChangeStarted {
-        /// When.
+        /// Time of the event.
         at: i64,
-        /// The attempt that reached it.
+        /// The attempt that the process received.
         attempt: AttemptId,
     },
-    /// A process answered a change, whether or not the answer reached the operator.
+    /// A process responded to a change, whether or not the response reached the operator.
     ChangeAnswered {
-        /// When.
+        /// Time of the event.
         at: i64,
-        /// The attempt that is answered.
+        /// The attempt.
         attempt: AttemptId,
         /// The change.
         change: ChangeId,
-        /// Whose process answered.
+        /// The node whose process responded.
         node: usize,
-        /// What it answered.
+        /// Meaning of the response.
         status: ResponseStatus,
     },
-    /// The answer to a change reached the operator, who was waiting for it.
+    /// The response to a change reached an operator that was still waiting for it.
     ResponseReceived {
-        /// The attempt that was answered.
+        /// The attempt.
         attempt: AttemptId,
     },
-    /// A read of all items reached a process.
+    /// A process received a request to read all items.
     ReadStarted {
-        /// When.
+        /// Time of the event.
         at: i64,
         /// The read.
         read: AttemptId,
-        /// Whose process it reached.
+        /// The node whose process received it.
         node: usize,
     },
-    /// A read was answered. Items that do not exist are not shown.
+    /// A read was completed. It does not contain deleted items.
     ReadCompleted {
-        /// When.
+        /// Time of the event.
         at: i64,
         /// The read.
         read: AttemptId,
-        /// What it shows.
+        /// The items in the response.
         items: BTreeMap<ItemName, ItemState>,
     },
-    /// A gateway acts on an item from now on.
+    /// A gateway applied an item.
     WriteApplied {
-        /// When.
+        /// Time of the event.
         at: i64,
-        /// Which gateway.
+        /// The gateway.
         gateway: usize,
-        /// The item, with its version and content.
+        /// The item with its version and content.
         write: Write,
     },
-    /// A gateway's process restarted, with nothing.
+    /// A gateway process restarted and lost its state.
     GatewayRestarted {
-        /// Which gateway.
+        /// The gateway.
         gateway: usize,
     },
-    /// A process holds a replica set under this name and version.
+    /// A process holds this version of a replica set.
     ReplicaSetObserved {
-        /// When.
+        /// Time of the event.
         at: i64,
-        /// Whose process.
+        /// The node of the process.
         node: usize,
-        /// Whether it is the current or the incoming one.
+        /// Name of the replica set: the current or the incoming one.
         name: &'static str,
-        /// Its version.
+        /// Version of the replica set.
         version: u64,
-        /// A digest of its bytes.
+        /// Digest of its encoded bytes.
         digest: u64,
     },
-    /// These processes hold the coordinator's lease at one moment.
+    /// These processes hold the coordinator lease at the same time.
     LeaseHeld {
-        /// When.
+        /// Time of the event.
         at: i64,
-        /// Whose processes.
+        /// The nodes of the processes.
         nodes: Vec<usize>,
     },
-    /// A request to evacuate a zone, or to end that, reached a process.
+    /// A process received a request to start or end the evacuation of a zone.
     EvacuationStarted {
-        /// When.
+        /// Time of the event.
         at: i64,
         /// The request.
         request: AttemptId,
-        /// Which zone.
+        /// The zone.
         zone: String,
-        /// Whether it is to be evacuated.
+        /// True if the zone is to be evacuated, false if its evacuation is to end.
         is_evacuated: bool,
     },
-    /// That request was answered.
+    /// A process responded to an evacuation request.
     EvacuationAnswered {
-        /// When.
+        /// Time of the event.
         at: i64,
         /// The request.
         request: AttemptId,
-        /// True if the answer was 200.
+        /// True if the response was 200.
         is_confirmed: bool,
     },
-    /// Whether a zone is evacuated at the end of the run, as a process has it.
+    /// Whether a zone is evacuated at the end of the run, according to a process.
     EvacuationObserved {
-        /// When.
+        /// Time of the event.
         at: i64,
-        /// Whose process.
+        /// The node of the process.
         node: usize,
-        /// Which zone.
+        /// The zone.
         zone: String,
         /// Whether it is evacuated.
         is_evacuated: bool,
     },
-    /// Something was not done in time.
+    /// A deadline was missed.
     DeadlineMissed {
-        /// When that was noticed.
+        /// Time at which this was detected.
         at: i64,
-        /// What was not done.
+        /// What was expected by the deadline.
         description: String,
     },
 }
--- a/crates/simulation/src/items.rs
+++ b/crates/simulation/src/items.rs
@@ -1,7 +1,7 @@
-//! The configuration items that operators write, as text and back. Each item that is set carries the number of the
-//! change that set it, so that a history can tell contents apart.
+//! Conversion of the configuration items that operators write to and from JSON. Each item contains the id of
+//! the change that wrote it, so that the checker can tell contents apart.
 //!
-//! The words in the texts are those of the operators' interface.
+//! The JSON keys are those of the operator API.
 
 use crate::history::{ChangeId, Content, ItemName, ItemState, Write};
 use kitepass_config::{Item, Kind};
@@ -9,11 +9,11 @@
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
-/// The lists of a full reading, with the kind of item that each holds.
+/// The lists in the response to a read, with the kind of items that each contains.
 const ITEM_LISTS: [(&str, Kind); 3] =
     [("itineraries", Kind::Route), ("customers", Kind::Tenant), ("carrier-lines", Kind::Service)];
 
-/// Services that operators write and endpoints belong to.
+/// Number of services that operators write and endpoints belong to.
 pub const SERVICE_COUNT: usize = 5;
 
 /// The name of a service.
@@ -21,12 +21,12 @@
     format!("l{index}")
 }
 
-/// Items as they travel.
+/// Items as a protocol message.
 pub fn to_message(items: &[Item]) -> Items {
     Items::complete(items.iter().map(ItemMessage::from).collect())
 }
 
-/// The items of an operator's change, as its body would be read.
+/// The items of a change, as parsed from an operator's request body.
 pub fn to_items(writes: &[Write]) -> Vec<Item> {
     writes.iter().map(to_item).collect()
 }
@@ -43,8 +43,9 @@
     }
 }
 
-/// The text of an item that carries the number of its change. Keys are sorted, as reading a change leaves them. A route
-/// leads to the service that its name ends with; tenants whose names end alike share a key.
+/// The JSON of an item, with the id of its change. Keys are sorted, as they are after a change is parsed. A
+/// route points to the service named by the last part of the route's name; tenants whose names end alike
+/// share an API key.
 fn to_json(item: &ItemName, change: ChangeId) -> String {
     let suffix = item.name.rsplit('-').next().unwrap_or_default();
     match item.kind {
@@ -59,7 +60,7 @@
     }
 }
 
-/// Which change set these fields; none if they are not those of an item of a change.
+/// The change that wrote an item with these fields, or none if no change writes such an item.
 fn content_from_fields(kind: Kind, fields: &Value) -> Option<Content> {
     let change = match kind {
         Kind::Service => fields["checkpoint"].as_str()?.strip_prefix('/')?.parse().ok()?,
@@ -70,7 +71,7 @@
     Some(Content::SetBy(ChangeId(change)))
 }
 
-/// The write that an item came from; none for kinds that operators' changes don't write.
+/// The write that produced an item, or none if operators do not write items of this kind.
 pub fn write_from_item(item: &Item) -> Option<Write> {
     if !matches!(item.kind, Kind::Service | Kind::Route | Kind::Tenant) {
         return None;
@@ -83,7 +84,7 @@
     Some(Write { item: name, version: item.version, content })
 }
 
-/// Reads the body of a full reading. What cannot be read is left out.
+/// Parses the body of the response to a read. Items that cannot be parsed are skipped.
 pub fn items_from_body(body: &[u8]) -> BTreeMap<ItemName, ItemState> {
     let document: Value = serde_json::from_slice(body).unwrap_or_default();
     let mut items = BTreeMap::new();
@@ -97,7 +98,7 @@
     items
 }
 
-/// Reads one row of a list.
+/// Parses one row of a list.
 fn item_from_entry(kind: Kind, headings: &[Value], values: Vec<Value>) -> Option<(ItemName, ItemState)> {
     let headings = headings.iter().filter_map(|heading| heading.as_str().map(str::to_owned));
     let fields: Map<String, Value> = headings.zip(values).collect();
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,16 +1,17 @@
-//! A deterministic simulation of the control plane: real state machines
-//! ([`kitepass_control_plane::state_machine::StateMachine`]) and real gateways' control sessions
-//! ([`kitepass_data_plane::control_session::ControlSession`]) on simulated machines, disks, links and clocks. One seed is
-//! one run.
+//! A deterministic simulation of the control plane: production state machines
+//! ([`kitepass_control_plane::state_machine::StateMachine`]) and production gateway control sessions
+//! ([`kitepass_data_plane::control_session::ControlSession`]) run on simulated machines, disks, links and
+//! clocks. A seed determines a run completely.
 //!
-//! [`scenario`] draws what a seed brings: the layout, the faults with their times, and how operators behave.
-//! [`simulation`] runs it and records a [`history`], which [`checker`] checks for violated invariants. [`run`] runs a
-//! scenario to its end, and [`shrink`] removes the faults that a failing one does not need. [`coverage`] counts what came
-//! up, and [`digest`] sums a run up in one number.
+//! [`scenario`] generates the layout, the schedule of faults and the operators' behaviour from a seed.
+//! [`simulation`] runs the scenario and records a [`history`], which [`checker`] checks for violated
+//! invariants. [`run`] runs a scenario from start to end, and [`shrink`] removes the faults that a failing
+//! scenario does not need. [`coverage`] counts the faults and events that occurred, and [`digest`] hashes a
+//! run into one number.
 //!
-//! [`process`] is the one place that touches the state machine's interface. A process gets what its sockets, its disk and
-//! its steady clock would deliver. There is no time of day in that interface, so a step of it could change nothing; each
-//! machine's steady clock starts at another time and runs a little fast or slow.
+//! Only [`process`] calls the state machine. It passes on what a process would receive from its sockets, its
+//! disk and its monotonic clock. The state machine never reads the wall clock, so wall clock steps need no
+//! simulation; each machine's monotonic clock has its own offset and drift.
 
 pub mod checker;
 pub mod coverage;
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,4 +1,4 @@
-//! `kitepass-simulation`: runs the simulation of the control plane by seeds.
+//! `kitepass-simulation`: runs the simulation of the control plane for given seeds.
 
 use kitepass_simulation::coverage::Coverage;
 use kitepass_simulation::run::{record_panics, run_scenario, RunResult};
@@ -16,38 +16,39 @@
 Runs the deterministic simulation of the control plane. One seed is one run.
 
 Usage:
-  kitepass-simulation run [--seeds N] [--from K] [--jobs J] [--plan NAME]   runs many seeds, and counts what came up
-  kitepass-simulation replay --seed K [--plan NAME]                         runs one seed, and prints its events
-  kitepass-simulation shorten --seed K [--plan NAME]                        removes faults that a failing seed doesn't need
+  kitepass-simulation run [--seeds N] [--from K] [--jobs J] [--plan NAME]   runs many seeds and prints coverage counters
+  kitepass-simulation replay --seed K [--plan NAME]                         runs one seed and prints its events
+  kitepass-simulation shorten --seed K [--plan NAME]                        removes the faults that a failing seed doesn't need
 
 Options:
-  --seeds N      how many seeds to run (100)
-  --from K       the first of them (0)
-  --jobs J       how many to run at once (one for each core)
-  --seed K       the one seed to replay or shorten (0)
-  --plan NAME    calm, cuts, races, losses, away, disks, congestion, halves, or all (the default)
-  --no-rivals    no two changes write one version of an item
-  --digests      run: print a line `plan=NAME seed=K digest=HEX` for each seed, in the seeds' order
-  --logs         replay: print what the processes log, too; shorten: print the events of the shortened run, too
-  -h, --help     print this
+  --seeds N      number of seeds to run (default: 100)
+  --from K       first seed to run (default: 0)
+  --jobs J       number of seeds to run in parallel (default: one per core)
+  --seed K       seed to replay or shorten (default: 0)
+  --plan NAME    calm, cuts, races, losses, away, disks, congestion, halves or all (default: all)
+  --no-rivals    each version of an item is written by at most one change
+  --digests      run: print a line `plan=NAME seed=K digest=HEX` for each seed, ordered by seed
+  --logs         replay: also print the processes' log lines; shorten: also print the events and log lines of the
+                 shortened run
+  -h, --help     print this help
 
 Examples:
-  kitepass-simulation run --seeds 10000                  a long run of all faults
+  kitepass-simulation run --seeds 10000                  a long run of plan all
   kitepass-simulation run --seeds 20 --plan cuts --digests
-  kitepass-simulation shorten --seed 17 --plan losses    the faults that make a failing seed fail
+  kitepass-simulation shorten --seed 17 --plan losses    prints the faults that make a seed fail
   kitepass-simulation replay --seed 17 --plan losses --logs
 
-Ends with 0 if no invariant was violated, with 1 if one was, and with 2 if the arguments are wrong or --help is given.
+Exit status: 0 if no invariant was violated, 1 if one was, 2 if the arguments are invalid or --help is given.
 ";
 
-/// Seeds of a run, unless another number is given.
+/// Number of seeds that `run` executes by default.
 const DEFAULT_SEEDS: u64 = 100;
 
 #[derive(Debug, Snafu)]
 enum Error {
     #[snafu(display("{source}\n{HELP}"))]
     Arguments { source: lexopt::Error },
-    #[snafu(display("there is no plan of this name: {name}\n{HELP}"))]
+    #[snafu(display("unknown plan: {name}\n{HELP}"))]
     UnknownPlan { name: String },
     #[snafu(display("{HELP}"))]
     HelpRequested,
@@ -55,7 +56,7 @@
     MissingSubcommand,
 }
 
-/// What to do.
+/// The subcommand.
 #[derive(Clone, Copy)]
 enum Subcommand {
     Run,
@@ -86,7 +87,7 @@
 }
 
 impl Options {
-    /// Prints what processes log from now on, if that is wanted.
+    /// Enables printing of the processes' log lines, if requested.
     fn start_logging(&self) {
         if self.prints_logs && log::set_logger(&ProcessLogger).is_ok() {
             log::set_max_level(log::LevelFilter::Debug);
@@ -150,14 +151,14 @@
     Ok((subcommand, options))
 }
 
-/// The results of all seeds of a run.
+/// The combined results of a run's seeds.
 #[derive(Default)]
 struct Summary {
     coverage: Coverage,
-    /// How many seeds violated each invariant.
+    /// The number of seeds that violated each invariant.
     violations: BTreeMap<String, u64>,
     failed: u64,
-    /// By seed, so that they come in order whatever the number of jobs.
+    /// Keyed by seed, so that the output order does not depend on the number of jobs.
     digests: BTreeMap<u64, u64>,
 }
 
@@ -187,7 +188,7 @@
     }
 }
 
-/// Runs many seeds. True if none violated an invariant.
+/// Runs a range of seeds in parallel. Returns true if none violated an invariant.
 fn run_seeds(options: &Options) -> bool {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let next_seed = AtomicU64::new(options.first_seed);
@@ -212,7 +213,7 @@
     summary.failed == 0
 }
 
-/// Runs one seed, and prints its events. True if it violated no invariant.
+/// Runs one seed and prints its events. Returns true if it violated no invariant.
 fn replay(options: &Options) -> bool {
     let scenario = options.scenario(options.seed);
     options.start_logging();
@@ -223,7 +224,8 @@
     result.violations.is_empty()
 }
 
-/// Removes the faults that a failing seed does not need, and runs what is left. True if the seed does not fail.
+/// Removes the faults that a failing seed does not need and runs the shortened scenario. Returns true if it
+/// violates no invariant.
 fn shorten(options: &Options) -> bool {
     let scenario = options.scenario(options.seed);
     let invariants = run_scenario(&scenario, false).violated_invariants();
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,26 +1,26 @@
-//! Links between machines. A connection keeps its messages in order and loses none while it stands; there is no order
-//! between connections. A partitioned direction holds back what is sent. A connection that gets nothing through for
-//! [`SEND_TIMEOUT`] is reset by its sender, unless the partition keeps
-//! connections: then no end can tell it from a quiet peer.
+//! Links between machines. An open connection delivers its messages in order and without loss; messages on
+//! different connections are not ordered. A partition holds messages back. The sender resets a connection
+//! that makes no progress for [`SEND_TIMEOUT`], unless the partition keeps connections: then neither end can
+//! distinguish it from an idle peer.
 
 use crate::rng::Rng;
 use kitepass_coordination::protocol::{Hello, Message};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::{self, Display};
 
-/// A connection whose peer takes no bytes for so long ends. Microseconds.
+/// A sender resets a connection whose peer accepts no data for this time. Microseconds.
 pub const SEND_TIMEOUT: i64 = 1_500_000;
-/// A process closes a peer's connection on which nothing has come for so long. Microseconds.
+/// A process closes a peer's connection on which it received nothing for this time. Microseconds.
 pub const IDLE_TIMEOUT: i64 = SEND_TIMEOUT * 4;
-/// A closed channel is forgotten so long after its last message was due. Microseconds.
+/// A closed channel is removed this long after the arrival of its last message. Microseconds.
 const CLOSED_CHANNEL_RETENTION: i64 = 60_000_000;
 
 /// A simulated machine. Nodes sort before gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Host {
-    /// A machine with a control process, by its index.
+    /// A machine with a control process, by index.
     Node(usize),
-    /// A machine with a gateway, by its index.
+    /// A machine with a gateway, by index.
     Gateway(usize),
 }
 
@@ -33,11 +33,11 @@
     }
 }
 
-/// One direction of a connection.
+/// Identifies one direction of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ChannelId(pub u64);
 
-/// A gateway's session with a control process: two channels with consecutive numbers.
+/// Identifies a gateway's session with a control process: two channels with consecutive ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SessionId(pub u64);
 
@@ -53,32 +53,32 @@
     }
 }
 
-/// A process at one end of a channel.
+/// The process at one end of a channel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChannelEnd {
     /// Its machine.
     pub host: Host,
-    /// Its incarnation, as the simulation numbers them; 0 for gateways.
+    /// Its incarnation as numbered by the simulation; 0 for gateways.
     pub incarnation: u64,
 }
 
-/// What a channel is part of.
+/// The role of a channel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChannelKind {
-    /// A connection to a peer: a process sends on its own connections alone.
+    /// A connection to a peer. It is used in one direction only: by the process that opened it.
     Peer,
-    /// A session's direction to the control process.
+    /// The direction of a session towards the control process.
     SessionToNode(SessionId),
-    /// A session's direction to the gateway.
+    /// The direction of a session towards the gateway.
     SessionToGateway(SessionId),
 }
 
-/// Whoever introduced itself on a channel.
+/// The sender of a channel, as given by its hello message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerIdentity {
-    /// The node id that it gave.
+    /// Node id of the sender.
     pub node_id: String,
-    /// Its process' incarnation, as it gave it.
+    /// Incarnation of the sender's process.
     pub incarnation: u64,
 }
 
@@ -88,32 +88,32 @@
     }
 }
 
-/// The state of one direction of a connection. Times are microseconds.
+/// The state of one direction of a connection. Times are in microseconds.
 pub struct Channel {
-    /// The process that sends on it.
+    /// The sending process.
     pub from: ChannelEnd,
-    /// The process that it leads to; another one on the same machine has no such connection.
+    /// The receiving process. A later process on the same machine does not take over the connection.
     pub to: ChannelEnd,
-    /// What it is part of.
+    /// The role of the channel.
     pub kind: ChannelKind,
-    /// Messages that a partition holds back.
+    /// Messages held back by a partition.
     pub blocked: VecDeque<Message>,
-    /// Since when it holds messages back.
+    /// Time since which messages are held back.
     pub blocked_since: i64,
-    /// When its last message is due.
+    /// Arrival time of the last message sent.
     pub last_delivery: i64,
-    /// When a message arrived on it last.
+    /// Time at which the last message was received.
     pub last_received: i64,
-    /// It takes no more messages.
+    /// Whether the channel accepts no further messages.
     pub is_closed: bool,
-    /// Messages that would arrive later are lost.
+    /// Messages that arrive after this time are lost.
     pub lost_after: i64,
-    /// Who sends on it, once it has said so.
+    /// The sender, once its hello message was received.
     pub sender: Option<PeerIdentity>,
 }
 
 impl Channel {
-    /// An open channel without traffic.
+    /// An open channel without messages.
     pub fn new(now: i64, from: ChannelEnd, to: ChannelEnd, kind: ChannelKind) -> Channel {
         Channel {
             from,
@@ -129,22 +129,22 @@
         }
     }
 
-    /// When the last message that is not lost arrives.
+    /// Arrival time of the last message that is not lost.
     pub fn last_arrival(&self) -> i64 {
         self.last_delivery.min(self.lost_after)
     }
 }
 
-/// A partition of one direction between two machines.
+/// A partition that blocks one direction between two machines.
 #[derive(Clone, Copy, Debug)]
 pub struct Partition {
-    /// When it ends, in microseconds.
+    /// End of the partition, in microseconds.
     pub until: i64,
-    /// Connections outlast it.
+    /// Whether connections stay open during the partition.
     pub keeps_connections: bool,
 }
 
-/// Extra latency of one direction between two machines.
+/// Additional latency in one direction between two machines.
 #[derive(Clone, Copy, Debug)]
 struct SlowLink {
     extra_latency: i64,
@@ -154,7 +154,7 @@
 /// All channels, partitions and slow links.
 #[derive(Default)]
 pub struct Network {
-    /// Open channels, and closed ones while messages may be on their way.
+    /// Open channels, and closed ones that may still deliver messages.
     pub channels: BTreeMap<ChannelId, Channel>,
     last_id: u64,
     partitions: BTreeMap<(Host, Host), Partition>,
@@ -162,18 +162,18 @@
 }
 
 impl Network {
-    /// A number that no channel and no operator's attempt had before.
+    /// A number that is unique among channels, sessions and operators' attempts.
     pub fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// The channels for which a condition holds, in the order of their ids.
+    /// The channels that satisfy a condition, ordered by id.
     pub fn channels_where(&self, condition: impl Fn(&Channel) -> bool) -> Vec<ChannelId> {
         self.channels.iter().filter(|(_, channel)| condition(channel)).map(|(id, _)| *id).collect()
     }
 
-    /// Partitions a direction, unless it is partitioned for longer already.
+    /// Partitions one direction, unless it is already partitioned for longer.
     pub fn partition(&mut self, from: Host, to: Host, partition: Partition) {
         let known = self.partitions.entry((from, to)).or_insert(partition);
         if known.until < partition.until {
@@ -181,35 +181,35 @@
         }
     }
 
-    /// Ends all partitions and makes all links fast.
+    /// Ends all partitions and slow links.
     pub fn heal(&mut self) {
         self.partitions.clear();
         self.slow_links.clear();
     }
 
-    /// The partition of a direction, if there is one now.
+    /// The current partition of a direction, if any.
     pub fn partition_of(&self, now: i64, from: Host, to: Host) -> Option<Partition> {
         self.partitions.get(&(from, to)).copied().filter(|partition| partition.until > now)
     }
 
-    /// True if a connection cannot be opened: one of its directions is partitioned.
+    /// True if no connection can be opened because at least one direction is partitioned.
     pub fn is_unreachable(&self, now: i64, from: Host, to: Host) -> bool {
         self.partition_of(now, from, to).is_some() || self.partition_of(now, to, from).is_some()
     }
 
-    /// Slows a direction until a time.
+    /// Increases the latency of one direction until the given time.
     pub fn slow_down(&mut self, from: Host, to: Host, extra_latency: i64, until: i64) {
         self.slow_links.insert((from, to), SlowLink { extra_latency, until });
     }
 
-    /// Microseconds that a message takes longer than usual.
+    /// Current additional latency of a direction, in microseconds.
     pub fn extra_latency(&self, now: i64, from: Host, to: Host) -> i64 {
         let slow_link = self.slow_links.get(&(from, to)).filter(|slow_link| slow_link.until > now);
         slow_link.map_or(0, |slow_link| slow_link.extra_latency)
     }
 
-    /// Resets a channel: it takes nothing more, and of what is on its way all, or only what is due by a drawn time,
-    /// arrives.
+    /// Resets a channel. It accepts no more messages; of those in transit, either all arrive or only those
+    /// due by a random time.
     pub fn reset(&mut self, now: i64, id: ChannelId, rng: &mut Rng) {
         if let Some(channel) = self.channels.get_mut(&id).filter(|channel| !channel.is_closed) {
             channel.is_closed = true;
@@ -220,14 +220,14 @@
         }
     }
 
-    /// Closes a channel whose sender has ended: what it sent still arrives.
+    /// Closes a channel whose sender has ended. Messages in transit still arrive.
     pub fn close(&mut self, id: ChannelId) {
         if let Some(channel) = self.channels.get_mut(&id) {
             channel.is_closed = true;
         }
     }
 
-    /// Forgets partitions that are over, and channels that were closed long ago.
+    /// Removes partitions that have ended and channels that were closed long ago.
     pub fn remove_expired(&mut self, now: i64) {
         self.partitions.retain(|_, partition| partition.until > now);
         self.channels.retain(|_, channel| {
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators: what they ask for next, and when they give up.
+//! Operators: which operations they choose, and when they give up.
 
 use crate::history::{AttemptId, ChangeId, Content, ItemName, Write};
 use crate::items::{service_name, to_items, SERVICE_COUNT};
@@ -8,50 +8,51 @@
 use kitepass_config::Kind;
 use std::collections::{BTreeMap, VecDeque};
 
-/// An operator that gets no answer for so long tries another process. Microseconds.
+/// Time after which an operator without a response tries another process. Microseconds.
 pub const RESPONSE_TIMEOUT: i64 = 1_000_000;
-/// Attempts of one operation, at most.
+/// Maximum number of attempts of one operation.
 const MAX_ATTEMPTS: u32 = 30;
-/// Versions of an item that operators remember.
+/// Number of recent versions that operators remember of each item.
 const MAX_REMEMBERED_VERSIONS: usize = 6;
-/// Zones that operators evacuate: the first ones.
+/// Number of zones that operators evacuate: the first ones of the layout.
 const EVACUATED_ZONES: usize = 2;
-/// A change has an identical rival so often, and else one that writes its first item. Percent.
+/// Percentage of racing changes that write the same items as the original change; the others write only its
+/// first item.
 const IDENTICAL_RACE_PERCENT: u64 = 70;
 
-/// What an operator wants done.
+/// An operation of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// To see all items.
+    /// Reads all items.
     Read,
-    /// To make a change.
+    /// Sends a change.
     Change(ChangeId),
-    /// To evacuate a zone, or to end that.
+    /// Starts or ends the evacuation of a zone.
     Evacuation {
-        /// Which zone.
+        /// The zone.
         zone: String,
-        /// Whether it is to be evacuated.
+        /// True to evacuate the zone, false to end its evacuation.
         is_evacuated: bool,
     },
 }
 
-/// Why an operation was chosen; counted in the coverage.
+/// The reason for an operation, as counted in the coverage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperationKind {
     /// A new change.
     Change,
-    /// A change that races with another one of the same versions.
+    /// A change that races with another one for the same versions.
     Race,
-    /// A confirmed change once more.
+    /// A confirmed change that is sent again.
     Resend,
     /// A read.
     Read,
-    /// An evacuation or its end.
+    /// The start or end of an evacuation.
     Evacuation,
 }
 
 impl OperationKind {
-    /// Its name in the coverage.
+    /// The name in the coverage counters.
     pub fn name(self) -> &'static str {
         match self {
             OperationKind::Change => "change",
@@ -63,33 +64,33 @@
     }
 }
 
-/// One operator, with the operation that it has under way.
+/// An operator with its current operation.
 #[derive(Default)]
 pub struct Operator {
-    /// What it wants done.
+    /// The operation in progress.
     pub operation: Option<Operation>,
-    /// Attempts that failed so far.
+    /// The number of failed attempts so far.
     pub failed_attempts: u32,
-    /// The attempt whose answer it waits for.
+    /// The attempt whose response the operator waits for.
     pub awaited_attempt: Option<AttemptId>,
 }
 
 impl Operator {
-    /// Counts a failed attempt. True if it tries again.
+    /// Records a failed attempt. Returns true if the operator tries again.
     pub fn attempt_failed(&mut self) -> bool {
         self.failed_attempts += 1;
         self.failed_attempts < MAX_ATTEMPTS
     }
 }
 
-/// A write that an operator plans: its content is the change's that it becomes part of.
+/// A planned write. Its content is determined by the change that it becomes part of.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedWrite {
     /// The item.
     pub item: ItemName,
-    /// The version that it gets.
+    /// The item's version after the write.
     pub version: u64,
-    /// Whether it is set or deleted.
+    /// True to set the item, false to delete it.
     pub is_set: bool,
 }
 
@@ -105,47 +106,47 @@
     }
 }
 
-/// What all operators know together.
+/// The changes generated so far, shared by all operators.
 #[derive(Default)]
 pub struct ChangeRegistry {
-    /// All changes that were made up. They are numbered from 1 on.
+    /// All generated changes. Their ids start at 1.
     changes: BTreeMap<ChangeId, Vec<Write>>,
-    /// Those that an operator knows to be confirmed.
+    /// Changes whose confirmation reached an operator.
     confirmed: Vec<ChangeId>,
-    /// Changes that are to race with one that was just made up.
+    /// Changes that are still to be sent to race with an earlier one.
     racing_changes: VecDeque<ChangeId>,
     newest_version: u64,
-    /// Versions of each item that were used lately, in order.
+    /// Recently used versions of each item, sorted.
     recent_versions: BTreeMap<ItemName, Vec<u64>>,
 }
 
 impl ChangeRegistry {
-    /// How many changes were made up.
+    /// The number of generated changes.
     pub fn change_count(&self) -> usize {
         self.changes.len()
     }
 
-    /// How many changes wait for an operator that races with them.
+    /// The number of racing changes that no operator has taken yet.
     pub fn racing_change_count(&self) -> usize {
         self.racing_changes.len()
     }
 
-    /// The changes from the given count on, with their writes.
+    /// The changes generated after the first `count` ones, with their writes.
     pub fn changes_since(&self, count: usize) -> impl Iterator<Item = (ChangeId, &[Write])> {
         let changes = self.changes.range(ChangeId(count as u64 + 1)..);
         changes.map(|(change, writes)| (*change, writes.as_slice()))
     }
 
-    /// An operator got a confirmation.
+    /// Records that an operator received a change's confirmation.
     pub fn add_confirmed(&mut self, change: ChangeId) {
         self.confirmed.push(change);
     }
 
-    /// What is sent for an operation.
+    /// The request for an operation.
     ///
     /// # Panics
     ///
-    /// If the operation is a change of another registry.
+    /// If the operation is a change that is not in this registry.
     pub fn to_request(&self, operation: &Operation) -> OperatorRequest {
         match operation {
             Operation::Read => OperatorRequest::Read,
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Makes a change up.
+    /// Generates a change with the given writes.
     pub fn add_change(&mut self, writes: &[PlannedWrite]) -> ChangeId {
         let change = ChangeId(self.changes.len() as u64 + 1);
         let to_write = |planned: &PlannedWrite| Write {
@@ -183,7 +184,7 @@
         }
     }
 
-    /// What an operator wants next.
+    /// Draws an operator's next operation.
     pub fn next_operation(
         &mut self,
         workload: &Workload,
@@ -214,7 +215,7 @@
         (Operation::Change(change), OperationKind::Change)
     }
 
-    /// Makes one or two changes up that write the same versions as another one.
+    /// Generates one or two changes that write the same versions as the given writes.
     fn add_racing_changes(&mut self, writes: &[PlannedWrite], rng: &mut Rng) {
         for _ in 0..1 + rng.below(2) {
             let racing_change = if rng.chance(IDENTICAL_RACE_PERCENT) { writes } else { &writes[..1] };
@@ -223,7 +224,8 @@
         }
     }
 
-    /// Draws the writes of a change: one or two items of one service, which has two routes and two tenants.
+    /// Draws the writes of a change. It writes one or two items that belong to one service, which has two
+    /// routes and two tenants.
     fn plan_writes(&self, workload: &Workload, rng: &mut Rng) -> Vec<PlannedWrite> {
         let number = rng.below(SERVICE_COUNT);
         let service = service_name(number);
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -1,5 +1,4 @@
-//! A control process: one incarnation of a node's state machine. The one place that touches the state machine's
-//! interface.
+//! A control process: one incarnation of a node's state machine. Only this module calls the state machine.
 
 use crate::history::{AttemptId, ItemName, ItemState, ResponseStatus};
 use crate::items::{items_from_body, to_message};
@@ -17,57 +16,58 @@
 use kitepass_time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Keys and values for a disk; an empty value removes its key.
+/// Keys and values to persist. An empty value removes its key.
 pub type Records = Vec<(Vec<u8>, Vec<u8>)>;
 
 const QUOTA_TOLERANCE: QuotaTolerance = QuotaTolerance { window: 5.0, excess: 0.1, margin: 20.0 };
-/// Items in one message to a gateway, at most: few, so that changes and transfers take several.
+/// Maximum number of items in one message to a gateway. Small, so that changes and full transfers take
+/// several messages.
 const MAX_ITEMS_PER_MESSAGE: usize = 2;
 
-/// Where a node stands, and how it is reached.
+/// The identity, address and location of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct NodeLocation {
-    /// Its node id.
+    /// Node id.
     pub node_id: String,
-    /// Its address.
+    /// Address of the node.
     pub address: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// The zone's region.
+    /// Region of the zone.
     pub region: String,
 }
 
-/// What a process starts with.
+/// Parameters for starting a process.
 pub struct ProcessStart {
-    /// Where it runs.
+    /// The node that it runs on.
     pub location: NodeLocation,
-    /// Its incarnation: no other process has the same.
+    /// Incarnation, unique among all processes.
     pub incarnation: u64,
-    /// Whether the node was never started before.
+    /// Whether no process was ever started on the node before.
     pub is_first_start: bool,
-    /// Whether it founds the system.
+    /// Whether the process bootstraps the system.
     pub is_bootstrap_node: bool,
-    /// What its disk holds.
+    /// Records read from the disk.
     pub records: Records,
 }
 
-/// What an operator asks of a process.
+/// A request of an operator to a process.
 #[derive(Clone, Debug)]
 pub enum OperatorRequest {
-    /// To show all items.
+    /// Reads all items.
     Read,
-    /// To write items.
+    /// Writes items.
     Change(Vec<Item>),
-    /// To evacuate a zone, or to end that.
+    /// Starts or ends the evacuation of a zone.
     Evacuation {
-        /// Which zone.
+        /// The zone.
         zone: String,
-        /// Whether it is to be evacuated.
+        /// True to evacuate the zone, false to end its evacuation.
         is_evacuated: bool,
     },
 }
 
-/// A process' answer, as an operator sees it.
+/// A process's response to an operator.
 #[derive(Clone, Debug)]
 pub enum OperatorResponse {
     /// 200 to a change or an evacuation.
@@ -78,14 +78,14 @@
     Invalid(String),
     /// 409, with the reason.
     Conflict(String),
-    /// 307: another process may do it, at this address.
+    /// 307: the process at this address may handle the request.
     Redirect(String),
-    /// 503: another process may do it.
+    /// 503: another process may handle the request.
     Unavailable,
 }
 
 impl OperatorResponse {
-    /// What it means for the request.
+    /// What the response means for the request.
     pub fn status(&self) -> ResponseStatus {
         match self {
             OperatorResponse::Done | OperatorResponse::Items(_) => ResponseStatus::Confirmed,
@@ -111,37 +111,37 @@
     }
 }
 
-/// What a process wants done.
+/// An action that a process requests.
 pub enum ProcessAction {
-    /// Send to the control process of this node id.
+    /// Send a message to the control process with this node id.
     SendToPeer(String, Message),
-    /// Send to the gateway of this session.
+    /// Send a message to the gateway of this session.
     SendToSession(SessionId, Message),
-    /// Answer an operator's request.
+    /// Respond to an operator's request.
     Respond(AttemptId, OperatorResponse),
-    /// Persist records, and notify the process by this number.
+    /// Persist records, then notify the process with this id.
     Persist(u64, Records),
     /// Close this session.
     CloseSession(SessionId),
 }
 
-/// A replica set that a process knows.
+/// A replica set held by a process.
 pub struct KnownReplicaSet<'a> {
-    /// Whether it is the current or the incoming one.
+    /// Name of the replica set: the current or the incoming one.
     pub name: &'static str,
-    /// Its version.
+    /// Version of the replica set.
     pub version: u64,
-    /// Its stored form.
+    /// Its encoded bytes.
     pub bytes: &'a Bytes,
 }
 
-/// A running control process. Times are those of its machine's steady clock.
+/// A running control process. All times are those of its machine's monotonic clock.
 pub struct Process {
     state_machine: StateMachine,
 }
 
 impl Process {
-    /// Starts an incarnation.
+    /// Starts a process.
     pub fn start(now: Timestamp, start: ProcessStart) -> Process {
         let NodeLocation { node_id, address, zone, region } = start.location;
         let start = StartParameters {
@@ -155,42 +155,42 @@
         Process { state_machine: StateMachine::new(now, start) }
     }
 
-    /// Time has passed.
+    /// Handles the passing of time.
     pub fn tick(&mut self, now: Timestamp) {
         self.state_machine.tick(now);
     }
 
-    /// What it introduces itself with on its connections.
+    /// The hello message that the process sends first on its connections.
     pub fn hello(&self) -> Hello {
         self.state_machine.hello()
     }
 
-    /// A peer introduced itself on its connection.
+    /// Handles the hello message of a peer.
     pub fn peer_connected(&mut self, now: Timestamp, hello: &Hello) {
         self.state_machine.peer_connected(now, hello);
     }
 
-    /// A peer sent a message. Returns the addresses of other control processes that the message names.
+    /// Handles a message of a peer. Returns the addresses of other control processes that it contains.
     pub fn peer_message(&mut self, now: Timestamp, node_id: &str, message: Message) -> Vec<String> {
         self.state_machine.peer_message(now, node_id, message)
     }
 
-    /// True unless this incarnation of a peer is unknown or was given up.
+    /// True unless this incarnation of a peer is unknown or considered lost.
     pub fn knows_incarnation(&self, node_id: &str, incarnation: u64) -> bool {
         self.state_machine.knows_incarnation(node_id, incarnation)
     }
 
-    /// Addresses of the control processes that it knows of.
+    /// Addresses of the control processes that it knows.
     pub fn known_addresses(&self) -> BTreeSet<String> {
         self.state_machine.known_addresses()
     }
 
-    /// Records that it asked to persist are durable.
+    /// Handles the completion of a write: its records are durable.
     pub fn records_persisted(&mut self, now: Timestamp, request_id: u64) {
         self.state_machine.records_persisted(now, request_id);
     }
 
-    /// An operator's request arrived.
+    /// Handles an operator's request.
     pub fn handle_request(&mut self, now: Timestamp, attempt: AttemptId, request: OperatorRequest) {
         let request = match request {
             OperatorRequest::Read => Request::Get,
@@ -202,67 +202,67 @@
         self.state_machine.handle_request(now, attempt.0, request);
     }
 
-    /// A gateway introduced itself on its session.
+    /// Handles the hello message of a gateway on a new session.
     pub fn session_opened(&mut self, now: Timestamp, session: SessionId, hello: Hello) {
         self.state_machine.session_opened(now, session.0, hello);
     }
 
-    /// A gateway sent a message.
+    /// Handles a message of a gateway.
     pub fn session_message(&mut self, now: Timestamp, session: SessionId, message: Message) {
         self.state_machine.session_message(now, session.0, message);
     }
 
-    /// A session is over.
+    /// Handles the end of a session.
     pub fn session_closed(&mut self, now: Timestamp, session: SessionId, reason: &str) {
         self.state_machine.session_closed(now, session.0, reason);
     }
 
-    /// The platform's list of endpoints was read.
+    /// Handles a new version of the platform's endpoint list.
     pub fn endpoints_listed(&mut self, now: Timestamp, endpoints: Vec<Endpoint>) {
         self.state_machine.endpoints_listed(now, endpoints);
     }
 
-    /// It is asked to shut down gracefully.
+    /// Starts a graceful shutdown.
     pub fn shut_down(&mut self, now: Timestamp) {
         self.state_machine.shut_down(now);
     }
 
-    /// It has shut down, and can end.
+    /// Whether the shutdown is complete, so that the process can end.
     pub fn is_shut_down(&self) -> bool {
         self.state_machine.is_shut_down()
     }
 
-    /// It holds the coordinator's lease.
+    /// Whether the process holds the coordinator lease.
     pub fn is_lease_holder(&self, now: Timestamp) -> bool {
         self.state_machine.lease_term(now).is_some()
     }
 
-    /// It holds the coordinator's lease, and acts by it.
+    /// Whether the process holds the coordinator lease and acts as coordinator.
     pub fn is_active_coordinator(&self, now: Timestamp) -> bool {
         self.state_machine.active_term(now).is_some()
     }
 
-    /// It has caught up and is in contact with a majority.
+    /// Whether the process has caught up and is in contact with a majority.
     pub fn is_serving(&self) -> bool {
         self.state_machine.replica_state() == ReplicaState::Serving
     }
 
-    /// Its disk holds all that it acknowledged.
+    /// Whether its disk holds all data that it ever acknowledged.
     pub fn is_complete(&self) -> bool {
         self.state_machine.hello().is_complete
     }
 
-    /// How far it is, for people.
+    /// The state of the replica, for messages.
     pub fn replica_state(&self) -> String {
         format!("{:?}", self.state_machine.replica_state())
     }
 
-    /// Its items.
+    /// The items that it holds.
     pub fn item_store(&self) -> &ItemStore {
         self.state_machine.item_store()
     }
 
-    /// The replica sets that it knows.
+    /// The replica sets that it holds.
     pub fn replica_sets(&self) -> impl Iterator<Item = KnownReplicaSet<'_>> {
         [CURRENT, INCOMING].into_iter().filter_map(|name| {
             let item = self.item_store().get(Kind::ReplicaSet, name)?;
@@ -270,19 +270,19 @@
         })
     }
 
-    /// Node ids of the current replica set, as far as it knows.
+    /// Node ids of the current replica set that it holds.
     pub fn replica_ids(&self) -> BTreeSet<String> {
         let replica_set = ReplicaSet::load(self.item_store(), CURRENT);
         let replicas = replica_set.into_iter().flat_map(|replica_set| replica_set.replicas);
         replicas.map(|replica| replica.node_id).collect()
     }
 
-    /// Zones that are evacuated, as far as it knows.
+    /// The zones that it considers evacuated.
     pub fn evacuated_zones(&self) -> Vec<String> {
         self.state_machine.evacuated_zones()
     }
 
-    /// What it wants done since this was called last.
+    /// Takes the actions requested since the last call.
     pub fn take_actions(&mut self) -> Vec<ProcessAction> {
         let mut actions = Vec::new();
         for action in std::mem::take(&mut self.state_machine.actions) {
@@ -312,7 +312,7 @@
     }
 }
 
-/// A gateway's update in as many messages as it needs, each of a few items.
+/// Splits an update for a gateway into messages of at most [`MAX_ITEMS_PER_MESSAGE`] items.
 fn item_messages(update: &ItemUpdate) -> Vec<Message> {
     let count = update.items.len().div_ceil(MAX_ITEMS_PER_MESSAGE);
     let message = |(index, items)| {
--- a/crates/simulation/src/rng.rs
+++ b/crates/simulation/src/rng.rs
@@ -1,21 +1,21 @@
-//! Seeded random numbers. Each user draws from a stream of its own, so that leaving out one fault changes no draw
-//! that the others depend on.
+//! Seeded random numbers. Each part of a run draws from its own stream, so that removing a fault does not
+//! change the numbers that the other parts draw.
 
 use std::ops::Range;
 
-/// Which part of a run draws its random numbers from a generator.
+/// The part of a run that draws from a generator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RandomStream {
-    /// What a seed brings: the layout and the faults. Drawn before the run.
+    /// The layout and the faults, drawn before the run.
     Scenario,
-    /// Network delays, disks, restarts and the platform.
+    /// Network delays, disks, restarts and the endpoint list.
     Environment,
-    /// What the operators do, and when.
+    /// The operators' operations and their timing.
     Operators,
 }
 
 impl RandomStream {
-    /// Part of the generator's seed: never renumber.
+    /// Part of the generator's seed, so it must never change.
     fn id(self) -> u128 {
         match self {
             RandomStream::Scenario => 1,
@@ -25,7 +25,7 @@
     }
 }
 
-/// A seeded pseudo-random generator (PCG, as `oorandom` has it).
+/// A seeded pseudo-random number generator (the PCG of `oorandom`).
 pub struct Rng(oorandom::Rand64);
 
 impl Rng {
@@ -34,17 +34,17 @@
         Rng(oorandom::Rand64::new(stream.id() << 64 | u128::from(seed)))
     }
 
-    /// Any 64-bit number.
+    /// A random 64-bit number.
     pub fn next_u64(&mut self) -> u64 {
         self.0.rand_u64()
     }
 
-    /// A number below `end`; 0 if `end` is 0.
+    /// A random number below `end`; 0 if `end` is 0.
     pub fn below(&mut self, end: usize) -> usize {
         self.0.rand_range(0..end.max(1) as u64) as usize
     }
 
-    /// A number in a range; its start if the range is empty.
+    /// A random number in the range; its start if the range is empty.
     pub fn in_range(&mut self, range: Range<i64>) -> i64 {
         range.start + self.0.rand_range(0..(range.end - range.start).max(1) as u64) as i64
     }
@@ -54,7 +54,7 @@
         self.0.rand_range(0..100) < percent
     }
 
-    /// One of the options; none if there are none. Draws in either case.
+    /// A random element, or none if the slice is empty. Draws a number in either case.
     pub fn choose<'a, T>(&mut self, options: &'a [T]) -> Option<&'a T> {
         options.get(self.below(options.len()))
     }
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario to its end, and checks its history.
+//! Runs a scenario from start to end and checks its history.
 
 use crate::checker::{check_history, Invariant, Violation};
 use crate::coverage::Coverage;
@@ -9,25 +9,25 @@
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 
-/// Once all faults are over, the system converges within this time. Microseconds.
+/// Time in which the system must converge once all faults have ended. Microseconds.
 pub const CONVERGENCE_TIMEOUT: i64 = 12 * SECOND;
-/// A read of a system that has converged is answered within this time.
+/// Time in which a read must be completed after the system has converged.
 const READ_TIMEOUT: i64 = 2 * SECOND;
-/// Time between two looks at whether the system has converged.
+/// Time between two checks for convergence.
 const CONVERGENCE_CHECK_INTERVAL: i64 = 100 * MILLISECOND;
 
-/// What a run led to.
+/// Result of a run.
 pub struct RunResult {
-    /// The invariants that did not hold.
+    /// The violations that the checker found.
     pub violations: Vec<Violation>,
-    /// How often each thing came up.
+    /// How often each fault and event occurred.
     pub coverage: Coverage,
-    /// Of the history and the traffic; 0 for a run that ended by a panic.
+    /// Digest of the history and the traffic; 0 if a panic ended the run.
     pub digest: u64,
 }
 
 impl RunResult {
-    /// The invariants that did not hold, each once.
+    /// The violated invariants, without duplicates.
     pub fn violated_invariants(&self) -> BTreeSet<Invariant> {
         self.violations.iter().map(|violation| violation.invariant).collect()
     }
@@ -43,12 +43,13 @@
     static LAST_PANIC: RefCell<String> = const { RefCell::new(String::new()) };
 }
 
-/// From now on a panic is not printed, but described by the violation that it leads to.
+/// Makes panics appear in the descriptions of the violations that they cause instead of being printed.
 pub fn record_panics() {
     std::panic::set_hook(Box::new(|info| LAST_PANIC.set(info.to_string().replace('\n', " "))));
 }
 
-/// Runs a scenario to its end; events are printed if that is wanted. A process that panics ends the run, as a violation.
+/// Runs a scenario to its end and prints its events if `is_verbose`. A panic of a process ends the run and is
+/// reported as a violation.
 pub fn run_scenario(scenario: &Scenario, is_verbose: bool) -> RunResult {
     let run = || run_to_end(scenario, is_verbose);
     std::panic::catch_unwind(run).unwrap_or_else(|_| RunResult::from_panic(LAST_PANIC.take()))
@@ -70,8 +71,8 @@
     RunResult { violations: check_history(&simulation.history), coverage, digest }
 }
 
-/// Runs for as long as the system may take to converge, while operators end what they have under way. Returns after
-/// how many microseconds it had converged for good.
+/// Runs for [`CONVERGENCE_TIMEOUT`], in which operators finish their current operations. Returns the time in
+/// microseconds after which the system had converged and stayed so, or none.
 fn await_convergence(simulation: &mut Simulation) -> Option<i64> {
     let healed_at = simulation.now;
     let mut converged_after = None;
@@ -91,7 +92,7 @@
     converged_after
 }
 
-/// Reads all items at each node, so that the checker sees what is left.
+/// Reads all items at each node, so that the checker sees the final state.
 fn check_reads(simulation: &mut Simulation) {
     let reads = simulation.read_all_nodes();
     simulation.run_for(READ_TIMEOUT);
--- a/crates/simulation/src/scenario/fault.rs
+++ b/crates/simulation/src/scenario/fault.rs
@@ -1,186 +1,188 @@
-//! The faults that a simulation injects.
+//! The faults that a simulation can inject.
 
 use super::{FailureDomain, PartitionDirection};
 use std::fmt::{self, Display};
 
-/// A fault with its time.
+/// A fault and the time at which it is injected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScheduledFault {
-    /// When it is injected, in microseconds.
+    /// Time of injection, in microseconds.
     pub at: i64,
-    /// What is injected.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// How some machines are partitioned from all others.
+/// How a group of machines is partitioned from all others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartitionShape {
-    /// Which way messages don't get through.
+    /// The direction in which messages are blocked.
     pub direction: PartitionDirection,
-    /// Whether the gateways of the partitioned zones are on the machines' side.
+    /// Whether the gateways in the group's zones are on the group's side.
     pub with_gateways: bool,
-    /// Whether connections outlast it.
+    /// Whether connections stay open during the partition.
     pub keeps_connections: bool,
-    /// Microseconds that it lasts.
+    /// Duration in microseconds.
     pub duration: i64,
 }
 
-/// A fault. Replicas are positions of the layout: whatever machine has them at the time. All times are microseconds.
+/// A fault. Replicas are identified by their position in the layout, whichever machine holds that position at
+/// the time. All times are in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// Processes are killed, or their machines lose power.
     Crash {
-        /// Whose processes.
+        /// The affected replicas.
         replicas: Vec<usize>,
         /// Whether the machines lose power.
         is_power_loss: bool,
-        /// How long they are down.
+        /// Time until the processes restart.
         restart_after: i64,
     },
-    /// All machines lose power, gateways too.
+    /// All machines, including those of gateways, lose power.
     PowerOutage {
-        /// How long they are down.
+        /// Time until the processes restart.
         restart_after: i64,
     },
-    /// Disks are lost, unless that is more than the system has to survive.
+    /// Disks lose their content. Skipped if the system need not survive this loss at the time.
     DiskLoss {
-        /// A replica that loses its disk.
+        /// A replica whose disk is lost.
         replica: usize,
-        /// Who loses it as well.
+        /// The failure domain around that replica in which all disks are lost.
         domain: FailureDomain,
-        /// Whether all others lose power at the same moment, gateways too.
+        /// Whether all other machines, including those of gateways, lose power at the same time.
         with_power_outage: bool,
-        /// How long they are down.
+        /// Time until the processes restart.
         restart_after: i64,
     },
-    /// A process stands still for a time, and goes on as if nothing had happened.
+    /// A process is suspended for some time and then continues, as after SIGSTOP and SIGCONT.
     Pause {
-        /// Whose process.
+        /// The affected replica.
         replica: usize,
-        /// For how long.
+        /// Duration of the suspension.
         duration: i64,
     },
     /// Some machines are partitioned from all others.
     Partition {
-        /// Which machines.
+        /// The replicas on one side.
         side: Vec<usize>,
-        /// In which way.
+        /// Direction, duration and scope of the partition.
         shape: PartitionShape,
     },
-    /// Some replicas are partitioned from the other replicas; gateways and operators reach both sides.
+    /// Some replicas are partitioned from the other replicas; gateways and operators still reach both sides.
     SplitReplicas {
-        /// One of the sides.
+        /// The replicas on one side.
         side: Vec<usize>,
-        /// Whether connections outlast it.
+        /// Whether connections stay open during the partition.
         keeps_connections: bool,
-        /// Microseconds that it lasts.
+        /// Duration in microseconds.
         duration: i64,
     },
-    /// The holder of the coordinator's lease is partitioned from all others.
+    /// The holder of the coordinator lease is partitioned from all other machines.
     LeaseHolderPartition {
-        /// In which way.
+        /// Direction, duration and scope of the partition.
         shape: PartitionShape,
     },
     /// The connections between two replicas are reset.
     ConnectionReset {
-        /// One of them.
+        /// One replica.
         a: usize,
-        /// The other one.
+        /// The other replica.
         b: usize,
     },
-    /// The link between two replicas is slow.
+    /// The link between two replicas has a higher latency.
     SlowLink {
-        /// One of them.
+        /// One replica.
         a: usize,
-        /// The other one.
+        /// The other replica.
         b: usize,
-        /// How much longer each message takes.
+        /// Additional latency of each message.
         extra_latency: i64,
-        /// For how long.
+        /// Duration of the fault.
         duration: i64,
     },
-    /// Disks are slow.
+    /// Disks take longer to sync.
     SlowDisks {
-        /// Whose disks.
+        /// The affected replicas.
         replicas: Vec<usize>,
-        /// How much longer each sync takes.
+        /// Additional duration of each sync.
         extra_latency: i64,
-        /// For how long.
+        /// Duration of the fault.
         duration: i64,
     },
-    /// No sync of a disk ends.
+    /// A disk completes no sync.
     DiskHang {
-        /// Whose disk.
+        /// The affected replica.
         replica: usize,
-        /// For how long.
+        /// Duration of the fault.
         duration: i64,
     },
-    /// No sync of a disk ends, and what is written meanwhile does not survive a crash.
+    /// A disk completes no sync, and data written during the fault does not survive a crash.
     DiskRefusal {
-        /// Whose disk.
+        /// The affected replica.
         replica: usize,
-        /// For how long.
+        /// Duration of the fault.
         duration: i64,
     },
-    /// A process is asked to shut down (SIGTERM), and is started again later.
+    /// A process is asked to shut down (SIGTERM) and restarted later.
     GracefulShutdown {
-        /// Whose process.
+        /// The affected replica.
         replica: usize,
-        /// How long it is down.
+        /// Time between the end of the process and its restart.
         restart_after: i64,
     },
-    /// A machine goes for good; another one comes in its zone with an empty disk.
+    /// A machine is removed permanently, and a new one with an empty disk takes its position in the same
+    /// zone.
     Replacement {
-        /// Whose machine.
+        /// The affected replica.
         replica: usize,
-        /// Whether the old process is asked to shut down, or loses power.
+        /// Whether the old process is asked to shut down; otherwise its machine loses power.
         is_graceful: bool,
-        /// When the new machine starts.
+        /// Time until the process on the new machine starts.
         restart_after: i64,
     },
-    /// The process that confirms a change next crashes at that moment.
+    /// The next process that confirms a change crashes right after it has done so.
     CrashAtConfirmation {
         /// Whether its machine loses power.
         is_power_loss: bool,
-        /// How long it is down.
+        /// Time until the process restarts.
         restart_after: i64,
     },
-    /// A process crashes after some more events.
+    /// A process crashes after it has handled a number of events.
     CrashAfterEvents {
-        /// Whose process.
+        /// The affected replica.
         replica: usize,
-        /// After how many events.
+        /// The number of events.
         events: u32,
         /// Whether its machine loses power.
         is_power_loss: bool,
-        /// How long it is down.
+        /// Time until the process restarts.
         restart_after: i64,
     },
-    /// A gateway's process restarts.
+    /// A gateway process restarts.
     GatewayRestart {
-        /// Which gateway.
+        /// The index of the gateway.
         gateway: usize,
     },
-    /// A gateway's own network link is congested: all that it sends and receives takes longer.
+    /// A gateway's network link is congested: everything it sends and receives is delayed.
     GatewayCongestion {
-        /// Which gateway.
+        /// The index of the gateway.
         gateway: usize,
-        /// How much longer each message takes.
+        /// Additional latency of each message.
         extra_latency: i64,
-        /// For how long.
+        /// Duration of the fault.
         duration: i64,
     },
-    /// Answers to operators are lost on their way.
+    /// Responses to operators are lost.
     AnswerLoss {
-        /// How many, in percent.
+        /// The percentage of responses that are lost.
         percent: u64,
-        /// For how long.
+        /// Duration of the fault.
         duration: i64,
     },
 }
 
 impl Fault {
-    /// Its name in the coverage.
+    /// The fault's name in the coverage counters.
     pub fn name(&self) -> &'static str {
         match self {
             Fault::Crash { is_power_loss: false, .. } => "crash",
--- a/crates/simulation/src/scenario/layout.rs
+++ b/crates/simulation/src/scenario/layout.rs
@@ -1,40 +1,41 @@
-//! The machines of a simulation, and what lies between them.
+//! The machines of a simulation and the network between them.
 
 use crate::rng::Rng;
 use std::ops::Range;
 
-/// Latencies between zones of which one is drawn, in microseconds: a building, a city, a continent.
+/// One-way latencies between zones that a layout can draw, in microseconds: within a building, a city and a
+/// continent.
 const LINK_DELAYS: [i64; 3] = [200, 900, 55_000];
-/// Jitters of which one is drawn, in microseconds.
+/// Latency jitters that a layout can draw, in microseconds.
 const LINK_JITTERS: [i64; 3] = [500, 5_000, 60_000];
-/// Durations of a sync of which one is drawn, in microseconds.
+/// Ranges of disk sync durations that a layout can draw, in microseconds.
 const SYNC_DURATIONS: [Range<i64>; 2] = [300..4_000, 1_000..20_000];
-/// Addresses that each process knows at first.
+/// Number of replica addresses that each process is configured with.
 const MAX_INITIAL_REPLICAS: usize = 3;
 
-/// Which machines there are, and what lies between them. Replicas are positions: a machine that is replaced leaves its
-/// position to its successor.
+/// The machines of a simulation and the network between them. A replica is a position: when a machine is
+/// replaced, the new machine takes over its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Layout {
     /// The zone of each replica.
     pub replica_zones: Vec<usize>,
     /// The region of each zone.
     pub zone_regions: Vec<usize>,
-    /// How many gateways there are; they are spread over the zones.
+    /// The number of gateways, which are assigned to the zones in turn.
     pub gateway_count: usize,
-    /// Replicas whose addresses every process knows at first; the first of them founds the system.
+    /// The replicas whose addresses every process is configured with. The first one bootstraps the system.
     pub initial_replicas: Vec<usize>,
-    /// Latency between two zones, one way, in microseconds.
+    /// One-way latency between two zones, in microseconds.
     pub link_delay: i64,
-    /// Up to so much is drawn for each message in addition, in microseconds.
+    /// Upper bound of the random jitter that is added to each message's latency, in microseconds.
     pub link_jitter: i64,
-    /// Microseconds that a sync of a disk takes.
+    /// Range of a disk sync's duration, in microseconds.
     pub sync_duration: Range<i64>,
-    /// Each unsynced write survives a loss of power independently of those before it.
+    /// Whether each unsynced write survives a power loss independently of the writes before it.
     pub loses_writes_independently: bool,
 }
 
-/// What machines lose at once.
+/// A group of machines that fail together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureDomain {
     /// One replica.
@@ -45,19 +46,19 @@
     Region,
 }
 
-/// Which way a partition goes, seen from the side that is named.
+/// The direction in which a partition blocks messages, as seen from the partitioned side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartitionDirection {
-    /// Both ways.
+    /// Both directions.
     Both,
-    /// Nobody hears it.
+    /// Messages sent by the partitioned side are blocked.
     Outgoing,
-    /// It hears nobody.
+    /// Messages to the partitioned side are blocked.
     Incoming,
 }
 
 impl Layout {
-    /// Six replicas, two in each of three regions, each in a zone of its own.
+    /// Six replicas in three regions, each in its own zone.
     pub fn six_replicas() -> Layout {
         Layout {
             replica_zones: vec![0, 1, 2, 3, 4, 5],
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Draws six replicas as above, with another latency.
+    /// [`Layout::six_replicas`] with a random link latency.
     pub(super) fn draw_six_replicas(rng: &mut Rng) -> Layout {
         Layout { link_delay: LINK_DELAYS[rng.below(LINK_DELAYS.len())], ..Layout::six_replicas() }
     }
@@ -81,7 +82,8 @@
         let replicas = rng.in_range(3..10) as usize;
         let regions = rng.in_range(1..4) as usize;
         let zones = rng.in_range(regions.max(2) as i64..replicas.min(6) as i64 + 1) as usize;
-        // Each region has a zone and each zone a replica; the others are drawn.
+        // Each region gets at least one zone and each zone at least one replica; the rest are assigned at
+        // random.
         let zone_regions = distribute(zones, regions, rng);
         let mut replica_zones = distribute(replicas, zones, rng);
         replica_zones.sort();
@@ -89,7 +91,7 @@
         while initial_replicas.len() > MAX_INITIAL_REPLICAS {
             initial_replicas.remove(rng.below(initial_replicas.len()));
         }
-        // Invariant: the order of the draws is part of what a seed means.
+        // Invariant: the order of the draws determines what a seed generates, so it must not change.
         let gateway_count = rng.in_range(2..9) as usize;
         let link_delay = LINK_DELAYS[rng.below(LINK_DELAYS.len())];
         let link_jitter = LINK_JITTERS[rng.below(LINK_JITTERS.len())];
@@ -106,12 +108,12 @@
         }
     }
 
-    /// How many replicas there are.
+    /// The number of replicas.
     pub fn replica_count(&self) -> usize {
         self.replica_zones.len()
     }
 
-    /// How many replicas are a majority.
+    /// The number of replicas that form a majority.
     pub fn majority(&self) -> usize {
         self.replica_count() / 2 + 1
     }
@@ -121,7 +123,7 @@
         gateway % self.zone_regions.len()
     }
 
-    /// The replicas in the same failure domain as this one.
+    /// The replicas in the same failure domain as the given one.
     pub fn replicas_in(&self, domain: FailureDomain, replica: usize) -> Vec<usize> {
         let zone = self.replica_zones[replica];
         let region = self.zone_regions[zone];
@@ -144,12 +146,13 @@
     }
 }
 
-/// A zone's name.
+/// The name of a zone.
 pub(crate) fn zone_name(zone: usize) -> String {
     format!("z{zone}")
 }
 
-/// Draws a container for each thing, so that no container is empty.
+/// Assigns each of `count` elements to a group. The first ones fill each group once, so that none stays
+/// empty; the rest are assigned at random.
 fn distribute(count: usize, groups: usize, rng: &mut Rng) -> Vec<usize> {
     (0..count).map(|index| if index < groups { index } else { rng.below(groups) }).collect()
 }
--- a/crates/simulation/src/scenario/plan.rs
+++ b/crates/simulation/src/scenario/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: which faults a seed draws how often, and how operators behave meanwhile.
+//! Plans: how often each kind of fault is drawn, and how operators behave.
 
 use super::{
     FailureDomain, Fault, Layout, PartitionDirection, PartitionShape, Scenario, ScheduledFault, Workload,
@@ -7,30 +7,30 @@
 use crate::rng::{RandomStream, Rng};
 use std::ops::Range;
 
-/// A kind of scenario.
+/// A category of scenarios, with the weights of its faults and its workload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plan {
     /// No faults.
     Calm,
     /// Mostly partitions.
     Cuts,
-    /// Operators that race for versions, under short faults of all kinds.
+    /// Operators that write the same versions concurrently, under short faults of all kinds.
     Races,
     /// Losses of disks and machines, one after another.
     Losses,
     /// Nodes that are down while hundreds of changes are made.
     Away,
-    /// Disks that are slow, hang and refuse, with crashes.
+    /// Disks that are slow, hang or lose unsynced writes, combined with crashes.
     Disks,
-    /// Gateways behind congested links, while processes and power are lost.
+    /// Gateways behind congested links, combined with crashes and power losses.
     Congestion,
-    /// Replicas split into two halves that gateways and operators reach both, and losses meanwhile.
+    /// Replicas split into two halves that gateways and operators can both reach, combined with losses.
     Halves,
-    /// All faults.
+    /// All kinds of faults except gateway congestion and split replicas.
     All,
 }
 
-/// The order of a plan's weights.
+/// A kind of fault that a plan can draw. The order is that of the plans' weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FaultKind {
     Crash,
@@ -80,7 +80,7 @@
     ];
 }
 
-/// How often each kind of fault is drawn, in the order of [`FaultKind::ALL`].
+/// The relative frequency of each kind of fault, in the order of [`FaultKind::ALL`].
 type Weights = [u32; FaultKind::ALL.len()];
 
 impl Plan {
@@ -97,7 +97,7 @@
         Plan::All,
     ];
 
-    /// Its name on the command line.
+    /// The plan's name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Plan::Calm => "calm",
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The plan of a name on the command line.
+    /// The plan with this name on the command line.
     pub fn from_name(name: &str) -> Option<Plan> {
         Plan::ALL.into_iter().find(|plan| plan.name() == name)
     }
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Microseconds between two faults.
+    /// Range of the time between two faults, in microseconds.
     fn fault_interval(self) -> Range<i64> {
         match self {
             Plan::Calm => SECOND..2 * SECOND,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Microseconds for which faults are injected.
+    /// Length of the period in which faults are injected, in microseconds.
     fn duration(self) -> i64 {
         match self {
             Plan::Away => 60 * SECOND,
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Draws the scenario of a seed.
+    /// Generates the scenario of a seed.
     pub fn scenario(self, seed: u64) -> Scenario {
         let rng = &mut Rng::new(seed, RandomStream::Scenario);
         let layout = if seed.is_multiple_of(2) { Layout::draw_six_replicas(rng) } else { Layout::draw(rng) };
@@ -184,7 +184,7 @@
         while at < active_until && weights.iter().any(|weight| *weight > 0) {
             faults.push(ScheduledFault { at, fault: draw_fault(self, layout, &weights, rng) });
             at += rng.in_range(interval.clone());
-            // At times faults come close together, or in another order.
+            // Some faults follow each other closely or are injected in a different order than drawn.
             if rng.chance(15) {
                 at -= rng.in_range(0..interval.start);
             }
@@ -194,7 +194,7 @@
     }
 }
 
-/// What is drawn for each fault, whether or not its kind uses it.
+/// Random parameters of a fault. All are drawn for each fault, whether or not its kind uses them.
 struct FaultDetails {
     replica: usize,
     /// Another replica.
@@ -207,7 +207,7 @@
 
 impl FaultDetails {
     fn draw(plan: Plan, replicas: usize, rng: &mut Rng) -> FaultDetails {
-        // Invariant: the order of the draws is part of what a seed means.
+        // Invariant: the order of the draws determines what a seed generates, so it must not change.
         let replica = rng.below(replicas);
         let other = (replica + 1 + rng.below(replicas - 1)) % replicas;
         let restart_after = match rng.below(4) {
@@ -246,7 +246,7 @@
     FaultKind::ALL[kind]
 }
 
-/// Draws a part of the replicas: this one alone, if no other is drawn.
+/// Draws a random subset of the replicas, or only `fallback` if that subset is empty.
 fn draw_replicas(replicas: usize, fallback: usize, rng: &mut Rng) -> Vec<usize> {
     let percent = rng.in_range(15..70) as u64;
     let mut drawn: Vec<usize> = (0..replicas).filter(|_| rng.chance(percent)).collect();
@@ -256,7 +256,7 @@
     drawn
 }
 
-/// Draws half of the replicas, the smaller half of an odd number.
+/// Draws half of the replicas, rounded down.
 fn draw_half(replicas: usize, rng: &mut Rng) -> Vec<usize> {
     let mut rest: Vec<usize> = (0..replicas).collect();
     (0..replicas / 2).map(|_| rest.remove(rng.below(rest.len()))).collect()
--- a/crates/simulation/src/scenario/workload.rs
+++ b/crates/simulation/src/scenario/workload.rs
@@ -1,33 +1,34 @@
 //! How operators behave.
 
-/// How many operators there are, and what they do how often.
+/// The number of operators and the frequencies of their operations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Workload {
-    /// How many operators there are.
+    /// The number of operators.
     pub operator_count: usize,
-    /// The longest pause of an operator between two operations, in microseconds.
+    /// Maximum pause of an operator between two operations, in microseconds.
     pub max_pause: i64,
-    /// Changes that others race with. Percent.
+    /// Percentage of changes that other operators race with by writing the same versions.
     pub race_percent: u64,
-    /// Operations that send a confirmed change again. Percent.
+    /// Percentage of operations that send a confirmed change again.
     pub resend_percent: u64,
-    /// Changes with versions below the newest, used or not. Percent.
+    /// Percentage of changes with a recent version or one just below it, used before or not, instead of a new
+    /// one.
     pub stale_version_percent: u64,
-    /// Operations that evacuate a zone, or end that. Percent.
+    /// Percentage of operations that start or end the evacuation of a zone.
     pub evacuation_percent: u64,
-    /// Operations that read. Percent.
+    /// Percentage of operations that read all items.
     pub read_percent: u64,
-    /// Answers that are lost on their way. Percent.
+    /// Percentage of responses that are lost.
     pub response_loss_percent: u64,
 }
 
 impl Workload {
-    /// The same workload, but each version is used once, and is above all earlier ones.
+    /// The same workload, with each version used by one change only and higher than all earlier ones.
     pub fn with_unique_versions(self) -> Workload {
         Workload { race_percent: 0, stale_version_percent: 0, ..self }
     }
 
-    /// A few operators, who don't race.
+    /// A few operators that do not race with each other.
     pub fn light() -> Workload {
         Workload {
             operator_count: 3,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Many operators, who race often, and whose answers get lost.
+    /// Many operators that often race with each other and lose some responses.
     pub fn heavy() -> Workload {
         Workload {
             operator_count: 8,
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -1,11 +1,11 @@
-//! Shrinks a failing scenario: removes the faults that it does not need to fail.
+//! Shrinks a failing scenario by removing faults that are not needed for the failure.
 
 use crate::checker::Invariant;
 use crate::run::run_scenario;
 use crate::scenario::Scenario;
 use std::collections::BTreeSet;
 
-/// Runs of one shrinking, at most.
+/// Maximum number of runs for shrinking one scenario.
 const MAX_RUNS: usize = 400;
 
 /// Removes faults as long as the scenario still violates one of these invariants.
@@ -25,15 +25,15 @@
 }
 
 struct Shrinker<'a> {
-    /// The shortest scenario so far that fails.
+    /// The smallest failing scenario so far.
     scenario: Scenario,
     invariants: &'a BTreeSet<Invariant>,
     runs: usize,
 }
 
 impl Shrinker<'_> {
-    /// Tries to do without each chunk of faults. From the end: what came after the violation had no part in it. True if
-    /// any could be removed.
+    /// Tries to remove each chunk of faults, starting from the end, because faults after the violation cannot
+    /// have caused it. Returns true if any was removed.
     fn remove_chunks(&mut self, chunk: usize) -> bool {
         let mut has_shrunk = false;
         let mut end = self.scenario.faults.len();
--- a/crates/simulation/src/simulation/connections.rs
+++ b/crates/simulation/src/simulation/connections.rs
@@ -1,4 +1,4 @@
-//! How connections and sessions open and end.
+//! Opening and closing of connections and sessions.
 
 use super::events::Event;
 use super::Simulation;
@@ -7,17 +7,17 @@
 use kitepass_coordination::protocol::Message;
 use std::collections::BTreeSet;
 
-/// Addresses that messages of peers named are tried for so long.
+/// Time for which addresses learned from peers' messages are tried.
 const LEARNED_ADDRESS_LIFETIME: i64 = 30 * SECOND;
-/// Time between two attempts to connect to a node.
+/// Minimum time between two attempts to connect to the same node.
 const RECONNECT_INTERVAL: i64 = 400 * MILLISECOND;
-/// An end that cannot reach the other one through a partition tries again after so long.
+/// Time between two attempts to notify the sender of a closed connection through a partition.
 const CLOSE_RETRY_INTERVAL: i64 = 200 * MILLISECOND;
-/// The latency within a zone is at most this.
+/// Maximum base latency within a zone.
 const MAX_DELAY_WITHIN_ZONE: i64 = 150;
-/// So often a message takes much longer. Percent.
+/// Percentage of messages that take much longer.
 const DELAY_SPIKE_PERCENT: u64 = 1;
-/// How much longer it takes then, at most.
+/// Maximum additional latency of such a message.
 const MAX_DELAY_SPIKE: i64 = 60 * MILLISECOND;
 
 impl Simulation {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Draws how long a message takes.
+    /// Draws the latency of a message.
     pub(super) fn delay(&mut self, from: Host, to: Host) -> i64 {
         let base = if self.zone_of(from) == self.zone_of(to) {
             MAX_DELAY_WITHIN_ZONE.min(self.layout.link_delay)
@@ -41,19 +41,19 @@
         base + jitter + spike + self.network.extra_latency(self.now, from, to)
     }
 
-    /// A node's process, as the end of a channel.
+    /// The current process of a node, as a channel's end.
     pub(super) fn node_end(&self, node: usize) -> ChannelEnd {
         ChannelEnd { host: Host::Node(node), incarnation: self.nodes[node].incarnation }
     }
 
-    /// The node that is reached by an address.
+    /// The node with this address.
     pub(super) fn node_by_address(&self, address: &str) -> Option<usize> {
         self.nodes.iter().position(|node| {
             node.location.address == address && (!node.is_replaced || node.process.is_some())
         })
     }
 
-    /// A process opens connections to the control processes that it knows of.
+    /// Connects a process to the control processes that it knows.
     pub(super) fn connect_to_peers(&mut self, node_index: usize) {
         let node = &self.nodes[node_index];
         let Some(process) = &node.process else { return };
@@ -69,7 +69,7 @@
         }
     }
 
-    /// A process opens a connection to another one, unless it has one or tried lately.
+    /// Connects a process to another one, unless it has a connection or tried recently.
     fn connect_to_peer(&mut self, node_index: usize, other: usize) {
         let node = &mut self.nodes[node_index];
         let last_attempt = node.connect_attempts.get(&other);
@@ -89,16 +89,16 @@
             Channel::new(self.now, self.node_end(node_index), self.node_end(other), ChannelKind::Peer);
         self.nodes[node_index].peer_channels.insert(other, id);
         self.log(format_args!("event=connect node={from} to={to} channel={}", id.0));
-        // A round trip for the connection, then the message.
+        // The hello message arrives after the connection's handshake, which takes one round trip.
         channel.last_delivery = self.now + self.delay(to, from) + self.delay(from, to);
         self.network.channels.insert(id, channel);
         self.send(id, Message::Hello(hello));
     }
 
-    /// A gateway opens a session with a node's process.
+    /// Opens a session from a gateway to a node's process.
     pub(super) fn open_session(&mut self, gateway: usize, node: usize) -> SessionId {
         let session = SessionId(self.network.next_id());
-        // The session's second channel has the next number.
+        // Reserves the next id for the session's second channel.
         self.network.next_id();
         let gateway_end = ChannelEnd { host: Host::Gateway(gateway), incarnation: 0 };
         let node_end = self.node_end(node);
@@ -113,7 +113,7 @@
         session
     }
 
-    /// A connection is reset; whoever sends on it, or has the session, notices.
+    /// Resets a connection. Its sender, or both ends of a session, are notified.
     pub(super) fn reset_channel(&mut self, id: ChannelId) {
         let Some(channel) = self.network.channels.get(&id) else { return };
         let (ChannelEnd { host, incarnation }, kind) = (channel.from, channel.kind);
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Both ends of a session notice that it is over. One that is reset loses what is on its way.
+    /// Closes a session and notifies both ends. A reset loses messages in transit.
     pub(super) fn close_session(&mut self, session: SessionId, is_reset: bool) {
         for id in [session.to_node(), session.to_gateway()] {
             if is_reset {
@@ -148,12 +148,12 @@
         self.schedule(lost_at_gateway, Event::SessionLostAtGateway { gateway, session });
     }
 
-    /// When the last message on a channel arrives: now, if there is none on its way.
+    /// Arrival time of the last message in transit on a channel, or the current time if there is none.
     fn last_arrival(&self, id: ChannelId) -> i64 {
         self.network.channels.get(&id).map_or(self.now, |channel| channel.last_arrival().max(self.now))
     }
 
-    /// A process notices that its own connection is gone.
+    /// A process notices that a connection it opened is gone.
     pub(super) fn peer_connection_lost(&mut self, node: usize, incarnation: u64, channel: ChannelId) {
         if self.nodes[node].incarnation == incarnation {
             self.log(format_args!("event=peer-connection-lost node=s{node} channel={}", channel.0));
@@ -177,7 +177,7 @@
         }
     }
 
-    /// A process closes peers' connections on which nothing has come for long.
+    /// Closes the connections on which a process has received nothing for [`IDLE_TIMEOUT`].
     pub(super) fn close_idle_connections(&mut self, node_index: usize) {
         let receiver = self.node_end(node_index);
         let now = self.now;
@@ -191,7 +191,7 @@
         }
     }
 
-    /// The receiver closes a connection.
+    /// Closes a connection at the receiver's end.
     pub(super) fn close_by_receiver(&mut self, id: ChannelId) {
         let Some(channel) = self.network.channels.get_mut(&id) else { return };
         channel.is_closed = true;
@@ -200,7 +200,7 @@
         self.schedule(self.now, Event::ClosedByReceiver { channel: id });
     }
 
-    /// The sender learns that its connection is closed, once a message can reach it.
+    /// Notifies the sender that the receiver closed its connection, once no partition blocks that direction.
     pub(super) fn closed_by_receiver(&mut self, id: ChannelId) {
         let Some(channel) = self.network.channels.get(&id) else { return };
         let (from, to, incarnation) = (channel.from.host, channel.to.host, channel.from.incarnation);
--- a/crates/simulation/src/simulation/convergence.rs
+++ b/crates/simulation/src/simulation/convergence.rs
@@ -1,4 +1,4 @@
-//! The end of a run: all faults end, and the system has to converge.
+//! The end of a run: all faults are ended, and the system has to converge.
 
 use super::events::Event;
 use super::faults::ResponseLoss;
@@ -9,7 +9,8 @@
 use std::collections::BTreeSet;
 
 impl Simulation {
-    /// Ends all faults: links are joined, disks work, and processes that are down or paused go on.
+    /// Ends all faults: partitions are healed, disks work normally, and processes that are down or paused
+    /// continue.
     pub fn heal(&mut self) {
         self.log(format_args!("event=healed"));
         self.network.heal();
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Ends a node's faults, and resumes or starts its process.
+    /// Ends a node's faults, and resumes or restarts its process.
     fn heal_node(&mut self, node_index: usize) {
         let node = &mut self.nodes[node_index];
         node.disk.faults.clear();
@@ -32,7 +33,8 @@
             node.paused_until = self.now;
             self.schedule(self.now, Event::Resume { node: node_index });
         }
-        // One that is shutting down is started again as soon as it has ended, whatever the fault drew.
+        // A process that is shutting down is restarted as soon as it has ended, however late the fault
+        // scheduled its restart.
         if self.nodes[node_index].shutdown_requested_at.is_some() {
             let ended_by = self.now + SHUTDOWN_TIMEOUT;
             let node = &mut self.nodes[node_index];
@@ -46,7 +48,7 @@
         }
     }
 
-    /// What keeps the system from having converged; none if it has.
+    /// The reason why the system has not converged, or none if it has.
     pub fn convergence_problem(&self) -> Option<String> {
         self.node_problem()
             .or_else(|| self.replica_set_problem())
@@ -55,7 +57,7 @@
             .or_else(|| self.lease_problem())
     }
 
-    /// All replicas serve, and their disks are complete.
+    /// All replicas must be serving and have complete disks.
     fn node_problem(&self) -> Option<String> {
         self.replicas.iter().find_map(|node| {
             let Some(process) = &self.nodes[*node].process else { return Some(format!("s{node} is down")) };
@@ -71,15 +73,16 @@
         self.nodes[self.replicas[0]].process.as_ref()
     }
 
-    /// The replica set contains all replicas' nodes.
+    /// The replica set must contain the nodes of all replicas.
     fn replica_set_problem(&self) -> Option<String> {
         let replicas: BTreeSet<String> =
             self.replicas.iter().map(|node| self.nodes[*node].location.node_id.clone()).collect();
         let replica_set = self.first_process()?.replica_ids();
-        (!replicas.is_subset(&replica_set)).then(|| format!("the replica set is {replica_set:?}"))
+        (!replicas.is_subset(&replica_set))
+            .then(|| format!("some replicas are missing from the replica set {replica_set:?}"))
     }
 
-    /// All replicas hold the same items.
+    /// All replicas must hold the same items.
     fn divergence_problem(&self) -> Option<String> {
         let digest = self.first_process()?.item_store().digest();
         let differs = |node: &&usize| {
@@ -87,10 +90,10 @@
             process.is_some_and(|process| process.item_store().digest() != digest)
         };
         let node = self.replicas.iter().find(differs)?;
-        Some(format!("s{node} holds other items than s{}", self.replicas[0]))
+        Some(format!("s{node} holds different items than s{}", self.replicas[0]))
     }
 
-    /// All gateways hold the same items as the replicas.
+    /// All gateways must hold the same items as the replicas.
     fn gateway_problem(&self) -> Option<String> {
         let digest = self.first_process()?.item_store().digest();
         self.gateways.iter().enumerate().find_map(|(gateway_index, gateway)| {
@@ -98,22 +101,22 @@
                 return Some(format!("g{gateway_index} has not caught up"));
             }
             let differs = gateway.item_store().digest() != digest;
-            differs.then(|| format!("g{gateway_index} holds other items than s{}", self.replicas[0]))
+            differs.then(|| format!("g{gateway_index} holds different items than s{}", self.replicas[0]))
         })
     }
 
-    /// One process holds the coordinator's lease, and acts.
+    /// Exactly one process must hold the coordinator lease, and act as coordinator.
     fn lease_problem(&self) -> Option<String> {
         let holders: Vec<usize> =
             self.replicas.iter().copied().filter(|node| self.is_lease_holder(*node)).collect();
         match holders[..] {
             [holder] => (!self.is_active_coordinator(holder))
-                .then(|| format!("s{holder} holds the lease and does not act")),
+                .then(|| format!("s{holder} holds the lease but is not the active coordinator")),
             _ => Some(format!("{} processes hold the lease", holders.len())),
         }
     }
 
-    /// Records which zones each process has as evacuated.
+    /// Records which zones each process considers evacuated.
     pub fn observe_evacuations(&mut self) {
         let zones = self.layout.zone_names();
         for node in self.replicas.clone() {
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Records that something was not done in time.
+    /// Records that a deadline was missed.
     pub fn record_missed_deadline(&mut self, description: String) {
         self.history.push(HistoryEvent::DeadlineMissed { at: self.now, description });
     }
--- a/crates/simulation/src/simulation/delivery.rs
+++ b/crates/simulation/src/simulation/delivery.rs
@@ -1,4 +1,4 @@
-//! How messages travel: they are sent, blocked by partitions, lost by resets, and delivered.
+//! Transport of messages: sending, blocking by partitions, loss by resets, and delivery.
 
 use super::events::Event;
 use super::Simulation;
@@ -7,8 +7,8 @@
 };
 use kitepass_coordination::protocol::{Hello, Message};
 
-/// When to look again at what a partition blocks: at its end, or earlier, when a sender that can tell the
-/// partition from a quiet peer gives up.
+/// Time of the next check of a blocked channel: the end of the partition, or the sender's timeout if the
+/// partition does not keep connections and the timeout comes first.
 fn release_time(partition: Partition, blocked_since: i64) -> i64 {
     if partition.keeps_connections {
         partition.until
@@ -18,7 +18,7 @@
 }
 
 impl Simulation {
-    /// Puts a message on a channel, unless that is closed.
+    /// Sends a message on a channel, unless it is closed.
     pub(super) fn send(&mut self, id: ChannelId, message: Message) {
         let Some(channel) = self.network.channels.get(&id).filter(|channel| !channel.is_closed) else {
             return;
@@ -35,7 +35,7 @@
         self.schedule(due, Event::MessageDue { channel: id, message });
     }
 
-    /// A process sends to a peer, if it has a connection to it.
+    /// Sends a message to a peer, if the process has a connection to it.
     pub(super) fn send_to_peer(&mut self, node: usize, node_id: &str, message: Message) {
         let Some(address) = self.nodes[node].peer_addresses.get(node_id) else { return };
         let Some(other) = self.nodes.iter().position(|other| other.location.address == *address) else {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A process sends to the gateway of a session.
+    /// Sends a message to the gateway of a session.
     pub(super) fn send_to_gateway(&mut self, session: SessionId, message: Message) {
         self.send(session.to_gateway(), message);
     }
@@ -59,7 +59,7 @@
         }
         let partition = self.network.partition_of(now, channel.from.host, channel.to.host);
         let Some(channel) = self.network.channels.get_mut(&id) else { return };
-        // What is blocked already goes first.
+        // Messages that are already blocked must be delivered first.
         let was_unblocked = channel.blocked.is_empty();
         if partition.is_none() && was_unblocked {
             return self.deliver(id, message);
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Messages that a partition blocked go on. If it lasts, the sender gives up or waits on.
+    /// Delivers the messages of a blocked channel if the partition has ended. Otherwise the sender resets the
+    /// connection after its timeout, or the channel is checked again later.
     pub(super) fn release_blocked(&mut self, id: ChannelId) {
         let now = self.now;
         let Some(channel) = self.network.channels.get(&id) else { return };
@@ -103,12 +104,12 @@
                 self.deliver_session_message(id, session, node, message);
             }
             (Host::Node(node), ChannelKind::Peer) => self.deliver_peer_message(id, node, message),
-            // No other channel leads there.
+            // No other kind of channel leads to these hosts.
             (Host::Gateway(_), _) | (Host::Node(_), ChannelKind::SessionToGateway(_)) => {}
         }
     }
 
-    /// A message on a session arrives at a node.
+    /// Delivers a message of a gateway's session to a node.
     fn deliver_session_message(&mut self, id: ChannelId, session: SessionId, node: usize, message: Message) {
         let channel = &self.network.channels[&id];
         let has_introduced = channel.sender.is_some();
@@ -127,7 +128,7 @@
         }
     }
 
-    /// A message on a peer's connection arrives at a node.
+    /// Delivers a message of a peer connection to a node.
     fn deliver_peer_message(&mut self, id: ChannelId, node: usize, message: Message) {
         let channel = &self.network.channels[&id];
         let (from, sender) = (channel.from, channel.sender.clone());
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Remembers who introduced itself on a channel.
+    /// Records the sender that a channel's hello message names.
     fn set_sender(&mut self, id: ChannelId, sender: PeerIdentity) {
         if let Some(channel) = self.network.channels.get_mut(&id) {
             channel.sender = Some(sender);
@@ -175,7 +176,7 @@
         let node = &mut self.nodes[node];
         let Some(process) = &mut node.process else { return };
         if !process.knows_incarnation(&sender.node_id, sender.incarnation) {
-            // A peer that was given up has to introduce itself again.
+            // A peer that is considered lost must connect and send its hello message again.
             self.coverage.count("message-from-given-up-peer");
             return self.close_by_receiver(id);
         }
--- a/crates/simulation/src/simulation/endpoints.rs
+++ b/crates/simulation/src/simulation/endpoints.rs
@@ -1,4 +1,4 @@
-//! The platform's list of endpoints, and how lease holders read it.
+//! The platform's endpoint list, and how lease holders read it.
 
 use super::events::Event;
 use super::Simulation;
@@ -6,16 +6,16 @@
 use crate::scenario::{Layout, MILLISECOND};
 use kitepass_control_plane::endpoints::Endpoint;
 
-/// Endpoints in the list for each zone.
+/// Number of endpoints in each zone.
 const ENDPOINTS_PER_ZONE: usize = 2;
-/// Time between two looks at which processes are to read the list.
+/// Time between two checks which processes are due to read the list.
 const LISTING_CHECK_INTERVAL: i64 = 100 * MILLISECOND;
-/// A lease holder reads the list so often.
+/// Interval at which a lease holder reads the list.
 const LISTING_INTERVAL: i64 = 700 * MILLISECOND;
-/// So often an endpoint begins or ends to drain, at each look. Percent.
+/// Probability in percent, at each check, that an endpoint starts or stops draining.
 const DRAIN_PERCENT: u64 = 10;
 
-/// The list at the start.
+/// The initial endpoint list.
 pub(super) fn initial_endpoints(layout: &Layout) -> Vec<Endpoint> {
     let zones = layout.zone_names();
     let endpoint = |index: usize| Endpoint {
@@ -31,7 +31,7 @@
 }
 
 impl Simulation {
-    /// Lease holders read the list, which changes at times.
+    /// Changes the endpoint list at random, and has lease holders read it when they are due.
     pub(super) fn list_endpoints(&mut self) {
         if self.now < self.active_until && self.rng.chance(DRAIN_PERCENT) {
             let endpoint_index = self.rng.below(self.endpoints.len());
--- a/crates/simulation/src/simulation/events.rs
+++ b/crates/simulation/src/simulation/events.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation, and their queue.
+//! The events of a simulation and their queue.
 
 use crate::history::AttemptId;
 use crate::network::{ChannelId, SessionId};
@@ -6,47 +6,47 @@
 use kitepass_coordination::protocol::Message;
 use std::collections::BTreeMap;
 
-/// Something that happens at a time.
+/// An event of the simulation.
 pub(super) enum Event {
-    /// Time has passed for a process.
+    /// A process's timer fires.
     Tick { node: usize, incarnation: u64 },
-    /// A node's process starts, unless one runs already.
+    /// A node's process starts, unless one is running.
     StartProcess { node: usize },
-    /// A paused process goes on, unless it was paused for longer meanwhile.
+    /// A paused process continues, unless its pause was extended.
     Resume { node: usize },
-    /// A sync of a node's disk ends.
+    /// A sync of a node's disk is due to complete.
     SyncDue { node: usize, incarnation: u64 },
     /// A message arrives, unless it is lost or blocked.
     MessageDue { channel: ChannelId, message: Message },
-    /// Messages that a partition blocked go on, if it is over.
+    /// A blocked channel is checked: its messages are delivered if the partition has ended.
     ReleaseBlocked { channel: ChannelId },
-    /// A process notices that a connection of its own is gone.
+    /// A process notices that a connection it opened is gone.
     PeerConnectionLost { node: usize, incarnation: u64, channel: ChannelId },
-    /// The receiver has closed a peer's connection.
+    /// The receiver of a peer connection has closed it.
     ClosedByReceiver { channel: ChannelId },
-    /// A control process notices that a session is over.
+    /// A control process notices that a session has ended.
     SessionLostAtNode { node: usize, incarnation: u64, session: SessionId },
-    /// A gateway notices that its session is over.
+    /// A gateway notices that its session has ended.
     SessionLostAtGateway { gateway: usize, session: SessionId },
-    /// Time has passed for a gateway.
+    /// A gateway's timer fires.
     GatewayTick { gateway: usize },
     /// A fault of the scenario is injected.
     InjectFault { index: usize },
-    /// An operator begins an operation, or tries one again.
+    /// An operator starts an operation or retries it.
     RunOperator { operator: usize },
-    /// An operator's request arrives.
+    /// An operator's request arrives at a process.
     RequestDue { attempt: AttemptId },
-    /// An answer reaches its operator.
+    /// A response reaches its operator.
     ResponseDue { attempt: AttemptId, response: OperatorResponse },
-    /// An operator waits no longer for an answer.
+    /// An operator stops waiting for a response.
     ResponseTimeout { attempt: AttemptId },
-    /// Lease holders read the platform's list.
+    /// Lease holders that are due read the endpoint list.
     ListEndpoints,
-    /// The network forgets what is over.
+    /// The network removes ended partitions and old closed channels.
     RemoveExpired,
 }
 
-/// Events by time; those of one time in the order in which they were scheduled.
+/// Events ordered by time. Events of the same time keep the order in which they were scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     events: BTreeMap<(i64, u64), Event>,
@@ -59,7 +59,7 @@
         self.events.insert((at, self.sequence), event);
     }
 
-    /// Takes the next event that comes by a time, with its time.
+    /// Removes the next event that is due by `end`, and returns it with its time.
     pub(super) fn pop_until(&mut self, end: i64) -> Option<(i64, Event)> {
         let entry = self.events.first_entry()?;
         if entry.key().0 > end {
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! How faults are injected: each one changes machines, links or disks, and ends by itself.
+//! Injection of faults. Each fault affects machines, links or disks, and ends without further action.
 
 use super::events::Event;
 use super::processes::SHUTDOWN_TIMEOUT;
@@ -7,11 +7,11 @@
 use crate::scenario::{Fault, PartitionDirection, PartitionShape, MILLISECOND, SECOND};
 use std::collections::BTreeSet;
 
-/// A machine counts as lost for so long once it is back.
+/// Time for which a machine still counts as lost after it has recovered.
 const STABLE_PERIOD: i64 = 4 * SECOND;
-/// Machines that crash together come back within this time of each other.
+/// Maximum difference between the restarts of machines that crash together.
 const MAX_RESTART_JITTER: i64 = 100 * MILLISECOND;
-/// A machine that was replaced does not come back within a run.
+/// Restart delay of a replaced machine: longer than any run.
 const NEVER_RESTARTS: i64 = 3_600 * SECOND;
 
 /// How a process ends.
@@ -19,17 +19,17 @@
 pub(super) struct Crash {
     /// Whether its machine loses power.
     pub(super) is_power_loss: bool,
-    /// When the next process may start.
+    /// Time until the next process may start.
     pub(super) restart_after: i64,
 }
 
-/// A crash that comes after some more events of a process.
+/// A crash after a process has handled a number of events.
 pub(super) struct ScheduledCrash {
     pub(super) events_left: u32,
     pub(super) crash: Crash,
 }
 
-/// Answers to operators that are lost.
+/// Loss of responses to operators.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ResponseLoss {
     pub(super) percent: u64,
@@ -37,7 +37,7 @@
 }
 
 impl Simulation {
-    /// Injects a fault, unless the system does not have to survive it now.
+    /// Injects a fault, unless the system need not survive it at this time.
     pub fn inject(&mut self, fault: &Fault) {
         self.log(format_args!("event=fault-injected {fault}"));
         let is_injected = self.apply_fault(fault);
@@ -45,7 +45,7 @@
         self.coverage.count(&format!("{result}-{}", fault.name()));
     }
 
-    /// True if the fault was applied.
+    /// Returns true if the fault was applied.
     fn apply_fault(&mut self, fault: &Fault) -> bool {
         match *fault {
             Fault::Crash { ref replicas, is_power_loss, restart_after } => {
@@ -136,14 +136,15 @@
         }
     }
 
-    /// A node, or a link between two, is faulty for a time.
+    /// Marks the system as unstable while a node, or the link between two nodes, is faulty.
     pub(super) fn mark_unstable(&mut self, duration: i64) {
         self.unstable_until = self.unstable_until.max(self.now + duration);
     }
 
-    /// Whether the system has to survive the loss of these replicas' disks now. A machine counts as lost while it is
-    /// down, paused, slow or partitioned, and for a time once it is back: no other may be lost, and of those that are
-    /// left there must be a majority, unless it is a single one.
+    /// Whether the system must survive the loss of these replicas' disks now. A machine counts as lost while
+    /// it is down, paused, slow or partitioned, and for [`STABLE_PERIOD`] afterwards. No disk may be lost
+    /// while any machine counts as lost, and the other replicas must form a majority unless only one disk is
+    /// lost.
     fn must_survive_loss_of(&self, replicas: &[usize]) -> bool {
         let rest = self.layout.replica_count() - replicas.len();
         self.is_stable() && (rest >= self.layout.majority() || replicas.len() == 1)
@@ -155,7 +156,8 @@
         are_all_running && self.now - self.unstable_until >= STABLE_PERIOD
     }
 
-    /// Disks are lost: while the replicas are split, none of them is replaced.
+    /// Keeps the system marked as unstable until a split ends, because lost replicas cannot be replaced while
+    /// the replicas are split.
     fn record_disk_loss(&mut self) {
         if self.split_until > self.now {
             self.coverage.count("loss-while-split");
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Draws when a machine that crashes together with others comes back.
+    /// Adds a random delay to the restart of a machine that crashes together with others.
     fn with_restart_jitter(&mut self, crash: Crash) -> Crash {
         let restart_after = crash.restart_after + self.rng.in_range(0..MAX_RESTART_JITTER);
         Crash { restart_after, ..crash }
@@ -176,7 +178,8 @@
         }
     }
 
-    /// Machines lose power and their disks; all others lose power at the same moment if that is wanted, gateways too.
+    /// Machines lose power and the content of their disks. With `with_power_outage`, all other machines,
+    /// including those of gateways, lose power at the same time.
     pub fn lose_disks(&mut self, replicas: &[usize], with_power_outage: bool, restart_after: i64) {
         for replica in 0..self.layout.replica_count() {
             let (node, is_lost) = (self.replicas[replica], replicas.contains(&replica));
@@ -202,7 +205,8 @@
         }
     }
 
-    /// Asks a process to shut down. False if it cannot be asked, or was asked before.
+    /// Requests a process's shutdown. Returns false if it is not running or is paused, or if its shutdown was
+    /// already requested.
     fn shut_down(&mut self, node_index: usize, restart_after: i64) -> bool {
         let now = self.monotonic_time(node_index);
         let node = &mut self.nodes[node_index];
@@ -221,7 +225,7 @@
         true
     }
 
-    /// Puts a new machine in a replica's place. The old one shuts down, or loses power.
+    /// Replaces a replica's machine by a new one. The old process shuts down, or its machine loses power.
     fn replace(&mut self, replica: usize, is_graceful: bool, restart_after: i64) {
         let old = self.replicas[replica];
         let new = self.add_node(replica);
@@ -236,7 +240,7 @@
         self.mark_unstable(restart_after);
     }
 
-    /// Resets all open connections between two nodes. False if there are none.
+    /// Resets all open connections between two nodes. Returns false if there are none.
     fn reset_connections(&mut self, a: usize, b: usize) -> bool {
         let (a, b) = (Host::Node(a), Host::Node(b));
         let ids = self.network.channels_where(|channel| {
@@ -265,7 +269,7 @@
         }
     }
 
-    /// False if there is no lease holder.
+    /// Returns false if there is no lease holder.
     fn partition_lease_holder(&mut self, shape: PartitionShape) -> bool {
         let lease_holder = self.replicas.iter().copied().find(|node| self.is_lease_holder(*node));
         if let Some(node) = lease_holder {
@@ -274,9 +278,10 @@
         lease_holder.is_some()
     }
 
-    /// Partitions some nodes from all other nodes, both ways; gateways reach both sides.
+    /// Partitions some nodes from all other nodes in both directions. Gateways reach both sides.
     ///
-    /// Nothing is lost by it, so that a disk may be lost meanwhile; but what was lost lately cannot be repaired before it ends.
+    /// A split loses no data, so a disk may still be lost while it lasts. Earlier losses, however, cannot be
+    /// repaired before it ends.
     fn split_nodes(&mut self, side: &[usize], keeps_connections: bool, duration: i64) {
         if !self.is_stable() {
             self.mark_unstable(duration);
--- a/crates/simulation/src/simulation/gateways.rs
+++ b/crates/simulation/src/simulation/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways' machines: their sessions with the control plane.
+//! The gateways and their sessions with the control plane.
 
 use super::events::Event;
 use super::{Simulation, TICK_INTERVAL};
@@ -9,7 +9,7 @@
 use kitepass_data_plane::control_session::CandidateOutcome;
 use kitepass_time::Timestamp;
 
-/// The time of the gateways' steady clocks at the start of the simulation.
+/// Offset of the gateways' monotonic clocks from simulated time.
 const CLOCK_OFFSET: i64 = 5 * SECOND;
 
 impl Simulation {
@@ -35,7 +35,8 @@
         self.schedule(self.now + TICK_INTERVAL, Event::GatewayTick { gateway: gateway_index });
     }
 
-    /// A gateway opens a session. Behind a partition nothing answers: the control session gives up by itself.
+    /// Opens a session from a gateway. Behind a partition there is no response, and the control session times
+    /// out.
     fn connect_gateway(&mut self, gateway_index: usize, node: usize) {
         if self.nodes[node].process.is_none() {
             self.gateways[gateway_index].candidate_lost("refused");
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Sends what a gateway wants sent; without a session it is lost.
+    /// Sends a gateway's pending messages. They are lost if it has no session.
     fn send_from_gateway(&mut self, gateway_index: usize) {
         let gateway = &mut self.gateways[gateway_index];
         let on_session = (gateway.session, gateway.take_messages());
@@ -76,7 +77,8 @@
         self.send_from_gateway(gateway_index);
     }
 
-    /// The first message on a session that a gateway is opening, which becomes its session or is closed.
+    /// Handles a hello message on a session that is being opened, which becomes the current session or is
+    /// closed. Other messages are ignored.
     fn candidate_message(&mut self, gateway_index: usize, session: SessionId, message: &Message) {
         let Message::Hello(hello) = message else { return };
         let now = self.gateway_time();
@@ -91,7 +93,7 @@
         }
     }
 
-    /// A gateway's process restarts, with nothing.
+    /// Restarts a gateway process, which loses its state.
     pub(super) fn restart_gateway(&mut self, gateway: usize) {
         let sessions = [self.gateways[gateway].session.take(), self.gateways[gateway].candidate.take()];
         for session in sessions.into_iter().flatten() {
--- a/crates/simulation/src/simulation/logging.rs
+++ b/crates/simulation/src/simulation/logging.rs
@@ -1,18 +1,18 @@
-//! Prints what the simulated processes log.
+//! Printing of the simulated processes' log lines.
 
 use std::cell::Cell;
 
 thread_local! {
-    /// The simulation's time, and the node whose process runs on this thread.
+    /// The simulated time and the node whose process is running on this thread.
     static RUNNING: Cell<(i64, usize)> = const { Cell::new((0, 0)) };
 }
 
-/// From now on log lines of this thread are those of a node's process.
+/// Attributes this thread's log lines to a node's process from now on.
 pub(super) fn set_running(now: i64, node: usize) {
     RUNNING.set((now, node));
 }
 
-/// Prints log records with the simulation's time and the node.
+/// Prints log records with the simulated time and the node.
 pub struct ProcessLogger;
 
 impl log::Log for ProcessLogger {
--- a/crates/simulation/src/simulation/machines.rs
+++ b/crates/simulation/src/simulation/machines.rs
@@ -1,4 +1,4 @@
-//! The machines of control processes: their clocks and disks, and what their processes know of connections.
+//! The machines of control processes, with their clocks, disks and connections.
 
 use super::events::Event;
 use super::faults::ScheduledCrash;
@@ -11,16 +11,16 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// The bounds of a steady clock's time at the start of the simulation.
+/// Range of a monotonic clock's time at the start of the simulation.
 const CLOCK_OFFSETS: Range<i64> = 10 * SECOND..1_000 * SECOND;
-/// How much a steady clock runs too fast or too slow at most, in parts per million.
+/// Maximum drift of a monotonic clock, in parts per million.
 const MAX_CLOCK_DRIFT: i64 = 200;
 
-/// A machine's steady clock.
+/// A machine's monotonic clock.
 struct MonotonicClock {
     /// Its time at the start of the simulation.
     offset: i64,
-    /// How much too fast it runs, in parts per million.
+    /// Its drift in parts per million; positive if it is too fast.
     drift: i64,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// The version and the digest of a replica set.
+/// Version and digest of a replica set.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct ObservedReplicaSet {
     pub(super) version: u64,
@@ -43,33 +43,33 @@
     /// Its position in the layout.
     pub(super) replica: usize,
     pub(super) process: Option<Process>,
-    /// Numbers the processes of all nodes; 0 before the first.
+    /// Incarnation of its latest process, unique among all nodes; 0 if none was started yet.
     pub(super) incarnation: u64,
     pub(super) disk: Disk,
     pub(super) paused_until: i64,
-    /// What waits for a paused process.
+    /// Events that wait for a paused process.
     pub(super) queued_events: Vec<Event>,
     clock: MonotonicClock,
-    /// The process' own connections, by the other node.
+    /// The connections that its process has opened, by the other node's index.
     pub(super) peer_channels: BTreeMap<usize, ChannelId>,
-    /// Addresses that its settings file names.
+    /// Addresses from its settings file.
     pub(super) bootstrap_addresses: Vec<String>,
-    /// Addresses of peers by node id, as they introduced themselves.
+    /// Peers' addresses by node id, from their hello messages.
     pub(super) peer_addresses: BTreeMap<String, String>,
-    /// When it tried to connect to a node last.
+    /// Time of the last attempt to connect to each node.
     pub(super) connect_attempts: BTreeMap<usize, i64>,
-    /// Addresses that messages of peers named, and when.
+    /// Addresses learned from peers' messages, with the time at which they were learned.
     pub(super) learned_addresses: BTreeMap<String, i64>,
-    /// When it was asked to shut down.
+    /// Time at which its shutdown was requested.
     pub(super) shutdown_requested_at: Option<i64>,
-    /// When its next process may start.
+    /// Time from which its next process may start.
     pub(super) restart_at: i64,
-    /// Another machine has its position.
+    /// Whether another machine has taken its position.
     pub(super) is_replaced: bool,
-    /// When it read the platform's list last.
+    /// Time at which it last read the endpoint list.
     pub(super) last_listing: i64,
     pub(super) scheduled_crash: Option<ScheduledCrash>,
-    /// The replica sets that its processes had last, by name.
+    /// The replica sets last observed on this node, by name.
     pub(super) replica_sets: BTreeMap<&'static str, ObservedReplicaSet>,
 }
 
@@ -78,12 +78,12 @@
         self.paused_until > now
     }
 
-    /// Its process, if it is still this incarnation.
+    /// Its process, if it still is this incarnation.
     fn process_of(&mut self, incarnation: u64) -> Option<&mut Process> {
         self.process.as_mut().filter(|_| self.incarnation == incarnation)
     }
 
-    /// Forgets what a process knew of its connections.
+    /// Clears the connection state of an ended process.
     pub(super) fn clear_connections(&mut self) {
         self.peer_channels.clear();
         self.connect_attempts.clear();
@@ -98,7 +98,7 @@
 }
 
 impl Simulation {
-    /// Adds a machine for a replica, with an empty disk.
+    /// Adds a machine with an empty disk for a replica.
     pub(super) fn add_node(&mut self, replica: usize) -> usize {
         let (node, zone) = (self.nodes.len(), self.layout.replica_zones[replica]);
         let location = NodeLocation {
@@ -135,7 +135,8 @@
         node
     }
 
-    /// A node's steady time. Whoever asks for it is about to run its process: log lines are its own from then on.
+    /// The time of a node's monotonic clock. Callers are about to run the node's process, so this also
+    /// attributes subsequent log lines to it.
     pub(super) fn monotonic_time(&self, node: usize) -> Timestamp {
         logging::set_running(self.now, node);
         self.nodes[node].clock.now(self.now)
@@ -152,12 +153,12 @@
         process.is_some_and(|process| process.is_active_coordinator(self.monotonic_time(node)))
     }
 
-    /// A node's process, if it is still this incarnation.
+    /// A node's process, if it still is this incarnation.
     pub(super) fn process_of(&mut self, node: usize, incarnation: u64) -> Option<&mut Process> {
         self.nodes[node].process_of(incarnation)
     }
 
-    /// True if this incarnation of a node's process still runs.
+    /// Whether this incarnation of a node's process is still running.
     pub(super) fn is_running(&self, node: usize, incarnation: u64) -> bool {
         let node = &self.nodes[node];
         node.incarnation == incarnation && node.process.is_some()
--- a/crates/simulation/src/simulation/mod.rs
+++ b/crates/simulation/src/simulation/mod.rs
@@ -1,12 +1,14 @@
-//! The simulation: machines, their processes, disks and links, gateways and operators, moved from event to event by a
-//! seed.
+//! The simulation: machines with their processes and disks, links, gateways and operators, driven by a queue
+//! of events and a seed.
 //!
-//! Each module holds one concern's part of [`Simulation`]: `events` the queue, `machines` and `processes` the control
-//! processes with their disks, `connections` and `delivery` the links, `gateways`, `endpoints` and `operators` those who
-//! use the control plane, `faults` what goes wrong, and `convergence` the end of a run.
+//! Each module implements one part of [`Simulation`]: `events` the event queue; `machines` and `processes`
+//! the control processes with their disks; `connections` and `delivery` the network; `gateways`, `endpoints`
+//! and `operators` the users of the control plane; `faults` the injected faults; `convergence` the end of a
+//! run.
 //!
-//! All times are microseconds since the start. Invariant: one seed is one run. Whatever draws a random number, schedules
-//! an event or iterates over a map does so in an order that the seed alone determines.
+//! All times are in microseconds since the start. Invariant: a seed determines a run completely. Code that
+//! draws random numbers, schedules events or iterates over a map must do so in an order that only the seed
+//! determines.
 
 mod connections;
 mod convergence;
@@ -39,65 +41,65 @@
 use operators::Attempt;
 use std::collections::BTreeMap;
 
-/// Time between two ticks of a process.
+/// Interval of a process's timer.
 const TICK_INTERVAL: i64 = 100 * MILLISECOND;
-/// The operators' list of control processes lags by this time.
+/// Age of the list of control process addresses that operators maintain.
 const ADDRESS_LIST_LAG: i64 = 3 * SECOND;
-/// Processes start within this time.
+/// Maximum delay of a process's first start.
 const MAX_START_DELAY: i64 = 300 * MILLISECOND;
-/// Time between two removals of what the network needs no more.
+/// Interval at which the network removes ended partitions and old closed channels.
 const REMOVE_EXPIRED_INTERVAL: i64 = 5 * SECOND;
 
 /// The state of a run.
 pub struct Simulation {
-    /// The time.
+    /// The current time.
     pub now: i64,
     layout: Layout,
     workload: Workload,
     scheduled_faults: Vec<ScheduledFault>,
-    /// When operators begin nothing new.
+    /// Time until which operators start new operations.
     active_until: i64,
     events: EventQueue,
-    /// All machines of control processes, also those that were replaced.
+    /// All machines of control processes, including replaced ones.
     nodes: Vec<Node>,
-    /// The node of each replica of the layout.
+    /// The current node of each replica.
     replicas: Vec<usize>,
-    /// The replicas' nodes as they were from each time on, for the operators' list.
+    /// The nodes of the replicas over time, each entry with the time from which it applies.
     replica_history: Vec<(i64, Vec<usize>)>,
     gateways: Vec<Gateway>,
     network: Network,
     operators: Vec<Operator>,
     registry: ChangeRegistry,
-    /// Requests that are under way.
+    /// Requests in progress.
     attempts: BTreeMap<AttemptId, Attempt>,
-    /// How each request was answered.
+    /// The status of each response, by request.
     responses: BTreeMap<AttemptId, ResponseStatus>,
     response_loss: ResponseLoss,
-    /// What the process that confirms a change next suffers.
+    /// The crash that the next process to confirm a change suffers.
     crash_at_confirmation: Option<Crash>,
-    /// When the last fault of a node, or between two, is over.
+    /// End of the last fault of a node or of a link between nodes.
     unstable_until: i64,
-    /// Until when the replicas are split.
+    /// End of the current split of the replicas.
     split_until: i64,
     last_incarnation: u64,
-    /// Draws delays, disks and restarts.
+    /// Draws latencies, disk behaviour and restarts.
     rng: Rng,
-    /// Draws what operators do.
+    /// Draws the operators' behaviour.
     operator_rng: Rng,
-    /// The platform's list.
+    /// The platform's endpoint list.
     endpoints: Vec<Endpoint>,
-    /// What was recorded so far.
+    /// The events recorded so far.
     pub history: Vec<HistoryEvent>,
-    /// How often each thing came up.
+    /// How often each fault and event occurred.
     pub coverage: Coverage,
-    /// What was put on connections and disks.
+    /// Amount of data sent over connections and written to disks.
     pub traffic: Traffic,
-    /// Whether events are printed as they come.
+    /// Whether to print events as they occur.
     pub is_verbose: bool,
 }
 
 impl Simulation {
-    /// A simulation at its start. Its machines come up within the first moments.
+    /// Creates a simulation at time 0. Its machines start shortly after.
     pub fn new(scenario: &Scenario) -> Simulation {
         let mut rng = Rng::new(scenario.seed, RandomStream::Environment);
         let layout = scenario.layout.clone();
@@ -176,8 +178,8 @@
         zones.map(|zone| (zone_name(zone), self.layout.region_name(zone))).collect()
     }
 
-    /// The addresses that a settings file names when it is written now: those of three machines, or fewer, as the operators'
-    /// list has them, which lags by [`ADDRESS_LIST_LAG`].
+    /// The addresses in a settings file that is written now: those of at most three machines, taken from the
+    /// operators' list, which is [`ADDRESS_LIST_LAG`] old.
     fn bootstrap_addresses(&self) -> Vec<String> {
         let listed_at = self.now - ADDRESS_LIST_LAG;
         let listed = self.replica_history.iter().rev().find(|(since, _)| *since <= listed_at);
@@ -186,7 +188,7 @@
         self.layout.initial_replicas.iter().map(|replica| machines::node_address(nodes[*replica])).collect()
     }
 
-    /// The machines that have the replicas have changed.
+    /// Records that the assignment of replicas to machines has changed.
     fn record_replicas(&mut self) {
         self.replica_history.push((self.now, self.replicas.clone()));
     }
@@ -195,14 +197,14 @@
         self.events.push(at.max(self.now), event);
     }
 
-    /// Prints an event, if that is wanted.
+    /// Prints an event if the simulation is verbose.
     fn log(&self, line: std::fmt::Arguments) {
         if self.is_verbose {
             println!("t={:.6} {line}", self.now as f64 / 1e6);
         }
     }
 
-    /// Runs until a time; all events up to it have come then.
+    /// Runs until the given time, including all events due at that time.
     pub fn run_until(&mut self, end: i64) {
         while let Some((at, event)) = self.events.pop_until(end) {
             self.now = at;
@@ -211,12 +213,12 @@
         self.now = end;
     }
 
-    /// Runs for a time.
+    /// Runs for the given time.
     pub fn run_for(&mut self, duration: i64) {
         self.run_until(self.now + duration);
     }
 
-    /// The node whose process an event goes to, if it goes to one.
+    /// The node whose process handles an event, if any.
     fn target_node(&self, event: &Event) -> Option<usize> {
         match event {
             Event::Tick { node, .. }
@@ -234,7 +236,7 @@
 
     fn handle(&mut self, event: Event) {
         let node = self.target_node(&event);
-        // A paused process notices nothing; what comes waits in its sockets.
+        // A paused process handles no events; they wait as if in its sockets.
         if let Some(node) = node.filter(|node| self.nodes[*node].is_paused(self.now)) {
             return self.nodes[node].queued_events.push(event);
         }
@@ -275,12 +277,12 @@
         }
     }
 
-    /// The gateways, by number.
+    /// The gateways, by index.
     pub fn gateways(&self) -> &[Gateway] {
         &self.gateways
     }
 
-    /// The node that has a replica's position now.
+    /// The node that currently holds a replica's position.
     pub fn node_of(&self, replica: usize) -> usize {
         self.replicas[replica]
     }
--- a/crates/simulation/src/simulation/operators.rs
+++ b/crates/simulation/src/simulation/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' requests and the answers to them.
+//! Operators' requests and the responses to them.
 
 use super::events::Event;
 use super::Simulation;
@@ -8,20 +8,20 @@
 use crate::scenario::MILLISECOND;
 use std::ops::Range;
 
-/// Bounds of the time that a request or an answer takes.
+/// Range of the latency of a request or a response.
 const REQUEST_DELAYS: Range<i64> = 200..3 * MILLISECOND;
-/// Operators that race start within this time of each other.
+/// Maximum delay of an operator that is woken to race with another.
 const MAX_RACE_START_DELAY: i64 = 2 * MILLISECOND;
-/// Operators that are asked to race with each rival.
+/// Number of operators woken for each racing change.
 const OPERATORS_PER_RACING_CHANGE: usize = 4;
-/// The backoff after the first failed attempt; it grows by as much with each further one.
+/// Backoff after the first failed attempt. It grows by the same time with each further attempt.
 const BACKOFF: i64 = 50 * MILLISECOND;
-/// The backoff grows no more after so many attempts.
+/// Number of attempts after which the backoff stops growing.
 const MAX_BACKOFF_ATTEMPTS: u32 = 8;
 
 /// A request that was sent to a process.
 pub(super) struct Attempt {
-    /// Who waits for the answer; none if a test does.
+    /// The operator that waits for the response; none for requests made by a test.
     operator: Option<usize>,
     operation: Operation,
     pub(super) node: usize,
@@ -29,7 +29,7 @@
 }
 
 impl Simulation {
-    /// An operator begins an operation, or tries one again.
+    /// An operator starts an operation or retries it.
     pub(super) fn run_operator(&mut self, operator_index: usize) {
         let operator = &self.operators[operator_index];
         if operator.operation.is_none() {
@@ -52,7 +52,7 @@
         self.coverage.count(&format!("operation-{}", kind.name()));
         self.operators[operator_index] =
             Operator { operation: Some(operation), failed_attempts: 0, awaited_attempt: None };
-        // Rivals are sent at about the same time.
+        // Racing changes must be sent at about the same time.
         let racing =
             self.operators.len().min(self.registry.racing_change_count() * OPERATORS_PER_RACING_CHANGE);
         for operator in 0..racing {
@@ -63,14 +63,14 @@
         }
     }
 
-    /// Records the changes that were made up since there were so many.
+    /// Records the changes generated after the first `known_changes` ones.
     fn record_new_changes(&mut self, known_changes: usize) {
         for (change, writes) in self.registry.changes_since(known_changes) {
             self.history.push(HistoryEvent::ChangeCreated { change, writes: writes.to_vec() });
         }
     }
 
-    /// An operator sends its operation to a node.
+    /// Sends an operator's current operation to a node.
     fn send_request(&mut self, operator_index: usize, node: usize) {
         let operator = &self.operators[operator_index];
         let Some(operation) = operator.operation.clone() else { return };
@@ -99,7 +99,8 @@
         attempt
     }
 
-    /// Sends a request that no operator waits for, and has it handled at once; see [`Simulation::status_of`].
+    /// Sends a request for which no operator waits, and has it handled at once. [`Simulation::status_of`]
+    /// returns its status.
     pub fn request(&mut self, node: usize, operation: Operation) -> AttemptId {
         let attempt = self.add_attempt(None, operation, node);
         self.request_due(attempt);
@@ -107,7 +108,7 @@
         attempt
     }
 
-    /// Makes a change up and sends it to a node; see [`Simulation::status_of`].
+    /// Generates a change and sends it to a node. [`Simulation::status_of`] returns its status.
     pub fn request_change(&mut self, node: usize, writes: &[PlannedWrite]) -> AttemptId {
         let known_changes = self.registry.change_count();
         let change = self.registry.add_change(writes);
@@ -115,12 +116,12 @@
         self.request(node, Operation::Change(change))
     }
 
-    /// How a process answered a request, if it has.
+    /// The status of the response to a request, if there is one yet.
     pub fn status_of(&self, attempt: AttemptId) -> Option<ResponseStatus> {
         self.responses.get(&attempt).copied()
     }
 
-    /// Reads all items at each process that runs.
+    /// Reads all items at each running process.
     pub fn read_all_nodes(&mut self) -> Vec<AttemptId> {
         let mut reads = Vec::new();
         for node in self.replicas.clone() {
@@ -137,7 +138,8 @@
         let (operator, node, operation) = (attempt.operator, attempt.node, attempt.operation.clone());
         let now = self.monotonic_time(node);
         if self.nodes[node].process.is_none() {
-            // The connection is refused: the operator tries another node at once.
+            // The connection is refused, so the operator does not wait for a timeout before it tries another
+            // node.
             self.attempts.remove(&id);
             self.history.push(HistoryEvent::AttemptUndelivered { attempt: id });
             if let Some(operator) = self.waiting_operator(operator, id) {
@@ -160,12 +162,12 @@
         }
     }
 
-    /// The operator of an attempt, if it still waits for that one's answer.
+    /// The operator of an attempt, if it still waits for that attempt's response.
     fn waiting_operator(&self, operator: Option<usize>, attempt: AttemptId) -> Option<usize> {
         operator.filter(|operator| self.operators[*operator].awaited_attempt == Some(attempt))
     }
 
-    /// A process has answered, whether or not that reaches the operator.
+    /// A process has responded, whether or not the response reaches the operator.
     pub(super) fn process_responded(&mut self, node: usize, id: AttemptId, response: OperatorResponse) {
         let Some(attempt) = self.attempts.get(&id) else { return };
         let at = self.now;
@@ -174,7 +176,7 @@
         let operation = attempt.operation.clone();
         let latency_ms = (at - attempt.sent_at) as u64 / 1_000;
         if self.responses.insert(id, status).is_some() {
-            let description = format!("attempt {id} was answered twice");
+            let description = format!("attempt {id} received two responses");
             self.history.push(HistoryEvent::DeadlineMissed { at, description });
         }
         self.log(format_args!(
@@ -223,7 +225,7 @@
         }
     }
 
-    /// Draws whether an answer is lost: by a fault, or as the workload has it.
+    /// Draws whether a response is lost, because of a fault or the workload.
     fn draw_response_loss(&mut self) -> bool {
         let is_faulty = self.response_loss.until > self.now;
         if is_faulty && self.operator_rng.chance(self.response_loss.percent) {
@@ -232,7 +234,7 @@
         self.operator_rng.chance(self.workload.response_loss_percent)
     }
 
-    /// An answer reaches its operator, if that still waits for it.
+    /// A response arrives at its operator. It is ignored unless the operator still waits for it.
     pub(super) fn response_due(&mut self, id: AttemptId, response: OperatorResponse) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         let Some(operator) = self.waiting_operator(attempt.operator, id) else { return };
@@ -248,7 +250,7 @@
         self.end_operation(operator);
     }
 
-    /// An operator has ended its operation, and begins another one after a pause.
+    /// An operator ends its operation and starts another one after a pause.
     fn end_operation(&mut self, operator: usize) {
         self.operators[operator] = Operator::default();
         let at = self.now + self.operator_rng.in_range(0..self.workload.max_pause);
@@ -263,7 +265,8 @@
         }
     }
 
-    /// An attempt has failed. The operator tries the node that it was redirected to, or another one after a backoff.
+    /// Handles a failed attempt. The operator tries the node that it was redirected to, or a random one after
+    /// a backoff.
     fn retry(&mut self, operator: usize, redirect: Option<String>) {
         self.operators[operator].awaited_attempt = None;
         if !self.operators[operator].attempt_failed() {
--- a/crates/simulation/src/simulation/processes.rs
+++ b/crates/simulation/src/simulation/processes.rs
@@ -1,4 +1,4 @@
-//! How control processes start, run and end, and what they want done.
+//! How control processes start, run and end, and how their requested actions are performed.
 
 use super::events::Event;
 use super::faults::{Crash, ScheduledCrash};
@@ -11,11 +11,11 @@
 use crate::process::{Process, ProcessAction, ProcessStart, Records};
 use crate::scenario::SECOND;
 
-/// A process that was asked to shut down ends within this time.
+/// Time after which a process that was asked to shut down is ended.
 pub(super) const SHUTDOWN_TIMEOUT: i64 = 2 * SECOND;
-/// A process that starts within this time may be its node's first.
+/// Only a process that starts within this time can be its node's first.
 const FIRST_START_PERIOD: i64 = SECOND;
-/// Spreads small numbers over 64 bits (the golden ratio's).
+/// Spreads consecutive numbers over 64 bits: 2^64 divided by the golden ratio (Fibonacci hashing).
 const INCARNATION_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl Simulation {
@@ -67,7 +67,7 @@
         self.schedule(self.now + TICK_INTERVAL, Event::Tick { node: node_index, incarnation });
     }
 
-    /// Events that waited for a paused process come now.
+    /// Schedules the events that waited for a paused process.
     pub(super) fn resume(&mut self, node: usize) {
         if !self.nodes[node].is_paused(self.now) {
             for event in std::mem::take(&mut self.nodes[node].queued_events) {
@@ -76,7 +76,8 @@
         }
     }
 
-    /// After an event at a process: carries out what it wants done, and observes it.
+    /// Performs the actions that a process requested while handling an event, and records its observable
+    /// state.
     pub(super) fn after_event(&mut self, node: usize) {
         self.perform_actions(node);
         if self.nodes[node].process.is_none() {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Records each replica set that a node's processes hold for the first time.
+    /// Records the replica sets of a node that differ from those observed before.
     fn observe_replica_sets(&mut self, node: usize) {
         let Some(process) = &self.nodes[node].process else { return };
         let mut updates = Vec::new();
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Carries out what a process wants done.
+    /// Performs the actions that a process requested.
     pub(super) fn perform_actions(&mut self, node: usize) {
         loop {
             let Some(process) = &mut self.nodes[node].process else { return };
@@ -180,7 +181,7 @@
         }
     }
 
-    /// A process ends, or its machine loses power. The next process starts after a time.
+    /// Ends a process, or cuts its machine's power. The next process starts after a delay.
     pub(super) fn crash(&mut self, node_index: usize, crash: Crash) {
         if self.nodes[node_index].process.is_none() {
             return;
@@ -192,7 +193,7 @@
             restart_after as f64 / 1e6
         ));
         self.coverage.count(if is_power_loss { "power-lost" } else { "process-ended" });
-        // A machine that was replaced is counted as its successor is.
+        // A replaced machine's position belongs to its successor, whose faults count instead.
         if !self.nodes[node_index].is_replaced {
             self.mark_unstable(restart_after);
         }
@@ -209,18 +210,19 @@
         self.schedule(self.now + restart_after, Event::StartProcess { node: node_index });
     }
 
-    /// What a crash does to one channel.
+    /// Closes or resets a channel to or from a crashed process.
     fn close_channel_of_crashed(&mut self, id: ChannelId, node: usize, crash: Crash) {
         let channel = &self.network.channels[&id];
         let Channel { from, to, kind, last_delivery, is_closed, .. } = *channel;
         if is_closed {
             return;
         }
-        // Invariant: the delay is drawn for every open channel, also of other nodes: the run of a seed depends on it.
+        // Invariant: the delay is drawn for each open channel, including those of other nodes, because the
+        // draws determine the run of a seed.
         let delay = self.delay(from.host, to.host);
         let crashed = self.node_end(node);
         if from == crashed {
-            // What it had sent is on its way, and arrives though it is dead.
+            // Messages in transit still arrive after the sender's crash.
             self.network.close(id);
             if let (ChannelKind::SessionToGateway(session), Host::Gateway(gateway)) = (kind, to.host) {
                 if !crash.is_power_loss {
@@ -230,7 +232,8 @@
                 }
             }
         } else if to == crashed {
-            // Without power nobody says so: the sender notices that nothing is taken.
+            // A machine without power sends no reset, so the sender notices only by its send timeout, or by
+            // the reset that the restarted machine sends.
             let notice =
                 if crash.is_power_loss { SEND_TIMEOUT.min(crash.restart_after.max(delay)) } else { delay };
             self.network.reset(self.now, id, &mut self.rng);
--- a/crates/simulation/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker: a correct history passes, and each invariant is found violated by what violates it.
+//! Tests of the checker: it accepts a correct history and detects a violation of each invariant.
 
 use kitepass_config::Kind;
 use kitepass_simulation::checker::{check_history, Invariant};
@@ -15,7 +15,7 @@
     Write { item: service(name), version, content: Content::SetBy(ChangeId(change)) }
 }
 
-/// A change with its writes, each an item's name and version.
+/// A change with its writes, given by the items' names and versions.
 fn created(change: u64, writes: &[(&str, u64)]) -> HistoryEvent {
     let writes = writes.iter().map(|(name, version)| write(name, *version, change)).collect();
     HistoryEvent::ChangeCreated { change: ChangeId(change), writes }
@@ -48,7 +48,7 @@
     HistoryEvent::ResponseReceived { attempt: AttemptId(attempt) }
 }
 
-/// A read with what it shows: items' names, their versions and the changes that wrote them.
+/// A read and its result, given by the items' names, their versions and the changes that wrote them.
 fn read(at: i64, shown: &[(&str, u64, u64)]) -> [HistoryEvent; 2] {
     let read = AttemptId(at as u64);
     let items = shown.iter().map(|(name, version, change)| {
@@ -72,7 +72,8 @@
     HistoryEvent::EvacuationObserved { at, node: 0, zone: zone.to_owned(), is_evacuated }
 }
 
-/// Two changes, the first confirmed and read; the second rejected for its content.
+/// A history with a change that is confirmed and read, and a second one that is rejected for writing the same
+/// version with different content.
 fn correct_history() -> Vec<HistoryEvent> {
     let mut history =
         vec![created(1, &[("a", 3), ("b", 3)]), created(2, &[("a", 3)]), created(3, &[("a", 2)])];
@@ -158,8 +159,8 @@
     assert!(violations.iter().any(|violation| violation.invariant == invariant), "{violations:?}");
 }
 
-/// An open attempt of a change that was answered by 400 may still be confirmed, and a gateway that restarts has
-/// nothing.
+/// A change with a 400 response may still be confirmed by another pending attempt, and a gateway that
+/// restarts loses its state.
 #[test]
 fn histories_within_the_invariants_pass() {
     let mut history = correct_history();
@@ -169,7 +170,7 @@
     history.extend([answered(5, 4, ResponseStatus::Invalid), received(5)]);
     history.extend([started(4, 90), answered(4, 4, ResponseStatus::Confirmed)]);
     history.extend([HistoryEvent::GatewayRestarted { gateway: 0 }, applied(0, write("a", 3, 1))]);
-    // A deletion explains why nothing is read.
+    // The read may omit the item because a deletion was sent.
     let deletion = Write { item: service("b"), version: 5, content: Content::Deleted };
     history.push(HistoryEvent::ChangeCreated { change: ChangeId(6), writes: vec![deletion] });
     history.extend(read(200, &[("a", 3, 1), ("c", 1, 4)]));
--- a/crates/simulation/tests/requirements.rs
+++ b/crates/simulation/tests/requirements.rs
@@ -1,4 +1,4 @@
-//! Faults of the control plane that the simulation found, each as the case that brings it about.
+//! Regression tests for faults of the control plane that the simulation has found.
 
 use kitepass_config::Kind;
 use kitepass_simulation::checker::{check_history, Violation};
@@ -10,7 +10,7 @@
 use kitepass_simulation::simulation::Simulation;
 use rstest::rstest;
 
-/// Fault-free time in which the system is founded.
+/// Fault-free time in which the system bootstraps.
 const BOOTSTRAP_PERIOD: i64 = 5 * SECOND;
 
 fn simulate(seed: u64, layout: Layout) -> Simulation {
@@ -23,13 +23,13 @@
     simulation.status_of(attempt) == Some(ResponseStatus::Confirmed)
 }
 
-/// The violations of a history or a run, with the seed, for people.
+/// Formats violations together with the seed.
 fn describe(seed: u64, violations: Vec<Violation>) -> impl Iterator<Item = String> {
     violations.into_iter().map(move |violation| format!("seed {seed}: {violation}"))
 }
 
-/// Two changes of one version of an item with different contents are sent at once to two processes: at most one is
-/// confirmed, and the other is rejected for good.
+/// Two changes write the same version of an item with different contents, and are sent to two processes at
+/// the same time. At most one may be confirmed, and the other must be rejected permanently.
 #[test]
 fn at_most_one_of_two_contents_of_a_version_is_confirmed() {
     let mut both_confirmed = 0;
@@ -55,7 +55,8 @@
     assert_eq!(both_confirmed, 0, "both were confirmed in {both_confirmed} of 20 seeds");
 }
 
-/// Sends 150 changes to the first replica, each with a version of its own, or fewer: until one of all is confirmed.
+/// Sends up to 150 changes to the first replica, each with its own version. With `until_confirmed`, stops as
+/// soon as any change is confirmed.
 fn send_changes(simulation: &mut Simulation, attempts: &mut Vec<AttemptId>, until_confirmed: bool) {
     for _ in 0..150 {
         let version = attempts.len() as u64 + 1;
@@ -68,13 +69,14 @@
     }
 }
 
-/// A process is killed and restarts while the others' disks take 3.5 s for a sync: what they persist for its earlier
-/// incarnation does not count as replicas of what it writes now. Then power is lost everywhere, and its disk with it.
+/// A process is killed and restarted while the other nodes' disks take 3.5 s to sync. Records that they
+/// persist for its previous incarnation must not count as copies of what it writes afterwards. Then all
+/// machines lose power, and the process's disk is lost.
 #[test]
 fn acknowledgements_for_an_earlier_incarnation_do_not_count_for_the_next() {
     let (mut confirmed, mut violations) = (0, Vec::new());
     for seed in 0..10 {
-        // Without gateways: they would give back what they were sent.
+        // No gateways, because they would send back the items that they have received.
         let layout = Layout { gateway_count: 0, ..Layout::six_replicas() };
         let mut simulation = simulate(seed, layout);
         simulation.inject(&Fault::SlowDisks {
@@ -90,7 +92,8 @@
             restart_after: 100 * MILLISECOND,
         });
         simulation.run_for(1_500 * MILLISECOND);
-        // The worst moment: a replica is said to be persisted, and no other disk has got so far.
+        // Disks are lost at the worst time: as soon as a write is reported as persisted, although no other
+        // disk has reached it.
         send_changes(&mut simulation, &mut attempts, true);
         confirmed += attempts.iter().filter(|attempt| is_confirmed(&simulation, **attempt)).count();
         simulation.lose_disks(&[0], true, SECOND);
@@ -98,13 +101,13 @@
         simulation.run_for(12 * SECOND);
         let read = simulation.request(simulation.node_of(3), Operation::Read);
         simulation.run_for(2 * SECOND);
-        assert!(is_confirmed(&simulation, read), "seed {seed}: nothing is read back");
+        assert!(is_confirmed(&simulation, read), "seed {seed}: the read was not completed");
         violations.extend(describe(seed, check_history(&simulation.history)));
     }
-    assert!(violations.is_empty(), "{confirmed} confirmed in all: {violations:#?}");
+    assert!(violations.is_empty(), "{confirmed} changes confirmed in total: {violations:#?}");
 }
 
-/// What a gateway acts on never goes away: every later read shows it.
+/// Guards against reads that miss a write which a gateway has already applied.
 #[test]
 fn every_later_read_shows_what_a_gateway_applied() {
     let mut violations = Vec::new();
@@ -115,7 +118,7 @@
     assert!(violations.is_empty(), "{violations:#?}");
 }
 
-/// Races, lost answers and changes that are sent again, under the faults of each plan.
+/// Concurrent writes of the same versions, lost responses and resent changes, under the faults of each plan.
 #[rstest]
 #[case(Plan::Calm)]
 #[case(Plan::Cuts)]
@@ -133,11 +136,13 @@
     assert!(violations.is_empty(), "{violations:#?}");
 }
 
-/// Bound of the time from a change's confirmation until all gateways hold it, beyond what a congested link takes.
+/// Maximum time from a change's confirmation until all gateways hold it, in addition to the latency of a
+/// congested link.
 const DELIVERY_BOUND: i64 = 2 * SECOND;
 
-/// A gateway's own link is congested, so that nothing comes for longer than the time-out of a heartbeat and no other control
-/// process answers in time either: what is confirmed meanwhile reaches it as soon as the link lets it through.
+/// A gateway's link is so congested that no message arrives within the heartbeat timeout, and no other
+/// control process responds in time either. Changes confirmed meanwhile must reach the gateway as soon as the
+/// link lets them through.
 #[test]
 fn a_gateway_behind_a_congested_link_keeps_its_session() {
     for seed in 0..20 {
@@ -154,6 +159,10 @@
         let gateways = simulation.gateways().iter().enumerate();
         let behind: Vec<usize> =
             gateways.filter(|(_, gateway)| !holds_it(gateway)).map(|(number, _)| number).collect();
-        assert!(behind.is_empty(), "seed {seed}: {behind:?} after {} ms", extra_latency / MILLISECOND);
+        assert!(
+            behind.is_empty(),
+            "seed {seed}: gateways {behind:?} lack the change; extra latency {} ms",
+            extra_latency / MILLISECOND
+        );
     }
 }
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! A few seeds of each plan. The long one is the program: `kitepass-simulation run --seeds 10000`.
+//! Runs a few seeds of each plan. Longer runs use the program: `kitepass-simulation run --seeds 10000`.
 
 use kitepass_simulation::coverage::Coverage;
 use kitepass_simulation::run::run_scenario;
@@ -9,7 +9,7 @@
     plan.scenario(seed).with_unique_versions()
 }
 
-/// No two callers use one version of an item.
+/// Each version of an item is written by at most one change.
 #[rstest]
 #[case(Plan::Calm)]
 #[case(Plan::Races)]
@@ -31,8 +31,8 @@
     assert_eq!((one.coverage, one.violations), (two.coverage, two.violations));
 }
 
-/// A plan in which nothing happens would pass all other tests: in a few seeds each kind of fault comes up, and what it
-/// leads to.
+/// A plan whose faults never occurred would pass all other tests. This test checks that each kind of fault,
+/// and each of its expected effects, occurs within a few seeds.
 #[test]
 fn plans_inject_each_fault_and_cause_its_effects() {
     let expected = [
@@ -87,5 +87,5 @@
             missing.retain(|name| coverage.get(name) == 0);
         }
     }
-    assert!(missing.is_empty(), "{missing:?} never came up: {coverage}");
+    assert!(missing.is_empty(), "{missing:?} never occurred: {coverage}");
 }
