--- a/crates/simulation/src/checker/mod.rs
+++ b/crates/simulation/src/checker/mod.rs
@@ -51,14 +51,14 @@
 
 /// The first observation of a version of a replica set.
 #[derive(Clone, Copy)]
-struct FirstReplicaSet {
+struct ReplicaSetObservation {
     digest: u64,
     node: usize,
 }
 
 /// A request to start or end the evacuation of a zone.
 #[derive(Clone, Copy)]
-struct Evacuation<'a> {
+struct EvacuationRequest<'a> {
     zone: &'a str,
     is_evacuated: bool,
     started: i64,
@@ -66,7 +66,7 @@
     is_confirmed: bool,
 }
 
-impl Evacuation<'_> {
+impl EvacuationRequest<'_> {
     /// Time after which a later confirmed request overrides this one: never, unless this one was confirmed.
     /// An unconfirmed request may still take effect at any time.
     fn overridable_from(&self) -> i64 {
@@ -101,8 +101,8 @@
     visible: BTreeMap<Write, FirstSeen>,
     /// The versions of the items that each gateway has applied.
     gateways: BTreeMap<usize, BTreeMap<&'a ItemName, u64>>,
-    replica_sets: BTreeMap<(&'static str, u64), FirstReplicaSet>,
-    evacuations: BTreeMap<AttemptId, Evacuation<'a>>,
+    replica_sets: BTreeMap<(&'static str, u64), ReplicaSetObservation>,
+    evacuations: BTreeMap<AttemptId, EvacuationRequest<'a>>,
     violations: Vec<Violation>,
 }
 
@@ -129,7 +129,7 @@
             HistoryEvent::WriteApplied { at, gateway, write } => self.write_applied(*at, *gateway, write),
             HistoryEvent::GatewayRestarted { gateway } => _ = self.gateways.remove(gateway),
             HistoryEvent::ReplicaSetObserved { at, node, name, version, digest } => {
-                let observed = FirstReplicaSet { digest: *digest, node: *node };
+                let observed = ReplicaSetObservation { digest: *digest, node: *node };
                 self.replica_set_observed(*at, name, *version, observed);
             }
             HistoryEvent::LeaseHeld { at, nodes } => {
@@ -140,7 +140,7 @@
             HistoryEvent::EvacuationStarted { at, request, zone, is_evacuated } => {
                 let (is_evacuated, started) = (*is_evacuated, *at);
                 let evacuation =
-                    Evacuation { zone, is_evacuated, started, answered: None, is_confirmed: false };
+                    EvacuationRequest { zone, is_evacuated, started, answered: None, is_confirmed: false };
                 self.evacuations.insert(*request, evacuation);
             }
             HistoryEvent::EvacuationAnswered { at, request, is_confirmed } => {
@@ -159,8 +159,8 @@
     }
 
     fn report(&mut self, invariant: Invariant, at: i64, description: String) {
-        let known = self.violations.iter().filter(|violation| violation.invariant == invariant);
-        if known.count() < MAX_VIOLATIONS_PER_INVARIANT {
+        let reported = self.violations.iter().filter(|violation| violation.invariant == invariant);
+        if reported.count() < MAX_VIOLATIONS_PER_INVARIANT {
             self.violations.push(Violation { invariant, at, description });
         }
     }
@@ -248,16 +248,16 @@
 
     /// A write was shown by a read or applied by a gateway.
     fn write_visible(&mut self, at: i64, write: &Write, source: &str) {
-        let Some((sent, _)) = self.changes_by_write.get_key_value(write) else {
+        let Some((created_write, _)) = self.changes_by_write.get_key_value(write) else {
             let description =
                 format!("{} r{} {:?} at {source} was never sent", write.item, write.version, write.content);
             return self.report(Invariant::KnownOrigin, at, description);
         };
-        let sent = *sent;
+        let created_write = *created_write;
         let first_seen = || FirstSeen { at, source: source.to_owned() };
         self.visible.entry(write.clone()).or_insert_with(first_seen);
-        self.check_content(at, sent, source.to_owned());
-        self.raise_min_version(&sent.item, sent.version);
+        self.check_content(at, created_write, source.to_owned());
+        self.raise_min_version(&created_write.item, created_write.version);
     }
 
     /// True if a read may omit an item of which it should show at least this version, because a deletion with
@@ -330,7 +330,13 @@
         self.write_visible(at, write, &format!("g{gateway}"));
     }
 
-    fn replica_set_observed(&mut self, at: i64, name: &'static str, version: u64, observed: FirstReplicaSet) {
+    fn replica_set_observed(
+        &mut self,
+        at: i64,
+        name: &'static str,
+        version: u64,
+        observed: ReplicaSetObservation,
+    ) {
         let first = *self.replica_sets.entry((name, version)).or_insert(observed);
         if first.digest != observed.digest {
             let description = format!(
@@ -344,7 +350,7 @@
     /// The final state of a zone must be one that a request asked for and that no later confirmed request
     /// overrides. Initially, no zone is evacuated.
     fn evacuation_observed(&mut self, at: i64, node: usize, zone: &str, is_evacuated: bool) {
-        let requests: Vec<Evacuation> =
+        let requests: Vec<EvacuationRequest> =
             self.evacuations.values().filter(|request| request.zone == zone).copied().collect();
         let is_overridden = |overridable_from: i64| {
             let mut opposite = requests.iter().filter(|request| request.is_evacuated != is_evacuated);
@@ -352,7 +358,7 @@
         };
         let initial = (!is_evacuated).then_some(-1);
         let requested = requests.iter().filter(|request| request.is_evacuated == is_evacuated);
-        if requested.map(Evacuation::overridable_from).chain(initial).all(is_overridden) {
+        if requested.map(EvacuationRequest::overridable_from).chain(initial).all(is_overridden) {
             let description = format!(
                 "zone {zone} has evacuated={is_evacuated} at s{node}, against the confirmed requests"
             );
--- a/crates/simulation/src/coverage.rs
+++ b/crates/simulation/src/coverage.rs
@@ -19,15 +19,15 @@
     /// Adds to a counter.
     pub fn add(&mut self, name: &str, times: u64) {
         match self.0.get_mut(name) {
-            Some(known) => *known += times,
+            Some(total) => *total += times,
             None => _ = self.0.insert(name.to_owned(), times),
         }
     }
 
     /// Records a value, of which the maximum is kept.
     pub fn record_maximum(&mut self, name: &str, value: u64) {
-        let known = self.0.entry(format!("{MAXIMUM_PREFIX}{name}")).or_default();
-        *known = (*known).max(value);
+        let maximum = self.0.entry(format!("{MAXIMUM_PREFIX}{name}")).or_default();
+        *maximum = (*maximum).max(value);
     }
 
     /// Value of a counter; 0 if it was never incremented.
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -175,9 +175,9 @@
 
     /// Partitions one direction, unless it is already partitioned for longer.
     pub fn partition(&mut self, from: Host, to: Host, partition: Partition) {
-        let known = self.partitions.entry((from, to)).or_insert(partition);
-        if known.until < partition.until {
-            *known = partition;
+        let existing = self.partitions.entry((from, to)).or_insert(partition);
+        if existing.until < partition.until {
+            *existing = partition;
         }
     }
 
--- a/crates/simulation/src/scenario/plan.rs
+++ b/crates/simulation/src/scenario/plan.rs
@@ -195,7 +195,7 @@
 }
 
 /// Random parameters of a fault. All are drawn for each fault, whether or not its kind uses them.
-struct FaultDetails {
+struct FaultParameters {
     replica: usize,
     /// Another replica.
     other: usize,
@@ -205,8 +205,8 @@
     keeps_connections: bool,
 }
 
-impl FaultDetails {
-    fn draw(plan: Plan, replicas: usize, rng: &mut Rng) -> FaultDetails {
+impl FaultParameters {
+    fn draw(plan: Plan, replicas: usize, rng: &mut Rng) -> FaultParameters {
         // Invariant: the order of the draws determines what a seed generates, so it must not change.
         let replica = rng.below(replicas);
         let other = (replica + 1 + rng.below(replicas - 1)) % replicas;
@@ -227,27 +227,27 @@
             _ => PartitionDirection::Incoming,
         };
         let keeps_connections = rng.chance(40);
-        FaultDetails { replica, other, restart_after, duration, direction, keeps_connections }
+        FaultParameters { replica, other, restart_after, duration, direction, keeps_connections }
     }
 
     fn partition_shape(&self, with_gateways: bool) -> PartitionShape {
-        let FaultDetails { direction, keeps_connections, duration, .. } = *self;
+        let FaultParameters { direction, keeps_connections, duration, .. } = *self;
         PartitionShape { direction, with_gateways, keeps_connections, duration }
     }
 }
 
 fn draw_fault_kind(weights: &Weights, rng: &mut Rng) -> FaultKind {
-    let mut rest = rng.below(weights.iter().sum::<u32>() as usize) as u32;
+    let mut remaining = rng.below(weights.iter().sum::<u32>() as usize) as u32;
     let mut kind = 0;
-    while rest >= weights[kind] {
-        rest -= weights[kind];
+    while remaining >= weights[kind] {
+        remaining -= weights[kind];
         kind += 1;
     }
     FaultKind::ALL[kind]
 }
 
 /// Draws a random subset of the replicas, or only `fallback` if that subset is empty.
-fn draw_replicas(replicas: usize, fallback: usize, rng: &mut Rng) -> Vec<usize> {
+fn draw_subset(replicas: usize, fallback: usize, rng: &mut Rng) -> Vec<usize> {
     let percent = rng.in_range(15..70) as u64;
     let mut drawn: Vec<usize> = (0..replicas).filter(|_| rng.chance(percent)).collect();
     if drawn.is_empty() {
@@ -258,31 +258,31 @@
 
 /// Draws half of the replicas, rounded down.
 fn draw_half(replicas: usize, rng: &mut Rng) -> Vec<usize> {
-    let mut rest: Vec<usize> = (0..replicas).collect();
-    (0..replicas / 2).map(|_| rest.remove(rng.below(rest.len()))).collect()
+    let mut remaining: Vec<usize> = (0..replicas).collect();
+    (0..replicas / 2).map(|_| remaining.remove(rng.below(remaining.len()))).collect()
 }
 
 fn draw_fault(plan: Plan, layout: &Layout, weights: &Weights, rng: &mut Rng) -> Fault {
     let replicas = layout.replica_count();
     let kind = draw_fault_kind(weights, rng);
-    let details = FaultDetails::draw(plan, replicas, rng);
-    let FaultDetails { replica, other, restart_after, duration, .. } = details;
+    let parameters = FaultParameters::draw(plan, replicas, rng);
+    let FaultParameters { replica, other, restart_after, duration, .. } = parameters;
     match kind {
         FaultKind::Crash => Fault::Crash { replicas: vec![replica], is_power_loss: false, restart_after },
         FaultKind::PowerLoss => {
-            let replicas = draw_replicas(replicas, replica, rng);
+            let replicas = draw_subset(replicas, replica, rng);
             Fault::Crash { replicas, is_power_loss: true, restart_after }
         }
         FaultKind::FullOutage => draw_full_outage(replicas, restart_after.min(3 * SECOND), rng),
         FaultKind::DiskLoss => draw_disk_loss(replica, restart_after.min(4 * SECOND), rng),
         FaultKind::Pause => Fault::Pause { replica, duration: duration.min(8 * SECOND) },
-        FaultKind::Partition => draw_partition(replicas, &details, rng),
+        FaultKind::Partition => draw_partition(replicas, &parameters, rng),
         FaultKind::SplitReplicas => {
-            let keeps_connections = details.keeps_connections;
+            let keeps_connections = parameters.keeps_connections;
             Fault::SplitReplicas { side: draw_half(replicas, rng), keeps_connections, duration }
         }
         FaultKind::LeaseHolderPartition => {
-            Fault::LeaseHolderPartition { shape: details.partition_shape(false) }
+            Fault::LeaseHolderPartition { shape: parameters.partition_shape(false) }
         }
         FaultKind::ConnectionReset => Fault::ConnectionReset { a: replica, b: other },
         FaultKind::SlowLink => {
@@ -292,7 +292,7 @@
         FaultKind::SlowDisks => {
             let latencies = [200 * MILLISECOND, 800 * MILLISECOND, 3_500 * MILLISECOND];
             let extra_latency = latencies[rng.below(latencies.len())];
-            let replicas = draw_replicas(replicas, replica, rng);
+            let replicas = draw_subset(replicas, replica, rng);
             Fault::SlowDisks { replicas, extra_latency, duration }
         }
         FaultKind::DiskHang => Fault::DiskHang { replica, duration: duration.min(8 * SECOND) },
@@ -336,12 +336,12 @@
     Fault::DiskLoss { replica, domain, with_power_outage: rng.chance(40), restart_after }
 }
 
-fn draw_partition(replicas: usize, details: &FaultDetails, rng: &mut Rng) -> Fault {
+fn draw_partition(replicas: usize, parameters: &FaultParameters, rng: &mut Rng) -> Fault {
     let side = match rng.below(3) {
-        0 => vec![details.replica],
-        1 => vec![details.replica, details.other],
-        _ => draw_replicas(replicas, details.replica, rng),
+        0 => vec![parameters.replica],
+        1 => vec![parameters.replica, parameters.other],
+        _ => draw_subset(replicas, parameters.replica, rng),
     };
     let with_gateways = rng.chance(50);
-    Fault::Partition { side, shape: details.partition_shape(with_gateways) }
+    Fault::Partition { side, shape: parameters.partition_shape(with_gateways) }
 }
--- a/crates/simulation/src/simulation/convergence.rs
+++ b/crates/simulation/src/simulation/convergence.rs
@@ -36,13 +36,13 @@
         // A process that is shutting down is restarted as soon as it has ended, however late the fault
         // scheduled its restart.
         if self.nodes[node_index].shutdown_requested_at.is_some() {
-            let ended_by = self.now + SHUTDOWN_TIMEOUT;
+            let latest_end = self.now + SHUTDOWN_TIMEOUT;
             let node = &mut self.nodes[node_index];
-            node.restart_at = node.restart_at.min(ended_by);
-            self.schedule(ended_by, Event::StartProcess { node: node_index });
+            node.restart_at = node.restart_at.min(latest_end);
+            self.schedule(latest_end, Event::StartProcess { node: node_index });
         }
         let node = &mut self.nodes[node_index];
-        if node.process.is_none() && self.replicas.contains(&node_index) {
+        if node.process.is_none() && self.replica_nodes.contains(&node_index) {
             node.restart_at = self.now;
             self.schedule(self.now, Event::StartProcess { node: node_index });
         }
@@ -59,7 +59,7 @@
 
     /// All replicas must be serving and have complete disks.
     fn node_problem(&self) -> Option<String> {
-        self.replicas.iter().find_map(|node| {
+        self.replica_nodes.iter().find_map(|node| {
             let Some(process) = &self.nodes[*node].process else { return Some(format!("s{node} is down")) };
             if process.is_serving() && process.is_complete() {
                 return None;
@@ -70,13 +70,13 @@
     }
 
     fn first_process(&self) -> Option<&Process> {
-        self.nodes[self.replicas[0]].process.as_ref()
+        self.nodes[self.replica_nodes[0]].process.as_ref()
     }
 
     /// The replica set must contain the nodes of all replicas.
     fn replica_set_problem(&self) -> Option<String> {
         let replicas: BTreeSet<String> =
-            self.replicas.iter().map(|node| self.nodes[*node].location.node_id.clone()).collect();
+            self.replica_nodes.iter().map(|node| self.nodes[*node].location.node_id.clone()).collect();
         let replica_set = self.first_process()?.replica_ids();
         (!replicas.is_subset(&replica_set))
             .then(|| format!("some replicas are missing from the replica set {replica_set:?}"))
@@ -89,8 +89,8 @@
             let process = self.nodes[**node].process.as_ref();
             process.is_some_and(|process| process.item_store().digest() != digest)
         };
-        let node = self.replicas.iter().find(differs)?;
-        Some(format!("s{node} holds different items than s{}", self.replicas[0]))
+        let node = self.replica_nodes.iter().find(differs)?;
+        Some(format!("s{node} holds different items than s{}", self.replica_nodes[0]))
     }
 
     /// All gateways must hold the same items as the replicas.
@@ -101,14 +101,14 @@
                 return Some(format!("g{gateway_index} has not caught up"));
             }
             let differs = gateway.item_store().digest() != digest;
-            differs.then(|| format!("g{gateway_index} holds different items than s{}", self.replicas[0]))
+            differs.then(|| format!("g{gateway_index} holds different items than s{}", self.replica_nodes[0]))
         })
     }
 
     /// Exactly one process must hold the coordinator lease, and act as coordinator.
     fn lease_problem(&self) -> Option<String> {
         let holders: Vec<usize> =
-            self.replicas.iter().copied().filter(|node| self.is_lease_holder(*node)).collect();
+            self.replica_nodes.iter().copied().filter(|node| self.is_lease_holder(*node)).collect();
         match holders[..] {
             [holder] => (!self.is_active_coordinator(holder))
                 .then(|| format!("s{holder} holds the lease but is not the active coordinator")),
@@ -119,7 +119,7 @@
     /// Records which zones each process considers evacuated.
     pub fn observe_evacuations(&mut self) {
         let zones = self.layout.zone_names();
-        for node in self.replicas.clone() {
+        for node in self.replica_nodes.clone() {
             let Some(process) = &self.nodes[node].process else { continue };
             let evacuated = process.evacuated_zones();
             for zone in &zones {
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -52,7 +52,7 @@
                 self.crash_replicas(replicas, Crash { is_power_loss, restart_after });
             }
             Fault::PowerOutage { restart_after } => {
-                let all: Vec<usize> = (0..self.replicas.len()).collect();
+                let all: Vec<usize> = (0..self.replica_nodes.len()).collect();
                 self.crash_replicas(&all, Crash { is_power_loss: true, restart_after });
                 self.restart_all_gateways();
             }
@@ -65,27 +65,27 @@
                 }
                 return is_survivable;
             }
-            Fault::Pause { replica, duration } => self.pause(self.replicas[replica], duration),
+            Fault::Pause { replica, duration } => self.pause(self.replica_nodes[replica], duration),
             Fault::Partition { ref side, shape } => {
-                let nodes: Vec<usize> = side.iter().map(|replica| self.replicas[*replica]).collect();
+                let nodes: Vec<usize> = side.iter().map(|replica| self.replica_nodes[*replica]).collect();
                 self.partition(&nodes, shape);
             }
             Fault::SplitReplicas { ref side, keeps_connections, duration } => {
-                let nodes: Vec<usize> = side.iter().map(|replica| self.replicas[*replica]).collect();
+                let nodes: Vec<usize> = side.iter().map(|replica| self.replica_nodes[*replica]).collect();
                 self.split_nodes(&nodes, keeps_connections, duration);
             }
             Fault::LeaseHolderPartition { shape } => return self.partition_lease_holder(shape),
             Fault::ConnectionReset { a, b } => {
-                return self.reset_connections(self.replicas[a], self.replicas[b]);
+                return self.reset_connections(self.replica_nodes[a], self.replica_nodes[b]);
             }
             Fault::SlowLink { a, b, extra_latency, duration } => {
-                self.slow_link(self.replicas[a], self.replicas[b], extra_latency, duration);
+                self.slow_link(self.replica_nodes[a], self.replica_nodes[b], extra_latency, duration);
             }
             Fault::SlowDisks { .. } | Fault::DiskHang { .. } | Fault::DiskRefusal { .. } => {
                 self.apply_disk_fault(fault);
             }
             Fault::GracefulShutdown { replica, restart_after } => {
-                return self.shut_down(self.replicas[replica], restart_after);
+                return self.shut_down(self.replica_nodes[replica], restart_after);
             }
             Fault::Replacement { replica, is_graceful, restart_after } => {
                 let is_survivable = self.must_survive_loss_of(&[replica]);
@@ -100,7 +100,7 @@
             }
             Fault::CrashAfterEvents { replica, events, is_power_loss, restart_after } => {
                 let crash = Crash { is_power_loss, restart_after };
-                let node = &mut self.nodes[self.replicas[replica]];
+                let node = &mut self.nodes[self.replica_nodes[replica]];
                 node.scheduled_crash = Some(ScheduledCrash { events_left: events, crash });
             }
             Fault::GatewayRestart { gateway } => self.restart_gateway(gateway),
@@ -119,18 +119,18 @@
             Fault::SlowDisks { ref replicas, extra_latency, duration } => {
                 self.mark_unstable(duration);
                 for replica in replicas {
-                    let disk = &mut self.nodes[self.replicas[*replica]].disk;
+                    let disk = &mut self.nodes[self.replica_nodes[*replica]].disk;
                     disk.faults.extra_latency = extra_latency;
                     disk.faults.slow_until = self.now + duration;
                 }
             }
             Fault::DiskHang { replica, duration } => {
                 self.mark_unstable(duration);
-                self.nodes[self.replicas[replica]].disk.faults.hangs_until = self.now + duration;
+                self.nodes[self.replica_nodes[replica]].disk.faults.hangs_until = self.now + duration;
             }
             Fault::DiskRefusal { replica, duration } => {
                 self.mark_unstable(duration);
-                self.nodes[self.replicas[replica]].disk.faults.refuses_until = self.now + duration;
+                self.nodes[self.replica_nodes[replica]].disk.faults.refuses_until = self.now + duration;
             }
             _ => {}
         }
@@ -146,13 +146,13 @@
     /// while any machine counts as lost, and the other replicas must form a majority unless only one disk is
     /// lost.
     fn must_survive_loss_of(&self, replicas: &[usize]) -> bool {
-        let rest = self.layout.replica_count() - replicas.len();
-        self.is_stable() && (rest >= self.layout.majority() || replicas.len() == 1)
+        let remaining = self.layout.replica_count() - replicas.len();
+        self.is_stable() && (remaining >= self.layout.majority() || replicas.len() == 1)
     }
 
     /// Whether no machine counts as lost.
     fn is_stable(&self) -> bool {
-        let are_all_running = self.replicas.iter().all(|node| self.nodes[*node].process.is_some());
+        let are_all_running = self.replica_nodes.iter().all(|node| self.nodes[*node].process.is_some());
         are_all_running && self.now - self.unstable_until >= STABLE_PERIOD
     }
 
@@ -174,7 +174,7 @@
     fn crash_replicas(&mut self, replicas: &[usize], crash: Crash) {
         for replica in replicas {
             let crash = self.with_restart_jitter(crash);
-            self.crash(self.replicas[*replica], crash);
+            self.crash(self.replica_nodes[*replica], crash);
         }
     }
 
@@ -182,7 +182,7 @@
     /// including those of gateways, lose power at the same time.
     pub fn lose_disks(&mut self, replicas: &[usize], with_power_outage: bool, restart_after: i64) {
         for replica in 0..self.layout.replica_count() {
-            let (node, is_lost) = (self.replicas[replica], replicas.contains(&replica));
+            let (node, is_lost) = (self.replica_nodes[replica], replicas.contains(&replica));
             if is_lost || with_power_outage {
                 let crash = self.with_restart_jitter(Crash { is_power_loss: true, restart_after });
                 self.crash(node, crash);
@@ -227,9 +227,9 @@
 
     /// Replaces a replica's machine by a new one. The old process shuts down, or its machine loses power.
     fn replace(&mut self, replica: usize, is_graceful: bool, restart_after: i64) {
-        let old = self.replicas[replica];
+        let old = self.replica_nodes[replica];
         let new = self.add_node(replica);
-        self.replicas[replica] = new;
+        self.replica_nodes[replica] = new;
         self.record_replicas();
         self.nodes[old].is_replaced = true;
         if !(is_graceful && self.shut_down(old, NEVER_RESTARTS)) {
@@ -247,11 +247,11 @@
             let ends = (channel.from.host, channel.to.host);
             (ends == (a, b) || ends == (b, a)) && channel.kind == ChannelKind::Peer && !channel.is_closed
         });
-        let is_any = !ids.is_empty();
+        let has_connections = !ids.is_empty();
         for id in ids {
             self.reset_channel(id);
         }
-        is_any
+        has_connections
     }
 
     fn slow_link(&mut self, a: usize, b: usize, extra_latency: i64, duration: i64) {
@@ -271,7 +271,7 @@
 
     /// Returns false if there is no lease holder.
     fn partition_lease_holder(&mut self, shape: PartitionShape) -> bool {
-        let lease_holder = self.replicas.iter().copied().find(|node| self.is_lease_holder(*node));
+        let lease_holder = self.replica_nodes.iter().copied().find(|node| self.is_lease_holder(*node));
         if let Some(node) = lease_holder {
             self.partition(&[node], shape);
         }
--- a/crates/simulation/src/simulation/logging.rs
+++ b/crates/simulation/src/simulation/logging.rs
@@ -4,12 +4,12 @@
 
 thread_local! {
     /// The simulated time and the node whose process is running on this thread.
-    static RUNNING: Cell<(i64, usize)> = const { Cell::new((0, 0)) };
+    static CURRENT_PROCESS: Cell<(i64, usize)> = const { Cell::new((0, 0)) };
 }
 
 /// Attributes this thread's log lines to a node's process from now on.
-pub(super) fn set_running(now: i64, node: usize) {
-    RUNNING.set((now, node));
+pub(super) fn set_current_process(now: i64, node: usize) {
+    CURRENT_PROCESS.set((now, node));
 }
 
 /// Prints log records with the simulated time and the node.
@@ -21,7 +21,7 @@
     }
 
     fn log(&self, record: &log::Record) {
-        let (now, node) = RUNNING.get();
+        let (now, node) = CURRENT_PROCESS.get();
         println!("t={:.6} node=s{node} level={} {}", now as f64 / 1e6, record.level(), record.args());
     }
 
--- a/crates/simulation/src/simulation/machines.rs
+++ b/crates/simulation/src/simulation/machines.rs
@@ -138,7 +138,7 @@
     /// The time of a node's monotonic clock. Callers are about to run the node's process, so this also
     /// attributes subsequent log lines to it.
     pub(super) fn monotonic_time(&self, node: usize) -> Timestamp {
-        logging::set_running(self.now, node);
+        logging::set_current_process(self.now, node);
         self.nodes[node].clock.now(self.now)
     }
 
--- a/crates/simulation/src/simulation/mod.rs
+++ b/crates/simulation/src/simulation/mod.rs
@@ -63,7 +63,7 @@
     /// All machines of control processes, including replaced ones.
     nodes: Vec<Node>,
     /// The current node of each replica.
-    replicas: Vec<usize>,
+    replica_nodes: Vec<usize>,
     /// The nodes of the replicas over time, each entry with the time from which it applies.
     replica_history: Vec<(i64, Vec<usize>)>,
     gateways: Vec<Gateway>,
@@ -110,7 +110,7 @@
             active_until: scenario.active_until,
             events: EventQueue::default(),
             nodes: Vec::new(),
-            replicas: Vec::new(),
+            replica_nodes: Vec::new(),
             replica_history: Vec::new(),
             gateways: Vec::new(),
             network: Network::default(),
@@ -140,7 +140,7 @@
     fn add_machines(&mut self) {
         for replica in 0..self.layout.replica_count() {
             let node = self.add_node(replica);
-            self.replicas.push(node);
+            self.replica_nodes.push(node);
             let at = self.rng.in_range(0..MAX_START_DELAY);
             self.schedule(at, Event::StartProcess { node });
         }
@@ -184,13 +184,13 @@
         let listed_at = self.now - ADDRESS_LIST_LAG;
         let listed = self.replica_history.iter().rev().find(|(since, _)| *since <= listed_at);
         let nodes =
-            listed.or_else(|| self.replica_history.first()).map_or(&self.replicas, |(_, nodes)| nodes);
+            listed.or_else(|| self.replica_history.first()).map_or(&self.replica_nodes, |(_, nodes)| nodes);
         self.layout.initial_replicas.iter().map(|replica| machines::node_address(nodes[*replica])).collect()
     }
 
     /// Records that the assignment of replicas to machines has changed.
     fn record_replicas(&mut self) {
-        self.replica_history.push((self.now, self.replicas.clone()));
+        self.replica_history.push((self.now, self.replica_nodes.clone()));
     }
 
     fn schedule(&mut self, at: i64, event: Event) {
@@ -284,6 +284,6 @@
 
     /// The node that currently holds a replica's position.
     pub fn node_of(&self, replica: usize) -> usize {
-        self.replicas[replica]
+        self.replica_nodes[replica]
     }
 }
--- a/crates/simulation/src/simulation/operators.rs
+++ b/crates/simulation/src/simulation/operators.rs
@@ -40,7 +40,7 @@
         } else if operator.awaited_attempt.is_some() {
             return;
         }
-        let node = self.replicas[self.operator_rng.below(self.replicas.len())];
+        let node = self.replica_nodes[self.operator_rng.below(self.replica_nodes.len())];
         self.send_request(operator_index, node);
     }
 
@@ -53,9 +53,9 @@
         self.operators[operator_index] =
             Operator { operation: Some(operation), failed_attempts: 0, awaited_attempt: None };
         // Racing changes must be sent at about the same time.
-        let racing =
+        let racing_operators =
             self.operators.len().min(self.registry.racing_change_count() * OPERATORS_PER_RACING_CHANGE);
-        for operator in 0..racing {
+        for operator in 0..racing_operators {
             if self.operators[operator].operation.is_none() {
                 let at = self.now + self.operator_rng.in_range(0..MAX_RACE_START_DELAY);
                 self.schedule(at, Event::RunOperator { operator });
@@ -124,7 +124,7 @@
     /// Reads all items at each running process.
     pub fn read_all_nodes(&mut self) -> Vec<AttemptId> {
         let mut reads = Vec::new();
-        for node in self.replicas.clone() {
+        for node in self.replica_nodes.clone() {
             if self.nodes[node].process.is_some() {
                 reads.push(self.request(node, Operation::Read));
             }
--- a/crates/simulation/src/simulation/processes.rs
+++ b/crates/simulation/src/simulation/processes.rs
@@ -234,12 +234,12 @@
         } else if to == crashed {
             // A machine without power sends no reset, so the sender notices only by its send timeout, or by
             // the reset that the restarted machine sends.
-            let notice =
+            let detection_delay =
                 if crash.is_power_loss { SEND_TIMEOUT.min(crash.restart_after.max(delay)) } else { delay };
             self.network.reset(self.now, id, &mut self.rng);
             if let Host::Node(node) = from.host {
                 let event = Event::PeerConnectionLost { node, incarnation: from.incarnation, channel: id };
-                self.schedule(self.now + notice, event);
+                self.schedule(self.now + detection_delay, event);
             }
         }
     }
--- a/crates/simulation/tests/requirements.rs
+++ b/crates/simulation/tests/requirements.rs
@@ -157,11 +157,11 @@
         simulation.run_for(extra_latency + DELIVERY_BOUND);
         let holds_it = |gateway: &Gateway| gateway.item_store().get(Kind::Service, "l").is_some();
         let gateways = simulation.gateways().iter().enumerate();
-        let behind: Vec<usize> =
+        let lagging: Vec<usize> =
             gateways.filter(|(_, gateway)| !holds_it(gateway)).map(|(number, _)| number).collect();
         assert!(
-            behind.is_empty(),
-            "seed {seed}: gateways {behind:?} lack the change; extra latency {} ms",
+            lagging.is_empty(),
+            "seed {seed}: gateways {lagging:?} lack the change; extra latency {} ms",
             extra_latency / MILLISECOND
         );
     }
