--- a/crates/simulation/src/checker/mod.rs
+++ b/crates/simulation/src/checker/mod.rs
@@ -42,7 +42,7 @@
     source: String,
 }
 
-/// A read that was not completed yet.
+/// A read in progress.
 struct PendingRead<'a> {
     started: i64,
     /// The lowest version of each item that the read may show.
@@ -282,7 +282,7 @@
                 let shown = shown.map_or("nothing".to_owned(), |state| format!("r{}", state.version));
                 let started = started as f64 / 1e6;
                 let description = format!(
-                    "{item}: r{min_version} was visible before read {read} started at {started:.6}, which shows {shown}"
+                    "{item}: r{min_version} was confirmed or visible before read {read} started at {started:.6}, which shows {shown}"
                 );
                 self.report(Invariant::NoLostWrite, at, description);
             }
