--- a/crates/control-plane/src/cli/apply.rs
+++ b/crates/control-plane/src/cli/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: sends a change of the configuration.
+//! `apply`: submits a configuration change.
 
 use super::arguments::Arguments;
 use super::change_file::read_change_request;
--- a/crates/control-plane/src/cli/arguments.rs
+++ b/crates/control-plane/src/cli/arguments.rs
@@ -1,4 +1,4 @@
-//! Reads the program's arguments.
+//! Parses the command line.
 
 use super::error::{Error, UsageSnafu};
 use lexopt::prelude::*;
@@ -7,13 +7,13 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Control processes to call where `--at` names none.
+/// The environment variable with the addresses of the control processes to call if there is no `--at`.
 const ADDRESSES_VARIABLE: &str = "KITEPASS_AT";
 
-/// The arguments as they came; whether a command takes them is checked afterwards.
+/// The parsed command line. Whether the command accepts these arguments and options is checked later.
 #[derive(Default)]
 pub(super) struct Arguments {
-    /// Those that are no options: the command's name first, until it is taken off.
+    /// Positional arguments. The first is the command's name, until the caller removes it.
     pub(super) values: Vec<String>,
     /// `--settings`
     pub(super) settings: Option<PathBuf>,
@@ -27,14 +27,16 @@
     pub(super) wants_json: bool,
     pub(super) wants_help: bool,
     pub(super) wants_version: bool,
-    /// The options of commands that were given, by name.
+    /// Names of the command-specific options that were given.
     pub(super) options: BTreeSet<&'static str>,
 }
 
 impl Arguments {
+    /// Parses the arguments that follow the program's name.
+    ///
     /// # Errors
     ///
-    /// An unknown option, an option without its value, or an address that is none.
+    /// Fails on an unknown option, an option without its value, or an invalid address.
     pub(super) fn parse(arguments: impl Iterator<Item = OsString>) -> Result<Arguments, lexopt::Error> {
         let mut parser = lexopt::Parser::from_args(arguments);
         let mut parsed = Arguments::default();
@@ -69,11 +71,11 @@
         Ok(parsed)
     }
 
-    /// The control processes to call, by `--at` or else by the environment.
+    /// Returns the addresses of the control processes to call, from `--at` or otherwise from the environment.
     ///
     /// # Errors
     ///
-    /// [`Error::Usage`] if there are none, or the variable holds what is no address.
+    /// [`Error::Usage`] if no address is given, or the variable contains an invalid one.
     pub(super) fn control_addresses(&self) -> Result<Vec<SocketAddr>, Error> {
         let mut addresses = self.addresses.clone();
         if addresses.is_empty() {
@@ -90,7 +92,7 @@
     }
 }
 
-/// Addresses separated by commas; the error is a text for the operator that says where they came from.
+/// Parses comma-separated addresses. The error message names `origin`, the option or variable that contains them.
 fn parse_addresses(origin: &str, text: &str) -> Result<Vec<SocketAddr>, String> {
     let parts = text.split(',').map(str::trim).filter(|part| !part.is_empty());
     let parse = |part: &str| {
--- a/crates/control-plane/src/cli/change_file.rs
+++ b/crates/control-plane/src/cli/change_file.rs
@@ -1,4 +1,4 @@
-//! Files with a change of the configuration: a change request, or what `get` printed.
+//! Reads files with a configuration change: a change request, or a configuration printed by `get`.
 
 use super::error::{Error, FileSnafu};
 use kitepass_config::{parse_change_request, Item, SchemaValidator};
@@ -6,16 +6,16 @@
 use snafu::ResultExt;
 use std::path::Path;
 
-/// The lists that a configuration consists of.
+/// Top-level keys of a configuration.
 const CONFIGURATION_KEYS: [&str; 4] = ["itineraries", "customers", "carrier-lines", "weight-limits"];
-/// The parts of a change request.
+/// Top-level keys of a change request.
 const CHANGE_REQUEST_KEYS: [&str; 2] = ["deliver", "withdraw"];
 
-/// The change request in a file: as it is there, or made of a configuration.
+/// Returns the change request in a file. A configuration is converted into a change request.
 ///
 /// # Errors
 ///
-/// [`Error::File`] if it cannot be read, [`Error::Invalid`] if it is not JSON.
+/// [`Error::File`] if the file cannot be read, [`Error::Invalid`] if it is not JSON.
 pub(super) fn read_change_request(path: &Path) -> Result<Vec<u8>, Error> {
     let text = std::fs::read(path).context(FileSnafu { path })?;
     let value: Value = serde_json::from_slice(&text).map_err(|error| Error::Invalid {
@@ -29,16 +29,16 @@
     Ok(text)
 }
 
-/// The change request that brings a whole configuration.
+/// Returns the change request that sets all items of a configuration.
 pub(super) fn to_change_request(configuration: &[u8]) -> Vec<u8> {
     [b"{\"deliver\":", configuration, b"}"].concat()
 }
 
-/// The items of a file's change request.
+/// Returns the items of the change request in a file.
 ///
 /// # Errors
 ///
-/// Those of [`read_change_request`], and [`Error::Invalid`] if an item is not valid.
+/// The errors of [`read_change_request`], and [`Error::Invalid`] if an item is invalid.
 pub(super) fn read_items(schema: &SchemaValidator, path: &Path) -> Result<Vec<Item>, Error> {
     let request = read_change_request(path)?;
     parse_change_request(schema, &request)
--- a/crates/control-plane/src/cli/check.rs
+++ b/crates/control-plane/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `check`: whether a change would be accepted, without asking anybody.
+//! `check`: validates a change locally, without contacting a control process.
 
 use super::arguments::Arguments;
 use super::change_file::read_items;
--- a/crates/control-plane/src/cli/client.rs
+++ b/crates/control-plane/src/cli/client.rs
@@ -1,5 +1,5 @@
-//! Client of the operators' API: one control process after another is called until one of them gives an answer that
-//! counts. It blocks, as a command has nothing else to do.
+//! Client of the operators' API. Control processes are called in turn until one gives a final response. Calls block,
+//! because a command has nothing else to do.
 
 mod exchange;
 
@@ -9,16 +9,16 @@
 use snafu::Snafu;
 use std::net::SocketAddr;
 
-/// How often a redirect is followed.
+/// Maximum number of redirects followed for one call.
 const MAX_REDIRECTS: usize = 2;
 
-/// Why a call came to nothing.
+/// Why a call failed.
 #[derive(Debug, Snafu)]
 pub(super) enum Error {
-    /// The system received the call and rejected it; another attempt would end the same.
+    /// A control process rejected the call; a retry would be rejected too.
     #[snafu(display("refused by {address}: {status} {reason}"))]
     Rejected { address: SocketAddr, status: u16, reason: String },
-    /// No control process could be reached, or none that was could do it now; the same call may be made again.
+    /// No control process could be reached, or none could execute the call now. The call may be retried.
     #[snafu(display("nobody could do it; tried {}", attempts.join("; ")))]
     Unavailable { attempts: Vec<String> },
 }
@@ -33,15 +33,15 @@
     #[snafu(display("sent on to what is no http address"))]
     InvalidLocation,
     #[snafu(display("{status} {reason}"))]
-    NotNow { status: u16, reason: String },
+    ServerUnavailable { status: u16, reason: String },
 }
 
-/// What a response means for the call. [`outcome`] alone decides it.
+/// What the status of a response means for the call, as decided by [`outcome`].
 enum Outcome {
     Done,
-    /// The call is to be made at the response's location.
+    /// The call must be repeated at the response's `Location`.
     Redirected,
-    /// Another control process may do it.
+    /// Another control process may be able to execute the call.
     Unavailable,
     Rejected,
 }
@@ -55,29 +55,29 @@
     }
 }
 
-/// Whether an evacuation starts or ends.
+/// Whether to start or end an evacuation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Evacuation {
     Start,
     End,
 }
 
-/// The newest configuration, as JSON.
+/// Returns the newest configuration as JSON.
 pub(super) fn get_configuration(addresses: &[SocketAddr]) -> Result<Vec<u8>, Error> {
     call_any(addresses, "GET", path::GET_CONFIGURATION, b"")
 }
 
-/// Sends a change of the configuration.
+/// Submits a configuration change.
 pub(super) fn patch_configuration(addresses: &[SocketAddr], request: &[u8]) -> Result<Vec<u8>, Error> {
     call_any(addresses, "POST", path::PATCH_CONFIGURATION, request)
 }
 
-/// The view of the membership, as JSON.
+/// Returns the members as one control process sees them, as JSON.
 pub(super) fn get_members(addresses: &[SocketAddr]) -> Result<Vec<u8>, Error> {
     call_any(addresses, "GET", path::MEMBERS, b"")
 }
 
-/// Starts or ends the evacuation of a zone, whose name must be fit for a path.
+/// Starts or ends the evacuation of a zone. The zone's name must be valid in a URL path.
 pub(super) fn evacuate(
     addresses: &[SocketAddr],
     evacuation: Evacuation,
@@ -90,12 +90,12 @@
     call_any(addresses, "POST", &format!("{}{verb}/{zone}", path::EVACUATE_PREFIX), b"")
 }
 
-/// Makes a call at the first of these control processes that has an answer to it, and gives the response's body. All of
-/// the API's calls are idempotent, so one whose response got lost is simply made at the next.
+/// Calls the control processes in turn until one gives a final response, and returns the response's body. All calls of
+/// the API are idempotent, so a call whose response was lost can be repeated at the next process.
 ///
 /// # Errors
 ///
-/// [`Error::Rejected`] where one rejected it, [`Error::Unavailable`] where none could do it.
+/// [`Error::Rejected`] if a control process rejected the call, [`Error::Unavailable`] if none could execute it.
 fn call_any(addresses: &[SocketAddr], method: &str, path: &str, body: &[u8]) -> Result<Vec<u8>, Error> {
     let mut attempts = Vec::new();
     for address in addresses {
@@ -111,7 +111,7 @@
     UnavailableSnafu { attempts }.fail()
 }
 
-/// The final response to a call that starts at one control process, and the address that gave it.
+/// Makes a call at `address` and follows redirects. Returns the final response and the address that sent it.
 fn call_following_redirects(
     address: SocketAddr,
     method: &str,
@@ -125,7 +125,7 @@
             Outcome::Done | Outcome::Rejected => return Ok((address, response)),
             Outcome::Unavailable => {
                 let status = response.status;
-                return NotNowSnafu { status, reason: reason(&response) }.fail();
+                return ServerUnavailableSnafu { status, reason: reason(&response) }.fail();
             }
             Outcome::Redirected => {
                 let location = response.location.as_deref();
@@ -138,18 +138,18 @@
     TooManyRedirectsSnafu.fail()
 }
 
-/// Where a `Location` leads: `http://ADDRESS:PORT/path`, or a path at the same address.
+/// Resolves a `Location`, which is `http://ADDRESS:PORT/path` or a path at the same address.
 fn redirect_target(address: SocketAddr, location: &str) -> Option<(SocketAddr, String)> {
-    let is_safe = |path: &str| path.bytes().all(|byte| byte.is_ascii_graphic());
+    let is_visible_ascii = |path: &str| path.bytes().all(|byte| byte.is_ascii_graphic());
     if location.starts_with('/') && !location.starts_with("//") {
-        return is_safe(location).then(|| (address, location.to_owned()));
+        return is_visible_ascii(location).then(|| (address, location.to_owned()));
     }
     let rest = location.strip_prefix("http://")?;
     let (host, path) = rest.find('/').map_or((rest, "/"), |slash| rest.split_at(slash));
-    Some((host.parse().ok()?, is_safe(path).then(|| path.to_owned())?))
+    Some((host.parse().ok()?, is_visible_ascii(path).then(|| path.to_owned())?))
 }
 
-/// What a control process said to a call that it did not do.
+/// Returns the reason that a response gives for not executing the call.
 fn reason(response: &HttpResponse) -> String {
     sanitized(&response.body)
 }
--- a/crates/control-plane/src/cli/client/exchange.rs
+++ b/crates/control-plane/src/cli/client/exchange.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange over a connection of its own, in bounded time.
+//! An HTTP request and its response on a connection of their own, with a deadline.
 
 use kitepass_net::http::body::{Body, HeadReader};
 use kitepass_net::http::{MessageKind, ParseError};
@@ -7,13 +7,14 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Time of an exchange, and what each MiB that is transferred adds to it.
+/// Time limit of an exchange that transfers less than 1 MiB.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Extension of the time limit for each MiB transferred.
 const EXCHANGE_TIMEOUT_PER_MIB: Duration = Duration::from_secs(1);
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Bytes of a response's body: it may be one without end.
+/// Maximum size of a response body. Without it, a server could send an endless body.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
-/// Bytes that one system call moves at most.
+/// Maximum number of bytes per read or write call.
 const BUFFER_BYTES: usize = 64 * 1024;
 
 /// Why an exchange failed.
@@ -21,32 +22,32 @@
 pub(super) enum TransportError {
     #[snafu(display("{source}"))]
     Socket { source: std::io::Error },
-    #[snafu(display("no answer in time"))]
+    #[snafu(display("request timed out"))]
     TimedOut,
     #[snafu(display("an answer that is none, {source}"))]
     Malformed { source: ParseError },
     #[snafu(display("closed without a whole answer"))]
     Incomplete,
-    #[snafu(display("an answer of too many bytes"))]
+    #[snafu(display("response body exceeds {MAX_BODY_BYTES} bytes"))]
     TooLong,
 }
 
-/// A response, all of which has come.
+/// A complete response.
 pub(super) struct HttpResponse {
     pub(super) status: u16,
     pub(super) location: Option<String>,
     pub(super) body: Vec<u8>,
 }
 
-/// The time of an exchange, which grows with what is transferred.
+/// The deadline of an exchange, which is extended as bytes are transferred.
 struct Deadline {
     started: Instant,
-    transferred: usize,
+    transferred_bytes: usize,
 }
 
 impl Deadline {
     fn remaining(&self) -> Result<Duration, TransportError> {
-        let total = EXCHANGE_TIMEOUT + EXCHANGE_TIMEOUT_PER_MIB * (self.transferred >> 20) as u32;
+        let total = EXCHANGE_TIMEOUT + EXCHANGE_TIMEOUT_PER_MIB * (self.transferred_bytes >> 20) as u32;
         let remaining = total.checked_sub(self.started.elapsed());
         remaining.filter(|remaining| !remaining.is_zero()).ok_or(TransportError::TimedOut)
     }
@@ -59,18 +60,18 @@
     }
 }
 
-/// Sends a request to `address` and receives its response.
+/// Sends a request to `address` and returns the response.
 ///
 /// # Errors
 ///
-/// No complete response came in time.
+/// Fails if the connection fails, or the response is malformed, too long, incomplete, or late.
 pub(super) fn call(
     address: SocketAddr,
     method: &str,
     path: &str,
     body: &[u8],
 ) -> Result<HttpResponse, TransportError> {
-    let mut deadline = Deadline { started: Instant::now(), transferred: 0 };
+    let mut deadline = Deadline { started: Instant::now(), transferred_bytes: 0 };
     let mut stream = TcpStream::connect_timeout(&address, EXCHANGE_TIMEOUT).map_err(socket_error)?;
     let head = format!(
         "{method} {path} HTTP/1.1\r\nHost: {address}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\
@@ -79,7 +80,8 @@
     );
     let sent = send(&mut stream, head.as_bytes(), &mut deadline)
         .and_then(|()| send(&mut stream, body, &mut deadline));
-    // A server that rejects a request by its head alone may close before the body is sent: its response counts.
+    // A server may reject a request after reading only its head, and close the connection before the body is sent.
+    // Its response still counts.
     match (receive(&mut stream, &mut deadline), sent) {
         (Ok(response), _) => Ok(response),
         (Err(_), Err(error)) | (Err(error), Ok(())) => Err(error),
@@ -94,24 +96,24 @@
             Err(error) if error.kind() == ErrorKind::Interrupted => 0,
             result => result.map_err(socket_error)?,
         };
-        deadline.transferred += length;
+        deadline.transferred_bytes += length;
         bytes = &bytes[length..];
     }
     Ok(())
 }
 
-/// Puts a response together from what comes.
+/// Assembles a response from the bytes received.
 #[derive(Default)]
 struct ResponseReader {
     head_reader: HeadReader,
     input: Vec<u8>,
-    begun: Option<(HttpResponse, Body)>,
+    in_progress: Option<(HttpResponse, Body)>,
 }
 
 impl ResponseReader {
-    /// Whether the response is complete with what has come.
+    /// Processes the buffered input. Returns whether the response is complete.
     fn read_input(&mut self) -> Result<bool, TransportError> {
-        if self.begun.is_none() {
+        if self.in_progress.is_none() {
             let kind = MessageKind::Response { to_head: false };
             let head =
                 self.head_reader.next(kind, &mut self.input, MAX_HEAD_BYTES).context(MalformedSnafu)?;
@@ -119,9 +121,9 @@
             let location =
                 head.field("location").map(|location| String::from_utf8_lossy(location).into_owned());
             let response = HttpResponse { status: head.status(), location, body: Vec::new() };
-            self.begun = Some((response, Body::new(framing)));
+            self.in_progress = Some((response, Body::new(framing)));
         }
-        let Some((response, body)) = &mut self.begun else { return Ok(false) };
+        let Some((response, body)) = &mut self.in_progress else { return Ok(false) };
         let capacity = MAX_BODY_BYTES - response.body.len().min(MAX_BODY_BYTES);
         if body.read(&mut self.input, &mut response.body, capacity).context(MalformedSnafu)? {
             return Ok(true);
@@ -132,13 +134,13 @@
         Ok(false)
     }
 
-    /// Whether the end of the connection completes the response.
-    fn ends_here(&mut self) -> bool {
-        self.begun.as_mut().is_some_and(|(_, body)| body.finish_at_eof().is_ok())
+    /// Returns whether the end of the connection completes the response.
+    fn completes_at_eof(&mut self) -> bool {
+        self.in_progress.as_mut().is_some_and(|(_, body)| body.finish_at_eof().is_ok())
     }
 
     fn into_response(self) -> Option<HttpResponse> {
-        self.begun.map(|(response, _)| response)
+        self.in_progress.map(|(response, _)| response)
     }
 }
 
@@ -152,12 +154,12 @@
             result => result.map_err(socket_error)?,
         };
         if length == 0 {
-            if !reader.ends_here() {
+            if !reader.completes_at_eof() {
                 return IncompleteSnafu.fail();
             }
             break;
         }
-        deadline.transferred += length;
+        deadline.transferred_bytes += length;
         reader.input.extend_from_slice(&buffer[..length]);
     }
     reader.into_response().context(IncompleteSnafu)
--- a/crates/control-plane/src/cli/diff.rs
+++ b/crates/control-plane/src/cli/diff.rs
@@ -1,4 +1,4 @@
-//! `diff`: compares a file's items with those of the running system.
+//! `diff`: compares a file's items with the running system's configuration.
 
 use super::arguments::Arguments;
 use super::change_file::{read_items, to_change_request};
@@ -24,7 +24,7 @@
     print(&comparison(&items, &current))
 }
 
-/// How a file's item relates to the system's. [`compare`] alone decides it.
+/// How a file's item relates to the current item, as decided by [`compare`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Relation {
     Newer,
@@ -59,7 +59,7 @@
     }
 }
 
-/// A row for each of the file's items, and a line with the sums.
+/// Formats one row per item of the file, followed by a line with the totals.
 fn comparison(items: &[Item], current: &ItemStore) -> String {
     let mut counts = [0; Relation::ALL.len()];
     let mut rows = Vec::new();
@@ -69,13 +69,13 @@
         counts[relation as usize] += 1;
         rows.push(row(item, current_item, relation));
     }
-    let sums: Vec<String> = Relation::ALL
+    let totals: Vec<String> = Relation::ALL
         .iter()
         .map(|relation| format!("{} {}", counts[*relation as usize], relation.name()))
         .collect();
     let in_file: BTreeSet<(Kind, &str)> = items.iter().map(|item| (item.kind, &*item.name)).collect();
     let others = current.items().filter(|item| !in_file.contains(&(item.kind, &*item.name))).count();
-    format!("{}{}; {others} standing items are not in the file\n", table(&rows), sums.join(", "))
+    format!("{}{}; {others} standing items are not in the file\n", table(&rows), totals.join(", "))
 }
 
 fn row(item: &Item, current: Option<&Item>, relation: Relation) -> Vec<String> {
@@ -96,7 +96,7 @@
     row
 }
 
-/// The list of the configuration in which items of this kind stand.
+/// Returns the name of the configuration's list that contains items of this kind.
 fn list_name(kind: Kind) -> &'static str {
     match kind {
         Kind::Route => "itineraries",
@@ -115,7 +115,7 @@
     }
 }
 
-/// The fields in which two versions of an item differ, as `field old -> new`.
+/// Formats the fields in which two versions of an item differ, as `field old -> new`.
 fn changed_fields(item: &Item, current: &Item) -> String {
     let (new, old) = (fields(item), fields(current));
     let names: BTreeSet<&String> = new.keys().chain(old.keys()).collect();
@@ -144,8 +144,8 @@
     format!("{} {} -> {}", abbreviated(name), text(old), text(new))
 }
 
-/// How many keys of a customer change. Invariant: keys are secrets and are never shown; what a terminal shows ends up in
-/// tickets.
+/// Formats how many keys of a tenant are added and removed. Invariant: keys are secrets and are never shown, because
+/// terminal output ends up in tickets.
 fn changed_keys(old: Option<&Value>, new: Option<&Value>) -> String {
     let keys = |value: Option<&Value>| -> BTreeSet<String> {
         value.and_then(Value::as_array).into_iter().flatten().map(Value::to_string).collect()
--- a/crates/control-plane/src/cli/error.rs
+++ b/crates/control-plane/src/cli/error.rs
@@ -1,10 +1,10 @@
-//! Why a command failed, and the exit code that tells it.
+//! Errors of the commands, and their exit codes.
 
 use super::client;
 use snafu::Snafu;
 use std::path::PathBuf;
 
-/// Why a command failed. The texts are printed on one line after the program's name.
+/// Why a command failed. The message is printed on one line, after the program's name.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub(super) enum Error {
@@ -27,7 +27,7 @@
 }
 
 impl Error {
-    /// The exit codes are part of the operators' contract, as `--help` states them.
+    /// Returns the exit code of the process. Operators' scripts rely on these codes, which `--help` documents.
     pub(super) fn exit_code(&self) -> u8 {
         match self {
             Error::Usage { .. } | Error::File { .. } | Error::Output { .. } => 2,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A control process answered with what this program does not understand.
+    /// Returns the error for a response that this program cannot parse.
     pub(super) fn unreadable(error: impl std::fmt::Display) -> Error {
         Error::UnreadableResponse { reason: error.to_string() }
     }
--- a/crates/control-plane/src/cli/evacuate.rs
+++ b/crates/control-plane/src/cli/evacuate.rs
@@ -1,4 +1,4 @@
-//! `evacuate`: has nothing more sent to a zone's backends, or has them used again.
+//! `evacuate`: starts or ends the evacuation of a zone, during which its backends receive no requests.
 
 use super::arguments::Arguments;
 use super::client::{self, Evacuation};
@@ -21,7 +21,8 @@
     print(&format!("{zone}: evacuation {done}\n"))
 }
 
-/// Whether a text can stand in a request's path. Invariant: spaces, slashes or line ends would make it another request.
+/// Returns whether a text is safe to use as a zone name in a request path. Invariant: spaces, slashes or line breaks
+/// would turn the request into a different one.
 fn is_zone_name(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-._~".contains(&byte))
 }
--- a/crates/control-plane/src/cli/get.rs
+++ b/crates/control-plane/src/cli/get.rs
@@ -10,14 +10,14 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::Path;
 
-/// Mode of a file with a configuration, which holds customers' keys: only its owner reads it. The usual mode would let
-/// everybody on the machine read them.
+/// Mode of a file that contains a configuration. Only its owner may read it, because a configuration contains tenants'
+/// keys; with the default mode every user of the machine could read them.
 const PRIVATE_FILE_MODE: u32 = 0o600;
 
 pub(super) fn run(arguments: &Arguments) -> Result<(), Error> {
     let body = client::get_configuration(&arguments.control_addresses()?).context(CallSnafu)?;
     let configuration: Value = serde_json::from_slice(&body).map_err(Error::unreadable)?;
-    let text = one_item_a_line(&configuration);
+    let text = one_item_per_line(&configuration);
     match &arguments.output_file {
         Some(path) => write_private(path, &text),
         None => print(&text),
@@ -31,8 +31,8 @@
     file.and_then(|mut file| file.write_all(text.as_bytes())).context(FileSnafu { path })
 }
 
-/// A configuration with each item on a line of its own, so that two of them can be compared line by line.
-fn one_item_a_line(configuration: &Value) -> String {
+/// Formats a configuration with one item per line, so that two configurations can be compared line by line.
+fn one_item_per_line(configuration: &Value) -> String {
     let Value::Object(lists) = configuration else { return format!("{configuration}\n") };
     let lists: Vec<String> = lists.iter().map(|(name, list)| format_list(name, list)).collect();
     format!("{{\n{}\n}}\n", lists.join(",\n"))
--- a/crates/control-plane/src/cli/help.rs
+++ b/crates/control-plane/src/cli/help.rs
@@ -1,4 +1,4 @@
-//! The texts that the commands print for `--help`. They are the operators' contract: golden tests pin them.
+//! The texts printed for `--help`. Operators rely on them, so golden tests pin them.
 
 pub(super) const PROGRAM: &str = "\
 kitepass-control-plane: the control plane of kitepass
--- a/crates/control-plane/src/cli/members.rs
+++ b/crates/control-plane/src/cli/members.rs
@@ -1,4 +1,4 @@
-//! `members`: the control plane's replicas and the gateways, as one control process sees them.
+//! `members`: shows the control plane's replicas and the gateways, as one control process sees them.
 
 use super::arguments::Arguments;
 use super::client;
@@ -19,7 +19,7 @@
 fn format_members(members: &Value) -> String {
     let asked = text(&members["asked"]);
     let state = format!("{}, {}", text(&members["standing"]), singleton_roles(&members["duty"]));
-    let contact = match contact(members) {
+    let contact = match describe_contact(members) {
         Some(contact) => format!(", {contact} by a majority"),
         None => String::new(),
     };
@@ -28,7 +28,7 @@
     format!("asked {asked}: {state}{contact}\n\n{replicas}\n{gateways}")
 }
 
-/// The singleton roles that the process holds which was asked.
+/// Formats the singleton roles held by the process that responded.
 fn singleton_roles(roles: &Value) -> String {
     let held: Vec<String> = roles
         .as_object()
@@ -47,9 +47,12 @@
 fn replica_table(members: &Value, own_state: &str) -> String {
     let mut rows = vec![header(&["core", "address", "district", "heard", "standing"])];
     for replica in list(members, "core") {
-        let is_asked = replica["station"] == members["asked"];
-        let state =
-            if is_asked { own_state.to_owned() } else { contact(replica).unwrap_or_else(|| "-".to_owned()) };
+        let is_responder = replica["station"] == members["asked"];
+        let state = if is_responder {
+            own_state.to_owned()
+        } else {
+            describe_contact(replica).unwrap_or_else(|| "-".to_owned())
+        };
         rows.push(vec![
             text(&replica["station"]),
             text(&replica["ip"]),
@@ -74,7 +77,7 @@
     table_or(&rows, "no gateway has a session")
 }
 
-/// A table, or another line if it has no row but its header.
+/// Formats a table, or the line `if_empty` if there are no rows besides the header.
 fn table_or(rows: &[Vec<String>], if_empty: &str) -> String {
     if rows.len() > 1 {
         table(rows)
@@ -99,8 +102,9 @@
     if value.as_bool() == Some(true) { "yes" } else { "no" }.to_owned()
 }
 
-/// How long ago the process that was asked was heard by a replica, or by a majority. Older versions tell nothing of it.
-fn contact(report: &Value) -> Option<String> {
+/// Formats how long ago a replica, or a majority, last received a message from the process that responded. Returns
+/// `None` for processes of older versions, which do not report it.
+fn describe_contact(report: &Value) -> Option<String> {
     let is_in_contact = report["contact"].as_bool()?;
     let age_s = report["contact-age-ms"].as_i64().map(|age| age as f64 / 1000.0);
     Some(match (is_in_contact, age_s) {
--- a/crates/control-plane/src/cli/mod.rs
+++ b/crates/control-plane/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: the control process itself, and what an operator asks of a running system.
+//! The command line: runs a control process, or an operator's command against a running system.
 
 mod apply;
 mod arguments;
@@ -21,12 +21,12 @@
 use std::ffi::OsString;
 use std::process::ExitCode;
 
-/// A subcommand: what it takes, what it is, and what it does.
+/// A subcommand.
 struct Command {
     name: &'static str,
-    /// Its arguments, all of them required.
+    /// Names of its positional arguments, all of which are required.
     arguments: &'static [&'static str],
-    /// The options that it takes.
+    /// Names of the options that it accepts.
     options: &'static [&'static str],
     help: &'static str,
     run: fn(&Arguments) -> Result<(), Error>,
@@ -60,14 +60,14 @@
     },
 ];
 
-/// The command without a name: a control process.
+/// The command that runs if none is named.
 const DEFAULT_COMMAND: &str = "serve";
 
-/// Runs the command that the process' arguments name, and gives its exit code.
+/// Runs the command named by the process arguments, and returns its exit code.
 pub fn main() -> ExitCode {
     match run(std::env::args_os().skip(1)) {
         Ok(()) => ExitCode::SUCCESS,
-        // Whoever read the output has enough of it.
+        // The reader of the output has closed the pipe, which is not a failure.
         Err(Error::Output { source }) if source.kind() == std::io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("kitepass-control-plane: {error}");
@@ -100,7 +100,7 @@
 }
 
 impl Command {
-    /// Whether the arguments are what this command takes.
+    /// Checks that the command accepts the given arguments and options.
     fn check_usage(&self, arguments: &Arguments) -> Result<(), Error> {
         let unexpected = arguments.options.iter().find(|option| !self.options.contains(*option));
         if let Some(option) = unexpected {
--- a/crates/control-plane/src/cli/serve.rs
+++ b/crates/control-plane/src/cli/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: a control process.
+//! `serve`: runs a control process.
 
 use super::arguments::Arguments;
 use super::error::{Error, NoSettingsSnafu, ServeSnafu};
