--- a/crates/control-plane/src/endpoints.rs
+++ b/crates/control-plane/src/endpoints.rs
@@ -1,7 +1,8 @@
-//! The backends that there are, as the platform lists them, turned into items: one item a backend, under its id.
+//! Converts the platform's list of backends into configuration items, one per backend, named by its id.
 //!
-//! An item's value has the backend's service, address, zone, slots, whether it is draining, and for how long it warms up
-//! from when the item came. Only what changed becomes an update; a warm-up that merely runs down does not.
+//! An item's value contains the backend's service, address, zone, number of slots, whether it is draining, and how much
+//! warm-up time it had left when the item was created. Only changes become updates; the passing of warm-up time is
+//! none.
 
 use bytes::Bytes;
 use kitepass_config::{Item, ItemStore, Kind};
@@ -9,49 +10,49 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Ends of a warm-up that differ by less than this are the same one.
+/// Smaller differences between two values for the end of a warm-up are ignored.
 const WARM_UP_TOLERANCE: Duration = Duration::from_micros(700_000);
-/// Backends of one page at most: the list comes from outside, and must not fill the memory.
+/// Maximum number of backends per page. The list comes from outside and must not exhaust the memory.
 const MAX_PAGE_ENDPOINTS: usize = 50_000;
-/// The item's field with the milliseconds that its backend still warms up.
+/// The item field with the remaining warm-up time of its backend, in milliseconds.
 const WARM_UP_FIELD: &str = "cold-ms";
 
-/// An entry of the platform's list.
+/// A backend in the platform's list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// The backend's id.
     pub backend_id: String,
-    /// The service that it belongs to.
+    /// The service to which it belongs.
     pub service: String,
-    /// Address and port, as a text.
+    /// Address and port.
     pub address: String,
-    /// The zone that it stands in.
+    /// The zone in which it runs.
     pub zone: String,
-    /// Requests that it takes at a time.
+    /// Maximum number of concurrent requests.
     pub slots: u64,
-    /// It takes no new requests.
+    /// Whether it accepts no new requests.
     pub is_draining: bool,
-    /// Milliseconds for which it still warms up.
+    /// Remaining warm-up time in milliseconds.
     pub warm_up_ms: u64,
 }
 
 impl Endpoint {
-    /// An entry of the list of `listed_zone`, which counts for entries that name no zone themselves.
-    fn parse(entry: &Value, listed_zone: &str) -> Option<Endpoint> {
+    /// Parses an entry of the list. `default_zone` applies to entries without a zone of their own.
+    fn parse(entry: &Value, default_zone: &str) -> Option<Endpoint> {
         let text = |name: &str| entry.get(name).and_then(Value::as_str).map(str::to_owned);
         let number = |name: &str| entry.get(name).and_then(Value::as_f64).unwrap_or(0.0).max(0.0) as u64;
         Some(Endpoint {
             backend_id: text("call-sign")?,
             service: text("line")?,
             address: text("address")?,
-            zone: text("district").unwrap_or_else(|| listed_zone.to_owned()),
+            zone: text("district").unwrap_or_else(|| default_zone.to_owned()),
             slots: number("berths").max(1),
             is_draining: text("standing").is_some_and(|standing| standing != "open"),
             warm_up_ms: number("cold-left-ms"),
         })
     }
 
-    /// The item's value for this backend.
+    /// Returns the value of the backend's item.
     fn to_value(&self, warm_up_ms: u64) -> Value {
         json!({"line": self.service, "address": self.address, "district": self.zone,
             "berths": self.slots, "closing": self.is_draining, WARM_UP_FIELD: warm_up_ms})
@@ -61,13 +62,13 @@
 /// One page of the platform's list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointPage {
-    /// Its entries.
+    /// The backends on this page.
     pub endpoints: Vec<Endpoint>,
     /// The token of the next page, if there is one.
     pub next_token: Option<String>,
 }
 
-/// Parses one page; none if any entry of it lacks what an endpoint needs, or it has too many.
+/// Parses one page. Returns `None` if any entry lacks a required field, or if there are too many entries.
 pub fn parse_page(body: &[u8]) -> Option<EndpointPage> {
     let page: Value = serde_json::from_slice(body).ok()?;
     let mut endpoints = Vec::new();
@@ -83,42 +84,44 @@
     (endpoints.len() <= MAX_PAGE_ENDPOINTS).then_some(EndpointPage { endpoints, next_token })
 }
 
-/// What the coordinator remembers of its readings.
+/// Compares polls of the platform's list with the known items, and creates the items that differ.
 #[derive(Default)]
 pub struct EndpointReconciler {
-    /// The version of the last item that was made.
+    /// Version of the item created last.
     version: u64,
-    /// Until when backends warm up, by id, as the items tell.
-    warm_until: BTreeMap<String, Timestamp>,
-    /// Backends that the last reading lacked.
+    /// When the warm-ups end according to the items, by backend id.
+    warm_up_ends: BTreeMap<String, Timestamp>,
+    /// Known backends that the last poll did not list.
     missing: BTreeSet<String>,
 }
 
 impl EndpointReconciler {
-    /// Starts anew under the coordinator's term. Versions are above those of lower terms.
+    /// Resets the state for a new term of the coordinator. Item versions of a term are higher than those of lower
+    /// terms.
     pub fn start_term(&mut self, term: u64) {
         *self = EndpointReconciler { version: term << 32, ..EndpointReconciler::default() };
     }
 
-    /// The changes that a complete reading makes, as items with versions above all that are known.
+    /// Returns the changes that follow from a complete poll, as items with versions higher than all known ones.
     pub fn reconcile(
         &mut self,
         now: Timestamp,
         endpoints: Vec<Endpoint>,
         item_store: &ItemStore,
     ) -> Vec<Item> {
-        // Invariant: versions go on above whatever is known. Terms begin anew when all control processes restart, while
-        // backends are kept on disk: what an earlier term wrote would stay for ever.
+        // Invariant: new versions are higher than all known ones. Term numbers start again when all control processes
+        // restart, but the backend items stay on disk; an item written before the restart could never be replaced.
         self.version = self.version.max(item_store.highest_version(Kind::Backend));
         let known = item_store.items_of(Kind::Backend).filter(|item| item.value.is_some()).count();
-        // Invariant: a platform that has just started may list nothing, which does not mean that all backends are gone.
+        // Invariant: an empty list does not remove all backends, because a platform that has just started may list
+        // none.
         if endpoints.is_empty() && known > 1 {
             return Vec::new();
         }
         let mut items = Vec::new();
         for endpoint in &endpoints {
             if self.has_changed(now, endpoint, item_store) {
-                self.warm_until.insert(endpoint.backend_id.clone(), warm_until(now, endpoint));
+                self.warm_up_ends.insert(endpoint.backend_id.clone(), warm_up_end(now, endpoint));
                 items
                     .push(self.next_item(&endpoint.backend_id, Some(endpoint.to_value(endpoint.warm_up_ms))));
             }
@@ -127,7 +130,7 @@
         items
     }
 
-    /// Whether the item that is known of a backend tells something else than its entry.
+    /// Returns whether a listed backend differs from its known item.
     fn has_changed(&self, now: Timestamp, endpoint: &Endpoint, item_store: &ItemStore) -> bool {
         let item = item_store.get(Kind::Backend, &endpoint.backend_id);
         let Some(value) = item.and_then(|item| item.value.as_deref()) else { return true };
@@ -139,11 +142,11 @@
             || self.warm_up_difference(now, endpoint) >= WARM_UP_TOLERANCE
     }
 
-    /// By how much the end of a backend's warm-up differs from the one that its item tells.
+    /// Returns by how much the listed end of a backend's warm-up differs from the end according to its item.
     fn warm_up_difference(&self, now: Timestamp, endpoint: &Endpoint) -> Duration {
-        // A warm-up that was told and is over is as good as none.
-        let known = self.warm_until.get(&endpoint.backend_id).copied().unwrap_or(now).max(now);
-        let listed = warm_until(now, endpoint);
+        // A warm-up that has ended is equivalent to none.
+        let known = self.warm_up_ends.get(&endpoint.backend_id).copied().unwrap_or(now).max(now);
+        let listed = warm_up_end(now, endpoint);
         if listed > known {
             listed - known
         } else {
@@ -151,8 +154,8 @@
         }
     }
 
-    /// Removes the backends that two readings in a row lacked. One that is missing once may have moved between two pages
-    /// that were read one after the other.
+    /// Removes the backends that are missing from two consecutive polls. A backend that is missing once may have moved
+    /// from one page of the list to another between the reads of the two pages.
     fn remove_missing(&mut self, endpoints: &[Endpoint], item_store: &ItemStore) -> Vec<Item> {
         let listed: BTreeSet<&str> = endpoints.iter().map(|endpoint| endpoint.backend_id.as_str()).collect();
         let missing: BTreeSet<String> = item_store
@@ -160,16 +163,16 @@
             .filter(|item| item.value.is_some() && !listed.contains(&*item.name))
             .map(|item| item.name.to_string())
             .collect();
-        let missed_before = std::mem::replace(&mut self.missing, missing.clone());
+        let previously_missing = std::mem::replace(&mut self.missing, missing.clone());
         let mut items = Vec::new();
-        for backend_id in missing.intersection(&missed_before) {
-            self.warm_until.remove(backend_id);
+        for backend_id in missing.intersection(&previously_missing) {
+            self.warm_up_ends.remove(backend_id);
             items.push(self.next_item(backend_id, None));
         }
         items
     }
 
-    /// An item of the next version; without a value it removes the backend.
+    /// Creates an item with the next version. An item without a value removes the backend.
     fn next_item(&mut self, backend_id: &str, value: Option<Value>) -> Item {
         self.version += 1;
         let value = value.map(|value| Bytes::from(value.to_string()));
@@ -177,8 +180,8 @@
     }
 }
 
-/// When a backend's warm-up ends, as the platform lists it.
-fn warm_until(now: Timestamp, endpoint: &Endpoint) -> Timestamp {
+/// Returns when a backend's warm-up ends according to the platform.
+fn warm_up_end(now: Timestamp, endpoint: &Endpoint) -> Timestamp {
     now + Duration::from_micros(endpoint.warm_up_ms as i64 * 1000)
 }
 
@@ -186,7 +189,7 @@
 mod tests {
     use super::*;
 
-    fn entry(name: &str, cold_ms: u64) -> Endpoint {
+    fn entry(name: &str, remaining_ms: u64) -> Endpoint {
         Endpoint {
             backend_id: name.into(),
             service: "l".into(),
@@ -194,12 +197,12 @@
             zone: "d".into(),
             slots: 2,
             is_draining: false,
-            warm_up_ms: cold_ms,
+            warm_up_ms: remaining_ms,
         }
     }
 
     #[test]
-    fn only_changes_become_items_and_an_entry_missing_twice_is_removed() {
+    fn only_changes_become_items_and_backend_missing_twice_is_removed() {
         let at = |millis: i64| Timestamp::from_micros(millis * 1000);
         let (mut reconciler, mut item_store) = (EndpointReconciler::default(), ItemStore::new());
         let mut count_updates = |now, entries: &[Endpoint], item_store: &mut ItemStore| {
@@ -214,13 +217,13 @@
         assert_eq!(count_updates(1400, &[entry("a", 1600), entry("b", 3000)], &mut item_store), 1); // warming up again
         assert_eq!(count_updates(4600, &[entry("a", 0), entry("b", 0)], &mut item_store), 2);
         assert_eq!(count_updates(5300, &[entry("a", 0), entry("b", 0)], &mut item_store), 0);
-        let mut closing = entry("a", 0);
-        closing.is_draining = true;
-        assert_eq!(count_updates(6000, &[closing, entry("b", 0)], &mut item_store), 1);
+        let mut draining = entry("a", 0);
+        draining.is_draining = true;
+        assert_eq!(count_updates(6000, &[draining, entry("b", 0)], &mut item_store), 1);
         assert_eq!(count_updates(6700, &[entry("b", 0)], &mut item_store), 0);
         assert_eq!(count_updates(7400, &[entry("b", 0)], &mut item_store), 1);
         assert!(item_store.get(Kind::Backend, "a").unwrap().value.is_none());
-        // An empty list is not taken for the loss of all backends.
+        // An empty list does not remove all backends.
         item_store.merge(Item {
             kind: Kind::Backend,
             name: "c".into(),
@@ -228,7 +231,7 @@
             value: Some(Bytes::from("{}")),
         });
         assert_eq!(count_updates(8000, &[], &mut item_store), 0);
-        // What a higher term wrote before the whole control plane restarted is overwritten all the same.
+        // An item that was written in a higher term, before the whole control plane restarted, is overwritten as well.
         let old = Some(Bytes::from("{}"));
         item_store.merge(Item { kind: Kind::Backend, name: "b".into(), version: 99 << 32, value: old });
         assert_eq!(count_updates(8700, &[entry("b", 0)], &mut item_store), 1);
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,7 +1,7 @@
-//! kitepass' control plane: it keeps the configuration safe, brings it to every gateway, knows who is a member,
-//! reads the platform's list of backends and holds the shared usage counts.
+//! The control plane of kitepass. It stores the configuration durably and distributes it to all gateways, tracks the
+//! members of the system, polls the platform's list of backends, and maintains the shared usage counts.
 //!
-//! [`state_machine`] decides, without input or output; [`server`] is the sockets, the disk and the clock around it.
+//! [`state_machine`] makes the decisions and performs no I/O; [`server`] connects it to sockets, disk and clock.
 
 pub mod cli;
 pub mod endpoints;
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -1,4 +1,4 @@
-//! `kitepass-control-plane`: kitepass' control plane, and the operators' commands.
+//! `kitepass-control-plane`: the control plane of kitepass, and the operators' commands.
 
 use std::process::ExitCode;
 
--- a/crates/control-plane/src/request.rs
+++ b/crates/control-plane/src/request.rs
@@ -1,53 +1,54 @@
-//! What clients request of a control process, as values: decoded from their HTTP requests, executed by the state machine.
+//! Requests to a control process: decoded from HTTP here, and executed by the state machine.
 
 use kitepass_config::{ConfigurationSnapshot, Item};
 use kitepass_coordination::consensus::Proposal;
 use kitepass_coordination::membership::ReplicaSet;
 
-/// What a client is told, along with another address or none, by a process that cannot know what is current.
+/// The reason given to a client, with or without a redirect, by a process without quorum contact. Such a process cannot
+/// know the current state.
 pub(crate) const NO_QUORUM_REASON: &str = "out of contact with the core";
 
-/// The paths of the operators' and directory APIs, which are their clients' contract.
+/// Paths of the operators' API and the directory API. Clients rely on them.
 pub(crate) mod path {
-    /// The directory: which gateways a client is to use.
+    /// The directory API: which gateways a client should use.
     pub(crate) const ROUTE_LOOKUP: &str = "/v1/route-lookup";
     pub(crate) const GET_CONFIGURATION: &str = "/v1/Timetable.Get";
     pub(crate) const PATCH_CONFIGURATION: &str = "/v1/Timetable.Patch";
     pub(crate) const MEMBERS: &str = "/v1/members";
-    /// A verb and a zone follow: `VERB/ZONE`.
+    /// Prefix of `VERB/ZONE`, with one of the two verbs below.
     pub(crate) const EVACUATE_PREFIX: &str = "/v1/Evacuate.";
     pub(crate) const EVACUATE_START: &str = "Start";
     pub(crate) const EVACUATE_END: &str = "End";
 }
 
-/// What the state machine executes: an operator's request, or one of the control plane's own.
+/// A request that the state machine executes, from an operator or from the control plane itself.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
-    /// The newest configuration in full.
+    /// Reads the complete newest configuration.
     Get,
-    /// A change of the configuration: these items, all of them or none.
+    /// Changes the configuration: applies all of these items or none.
     Patch(Vec<Item>),
-    /// Whether the backends of a zone are used.
+    /// Starts or ends the evacuation of a zone.
     Evacuate {
         /// The zone's name.
         zone: String,
-        /// True: nothing more is sent to them. False: they are used again.
+        /// True if the zone's backends should receive no more requests, false if they should be used again.
         evacuated: bool,
     },
-    /// Completes a proposal that some replica has accepted.
+    /// Completes a proposal that at least one replica has accepted.
     ResolveProposal(Proposal),
-    /// Reads what a majority holds: a new coordinator does so before it acts.
+    /// Reads the state held by a majority, as a new coordinator does before it acts.
     ReadMajority,
-    /// First step of a membership change: the incoming replica set is proposed.
+    /// First step of a membership change: proposes the incoming replica set.
     ProposeReplicaSet(ReplicaSet),
-    /// Second step: all that was committed before is read from a majority, so that the incoming set holds it.
+    /// Second step: reads everything committed before from a majority, so that the incoming replica set holds it.
     PrepareActivation(ReplicaSet),
-    /// Third step: the incoming replica set becomes the current one.
+    /// Third step: makes the incoming replica set the current one.
     ActivateReplicaSet(ReplicaSet),
 }
 
 impl Request {
-    /// Bytes of items that have to be moved for it, its own alone.
+    /// Returns the size in bytes of the items that the request itself contains.
     pub fn item_bytes(&self) -> usize {
         match self {
             Request::Patch(items) => items.iter().map(Item::max_wire_bytes).sum(),
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The request's name in log lines.
+    /// Returns the request's name for log lines.
     pub fn name(&self) -> &'static str {
         match self {
             Request::Get => "get",
@@ -72,27 +73,27 @@
     }
 }
 
-/// How a request ended.
+/// The result of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
-    /// Done; there is nothing to tell.
+    /// The request succeeded and returns no data.
     Done,
-    /// The configuration that was requested.
+    /// The requested configuration.
     Configuration(ConfigurationSnapshot),
-    /// No part of it was accepted, and why.
+    /// The whole request was rejected as invalid, for this reason.
     Invalid(String),
-    /// The version of one of its items is taken by another content: no part of it ever takes effect.
+    /// A version of one of the items already exists with different content, so no part of the request takes effect.
     Conflict(String),
-    /// The control process at this address says that it is in contact with a quorum: it may do it.
+    /// The control process at this address reports quorum contact and may be able to execute the request.
     Redirect(String),
-    /// Another control process may do it, and why this one cannot.
+    /// This process cannot execute the request, for this reason; another control process may be able to.
     Unavailable(&'static str),
 }
 
-/// A client of the directory, as its look-up tells. What it does not tell is an empty text.
+/// The parameters of a directory look-up. Those that the client omits are empty.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LookupQuery {
-    /// The host that it is to send requests for.
+    /// The host of the requests that the client will send.
     pub host: String,
     /// The client's region.
     pub region: String,
@@ -100,25 +101,25 @@
     pub zone: String,
 }
 
-/// A call of an API as its request line tells it, before anything is executed.
+/// An API call as decoded from its request line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ApiCall {
-    /// One that is complete without its body.
+    /// A call that needs no body.
     Request(Request),
-    /// A change of the configuration, which stands in the body.
+    /// A configuration change, which is contained in the body.
     Patch,
-    /// Which gateways a client is to use.
+    /// A query for the gateways that a client should use.
     Lookup(LookupQuery),
-    /// The view of the membership.
+    /// A query for the members as this process sees them.
     Members,
-    /// A path that is none of an API's.
+    /// The path does not exist.
     Unknown,
-    /// A known path, with a method that is not its own.
+    /// The path exists, but not for this method.
     WrongMethod,
 }
 
 impl ApiCall {
-    /// Decodes a request line's method and target.
+    /// Decodes the method and target of a request line.
     pub fn decode(method: &[u8], target: &[u8]) -> ApiCall {
         let target = String::from_utf8_lossy(target);
         let (path, query) = target.split_once('?').unwrap_or((&target, ""));
@@ -158,18 +159,18 @@
             path::EVACUATE_END => false,
             _ => return None,
         };
-        let is_zone = !zone.is_empty() && !zone.contains('/');
-        is_zone.then(|| ApiCall::Request(Request::Evacuate { zone: zone.to_owned(), evacuated }))
+        let is_valid_zone = !zone.is_empty() && !zone.contains('/');
+        is_valid_zone.then(|| ApiCall::Request(Request::Evacuate { zone: zone.to_owned(), evacuated }))
     }
 }
 
-/// The location of the same request at another address, if its target can stand in a header.
+/// Returns the `Location` of the same target at another address, if the target is safe in a header.
 ///
-/// Invariant: only visible ASCII is passed on. Whatever a client wrote in the target goes back to it as part of the
-/// response's head, and a line end there would add headers of its own.
+/// Invariant: only visible ASCII is copied. The client chooses the target, which becomes part of the response head,
+/// where a line break would inject headers.
 pub fn redirect_location(address: &str, port: u16, target: &[u8]) -> Option<String> {
-    let is_safe = target.starts_with(b"/") && target.iter().all(u8::is_ascii_graphic);
-    is_safe.then(|| format!("http://{address}:{port}{}", String::from_utf8_lossy(target)))
+    let is_valid_target = target.starts_with(b"/") && target.iter().all(u8::is_ascii_graphic);
+    is_valid_target.then(|| format!("http://{address}:{port}{}", String::from_utf8_lossy(target)))
 }
 
 #[cfg(test)]
