--- a/crates/control-plane/src/server/api_client.rs
+++ b/crates/control-plane/src/server/api_client.rs
@@ -1,4 +1,4 @@
-//! Reads the requests of one client of the operators' or directory API, within bounds of size.
+//! Reads requests from clients of the operators' API and the directory API, and limits their size.
 
 use super::connections::{CloseReason, ConnectionId, Role, ServerConnection};
 use super::http_response::HttpResponse;
@@ -13,31 +13,32 @@
 use snafu::Snafu;
 
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Bytes of a request's body.
+/// Maximum size of a request body.
 pub(super) const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
-/// Bytes of all bodies that are being read or parsed.
+/// Maximum total size of the request bodies that are being read or parsed.
 const MAX_BUFFERED_BODY_BYTES: usize = 3 * MAX_BODY_BYTES;
-/// A body of no more bytes than this is read in any case.
+/// Bodies up to this size are read regardless of the total.
 const MIN_BUFFERED_BODY_BYTES: usize = 256 * 1024;
-/// Bytes of a change as items. Short entries grow, as each item names its fields; all of them must fit into one message.
+/// Maximum size of a change as items, which must all fit into one message. Short entries become longer as items,
+/// because each item repeats its field names.
 pub(super) const MAX_ITEM_BYTES: usize = 20 * 1024 * 1024;
-/// Bytes of responses that may wait for a client before its next request is read.
+/// A client's next request is read only while no more than this many bytes of responses are unsent.
 const MAX_UNSENT_RESPONSE_BYTES: usize = 256 * 1024;
 
-/// A client of an API, with the request that is being read or executed.
+/// A client of an API, and its current request.
 #[derive(Default)]
 pub(super) struct ApiClient {
     head_reader: HeadReader,
     /// The request whose body is being read.
     pending: Option<PendingBody>,
-    /// Path and query of the last request, as they were sent.
+    /// Path and query of the last request, as sent by the client.
     pub(super) target: Vec<u8>,
-    /// The connection ends with the next response.
+    /// Whether the connection is closed after the next response.
     pub(super) closes_after_response: bool,
-    /// A request is being executed; the next one is read after its response.
+    /// Whether a request is being executed. The next one is read after its response.
     pub(super) awaits_response: bool,
-    /// A request was rejected before all of it had come, and its rest is read and dropped: a socket that is closed with
-    /// unread bytes is reset, and the response is lost with it.
+    /// Whether further input is read and dropped because a request was rejected before it was complete. Closing a
+    /// socket with unread input resets the connection, and the client could lose the response.
     pub(super) discards_input: bool,
     pub(super) rejected_at: Timestamp,
 }
@@ -48,34 +49,34 @@
     bytes: Vec<u8>,
 }
 
-/// A request all of which has come.
+/// A complete request.
 struct CompleteRequest {
     call: ApiCall,
     body: Vec<u8>,
 }
 
-/// Why a client's input is no request that is executed.
+/// Why a client's input is not executed as a request.
 #[derive(Debug, Snafu)]
 enum RequestError {
-    #[snafu(display("the head is not an HTTP request's"))]
+    #[snafu(display("malformed request head"))]
     InvalidHead { status: u16 },
-    #[snafu(display("the body is malformed"))]
+    #[snafu(display("malformed request body"))]
     MalformedBody,
-    #[snafu(display("more than {MAX_BODY_BYTES} bytes"))]
+    #[snafu(display("request exceeds {MAX_BODY_BYTES} bytes"))]
     TooLong,
-    #[snafu(display("more than {MAX_BUFFERED_BODY_BYTES} bytes of requests are being read"))]
-    TooManyLong,
+    #[snafu(display("requests that are being read exceed {MAX_BUFFERED_BODY_BYTES} bytes in total"))]
+    TooManyBuffered,
     #[snafu(display("{source}"))]
     Socket { source: Errno },
 }
 
 impl ApiClient {
-    /// Bytes of the body that is being read.
+    /// Returns how many bytes of the current request's body have been read.
     fn buffered_bytes(&self) -> usize {
         self.pending.as_ref().map_or(0, |pending| pending.bytes.len())
     }
 
-    /// Reads the next request's head if none is read yet; false if more has to come for that.
+    /// Reads the next request's head, unless it has been read already. Returns false if the head is still incomplete.
     fn read_head(&mut self, transport: &mut Connection) -> Result<bool, RequestError> {
         if self.pending.is_some() {
             return Ok(true);
@@ -102,10 +103,10 @@
         Ok(true)
     }
 
-    /// Reads on in the body; the request once all of it has come.
+    /// Continues reading the body. Returns the request once it is complete.
     fn read_body(&mut self, transport: &mut Connection) -> Result<Option<CompleteRequest>, RequestError> {
         let Some(pending) = &mut self.pending else { return Ok(None) };
-        // One byte more than allowed distinguishes a body that goes on from one that ends at the limit.
+        // Reading one byte more than allowed distinguishes a body that is too long from one that ends at the limit.
         let capacity = (MAX_BODY_BYTES + 1).saturating_sub(pending.bytes.len());
         let is_complete = pending
             .body
@@ -120,7 +121,7 @@
         Ok(self.pending.take().map(|PendingBody { call, bytes, .. }| CompleteRequest { call, body: bytes }))
     }
 
-    /// Drops the request that is being read and whatever still comes of it.
+    /// Drops the current request and all further input.
     fn discard_input(&mut self, now: Timestamp) {
         self.closes_after_response = true;
         self.discards_input = true;
@@ -131,18 +132,18 @@
     }
 }
 
-/// Whether the next request may be read: none is being executed, and the client takes its responses.
+/// Returns whether the next request may be read: none is being executed, and the client reads its responses.
 ///
 /// # Errors
 ///
-/// The socket's, when responses that wait are written.
+/// The socket's error, if writing the unsent responses fails.
 fn may_read_request(connection: &mut ServerConnection) -> Result<bool, Errno> {
     let is_busy = connection.api_client().is_none_or(|client| client.awaits_response);
     if is_busy || connection.closes_after_flush {
         return Ok(false);
     }
-    // Invariant: a client that sends requests and reads no responses must not have them pile up here. Once it reads
-    // them, this connection is served again.
+    // Invariant: responses must not accumulate for a client that sends requests but does not read the responses. Once
+    // the client reads them, the connection is served again.
     let transport = &mut connection.transport;
     if transport.unsent_bytes() > MAX_UNSENT_RESPONSE_BYTES {
         transport.flush()?;
@@ -151,11 +152,11 @@
 }
 
 impl Server {
-    /// Reads and executes a client's requests, one after the other, as far as they have come.
+    /// Reads and executes a client's requests in order, as far as they have arrived.
     pub(super) fn read_api_requests(&mut self, now: Timestamp, id: ConnectionId) -> Result<(), CloseReason> {
         loop {
             match self.next_request(id) {
-                Ok(Some(request)) => self.run_call(now, id, request.call, request.body),
+                Ok(Some(request)) => self.handle_call(now, id, request.call, request.body),
                 Ok(None) => return Ok(()),
                 Err(error) => return self.reject_request(id, &error),
             }
@@ -177,12 +178,13 @@
             return Ok(None);
         }
         let request = client.read_body(transport)?;
-        // Invariant: eight long requests at once would need more memory than a small machine has.
+        // Invariant: the total is limited, because eight long requests at once would exceed the memory of a small
+        // machine.
         if request.is_none()
             && client.buffered_bytes() > MIN_BUFFERED_BODY_BYTES
             && self.buffered_body_bytes() > MAX_BUFFERED_BODY_BYTES
         {
-            return TooManyLongSnafu.fail();
+            return TooManyBufferedSnafu.fail();
         }
         Ok(request)
     }
@@ -200,7 +202,7 @@
                 self.respond(id, &HttpResponse::text(*status, "not a request"));
             }
             RequestError::TooLong => self.reject_too_long(id),
-            RequestError::TooManyLong => {
+            RequestError::TooManyBuffered => {
                 self.discard_input(id);
                 self.respond(id, &HttpResponse::text(503, "too many long calls at once").retry_after(1));
             }
@@ -208,7 +210,7 @@
         Ok(())
     }
 
-    /// Rejects a request beyond the limits before anything is made of it.
+    /// Rejects a request that exceeds the size limits, before any of it is executed.
     pub(super) fn reject_too_long(&mut self, id: ConnectionId) {
         self.discard_input(id);
         info!("event=request-too-long max-bytes={MAX_BODY_BYTES} max-item-bytes={MAX_ITEM_BYTES}");
--- a/crates/control-plane/src/server/connection_io.rs
+++ b/crates/control-plane/src/server/connection_io.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, reading and writing what they are ready for, and closing them.
+//! Accepts connections, reads and writes them when they are ready, and closes them.
 
 use super::connections::{CloseReason, ConnectionId, Role, ServerConnection, UNACKNOWLEDGED_TIMEOUT};
 use super::platform_client::PAGE_TIMEOUT;
@@ -11,21 +11,21 @@
 use kitepass_time::{Duration, Timestamp};
 use log::{debug, warn};
 
-/// Unused bytes that one connection's input may hold; the rest waits in the socket.
+/// Maximum size of a connection's unprocessed input; more input is left in the socket.
 const MAX_INPUT_BYTES: usize = MAX_FRAME_BYTES + 4;
-/// Reads of one connection before the others have their turn.
+/// Maximum number of reads from one connection before the others are served.
 const MAX_READS_PER_TURN: usize = 16;
-/// Bytes that may wait for a peer or gateway that does not read; beyond that its connection is closed.
+/// Maximum number of unsent bytes for a peer or gateway; if it reads too slowly, its connection is closed.
 const MAX_UNSENT_BYTES: usize = 64 * 1024 * 1024;
-/// With no more than this still to be sent, a gateway that catches up is sent its next chunk.
-const DRAINED_BYTES: usize = 64 * 1024;
-/// A client that sends nothing for this time is disconnected.
+/// A gateway that is catching up is sent its next chunk once it has no more unsent bytes than this.
+const DRAINED_THRESHOLD_BYTES: usize = 64 * 1024;
+/// A client that sends nothing for this long is disconnected.
 const IDLE_TIMEOUT: Duration = Duration::from_micros(30_000_000);
-/// What a client that was rejected still sends is read and dropped for this time at most.
+/// Maximum time for which the input of a rejected client is read and dropped.
 const DISCARD_TIMEOUT: Duration = Duration::from_micros(10_000_000);
 
 impl Server {
-    /// Accepts all connections that wait at a listener.
+    /// Accepts all pending connections of a listener.
     pub(super) fn accept_connections(&mut self, listener: Listener) {
         loop {
             let Some(socket) = self.listeners.get(&listener) else { return };
@@ -39,19 +39,19 @@
 
     fn add_accepted(&mut self, listener: Listener, socket: OwnedFd) {
         let id = self.connections.allocate_id();
-        let is_internal = listener == Listener::Peers;
-        let tuned =
-            if is_internal { poller::set_user_timeout(&socket, UNACKNOWLEDGED_TIMEOUT) } else { Ok(()) };
-        if tuned.and_then(|()| self.poller.add(&socket, id.0)).is_err() {
+        let is_peer_listener = listener == Listener::Peers;
+        let configured =
+            if is_peer_listener { poller::set_user_timeout(&socket, UNACKNOWLEDGED_TIMEOUT) } else { Ok(()) };
+        if configured.and_then(|()| self.poller.add(&socket, id.0)).is_err() {
             return;
         }
-        let role = if is_internal { Role::Unidentified } else { Role::ApiClient(Box::default()) };
+        let role = if is_peer_listener { Role::Unidentified } else { Role::ApiClient(Box::default()) };
         let transport = Connection::from_accepted(socket);
         self.connections.insert(id, ServerConnection::new(transport, role, self.clock.now()));
         self.serve_connection(id, None);
     }
 
-    /// Reads, handles and writes what a connection is ready for.
+    /// Reads input, handles it, and writes output, as far as the connection is ready.
     pub(super) fn serve_connection(&mut self, id: ConnectionId, ready: Option<&ReadyEvent>) {
         let now = self.clock.now();
         let Some(connection) = self.connections.get_mut(id) else { return };
@@ -61,9 +61,9 @@
             }
         }
         match self.read_and_handle(now, id) {
-            Ok(has_ended) => {
+            Ok(is_eof) => {
                 self.flush(id);
-                if has_ended {
+                if is_eof {
                     self.handle_end_of_input(id);
                 }
             }
@@ -71,36 +71,36 @@
         }
     }
 
-    /// Reads and handles input until the socket has no more, or the connection has had its turn; true if the other side
-    /// has ended its sending.
+    /// Reads and handles input until the socket has no more, or the connection's share of the turn is used up. Returns
+    /// whether the end of the input has been reached.
     ///
-    /// The poller reports changes alone, so what is left in the socket when the input buffer is full is read here for as
-    /// long as some of it is consumed.
+    /// The poller is edge-triggered, so input that stays in the socket while the input buffer is full has to be read
+    /// here, as long as the buffer is being consumed.
     fn read_and_handle(&mut self, now: Timestamp, id: ConnectionId) -> Result<bool, CloseReason> {
         for _ in 0..MAX_READS_PER_TURN {
             let Some(connection) = self.connections.get_mut(id) else { return Ok(false) };
-            let has_ended = connection
+            let is_eof = connection
                 .transport
                 .read_available(&mut self.read_buffer, MAX_INPUT_BYTES)
                 .map_err(CloseReason::Socket)?;
             if !connection.transport.input.is_empty() {
                 connection.last_active = now;
             }
-            self.handle_input(now, id, has_ended)?;
-            if has_ended || !self.can_read_more(id) {
-                return Ok(has_ended);
+            self.handle_input(now, id, is_eof)?;
+            if is_eof || !self.can_read_more(id) {
+                return Ok(is_eof);
             }
         }
-        // Invariant: a sender without end must not keep the loop from all other connections.
+        // Invariant: a peer that sends continuously must not starve the other connections.
         self.resume_reading.push(id);
         Ok(false)
     }
 
-    fn handle_input(&mut self, now: Timestamp, id: ConnectionId, has_ended: bool) -> Result<(), CloseReason> {
+    fn handle_input(&mut self, now: Timestamp, id: ConnectionId, is_eof: bool) -> Result<(), CloseReason> {
         let Some(connection) = self.connections.get(id) else { return Ok(()) };
         match connection.role {
             Role::ApiClient(_) => self.read_api_requests(now, id),
-            Role::Platform(_) => self.read_platform_response(now, id, has_ended),
+            Role::Platform(_) => self.read_platform_response(now, id, is_eof),
             _ => self.read_messages(now, id),
         }
     }
@@ -110,7 +110,7 @@
         transport.is_readable() && transport.input.len() < MAX_INPUT_BYTES
     }
 
-    /// The other side sends no more. A client may still read its response.
+    /// Handles the end of a connection's input. A client may still be waiting for a response.
     fn handle_end_of_input(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         match connection.api_client() {
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Writes what a connection takes. Depending on what is left unsent, the connection is then shut down or closed, or its
-    /// session is noted as ready for the next chunk.
+    /// Writes as much output as the socket accepts. Depending on what is left unsent, the connection may then be shut
+    /// down for writing or closed, or its session may be recorded as ready for the next chunk.
     pub(super) fn flush(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let is_all_written = match connection.write_queued() {
@@ -130,21 +130,21 @@
         };
         let api_client = connection.api_client();
         if is_all_written && api_client.is_some_and(|client| client.discards_input) {
-            // The response is complete: its reader need not wait for more. A failure shows at the next read.
+            // No further response follows, so the client need not wait for one. An error will show up at the next read.
             let _ = connection.transport.shutdown_write();
         } else if is_all_written && connection.closes_after_flush {
             self.close(id, CloseReason::Completed);
-        } else if connection.unsent_bytes() <= DRAINED_BYTES
+        } else if connection.unsent_bytes() <= DRAINED_THRESHOLD_BYTES
             && self.state_machine.is_session_catching_up(id.0)
         {
             self.drained_sessions.push(id);
         } else if api_client.is_none() && connection.unsent_bytes() > MAX_UNSENT_BYTES {
-            // A client has one response at a time, which may be as long as the configuration.
+            // API clients are exempt: each has one response at a time, which may be as long as the configuration.
             self.close(id, CloseReason::SlowReader);
         }
     }
 
-    /// Closes a connection and tells whoever used it.
+    /// Closes a connection and informs the component that used it.
     pub(super) fn close(&mut self, id: ConnectionId, reason: CloseReason) {
         let Some(connection) = self.connections.remove(id) else { return };
         let now = self.clock.now();
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Closes the connections on which nothing has come for too long.
+    /// Closes the connections that have been inactive for too long.
     pub(super) fn close_unresponsive(&mut self, now: Timestamp) {
         let unresponsive: Vec<ConnectionId> = self
             .connections
@@ -171,23 +171,24 @@
     }
 
     fn is_unresponsive(&self, now: Timestamp, connection: &ServerConnection) -> bool {
-        let silence = now - connection.last_active;
+        let idle_time = now - connection.last_active;
         match &connection.role {
             Role::ApiClient(client) if client.discards_input => {
-                silence > UNACKNOWLEDGED_TIMEOUT || now - client.rejected_at > DISCARD_TIMEOUT
+                idle_time > UNACKNOWLEDGED_TIMEOUT || now - client.rejected_at > DISCARD_TIMEOUT
             }
-            Role::ApiClient(client) => !client.awaits_response && silence > IDLE_TIMEOUT,
-            Role::Unidentified => silence > UNACKNOWLEDGED_TIMEOUT * 2,
-            // Invariant: a connection that is never established, to a machine that lost its power, must not prevent
-            // the next attempt.
+            Role::ApiClient(client) => !client.awaits_response && idle_time > IDLE_TIMEOUT,
+            Role::Unidentified => idle_time > UNACKNOWLEDGED_TIMEOUT * 2,
+            // Invariant: a connection attempt that never completes, because the machine has lost power, must not
+            // prevent the next attempt.
             Role::OutgoingPeer { .. } => {
-                !connection.transport.is_established() && silence > UNACKNOWLEDGED_TIMEOUT
+                !connection.transport.is_established() && idle_time > UNACKNOWLEDGED_TIMEOUT
             }
-            Role::IncomingPeer { .. } => silence > UNACKNOWLEDGED_TIMEOUT * 4,
-            // The state machine gives it up; this is for one that does not take what ends it.
-            Role::GatewaySession => silence > SESSION_TIMEOUT + UNACKNOWLEDGED_TIMEOUT,
+            Role::IncomingPeer { .. } => idle_time > UNACKNOWLEDGED_TIMEOUT * 4,
+            // The state machine closes unresponsive sessions after flushing their output; this closes those whose
+            // output cannot be flushed.
+            Role::GatewaySession => idle_time > SESSION_TIMEOUT + UNACKNOWLEDGED_TIMEOUT,
             Role::Platform(_) => {
-                self.platform.reading_started().is_some_and(|started| now - started > PAGE_TIMEOUT * 3)
+                self.platform.poll_started().is_some_and(|started| now - started > PAGE_TIMEOUT * 3)
             }
         }
     }
--- a/crates/control-plane/src/server/connections.rs
+++ b/crates/control-plane/src/server/connections.rs
@@ -1,4 +1,4 @@
-//! The server's connections: what each one is for, its bytes both ways, and the table of all of them.
+//! The server's connections: their roles, their buffers, and the table of all connections.
 
 use super::api_client::ApiClient;
 use super::platform_client::ResponseReader;
@@ -10,52 +10,52 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A connection between processes of the system ends if bytes that were sent stay unacknowledged for this time: a machine
-/// that lost its power closes nothing.
+/// A connection between processes of the system is closed if sent bytes stay unacknowledged for this long, because a
+/// machine that loses power does not close its connections.
 pub(super) const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_micros(1_500_000);
 
-/// Identifies a connection for as long as the server runs. It is also the poller's token of the socket, and the number
-/// by which the state machine knows a gateway's session or an operator's request.
+/// Identifies a connection for the lifetime of the server. It is also the socket's token at the poller, and the id by
+/// which the state machine knows a gateway's session or an operator's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionId(pub(super) u64);
 
-/// What a connection is for.
+/// The purpose of a connection.
 pub(super) enum Role {
-    /// A client of the operators' API or of the directory API.
+    /// From a client of the operators' API or the directory API.
     ApiClient(Box<ApiClient>),
-    /// To another control process: only this process sends on it.
+    /// To another control process. Only this process sends messages on it.
     OutgoingPeer { address: String },
-    /// Accepted on the peers' port; the other side has not said who it is.
+    /// Accepted on the peer port. The other side has not identified itself yet.
     Unidentified,
-    /// From another control process: only that process sends on it.
+    /// From another control process. Only that process sends messages on it.
     IncomingPeer { node_id: String, incarnation: u64 },
-    /// A gateway's session, in both directions.
+    /// A gateway's session. Both sides send messages.
     GatewaySession,
-    /// To the platform, for its list of backends.
+    /// To the platform, to poll its list of backends.
     Platform(ResponseReader),
 }
 
 /// Why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// The other side ended it.
+    /// The other side closed it.
     Closed,
-    /// All that was to be sent has been sent.
+    /// All output was sent, and the connection was to be closed afterwards.
     Completed,
-    /// What came was malformed.
+    /// The input was malformed.
     Malformed,
-    /// The platform sent what nobody had requested.
+    /// The platform sent a response without a request.
     Unrequested,
-    /// Nothing came for too long.
+    /// No input arrived for too long.
     Unresponsive,
-    /// The other side does not read what it is sent.
+    /// The other side does not read, or reads too slowly.
     SlowReader,
     /// The socket failed.
     Socket(Errno),
 }
 
 impl CloseReason {
-    /// The reason's name in log lines.
+    /// Returns the reason's name for log lines.
     pub(super) fn name(self) -> &'static str {
         match self {
             CloseReason::Closed => "closed",
@@ -74,12 +74,12 @@
     pub(super) transport: Connection,
     /// Reassembles the messages of a peer or gateway.
     pub(super) decoder: MessageDecoder,
-    /// Messages that wait for space in the transport's output.
+    /// Messages waiting for space in the transport's output.
     pub(super) send_queue: SendQueue,
     pub(super) role: Role,
-    /// When it was opened, or bytes came on it last, or its client was answered last.
+    /// When the connection was opened, last received input, or last got a response queued for its client.
     pub(super) last_active: Timestamp,
-    /// It is closed as soon as all its output has been sent.
+    /// Whether the connection is closed once all its output has been sent.
     pub(super) closes_after_flush: bool,
 }
 
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The client of an API that uses this connection.
+    /// Returns the API client of this connection, if it has that role.
     pub(super) fn api_client(&self) -> Option<&ApiClient> {
         match &self.role {
             Role::ApiClient(client) => Some(client),
@@ -103,21 +103,21 @@
         }
     }
 
-    /// Bytes that are still to be sent.
+    /// Returns the number of bytes that are still to be sent.
     pub(super) fn unsent_bytes(&self) -> usize {
         self.transport.unsent_bytes() + self.send_queue.queued_bytes()
     }
 
-    /// Queues a message; an urgent one passes those that are sent in pieces.
+    /// Queues a message. An urgent message overtakes messages that are sent in fragments.
     pub(super) fn queue(&mut self, message: EncodedMessage, is_urgent: bool) {
         self.send_queue.push(message, is_urgent, &mut self.transport.output);
     }
 
-    /// Writes as much of the queued output as the socket takes; true if all of it is sent.
+    /// Writes as much of the queued output as the socket accepts. Returns whether all of it was sent.
     ///
     /// # Errors
     ///
-    /// The socket's: the connection is lost.
+    /// The socket's error, if the connection is lost.
     pub(super) fn write_queued(&mut self) -> Result<bool, Errno> {
         loop {
             let unsent = self.transport.unsent_bytes();
@@ -130,30 +130,30 @@
     }
 }
 
-/// All connections of the server, in the order in which they were made.
+/// All connections of the server, in the order of their creation.
 pub(super) struct ConnectionTable {
     connections: BTreeMap<ConnectionId, ServerConnection>,
     next_id: u64,
 }
 
 impl ConnectionTable {
-    /// An empty table that gives ids from `first_id` on.
+    /// Returns an empty table that assigns ids from `first_id` on.
     pub(super) fn new(first_id: u64) -> ConnectionTable {
         ConnectionTable { connections: BTreeMap::new(), next_id: first_id }
     }
 
-    /// An id that no connection has had.
+    /// Returns an id that no connection has had.
     pub(super) fn allocate_id(&mut self) -> ConnectionId {
         let id = ConnectionId(self.next_id);
         self.next_id += 1;
         id
     }
 
-    /// Starts a connection to `address`; what is written before it is established is sent then.
+    /// Opens a connection to `address`. Output written before the connection is established is sent afterwards.
     ///
     /// # Errors
     ///
-    /// The system's: no socket could be opened.
+    /// The system's error, if no socket could be opened.
     pub(super) fn open(
         &mut self,
         poller: &Poller,
--- a/crates/control-plane/src/server/directory_api.rs
+++ b/crates/control-plane/src/server/directory_api.rs
@@ -1,4 +1,4 @@
-//! The directory API: which gateways a client of the service connects to.
+//! The directory API: tells clients which gateways they should use.
 
 use super::connections::ConnectionId;
 use super::http_response::HttpResponse;
@@ -6,15 +6,15 @@
 use crate::request::{LookupQuery, NO_QUORUM_REASON};
 use serde_json::json;
 
-/// Seconds for which an answer of the directory is valid, if the settings' bound is not below. A look-up is cheap, and
-/// clients use a lost gateway until the answer expires: at 5 s a deployment of the planned size took twice as long to
-/// recover from the loss of all processes.
+/// Validity of a look-up response in seconds, unless the settings set a lower limit. Look-ups are cheap, and clients
+/// keep using a lost gateway until the response expires: with 5 s, a deployment of the planned size took twice as long
+/// to recover from the loss of all processes.
 const LOOKUP_TTL_S: f64 = 1.0;
 
 impl Server {
-    /// Answers with the gateways for a client, the best first.
+    /// Responds with the addresses of the gateways for a client, the preferred ones first.
     pub(super) fn look_up(&mut self, id: ConnectionId, query: &LookupQuery) {
-        // Invariant: a process out of contact cannot know which gateways are gone, and must not name them.
+        // Invariant: without quorum contact a process cannot know which gateways are gone, and must not return any.
         if !self.state_machine.can_look_up(self.clock.now()) {
             return self.respond(id, &HttpResponse::unavailable(NO_QUORUM_REASON));
         }
--- a/crates/control-plane/src/server/encoded_messages.rs
+++ b/crates/control-plane/src/server/encoded_messages.rs
@@ -1,11 +1,11 @@
-//! Caches the encoded form of messages that go to many connections, so that each is encoded and kept in memory once.
+//! Caches the encoded form of messages that are sent to many connections, so that each is encoded and stored only once.
 
 use crate::state_machine::ItemUpdate;
 use kitepass_coordination::protocol::framing::EncodedMessage;
 use kitepass_coordination::protocol::{self, Message};
 use std::sync::Arc;
 
-/// The items that were encoded last.
+/// Caches the items that were encoded last.
 #[derive(Default)]
 pub(super) struct ItemBatchCache {
     last: Option<EncodedItems>,
@@ -17,7 +17,7 @@
 }
 
 impl ItemBatchCache {
-    /// These items in as many messages as they need.
+    /// Returns these items, encoded in as many messages as they need.
     pub(super) fn encode(&mut self, update: &ItemUpdate) -> Vec<EncodedMessage> {
         let is_same = |last: &&EncodedItems| Arc::ptr_eq(&last.update.items, &update.items);
         if let Some(last) = self.last.as_ref().filter(is_same) {
@@ -30,7 +30,7 @@
     }
 }
 
-/// The last long message that was encoded.
+/// Caches the long message that was encoded last.
 #[derive(Default)]
 pub(super) struct LongMessageCache {
     last: Option<CachedMessage>,
@@ -42,7 +42,7 @@
 }
 
 impl LongMessageCache {
-    /// The encoded message.
+    /// Returns the message in encoded form.
     pub(super) fn encode(&mut self, message: Message) -> EncodedMessage {
         if let Some(last) = self.last.as_ref().filter(|last| last.message == message) {
             return last.encoded.clone();
--- a/crates/control-plane/src/server/http_response.rs
+++ b/crates/control-plane/src/server/http_response.rs
@@ -1,7 +1,7 @@
-//! Responses to the clients of the operators' and directory APIs.
+//! HTTP responses to clients of the operators' API and the directory API.
 
 use super::connections::{ConnectionId, Role, ServerConnection};
-use super::worker::{Job, MIN_JOB_BYTES};
+use super::worker::{Job, MIN_OFFLOAD_BYTES};
 use super::Server;
 use crate::request::{redirect_location, Response, NO_QUORUM_REASON};
 use kitepass_config::ConfigurationSnapshot;
@@ -10,15 +10,15 @@
 
 const JSON: &str = "application/json";
 const TEXT: &str = "text/plain";
-/// Seconds after which a client may retry what was unavailable.
+/// Seconds after which a client may retry a request that could not be executed.
 pub(super) const RETRY_AFTER_S: u32 = 1;
 
-/// A response before it is encoded.
+/// An HTTP response before it is encoded.
 pub(super) struct HttpResponse {
     status: u16,
     content_type: &'static str,
     body: Vec<u8>,
-    /// Header lines beside the usual ones, each with its line end.
+    /// Additional header lines, each with its line ending.
     extra_headers: String,
 }
 
@@ -31,7 +31,7 @@
         HttpResponse { status, content_type: TEXT, body: body.into(), extra_headers: String::new() }
     }
 
-    /// Another control process, or this one later, may do it.
+    /// Returns a 503 response: another control process, or this one later, may be able to execute the request.
     pub(super) fn unavailable(reason: &str) -> HttpResponse {
         HttpResponse::text(503, reason).retry_after(RETRY_AFTER_S)
     }
@@ -56,7 +56,7 @@
         }
     }
 
-    fn head(&self, closes: bool) -> String {
+    fn head(&self, closes_connection: bool) -> String {
         format!(
             "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n{}{}\r\n",
             self.status,
@@ -64,13 +64,13 @@
             self.content_type,
             self.body.len(),
             self.extra_headers,
-            if closes { "Connection: close\r\n" } else { "" },
+            if closes_connection { "Connection: close\r\n" } else { "" },
         )
     }
 }
 
 impl Server {
-    /// Queues a response to a client, and lets it send its next request.
+    /// Queues a response to a client, whose next request may be read from then on.
     pub(super) fn respond(&mut self, id: ConnectionId, response: &HttpResponse) {
         let now = self.clock.now();
         let Some(connection) = self.connections.get_mut(id) else { return };
@@ -83,12 +83,12 @@
         transport.output.extend_from_slice(&response.body);
     }
 
-    /// Sends the state machine's response to the client that waits for it; false if there is none, or the response has to be
-    /// encoded first.
+    /// Queues the state machine's response for the client that waits for it. Returns false if there is no such client,
+    /// or if the response has to be encoded by the worker first.
     pub(super) fn respond_to_request(&mut self, id: ConnectionId, response: Response) -> bool {
         let client = self.connections.get(id).and_then(ServerConnection::api_client);
         let Some(client) = client.filter(|client| client.awaits_response) else {
-            // Invariant: a response whose client is gone, or has had one, must not be taken for another request's.
+            // Invariant: a response whose client is gone, or already got one, must not answer a different request.
             debug!("event=response-without-client");
             return false;
         };
@@ -104,10 +104,10 @@
         true
     }
 
-    /// Sends the configuration to the client that waits for it, at once or, if it is long, once it is encoded; false if that
-    /// is later.
+    /// Queues the configuration for the client that waits for it. Returns false if it is long and has to be encoded by
+    /// the worker first.
     fn send_configuration(&mut self, id: ConnectionId, snapshot: ConfigurationSnapshot) -> bool {
-        if snapshot.estimated_json_bytes() >= MIN_JOB_BYTES {
+        if snapshot.estimated_json_bytes() >= MIN_OFFLOAD_BYTES {
             self.worker.submit(Job::EncodeConfiguration { client: id, snapshot });
             return false;
         }
@@ -115,7 +115,7 @@
         true
     }
 
-    /// Points a client to the same request at another control process. Ports are alike on all machines.
+    /// Redirects a client to another control process, for the same target. All machines use the same ports.
     fn redirect(&self, address: &str, target: &[u8]) -> HttpResponse {
         let listener = self.settings.listeners.operator_api;
         match listener.and_then(|listener| redirect_location(address, listener.port(), target)) {
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -1,9 +1,10 @@
-//! Sockets, disk and clock around the [`StateMachine`]: one thread, one event loop.
+//! Connects the [`StateMachine`] to sockets, disk and clock, with an event loop on a single thread.
 //!
-//! Each module serves one kind of event: `connection_io` the sockets, `api_client`, `operator_api` and `directory_api` the
-//! clients of the APIs, `peer_connections` control processes and gateways, `platform_client` the platform's list of
-//! backends, `persistence` the disk, `worker` a thread for what takes long. `actions` carries out what the state machine
-//! wants done; `turn_monitor` sees to it that a long turn is noticed, and that nothing is judged by what was read before it.
+//! Each module handles one kind of event: `connection_io` the sockets, `api_client`, `operator_api` and `directory_api`
+//! the clients of the APIs, `peer_connections` control processes and gateways, `platform_client` the platform's list of
+//! backends, `persistence` the disk, and `worker` a thread for long computations. `actions` performs the state
+//! machine's actions. `turn_monitor` detects long turns of the loop, and postpones liveness checks until the input that
+//! arrived during a long turn has been read.
 
 mod actions;
 mod api_client;
@@ -32,7 +33,7 @@
 use kitepass_storage::Store;
 use kitepass_time::{Duration, Timestamp};
 use log::{error, info, warn};
-use peer_connections::PeerDirectory;
+use peer_connections::PeerRegistry;
 use persistence::Record;
 use platform_client::PlatformClient;
 use snafu::{ResultExt, Snafu};
@@ -43,25 +44,25 @@
 use turn_monitor::TurnMonitor;
 use worker::{FinishedJob, Worker};
 
-/// Bytes that one system call reads at most.
+/// Maximum number of bytes per read call.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 const TICK_INTERVAL: Duration = Duration::from_micros(100_000);
-/// Time between two looks at whether the settings file has changed.
+/// Interval between checks for a changed settings file.
 const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_micros(1_000_000);
-/// After SIGTERM, requests in flight and the change of the membership that removes this replica have this time.
+/// Time after SIGTERM for requests in flight, and for the membership change that removes this replica.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_micros(2_000_000);
 
-/// Why the server cannot start or go on.
+/// Why the server cannot start or continue.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The settings file cannot be read, or is not valid.
+    /// The settings file cannot be read, or is invalid.
     #[snafu(display("settings: {source}"))]
     Settings {
-        /// What is wrong with it.
+        /// The error of the settings file.
         source: kitepass_node::Error,
     },
-    /// A setting that only a control process needs is missing.
-    #[snafu(display("the settings name no {field}, which this program needs"))]
+    /// A setting that control processes require is missing.
+    #[snafu(display("the settings lack {field}, which a control process requires"))]
     Missing {
         /// The setting's key.
         field: &'static str,
@@ -69,33 +70,33 @@
     /// A listener cannot be opened.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Where it was to listen.
+        /// The address of the listener.
         address: SocketAddr,
         /// The system's error.
         source: Errno,
     },
     /// The store cannot be opened, or a write to it failed.
-    #[snafu(display("the store: {source}"))]
+    #[snafu(display("cannot access the store: {source}"))]
     Disk {
         /// The store's error.
         source: kitepass_storage::Error,
     },
-    /// A system call failed without which there is no event loop.
+    /// A system call failed that the event loop requires.
     #[snafu(display("{what}: {source}"))]
     System {
-        /// What was being done.
+        /// The operation that failed.
         what: &'static str,
         /// The system's error.
         source: Errno,
     },
-    /// The thread for what takes long cannot be started.
-    #[snafu(display("the worker's thread: {source}"))]
+    /// The worker thread cannot be started.
+    #[snafu(display("cannot start the worker thread: {source}"))]
     Worker {
         /// The system's error.
         source: std::io::Error,
     },
-    /// The handlers of signals cannot be installed.
-    #[snafu(display("signals: {source}"))]
+    /// The signal handlers cannot be installed.
+    #[snafu(display("cannot install the signal handlers: {source}"))]
     Signals {
         /// The system's error.
         source: std::io::Error,
@@ -107,15 +108,15 @@
 enum Listener {
     OperatorApi,
     DirectoryApi,
-    /// For other control processes, and for gateways' sessions.
+    /// For other control processes and gateway sessions.
     Peers,
 }
 
-/// What an event of the poller is about.
+/// The source of a poller event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EventSource {
     Listener(Listener),
-    /// Records are on disk.
+    /// Records have been written to disk.
     Store,
     /// The worker has finished a job.
     Worker,
@@ -123,10 +124,10 @@
 }
 
 impl EventSource {
-    /// Connections' tokens begin here; those below are the other sources'.
+    /// The lowest token of a connection. Lower tokens belong to the other sources.
     const FIRST_CONNECTION: u64 = 16;
 
-    /// The source's token at the poller.
+    /// Returns the source's token at the poller.
     fn token(self) -> u64 {
         match self {
             EventSource::Listener(Listener::OperatorApi) => 1,
@@ -150,8 +151,8 @@
     }
 }
 
-/// When the loop's periodic work was done last, and since when it shuts down.
-struct LoopTimes {
+/// When the loop last did its periodic work, and when the shutdown started.
+struct LoopTimestamps {
     last_tick: Timestamp,
     last_settings_check: Timestamp,
     shutdown_started: Option<Timestamp>,
@@ -167,31 +168,31 @@
     listeners: BTreeMap<Listener, OwnedFd>,
     connections: ConnectionTable,
     read_buffer: Vec<u8>,
-    /// Connections with more to read than one turn took.
+    /// Connections with more input than was read in one turn.
     resume_reading: Vec<ConnectionId>,
-    /// Sessions that have been sent their last chunk.
+    /// Sessions whose previous chunk has been sent.
     drained_sessions: Vec<ConnectionId>,
-    peers: PeerDirectory,
+    peers: PeerRegistry,
     platform: PlatformClient,
     store: Store,
-    /// Of operators' changes.
+    /// Validates operators' changes.
     schema: Arc<SchemaValidator>,
     worker: Worker,
-    turns: TurnMonitor,
+    turn_monitor: TurnMonitor,
     state_machine: StateMachine,
 }
 
 impl Server {
-    /// Installs the signal handlers, reads the settings file at `path`, opens the listeners and the store, and restores the state
-    /// from its records.
+    /// Installs the signal handlers, reads the settings file at `path`, opens the listeners and the store, and restores
+    /// the state from the stored records.
     ///
     /// # Errors
     ///
-    /// The signal handlers cannot be installed, the settings are missing or invalid, an address or the data directory cannot be
-    /// used, or the system is out of descriptors.
+    /// Fails if the signal handlers cannot be installed, the settings are missing or invalid, an address or the data
+    /// directory cannot be used, the worker thread cannot be started, or the system is out of descriptors.
     pub fn open(path: PathBuf) -> Result<Server, Error> {
-        // Invariant: before anything that takes time. Until then a signal ends the process, also one that only tells of new
-        // settings.
+        // Invariant: this is done before anything that takes time. Until then any signal terminates the process, even
+        // SIGHUP, which only announces new settings.
         let signals = Signals::default();
         signals.install_handlers().context(SignalsSnafu)?;
         let settings = Settings::load(&path).context(SettingsSnafu)?;
@@ -199,7 +200,7 @@
         let clock = Clock::new();
         let listeners = open_listeners(&settings, &poller)?;
         let (store, records) = persistence::open(&settings, &poller)?;
-        let start = start_state(&settings, records);
+        let start = start_parameters(&settings, records);
         let schema = Arc::new(SchemaValidator::new());
         let worker = Worker::start(schema.clone()).context(WorkerSnafu)?;
         poller.add(worker.event_fd(), EventSource::Worker.token()).context(SystemSnafu { what: "epoll" })?;
@@ -215,24 +216,24 @@
             read_buffer: vec![0; READ_BUFFER_BYTES],
             resume_reading: Vec::new(),
             drained_sessions: Vec::new(),
-            peers: PeerDirectory::default(),
+            peers: PeerRegistry::default(),
             platform: PlatformClient::default(),
             store,
             schema,
             worker,
-            turns: TurnMonitor::default(),
+            turn_monitor: TurnMonitor::default(),
         })
     }
 
-    /// Serves until SIGTERM has been handled.
+    /// Runs the event loop until the shutdown after SIGTERM is complete.
     ///
     /// # Errors
     ///
-    /// The store or the poller failed: the process cannot go on.
+    /// Fails if the store or the poller fails, because the process cannot continue then.
     pub fn run(mut self) -> Result<(), Error> {
         info!("event=serving node-id={} address={}", self.settings.node_id, self.settings.address);
         let mut ready = Vec::new();
-        let mut times = LoopTimes {
+        let mut times = LoopTimestamps {
             last_tick: Timestamp::default(),
             last_settings_check: self.clock.now(),
             shutdown_started: None,
@@ -240,7 +241,7 @@
         loop {
             let timeout = self.poll_timeout(times.last_tick);
             self.poller.wait(Some(timeout), &mut ready).context(SystemSnafu { what: "waiting" })?;
-            self.turns.turn_started(self.clock.now());
+            self.turn_monitor.turn_started(self.clock.now());
             for event in ready.drain(..) {
                 self.handle_event(&event)?;
             }
@@ -250,7 +251,7 @@
             self.run_periodic_work(now, &mut times);
             self.begin_shutdown_if_requested(now, &mut times);
             self.perform_actions();
-            self.turns.turn_ended(self.clock.now());
+            self.turn_monitor.turn_ended(self.clock.now());
             if self.has_shut_down(now, &times) {
                 info!("event=end");
                 return Ok(());
@@ -258,7 +259,7 @@
         }
     }
 
-    /// How long the poller may wait: until the next tick, and not at all while work is left.
+    /// Returns how long the poller may wait: until the next tick, or not at all if work is pending.
     fn poll_timeout(&self, last_tick: Timestamp) -> Duration {
         if !self.resume_reading.is_empty() || !self.drained_sessions.is_empty() {
             return Duration::ZERO;
@@ -270,17 +271,17 @@
         match EventSource::from_token(event.token) {
             EventSource::Listener(listener) => self.accept_connections(listener),
             EventSource::Store => self.report_persisted_records()?,
-            EventSource::Worker => self.take_finished_jobs(),
+            EventSource::Worker => self.handle_finished_jobs(),
             EventSource::Connection(id) => self.serve_connection(id, Some(event)),
         }
         Ok(())
     }
 
-    /// Goes on with the requests that the worker has done its part for.
-    fn take_finished_jobs(&mut self) {
+    /// Continues the requests whose worker jobs have finished.
+    fn handle_finished_jobs(&mut self) {
         while let Some(job) = self.worker.take_finished() {
             let client = job.client();
-            // A client that is gone has been told nothing, so its change is as good as never sent.
+            // A disconnected client got no response, so its change may be dropped as if it had not arrived.
             if self.connections.get(client).is_none() {
                 continue;
             }
@@ -296,23 +297,23 @@
         }
     }
 
-    /// Goes on with the connections that had more to read than one turn takes.
+    /// Continues reading the connections that had more input than was read in one turn.
     fn resume_reading(&mut self) {
         for id in std::mem::take(&mut self.resume_reading) {
             self.serve_connection(id, None);
         }
     }
 
-    /// Tells the state machine which sessions can be sent their next chunk.
+    /// Informs the state machine of the sessions that can be sent their next chunk.
     fn report_drained_sessions(&mut self, now: Timestamp) {
         for id in std::mem::take(&mut self.drained_sessions) {
             self.state_machine.session_output_drained(now, id.0);
         }
     }
 
-    fn run_periodic_work(&mut self, now: Timestamp, times: &mut LoopTimes) {
+    fn run_periodic_work(&mut self, now: Timestamp, times: &mut LoopTimestamps) {
         let is_tick_due = now - times.last_tick >= TICK_INTERVAL;
-        if is_tick_due && self.turns.may_judge(now, !self.resume_reading.is_empty()) {
+        if is_tick_due && self.turn_monitor.may_check_liveness(now, !self.resume_reading.is_empty()) {
             times.last_tick = now;
             self.tick(now);
         }
@@ -342,7 +343,7 @@
         }
     }
 
-    fn begin_shutdown_if_requested(&mut self, now: Timestamp, times: &mut LoopTimes) {
+    fn begin_shutdown_if_requested(&mut self, now: Timestamp, times: &mut LoopTimestamps) {
         if times.shutdown_started.is_none() && self.signals.is_shutdown_requested() {
             info!("event=leaving");
             self.state_machine.shut_down(now);
@@ -350,7 +351,7 @@
         }
     }
 
-    fn has_shut_down(&self, now: Timestamp, times: &LoopTimes) -> bool {
+    fn has_shut_down(&self, now: Timestamp, times: &LoopTimestamps) -> bool {
         times
             .shutdown_started
             .is_some_and(|started| now - started > SHUTDOWN_TIMEOUT || self.state_machine.is_shut_down())
@@ -359,7 +360,7 @@
 
 fn open_listeners(settings: &Settings, poller: &Poller) -> Result<BTreeMap<Listener, OwnedFd>, Error> {
     if settings.listeners.operator_api.is_none() {
-        warn!("event=no-operator-listener"); // no operator reaches this process
+        warn!("event=no-operator-listener"); // operators cannot reach this process
     }
     let peers = SocketAddr::new(IpAddr::V4(settings.address), settings.peer_ports.0);
     let addresses = [
@@ -378,8 +379,8 @@
     Ok(listeners)
 }
 
-/// What the state machine is started with.
-fn start_state(settings: &Settings, records: Vec<Record>) -> StartParameters {
+/// Returns the parameters for starting the state machine.
+fn start_parameters(settings: &Settings, records: Vec<Record>) -> StartParameters {
     let bounds = &settings.bounds;
     let first_bootstrap = settings.bootstrap_addresses.first();
     StartParameters {
--- a/crates/control-plane/src/server/operator_api.rs
+++ b/crates/control-plane/src/server/operator_api.rs
@@ -1,10 +1,10 @@
-//! The operators' API: changes and readings of the configuration, evacuations, and the view of the membership. Paths,
-//! JSON names and texts are the operators' contract.
+//! The operators' API: reads and changes the configuration, evacuates zones, and lists the members. Operators rely on
+//! its paths, JSON names and texts.
 
 use super::api_client::MAX_ITEM_BYTES;
 use super::connections::{ConnectionId, Role, ServerConnection};
 use super::http_response::HttpResponse;
-use super::worker::{parse_change, Job, MIN_JOB_BYTES};
+use super::worker::{parse_change, Job, MIN_OFFLOAD_BYTES};
 use super::Server;
 use crate::request::{ApiCall, Request};
 use crate::state_machine::{millis, ReplicaContact, COORDINATOR_ROLE};
@@ -15,8 +15,8 @@
 use serde_json::{json, Value};
 
 impl Server {
-    /// Answers a call, or hands it to the state machine, which responds later.
-    pub(super) fn run_call(&mut self, now: Timestamp, id: ConnectionId, call: ApiCall, body: Vec<u8>) {
+    /// Responds to a call, or passes it to the state machine, which responds later.
+    pub(super) fn handle_call(&mut self, now: Timestamp, id: ConnectionId, call: ApiCall, body: Vec<u8>) {
         match call {
             ApiCall::Request(request) => self.submit(now, id, request),
             ApiCall::Patch => self.patch(now, id, body),
@@ -28,7 +28,7 @@
     }
 
     fn patch(&mut self, now: Timestamp, id: ConnectionId, body: Vec<u8>) {
-        if body.len() < MIN_JOB_BYTES {
+        if body.len() < MIN_OFFLOAD_BYTES {
             let change = parse_change(&self.schema, &body);
             return self.submit_change(now, id, change);
         }
@@ -36,7 +36,7 @@
         self.worker.submit(Job::ParseChange { client: id, body });
     }
 
-    /// Hands a change to the state machine, if its body could be parsed.
+    /// Passes a change to the state machine if its body could be parsed, and otherwise rejects it.
     pub(super) fn submit_change(
         &mut self,
         now: Timestamp,
@@ -61,15 +61,15 @@
         self.state_machine.handle_request(now, id.0, request);
     }
 
-    /// The client's next request is read only after the response to this one.
+    /// Marks the client as waiting for a response. Its next request is read only afterwards.
     fn await_response(&mut self, id: ConnectionId) {
         if let Some(ServerConnection { role: Role::ApiClient(client), .. }) = self.connections.get_mut(id) {
             client.awaits_response = true;
         }
     }
 
-    /// Whether the settings' list of zones, if there is one, lacks this zone. Out of contact with a quorum not even that
-    /// is known for certain, as others may have newer settings.
+    /// Returns whether the settings list zones, but not this one. Always false without quorum contact, because other
+    /// control processes may have newer settings.
     fn is_unknown_zone(&self, now: Timestamp, zone: &str) -> bool {
         let zones = &self.settings.zones;
         self.state_machine.accepts_requests(now) && !zones.is_empty() && !zones.contains_key(zone)
@@ -88,8 +88,8 @@
             "duty": {COORDINATOR_ROLE: state_machine.lease_term(now).is_some()},
             "core": replicas,
             "gateways": gateways,
-            "long-turns": self.turns.long_turns(),
-            "longest-turn-ms": millis(self.turns.longest()),
+            "long-turns": self.turn_monitor.long_turn_count(),
+            "longest-turn-ms": millis(self.turn_monitor.longest_turn()),
             "evacuated": state_machine.evacuated_zones(),
         });
         self.respond(id, &HttpResponse::json(body.to_string()));
--- a/crates/control-plane/src/server/peer_connections.rs
+++ b/crates/control-plane/src/server/peer_connections.rs
@@ -1,4 +1,5 @@
-//! Connections with the system's other processes: control processes, on one connection each way, and gateways' sessions.
+//! Connections with the other processes of the system: control processes, with one connection for each direction, and
+//! gateway sessions.
 
 use super::connections::{CloseReason, ConnectionId, Role};
 use super::Server;
@@ -10,50 +11,50 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
-/// Time between two attempts to connect to one address.
+/// Minimum interval between connection attempts to the same address.
 const RECONNECT_INTERVAL: Duration = Duration::from_micros(400_000);
-/// An address that another process told is tried for this time.
-const ADDRESS_TIMEOUT: Duration = Duration::from_micros(30_000_000);
+/// Time for which an address reported by another process is tried.
+const DISCOVERED_ADDRESS_TTL: Duration = Duration::from_micros(30_000_000);
 
-/// How this process reaches the other control processes. Addresses are texts, as the protocol has them.
+/// Addresses of the other control processes, and the connections to them. Addresses are strings, as in the protocol.
 #[derive(Default)]
-pub(super) struct PeerDirectory {
-    /// Connections on which this process sends, by address.
+pub(super) struct PeerRegistry {
+    /// Connections on which this process sends messages, by address.
     outgoing: BTreeMap<String, ConnectionId>,
-    /// Addresses by node id, as the processes themselves told in their greeting.
+    /// Addresses by node id, as given by the processes in their own `Hello` messages.
     addresses: BTreeMap<String, String>,
-    /// When a connection to an address was attempted last.
+    /// When a connection to each address was last attempted.
     last_attempts: BTreeMap<String, Timestamp>,
-    /// Addresses that others told, and when.
+    /// Addresses reported by other processes, with the time of the report.
     discovered: BTreeMap<String, Timestamp>,
 }
 
-impl PeerDirectory {
-    /// The connection on which this process sends to a node.
+impl PeerRegistry {
+    /// Returns the connection on which this process sends messages to a node.
     pub(super) fn connection_to(&self, node_id: &str) -> Option<ConnectionId> {
         let address = self.addresses.get(node_id)?;
         self.outgoing.get(address).copied()
     }
 
-    /// The connection to this address is closed.
+    /// Removes the connection to this address, which has been closed.
     pub(super) fn forget_connection(&mut self, address: &str) {
         self.outgoing.remove(address);
     }
 
-    /// Forgets addresses that led nowhere.
+    /// Removes expired addresses to which there is no connection.
     pub(super) fn expire_addresses(&mut self, now: Timestamp) {
         let outgoing = &self.outgoing;
         self.discovered.retain(|address, discovered_at| {
-            outgoing.contains_key(address) || now - *discovered_at < ADDRESS_TIMEOUT
+            outgoing.contains_key(address) || now - *discovered_at < DISCOVERED_ADDRESS_TTL
         });
     }
 
-    fn greeted(&mut self, now: Timestamp, node_id: &str, address: &str) {
+    fn record_hello(&mut self, now: Timestamp, node_id: &str, address: &str) {
         self.addresses.insert(node_id.to_owned(), address.to_owned());
         self.discovered.insert(address.to_owned(), now);
     }
 
-    /// Whether a connection to this address is to be attempted now; if so the attempt is noted.
+    /// Returns whether to connect to this address now, and if so records the attempt.
     fn begin_attempt(&mut self, now: Timestamp, address: &str) -> bool {
         let last_attempt = self.last_attempts.get(address).copied().unwrap_or_default();
         if self.outgoing.contains_key(address) || now - last_attempt < RECONNECT_INTERVAL {
@@ -65,12 +66,12 @@
 }
 
 impl Server {
-    /// Takes all complete messages off a connection's input.
+    /// Reads and handles all complete messages in a connection's input.
     pub(super) fn read_messages(&mut self, now: Timestamp, id: ConnectionId) -> Result<(), CloseReason> {
         let Some(connection) = self.connections.get_mut(id) else { return Ok(()) };
         let input = std::mem::take(&mut connection.transport.input);
-        // Invariant: any byte counts as a sign of life. Over a slow line a message of many MiB takes longer than the
-        // time after which an unresponsive process is given up.
+        // Invariant: any input shows that its sender is alive, even part of a message. On a slow connection, a message
+        // of many MiB takes longer than the time after which a process counts as unresponsive.
         match &connection.role {
             Role::IncomingPeer { node_id, .. } if !input.is_empty() => {
                 self.state_machine.peer_data_received(now, node_id);
@@ -102,7 +103,7 @@
             (Role::Unidentified, Message::Hello(hello)) if hello.is_control_plane => {
                 connection.role =
                     Role::IncomingPeer { node_id: hello.node_id.clone(), incarnation: hello.incarnation };
-                self.peers.greeted(now, &hello.node_id, &hello.address);
+                self.peers.record_hello(now, &hello.node_id, &hello.address);
                 self.state_machine.peer_connected(now, &hello);
             }
             (Role::Unidentified, Message::Hello(hello)) => {
@@ -114,8 +115,8 @@
             }
             (Role::IncomingPeer { node_id, incarnation }, message) => {
                 let node_id = node_id.clone();
-                // Invariant: what an earlier incarnation said must not count for the replica of the present one, which
-                // may have another data directory.
+                // Invariant: messages of an earlier incarnation must not be attributed to the replica of the current
+                // one, which may use a different data directory.
                 if !self.state_machine.knows_incarnation(&node_id, *incarnation) {
                     connection.closes_after_flush = true;
                     return;
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Opens the missing connections to all control processes that are known.
+    /// Connects to all known control processes to which there is no connection.
     pub(super) fn connect_to_peers(&mut self, now: Timestamp) {
         let own_address = self.settings.address.to_string();
         let bootstrap = self.settings.bootstrap_addresses.iter().map(|address| address.ip().to_string());
--- a/crates/control-plane/src/server/persistence.rs
+++ b/crates/control-plane/src/server/persistence.rs
@@ -1,4 +1,4 @@
-//! The records of this process on its disk: opening them, writing them, and learning what is safely written.
+//! Opens the store with this process's records, and reports which writes are durable.
 
 use super::{DiskSnafu, Error, EventSource, MissingSnafu, Server, SystemSnafu};
 use kitepass_net::poller::Poller;
@@ -6,17 +6,18 @@
 use kitepass_storage::Store;
 use snafu::{OptionExt, ResultExt};
 
-/// The log on disk is compacted beyond this many bytes.
+/// The store's log is compacted before it exceeds this size.
 const MAX_LOG_BYTES: u64 = 4 * 1024 * 1024;
 
-/// A record's key and value.
+/// Key and value of a record.
 pub(super) type Record = (Vec<u8>, Vec<u8>);
 
-/// Opens the store in the settings' data directory, has the poller watch it, and gives the records that it holds.
+/// Opens the store in the settings' data directory, and adds it to the poller. Returns the store and its records.
 ///
 /// # Errors
 ///
-/// [`Error::Missing`] if the settings name no directory, [`Error::Disk`] if it cannot be opened or read.
+/// [`Error::Missing`] if the settings contain no data directory, [`Error::Disk`] if the store cannot be opened or read,
+/// [`Error::System`] if it cannot be added to the poller.
 pub(super) fn open(settings: &Settings, poller: &Poller) -> Result<(Store, Vec<Record>), Error> {
     let data_dir = settings.data_dir.as_ref().context(MissingSnafu { field: "archive-dir" })?;
     let (store, records) = Store::open(data_dir, MAX_LOG_BYTES).context(DiskSnafu)?;
@@ -25,11 +26,11 @@
 }
 
 impl Server {
-    /// Tells the state machine which of its writes are on disk.
+    /// Informs the state machine of the writes that have become durable.
     ///
     /// # Errors
     ///
-    /// [`Error::Disk`]: nothing that is written from now on would be safe.
+    /// [`Error::Disk`] if the store has failed, after which no write would be durable.
     pub(super) fn report_persisted_records(&mut self) -> Result<(), Error> {
         let now = self.clock.now();
         for request_id in self.store.take_completed().context(DiskSnafu)? {
--- a/crates/control-plane/src/server/platform_client.rs
+++ b/crates/control-plane/src/server/platform_client.rs
@@ -1,4 +1,4 @@
-//! Client of the platform: the active coordinator reads its list of backends, page by page, over one kept connection.
+//! Client of the platform: the active coordinator polls its list of backends, page by page, on a persistent connection.
 
 use super::connections::{CloseReason, ConnectionId, Role, ServerConnection};
 use super::Server;
@@ -9,51 +9,51 @@
 use kitepass_time::{Duration, Timestamp};
 use log::warn;
 
-/// Time between the starts of two readings of the list.
-const READING_INTERVAL: Duration = Duration::from_micros(700_000);
-/// The longest that one page may take.
+/// Minimum interval between the starts of two polls of the list.
+const POLL_INTERVAL: Duration = Duration::from_micros(700_000);
+/// Time allowed for one page.
 pub(super) const PAGE_TIMEOUT: Duration = Duration::from_micros(1_000_000);
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Bytes of one page.
+/// Maximum size of one page.
 const MAX_PAGE_BYTES: usize = 16 * 1024 * 1024;
 
-/// A reading of the list under way.
-struct ListReading {
+/// A poll of the list in progress, with the endpoints read so far.
+struct ListPoll {
     endpoints: Vec<Endpoint>,
     started: Timestamp,
 }
 
-/// Where this process stands with the platform's list.
+/// State of polling the platform's list.
 #[derive(Default)]
 pub(super) struct PlatformClient {
     connection: Option<ConnectionId>,
-    reading: Option<ListReading>,
-    last_started: Timestamp,
+    poll: Option<ListPoll>,
+    last_poll_started: Timestamp,
 }
 
 impl PlatformClient {
-    /// The connection is closed, and with it ends the reading.
+    /// Handles the loss of the connection, which aborts the current poll.
     pub(super) fn forget_connection(&mut self) {
         self.connection = None;
-        self.reading = None;
+        self.poll = None;
     }
 
-    /// When the reading that is under way was started.
-    pub(super) fn reading_started(&self) -> Option<Timestamp> {
-        self.reading.as_ref().map(|reading| reading.started)
+    /// Returns when the current poll was started.
+    pub(super) fn poll_started(&self) -> Option<Timestamp> {
+        self.poll.as_ref().map(|poll| poll.started)
     }
 
     fn is_due(&self, now: Timestamp) -> bool {
-        self.reading.is_none() && now - self.last_started >= READING_INTERVAL
+        self.poll.is_none() && now - self.last_poll_started >= POLL_INTERVAL
     }
 }
 
-/// Reads the platform's responses off a connection, one after the other.
+/// Reads the platform's responses from a connection, in order.
 #[derive(Default)]
 pub(super) struct ResponseReader {
     head_reader: HeadReader,
-    /// The body that is being read, and the status of its response.
-    begun: Option<(Body, u16)>,
+    /// The body being read, and the status of its response.
+    in_progress: Option<(Body, u16)>,
     bytes: Vec<u8>,
 }
 
@@ -63,48 +63,48 @@
 }
 
 impl ResponseReader {
-    /// The next response, once all of it has come. `has_ended` tells that nothing follows what is in `input`.
+    /// Returns the next response once it is complete. `is_eof` means that no input follows `input`.
     ///
     /// # Errors
     ///
-    /// What came is not HTTP, or the body is longer than [`MAX_PAGE_BYTES`].
-    fn next(&mut self, input: &mut Vec<u8>, has_ended: bool) -> Result<Option<PlatformResponse>, ParseError> {
-        if self.begun.is_none() {
+    /// Fails if the input is not HTTP, or the body is longer than [`MAX_PAGE_BYTES`].
+    fn next(&mut self, input: &mut Vec<u8>, is_eof: bool) -> Result<Option<PlatformResponse>, ParseError> {
+        if self.in_progress.is_none() {
             let kind = MessageKind::Response { to_head: false };
             let Some((head, framing)) = self.head_reader.next(kind, input, MAX_HEAD_BYTES)? else {
                 return Ok(None);
             };
-            self.begun = Some((Body::new(framing), head.status()));
+            self.in_progress = Some((Body::new(framing), head.status()));
             self.bytes.clear();
         }
-        let Some((body, status)) = &mut self.begun else { return Ok(None) };
+        let Some((body, status)) = &mut self.in_progress else { return Ok(None) };
         let capacity = MAX_PAGE_BYTES - self.bytes.len().min(MAX_PAGE_BYTES);
         let is_complete =
-            body.read(input, &mut self.bytes, capacity)? || has_ended && body.finish_at_eof().is_ok();
+            body.read(input, &mut self.bytes, capacity)? || is_eof && body.finish_at_eof().is_ok();
         if !is_complete {
             return Ok(None);
         }
         let response = PlatformResponse { status: *status, body: std::mem::take(&mut self.bytes) };
-        self.begun = None;
+        self.in_progress = None;
         Ok(Some(response))
     }
 }
 
 impl Server {
-    /// Starts a reading of the list, if this process is the active coordinator and one is due.
+    /// Starts a poll of the list if this process is the active coordinator and a poll is due.
     pub(super) fn poll_platform(&mut self, now: Timestamp) {
         if self.state_machine.active_term(now).is_none() || !self.platform.is_due(now) {
             return;
         }
         let Some(address) = self.settings.platform.as_ref().map(|platform| platform.address) else { return };
-        self.platform.last_started = now;
-        self.platform.reading = Some(ListReading { endpoints: Vec::new(), started: now });
+        self.platform.last_poll_started = now;
+        self.platform.poll = Some(ListPoll { endpoints: Vec::new(), started: now });
         if self.platform.connection.is_none() {
             let role = Role::Platform(ResponseReader::default());
             match self.connections.open(&self.poller, &address, role, now) {
                 Ok(id) => self.platform.connection = Some(id),
                 Err(error) => {
-                    self.platform.reading = None;
+                    self.platform.poll = None;
                     return warn!("event=platform-connect-failed why={}", error_label(error));
                 }
             }
@@ -112,7 +112,7 @@
         self.request_page(None);
     }
 
-    /// Requests the first page, or the one that a page token names.
+    /// Requests the first page, or the page identified by `page_token`.
     fn request_page(&mut self, page_token: Option<&str>) {
         let Some((id, platform)) = self.platform.connection.zip(self.settings.platform.as_ref()) else {
             return;
@@ -124,22 +124,22 @@
         self.flush(id);
     }
 
-    /// Takes a page off the platform's connection, once all of it has come.
+    /// Reads a page from the platform's connection, and handles it once it is complete.
     pub(super) fn read_platform_response(
         &mut self,
         now: Timestamp,
         id: ConnectionId,
-        has_ended: bool,
+        is_eof: bool,
     ) -> Result<(), CloseReason> {
         let Some(connection) = self.connections.get_mut(id) else { return Ok(()) };
         let ServerConnection { transport, role: Role::Platform(reader), .. } = connection else {
             return Ok(());
         };
-        if self.platform.reading.is_none() && !transport.input.is_empty() {
-            // Invariant: what comes unrequested must not be taken for the next reading's first page.
+        if self.platform.poll.is_none() && !transport.input.is_empty() {
+            // Invariant: an unrequested response must not be taken for the first page of the next poll.
             return Err(CloseReason::Unrequested);
         }
-        let response = reader.next(&mut transport.input, has_ended).map_err(|_| CloseReason::Malformed)?;
+        let response = reader.next(&mut transport.input, is_eof).map_err(|_| CloseReason::Malformed)?;
         if let Some(response) = response {
             self.handle_page(now, &response);
         }
@@ -151,17 +151,17 @@
         let Some(page) = page else {
             let PlatformResponse { status, body } = response;
             warn!("event=endpoint-list-rejected status={status} bytes={}", body.len());
-            self.platform.reading = None; // nothing follows from a part of the list
+            self.platform.poll = None; // an incomplete list must not be used
             return;
         };
-        let Some(mut reading) = self.platform.reading.take() else { return };
-        reading.endpoints.extend(page.endpoints);
+        let Some(mut poll) = self.platform.poll.take() else { return };
+        poll.endpoints.extend(page.endpoints);
         match page.next_token {
             Some(token) => {
-                self.platform.reading = Some(reading);
+                self.platform.poll = Some(poll);
                 self.request_page(Some(&token));
             }
-            None => self.state_machine.endpoints_listed(now, reading.endpoints),
+            None => self.state_machine.endpoints_listed(now, poll.endpoints),
         }
     }
 }
--- a/crates/control-plane/src/server/turn_monitor.rs
+++ b/crates/control-plane/src/server/turn_monitor.rs
@@ -1,69 +1,70 @@
-//! How long the turns of the event loop last, and what follows from a long one.
+//! Measures the turns of the event loop, and postpones liveness checks after a long turn.
 //!
-//! A control process does everything on one thread, so what one turn takes all connections wait. Work that grows with a
-//! request is done elsewhere ([`super::worker`]); what is left of it on the loop, for the longest request, takes well under
-//! a second in any build. Heartbeats come while it lasts, and lie unread: contact and unresponsive peers must not be judged
-//! before they are read.
+//! A control process uses a single thread for the loop, so every connection waits for the current turn to end. Work
+//! that grows with the size of a request is offloaded ([`super::worker`]); what remains on the loop takes well under a
+//! second for the longest request, in any build. Heartbeats that arrive during a turn stay unread, so quorum contact
+//! and the liveness of peers must not be checked before they have been read.
 
 use kitepass_time::{Duration, Timestamp};
 use log::warn;
 
-/// A turn that lasts longer is logged and counted.
-pub(super) const LONG_TURN: Duration = Duration::from_micros(500_000);
-/// What was read from the sockets longer ago than this is no basis for a judgement.
+/// Turns that take longer than this are logged and counted.
+pub(super) const LONG_TURN_THRESHOLD: Duration = Duration::from_micros(500_000);
+/// Liveness must not be checked if the sockets may have been read longer ago than this.
 const MAX_READ_AGE: Duration = Duration::from_micros(100_000);
-/// A judgement waits no longer than this for what is still unread: a peer that sends without end must not prevent it.
-const MAX_POSTPONEMENT: Duration = Duration::from_micros(500_000);
+/// Maximum time for which a liveness check is postponed because of unread input. A peer that sends continuously must
+/// not prevent the check.
+const MAX_CHECK_DELAY: Duration = Duration::from_micros(500_000);
 
 /// Measures each turn, from the return of the poller to the next wait.
 #[derive(Debug, Default)]
 pub(super) struct TurnMonitor {
     started: Timestamp,
-    longest: Duration,
-    long_turns: u64,
-    /// Since when the sockets may hold what came during a turn that took long.
+    longest_turn: Duration,
+    long_turn_count: u64,
+    /// Since when the sockets may contain unread input that arrived during a long turn.
     unread_since: Option<Timestamp>,
 }
 
 impl TurnMonitor {
-    /// The poller has returned.
+    /// Records the start of a turn, when the poller has returned.
     pub(super) fn turn_started(&mut self, now: Timestamp) {
         self.started = now;
     }
 
-    /// Whether peers and contact may be judged now. After a long turn they may not before all sockets have been read
-    /// again; `has_unread` says that one of them had more than was read in this turn.
-    pub(super) fn may_judge(&mut self, now: Timestamp, has_unread: bool) -> bool {
+    /// Returns whether the liveness of peers and quorum contact may be checked now. After a long turn, all sockets have
+    /// to be read first; `has_unread_input` means that a socket had more input than was read in this turn.
+    pub(super) fn may_check_liveness(&mut self, now: Timestamp, has_unread_input: bool) -> bool {
         if now - self.started > MAX_READ_AGE {
             self.unread_since.get_or_insert(now);
-        } else if !has_unread {
+        } else if !has_unread_input {
             self.unread_since = None;
         }
-        let may_judge = self.unread_since.is_none_or(|since| now - since >= MAX_POSTPONEMENT);
-        if may_judge {
+        let may_check_liveness = self.unread_since.is_none_or(|since| now - since >= MAX_CHECK_DELAY);
+        if may_check_liveness {
             self.unread_since = None;
         }
-        may_judge
+        may_check_liveness
     }
 
-    /// All of the turn's work is done.
+    /// Records the end of a turn, when all its work is done.
     pub(super) fn turn_ended(&mut self, now: Timestamp) {
-        let lasted = now - self.started;
-        self.longest = self.longest.max(lasted);
-        if lasted > LONG_TURN {
-            self.long_turns += 1;
-            warn!("event=long-turn ms={} count={}", lasted.as_micros() / 1000, self.long_turns);
+        let duration = now - self.started;
+        self.longest_turn = self.longest_turn.max(duration);
+        if duration > LONG_TURN_THRESHOLD {
+            self.long_turn_count += 1;
+            warn!("event=long-turn ms={} count={}", duration.as_micros() / 1000, self.long_turn_count);
         }
     }
 
-    /// The longest turn of this incarnation.
-    pub(super) fn longest(&self) -> Duration {
-        self.longest
+    /// Returns the duration of the longest turn of this incarnation.
+    pub(super) fn longest_turn(&self) -> Duration {
+        self.longest_turn
     }
 
-    /// How many turns of this incarnation lasted longer than [`LONG_TURN`].
-    pub(super) fn long_turns(&self) -> u64 {
-        self.long_turns
+    /// Returns how many turns of this incarnation took longer than [`LONG_TURN_THRESHOLD`].
+    pub(super) fn long_turn_count(&self) -> u64 {
+        self.long_turn_count
     }
 }
 
--- a/crates/control-plane/src/server/worker.rs
+++ b/crates/control-plane/src/server/worker.rs
@@ -1,8 +1,8 @@
-//! A thread for what would hold up the event loop: parsing long changes, and encoding a long configuration.
+//! A worker thread for jobs that would block the event loop: parsing long changes, and encoding a long configuration.
 //!
-//! While the loop works on one of these, which takes up to half a second where the machine is slow, no heartbeat is sent or
-//! read, and quorum contact is lost within 2 s. Jobs are done one after the other, in their order. What they hold is bounded by
-//! the API's bound on the bytes of requests ([`Worker::queued_bytes`] counts towards it) and by one response for each client.
+//! A job takes up to half a second on a slow machine. While the event loop is blocked, no heartbeats are sent or read,
+//! and quorum contact is lost within 2 s. Jobs run one at a time, in order. Their memory is bounded by the API's limit
+//! on buffered request bodies, towards which [`Worker::queued_bytes`] counts, and by one response per client.
 
 use super::connections::ConnectionId;
 use crate::request::Request;
@@ -13,27 +13,28 @@
 use std::sync::Arc;
 use std::thread;
 
-/// What takes fewer bytes is done on the event loop itself: it takes less time than waking a thread and being woken.
-pub(super) const MIN_JOB_BYTES: usize = 64 * 1024;
+/// Smaller jobs run on the event loop itself, where they take less time than waking the thread and being notified.
+pub(super) const MIN_OFFLOAD_BYTES: usize = 64 * 1024;
 
-/// What is to be done, and for which client.
+/// A job, and the client for which it runs.
 pub(super) enum Job {
     /// Parse the body of a change request.
     ParseChange { client: ConnectionId, body: Vec<u8> },
-    /// Encode the configuration for its reader.
+    /// Encode the configuration as JSON.
     EncodeConfiguration { client: ConnectionId, snapshot: ConfigurationSnapshot },
 }
 
-/// A job that is done.
+/// The result of a job.
 pub(super) enum FinishedJob {
-    /// The change, or in words for the client what is wrong with it. `body_bytes` is the length of its body.
+    /// The parsed change, or the reason why it is invalid, as text for the client. `body_bytes` is the size of its
+    /// body.
     ChangeParsed { client: ConnectionId, body_bytes: usize, change: Result<Request, String> },
     /// The configuration as JSON.
     ConfigurationEncoded { client: ConnectionId, json: Vec<u8> },
 }
 
 impl FinishedJob {
-    /// The client that waits for it.
+    /// Returns the client that waits for the result.
     pub(super) fn client(&self) -> ConnectionId {
         match self {
             FinishedJob::ChangeParsed { client, .. } | FinishedJob::ConfigurationEncoded { client, .. } => {
@@ -43,34 +44,34 @@
     }
 }
 
-/// The event loop's end of the thread.
+/// The event loop's handle to the worker thread.
 pub(super) struct Worker {
     jobs: Sender<Job>,
     finished: Receiver<FinishedJob>,
-    wakes_loop: Arc<EventFd>,
-    /// Bytes of the bodies that are queued or being parsed.
+    loop_wakeup: Arc<EventFd>,
+    /// Total size of the bodies that are queued or being parsed.
     queued_bytes: usize,
 }
 
 impl Worker {
-    /// Starts the thread, which ends with the `Worker`. It checks changes by this schema.
+    /// Starts the thread, which validates changes with `schema`. It ends once the `Worker` is dropped.
     ///
     /// # Errors
     ///
-    /// The system's, for want of descriptors or threads.
+    /// The system's error, if it is out of descriptors or threads.
     pub(super) fn start(schema: Arc<SchemaValidator>) -> std::io::Result<Worker> {
         let (jobs, queue) = mpsc::channel();
         let (results, finished) = mpsc::channel();
-        let wakes_loop = Arc::new(EventFd::new()?);
-        let event_fd = wakes_loop.clone();
+        let loop_wakeup = Arc::new(EventFd::new()?);
+        let event_fd = loop_wakeup.clone();
         let run = move || run_jobs(&schema, &queue, &results, &event_fd);
         thread::Builder::new().name("worker".to_owned()).spawn(run)?;
-        Ok(Worker { jobs, finished, wakes_loop, queued_bytes: 0 })
+        Ok(Worker { jobs, finished, loop_wakeup, queued_bytes: 0 })
     }
 
-    /// Readable once a job is done.
+    /// Returns the descriptor that becomes readable once a job has finished.
     pub(super) fn event_fd(&self) -> BorrowedFd<'_> {
-        self.wakes_loop.as_fd()
+        self.loop_wakeup.as_fd()
     }
 
     /// Queues a job.
@@ -78,13 +79,13 @@
         if let Job::ParseChange { body, .. } = &job {
             self.queued_bytes += body.len();
         }
-        // The thread ends only when this end is dropped.
+        // Cannot fail, because the thread runs until this sender is dropped.
         let _ = self.jobs.send(job);
     }
 
-    /// The next job that is done.
+    /// Returns the next finished job, if there is one.
     pub(super) fn take_finished(&mut self) -> Option<FinishedJob> {
-        self.wakes_loop.reset();
+        self.loop_wakeup.reset();
         let finished = self.finished.try_recv().ok()?;
         if let FinishedJob::ChangeParsed { body_bytes, .. } = &finished {
             self.queued_bytes -= body_bytes;
@@ -92,7 +93,7 @@
         Some(finished)
     }
 
-    /// Bytes of the bodies that are queued or being parsed.
+    /// Returns the total size of the bodies that are queued or being parsed.
     pub(super) fn queued_bytes(&self) -> usize {
         self.queued_bytes
     }
@@ -102,17 +103,17 @@
     schema: &SchemaValidator,
     queue: &Receiver<Job>,
     results: &Sender<FinishedJob>,
-    wakes_loop: &EventFd,
+    loop_wakeup: &EventFd,
 ) {
     for job in queue {
-        if results.send(run(schema, job)).is_err() {
+        if results.send(run_job(schema, job)).is_err() {
             return;
         }
-        wakes_loop.notify();
+        loop_wakeup.notify();
     }
 }
 
-fn run(schema: &SchemaValidator, job: Job) -> FinishedJob {
+fn run_job(schema: &SchemaValidator, job: Job) -> FinishedJob {
     match job {
         Job::ParseChange { client, body } => {
             FinishedJob::ChangeParsed { client, body_bytes: body.len(), change: parse_change(schema, &body) }
@@ -123,7 +124,8 @@
     }
 }
 
-/// Parses the body of a change request, by its shape alone; the error is in words for the client.
+/// Parses the body of a change request, without checking it against the current configuration. The error is a text for
+/// the client.
 pub(super) fn parse_change(schema: &SchemaValidator, body: &[u8]) -> Result<Request, String> {
     parse_change_request(schema, body).map(Request::Patch).map_err(|error| error.to_string())
 }
