--- a/crates/control-plane/src/cli/client.rs
+++ b/crates/control-plane/src/cli/client.rs
@@ -9,7 +9,7 @@
 use snafu::Snafu;
 use std::net::SocketAddr;
 
-/// Maximum number of redirects followed for one call.
+/// Maximum number of redirects followed after calling a control process.
 const MAX_REDIRECTS: usize = 2;
 
 /// Why a call failed.
--- a/crates/control-plane/src/cli/client/exchange.rs
+++ b/crates/control-plane/src/cli/client/exchange.rs
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Time limit of an exchange that transfers less than 1 MiB.
+/// Time limit of connecting, and of an exchange that transfers less than 1 MiB.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Extension of the time limit for each MiB transferred.
 const EXCHANGE_TIMEOUT_PER_MIB: Duration = Duration::from_secs(1);
--- a/crates/control-plane/src/endpoints.rs
+++ b/crates/control-plane/src/endpoints.rs
@@ -1,8 +1,8 @@
 //! Converts the platform's list of backends into configuration items, one per backend, named by its id.
 //!
 //! An item's value contains the backend's service, address, zone, number of slots, whether it is draining, and how much
-//! warm-up time it had left when the item was created. Only changes become updates; the passing of warm-up time is
-//! none.
+//! warm-up time it had left when the item was created. Only changes become updates; the
+//! decrease of the warm-up time is not a change.
 
 use bytes::Bytes;
 use kitepass_config::{Item, ItemStore, Kind};
@@ -96,8 +96,7 @@
 }
 
 impl EndpointReconciler {
-    /// Resets the state for a new term of the coordinator. Item versions of a term are higher than those of lower
-    /// terms.
+    /// Resets the state for a new coordinator term. Its item versions are higher than those of lower terms.
     pub fn start_term(&mut self, term: u64) {
         *self = EndpointReconciler { version: term << 32, ..EndpointReconciler::default() };
     }
@@ -112,10 +111,10 @@
         // Invariant: new versions are higher than all known ones. Term numbers start again when all control processes
         // restart, but the backend items stay on disk; an item written before the restart could never be replaced.
         self.version = self.version.max(item_store.highest_version(Kind::Backend));
-        let known = item_store.items_of(Kind::Backend).filter(|item| item.value.is_some()).count();
-        // Invariant: an empty list does not remove all backends, because a platform that has just started may list
-        // none.
-        if endpoints.is_empty() && known > 1 {
+        let known_count = item_store.items_of(Kind::Backend).filter(|item| item.value.is_some()).count();
+        // Invariant: an empty list is ignored while more than one backend is known, because a platform that has just
+        // started may list none.
+        if endpoints.is_empty() && known_count > 1 {
             return Vec::new();
         }
         let mut items = Vec::new();
@@ -134,10 +133,10 @@
     fn has_changed(&self, now: Timestamp, endpoint: &Endpoint, item_store: &ItemStore) -> bool {
         let item = item_store.get(Kind::Backend, &endpoint.backend_id);
         let Some(value) = item.and_then(|item| item.value.as_deref()) else { return true };
-        let mut known: Value = serde_json::from_slice(value).unwrap_or_default();
-        let was_warming_up = known[WARM_UP_FIELD].as_u64().unwrap_or(0) > 0;
-        known[WARM_UP_FIELD] = 0.into();
-        known != endpoint.to_value(0)
+        let mut known_value: Value = serde_json::from_slice(value).unwrap_or_default();
+        let was_warming_up = known_value[WARM_UP_FIELD].as_u64().unwrap_or(0) > 0;
+        known_value[WARM_UP_FIELD] = 0.into();
+        known_value != endpoint.to_value(0)
             || was_warming_up != (endpoint.warm_up_ms > 0)
             || self.warm_up_difference(now, endpoint) >= WARM_UP_TOLERANCE
     }
@@ -145,12 +144,12 @@
     /// Returns by how much the listed end of a backend's warm-up differs from the end according to its item.
     fn warm_up_difference(&self, now: Timestamp, endpoint: &Endpoint) -> Duration {
         // A warm-up that has ended is equivalent to none.
-        let known = self.warm_up_ends.get(&endpoint.backend_id).copied().unwrap_or(now).max(now);
-        let listed = warm_up_end(now, endpoint);
-        if listed > known {
-            listed - known
+        let known_end = self.warm_up_ends.get(&endpoint.backend_id).copied().unwrap_or(now).max(now);
+        let listed_end = warm_up_end(now, endpoint);
+        if listed_end > known_end {
+            listed_end - known_end
         } else {
-            known - listed
+            known_end - listed_end
         }
     }
 
--- a/crates/control-plane/src/request.rs
+++ b/crates/control-plane/src/request.rs
@@ -82,7 +82,8 @@
     Configuration(ConfigurationSnapshot),
     /// The whole request was rejected as invalid, for this reason.
     Invalid(String),
-    /// A version of one of the items already exists with different content, so no part of the request takes effect.
+    /// A version of one of the items already exists with different content, so no part of the request ever takes
+    /// effect.
     Conflict(String),
     /// The control process at this address reports quorum contact and may be able to execute the request.
     Redirect(String),
--- a/crates/control-plane/src/server/api_client.rs
+++ b/crates/control-plane/src/server/api_client.rs
@@ -81,8 +81,8 @@
         if self.pending.is_some() {
             return Ok(true);
         }
-        let read = self.head_reader.next(MessageKind::Request, &mut transport.input, MAX_HEAD_BYTES);
-        let (head, framing) = match read {
+        let result = self.head_reader.next(MessageKind::Request, &mut transport.input, MAX_HEAD_BYTES);
+        let (head, framing) = match result {
             Ok(Some(head_and_framing)) => head_and_framing,
             Ok(None) => return Ok(false),
             Err(error) => {
@@ -178,8 +178,7 @@
             return Ok(None);
         }
         let request = client.read_body(transport)?;
-        // Invariant: the total is limited, because eight long requests at once would exceed the memory of a small
-        // machine.
+        // Invariant: the total is limited, because eight long requests at once would exhaust a small machine's memory.
         if request.is_none()
             && client.buffered_bytes() > MIN_BUFFERED_BODY_BYTES
             && self.buffered_body_bytes() > MAX_BUFFERED_BODY_BYTES
--- a/crates/control-plane/src/server/worker.rs
+++ b/crates/control-plane/src/server/worker.rs
@@ -1,8 +1,9 @@
 //! A worker thread for jobs that would block the event loop: parsing long changes, and encoding a long configuration.
 //!
 //! A job takes up to half a second on a slow machine. While the event loop is blocked, no heartbeats are sent or read,
-//! and quorum contact is lost within 2 s. Jobs run one at a time, in order. Their memory is bounded by the API's limit
-//! on buffered request bodies, towards which [`Worker::queued_bytes`] counts, and by one response per client.
+//! and quorum contact is lost after 2 s without them. Jobs run one at a time, in order. Their memory is bounded by the
+//! API's limit on buffered request bodies, towards which [`Worker::queued_bytes`] counts, and by one response per
+//! client.
 
 use super::connections::ConnectionId;
 use crate::request::Request;
