--- a/crates/control-plane/src/endpoints.rs
+++ b/crates/control-plane/src/endpoints.rs
@@ -1,8 +1,8 @@
 //! Converts the platform's list of backends into configuration items, one per backend, named by its id.
 //!
 //! An item's value contains the backend's service, address, zone, number of slots, whether it is draining, and how much
-//! warm-up time it had left when the item was created. Only changes become updates; the
-//! decrease of the warm-up time is not a change.
+//! warm-up time it had left when the item was created. Only changes become updates; the decrease of the remaining warm-up
+//! time is not a change.
 
 use bytes::Bytes;
 use kitepass_config::{Item, ItemStore, Kind};
