--- a/crates/control-plane/src/server/actions.rs
+++ b/crates/control-plane/src/server/actions.rs
@@ -9,8 +9,8 @@
 use log::debug;
 use std::collections::BTreeSet;
 
-/// A control process with more unsent bytes than this is sent no further catch-up chunk; it will request the chunk
-/// again. Invariant: without this bound, the responses to repeated requests would accumulate on a slow connection.
+/// A control process with more unsent bytes than this is sent no further chunk of missing items; it will request the
+/// chunk again. Invariant: without this bound, responses to repeated requests would accumulate on a slow connection.
 const MAX_UNSENT_BYTES_FOR_CHUNK: usize = 1024 * 1024;
 
 /// Output of the actions performed in one turn of the event loop.
--- a/crates/control-plane/src/server/operator_api.rs
+++ b/crates/control-plane/src/server/operator_api.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Returns whether the settings list zones, but not this one. Always false without quorum contact, because other
-    /// control processes may have newer settings.
+    /// Returns whether the settings list zones, but not this one. Always false while this process accepts no
+    /// requests, as without quorum contact, because other control processes may have newer settings.
     fn is_unknown_zone(&self, now: Timestamp, zone: &str) -> bool {
         let zones = &self.settings.zones;
         self.state_machine.accepts_requests(now) && !zones.is_empty() && !zones.contains_key(zone)
--- a/crates/control-plane/src/server/platform_client.rs
+++ b/crates/control-plane/src/server/platform_client.rs
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the input is not HTTP, or the body is longer than [`MAX_PAGE_BYTES`].
+    /// Fails if the input is not HTTP. A body longer than [`MAX_PAGE_BYTES`] is never completed, so its poll times out.
     fn next(&mut self, input: &mut Vec<u8>, is_eof: bool) -> Result<Option<PlatformResponse>, ParseError> {
         if self.in_progress.is_none() {
             let kind = MessageKind::Response { to_head: false };
