--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,4 +1,7 @@
-//! Typed items for the data plane. Unknown fields are ignored when an item is parsed.
+//! Parsed configuration items. Unknown JSON fields are ignored.
+//!
+//! Some fields are only stored and shown to operators; the data plane does not act on them. Their documentation says
+//! so.
 
 use crate::item::{Item, Kind};
 use crate::item_json::{parse_value, LimitsJson, RouteJson, SafetyJson, ServiceJson, TenantJson};
@@ -10,43 +13,45 @@
 pub enum RequestSafety {
     /// Requests have no side effects and may be processed more than once.
     Safe,
-    /// Requests have side effects and must not be processed more than once.
+    /// Requests have side effects and must not be processed more than once. They are retried only if no backend can
+    /// have processed the earlier attempt.
     Unsafe,
-    /// Requests have side effects and carry an idempotency key, by which services can detect duplicates. The data plane
-    /// treats them like `Unsafe` ones.
+    /// Requests have side effects and carry an idempotency key, which allows a service to detect duplicates. The data
+    /// plane nevertheless handles them like `Unsafe` requests.
     Keyed,
 }
 
-/// A rule that assigns requests to services by host and path prefix.
+/// A rule that routes requests to services by host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// The item's name.
     pub name: Arc<str>,
     /// The item's version.
     pub version: u64,
-    /// The host as given by the operator. Case and port are ignored in comparisons.
+    /// The host as the operator entered it. Case and port are ignored when it is compared with a request's host.
     pub host: Arc<str>,
-    /// The path prefix. It begins and ends with a slash.
+    /// The path prefix, which begins and ends with a slash.
     pub path_prefix: Arc<str>,
-    /// Whether requests may be processed more than once.
+    /// Whether the route's requests may be processed more than once.
     pub safety: RequestSafety,
     /// The maximum duration of a request in milliseconds.
     pub deadline_ms: u32,
-    /// The latency target of a request in milliseconds; defaults to the deadline.
+    /// The latency target of a request in milliseconds; defaults to the deadline. Not used by the data plane.
     pub target_ms: u32,
-    /// The priority class; defaults to [`Route::DEFAULT_CLASS`].
+    /// The priority class; defaults to [`Route::DEFAULT_CLASS`]. Not used by the data plane.
     pub class: u8,
-    /// The services and their weights. Weights are not negative, and their sum is positive.
+    /// The services and their weights. Change requests are validated so that there is at least one service, no weight
+    /// is negative, and the sum of the weights is positive and finite.
     pub services: SmallVec<[(Arc<str>, f64); 2]>,
     /// The maximum number of attempts per request, including the first; at least 1.
     pub max_attempts: u32,
-    /// Whether requests without an API key are allowed.
+    /// Whether requests are accepted without an API key. If so, no tenant's rate limit applies to them.
     pub allows_anonymous: bool,
-    /// The regions whose backends may serve the requests; if empty, all regions.
+    /// The regions whose backends may serve the route's requests; if empty, all regions.
     pub home_regions: Vec<Arc<str>>,
 }
 
-/// A customer whose requests are identified by API keys.
+/// A customer whose requests are identified by their API key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// The item's name.
@@ -55,11 +60,11 @@
     pub version: u64,
     /// The API keys that identify the tenant's requests. They are secret and must not be logged.
     pub keys: Vec<Arc<str>>,
-    /// The priority class, if one is configured.
+    /// The priority class, if one is configured. Not used by the data plane.
     pub class: Option<u8>,
-    /// The rate limit in requests per second; 0 for no limit.
+    /// The rate limit in requests per second; 0 means no limit.
     pub rate: f64,
-    /// The number of requests allowed in a burst above the rate; 0 for no limit.
+    /// The number of requests that a burst may exceed the rate by; defaults to 0.
     pub burst: f64,
     /// The regions whose backends may serve the tenant's requests; if empty, all regions.
     pub home_regions: Vec<Arc<str>>,
@@ -72,13 +77,15 @@
     pub name: Arc<str>,
     /// The item's version.
     pub version: u64,
-    /// The path for health checks; empty if none is configured.
+    /// The path for health checks; empty if none is configured. Not used by the data plane.
     pub health_path: Arc<str>,
-    /// The maximum number of concurrent requests per backend; 0 if none is configured.
+    /// The maximum number of concurrent requests per backend; 0 if none is configured. Not used by the data plane.
     pub max_concurrency: u32,
-    /// The duration of a new backend's slow start in seconds; 0 if none is configured.
+    /// The duration of a new backend's slow start in seconds; 0 if none is configured. The data plane does not use it:
+    /// a backend's item says how long its slow start lasts.
     pub slow_start_s: f64,
-    /// The rate limit of a backend in slow start, in requests per second; 0 if none is configured.
+    /// The number of requests per second that a backend can handle during its slow start. If it is 0, backends get no
+    /// requests until their slow start has ended.
     pub slow_start_rate: f64,
 }
 
@@ -89,9 +96,9 @@
     pub max_head_bytes: usize,
     /// The maximum size of a request body in bytes.
     pub max_body_bytes: u64,
-    /// The time in milliseconds within which a request head must arrive.
+    /// The maximum time in milliseconds until a request head has been received.
     pub head_timeout_ms: u32,
-    /// The time in milliseconds for which a connection may be idle.
+    /// The maximum time in milliseconds that a connection may be idle.
     pub idle_timeout_ms: u32,
 }
 
@@ -135,7 +142,8 @@
     }
 }
 
-/// Returns a route's services and their weights. A list of weighted services takes precedence over a single service.
+/// Returns a route's services and their weights. If the route has both a list of weighted services and a single
+/// service, the list is used.
 fn services_of(json: &RouteJson) -> SmallVec<[(Arc<str>, f64); 2]> {
     match (&json.weighted_services, &json.service) {
         (Some(weighted_services), _) => weighted_services
@@ -179,8 +187,8 @@
 }
 
 impl Limits {
-    /// Parses the limits; missing ones have their default. Returns `None` if the item is of another kind, is removed,
-    /// or cannot be parsed.
+    /// Parses the limits. A limit that is not configured has its default value. Returns `None` if the item is of
+    /// another kind, is removed, or cannot be parsed.
     pub fn from_item(item: &Item) -> Option<Limits> {
         let json: LimitsJson = parse_value(item, Kind::Limits)?;
         let default = Limits::default();
--- a/crates/config/tests/routing_table.rs
+++ b/crates/config/tests/routing_table.rs
@@ -1,4 +1,5 @@
-//! Lookups in a routing table, also with a configuration that contains conflicts.
+//! Lookups in a routing table. The configuration contains two kinds of conflicts: routes with the same host and path
+//! prefix, and tenants that share an API key.
 
 use bytes::Bytes;
 use kitepass_config::{Item, ItemStore, Kind, RequestSafety, RoutingTable};
@@ -10,6 +11,7 @@
     Item { kind, name: Arc::from(name), version, value: Some(Bytes::from(value.to_string())) }
 }
 
+/// A route of the host `hulo84.example`. Its value has a field that no item defines, which must be ignored.
 fn route(name: &str, version: u64, prefix: &str) -> Item {
     let value = json!({"depot": "Hulo84.example", "lane-prefix": prefix, "mail-kind": "posting",
         "deadline-ms": 3000.0, "line": "unknown", "colour": 1});
@@ -28,7 +30,7 @@
         item(Kind::Tenant, "t2", 6, json!({"permits": ["k2", "k3"], "rate-per-s": 2.5})),
         item(Kind::Tenant, "t3", 6, json!({"permits": ["k3"]})),
         item(Kind::Evacuation, "zone1", 1, json!(1)),
-        item(Kind::Evacuation, "zone2", 1, json!(0)),
+        item(Kind::Evacuation, "zone2", 1, json!(0)), // not evacuated
     ] {
         item_store.merge(item);
     }
@@ -45,7 +47,11 @@
 #[case("hulo84.example", "/A/", None)]
 #[case("other.example", "/a/", None)]
 #[case("hulo84.example", "/c/d", Some("newer"))]
-fn the_longest_matching_prefix_wins(#[case] host: &str, #[case] path: &str, #[case] name: Option<&str>) {
+fn the_longest_matching_prefix_wins_then_the_highest_version(
+    #[case] host: &str,
+    #[case] path: &str,
+    #[case] name: Option<&str>,
+) {
     let table = RoutingTable::build(&item_store());
     let route = table.route(host.as_bytes(), path.as_bytes());
     assert_eq!(route.map(|route| &*route.name), name);
@@ -66,14 +72,14 @@
 #[rstest]
 fn a_rebuilt_table_reuses_only_unchanged_items() {
     let mut item_store = item_store();
-    let first = RoutingTable::build(&item_store);
-    assert_eq!(first.evacuated_zones.iter().map(|zone| &**zone).collect::<Vec<_>>(), ["zone1"]);
+    let original = RoutingTable::build(&item_store);
+    assert_eq!(original.evacuated_zones.iter().map(|zone| &**zone).collect::<Vec<_>>(), ["zone1"]);
     item_store.merge(route("a", 2, "/z/"));
     item_store.merge(Item { value: None, ..route("newer", 11, "/c/") });
-    let second = RoutingTable::rebuild(&first, &item_store);
-    let found = |table: &RoutingTable, path: &[u8]| table.route(b"hulo84.example", path).cloned();
-    assert!(Arc::ptr_eq(&found(&first, b"/a/b/").unwrap(), &found(&second, b"/a/b/").unwrap()));
-    assert_eq!(found(&second, b"/a/"), None);
-    assert_eq!(&*found(&second, b"/z/").unwrap().name, "a");
-    assert_eq!(&*found(&second, b"/c/").unwrap().name, "same");
+    let rebuilt = RoutingTable::rebuild(&original, &item_store);
+    let route_for = |table: &RoutingTable, path: &[u8]| table.route(b"hulo84.example", path).cloned();
+    assert!(Arc::ptr_eq(&route_for(&original, b"/a/b/").unwrap(), &route_for(&rebuilt, b"/a/b/").unwrap()));
+    assert_eq!(route_for(&rebuilt, b"/a/"), None);
+    assert_eq!(&*route_for(&rebuilt, b"/z/").unwrap().name, "a");
+    assert_eq!(&*route_for(&rebuilt, b"/c/").unwrap().name, "same");
 }
