--- a/crates/control-plane/src/state_machine/lifecycle.rs
+++ b/crates/control-plane/src/state_machine/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Lifecycle of a replica: its state, and whether its disk holds everything that it has acknowledged.
+//! Lifecycle of a replica: its state, and whether its disk is complete.
 
 use log::info;
 
@@ -7,13 +7,13 @@
 pub enum ReplicaState {
     /// No replica set is known.
     Uninitialized,
-    /// A replica set is known, but changes committed while this process was down or disconnected have not been read
-    /// yet.
+    /// A replica set is known, but changes that were committed while this process was down may not have been read yet.
     CatchingUp,
-    /// Caught up and in contact with a majority. Requests and sessions are accepted.
+    /// Caught up, and in contact with a majority as of the last evaluation. Requests and sessions are accepted.
     Serving,
-    /// Caught up earlier, but no longer in contact with a majority. This replica may be missing committed changes, so
-    /// it does not present its items as current. Gateways are notified and move to a serving replica if there is one.
+    /// Caught up earlier, but has lost contact with a majority and has not caught up again since. This replica may be
+    /// missing committed changes, so it does not present its items as current. Its heartbeats say that it is not
+    /// serving, so that gateways move to a replica that is.
     Isolated,
     /// Shutting down. No new requests or sessions are accepted.
     ShuttingDown,
@@ -33,9 +33,10 @@
     }
 }
 
-/// Lifecycle state of this process. The replica state is changed only by [`Lifecycle::change_state`].
+/// Lifecycle of this process's replica. The state is changed only by [`Lifecycle::change_state`].
 pub(super) struct Lifecycle {
     state: ReplicaState,
+    /// See [`Lifecycle::is_complete`].
     is_complete: bool,
 }
 
@@ -48,8 +49,9 @@
         self.state
     }
 
-    /// Whether the disk holds everything that this replica has acknowledged. A replica that lost its disk is incomplete
-    /// until it has read the items of a majority and written them to disk.
+    /// Whether the disk is complete: it holds everything that this replica has acknowledged. The disk is incomplete
+    /// after it was lost, after malformed records were found on it, or after this replica has discarded its items. It
+    /// remains so until this replica has read the items of a read quorum and written them to disk.
     pub(super) fn is_complete(&self) -> bool {
         self.is_complete
     }
@@ -58,7 +60,7 @@
         self.is_complete = is_complete;
     }
 
-    /// Transitions to another state. `items` is the number of items held, for the log.
+    /// Changes the state and logs the change. `items` is the number of items that this replica holds.
     pub(super) fn change_state(&mut self, to: ReplicaState, items: usize) {
         if self.state != to {
             info!(
--- a/crates/control-plane/tests/support/cluster.rs
+++ b/crates/control-plane/tests/support/cluster.rs
@@ -1,4 +1,4 @@
-//! Clusters of control processes, each on its own loopback address, and connections to them.
+//! Clusters of control processes, and client connections to them. Each process has its own loopback address.
 
 use super::command::PROGRAM;
 use kitepass_coordination::protocol::framing::encode_message;
@@ -11,22 +11,27 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-/// Time after which a wait in these tests has failed.
+/// Maximum time that a test waits for a condition or for input.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 /// Number of processes in a cluster.
 const PROCESS_COUNT: u8 = 3;
+/// Port on which a process accepts other control processes and gateways.
 const PEER_PORT: u16 = 7100;
 const OPERATOR_API_PORT: u16 = 7101;
 const DIRECTORY_API_PORT: u16 = 7102;
 
-/// Up to three control processes. The tests send their requests to the first one.
+/// A cluster of three control processes, of which all or only the first are started. Requests go to the first one. The
+/// processes are killed when the cluster is dropped.
 pub(crate) struct Cluster {
+    /// The processes that were started.
     pub(crate) children: Vec<Child>,
+    /// Directory of the settings files and of the processes' data.
     dir: PathBuf,
+    /// Addresses of all processes.
     pub(crate) addresses: [Ipv4Addr; PROCESS_COUNT as usize],
     /// Address of the first process's operator API.
     pub(crate) operator_api: SocketAddr,
-    /// Address of the first process's directory API, which answers look-ups of clients.
+    /// Address of the first process's directory API, where clients look up gateways.
     pub(crate) directory_api: SocketAddr,
     /// Address on which the first process accepts other control processes and gateways.
     pub(crate) peer_listener: SocketAddr,
@@ -44,6 +49,8 @@
 
 impl Cluster {
     fn new() -> Cluster {
+        // The addresses are derived from the id of this test process and a counter, so that tests that run at the same
+        // time do not share any.
         static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
         let [.., high, low] = std::process::id().to_be_bytes();
         let first_host = NEXT_HOST.fetch_add(PROCESS_COUNT, Ordering::Relaxed);
@@ -59,7 +66,7 @@
         }
     }
 
-    /// Starts all three processes, and waits until the first one has caught up.
+    /// Starts all processes, and waits until the first one returns its configuration.
     pub(crate) fn start() -> Cluster {
         let mut cluster = Cluster::new();
         let addresses = cluster.addresses;
@@ -68,19 +75,22 @@
         while TcpStream::connect(cluster.operator_api).is_err()
             || cluster.connect().call("GET", "Timetable.Get", "").0 != 200
         {
-            assert!(started_at.elapsed() < TIMEOUT, "the control plane does not form in time");
+            assert!(
+                started_at.elapsed() < TIMEOUT,
+                "the first process does not return its configuration in time"
+            );
             std::thread::yield_now();
         }
         cluster
     }
 
-    /// Starts only the first process. It has no configuration and finds no peer that has one.
+    /// Starts only the first process. It has no configuration, and the peers that it tries to reach are not running.
     pub(crate) fn start_alone() -> Cluster {
         let mut cluster = Cluster::new();
         let others = [cluster.addresses[1], cluster.addresses[2]];
         cluster.spawn(0, &others);
         let started_at = Instant::now();
-        // The listeners are opened one after another, so all of them are checked.
+        // The process opens its listeners one after another, so this waits for each of them.
         for address in [cluster.operator_api, cluster.directory_api, cluster.peer_listener] {
             while TcpStream::connect(address).is_err() {
                 assert!(started_at.elapsed() < TIMEOUT, "the process does not listen in time");
@@ -90,6 +100,7 @@
         cluster
     }
 
+    /// Starts a process. `bootstrap` holds the addresses that it tries first to find its peers.
     fn spawn(&mut self, n: usize, bootstrap: &[Ipv4Addr]) {
         let address = self.addresses[n];
         let data_dir = self.dir.join(format!("s{n}"));
@@ -119,12 +130,12 @@
 /// A client connection to a control process.
 pub(crate) struct Connection {
     pub(crate) stream: TcpStream,
-    /// Bytes that were received and not consumed yet.
+    /// Bytes that were received but not consumed yet.
     pub(crate) input: Vec<u8>,
 }
 
 impl Connection {
-    /// Opens a connection to this address.
+    /// Connects to a process.
     pub(crate) fn open(address: SocketAddr) -> Connection {
         let stream = TcpStream::connect(address).expect("connect to the process");
         stream.set_read_timeout(Some(TIMEOUT)).expect("set the socket option");
@@ -132,18 +143,18 @@
     }
 
     pub(crate) fn send(&mut self, text: &str) -> &mut Connection {
-        self.stream.write_all(text.as_bytes()).expect("written");
+        self.stream.write_all(text.as_bytes()).expect("write to the process");
         self
     }
 
-    /// Sends a message in the protocol between processes of the system.
+    /// Sends a message of the binary protocol that control processes and gateways use among themselves.
     pub(crate) fn send_message(&mut self, message: Message) -> std::io::Result<()> {
         let mut bytes = Vec::new();
         encode_message(message, &mut bytes);
         self.stream.write_all(&bytes)
     }
 
-    /// Waits for more input; returns false once the connection is closed.
+    /// Waits for more input. Returns false if the process has closed the connection.
     pub(crate) fn read_more(&mut self) -> bool {
         let mut buffer = [0; 16 * 1024];
         match self.stream.read(&mut buffer) {
@@ -153,11 +164,11 @@
             }
             Err(error) if error.kind() == ErrorKind::Interrupted => true,
             Err(error) if error.kind() == ErrorKind::ConnectionReset => false,
-            Err(error) => panic!("no input: {error}"),
+            Err(error) => panic!("cannot read from the process: {error}"),
         }
     }
 
-    /// Receives a response; returns its header section and its body unchanged.
+    /// Receives a response. Returns its head, up to and including the empty line, and its body.
     pub(crate) fn receive_raw(&mut self) -> (String, String) {
         loop {
             let text = String::from_utf8_lossy(&self.input).into_owned();
@@ -174,29 +185,30 @@
         }
     }
 
-    /// Receives a response; returns its status and body.
+    /// Receives a response. Returns its status code and its body.
     pub(crate) fn receive(&mut self) -> (u16, String) {
         let (head, body) = self.receive_raw();
         (head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a numeric status code"), body)
     }
 
-    /// Sends a request; returns the status and body of the response.
+    /// Sends a request, and returns the status code and the body of the response.
     pub(crate) fn call(&mut self, method: &str, path: &str, body: &str) -> (u16, String) {
         self.send(&request(method, path, body)).receive()
     }
 
-    /// Waits for input; returns whether the process closes the connection without sending anything more.
+    /// Waits for input. Returns whether the process closes the connection without having sent anything that was not
+    /// consumed yet.
     pub(crate) fn is_closed_by_peer(&mut self) -> bool {
         !self.read_more() && self.input.is_empty()
     }
 
-    /// Closes the connection with a reset.
+    /// Closes the connection with a TCP reset, which a linger time of zero causes.
     pub(crate) fn reset(self) {
         sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO)).expect("set the socket option");
     }
 }
 
-/// A request to a path below `/v1/` of the operator or directory API.
+/// Formats a request of the operator or directory API. `path` is relative to `/v1/`.
 pub(crate) fn request(method: &str, path: &str, body: &str) -> String {
     format!("{method} /v1/{path} HTTP/1.1\r\nHost: desk\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
