--- a/crates/coordination/src/consensus/rejected.rs
+++ b/crates/coordination/src/consensus/rejected.rs
@@ -1,4 +1,4 @@
-//! The proposals that were rejected because of their content. An acceptor remembers a bounded number of them.
+//! Indexed storage for the proposals that an acceptor has rejected because of their content. Their number is limited.
 
 use super::accepted::{indexed, remove_from_index, ProposalIndex};
 use super::proposal::ProposalId;
@@ -6,23 +6,27 @@
 use crate::protocol::Ballot;
 use std::collections::BTreeMap;
 
-/// Limits on the number of rejections kept and on the total number of their keys. Beyond them, the rejections with the
-/// lowest ballots are dropped.
+/// The maximum number of rejections kept. When it is reached, those with the lowest ballots are dropped.
 pub(super) const MAX_REJECTIONS: usize = 1_024;
+/// The maximum total number of keys of the rejections kept. Rejections with the lowest ballots are dropped to stay
+/// within it, but a single rejection is kept even if it alone has more keys.
 const MAX_REJECTED_KEYS: usize = 1 << 20;
 
+/// The rejection of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Rejection {
     ballot: Ballot,
+    /// The keys of the proposal's items.
     keys: Vec<u64>,
 }
 
-/// Rejected proposals, with the ballots of their rejections.
+/// Rejected proposals, each with the ballot of its latest rejection.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct RejectedProposals {
     by_id: BTreeMap<ProposalId, Rejection>,
+    /// Indexed by the keys of the proposals' items.
     pub(super) by_key: ProposalIndex,
-    /// The total number of keys of all rejections.
+    /// The total number of keys in all rejections.
     pub(super) key_count: usize,
 }
 
@@ -38,13 +42,14 @@
         ids.into_iter().map(|proposal_id| (proposal_id, self.by_id[&proposal_id].ballot))
     }
 
-    /// Adds a rejection, dropping older ones if a limit is reached. Returns the records to write to disk.
+    /// Adds a rejection. If a limit is reached, drops the rejections with the lowest ballots. Returns the records to
+    /// write to disk.
     pub(super) fn add(&mut self, ballot: Ballot, proposal_id: ProposalId, keys: &[u64]) -> Vec<Record> {
-        // An earlier record of the same proposal is overwritten by the new one and needs no deletion.
+        // If this proposal was rejected before, the new record overwrites the earlier one, which needs no deletion.
         self.remove(proposal_id);
         let mut records = Vec::new();
         while self.by_id.len() >= MAX_REJECTIONS || self.key_count + keys.len() > MAX_REJECTED_KEYS {
-            let Some(lowest) = self.lowest() else { break };
+            let Some(lowest) = self.with_lowest_ballot() else { break };
             records.extend(self.remove(lowest));
         }
         self.insert(ballot, proposal_id, keys.to_vec());
@@ -52,12 +57,13 @@
         records
     }
 
-    fn lowest(&self) -> Option<ProposalId> {
+    fn with_lowest_ballot(&self) -> Option<ProposalId> {
         let lowest = self.by_id.iter().min_by_key(|(_, rejection)| rejection.ballot);
         lowest.map(|(proposal_id, _)| *proposal_id)
     }
 
-    /// Inserts a rejection whose record is already on disk.
+    /// Inserts a rejection without a limit, and replaces an earlier one of the same proposal. Called directly only for
+    /// rejections restored from disk.
     pub(super) fn insert(&mut self, ballot: Ballot, proposal_id: ProposalId, keys: Vec<u64>) {
         self.remove(proposal_id);
         self.key_count += keys.len();
@@ -67,7 +73,7 @@
         self.by_id.insert(proposal_id, Rejection { ballot, keys });
     }
 
-    /// Removes a rejection, and returns the record that deletes it from disk, if it was present.
+    /// Removes the rejection of a proposal. Returns the record that deletes it from disk, or `None` if there was none.
     pub(super) fn remove(&mut self, proposal_id: ProposalId) -> Option<Record> {
         let rejection = self.by_id.remove(&proposal_id)?;
         self.key_count -= rejection.keys.len();
--- a/crates/coordination/tests/quorum_contact.rs
+++ b/crates/coordination/tests/quorum_contact.rs
@@ -1,11 +1,12 @@
-//! Quorum contact by the sequence numbers that peers echo: one-way and two-way partitions, delayed heartbeats, and echoed
-//! numbers of earlier incarnations or that were never sent.
+//! Quorum contact: under one-way and two-way partitions, with delayed heartbeats, and with echoed sequence numbers that
+//! prove nothing, because this incarnation has not sent them to that peer.
 
 use kitepass_coordination::membership::{Replica, ReplicaSet};
 use kitepass_coordination::quorum_contact::{ContactState, QuorumContact, CONTACT_TIMEOUT};
 use kitepass_time::{Duration, Timestamp};
 use rstest::rstest;
 
+/// The time this many milliseconds after the start.
 fn at(millis: i64) -> Timestamp {
     Timestamp::from_micros(millis * 1000)
 }
@@ -19,16 +20,17 @@
 /// The one-way latency of each link.
 const LATENCY_MS: i64 = 50;
 
-/// A heartbeat in flight; `due` is when it arrives, in milliseconds.
+/// A heartbeat that has been sent and has not arrived yet.
 struct HeartbeatInFlight {
-    due: i64,
+    /// When it arrives, in milliseconds.
+    due_at: i64,
     from: usize,
     to: usize,
     sequence: u32,
     echoed_sequence: u32,
 }
 
-/// Simulated replicas that send each other heartbeats.
+/// A simulated network of replicas, all of which send each other heartbeats.
 struct Network {
     replica_set: ReplicaSet,
     contacts: Vec<QuorumContact>,
@@ -46,8 +48,8 @@
         Network { replica_set: replica_set(replicas), contacts, in_flight: Vec::new() }
     }
 
-    /// Runs the simulation for a period and returns when each replica first lost contact, if it did. `is_delivered` decides
-    /// by sender and receiver whether a heartbeat arrives.
+    /// Runs the simulation from `start` to `end`, in milliseconds. Returns when each replica was first disconnected, if
+    /// it was. `is_delivered` decides by sender and receiver whether a heartbeat arrives.
     fn run(&mut self, start: i64, end: i64, is_delivered: impl Fn(usize, usize) -> bool) -> Vec<Option<i64>> {
         let mut first_disconnected_at = vec![None; self.contacts.len()];
         for now in (start..end).step_by(10) {
@@ -67,7 +69,8 @@
     }
 
     fn deliver(&mut self, now: i64, is_delivered: impl Fn(usize, usize) -> bool) {
-        let due: Vec<HeartbeatInFlight> = self.in_flight.extract_if(.., |m| m.due <= now).collect();
+        let due: Vec<HeartbeatInFlight> =
+            self.in_flight.extract_if(.., |heartbeat| heartbeat.due_at <= now).collect();
         for HeartbeatInFlight { from, to, sequence, echoed_sequence, .. } in due {
             if is_delivered(from, to) {
                 let name = format!("s{from}");
@@ -79,8 +82,8 @@
     fn send(&mut self, now: i64, from: usize) {
         for to in (0..self.contacts.len()).filter(|to| *to != from) {
             let (sequence, echoed_sequence) = self.contacts[from].next_heartbeat(at(now), &format!("s{to}"));
-            let due = now + LATENCY_MS;
-            self.in_flight.push(HeartbeatInFlight { due, from, to, sequence, echoed_sequence });
+            let due_at = now + LATENCY_MS;
+            self.in_flight.push(HeartbeatInFlight { due_at, from, to, sequence, echoed_sequence });
         }
     }
 }
@@ -89,7 +92,7 @@
 #[case::receives_nothing(|_, to| to != 0)]
 #[case::sends_nothing(|from, _| from != 0)]
 #[case::fully_isolated(|from, to| from != 0 && to != 0)]
-// Replica 0 receives from two peers, and only the other two receive from it.
+// Replica 0 receives heartbeats from replicas 1 and 2 only, and its own reach only replicas 3 and 4.
 #[case::two_one_way_partitions(|from, to| !(from == 0 && to < 3 || to == 0 && from >= 3))]
 fn a_partitioned_replica_loses_contact_in_time(#[case] is_delivered: fn(usize, usize) -> bool) {
     let mut network = Network::new(5);
@@ -98,7 +101,7 @@
     let first_disconnected_at = network.run(3_000, 13_000, is_delivered);
     assert!(
         first_disconnected_at[0]
-            .is_some_and(|since| since <= 3_000 + CONTACT_TIMEOUT.as_micros() / 1000 + 10),
+            .is_some_and(|disconnected_at| disconnected_at <= 3_000 + CONTACT_TIMEOUT.as_micros() / 1000 + 10),
         "{first_disconnected_at:?}"
     );
     assert!(
@@ -110,12 +113,12 @@
     assert_eq!(
         network.contacts[0].state(),
         ContactState::Connected,
-        "one heartbeat in each direction is enough"
+        "one heartbeat in each direction restores contact"
     );
 }
 
-/// While this process is busy, several heartbeats of a peer accumulate. The first one processed echoes an old number, which
-/// must not end contact before the others are processed.
+/// If this process is busy, several heartbeats of a peer may be waiting to be processed. The first of them echoes an
+/// old number. Contact must not be lost because of that before the others have been processed.
 #[test]
 fn a_backlog_of_heartbeats_is_processed_before_contact_is_lost() {
     let replica_sets = [replica_set(2)];
@@ -127,7 +130,7 @@
     let (second, _) = contact.next_heartbeat(at(1_000), "s1");
     contact.heartbeat_received(at(2_500), "s1", 2, first);
     assert_eq!(contact.check_reconnected(at(2_500), &replica_sets), None);
-    assert!(!contact.is_connected(at(2_500)), "the proof is too old to answer requests");
+    assert!(!contact.is_connected(at(2_500)), "the proof of contact is too old to answer requests");
     assert_eq!(contact.state(), ContactState::Connected);
     contact.heartbeat_received(at(2_501), "s1", 3, second);
     assert_eq!(contact.check_reconnected(at(2_501), &replica_sets), None);
@@ -140,22 +143,23 @@
 }
 
 #[test]
-fn without_a_majority_there_is_no_contact_and_a_single_replica_is_connected() {
+fn contact_requires_a_majority_of_each_replica_set() {
     let mut network = Network::new(6);
     network.run(0, 3_000, |_, _| true);
-    // Two halves of three replicas each: neither is a majority.
+    // A partition into two halves of three replicas each, neither of which is a majority.
     let first_disconnected_at = network.run(3_000, 6_000, |from, to| (from < 3) == (to < 3));
     assert!(first_disconnected_at.iter().all(Option::is_some), "{first_disconnected_at:?}");
+    // The only replica of a set is a majority by itself.
     let mut single = QuorumContact::new("s0", 7);
     assert_eq!(single.evaluate(at(0), &[replica_set(1)]), Some(ContactState::Connected));
-    // During a change, a majority of both replica sets is required. Without any replica set there is no contact.
+    // With several replica sets, a majority of each is required. Without any, there is no contact.
     assert_eq!(single.evaluate(at(0), &[replica_set(1), replica_set(3)]), Some(ContactState::Disconnected));
     assert_eq!(single.evaluate(at(0), &[replica_set(1)]), Some(ContactState::Connected));
     assert_eq!(single.evaluate(at(0), &[]), Some(ContactState::Disconnected));
 }
 
 #[test]
-fn proof_of_contact_is_dated_by_when_the_echoed_number_was_sent() {
+fn contact_dates_from_the_sending_of_the_echoed_number() {
     let mut contact = QuorumContact::new("s0", 0);
     let replica_sets = [replica_set(3)];
     contact.peer_connected(at(0), "s1", 1);
@@ -171,16 +175,17 @@
     contact.heartbeat_received(at(2_900), "s1", 6, early);
     contact.evaluate(at(2_900), &replica_sets);
     assert_eq!(contact.last_contact("s1"), Some(at(1_000)));
-    // A process that was suspended has no contact as soon as it resumes, even before the state is evaluated again.
+    // When a process resumes after a suspension, it is not connected, even before the state is evaluated again.
     assert!(contact.is_connected(at(3_000)) && !contact.is_connected(at(3_001)));
     assert_eq!(contact.evaluate(at(3_001), &replica_sets), Some(ContactState::Disconnected));
-    // A response proves contact as of the time when the request was sent.
+    // A response proves contact at the time when the request was sent. An older proof, or one from a peer that never
+    // connected, changes nothing.
     contact.response_received(at(3_050), "s1", at(2_000));
     assert_eq!(contact.last_contact("s1"), Some(at(2_000)));
     contact.response_received(at(3_060), "s1", at(500));
     contact.response_received(at(3_060), "s2", at(3_000));
     assert_eq!((contact.last_contact("s1"), contact.last_contact("s2")), (Some(at(2_000)), None));
-    // The process itself echoes the last number that it received.
+    // The next heartbeat to a peer echoes the last number received from it.
     assert_eq!(contact.next_heartbeat(at(3_100), "s1").1, 6);
 }
 
@@ -188,33 +193,33 @@
 fn numbers_not_sent_to_this_peer_by_this_incarnation_prove_nothing() {
     let mut first = QuorumContact::new("s0", 1_000);
     first.peer_connected(at(0), "s1", 1);
-    let (old, _) = first.next_heartbeat(at(0), "s1");
+    let (of_earlier_incarnation, _) = first.next_heartbeat(at(0), "s1");
 
     let mut contact = QuorumContact::new("s0", 5_000);
     contact.peer_connected(at(0), "s1", 1);
     contact.peer_connected(at(0), "s2", 1);
-    let (one, _) = contact.next_heartbeat(at(100), "s1");
-    let (two, _) = contact.next_heartbeat(at(100), "s2");
-    for invalid in [old, two, two + 1, 0, u32::MAX] {
+    let (sent_to_s1, _) = contact.next_heartbeat(at(100), "s1");
+    let (sent_to_s2, _) = contact.next_heartbeat(at(100), "s2");
+    for invalid in [of_earlier_incarnation, sent_to_s2, sent_to_s2 + 1, 0, u32::MAX] {
         contact.heartbeat_received(at(200), "s1", 1, invalid);
         assert_eq!(contact.last_contact("s1"), None, "{invalid}");
     }
-    // A heartbeat from a peer that never connected, and one to it.
-    contact.heartbeat_received(at(200), "s9", 1, one);
+    // A heartbeat from a peer that never connected is ignored, and one to it carries no numbers.
+    contact.heartbeat_received(at(200), "s9", 1, sent_to_s1);
     assert_eq!((contact.last_contact("s9"), contact.next_heartbeat(at(200), "s9")), (None, (0, 0)));
-    contact.heartbeat_received(at(200), "s1", 1, one);
+    contact.heartbeat_received(at(200), "s1", 1, sent_to_s1);
     assert_eq!(contact.last_contact("s1"), Some(at(100)));
-    // Contact with the same incarnation is kept. A new incarnation has received nothing yet, and contact with the previous
-    // one no longer counts.
+    // Contact is kept if the same incarnation connects again. A new incarnation has received nothing yet, so contact
+    // with the previous one does not count for it.
     contact.peer_connected(at(300), "s1", 1);
     assert_eq!(contact.last_contact("s1"), Some(at(100)));
     contact.peer_connected(at(300), "s1", 2);
-    contact.heartbeat_received(at(400), "s1", 1, one);
+    contact.heartbeat_received(at(400), "s1", 1, sent_to_s1);
     assert_eq!(contact.last_contact("s1"), None);
-    // Only the newest sequence numbers are remembered, and a peer that has been silent for long is removed.
-    let (long_ago, _) = contact.next_heartbeat(at(500), "s1");
+    // Only the newest sequence numbers are remembered. A peer that has been silent for too long is removed.
+    let (forgotten, _) = contact.next_heartbeat(at(500), "s1");
     (0..100).for_each(|_| _ = contact.next_heartbeat(at(600), "s1"));
-    contact.heartbeat_received(at(700), "s1", 1, long_ago);
+    contact.heartbeat_received(at(700), "s1", 1, forgotten);
     assert_eq!(contact.last_contact("s1"), None);
     contact.expire_peers(at(70_000));
     assert_eq!(contact.next_heartbeat(at(70_000), "s1"), (0, 0));
