--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -17,11 +17,11 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Descriptors for everything but clients and backends: standard streams, epoll, the listener, control,
-/// discovery, the counter service, and a reserve.
+/// The number of file descriptors set aside for everything but client and backend connections: standard streams,
+/// epoll, the listener, the control socket, discovery, the counter service, and a reserve.
 const RESERVED_DESCRIPTORS: usize = 24;
 
-/// A listening gateway. It runs on the thread that opened it.
+/// A listening gateway. It must run on the thread that opened it.
 pub struct Server {
     policy: Gateway,
     pub(crate) runtime: Runtime,
@@ -32,10 +32,10 @@
 }
 
 impl Server {
-    /// Opens the listener, connects to discovery, and schedules the first timers.
+    /// Opens the listener, starts to connect to discovery, and schedules the first timers.
     ///
     /// # Errors
-    /// Names the socket that could not be opened, and why.
+    /// Names what could not be opened or registered, and the reason.
     pub fn open(startup: StartupConfig) -> Result<Server, String> {
         let clock = Clock::new();
         let now = clock.now();
@@ -51,10 +51,10 @@
         poller.add(&listener, Source::Listener).map_err(with_context("listen"))?;
         let control_receiver = ControlReceiver::open().map_err(|error| format!("control: {error}"))?;
         poller.add(control_receiver.socket(), Source::Control).map_err(with_context("control"))?;
-        // A request uses one client connection and at most one backend connection. Clients get at most a third
-        // of the descriptors: the load balancer in front of the gateways counts idle connections too, and opens
-        // no more to a gateway that has that many. Slightly fewer clients than that are served, so that the
-        // others can be accepted and rejected with a response.
+        // A request uses one client connection and at most one backend connection. Client connections use at most
+        // a third of the descriptors, because the load balancer in front of the gateways counts idle connections
+        // too, and opens no further connections to a gateway that has this many. Requests are served on slightly
+        // fewer connections, so that requests on the remaining ones can be rejected with a response.
         let (max_backend_connections, max_clients) =
             ((startup.max_descriptors - RESERVED_DESCRIPTORS) / 2, startup.max_descriptors / 3);
         let reject_margin = startup.max_descriptors / 32;
@@ -91,27 +91,31 @@
         self.control_receiver.register_signals().map_err(|error| format!("signals: {error}"))
     }
 
-    /// A handle for control messages to this gateway while it runs.
+    /// Returns a handle that other threads use to send control messages to this gateway.
     pub fn control(&self) -> Control {
         self.control_receiver.control()
     }
 
-    /// Serves until it is told to shut down and has answered all accepted requests.
+    /// Runs the event loop until a shutdown was requested, all client connections are closed and all requests have
+    /// ended.
     ///
     /// # Errors
-    /// The poller failed.
+    /// Waiting for events failed.
     pub fn run(mut self) -> Result<(), String> {
-        let (mut ready, mut due) = (Vec::new(), Vec::new());
+        let (mut ready_events, mut due_timers) = (Vec::new(), Vec::new());
         while !self.is_done() {
             let now = self.runtime.read_clock();
             let timeout = self.runtime.timers.next_deadline().map(|deadline| deadline - now);
-            self.runtime.poller.wait(timeout, &mut ready).map_err(|error| format!("epoll: {error}"))?;
-            for ready in ready.drain(..) {
+            self.runtime
+                .poller
+                .wait(timeout, &mut ready_events)
+                .map_err(|error| format!("epoll: {error}"))?;
+            for ready in ready_events.drain(..) {
                 self.catch_panics(Some(ready.source), |server| server.handle_ready(ready));
             }
             let now = self.runtime.read_clock();
-            self.runtime.timers.take_due(now, &mut due);
-            for timer in due.drain(..) {
+            self.runtime.timers.take_due(now, &mut due_timers);
+            for timer in due_timers.drain(..) {
                 self.catch_panics(None, |server| server.handle_timer(timer));
             }
         }
@@ -119,14 +123,16 @@
         Ok(())
     }
 
-    /// Whether the shutdown is complete.
+    /// Whether a shutdown has been completed.
     fn is_done(&self) -> bool {
         self.runtime.phase == Phase::Closing
             && self.runtime.clients.is_empty()
             && self.runtime.requests.is_empty()
     }
 
-    /// Handles one event or timer. A panic closes only the client connection whose request caused it.
+    /// Handles one event or timer, and passes the resulting events to the policy. If that panics, the gateway keeps
+    /// running: only the client connection that was the source of the event, and the one whose request the policy was
+    /// handling, are closed.
     fn catch_panics(&mut self, source: Option<Source>, handle_event: impl FnOnce(&mut Server)) {
         self.runtime.read_clock();
         let result = catch_unwind(AssertUnwindSafe(|| {
@@ -142,7 +148,7 @@
         }
     }
 
-    /// Handles the event of a ready socket.
+    /// Dispatches the event of a ready socket.
     fn handle_ready(&mut self, ready: ReadyEvent) {
         match ready.source {
             Source::Listener => self.runtime.accept_clients(),
@@ -181,7 +187,7 @@
         }
     }
 
-    /// Passes events to the policy until its decisions cause no further ones.
+    /// Passes queued events to the policy, including those that its decisions cause, until the queue is empty.
     fn deliver_events(&mut self) {
         let (policy, runtime) = (&mut self.policy, &mut self.runtime);
         while let Some(event) = runtime.events.pop_front() {
--- a/crates/gateway/tests/sockets/bad_input.rs
+++ b/crates/gateway/tests/sockets/bad_input.rs
@@ -11,9 +11,9 @@
     other.send(request_head("once", "t1") + "\r\n");
     let mut connection = backend_stub.accept();
     connection.receive();
-    let good = request_head("look", "t2") + "\r\n";
-    let dedup_head = request_head("door", "t2") + "Idempotency-Key: k\r\n";
-    // Message framing is intact, so the connection stays open.
+    let valid_request = request_head("look", "t2") + "\r\n";
+    let keyed_head = request_head("door", "t2") + "Idempotency-Key: k\r\n";
+    // These requests are invalid, but their end can be determined, so the connection stays open.
     let mut client = gateway.connect();
     for (from, to) in [
         ("X-Trace-Id: t2\r\n", ""),
@@ -36,7 +36,7 @@
         ("spread=1", "spread=2"),
         ("first=0", "first=1"),
         ("X-Weight: units=1,spread=1,first=0\r\n", ""),
-        ("00000000b4d65521", "0000000200000000"),
+        ("00000000b4d65521", "0000000200000000"), // a tenant id of 2^33; the largest is one below
         ("00000000b4d65521", "b4d65521"),
         ("00000000b4d65521", "+0000000b4d65521"),
         ("/look/00000000b4d65521", "/"),
@@ -44,30 +44,31 @@
         ("X-Tariff: team", "X-Tariff: odd"),
         ("/look/", "/door/"), // without an idempotency key
     ] {
-        assert!(good.contains(from), "{from}");
-        assert_eq!(client.send(good.replace(from, to)).receive().status(), 400, "{from} -> {to}");
+        assert!(valid_request.contains(from), "{from}");
+        assert_eq!(client.send(valid_request.replace(from, to)).receive().status(), 400, "{from} -> {to}");
     }
-    // Message framing is broken, so the connection is closed after the response.
+    // These requests are too large, or malformed so that their end is uncertain. The connection is closed after the
+    // response.
     let large = "a".repeat(20_000);
     for (text, status) in [
         ("nonsense\r\n\r\n".to_owned(), 400),
         ("\u{16}\u{3}\u{1}noise without an end of line".to_owned(), 400),
-        (good.replace("HTTP/1.1", "HTTP/3"), 400),
-        (good.replace("X-Tariff:", "X-Tariff :"), 400),
-        (good.replace("\r\n", "\n"), 400),
-        (format!("{dedup_head}Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello"), 400),
-        (format!("{dedup_head}Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\nhello"), 400),
-        (format!("{dedup_head}Content-Length: +5\r\n\r\nhello"), 400),
-        (format!("{dedup_head}Transfer-Encoding: chunked\r\n\r\nhello\r\n"), 400),
-        (format!("{dedup_head}Content-Length: 65537\r\n\r\n"), 413),
-        (format!("{dedup_head}Transfer-Encoding: chunked\r\n\r\n10001\r\n"), 413),
-        (good.replace("X-Tariff: team", &format!("X-Tariff: {large}")), 431),
+        (valid_request.replace("HTTP/1.1", "HTTP/3"), 400),
+        (valid_request.replace("X-Tariff:", "X-Tariff :"), 400),
+        (valid_request.replace("\r\n", "\n"), 400),
+        (format!("{keyed_head}Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello"), 400),
+        (format!("{keyed_head}Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\nhello"), 400),
+        (format!("{keyed_head}Content-Length: +5\r\n\r\nhello"), 400),
+        (format!("{keyed_head}Transfer-Encoding: chunked\r\n\r\nhello\r\n"), 400),
+        (format!("{keyed_head}Content-Length: 65537\r\n\r\n"), 413),
+        (format!("{keyed_head}Transfer-Encoding: chunked\r\n\r\n10001\r\n"), 413),
+        (valid_request.replace("X-Tariff: team", &format!("X-Tariff: {large}")), 431),
     ] {
         let mut client = gateway.connect();
         assert_eq!(client.send(&text).receive().status(), status, "{}", &text[..text.len().min(300)]);
         assert!(client.ends_without_data());
     }
-    assert!(backend_stub.has_no_connection(), "an attempt was sent");
+    assert!(backend_stub.has_no_connection(), "an invalid request was forwarded");
     connection.send(ok_response("fine"));
     assert_eq!(other.receive().body, b"fine");
 }
@@ -94,34 +95,35 @@
 
 #[test]
 fn an_invalid_configuration_ends_the_program_with_one_error_message() {
-    let good = format!(
+    let valid_config = format!(
         r#"{{"name":"g0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{}}}"#,
         settings(false)
     );
-    for (text, what) in [
+    for (text, expected_error) in [
         ("{".to_owned(), "expected JSON"),
-        (good.replace("\"g0\"", "5"), "name:"),
-        (good.replace("127.0.0.1:0", "here"), "listen:"),
-        (good.replace("127.0.0.1:1", "there"), "discovery:"),
-        (good.replace("\"seed\":\"1\"", "\"seed\":\"x\""), "seed:"),
-        (good.replace("\"seed\"", "\"limits\":{\"sockets\":5},\"seed\""), "limits.sockets:"),
-        (good.replace("\"seed\"", "\"known\":{},\"seed\""), "known.instances:"),
-        (good.replace("\"Me\":0", "\"Me\":1"), "settings.Me:"),
-        (good.replace("\"Refill\":0.001", "\"Refill\":-1"), "settings.Plans[1].Refill:"),
-        (good.replace("\"ConnIdle\":15.0", "\"ConnIdle\":\"x\""), "settings.Caps.ConnIdle:"),
+        (valid_config.replace("\"g0\"", "5"), "name:"),
+        (valid_config.replace("127.0.0.1:0", "here"), "listen:"),
+        (valid_config.replace("127.0.0.1:1", "there"), "discovery:"),
+        (valid_config.replace("\"seed\":\"1\"", "\"seed\":\"x\""), "seed:"),
+        (valid_config.replace("\"seed\"", "\"limits\":{\"sockets\":5},\"seed\""), "limits.sockets:"),
+        (valid_config.replace("\"seed\"", "\"known\":{},\"seed\""), "known.instances:"),
+        (valid_config.replace("\"Me\":0", "\"Me\":1"), "settings.Me:"),
+        (valid_config.replace("\"Refill\":0.001", "\"Refill\":-1"), "settings.Plans[1].Refill:"),
+        (valid_config.replace("\"ConnIdle\":15.0", "\"ConnIdle\":\"x\""), "settings.Caps.ConnIdle:"),
     ] {
         let path = write_config(&text);
-        assert_startup_fails(&path, what);
+        assert_startup_fails(&path, expected_error);
         std::fs::remove_file(path).unwrap();
     }
     assert_startup_fails(std::path::Path::new("/nowhere/config.json"), "/nowhere/config.json");
 }
 
-fn assert_startup_fails(path: &std::path::Path, what: &str) {
+/// Starts a gateway and checks that it fails with one line on standard error that contains this text.
+fn assert_startup_fails(path: &std::path::Path, expected_error: &str) {
     let output = gateway_command(path).stderr(Stdio::piped()).output().unwrap();
     let stderr = String::from_utf8(output.stderr).unwrap();
     assert!(
-        !output.status.success() && stderr.contains(what) && stderr.lines().count() == 1,
-        "{what}: {stderr}"
+        !output.status.success() && stderr.contains(expected_error) && stderr.lines().count() == 1,
+        "{expected_error}: {stderr}"
     );
 }
